--- a/crates/finchyard/src/api.rs
+++ b/crates/finchyard/src/api.rs
@@ -295,7 +295,10 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss
+        )
     }
 }
 
--- a/crates/finchyard/src/brain.rs
+++ b/crates/finchyard/src/brain.rs
@@ -93,9 +93,19 @@
 const CALL_SPREAD: Nanos = 300 * MS; // Routers restarted together spread their first list call over it.
 
 fn unknown_server(entry: Entry, is_news: bool, now: Nanos, fill: f64) -> Server {
-    let told =
-        Server { entry, listed: now, is_news, hits: HITS_START, backoff: BACKOFF, ..Server::default() };
-    Server { cold_budget: fill, cold_budget_at: now, ..told }
+    let told = Server {
+        entry,
+        listed: now,
+        is_news,
+        hits: HITS_START,
+        backoff: BACKOFF,
+        ..Server::default()
+    };
+    Server {
+        cold_budget: fill,
+        cold_budget_at: now,
+        ..told
+    }
 }
 
 impl Brain {
@@ -117,9 +127,13 @@
                 self.with(end.request, |me, r| me.on_ended(r, &end));
                 self.release_held();
             }
-            Event::Begun { request, attempt } => self.with(request, |me, r| me.on_begun(r, attempt)),
+            Event::Begun { request, attempt } => {
+                self.with(request, |me, r| me.on_begun(r, attempt))
+            }
             Event::Gone(id) => self.with(id, |me, r| me.close(r, None)),
-            Event::Probed { server, outcome, .. } => self.on_probed(server, outcome),
+            Event::Probed {
+                server, outcome, ..
+            } => self.on_probed(server, outcome),
             Event::Ending(by) => {
                 for id in self.requests.keys().copied().collect::<Vec<_>>() {
                     self.with(id, |me, r| me.hurry(r, by));
@@ -153,7 +167,10 @@
             // A refusal says that a retry is harmless: not so once an unsafe attempt may have run.
             Step::Refuse => {
                 return match effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                    Effect::Safe
+                    | Effect::Keyed {
+                        group: Group::All, ..
+                    } => true,
                     _ => !r.attempts.iter().any(Attempt::may_have_run),
                 };
             }
@@ -163,7 +180,8 @@
                 _ => return false,
             },
         };
-        if self.now >= r.deadline || r.attempts.len() >= self.settings.limits.max_attempts as usize {
+        if self.now >= r.deadline || r.attempts.len() >= self.settings.limits.max_attempts as usize
+        {
             return false;
         }
         let two_out = effect == Effect::Safe && self.settings.limits.second_copies && r.out() < 2;
@@ -176,7 +194,8 @@
             Effect::Unsafe => ran.next().is_none(),
             // The servers forget a repeat `window` after the first send that may have run.
             Effect::Keyed { group, window } => {
-                r.first_run().is_none_or(|first| self.now < first.sent.saturating_add(window))
+                r.first_run()
+                    .is_none_or(|first| self.now < first.sent.saturating_add(window))
                     && ran.all(|a| match group {
                         Group::All => true,
                         Group::Zone => a.zone == server.entry.zone,
@@ -199,8 +218,16 @@
     }
 
     fn weight(&self, entry: &Entry) -> f64 {
-        let stated = if self.settings.live_weights { 1.0 } else { entry.weight };
-        if stated.is_finite() { stated.clamp(0.01, 100.0) } else { 1.0 }
+        let stated = if self.settings.live_weights {
+            1.0
+        } else {
+            entry.weight
+        };
+        if stated.is_finite() {
+            stated.clamp(0.01, 100.0)
+        } else {
+            1.0
+        }
     }
 
     fn candidates(&mut self, slot: usize) -> Candidates {
@@ -213,7 +240,11 @@
     fn age(&self, s: &Server) -> Nanos {
         let stated = self.now.saturating_sub(s.entry.started);
         let listed = self.now.saturating_sub(s.listed);
-        let most = if s.is_news { listed.saturating_add(LISTED_WITHIN) } else { Nanos::MAX };
+        let most = if s.is_news {
+            listed.saturating_add(LISTED_WITHIN)
+        } else {
+            Nanos::MAX
+        };
         stated.clamp(listed, most)
     }
 
@@ -232,7 +263,9 @@
     /// is asked may be many times that). Each router keeps to its part, so together they stay far under what
     /// tips it, and starts at a random fill, so that hundreds do not send their first at once.
     fn cold_room(&mut self, id: ServerId) -> bool {
-        let Some(s) = self.servers.get(&id) else { return false };
+        let Some(s) = self.servers.get(&id) else {
+            return false;
+        };
         let ramp = self.ramp(s);
         if ramp >= 1.0 {
             return true;
@@ -241,7 +274,9 @@
         let asked = ASKED_SHARE * self.asked.per_s(self.now) / self.total_weight.max(0.01);
         let due = served.max(asked) * self.weight(&s.entry) * ramp;
         let most = (due * self.settings.rules.tip_after as f64 / SEC / 2.0).max(1.0);
-        let Some(s) = self.servers.get_mut(&id) else { return false };
+        let Some(s) = self.servers.get_mut(&id) else {
+            return false;
+        };
         let gained = due * self.now.saturating_sub(s.cold_budget_at) as f64 / SEC;
         s.cold_budget = (s.cold_budget + gained).min(most);
         s.cold_budget_at = self.now;
@@ -251,10 +286,14 @@
     fn fitness(&mut self, r: &Request, id: ServerId, owner: bool) -> Fitness {
         let safe = self.settings.classes[r.new.class.0].effect == Effect::Safe;
         let cold_room = self.cold_room(id);
-        let Some(s) = self.servers.get(&id) else { return Fitness::Suspect };
+        let Some(s) = self.servers.get(&id) else {
+            return Fitness::Suspect;
+        };
         // One trial at a time, after the back-off, and only with a request that a copy can save.
         let trial = s.proven && s.out.is_empty() && safe;
-        let suspect = s.suspect_until.is_some_and(|until| !trial || self.now < until);
+        let suspect = s
+            .suspect_until
+            .is_some_and(|until| !trial || self.now < until);
         if suspect && !self.suspicion_void {
             Fitness::Suspect
         } else if !cold_room {
@@ -275,10 +314,18 @@
     /// Why this part of the in-flight limit leaves no room for one more; none if it does.
     fn room(&self, s: &Server, part: f64) -> Option<Reason> {
         let limit = s.limit * part;
-        let spacing = if limit < 1.0 { s.latency.now * (1.0 / limit - 1.0) } else { 0.0 };
+        let spacing = if limit < 1.0 {
+            s.latency.now * (1.0 / limit - 1.0)
+        } else {
+            0.0
+        };
         let spaced = (self.now as f64) < s.last_answer as f64 + spacing;
         let full = s.out.len() as f64 >= limit.max(1.0);
-        if full { Some(Reason::Limit) } else { spaced.then_some(Reason::Spacing) }
+        if full {
+            Some(Reason::Limit)
+        } else {
+            spaced.then_some(Reason::Spacing)
+        }
     }
 
     /// Draw weight: by the hit share that the server reports and that answers told at this rank, steeply, so
@@ -293,10 +340,23 @@
     /// Two draws among the fit candidates; fewer of our requests in flight wins, on a tie the better rank.
     /// Who holds the key most likely hits, others miss: a fetch they would have to make counts as one in
     /// flight. For a key that nobody answered here, the first rank is where other routers ask for it.
-    fn draw(&mut self, fit: &[(usize, ServerId)], key: Option<Key>, work: Option<Nanos>) -> Option<ServerId> {
+    fn draw(
+        &mut self,
+        fit: &[(usize, ServerId)],
+        key: Option<Key>,
+        work: Option<Nanos>,
+    ) -> Option<ServerId> {
         let weigh = |(rank, id): &(usize, ServerId)| {
             let told = self.draw_weight(&self.servers[id], *rank, work);
-            (*rank, *id, if self.known.held(key, *id) { told * HOLDER_WEIGHT } else { told })
+            (
+                *rank,
+                *id,
+                if self.known.held(key, *id) {
+                    told * HOLDER_WEIGHT
+                } else {
+                    told
+                },
+            )
         };
         let (mut pool, mut drawn): (Vec<_>, Vec<_>) = (fit.iter().map(weigh).collect(), Vec::new());
         while drawn.len() < 2 && !pool.is_empty() {
@@ -311,15 +371,23 @@
         let nobody = !fit.iter().any(|(_, id)| self.known.held(key, *id));
         let fetch = |rank: usize, id| !(self.known.held(key, id) || nobody && rank == 0);
         let load = |rank, id: ServerId| self.servers[&id].out.len() + usize::from(fetch(rank, id));
-        drawn.into_iter().min_by_key(|(rank, id, _)| (load(*rank, *id), *rank)).map(|(_, id, _)| id)
+        drawn
+            .into_iter()
+            .min_by_key(|(rank, id, _)| (load(*rank, *id), *rank))
+            .map(|(_, id, _)| id)
     }
 
     /// Where the next attempt goes: a fit candidate; beyond the three only when none of them is usable.
     fn pick(&mut self, r: &Request, copy: bool) -> Pick {
         let step = |id| if copy { Step::Copy(id) } else { Step::Send(id) };
-        let mut three: Vec<(usize, ServerId)> = self.candidates(r.slot).into_iter().enumerate().collect();
+        let mut three: Vec<(usize, ServerId)> =
+            self.candidates(r.slot).into_iter().enumerate().collect();
         three.retain(|(_, id)| self.legal(r, step(*id)));
-        let untried: Vec<(usize, ServerId)> = three.iter().copied().filter(|(_, id)| !r.tried(*id)).collect();
+        let untried: Vec<(usize, ServerId)> = three
+            .iter()
+            .copied()
+            .filter(|(_, id)| !r.tried(*id))
+            .collect();
         if copy || !untried.is_empty() {
             three = untried;
         }
@@ -371,14 +439,21 @@
             return;
         }
         if new.class.0 >= self.settings.classes.len() {
-            let why = Why { reason: Reason::UnknownClass, ..Why::default() };
-            return self.actions.push(Action::Fail { request: new.id, why });
+            let why = Why {
+                reason: Reason::UnknownClass,
+                ..Why::default()
+            };
+            return self.actions.push(Action::Fail {
+                request: new.id,
+                why,
+            });
         }
         self.asked.add(self.now);
         let mut over_share = false;
         if let Some(TenantId(t)) = new.tenant.filter(|t| t.0 < self.tenants.len()) {
             self.tenants[t].add(self.now);
-            let mine = self.settings.tenants[t].allowance_per_s / self.settings.routers.max(1) as f64;
+            let mine =
+                self.settings.tenants[t].allowance_per_s / self.settings.routers.max(1) as f64;
             over_share = self.tenants[t].per_s(self.now) > mine;
         }
         let most = |burst: f64| (burst / self.routers_root).max(BURST_LEAST);
@@ -417,7 +492,11 @@
         if part == 0.0 {
             return false;
         }
-        let of = r.new.key.map_or(r.new.id.0, |key| u128::from(key.0)).to_le_bytes();
+        let of = r
+            .new
+            .key
+            .map_or(r.new.id.0, |key| u128::from(key.0))
+            .to_le_bytes();
         let place = xxh3_64_with_seed(&of, r.new.class.0 as u64) as f64 / u64::MAX as f64;
         (place + SHED_TURN * (self.allowance.turn % 1_000) as f64).fract() < part
     }
@@ -425,7 +504,8 @@
     /// Whether the fleet, as far as this router saw, has room for one more request. Where routers are so many
     /// that their least limits exceed a server's start, each learns of no server in time, but of all of them.
     fn fleet_bears(&mut self) -> bool {
-        let [taken, served] = [&self.taken, &self.served].map(|rate| rate.per_s(self.now) * RATE_TAU / SEC);
+        let [taken, served] =
+            [&self.taken, &self.served].map(|rate| rate.per_s(self.now) * RATE_TAU / SEC);
         let share = ((USEFUL * served + UNSEEN) / taken.max(0.1)).max(LEAST_SHARE);
         let few = self.settings.routers as f64 * LIMIT_MIN <= LIMIT_START;
         let bears = few || (self.random_below(1000) as f64) < share * 1000.0;
@@ -436,7 +516,10 @@
     /// Whether a read may go on although the origin may have to fetch it. In distress the origin works on
     /// what nobody waits for any more, and clients' retries keep it there; only fewer misses let it recover.
     fn origin_bears(&mut self, r: &Request) -> bool {
-        let known = self.candidates(r.slot).into_iter().any(|id| self.known.held(r.new.key, id));
+        let known = self
+            .candidates(r.slot)
+            .into_iter()
+            .any(|id| self.known.held(r.new.key, id));
         let safe = self.settings.classes[r.new.class.0].effect == Effect::Safe;
         let let_through = self.origin_room / BORNE;
         known || !safe || r.new.write || (self.random_below(1000) as f64) < let_through * 1000.0
@@ -450,7 +533,10 @@
     fn judge_origin(&mut self, r: &Request, end: &Ended) {
         self.known.age(self.now);
         let sent = r.attempts[end.attempt.0 as usize].sent;
-        let alive = self.servers.get(&end.server).is_some_and(|s| s.last_answer > sent);
+        let alive = self
+            .servers
+            .get(&end.server)
+            .is_some_and(|s| s.last_answer > sent);
         match (end.outcome, end.note, r.new.key) {
             // The server answered others meanwhile: no silence, but fetches that take too long.
             (Outcome::Timeout, _, key)
@@ -463,7 +549,9 @@
                 if self.trouble_is_spread() {
                     self.move_origin_room(ORIGIN_CUT);
                 }
-                self.candidates(r.slot).into_iter().for_each(|id| self.known.remove(key, id));
+                self.candidates(r.slot)
+                    .into_iter()
+                    .for_each(|id| self.known.remove(key, id));
             }
             (Outcome::Ok, note, key) => {
                 if note != Some(CacheNote::Hit) {
@@ -499,8 +587,12 @@
 
     /// Aside mode: the origin gets a missed read once, and every write.
     fn ask_origin(&mut self, r: &mut Request) {
-        let asked = r.attempts.iter().any(|a| a.origin && a.ended != Some(Outcome::Full));
-        let usable = |id: ServerId, s: &Server| self.is_origin(&s.entry) && self.legal(r, Step::Send(id));
+        let asked = r
+            .attempts
+            .iter()
+            .any(|a| a.origin && a.ended != Some(Outcome::Full));
+        let usable =
+            |id: ServerId, s: &Server| self.is_origin(&s.entry) && self.legal(r, Step::Send(id));
         let origins = self.servers.iter().filter(|(id, s)| usable(**id, s));
         let origin = origins.min_by_key(|(id, s)| (s.out.len(), **id));
         let origin = origin.map(|(id, s)| (*id, self.room(s, 1.0)));
@@ -514,7 +606,10 @@
 
     fn hold(&mut self, r: &mut Request, reason: Reason) {
         let since = r.held_since.map_or(self.now, |(since, _)| since);
-        if r.held_since.replace((since, reason)).is_none_or(|before| before.1 != reason) {
+        if r.held_since
+            .replace((since, reason))
+            .is_none_or(|before| before.1 != reason)
+        {
             self.note(r, Withheld::Held, reason);
         }
         self.held.insert(r.new.id);
@@ -537,20 +632,35 @@
         };
         let safe = class.effect == Effect::Safe;
         let begin_within = match class.effect {
-            Effect::Keyed { window, .. } => {
-                r.first_run().map(|first| first.sent.saturating_add(window).saturating_sub(self.now))
-            }
+            Effect::Keyed { window, .. } => r
+                .first_run()
+                .map(|first| first.sent.saturating_add(window).saturating_sub(self.now)),
             _ => None,
         };
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.servers.get_mut(&id) else {
+            return;
+        };
         s.out.push((self.now, r.new.id, number));
         s.idle_since = None;
         s.cold_budget -= 1.0;
         let (zone, cell) = (s.entry.zone, s.entry.cell);
-        r.attempts.push(Attempt { server: id, zone, cell, sent: self.now, ended: None, origin });
+        r.attempts.push(Attempt {
+            server: id,
+            zone,
+            cell,
+            sent: self.now,
+            ended: None,
+            origin,
+        });
         r.held_since = None;
         let (request, attempt, server) = (r.new.id, number, id);
-        self.actions.push(Action::Send { request, attempt, server, timeout, begin_within });
+        self.actions.push(Action::Send {
+            request,
+            attempt,
+            server,
+            timeout,
+            begin_within,
+        });
         if safe && !origin && !r.copied && self.settings.limits.second_copies {
             self.timer(self.late_after(left), Timer::Copy(r.new.id));
         }
@@ -570,7 +680,9 @@
         let reason = match self.pick(r, true) {
             _ if self.copy_budget < 1.0 => Reason::Budget,
             _ if self.origin_room < DISTRESS => Reason::Distress,
-            Pick::To(server) if self.bad <= CALM || self.is_calm(server) && !self.trouble_is_spread() => {
+            Pick::To(server)
+                if self.bad <= CALM || self.is_calm(server) && !self.trouble_is_spread() =>
+            {
                 self.copy_budget -= 1.0;
                 r.copied = true;
                 return self.send(r, server, false);
@@ -591,7 +703,11 @@
     }
 
     fn on_ended(&mut self, r: &mut Request, end: &Ended) {
-        let Some(a) = r.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.ended.is_none()) else {
+        let Some(a) = r
+            .attempts
+            .get_mut(end.attempt.0 as usize)
+            .filter(|a| a.ended.is_none())
+        else {
             return;
         };
         a.ended = Some(end.outcome);
@@ -609,7 +725,13 @@
             self.close(r, None);
         } else if end.outcome == Outcome::Unfit {
             let why = self.why(r, Reason::Unfit);
-            self.close(r, Some(Action::Fail { request: r.new.id, why }));
+            self.close(
+                r,
+                Some(Action::Fail {
+                    request: r.new.id,
+                    why,
+                }),
+            );
         } else if end.outcome == Outcome::Miss && self.settings.origin != Origin::Through {
             self.advance(r);
         } else if r.out() == 0 {
@@ -617,8 +739,8 @@
             let crowded = matches!(end.outcome, Outcome::Full | Outcome::Timeout);
             let calm = self.calm_place(r);
             // No charge for what took no server's time: no connection, or rejected with a calm place next.
-            let free =
-                end.outcome == Outcome::ConnectFailed || end.outcome == Outcome::Full && calm.is_some();
+            let free = end.outcome == Outcome::ConnectFailed
+                || end.outcome == Outcome::Full && calm.is_some();
             let no_retry = match end.outcome {
                 _ if self.now >= r.deadline => Some(Reason::Late),
                 _ if crowded && calm.is_none() && self.bad > CALM => Some(Reason::Vain),
@@ -665,7 +787,11 @@
     }
 
     fn on_begun(&mut self, r: &mut Request, number: AttemptNo) {
-        if !r.done && r.attempts.get(number.0 as usize).is_some_and(|a| a.ended.is_none()) {
+        if !r.done
+            && r.attempts
+                .get(number.0 as usize)
+                .is_some_and(|a| a.ended.is_none())
+        {
             r.streaming = true;
             self.cancel_others(r, Some(number));
         }
@@ -690,15 +816,29 @@
 
     /// The router's own final answer: a refusal where that is legal, else a failure.
     fn finish(&mut self, r: &mut Request, reason: Reason) {
-        let short = matches!(reason, Reason::Fleet | Reason::Limit | Reason::Spacing | Reason::Vain);
+        let short = matches!(
+            reason,
+            Reason::Fleet | Reason::Limit | Reason::Spacing | Reason::Vain
+        );
         self.tally.short += u32::from(short);
         let why = self.why(r, reason);
         let answer = if self.legal(r, Step::Refuse) {
-            let wait = if self.settings.limits.retry_after { self.advice(r, reason) } else { 0 };
+            let wait = if self.settings.limits.retry_after {
+                self.advice(r, reason)
+            } else {
+                0
+            };
             let retry_after = wait.min(self.settings.limits.max_retry_after);
-            Action::Refuse { request: r.new.id, retry_after, why }
+            Action::Refuse {
+                request: r.new.id,
+                retry_after,
+                why,
+            }
         } else {
-            Action::Fail { request: r.new.id, why }
+            Action::Fail {
+                request: r.new.id,
+                why,
+            }
         };
         self.close(r, Some(answer));
     }
@@ -714,7 +854,9 @@
                 let turn_ends = self.allowance.turn_ends.saturating_sub(self.now);
                 turn_ends + self.random_below(aim)
             }
-            Reason::Limit | Reason::Spacing | Reason::Cold | Reason::NoList | Reason::Budget if left > 0 => {
+            Reason::Limit | Reason::Spacing | Reason::Cold | Reason::NoList | Reason::Budget
+                if left > 0 =>
+            {
                 left / 4 + self.random_below(left / 2)
             }
             _ => aim / 2 + self.random_below(aim),
@@ -728,7 +870,10 @@
             self.actions.extend(answer);
             r.done = true;
             // Only what took a server's time: rejections and errors are answered elsewhere.
-            if r.attempts.iter().any(|a| matches!(a.ended, None | Some(Outcome::Ok | Outcome::Timeout))) {
+            if r.attempts
+                .iter()
+                .any(|a| matches!(a.ended, None | Some(Outcome::Ok | Outcome::Timeout)))
+            {
                 self.taken.add(self.now);
             }
             self.cancel_others(r, None);
@@ -739,7 +884,10 @@
         for (i, a) in r.attempts.iter().enumerate() {
             let attempt = AttemptNo(i as u32);
             if self.settings.limits.cancel && a.ended.is_none() && Some(attempt) != except {
-                self.actions.push(Action::Cancel { request: r.new.id, attempt });
+                self.actions.push(Action::Cancel {
+                    request: r.new.id,
+                    attempt,
+                });
             }
         }
     }
@@ -748,14 +896,23 @@
     fn release_held(&mut self) {
         let worth = |r: &Request| self.settings.classes[r.new.class.0].worth;
         let held = self.held.iter().filter_map(|id| self.requests.get(id));
-        let mut order: Vec<_> = held.map(|r| (r.over_share, -worth(r), r.arrived, r.new.id)).collect();
-        order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then((a.2, a.3).cmp(&(b.2, b.3))));
+        let mut order: Vec<_> = held
+            .map(|r| (r.over_share, -worth(r), r.arrived, r.new.id))
+            .collect();
+        order.sort_by(|a, b| {
+            a.0.cmp(&b.0)
+                .then(a.1.total_cmp(&b.1))
+                .then((a.2, a.3).cmp(&(b.2, b.3)))
+        });
         for (over, _, _, id) in order {
             self.with(id, |me, r| {
                 me.advance(r);
                 let part = if over { HOLD_PART_OVER } else { HOLD_PART };
-                let patience = (me.settings.classes[r.new.class.0].aim / part).min(r.new.patience / 5 * 2);
-                let late = r.held_since.filter(|(since, _)| me.now.saturating_sub(*since) >= patience);
+                let patience =
+                    (me.settings.classes[r.new.class.0].aim / part).min(r.new.patience / 5 * 2);
+                let late = r
+                    .held_since
+                    .filter(|(since, _)| me.now.saturating_sub(*since) >= patience);
                 // Not sent to whoever has room: reads that scatter while all are crowded push out what others
                 // hold, and ever more has to be fetched.
                 if let Some((_, reason)) = late.filter(|_| r.out() == 0 && !r.done) {
@@ -776,9 +933,11 @@
     fn judge(&mut self, end: &Ended) {
         let overdue = self.overdue();
         let ended = self.requests.get(&end.request).map(|r| (r.new, r.slot));
-        let rank = ended
-            .filter(|(new, _)| !new.write)
-            .and_then(|(_, slot)| self.candidates(slot).iter().position(|id| *id == end.server));
+        let rank = ended.filter(|(new, _)| !new.write).and_then(|(_, slot)| {
+            self.candidates(slot)
+                .iter()
+                .position(|id| *id == end.server)
+        });
         let new = ended.map(|(new, _)| new);
         let size = self.size(end.server);
         let knee = LIMIT_START / self.routers_root * size;
@@ -786,12 +945,24 @@
         // With no place for another fetch a server still serves hits: that says nothing of its room.
         let holds = new.is_some_and(|new| !new.write && self.known.held(new.key, end.server));
         let fetches = self.settings.origin == Origin::Through && !holds;
-        let Some(s) = self.servers.get_mut(&end.server) else { return };
+        let Some(s) = self.servers.get_mut(&end.server) else {
+            return;
+        };
         let before = s.strikes;
-        let Some(at) = s.out.iter().position(|o| (o.1, o.2) == (end.request, end.attempt)) else { return };
+        let Some(at) = s
+            .out
+            .iter()
+            .position(|o| (o.1, o.2) == (end.request, end.attempt))
+        else {
+            return;
+        };
         let (sent, ..) = s.out.remove(at);
-        s.idle_since = Some(self.now).filter(|_| s.out.is_empty() && end.outcome != Outcome::ConnectFailed);
-        let told = end.load.and_then(|l| l.hit_share).filter(|h| (0.0..=1.0).contains(h));
+        s.idle_since =
+            Some(self.now).filter(|_| s.out.is_empty() && end.outcome != Outcome::ConnectFailed);
+        let told = end
+            .load
+            .and_then(|l| l.hit_share)
+            .filter(|h| (0.0..=1.0).contains(h));
         s.hits = told.unwrap_or(s.hits);
         if let (Some(rank), Some(note)) = (rank, end.note) {
             self.hits[rank] += HITS_GAIN * (f64::from(note == CacheNote::Hit) - self.hits[rank]);
@@ -802,7 +973,10 @@
                 s.strikes = 0.0;
                 s.backoff = BACKOFF;
                 if s.suspect_until.take().is_some() {
-                    self.actions.push(Action::Log(format!("server {} answers again", end.server.0)));
+                    self.actions.push(Action::Log(format!(
+                        "server {} answers again",
+                        end.server.0
+                    )));
                 }
                 // A miss is as slow as the origin: it cannot say that the cache is crowded.
                 let hit = end.note.is_none_or(|n| n == CacheNote::Hit);
@@ -815,7 +989,8 @@
                 let mean = if hit { &s.latency } else { &self.fetch };
                 if hit && mean.now > (CROWDED * mean.base).max(CROWDED_PART * self.aim) {
                     s.limit = (s.limit * CROWDED_CUT).max(LIMIT_MIN);
-                } else if mean.now < (EASY * mean.base).max(if hit { EASY_PART * self.aim } else { 0.0 })
+                } else if mean.now
+                    < (EASY * mean.base).max(if hit { EASY_PART * self.aim } else { 0.0 })
                     && s.out.len() as f64 + 1.0 >= s.limit
                 {
                     // Only a limit that was reached has shown that it may grow.
@@ -828,9 +1003,15 @@
             Outcome::ConnectFailed | Outcome::Reset => s.strikes += 1.0,
             Outcome::Timeout => s.strikes += f64::from(telling && s.last_answer <= sent),
             // Cancelled when overdue and nothing heard since: silence, though nobody waited for its end.
-            Outcome::Cancelled if end.latency >= overdue && s.last_answer <= sent => s.strikes += 1.0,
+            Outcome::Cancelled if end.latency >= overdue && s.last_answer <= sent => {
+                s.strikes += 1.0
+            }
             // What can't be read, or suits no server, speaks against none.
-            Outcome::Full | Outcome::Cancelled | Outcome::Moot | Outcome::Unknown | Outcome::Unfit => {}
+            Outcome::Full
+            | Outcome::Cancelled
+            | Outcome::Moot
+            | Outcome::Unknown
+            | Outcome::Unfit => {}
         }
         if end.outcome == Outcome::Full && !fetches || end.outcome == Outcome::Timeout && telling {
             s.limit = (s.limit * REJECT_CUT).max(LIMIT_MIN);
@@ -853,18 +1034,28 @@
 
     /// Whether a server turns little away and is not far slower than the others.
     fn is_calm(&self, id: ServerId) -> bool {
-        self.servers.get(&id).is_some_and(|s| s.turned <= CALM && s.latency.now <= SLOW * self.usual)
+        self.servers
+            .get(&id)
+            .is_some_and(|s| s.turned <= CALM && s.latency.now <= SLOW * self.usual)
     }
 
     /// Whether so many servers lately turned something away or failed it that it is not their own doing.
     fn trouble_is_spread(&self) -> bool {
-        let troubled = self.servers.values().filter(|s| s.turned >= TURNED_LEAST).count();
+        let troubled = self
+            .servers
+            .values()
+            .filter(|s| s.turned >= TURNED_LEAST)
+            .count();
         troubled as f64 >= SPREAD * self.servers.len() as f64
     }
 
     /// When an unanswered attempt is late: T, once it is known.
     fn overdue(&self) -> Nanos {
-        if self.record.samples < FIRST_SAMPLES { Nanos::MAX } else { self.record.t }
+        if self.record.samples < FIRST_SAMPLES {
+            Nanos::MAX
+        } else {
+            self.record.t
+        }
     }
 
     /// Suspicion once strikes suffice: no draw until a trial after a growing, jittered wait.
@@ -884,7 +1075,10 @@
             return;
         }
         if s.suspect_until.is_none() {
-            self.actions.push(Action::Log(format!("server {} suspected: no good answer lately", id.0)));
+            self.actions.push(Action::Log(format!(
+                "server {} suspected: no good answer lately",
+                id.0
+            )));
         }
         s.proven = !self.settings.limits.probes;
         s.suspect_until = Some(self.now + (s.backoff as f64 * (0.75 + 0.5 * jitter)) as Nanos);
@@ -894,7 +1088,13 @@
 
     /// A suspected server is probed first, so that no client pays for finding out that it is still gone.
     fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
-        let Some(s) = self.servers.get_mut(&id).filter(|s| s.suspect_until.is_some()) else { return };
+        let Some(s) = self
+            .servers
+            .get_mut(&id)
+            .filter(|s| s.suspect_until.is_some())
+        else {
+            return;
+        };
         s.suspect_until = Some(self.now);
         if outcome == Outcome::Ok {
             s.proven = true;
@@ -908,9 +1108,9 @@
             ListScope::Failed => {
                 let wait = self.call_backoff / 2 + self.random_below(self.call_backoff);
                 let most = match self.settings.discovery {
-                    Discovery::Asked { within: within @ 1.. } => {
-                        CALL_BACKOFF_MAX.min(within.saturating_mul(2))
-                    }
+                    Discovery::Asked {
+                        within: within @ 1..,
+                    } => CALL_BACKOFF_MAX.min(within.saturating_mul(2)),
                     _ => CALL_BACKOFF_MAX,
                 };
                 self.call_backoff = (self.call_backoff * 2).min(most);
@@ -942,16 +1142,25 @@
             // Same id, new start: another process, of which nothing is known.
             if known.entry.started != entry.started {
                 let out = std::mem::take(&mut known.out);
-                *known = Server { out, ..unknown_server(entry, is_news, self.now, fill) };
+                *known = Server {
+                    out,
+                    ..unknown_server(entry, is_news, self.now, fill)
+                };
             }
             known.entry = entry;
         }
-        let caches: Vec<(ServerId, f64)> =
-            self.caches().map(|(id, s)| (*id, self.weight(&s.entry))).collect();
+        let caches: Vec<(ServerId, f64)> = self
+            .caches()
+            .map(|(id, s)| (*id, self.weight(&s.entry)))
+            .collect();
         self.total_weight = caches.iter().map(|(_, weight)| weight).sum();
         self.ready_weight = self.total_weight;
         self.mean_weight = self.total_weight / caches.len().max(1) as f64;
-        let unknown = self.servers.iter().filter(|(_, s)| s.limit == 0.0).map(|(id, _)| *id);
+        let unknown = self
+            .servers
+            .iter()
+            .filter(|(_, s)| s.limit == 0.0)
+            .map(|(id, _)| *id);
         for id in unknown.collect::<Vec<_>>() {
             let start = self.start_limit(self.size(id));
             self.servers.entry(id).and_modify(|s| s.limit = start);
--- a/crates/finchyard/src/brain/housekeeping.rs
+++ b/crates/finchyard/src/brain/housekeeping.rs
@@ -37,7 +37,8 @@
         let least = self.start_limit(1.0);
         let enough = self.strikes_enough();
         for (id, s) in servers {
-            let unheard = |sent: Nanos| sent >= s.last_answer && self.now.saturating_sub(sent) > overdue;
+            let unheard =
+                |sent: Nanos| sent >= s.last_answer && self.now.saturating_sub(sent) > overdue;
             let silent = s.out.iter().filter(|o| unheard(o.0)).count();
             let due = s.suspect_until.is_some_and(|until| self.now >= until) && !s.proven;
             if due && self.settings.limits.probes && s.entry.phase == Phase::Up {
@@ -49,7 +50,8 @@
                 s.limit = (s.limit * LIMIT_FADE).max(least);
             }
             s.turned *= TURNED_FADE;
-            s.latency.fade(if s.out.is_empty() { TURNED_FADE } else { 1.0 });
+            s.latency
+                .fade(if s.out.is_empty() { TURNED_FADE } else { 1.0 });
             self.suspect_beyond(enough, *id, s, silent as f64);
             self.gather(&mut gathered, *id, s);
         }
@@ -63,14 +65,17 @@
         }
         gathered.suspects += usize::from(s.suspect_until.is_some() || s.turned > CALM);
         if !self.is_origin(&s.entry) {
-            gathered.latencies.extend(Some(s.latency.now).filter(|latency| *latency > 0.0));
+            gathered
+                .latencies
+                .extend(Some(s.latency.now).filter(|latency| *latency > 0.0));
             gathered.ready_weight += self.weight(&s.entry) * self.ramp(s);
         }
     }
 
     /// Hundreds of routers would fill a server's table with connections that they hardly ever use again.
     pub(super) fn close_idle(&mut self, mut idle: Vec<(Nanos, ServerId)>) {
-        let keep = (IDLE_CONNECTIONS * self.servers.len() / self.settings.routers.max(1)).min(IDLE_MOST);
+        let keep =
+            (IDLE_CONNECTIONS * self.servers.len() / self.settings.routers.max(1)).min(IDLE_MOST);
         let beyond = idle.len().saturating_sub(keep);
         if beyond == 0 {
             return;
--- a/crates/finchyard/src/brain/learnt.rs
+++ b/crates/finchyard/src/brain/learnt.rs
@@ -42,7 +42,13 @@
 impl LearntServer {
     fn figures(&self) -> impl Iterator<Item = f64> {
         // What is sent to a cold server beyond its due is owed: that budget may be under 0.
-        let one = [self.hits, self.limit, self.strikes, self.turned, self.cold_budget.abs()];
+        let one = [
+            self.hits,
+            self.limit,
+            self.strikes,
+            self.turned,
+            self.cold_budget.abs(),
+        ];
         self.latency.into_iter().chain(one)
     }
 }
@@ -91,40 +97,61 @@
     /// Says which part makes no sense: a figure that is negative or no number, or a record of another form.
     pub fn recall(&mut self, learnt: &Learnt) -> Result<(), &'static str> {
         let sound = |f: f64| f.is_finite() && f >= 0.0;
-        if !learnt.servers.iter().flat_map(LearntServer::figures).all(sound) {
+        if !learnt
+            .servers
+            .iter()
+            .flat_map(LearntServer::figures)
+            .all(sound)
+        {
             return Err("servers: a figure makes no sense");
         }
         let all = [learnt.origin_room, learnt.bad, learnt.usual];
-        let all = all.into_iter().chain(learnt.fetch).chain(learnt.budgets).chain(learnt.rates);
+        let all = all
+            .into_iter()
+            .chain(learnt.fetch)
+            .chain(learnt.budgets)
+            .chain(learnt.rates);
         if !all.chain(learnt.hits.iter().copied()).all(sound) {
             return Err("a figure makes no sense");
         }
-        let hits = learnt.hits.as_slice().try_into().map_err(|_| "hits: not one for each rank")?;
+        let hits = learnt
+            .hits
+            .as_slice()
+            .try_into()
+            .map_err(|_| "hits: not one for each rank")?;
         if !self.record.recall(&learnt.record.0, learnt.record.1) {
             return Err("record: makes no sense");
         }
         self.hits = hits;
         self.fetch = Mean::of(learnt.fetch);
-        (self.origin_room, self.bad, self.usual) = (learnt.origin_room.min(1.0), learnt.bad, learnt.usual);
+        (self.origin_room, self.bad, self.usual) =
+            (learnt.origin_room.min(1.0), learnt.bad, learnt.usual);
         let [copies, retries] = learnt.budgets;
         (self.copy_budget, self.retry_budget) =
             (self.copy_budget.min(copies), self.retry_budget.min(retries));
-        for (rate, per_s) in
-            [&mut self.asked, &mut self.taken, &mut self.served].into_iter().zip(learnt.rates)
+        for (rate, per_s) in [&mut self.asked, &mut self.taken, &mut self.served]
+            .into_iter()
+            .zip(learnt.rates)
         {
             rate.set_per_s(self.now, per_s);
         }
         for told in &learnt.servers {
-            let Some(s) = self.servers.get_mut(&ServerId(told.id)) else { continue };
+            let Some(s) = self.servers.get_mut(&ServerId(told.id)) else {
+                continue;
+            };
             if s.entry.started == told.started {
                 s.latency = Mean::of(told.latency);
-                (s.hits, s.limit, s.strikes, s.turned) = (told.hits, told.limit, told.strikes, told.turned);
+                (s.hits, s.limit, s.strikes, s.turned) =
+                    (told.hits, told.limit, told.strikes, told.turned);
                 // The other process's clock may have begun while the machine's was off: no time of its goes further
                 // than one of ours could.
-                let until = told.suspect_until.map(|until| until.min(self.now.saturating_add(BACKOFF_MAX)));
+                let until = told
+                    .suspect_until
+                    .map(|until| until.min(self.now.saturating_add(BACKOFF_MAX)));
                 (s.suspect_until, s.proven) = (until, told.proven);
                 s.backoff = told.backoff.clamp(BACKOFF, BACKOFF_MAX);
-                (s.cold_budget, s.cold_budget_at) = (told.cold_budget, told.cold_budget_at.min(self.now));
+                (s.cold_budget, s.cold_budget_at) =
+                    (told.cold_budget, told.cold_budget_at.min(self.now));
             }
         }
         Ok(())
--- a/crates/finchyard/src/brain/learnt/tests.rs
+++ b/crates/finchyard/src/brain/learnt/tests.rs
@@ -20,8 +20,15 @@
     new.recall(&learnt).unwrap();
     assert_eq!((new.record.t, new.record.samples), (t, 50));
     let server = &new.servers[&first];
-    assert_eq!((server.limit, server.strikes, server.suspect_until), (7.0, 3.0, Some(5)));
-    assert_eq!(new.copy_budget + old.copy_budget, copies, "together no more than one");
+    assert_eq!(
+        (server.limit, server.strikes, server.suspect_until),
+        (7.0, 3.0, Some(5))
+    );
+    assert_eq!(
+        new.copy_budget + old.copy_budget,
+        copies,
+        "together no more than one"
+    );
 }
 
 #[test]
@@ -35,7 +42,10 @@
     let mut new = brain(3);
     new.recall(&learnt).unwrap();
     let server = &new.servers[&first];
-    assert_eq!((server.suspect_until, server.backoff), (Some(new.now + BACKOFF_MAX), BACKOFF_MAX));
+    assert_eq!(
+        (server.suspect_until, server.backoff),
+        (Some(new.now + BACKOFF_MAX), BACKOFF_MAX)
+    );
     assert_eq!(server.cold_budget_at, new.now);
 }
 
@@ -45,7 +55,12 @@
     old.servers.values_mut().for_each(|s| s.limit = 7.0);
     let learnt = old.learnt();
     let mut new = Brain::new(settings(), 1, 0).unwrap();
-    let entries = vec![Entry { server: ServerId(1), weight: 1.0, started: 9, ..Entry::default() }];
+    let entries = vec![Entry {
+        server: ServerId(1),
+        weight: 1.0,
+        started: 9,
+        ..Entry::default()
+    }];
     new.on_list(ListScope::Whole, entries);
     new.recall(&learnt).unwrap();
     assert_ne!(new.servers[&ServerId(1)].limit, 7.0);
@@ -57,7 +72,10 @@
     let good = brain(3).learnt();
     type Spoil = fn(&mut super::Learnt);
     let cases: [(Spoil, &str); 5] = [
-        (|l| l.servers[1].limit = f64::NAN, "servers: a figure makes no sense"),
+        (
+            |l| l.servers[1].limit = f64::NAN,
+            "servers: a figure makes no sense",
+        ),
         (|l| l.rates[0] = -1.0, "a figure makes no sense"),
         (|l| l.hits = vec![0.5], "hits: not one for each rank"),
         (|l| l.record.0 = vec![0.0; 3], "record: makes no sense"),
--- a/crates/finchyard/src/brain/plumbing.rs
+++ b/crates/finchyard/src/brain/plumbing.rs
@@ -9,7 +9,9 @@
 impl Brain {
     /// Runs `f` on an open request; it stays in the table while anything is owed or expected.
     pub(super) fn with(&mut self, id: RequestId, f: impl FnOnce(&mut Self, &mut Request)) {
-        let Some(mut r) = self.requests.remove(&id) else { return };
+        let Some(mut r) = self.requests.remove(&id) else {
+            return;
+        };
         f(self, &mut r);
         if !r.done || r.out() > 0 {
             self.requests.insert(id, r);
@@ -18,7 +20,9 @@
 
     /// Runs `f` on a listed cache, out of the table meanwhile.
     pub(super) fn with_server(&mut self, id: ServerId, f: impl FnOnce(&mut Self, &mut Server)) {
-        let Some(mut server) = self.servers.get_mut(&id).map(std::mem::take) else { return };
+        let Some(mut server) = self.servers.get_mut(&id).map(std::mem::take) else {
+            return;
+        };
         f(self, &mut server);
         self.servers.insert(id, server);
     }
@@ -26,7 +30,10 @@
     pub(super) fn timer(&mut self, after: Nanos, timer: Timer) {
         self.next_token += 1;
         self.timers.insert(self.next_token, timer);
-        self.actions.push(Action::Timer { after, token: Token(self.next_token) });
+        self.actions.push(Action::Timer {
+            after,
+            token: Token(self.next_token),
+        });
     }
 
     pub(super) fn random_below(&mut self, n: u64) -> u64 {
@@ -45,11 +52,15 @@
 
     /// The caches that take requests.
     pub(super) fn caches(&self) -> impl Iterator<Item = (&ServerId, &Server)> {
-        self.servers.iter().filter(|(_, s)| s.entry.phase == Phase::Up && !self.is_origin(&s.entry))
+        self.servers
+            .iter()
+            .filter(|(_, s)| s.entry.phase == Phase::Up && !self.is_origin(&s.entry))
     }
 
     /// A server's size over the mean one's.
     pub(super) fn size(&self, id: ServerId) -> f64 {
-        self.servers.get(&id).map_or(1.0, |s| self.weight(&s.entry) / self.mean_weight.max(0.01))
+        self.servers
+            .get(&id)
+            .map_or(1.0, |s| self.weight(&s.entry) / self.mean_weight.max(0.01))
     }
 }
--- a/crates/finchyard/src/brain/slots.rs
+++ b/crates/finchyard/src/brain/slots.rs
@@ -91,7 +91,11 @@
 
 impl Place {
     fn new(cache: ServerId, weight: f64) -> Self {
-        Place { cache, weight, bound: ROUNDED_DOWN / weight }
+        Place {
+            cache,
+            weight,
+            bound: ROUNDED_DOWN / weight,
+        }
     }
 
     /// A lower bound of the score at this position: -ln(u) is never under 1 - u. It saves the logarithm of nearly all.
@@ -112,7 +116,9 @@
 
 impl Ord for Scored {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.score.total_cmp(&other.score).then(self.cache.cmp(&other.cache))
+        self.score
+            .total_cmp(&other.score)
+            .then(self.cache.cmp(&other.cache))
     }
 }
 
@@ -153,7 +159,11 @@
 }
 
 impl Row {
-    const EMPTY: Row = Row { numbers: [NO_CACHE; CANDIDATES], limit: f32::NEG_INFINITY, version: NEVER };
+    const EMPTY: Row = Row {
+        numbers: [NO_CACHE; CANDIDATES],
+        limit: f32::NEG_INFINITY,
+        version: NEVER,
+    };
 
     fn holds(&self, number: usize) -> bool {
         number < usize::from(NO_CACHE) && self.numbers.iter().any(|own| usize::from(*own) == number)
@@ -163,7 +173,9 @@
     fn is_touched(&self, slot: usize, change: &Change) -> bool {
         match change {
             Change::Gone(number) => self.holds(*number),
-            Change::Come(place) => place.least_score(position(slot, place.cache)) <= f64::from(self.limit),
+            Change::Come(place) => {
+                place.least_score(position(slot, place.cache)) <= f64::from(self.limit)
+            }
         }
     }
 }
@@ -270,7 +282,10 @@
             return candidates;
         }
         self.rows[slot].version = self.version;
-        let row = self.rows[slot].numbers.iter().take_while(|number| **number != NO_CACHE);
+        let row = self.rows[slot]
+            .numbers
+            .iter()
+            .take_while(|number| **number != NO_CACHE);
         for place in row.filter_map(|number| self.places[usize::from(*number)]) {
             candidates.push(place.cache);
         }
@@ -291,7 +306,11 @@
             Some(last) => (last.score as f32).next_up(),
             None => f32::INFINITY,
         };
-        self.rows[slot] = Row { numbers, limit, version: self.version };
+        self.rows[slot] = Row {
+            numbers,
+            limit,
+            version: self.version,
+        };
     }
 
     /// The candidates of a slot, worked out: one hash for each cache, and a logarithm for a few.
@@ -305,7 +324,11 @@
                 continue;
             }
             let score = score(position, place.weight);
-            let scored = Scored { score, cache: place.cache, number };
+            let scored = Scored {
+                score,
+                cache: place.cache,
+                number,
+            };
             let rank = best.partition_point(|better| *better < scored);
             best.insert(rank, scored);
             best.truncate(CANDIDATES);
@@ -320,7 +343,11 @@
     pub(crate) fn ranking(&self, slot: usize) -> Ranking {
         let scored = self.places.iter().flatten().map(|place| {
             let score = score(position(slot, place.cache), place.weight);
-            Reverse(Scored { score, cache: place.cache, number: usize::MAX })
+            Reverse(Scored {
+                score,
+                cache: place.cache,
+                number: usize::MAX,
+            })
         });
         Ranking(scored.collect())
     }
--- a/crates/finchyard/src/brain/slots/tests.rs
+++ b/crates/finchyard/src/brain/slots/tests.rs
@@ -49,8 +49,11 @@
 impl Course {
     fn new(seed: u64, count: u64) -> Self {
         let brain = Brain::new(settings(), 1, 0).expect("settings make sense");
-        let mut course =
-            Course { rng: Xoshiro256PlusPlus::seed_from_u64(seed), caches: BTreeMap::new(), brain };
+        let mut course = Course {
+            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
+            caches: BTreeMap::new(),
+            brain,
+        };
         (0..count).for_each(|id| course.join(id));
         course
     }
@@ -66,7 +69,11 @@
 
     fn join(&mut self, id: u64) {
         let weight = [1.0, 1.0, 1.0, 0.25, 2.0, 7.5][self.below(6)];
-        self.tell(Entry { server: ServerId(id), weight, ..Entry::default() });
+        self.tell(Entry {
+            server: ServerId(id),
+            weight,
+            ..Entry::default()
+        });
     }
 
     fn any(&mut self) -> u64 {
@@ -80,18 +87,35 @@
         let entry = self.caches[&chosen];
         match self.below(6) {
             0 => self.join(next_id),
-            1 => self.tell(Entry { phase: Phase::Draining, ..entry }),
-            2 => self.tell(Entry { phase: Phase::Up, started: entry.started + 1, ..entry }),
+            1 => self.tell(Entry {
+                phase: Phase::Draining,
+                ..entry
+            }),
+            2 => self.tell(Entry {
+                phase: Phase::Up,
+                started: entry.started + 1,
+                ..entry
+            }),
             3 => self.join(chosen),
             4 => {
                 self.caches.remove(&chosen);
-                let gone = Entry { phase: Phase::Removed, ..entry };
+                let gone = Entry {
+                    phase: Phase::Removed,
+                    ..entry
+                };
                 self.brain.on_list(ListScope::Patch, vec![gone]);
             }
             _ => {
                 self.caches.remove(&chosen);
-                self.caches.insert(next_id, Entry { server: ServerId(next_id), ..entry });
-                self.brain.on_list(ListScope::Whole, self.caches.values().copied().collect());
+                self.caches.insert(
+                    next_id,
+                    Entry {
+                        server: ServerId(next_id),
+                        ..entry
+                    },
+                );
+                self.brain
+                    .on_list(ListScope::Whole, self.caches.values().copied().collect());
             }
         }
     }
@@ -129,24 +153,49 @@
 fn a_change_of_one_cache_has_the_rows_that_it_touches_worked_out_anew_and_few_others() {
     let mut course = Course::new(4, 0);
     let count = 400;
-    let all = (0..count).map(|id| Entry { server: ServerId(id), weight: 1.0, ..Entry::default() });
+    let all = (0..count).map(|id| Entry {
+        server: ServerId(id),
+        weight: 1.0,
+        ..Entry::default()
+    });
     all.for_each(|entry| course.tell(entry));
     let worked_out = |course: &mut Course, entry: Entry| {
         (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot));
         course.tell(entry);
         let slots = 0..SLOTS;
-        let anew = slots.filter(|slot| hashes(|| _ = course.brain.slots.candidates(*slot)) > 1).count();
-        assert_eq!(hashes(|| (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot))), 0);
+        let anew = slots
+            .filter(|slot| hashes(|| _ = course.brain.slots.candidates(*slot)) > 1)
+            .count();
+        assert_eq!(
+            hashes(|| (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot))),
+            0
+        );
         anew
     };
     let due = CANDIDATES * SLOTS / count as usize;
     let near = due * 3 / 4..due * 5 / 4;
     let entry = course.caches[&77];
-    let drained = worked_out(&mut course, Entry { phase: Phase::Draining, ..entry });
+    let drained = worked_out(
+        &mut course,
+        Entry {
+            phase: Phase::Draining,
+            ..entry
+        },
+    );
     assert!(near.contains(&drained), "{drained} of {due}");
     let back = worked_out(&mut course, entry);
     assert!(near.contains(&back), "{back} of {due}");
-    assert_eq!(worked_out(&mut course, Entry { started: 5, ..entry }), 0, "a restart moves nothing");
+    assert_eq!(
+        worked_out(
+            &mut course,
+            Entry {
+                started: 5,
+                ..entry
+            }
+        ),
+        0,
+        "a restart moves nothing"
+    );
     assert_eq!(worked_out(&mut course, entry), 0);
 }
 
@@ -154,7 +203,10 @@
 fn rows_are_right_however_far_behind_they_are_and_when_versions_begin_anew() {
     let mut course = Course::new(5, 30);
     let slots: Vec<usize> = (0..SLOTS).step_by(499).collect();
-    for (step, behind) in [1, 3, 29, 40, CHANGES_KEPT - 1, CHANGES_KEPT + 1].into_iter().enumerate() {
+    for (step, behind) in [1, 3, 29, 40, CHANGES_KEPT - 1, CHANGES_KEPT + 1]
+        .into_iter()
+        .enumerate()
+    {
         slots.iter().for_each(|slot| course.check(*slot));
         for change in 0..behind as u64 {
             course.step(1_000_000 * (step as u64 + 1) + change);
@@ -165,7 +217,9 @@
         slots.iter().for_each(|slot| course.check(*slot));
     }
     course.brain.slots.version = Version::MAX - 2;
-    slots.iter().for_each(|slot| course.brain.slots.rows[*slot].version = Version::MAX - 2);
+    slots
+        .iter()
+        .for_each(|slot| course.brain.slots.rows[*slot].version = Version::MAX - 2);
     for id in 0..6 {
         course.join(id);
         course.join(9_000_000 + id);
@@ -180,10 +234,23 @@
     let mut table = SlotTable::new();
     let listed: Vec<(ServerId, f64)> = (0..caches).map(|id| (ServerId(id), 1.0)).collect();
     table.set_caches(&listed);
-    let entry = |id| (id, Entry { server: ServerId(id), weight: 1.0, ..Entry::default() });
+    let entry = |id| {
+        (
+            id,
+            Entry {
+                server: ServerId(id),
+                weight: 1.0,
+                ..Entry::default()
+            },
+        )
+    };
     let all: BTreeMap<u64, Entry> = (0..caches).map(entry).collect();
     // Only those slots are interesting that one of the last caches is a candidate of; some have none.
-    let late = |slot: &usize| sorted(&all, *slot)[..CANDIDATES].iter().any(|id| id.0 >= u64::from(NO_CACHE));
+    let late = |slot: &usize| {
+        sorted(&all, *slot)[..CANDIDATES]
+            .iter()
+            .any(|id| id.0 >= u64::from(NO_CACHE))
+    };
     let slots: Vec<usize> = (0..SLOTS).step_by(997).filter(late).chain([0, 1]).collect();
     for slot in slots {
         for _ in 0..2 {
@@ -213,11 +280,22 @@
     table.set_caches(&listed(0..before));
     let in_use = 4_096;
     (0..in_use).for_each(|slot| _ = table.candidates(slot));
-    assert_eq!(hashes(|| table.set_caches(&listed(0..before + batch))), 0, "when the batch is told");
+    assert_eq!(
+        hashes(|| table.set_caches(&listed(0..before + batch))),
+        0,
+        "when the batch is told"
+    );
     let caches = (before + batch) as usize;
     for slot in 0..in_use {
         let when_asked = hashes(|| _ = table.candidates(slot));
-        assert!(when_asked <= caches + batch as usize, "{when_asked} for slot {slot}");
-        assert_eq!(hashes(|| _ = table.candidates(slot)), 0, "asked again for slot {slot}");
+        assert!(
+            when_asked <= caches + batch as usize,
+            "{when_asked} for slot {slot}"
+        );
+        assert_eq!(
+            hashes(|| _ = table.candidates(slot)),
+            0,
+            "asked again for slot {slot}"
+        );
     }
 }
--- a/crates/finchyard/src/brain/tables.rs
+++ b/crates/finchyard/src/brain/tables.rs
@@ -52,21 +52,34 @@
 
 /// Two for each class; of two of equal worth the earlier class goes first, and what is within a share last.
 fn tiers(settings: &Settings) -> Vec<usize> {
-    let worth = |class: &Class| [class.worth, class.worth * settings.over_share_worth.clamp(0.0, 1.0)];
+    let worth = |class: &Class| {
+        [
+            class.worth,
+            class.worth * settings.over_share_worth.clamp(0.0, 1.0),
+        ]
+    };
     let worths: Vec<f64> = settings.classes.iter().flat_map(worth).collect();
     let place = |i: usize| (worths[i], i.is_multiple_of(2), i / 2);
     let less = |a: usize, b: usize| {
         let (a, b) = (place(a), place(b));
-        a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))).is_lt()
+        a.0.total_cmp(&b.0)
+            .then((a.1, a.2).cmp(&(b.1, b.2)))
+            .is_lt()
     };
-    (0..worths.len()).map(|i| (0..worths.len()).filter(|other| less(*other, i)).count()).collect()
+    (0..worths.len())
+        .map(|i| (0..worths.len()).filter(|other| less(*other, i)).count())
+        .collect()
 }
 
 impl Brain {
     /// A router's decisions from its start at `now`; the error names the setting that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
-        let tenants = settings.tenants.iter().map(|_| Rate::new(RATE_TAU, now)).collect();
+        let tenants = settings
+            .tenants
+            .iter()
+            .map(|_| Rate::new(RATE_TAU, now))
+            .collect();
         let routers_root = (settings.routers as f64).sqrt();
         let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
         Ok(Brain {
--- a/crates/finchyard/src/brain/tests.rs
+++ b/crates/finchyard/src/brain/tests.rs
@@ -39,7 +39,11 @@
 
 pub(super) fn brain(servers: u64) -> Brain {
     let mut brain = Brain::new(settings(), 1, 0).expect("settings make sense");
-    let entries = (1..=servers).map(|i| Entry { server: ServerId(i), weight: 1.0, ..Entry::default() });
+    let entries = (1..=servers).map(|i| Entry {
+        server: ServerId(i),
+        weight: 1.0,
+        ..Entry::default()
+    });
     brain.on_list(ListScope::Whole, entries.collect());
     brain
 }
@@ -80,7 +84,16 @@
     let (request, attempt, latency) = (RequestId(id), AttemptNo(0), 10 * MS);
     let finished = outcome == Outcome::Ok;
     let mut actions = Vec::new();
-    let end = Ended { request, attempt, server, outcome, latency, finished, note: None, load: None };
+    let end = Ended {
+        request,
+        attempt,
+        server,
+        outcome,
+        latency,
+        finished,
+        note: None,
+        load: None,
+    };
     brain.handle(brain.now, Event::Ended(end), &mut actions);
     actions
 }
@@ -144,8 +157,14 @@
 #[test]
 fn ranking_keeps_its_order_when_one_server_leaves() {
     let mut brain = brain(10);
-    let before: Vec<_> = (0..SLOTS).map(|s| brain.ranking(s).collect::<Vec<_>>()).collect();
-    let gone = Entry { server: ServerId(4), phase: Phase::Removed, ..Entry::default() };
+    let before: Vec<_> = (0..SLOTS)
+        .map(|s| brain.ranking(s).collect::<Vec<_>>())
+        .collect();
+    let gone = Entry {
+        server: ServerId(4),
+        phase: Phase::Removed,
+        ..Entry::default()
+    };
     brain.on_list(ListScope::Patch, vec![gone]);
     for (slot, mut ranked) in before.into_iter().enumerate() {
         ranked.retain(|id| *id != ServerId(4));
@@ -157,10 +176,19 @@
 #[test]
 fn a_servers_share_of_first_ranks_follows_its_weight() {
     let mut brain = brain(3);
-    let big = Entry { server: ServerId(3), weight: 2.0, ..Entry::default() };
+    let big = Entry {
+        server: ServerId(3),
+        weight: 2.0,
+        ..Entry::default()
+    };
     brain.on_list(ListScope::Patch, vec![big]);
-    let first = (0..SLOTS).filter(|s| brain.ranking(*s).next() == Some(ServerId(3))).count();
-    assert!((SLOTS * 45 / 100..SLOTS * 55 / 100).contains(&first), "{first}");
+    let first = (0..SLOTS)
+        .filter(|s| brain.ranking(*s).next() == Some(ServerId(3)))
+        .count();
+    assert!(
+        (SLOTS * 45 / 100..SLOTS * 55 / 100).contains(&first),
+        "{first}"
+    );
 }
 
 #[test]
@@ -183,7 +211,9 @@
     brain.hits = [0.5; CANDIDATES]; // Told alike of all ranks.
     brain.servers.get_mut(&ServerId(3)).expect("listed").hits = 0.25;
     let three = [(0, ServerId(3)), (1, ServerId(1)), (2, ServerId(2))];
-    let won = (0..4_000).filter(|_| brain.draw(&three, None, None) == Some(ServerId(3))).count();
+    let won = (0..4_000)
+        .filter(|_| brain.draw(&three, None, None) == Some(ServerId(3)))
+        .count();
     // Weights 1, 2, 2: drawn first 1/5, or second 2 x 2/5 x 1/3; best rank, so it wins when drawn: 46.7 %.
     assert!((1_800..1_940).contains(&won), "{won}");
 }
@@ -191,8 +221,15 @@
 #[test]
 fn the_ramp_rises_evenly_from_the_cold_share() {
     let mut brain = brain(3);
-    let entry = Entry { started: 50_000 * MS, ..Entry::default() };
-    let server = Server { entry, listed: 50_000 * MS, ..Server::default() };
+    let entry = Entry {
+        started: 50_000 * MS,
+        ..Entry::default()
+    };
+    let server = Server {
+        entry,
+        listed: 50_000 * MS,
+        ..Server::default()
+    };
     for (age, ramp) in [(0, 0.2), (5_000, 0.6), (10_000, 1.0), (60_000, 1.0)] {
         brain.now = (50_000 + age) * MS;
         assert!((brain.ramp(&server) - ramp).abs() < 1e-9);
@@ -205,7 +242,14 @@
     for (effect, allowed, legal) in [
         (Effect::Safe, true, true),
         (Effect::Safe, false, false),
-        (Effect::Keyed { group: Group::All, window: 500 * MS }, true, false),
+        (
+            Effect::Keyed {
+                group: Group::All,
+                window: 500 * MS,
+            },
+            true,
+            false,
+        ),
         (Effect::Unsafe, true, false),
     ] {
         let mut brain = brain(3);
@@ -246,12 +290,16 @@
     let mut brain = brain(3);
     let three = [(0, ServerId(2)), (1, ServerId(1)), (2, ServerId(3))];
     brain.known.insert(Some(Key(5)), ServerId(3));
-    let stayed = (0..1_000).filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(ServerId(3))).count();
+    let stayed = (0..1_000)
+        .filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(ServerId(3)))
+        .count();
     assert!(stayed > 990, "{stayed}");
     // Far busier than the others, it is passed over.
     let holder = brain.servers.get_mut(&ServerId(3)).expect("listed");
     holder.out = (0..3).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
-    let stayed = (0..1_000).filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(ServerId(3))).count();
+    let stayed = (0..1_000)
+        .filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(ServerId(3)))
+        .count();
     assert!(stayed < 10, "{stayed}");
 }
 
@@ -262,7 +310,9 @@
     for id in 1..=200u128 {
         brain.on_request(new_read(id, id as u64, 1_000 * MS));
         let latency = if id == 1 { 10 } else { 100 } * MS;
-        let Some(out) = brain.requests.get(&RequestId(id)) else { continue };
+        let Some(out) = brain.requests.get(&RequestId(id)) else {
+            continue;
+        };
         let end = Ended {
             request: RequestId(id),
             attempt: AttemptNo(0),
@@ -285,8 +335,15 @@
     for id in 1..=300u128 {
         let new = new_read(id, id as u64, 100 * MS);
         brain.handle(id as u64 * MS, Event::Request(new), &mut r);
-        let sent: Vec<_> = brain.requests.get(&RequestId(id)).into_iter().flat_map(|r| &r.attempts).collect();
-        let Some(server) = sent.first().map(|a| a.server) else { continue };
+        let sent: Vec<_> = brain
+            .requests
+            .get(&RequestId(id))
+            .into_iter()
+            .flat_map(|r| &r.attempts)
+            .collect();
+        let Some(server) = sent.first().map(|a| a.server) else {
+            continue;
+        };
         let end = Ended {
             request: RequestId(id),
             attempt: AttemptNo(0),
@@ -302,7 +359,14 @@
     for token in 1..=brain.next_token {
         brain.handle(60_000 * MS, Event::Timer(Token(token)), &mut r);
     }
-    brain.handle(60_000 * MS, Event::List { scope: ListScope::Whole, entries: Vec::new() }, &mut r);
+    brain.handle(
+        60_000 * MS,
+        Event::List {
+            scope: ListScope::Whole,
+            entries: Vec::new(),
+        },
+        &mut r,
+    );
     assert!(brain.requests.is_empty() && brain.held.is_empty() && brain.servers.is_empty());
     assert!(brain.timers.len() <= 1, "housekeeping alone");
 }
@@ -315,7 +379,16 @@
         s.limit = limit;
         s.out = (0..out).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
         let s = &brain.servers[&ServerId(1)];
-        brain.room(s, if owner { OWNER_ROOM } else { brain.spill_room() }).is_none()
+        brain
+            .room(
+                s,
+                if owner {
+                    OWNER_ROOM
+                } else {
+                    brain.spill_room()
+                },
+            )
+            .is_none()
     };
     assert!(open(8.0, 9, true) && !open(8.0, 10, true));
     assert!(open(8.0, 4, false) && !open(8.0, 5, false));
@@ -324,7 +397,9 @@
     for id in &three {
         let s = brain.servers.get_mut(id).expect("listed");
         s.limit = 4.0;
-        s.out = (0..3).map(|n| (0, RequestId(100 + n), AttemptNo(0))).collect();
+        s.out = (0..3)
+            .map(|n| (0, RequestId(100 + n), AttemptNo(0)))
+            .collect();
     }
     let to: Vec<ServerId> = (0..3)
         .flat_map(|id| read(&mut brain, id))
@@ -333,7 +408,11 @@
             _ => None,
         })
         .collect();
-    assert_eq!(to, [three[0], three[0]], "two more fit at the owner, none elsewhere");
+    assert_eq!(
+        to,
+        [three[0], three[0]],
+        "two more fit at the owner, none elsewhere"
+    );
 }
 
 #[test]
@@ -345,7 +424,11 @@
     for latency in std::iter::repeat_n(50e6, 20).chain(std::iter::repeat_n(100e6, 200)) {
         brain.fetch.add(latency, LATENCY_GAIN, 0.0);
     }
-    assert!((brain.spill_room() - SPILL_ROOM / 4.0).abs() < 1e-3, "{}", brain.spill_room());
+    assert!(
+        (brain.spill_room() - SPILL_ROOM / 4.0).abs() < 1e-3,
+        "{}",
+        brain.spill_room()
+    );
 }
 
 #[test]
@@ -371,7 +454,10 @@
         });
         grown.push((brain.servers[&ServerId(1)].limit - limit) * limit);
     }
-    assert!((grown[0] - LIMIT_STEP).abs() < 1e-6 && (grown[1] - LIMIT_STEP_HIGH).abs() < 1e-6, "{grown:?}");
+    assert!(
+        (grown[0] - LIMIT_STEP).abs() < 1e-6 && (grown[1] - LIMIT_STEP_HIGH).abs() < 1e-6,
+        "{grown:?}"
+    );
 }
 
 /// What an answered read that hits, after this long, makes of a limit of 2 that is reached; alone it takes 10 ms.
@@ -379,7 +465,14 @@
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|c| c.aim = aim);
     let mut brain = Brain::new(settings, 1, 0).expect("settings make sense");
-    brain.on_list(ListScope::Whole, vec![Entry { server: ServerId(1), weight: 1.0, ..Entry::default() }]);
+    brain.on_list(
+        ListScope::Whole,
+        vec![Entry {
+            server: ServerId(1),
+            weight: 1.0,
+            ..Entry::default()
+        }],
+    );
     let s = brain.servers.get_mut(&ServerId(1)).expect("listed");
     s.limit = 2.0;
     s.latency = Mean::of([10e6, 10e6, 1000.0]);
@@ -387,7 +480,16 @@
     for n in 0..2 {
         let (request, attempt, server) = (RequestId(n), AttemptNo(0), ServerId(1));
         let (outcome, finished, note) = (Outcome::Ok, true, Some(CacheNote::Hit));
-        brain.judge(&Ended { request, attempt, server, outcome, latency, finished, note, load: None });
+        brain.judge(&Ended {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            finished,
+            note,
+            load: None,
+        });
     }
     brain.servers[&ServerId(1)].limit
 }
@@ -395,20 +497,33 @@
 #[test]
 fn a_wait_far_under_the_aim_crowds_no_server() {
     // After two answers of 100 ms the mean is at 27 ms, 2.7 times what it is alone.
-    assert!(limit_after(100 * MS, 100 * MS) < 2.0, "more than a fifth of the aim");
-    assert!(limit_after(100 * MS, 1_200 * MS) > 2.0, "less than an eighth of the aim");
+    assert!(
+        limit_after(100 * MS, 100 * MS) < 2.0,
+        "more than a fifth of the aim"
+    );
+    assert!(
+        limit_after(100 * MS, 1_200 * MS) > 2.0,
+        "less than an eighth of the aim"
+    );
     assert_eq!(limit_after(100 * MS, 140 * MS), 2.0, "between the two");
     assert!(limit_after(3_000 * MS, 1_200 * MS) < 2.0);
 }
 
 #[test]
 fn a_rejection_cuts_the_room_only_of_a_server_that_holds_the_key() {
-    for (holds, write, cut) in [(false, false, false), (true, false, true), (true, true, false)] {
+    for (holds, write, cut) in [
+        (false, false, false),
+        (true, false, true),
+        (true, true, false),
+    ] {
         let mut brain = brain(1);
         if holds {
             brain.known.insert(Some(Key(9)), ServerId(1));
         }
-        let new = NewRequest { write, ..new_read(1, 9, 1_000 * MS) };
+        let new = NewRequest {
+            write,
+            ..new_read(1, 9, 1_000 * MS)
+        };
         brain.handle(0, Event::Request(new), &mut Vec::new());
         let before = brain.servers[&ServerId(1)].limit;
         end(&mut brain, 1, Outcome::Full);
@@ -422,12 +537,24 @@
     let mut brain = brain(3);
     let three = [(1, ServerId(1)), (1, ServerId(2)), (1, ServerId(3))];
     for (id, took) in [(1, 100e6), (2, 50e6), (3, 50e6)] {
-        brain.servers.get_mut(&ServerId(id)).expect("listed").pace.add(took, 50e6, PACE_GAIN);
+        brain
+            .servers
+            .get_mut(&ServerId(id))
+            .expect("listed")
+            .pace
+            .add(took, 50e6, PACE_GAIN);
     }
     brain.aim = 1_000e6;
-    let mut slow = |work| (0..3_000).filter(|_| brain.draw(&three, None, work) == Some(ServerId(1))).count();
+    let mut slow = |work| {
+        (0..3_000)
+            .filter(|_| brain.draw(&three, None, work) == Some(ServerId(1)))
+            .count()
+    };
     let [unknown, light, heavy] = [None, Some(MS), Some(500 * MS)].map(&mut slow);
-    assert!(unknown.abs_diff(1_000) < 120 && light.abs_diff(1_000) < 120, "{unknown} {light}");
+    assert!(
+        unknown.abs_diff(1_000) < 120 && light.abs_diff(1_000) < 120,
+        "{unknown} {light}"
+    );
     assert!(heavy < 700, "{heavy}");
 }
 
@@ -441,7 +568,16 @@
         let (request, attempt) = (RequestId(1), AttemptNo(sent.len() as u32 - 1));
         let (server, outcome) = (sent[sent.len() - 1], Outcome::ConnectFailed);
         let (latency, finished, note, load) = (0, false, None, None);
-        let end = Ended { request, attempt, server, outcome, latency, finished, note, load };
+        let end = Ended {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            finished,
+            note,
+            load,
+        };
         let mut actions = Vec::new();
         brain.handle(brain.now, Event::Ended(end), &mut actions);
         sent.push(sent_to(&actions).expect("not given up"));
@@ -458,7 +594,9 @@
         brain.known.insert(Some(Key(9)), holder);
         brain.origin_room = room;
         read(&mut brain, 1);
-        let sends = end(&mut brain, 1, Outcome::Error).iter().any(|a| matches!(a, Action::Send { .. }));
+        let sends = end(&mut brain, 1, Outcome::Error)
+            .iter()
+            .any(|a| matches!(a, Action::Send { .. }));
         assert_eq!(sends, retried);
         assert!(!brain.known.held(Some(Key(9)), holder));
     }
@@ -479,7 +617,11 @@
     read(&mut brain, 3);
     read(&mut brain, 4);
     brain.now += 20 * MS;
-    brain.servers.get_mut(&ServerId(1)).expect("listed").last_answer = brain.now;
+    brain
+        .servers
+        .get_mut(&ServerId(1))
+        .expect("listed")
+        .last_answer = brain.now;
     end(&mut brain, 3, Outcome::Timeout);
     assert_eq!(brain.origin_room, ORIGIN_CUT);
     assert_eq!(brain.servers[&ServerId(1)].strikes, 0.0);
@@ -495,9 +637,17 @@
         let mut actions = Vec::new();
         let mut to = BTreeSet::new();
         for id in 1..=40u128 {
-            brain.handle(brain.now, Event::Request(new_read(id, 9, patience)), &mut actions);
-            let Some(r) = brain.requests.get(&RequestId(id)) else { continue };
-            let Some(server) = r.attempts.first().map(|a| a.server) else { continue };
+            brain.handle(
+                brain.now,
+                Event::Request(new_read(id, 9, patience)),
+                &mut actions,
+            );
+            let Some(r) = brain.requests.get(&RequestId(id)) else {
+                continue;
+            };
+            let Some(server) = r.attempts.first().map(|a| a.server) else {
+                continue;
+            };
             to.insert(server);
             brain.now += patience;
             // At first it answers others, then nobody.
@@ -507,9 +657,19 @@
             end(&mut brain, id, Outcome::Timeout);
         }
         let limits: Vec<f64> = to.iter().map(|id| brain.servers[id].limit).collect();
-        assert_eq!(limits.iter().any(|l| *l < LIMIT_START / 2.0), cut, "{limits:?}");
+        assert_eq!(
+            limits.iter().any(|l| *l < LIMIT_START / 2.0),
+            cut,
+            "{limits:?}"
+        );
         assert_eq!(brain.origin_room < 1.0, cut);
-        assert_eq!(brain.servers.values().any(|s| s.strikes > 0.0 || s.suspect_until.is_some()), cut);
+        assert_eq!(
+            brain
+                .servers
+                .values()
+                .any(|s| s.strikes > 0.0 || s.suspect_until.is_some()),
+            cut
+        );
     }
 }
 
@@ -521,7 +681,10 @@
     for (cuts, least, most) in [(2, 1_000, 1_000), (5, 690, 780), (10, 400, 470)] {
         brain.origin_room = ORIGIN_CUT.powi(cuts);
         let let_through = borne(&mut brain);
-        assert!((least..=most).contains(&let_through), "{cuts}: {let_through}");
+        assert!(
+            (least..=most).contains(&let_through),
+            "{cuts}: {let_through}"
+        );
     }
 }
 
@@ -537,40 +700,69 @@
     let routers_root = |brain: &mut Brain, n: u128| {
         for id in three.iter().filter(|id| **id != first) {
             let s = brain.servers.get_mut(id).expect("listed");
-            s.out = (0..n).map(|n| (brain.now, RequestId(100 + n), AttemptNo(0))).collect();
+            s.out = (0..n)
+                .map(|n| (brain.now, RequestId(100 + n), AttemptNo(0)))
+                .collect();
         }
     };
     routers_root(&mut brain, 20);
     let late = |brain: &mut Brain| {
         brain.now += 11 * MS;
-        let due: Vec<u64> =
-            brain.timers.iter().filter(|(_, t)| matches!(t, Timer::Copy(_))).map(|t| *t.0).collect();
+        let due: Vec<u64> = brain
+            .timers
+            .iter()
+            .filter(|(_, t)| matches!(t, Timer::Copy(_)))
+            .map(|t| *t.0)
+            .collect();
         let mut actions = Vec::new();
-        due.into_iter().for_each(|t| brain.handle(brain.now, Event::Timer(Token(t)), &mut actions));
-        actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
+        due.into_iter()
+            .for_each(|t| brain.handle(brain.now, Event::Timer(Token(t)), &mut actions));
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count()
     };
     assert_eq!((late(&mut brain), late(&mut brain)), (0, 0), "no room yet");
     routers_root(&mut brain, 0);
-    assert_eq!((late(&mut brain), late(&mut brain)), (1, 0), "one copy and no more");
+    assert_eq!(
+        (late(&mut brain), late(&mut brain)),
+        (1, 0),
+        "one copy and no more"
+    );
 }
 
 #[test]
 fn an_attempt_far_beyond_t_is_given_up_while_another_may_be_made() {
     let mut brain = brain(3);
     let timeout = |actions: Vec<Action>| {
-        actions
-            .into_iter()
-            .find_map(|a| if let Action::Send { timeout, .. } = a { Some(timeout) } else { None })
+        actions.into_iter().find_map(|a| {
+            if let Action::Send { timeout, .. } = a {
+                Some(timeout)
+            } else {
+                None
+            }
+        })
     };
-    assert_eq!(timeout(read(&mut brain, 1)), Some(None), "T is not known yet");
+    assert_eq!(
+        timeout(read(&mut brain, 1)),
+        Some(None),
+        "T is not known yet"
+    );
     for _ in 0..FIRST_SAMPLES {
         brain.record.add(10 * MS);
     }
     let hopeless = (Record::edge(10.0) as f64 * HOPELESS) as Nanos;
     assert_eq!(timeout(read(&mut brain, 2)), Some(Some(hopeless)));
-    assert_eq!(timeout(end(&mut brain, 2, Outcome::Timeout)), Some(Some(hopeless)));
+    assert_eq!(
+        timeout(end(&mut brain, 2, Outcome::Timeout)),
+        Some(Some(hopeless))
+    );
     brain.settings.limits.max_attempts = 1;
-    assert_eq!(timeout(read(&mut brain, 3)), Some(None), "there would be no other");
+    assert_eq!(
+        timeout(read(&mut brain, 3)),
+        Some(None),
+        "there would be no other"
+    );
 }
 
 #[test]
@@ -579,15 +771,36 @@
         let mut brain = brain(9);
         let three = candidates_of_9(&mut brain);
         for id in brain.servers.keys().copied().collect::<Vec<_>>() {
-            let out = if three.contains(&id) { 20 } else { out_elsewhere };
+            let out = if three.contains(&id) {
+                20
+            } else {
+                out_elsewhere
+            };
             let s = brain.servers.get_mut(&id).expect("listed");
-            s.out = (0..out).map(|n| (0, RequestId(100 + n), AttemptNo(0))).collect();
+            s.out = (0..out)
+                .map(|n| (0, RequestId(100 + n), AttemptNo(0)))
+                .collect();
         }
-        assert!(!read(&mut brain, 1).iter().any(|a| matches!(a, Action::Send { .. })), "held first");
+        assert!(
+            !read(&mut brain, 1)
+                .iter()
+                .any(|a| matches!(a, Action::Send { .. })),
+            "held first"
+        );
         brain.now += 150 * MS;
         brain.release_held();
-        assert!(!brain.actions.iter().any(|a| matches!(a, Action::Send { .. })), "{out_elsewhere}");
-        let refused = brain.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+        assert!(
+            !brain
+                .actions
+                .iter()
+                .any(|a| matches!(a, Action::Send { .. })),
+            "{out_elsewhere}"
+        );
+        let refused = brain
+            .actions
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .count();
         assert_eq!(refused, 1);
     }
 }
@@ -613,7 +826,12 @@
     let s = brain.servers.get_mut(&ServerId(1)).expect("listed");
     (s.suspect_until, s.proven) = (Some(0), true);
     assert!(brain.fitness(&r, ServerId(1), true) == Fitness::Suspect);
-    brain.servers.get_mut(&ServerId(1)).expect("listed").out.clear();
+    brain
+        .servers
+        .get_mut(&ServerId(1))
+        .expect("listed")
+        .out
+        .clear();
     assert!(brain.fitness(&r, ServerId(1), true) == Fitness::Open);
 }
 
@@ -630,14 +848,26 @@
         }
         n
     };
-    assert_eq!((strikes(0.0), strikes(0.15), strikes(0.5), strikes(0.7)), (2, 2, 5, 9));
+    assert_eq!(
+        (strikes(0.0), strikes(0.15), strikes(0.5), strikes(0.7)),
+        (2, 2, 5, 9)
+    );
     for (bad, sends) in [(0.1, 1), (0.6, 0)] {
         let mut brain = brain(3);
         brain.bad = bad;
         brain.servers.values_mut().for_each(|s| s.turned = bad);
-        let sent = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        let sent = |actions: &[Action]| {
+            actions
+                .iter()
+                .filter(|a| matches!(a, Action::Send { .. }))
+                .count()
+        };
         read(&mut brain, 1);
-        assert_eq!(sent(&end(&mut brain, 1, Outcome::Full)), sends, "after a rejection");
+        assert_eq!(
+            sent(&end(&mut brain, 1, Outcome::Full)),
+            sends,
+            "after a rejection"
+        );
         read(&mut brain, 2);
         brain.with(RequestId(2), |me, r| me.on_late(r));
         assert_eq!(sent(&brain.actions), sends, "when late");
@@ -677,7 +907,11 @@
         let first = brain.requests[&RequestId(1)].attempts[0].server;
         let actions = end(&mut brain, 1, outcome);
         let next = sent_to(&actions);
-        assert_eq!(next.is_some_and(|id| id != first), goes_on, "{outcome:?}: {actions:?}");
+        assert_eq!(
+            next.is_some_and(|id| id != first),
+            goes_on,
+            "{outcome:?}: {actions:?}"
+        );
     }
 }
 
@@ -697,7 +931,13 @@
     brain.copy_budget = 1.0;
     brain.with(RequestId(1), |me, r| me.on_late(r));
     assert!(
-        matches!(brain.actions[..], [Action::Note { withheld: Withheld::Copy, .. }]),
+        matches!(
+            brain.actions[..],
+            [Action::Note {
+                withheld: Withheld::Copy,
+                ..
+            }]
+        ),
         "{:?}",
         brain.actions
     );
@@ -705,16 +945,36 @@
 
 #[test]
 fn a_few_failures_at_once_can_be_retried_and_copied_at_one_of_many_routers_and_no_flood() {
-    for (routers, saved) in [(4, (COPY_BURST / 2.0, RETRY_BURST / 2.0)), (100, (3.0, 3.0))] {
-        let mut brain = Brain::new(Settings { routers, ..settings() }, 1, 0).expect("settings make sense");
+    for (routers, saved) in [
+        (4, (COPY_BURST / 2.0, RETRY_BURST / 2.0)),
+        (100, (3.0, 3.0)),
+    ] {
+        let mut brain = Brain::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            1,
+            0,
+        )
+        .expect("settings make sense");
         brain.on_list(
             ListScope::Whole,
-            (1..=9).map(|n| Entry { server: ServerId(n), ..Entry::default() }).collect(),
+            (1..=9)
+                .map(|n| Entry {
+                    server: ServerId(n),
+                    ..Entry::default()
+                })
+                .collect(),
         );
         for id in 1..=100 {
             read(&mut brain, id);
         }
-        assert_eq!((brain.copy_budget, brain.retry_budget), saved, "{routers} routers");
+        assert_eq!(
+            (brain.copy_budget, brain.retry_budget),
+            saved,
+            "{routers} routers"
+        );
     }
 }
 
@@ -727,12 +987,30 @@
             (s.turned, s.entry.phase) = (0.5, Phase::Up);
         }
         let r = Request::new(new_read(1, 9, 1_000 * MS), 0, 0, false);
-        let attempt = Attempt { server: ServerId(1), zone: 0, cell: 0, sent: 0, ended: None, origin: false };
-        let r = Request { attempts: vec![attempt], ..r };
+        let attempt = Attempt {
+            server: ServerId(1),
+            zone: 0,
+            cell: 0,
+            sent: 0,
+            ended: None,
+            origin: false,
+        };
+        let r = Request {
+            attempts: vec![attempt],
+            ..r
+        };
         let (request, outcome) = (RequestId(1), Outcome::Error);
         let (attempt, server, latency) = (AttemptNo(0), ServerId(1), MS);
-        let end =
-            Ended { request, attempt, server, outcome, latency, finished: false, note: None, load: None };
+        let end = Ended {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            finished: false,
+            note: None,
+            load: None,
+        };
         brain.judge_origin(&r, &end);
         assert_eq!(brain.origin_room, room, "errors at {servers} of 9");
     }
@@ -740,63 +1018,153 @@
 
 #[test]
 fn a_server_that_comes_while_lists_are_told_is_cold_whatever_the_wall_clock_said() {
-    let rules = || Rules { warm_after: 20_000 * MS, cold_from: 0.1, ..settings().rules };
+    let rules = || Rules {
+        warm_after: 20_000 * MS,
+        cold_from: 0.1,
+        ..settings().rules
+    };
     let begin = 10_000_000 * MS;
     // The process started while its machine's wall clock was ahead, or behind, by so much; the list tells true starts.
-    for (ahead, behind) in [(0, 0), (3_600_000, 0), (0, 3_600_000), (5_000, 0), (0, 5_000)] {
-        let settings = Settings { rules: rules(), ..settings() };
+    for (ahead, behind) in [
+        (0, 0),
+        (3_600_000, 0),
+        (0, 3_600_000),
+        (5_000, 0),
+        (0, 5_000),
+    ] {
+        let settings = Settings {
+            rules: rules(),
+            ..settings()
+        };
         let mut brain = Brain::new(settings, 1, 0).expect("settings make sense");
         let own = |time: Nanos| time + ahead * MS - behind * MS;
         brain.now = own(begin);
-        brain.on_list(ListScope::Whole, vec![Entry { server: ServerId(1), ..Entry::default() }]);
+        brain.on_list(
+            ListScope::Whole,
+            vec![Entry {
+                server: ServerId(1),
+                ..Entry::default()
+            }],
+        );
         let started = begin + 1_000 * MS;
         // It is listed a second after its start.
         brain.now = own(begin + 2_000 * MS);
-        brain.on_list(ListScope::Patch, vec![Entry { server: ServerId(2), started, ..Entry::default() }]);
+        brain.on_list(
+            ListScope::Patch,
+            vec![Entry {
+                server: ServerId(2),
+                started,
+                ..Entry::default()
+            }],
+        );
         let part = |brain: &Brain| brain.ramp(&brain.servers[&ServerId(2)]);
         let at = |age: f64| 0.1 + 0.9 * age / 20.0 + 1e-9;
-        assert!(part(&brain) <= at(6.0), "{ahead} {behind}: {}", part(&brain));
+        assert!(
+            part(&brain) <= at(6.0),
+            "{ahead} {behind}: {}",
+            part(&brain)
+        );
         brain.now = own(begin + 12_000 * MS);
-        assert!((at(9.9)..at(16.0)).contains(&part(&brain)), "{ahead} {behind}: {}", part(&brain));
+        assert!(
+            (at(9.9)..at(16.0)).contains(&part(&brain)),
+            "{ahead} {behind}: {}",
+            part(&brain)
+        );
         brain.now = own(begin + 22_000 * MS);
-        assert_eq!(part(&brain), 1.0, "{ahead} {behind}: in time, however far behind the clock was");
+        assert_eq!(
+            part(&brain),
+            1.0,
+            "{ahead} {behind}: in time, however far behind the clock was"
+        );
     }
 }
 
 #[test]
 fn hundreds_of_routers_leave_few_connections_idle_and_a_few_routers_theirs() {
-    for (routers, servers, left) in [(2, 40, 40), (200, 40, 12), (2, 400, IDLE_MOST), (300, 3_200, IDLE_MOST)]
-    {
-        let mut brain = Brain::new(Settings { routers, ..settings() }, 1, 0).expect("settings make sense");
-        let entries = (0..servers).map(|n| Entry { server: ServerId(n), ..Entry::default() }).collect();
+    for (routers, servers, left) in [
+        (2, 40, 40),
+        (200, 40, 12),
+        (2, 400, IDLE_MOST),
+        (300, 3_200, IDLE_MOST),
+    ] {
+        let mut brain = Brain::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            1,
+            0,
+        )
+        .expect("settings make sense");
+        let entries = (0..servers)
+            .map(|n| Entry {
+                server: ServerId(n),
+                ..Entry::default()
+            })
+            .collect();
         brain.on_list(ListScope::Whole, entries);
         brain.now = 1_000 * MS;
-        brain.servers.values_mut().for_each(|s| s.idle_since = Some(400 * MS + s.entry.server.0));
+        brain
+            .servers
+            .values_mut()
+            .for_each(|s| s.idle_since = Some(400 * MS + s.entry.server.0));
         brain.actions.clear();
-        let idle = brain.servers.iter().filter_map(|(id, s)| Some((s.idle_since?, *id))).collect();
+        let idle = brain
+            .servers
+            .iter()
+            .filter_map(|(id, s)| Some((s.idle_since?, *id)))
+            .collect();
         brain.close_idle(idle);
-        let closed: Vec<&Action> = brain.actions.iter().filter(|a| matches!(a, Action::Close(_))).collect();
+        let closed: Vec<&Action> = brain
+            .actions
+            .iter()
+            .filter(|a| matches!(a, Action::Close(_)))
+            .collect();
         let beyond = servers as usize - left;
         assert_eq!((closed.len(), brain.actions.len()), (beyond, beyond));
-        assert!(!closed.contains(&&Action::Close(ServerId(servers - 1))), "the last used stay");
+        assert!(
+            !closed.contains(&&Action::Close(ServerId(servers - 1))),
+            "the last used stay"
+        );
     }
 }
 
 #[test]
 fn the_told_number_of_routers_goes_before_the_settings_and_stands_from_then_on() {
-    let at = |routers| Brain::new(Settings { routers, ..settings() }, 1, 0).expect("settings make sense");
+    let at = |routers| {
+        Brain::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            1,
+            0,
+        )
+        .expect("settings make sense")
+    };
     let mut told = at(2);
     let mut actions = Vec::new();
     told.handle(0, Event::Routers(100), &mut actions);
     let many = at(100);
-    assert_eq!((told.settings.routers, told.routers_root), (many.settings.routers, many.routers_root));
+    assert_eq!(
+        (told.settings.routers, told.routers_root),
+        (many.settings.routers, many.routers_root)
+    );
     told.handle(0, Event::Routers(0), &mut actions);
     assert_eq!(told.settings.routers, 1, "this one counts");
 }
 
 #[test]
 fn an_unused_limit_stays_above_the_least_among_hundreds_of_routers() {
-    let mut brain = Brain::new(Settings { routers: 900, ..settings() }, 1, 0).expect("settings make sense");
+    let mut brain = Brain::new(
+        Settings {
+            routers: 900,
+            ..settings()
+        },
+        1,
+        0,
+    )
+    .expect("settings make sense");
     brain.on_list(ListScope::Whole, vec![Entry::default()]);
     (0..1_000).for_each(|_| brain.housekeeping());
     assert_eq!(brain.servers[&ServerId(0)].limit, LIMIT_MIN);
@@ -810,12 +1178,23 @@
         let slot = xxh3_64_with_seed(&key.to_le_bytes(), 0) as usize % SLOTS;
         *first.entry(brain.candidates(slot)[0]).or_insert(0) += 1;
     }
-    assert!(first.len() == 150 && first.values().all(|n| (300..=500).contains(n)), "{first:?}");
+    assert!(
+        first.len() == 150 && first.values().all(|n| (300..=500).contains(n)),
+        "{first:?}"
+    );
 }
 
 #[test]
 fn a_share_is_turned_away_at_once_while_too_little_is_served_in_time() {
-    let mut brain = Brain::new(Settings { routers: 300, ..settings() }, 1, 0).expect("settings make sense");
+    let mut brain = Brain::new(
+        Settings {
+            routers: 300,
+            ..settings()
+        },
+        1,
+        0,
+    )
+    .expect("settings make sense");
     brain.on_list(ListScope::Whole, vec![Entry::default()]);
     let bears = |brain: &mut Brain| (0..1_000).filter(|_| brain.fleet_bears()).count();
     assert_eq!(bears(&mut brain), 1_000, "nothing is known yet");
@@ -824,7 +1203,10 @@
         (0..60).for_each(|_| brain.taken.add(brain.now));
         (0..served).for_each(|_| brain.served.add(brain.now));
         let let_through = bears(&mut brain);
-        assert!((least..=most).contains(&let_through), "{served} of 60 in time: {let_through}");
+        assert!(
+            (least..=most).contains(&let_through),
+            "{served} of 60 in time: {let_through}"
+        );
     }
     // Rejections cost a server nothing: they do not count.
     brain.now += 100_000 * MS;
@@ -839,7 +1221,10 @@
     // Twenty of a hundred routers side by side, 20 requests a second each, of which nine in ten are useful again.
     let mut let_through = 0;
     for seed in 0..20 {
-        let settings = Settings { routers: 100, ..settings() };
+        let settings = Settings {
+            routers: 100,
+            ..settings()
+        };
         let mut brain = Brain::new(settings, seed, 0).expect("settings make sense");
         (0..60).for_each(|_| brain.taken.add(0));
         for n in 1..=160u64 {
@@ -859,14 +1244,25 @@
 #[test]
 fn the_share_for_the_origin_moves_faster_at_one_of_many_routers() {
     for (routers, errors, back) in [(2, 5, 80), (100, 1, 11)] {
-        let mut brain = Brain::new(Settings { routers, ..settings() }, 1, 0).expect("settings make sense");
+        let mut brain = Brain::new(
+            Settings {
+                routers,
+                ..settings()
+            },
+            1,
+            0,
+        )
+        .expect("settings make sense");
         let steps = |brain: &mut Brain, factor: f64, until: fn(f64) -> bool| {
             (1..).find(|_| {
                 brain.move_origin_room(factor);
                 until(brain.origin_room)
             })
         };
-        assert_eq!(steps(&mut brain, ORIGIN_CUT, |room| room < DISTRESS), Some(errors));
+        assert_eq!(
+            steps(&mut brain, ORIGIN_CUT, |room| room < DISTRESS),
+            Some(errors)
+        );
         brain.origin_room = 0.2;
         assert!(steps(&mut brain, 1.0 + ORIGIN_RISE, |room| room > 0.9).is_some_and(|n| n <= back));
     }
@@ -895,7 +1291,9 @@
         (1..=9).for_each(|id| set(&mut brain, ServerId(id), others));
         set(&mut brain, three[0], 100.0);
         brain.housekeeping();
-        let to = (0..100).filter(|_| picked(&mut brain) == Some(three[0])).count();
+        let to = (0..100)
+            .filter(|_| picked(&mut brain) == Some(three[0]))
+            .count();
         assert_eq!(to > 90, to_slow, "{to}");
     }
     (0..100).for_each(|_| brain.housekeeping());
@@ -907,8 +1305,13 @@
 /// Two classes, of which the first is worth less, and a tenant that may ask for little.
 fn two_classes() -> Settings {
     let mut settings = settings();
-    settings.classes.push(Class { worth: 10.0, ..settings.classes[0].clone() });
-    settings.tenants.push(Tenant { allowance_per_s: 0.001 });
+    settings.classes.push(Class {
+        worth: 10.0,
+        ..settings.classes[0].clone()
+    });
+    settings.tenants.push(Tenant {
+        allowance_per_s: 0.001,
+    });
     (settings.over_share_worth, settings.limits.retry_after) = (0.2, true);
     settings.limits.max_retry_after = 5_000 * MS;
     settings
@@ -916,14 +1319,22 @@
 
 fn listed(settings: Settings, seed: u64) -> Brain {
     let mut brain = Brain::new(settings, seed, 0).expect("settings make sense");
-    let entries = (1..=9).map(|i| Entry { server: ServerId(i), weight: 1.0, ..Entry::default() });
+    let entries = (1..=9).map(|i| Entry {
+        server: ServerId(i),
+        weight: 1.0,
+        ..Entry::default()
+    });
     brain.on_list(ListScope::Whole, entries.collect());
     brain.servers.values_mut().for_each(|s| s.limit = 1e6);
     brain
 }
 
 fn allow(level: f64, turn: u64) -> Event {
-    Event::Allowance(Allowance { level, turn, turn_ends: (turn + 1) * 1_000 * MS })
+    Event::Allowance(Allowance {
+        level,
+        turn,
+        turn_ends: (turn + 1) * 1_000 * MS,
+    })
 }
 
 /// Which of the keys 0 to 999 are shed of a class.
@@ -931,10 +1342,15 @@
     let mut shed = Vec::new();
     for key in 0..1_000 {
         let id = (brain.next_token as u128) << 32 | u128::from(key);
-        let new = NewRequest { class: ClassId(class), tenant, ..new_read(id, key, 1_000 * MS) };
+        let new = NewRequest {
+            class: ClassId(class),
+            tenant,
+            ..new_read(id, key, 1_000 * MS)
+        };
         let mut actions = Vec::new();
         brain.handle(brain.now, Event::Request(new), &mut actions);
-        let level = |a: &Action| matches!(a, Action::Refuse { why, .. } if why.reason == Reason::Level);
+        let level =
+            |a: &Action| matches!(a, Action::Refuse { why, .. } if why.reason == Reason::Level);
         shed.extend(actions.iter().any(level).then_some(key));
     }
     shed
@@ -954,10 +1370,17 @@
     assert!((350..450).contains(&before.len()), "{}", before.len());
     assert_eq!(shed(&mut one, 1, None), [0; 0], "worth ten times as much");
     let over = shed(&mut one, 0, Some(TenantId(0)));
-    assert!((930..970).contains(&over.len()), "beyond its share, and some still get in: {}", over.len());
+    assert!(
+        (930..970).contains(&over.len()),
+        "beyond its share, and some still get in: {}",
+        over.len()
+    );
     one.handle(1_000 * MS, allow(1.4, 7), &mut events);
     let after = shed(&mut one, 0, None);
-    assert!(!after.iter().any(|key| before.contains(key)), "who comes back at the next turn is let in");
+    assert!(
+        !after.iter().any(|key| before.contains(key)),
+        "who comes back at the next turn is let in"
+    );
     one.handle(1_000 * MS, allow(0.0, 8), &mut events);
     assert_eq!(shed(&mut one, 0, None), [0; 0]);
 }
@@ -969,7 +1392,11 @@
     brain.handle(300 * MS, allow(4.0, 0), &mut actions);
     let mut waits = Vec::new();
     for id in 0..200 {
-        brain.handle(300 * MS, Event::Request(new_read(id, id as u64, 500 * MS)), &mut actions);
+        brain.handle(
+            300 * MS,
+            Event::Request(new_read(id, id as u64, 500 * MS)),
+            &mut actions,
+        );
     }
     for action in &actions {
         if let Action::Refuse { retry_after, .. } = action {
@@ -983,7 +1410,11 @@
     );
     let tally = brain.take_tally();
     assert_eq!(tally.let_in.iter().sum::<u32>() as usize + waits.len(), 200);
-    assert_eq!((tally.short, brain.take_tally()), (0, Tally::default()), "shed is not short");
+    assert_eq!(
+        (tally.short, brain.take_tally()),
+        (0, Tally::default()),
+        "shed is not short"
+    );
 }
 
 #[test]
@@ -993,7 +1424,10 @@
     with.handle(0, allow(0.0, 3), &mut b);
     for id in 0..300u64 {
         let now = id * 3 * MS;
-        let new = NewRequest { class: ClassId(id as usize % 2), ..new_read(id.into(), id % 40, 300 * MS) };
+        let new = NewRequest {
+            class: ClassId(id as usize % 2),
+            ..new_read(id.into(), id % 40, 300 * MS)
+        };
         without.handle(now, Event::Request(new), &mut a);
         with.handle(now, Event::Request(new), &mut b);
         if id % 100 == 99 {
@@ -1006,16 +1440,36 @@
 
 #[test]
 fn a_keyed_repeat_begins_within_its_window_and_what_never_ran_does_not_bound_it() {
-    for (outcome, bound) in [(Outcome::Reset, Some(250 * MS)), (Outcome::ConnectFailed, None)] {
+    for (outcome, bound) in [
+        (Outcome::Reset, Some(250 * MS)),
+        (Outcome::ConnectFailed, None),
+    ] {
         let mut brain = brain(3);
-        brain.settings.classes[0].effect = Effect::Keyed { group: Group::All, window: 300 * MS };
+        brain.settings.classes[0].effect = Effect::Keyed {
+            group: Group::All,
+            window: 300 * MS,
+        };
         let within = |actions: Vec<Action>| {
-            let send = |a| if let Action::Send { begin_within, .. } = a { Some(begin_within) } else { None };
+            let send = |a| {
+                if let Action::Send { begin_within, .. } = a {
+                    Some(begin_within)
+                } else {
+                    None
+                }
+            };
             actions.into_iter().find_map(send)
         };
-        assert_eq!(within(read(&mut brain, 1)), Some(None), "the first is no repeat");
+        assert_eq!(
+            within(read(&mut brain, 1)),
+            Some(None),
+            "the first is no repeat"
+        );
         brain.now += 50 * MS;
-        assert_eq!(within(end(&mut brain, 1, outcome)), Some(bound), "{outcome:?}");
+        assert_eq!(
+            within(end(&mut brain, 1, outcome)),
+            Some(bound),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -1024,18 +1478,33 @@
     // 3.75 s, and 1.6 s for a call that hangs: under the 6 s after which a change counts as told whatever failed.
     for (within, longest) in [(10_000, 3_750), (1_000, 3_000), (0, 3_750)] {
         let mut brain = brain(1);
-        brain.settings.discovery = Discovery::Asked { within: within * MS };
+        brain.settings.discovery = Discovery::Asked {
+            within: within * MS,
+        };
         let mut most = 0;
         for _ in 0..200 {
             let mut actions = Vec::new();
-            let failed = Event::List { scope: ListScope::Failed, entries: Vec::new() };
+            let failed = Event::List {
+                scope: ListScope::Failed,
+                entries: Vec::new(),
+            };
             brain.handle(brain.now, failed, &mut actions);
-            let call = |a| if let Action::Timer { after, token } = a { Some((after, token)) } else { None };
+            let call = |a| {
+                if let Action::Timer { after, token } = a {
+                    Some((after, token))
+                } else {
+                    None
+                }
+            };
             let waits = actions.into_iter().filter_map(call);
-            let waits = waits.filter(|(_, token)| matches!(brain.timers.get(&token.0), Some(Timer::Call)));
+            let waits =
+                waits.filter(|(_, token)| matches!(brain.timers.get(&token.0), Some(Timer::Call)));
             most = most.max(waits.map(|(after, _)| after).max().unwrap_or(0));
         }
-        assert!(most > longest * MS / 2 && most <= longest * MS, "{within}: {most}");
+        assert!(
+            most > longest * MS / 2 && most <= longest * MS,
+            "{within}: {most}"
+        );
     }
 }
 
@@ -1047,9 +1516,19 @@
         for servers in [0, 3] {
             let mut brain = brain(servers);
             let mut actions = Vec::new();
-            brain.handle(0, Event::Request(new_read(1, 9, patience * MS)), &mut actions);
+            brain.handle(
+                0,
+                Event::Request(new_read(1, 9, patience * MS)),
+                &mut actions,
+            );
             brain.handle(100 * MS, Event::Ending(by), &mut actions);
-            let timer = |a: &Action| if let Action::Timer { token, .. } = a { Some(*token) } else { None };
+            let timer = |a: &Action| {
+                if let Action::Timer { token, .. } = a {
+                    Some(*token)
+                } else {
+                    None
+                }
+            };
             let deadline = |t: &Token| matches!(brain.timers.get(&t.0), Some(Timer::Deadline(_)));
             let tokens: Vec<Token> = actions.iter().filter_map(timer).filter(deadline).collect();
             let answers = |actions: &[Action]| {
@@ -1069,8 +1548,13 @@
 #[test]
 fn what_failed_before_discovery_moved_or_answered_delays_no_call_from_then_on() {
     let mut brain = brain(1);
-    brain.settings.discovery = Discovery::Asked { within: 10_000 * MS };
-    let failed = || Event::List { scope: ListScope::Failed, entries: Vec::new() };
+    brain.settings.discovery = Discovery::Asked {
+        within: 10_000 * MS,
+    };
+    let failed = || Event::List {
+        scope: ListScope::Failed,
+        entries: Vec::new(),
+    };
     let mut actions = Vec::new();
     for _ in 0..9 {
         brain.handle(0, failed(), &mut actions);
@@ -1079,7 +1563,13 @@
     brain.handle(0, Event::DiscoveryAnew, &mut actions);
     actions.clear();
     brain.handle(0, failed(), &mut actions);
-    let after = |a: &Action| if let Action::Timer { after, .. } = a { Some(*after) } else { None };
+    let after = |a: &Action| {
+        if let Action::Timer { after, .. } = a {
+            Some(*after)
+        } else {
+            None
+        }
+    };
     let wait = actions.iter().filter_map(after).max();
     assert!(
         wait.is_some_and(|wait| wait <= 600 * MS),
@@ -1090,13 +1580,28 @@
 #[test]
 fn of_several_failed_calls_one_is_made_again() {
     let mut brain = brain(1);
-    brain.settings.discovery = Discovery::Asked { within: 10_000 * MS };
+    brain.settings.discovery = Discovery::Asked {
+        within: 10_000 * MS,
+    };
     let mut actions = Vec::new();
     // A call failed, and the one at the new address that a reload began meanwhile.
     for _ in 0..2 {
-        brain.handle(0, Event::List { scope: ListScope::Failed, entries: Vec::new() }, &mut actions);
+        brain.handle(
+            0,
+            Event::List {
+                scope: ListScope::Failed,
+                entries: Vec::new(),
+            },
+            &mut actions,
+        );
     }
-    let token = |a: &Action| if let Action::Timer { token, .. } = a { Some(*token) } else { None };
+    let token = |a: &Action| {
+        if let Action::Timer { token, .. } = a {
+            Some(*token)
+        } else {
+            None
+        }
+    };
     let tokens: Vec<Token> = actions.iter().filter_map(token).collect();
     actions.clear();
     for token in tokens {
--- a/crates/finchyard/src/stats.rs
+++ b/crates/finchyard/src/stats.rs
@@ -20,7 +20,13 @@
 impl Record {
     /// Tells this quantile of samples of which one weighs 1/e after `memory` more.
     pub(crate) fn new(memory: f64, quantile: f64) -> Self {
-        Record { buckets: vec![0.0; BUCKETS], samples: 0, t: 0, fade: (-1.0 / memory).exp(), quantile }
+        Record {
+            buckets: vec![0.0; BUCKETS],
+            samples: 0,
+            t: 0,
+            fade: (-1.0 / memory).exp(),
+            quantile,
+        }
     }
 
     pub(crate) fn add(&mut self, latency: Nanos) {
@@ -87,7 +93,11 @@
         self.samples += 1.0;
         self.now += gain.max(1.0 / self.samples) * (sample - self.now);
         let first = self.samples * gain <= 1.0;
-        self.base = if first { self.now } else { (self.base * (1.0 + creep)).min(self.now) };
+        self.base = if first {
+            self.now
+        } else {
+            (self.base * (1.0 + creep)).min(self.now)
+        };
     }
 
     /// Forgets what it is above the unloaded mean, down to this part.
@@ -123,7 +133,11 @@
 
 impl Rate {
     pub(crate) fn new(tau: f64, at: Nanos) -> Self {
-        Rate { count: 0.0, at, tau }
+        Rate {
+            count: 0.0,
+            at,
+            tau,
+        }
     }
     pub(crate) fn add(&mut self, now: Nanos) {
         self.count = self.per_s(now) * self.tau / 1e9 + 1.0;
@@ -147,7 +161,11 @@
 
 impl Known {
     pub(crate) fn new(period: Nanos, since: Nanos) -> Self {
-        Known { pairs: Default::default(), period, since }
+        Known {
+            pairs: Default::default(),
+            period,
+            since,
+        }
     }
     /// Begins a new period when it is time.
     pub(crate) fn age(&mut self, now: Nanos) {
@@ -166,7 +184,9 @@
     }
     pub(crate) fn remove(&mut self, key: Option<Key>, id: ServerId) {
         let Some(key) = key else { return };
-        self.pairs.iter_mut().for_each(|pairs| _ = pairs.remove(&(key, id)));
+        self.pairs
+            .iter_mut()
+            .for_each(|pairs| _ = pairs.remove(&(key, id)));
     }
 }
 
--- a/crates/finchyard/tests/common/mod.rs
+++ b/crates/finchyard/tests/common/mod.rs
@@ -9,14 +9,33 @@
 pub const UNSAFE: ClassId = ClassId(2);
 
 pub fn settings() -> Settings {
-    let class = |effect, worth| Class { effect, aim: 200 * MS, deadline: 1_000 * MS, worth, late_value: 0.2 };
+    let class = |effect, worth| Class {
+        effect,
+        aim: 200 * MS,
+        deadline: 1_000 * MS,
+        worth,
+        late_value: 0.2,
+    };
     Settings {
         classes: vec![
             class(Effect::Safe, 1.0),
-            class(Effect::Keyed { group: Group::All, window: 500 * MS }, 2.0),
+            class(
+                Effect::Keyed {
+                    group: Group::All,
+                    window: 500 * MS,
+                },
+                2.0,
+            ),
             class(Effect::Unsafe, 5.0),
         ],
-        tenants: vec![Tenant { allowance_per_s: 50.0 }, Tenant { allowance_per_s: 50.0 }],
+        tenants: vec![
+            Tenant {
+                allowance_per_s: 50.0,
+            },
+            Tenant {
+                allowance_per_s: 50.0,
+            },
+        ],
         over_share_worth: 0.1,
         routers: 1,
         origin: Origin::Through,
@@ -66,7 +85,14 @@
 pub fn bench(settings: Settings) -> Bench {
     let slack = settings.rules.answer_slack;
     let brain = Brain::new(settings, 42, 0).expect("settings make sense");
-    Bench { brain, now: 0, at: Vec::new(), timers: Vec::new(), sent_at: Default::default(), slack }
+    Bench {
+        brain,
+        now: 0,
+        at: Vec::new(),
+        timers: Vec::new(),
+        sent_at: Default::default(),
+        slack,
+    }
 }
 
 impl Bench {
@@ -105,12 +131,24 @@
     }
     pub fn list(&mut self, servers: &[u64]) {
         let entries = servers.iter().map(|s| entry(*s, Phase::Up, 0)).collect();
-        self.event(Event::List { scope: ListScope::Whole, entries });
+        self.event(Event::List {
+            scope: ListScope::Whole,
+            entries,
+        });
     }
     pub fn patch(&mut self, server: u64, phase: Phase, started: Nanos) {
-        self.event(Event::List { scope: ListScope::Patch, entries: vec![entry(server, phase, started)] });
+        self.event(Event::List {
+            scope: ListScope::Patch,
+            entries: vec![entry(server, phase, started)],
+        });
     }
-    pub fn request(&mut self, id: u128, class: ClassId, key: Option<u64>, patience: Nanos) -> Vec<Action> {
+    pub fn request(
+        &mut self,
+        id: u128,
+        class: ClassId,
+        key: Option<u64>,
+        patience: Nanos,
+    ) -> Vec<Action> {
         self.event(Event::Request(NewRequest {
             id: RequestId(id),
             class,
@@ -155,7 +193,9 @@
         self.at
             .iter()
             .filter_map(|(_, a)| match a {
-                Action::Send { request, server, .. } if request.0 == id => Some(*server),
+                Action::Send {
+                    request, server, ..
+                } if request.0 == id => Some(*server),
                 _ => None,
             })
             .collect()
--- a/crates/finchyard/tests/failures.rs
+++ b/crates/finchyard/tests/failures.rs
@@ -12,7 +12,13 @@
         b.run_to(b.now + 10 * MS);
         let mut attempt = 0;
         while b.finals(id) == 0 && attempt < b.sends(id).len() {
-            b.end_noted(id, attempt as u32, outcome, outcome == Outcome::Ok, Some(CacheNote::Miss));
+            b.end_noted(
+                id,
+                attempt as u32,
+                outcome,
+                outcome == Outcome::Ok,
+                Some(CacheNote::Miss),
+            );
             attempt += 1;
         }
         sent += b.sends(id).len();
@@ -56,7 +62,9 @@
     for id in 1..=1_200u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else { break };
+            let Some(server) = b.sends(id).get(attempt).copied() else {
+                break;
+            };
             if server == ServerId(1) {
                 tried.push(b.now);
                 b.end(id, attempt as u32, Outcome::ConnectFailed, false);
@@ -69,7 +77,10 @@
     }
     // In 12 s: two failures, then single trials after 1, 2, 4 s and more.
     assert!((3..=7).contains(&tried.len()), "{tried:?}");
-    assert!(tried.windows(2).skip(1).all(|t| t[1] - t[0] >= 750 * MS), "{tried:?}");
+    assert!(
+        tried.windows(2).skip(1).all(|t| t[1] - t[0] >= 750 * MS),
+        "{tried:?}"
+    );
 }
 
 #[test]
@@ -81,22 +92,42 @@
         dead = dead && id < 1_000;
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else { break };
+            let Some(server) = b.sends(id).get(attempt).copied() else {
+                break;
+            };
             let down = server == ServerId(1) && dead;
             to_dead += usize::from(down);
-            b.end(id, attempt as u32, if down { Outcome::ConnectFailed } else { Outcome::Ok }, !down);
+            b.end(
+                id,
+                attempt as u32,
+                if down {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+                !down,
+            );
         }
         let before = b.at.len();
         b.run_to(b.now + 10 * MS);
-        if b.at[before..].iter().any(|(_, a)| *a == Action::Probe(ServerId(1))) {
+        if b.at[before..]
+            .iter()
+            .any(|(_, a)| *a == Action::Probe(ServerId(1)))
+        {
             probes += 1;
             let outcome = if dead { Outcome::Timeout } else { Outcome::Ok };
-            b.event(Event::Probed { server: ServerId(1), outcome, load: None });
+            b.event(Event::Probed {
+                server: ServerId(1),
+                outcome,
+                load: None,
+            });
         }
     }
     assert_eq!(to_dead, 2, "two failures, then probes alone");
     assert!((3..=8).contains(&probes), "{probes}");
-    let back = (1_900..2_000).filter(|id| b.sends(*id).contains(&ServerId(1))).count();
+    let back = (1_900..2_000)
+        .filter(|id| b.sends(*id).contains(&ServerId(1)))
+        .count();
     assert!(back > 5, "{back}");
 }
 
@@ -110,10 +141,21 @@
     for id in 1..=1_000u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else { break };
+            let Some(server) = b.sends(id).get(attempt).copied() else {
+                break;
+            };
             let cut = server.0 % 2 == 1;
             to_cut += usize::from(cut && id > 500);
-            b.end(id, attempt as u32, if cut { Outcome::ConnectFailed } else { Outcome::Ok }, !cut);
+            b.end(
+                id,
+                attempt as u32,
+                if cut {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+                !cut,
+            );
         }
         b.run_to(b.now + 10 * MS);
     }
@@ -225,7 +267,10 @@
     b.run_to(300 * MS);
     let refused: usize = (1..=50).map(|id| b.finals(id)).sum();
     assert_eq!(refused, 45);
-    assert!(b.at.iter().all(|(t, a)| !matches!(a, Action::Refuse { .. }) || *t <= 200 * MS));
+    assert!(
+        b.at.iter()
+            .all(|(t, a)| !matches!(a, Action::Refuse { .. }) || *t <= 200 * MS)
+    );
 }
 
 #[test]
@@ -233,7 +278,12 @@
     let mut b = bench(settings());
     b.list(&[1]);
     for id in 1..=10u128 {
-        b.request(id, if id == 10 { UNSAFE } else { SAFE }, Some(id as u64), 1_000 * MS);
+        b.request(
+            id,
+            if id == 10 { UNSAFE } else { SAFE },
+            Some(id as u64),
+            1_000 * MS,
+        );
     }
     let actions = b.end(1, 0, Outcome::Ok, true);
     let sent = actions.iter().find_map(|a| match a {
@@ -247,26 +297,43 @@
 #[test]
 fn a_failed_list_call_is_repeated_with_growing_pauses() {
     let mut s = settings();
-    s.discovery = Discovery::Asked { within: 10_000 * MS };
+    s.discovery = Discovery::Asked {
+        within: 10_000 * MS,
+    };
     let mut b = bench(s);
-    b.event(Event::List { scope: ListScope::Stale, entries: vec![entry(1, Phase::Up, 0)] });
+    b.event(Event::List {
+        scope: ListScope::Stale,
+        entries: vec![entry(1, Phase::Up, 0)],
+    });
     let mut calls = Vec::new();
     for _ in 0..600 {
         let before = b.at.len();
         b.run_to(b.now + 100 * MS);
         if b.at[before..].iter().any(|(_, a)| *a == Action::Watch) {
             calls.push(b.now);
-            b.event(Event::List { scope: ListScope::Failed, entries: Vec::new() });
+            b.event(Event::List {
+                scope: ListScope::Failed,
+                entries: Vec::new(),
+            });
         }
     }
     assert!((16..40).contains(&calls.len()), "{calls:?}");
-    assert!(calls.windows(2).all(|c| c[1] - c[0] <= 4_000 * MS), "with a call that hangs within 6 s");
+    assert!(
+        calls.windows(2).all(|c| c[1] - c[0] <= 4_000 * MS),
+        "with a call that hangs within 6 s"
+    );
     assert!(calls[calls.len() - 1] - calls[calls.len() - 2] >= 1_200 * MS);
     b.run_to(b.now + 10_000 * MS);
-    b.event(Event::List { scope: ListScope::Whole, entries: vec![entry(1, Phase::Up, 0)] });
+    b.event(Event::List {
+        scope: ListScope::Whole,
+        entries: vec![entry(1, Phase::Up, 0)],
+    });
     let before = b.at.len();
     b.run_to(b.now + 60_000 * MS);
-    assert!(b.at[before..].iter().all(|(_, a)| *a != Action::Watch), "no call while watching");
+    assert!(
+        b.at[before..].iter().all(|(_, a)| *a != Action::Watch),
+        "no call while watching"
+    );
 }
 
 #[test]
@@ -275,8 +342,14 @@
     s.origin = Origin::Aside { kind: 9 };
     let mut b = bench(s);
     let mut entries: Vec<Entry> = (1..=4).map(|i| entry(i, Phase::Up, 0)).collect();
-    entries.push(Entry { kind: 9, ..entry(99, Phase::Up, 0) });
-    b.event(Event::List { scope: ListScope::Whole, entries });
+    entries.push(Entry {
+        kind: 9,
+        ..entry(99, Phase::Up, 0)
+    });
+    b.event(Event::List {
+        scope: ListScope::Whole,
+        entries,
+    });
     for id in 1..=200u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         assert_ne!(b.sends(id)[0], ServerId(99));
@@ -285,7 +358,12 @@
         b.run_to(b.now + 600 * MS);
         assert_eq!(b.sends(id).len(), 2, "no copy beside the origin");
         let failed = id == 200;
-        b.end(id, 1, if failed { Outcome::Error } else { Outcome::Ok }, !failed);
+        b.end(
+            id,
+            1,
+            if failed { Outcome::Error } else { Outcome::Ok },
+            !failed,
+        );
         assert_eq!(b.finals(id), usize::from(failed), "not asked again");
     }
     b.request(1_000, UNSAFE, Some(5), 1_000 * MS);
@@ -299,13 +377,22 @@
     for id in 1..=100u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else { break };
+            let Some(server) = b.sends(id).get(attempt).copied() else {
+                break;
+            };
             let well = server == ServerId(5);
-            b.end(id, attempt as u32, if well { Outcome::Ok } else { Outcome::Reset }, well);
+            b.end(
+                id,
+                attempt as u32,
+                if well { Outcome::Ok } else { Outcome::Reset },
+                well,
+            );
         }
         b.run_to(b.now + 20 * MS);
     }
-    let firsts = (80..=100).filter(|id| b.sends(*id).first().is_some_and(|s| *s != ServerId(5))).count();
+    let firsts = (80..=100)
+        .filter(|id| b.sends(*id).first().is_some_and(|s| *s != ServerId(5)))
+        .count();
     assert!(firsts > 10, "{firsts}");
 }
 
@@ -324,7 +411,10 @@
         started: u64::MAX * (n % 2),
         ..entry(n, Phase::Up, 0)
     });
-    b.event(Event::List { scope: ListScope::Whole, entries: entries.collect() });
+    b.event(Event::List {
+        scope: ListScope::Whole,
+        entries: entries.collect(),
+    });
     for id in 1..=6u128 {
         b.request(id, ClassId(id as usize % 3), Some(7), 1_000 * MS);
         b.run_to(b.now + 1_100 * MS);
@@ -344,7 +434,9 @@
     let mut b = bench(settings());
     b.list(&[1, 2, 3, 4, 5, 6]);
     play(&mut b, 1, 100, Outcome::Unknown);
-    let retries: usize = (1..=100).map(|id| b.sends(id).len().saturating_sub(1)).sum();
+    let retries: usize = (1..=100)
+        .map(|id| b.sends(id).len().saturating_sub(1))
+        .sum();
     assert!((8..=29).contains(&retries), "{retries}");
 }
 
@@ -355,7 +447,10 @@
     b.request(1, SAFE, Some(1), 1_000 * MS);
     b.run_to(600 * MS);
     assert_eq!(b.sends(1).len(), 2);
-    let loser = Action::Cancel { request: RequestId(1), attempt: AttemptNo(0) };
+    let loser = Action::Cancel {
+        request: RequestId(1),
+        attempt: AttemptNo(0),
+    };
     assert!(b.end(1, 1, Outcome::Ok, true).contains(&loser));
 }
 
@@ -367,7 +462,11 @@
     for id in 1..=2u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         b.run_to(b.now + 10 * MS);
-        logs += b.end(id, 0, Outcome::Timeout, true).iter().filter(|a| matches!(a, Action::Log(_))).count();
+        logs += b
+            .end(id, 0, Outcome::Timeout, true)
+            .iter()
+            .filter(|a| matches!(a, Action::Log(_)))
+            .count();
         assert_eq!(logs, usize::from(id == 2));
     }
 }
--- a/crates/finchyard/tests/properties.rs
+++ b/crates/finchyard/tests/properties.rs
@@ -10,15 +10,38 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: usize, key: Option<u64>, patience: u64 },
-    End { pick: usize, outcome: usize, note: bool },
-    Begin { pick: usize },
-    Gone { pick: usize },
-    List { server: u64, phase: usize, fresh: bool },
-    Whole { servers: Vec<u64> },
+    Request {
+        class: usize,
+        key: Option<u64>,
+        patience: u64,
+    },
+    End {
+        pick: usize,
+        outcome: usize,
+        note: bool,
+    },
+    Begin {
+        pick: usize,
+    },
+    Gone {
+        pick: usize,
+    },
+    List {
+        server: u64,
+        phase: usize,
+        fresh: bool,
+    },
+    Whole {
+        servers: Vec<u64>,
+    },
     Failed,
-    Stray { id: u128, token: u64 },
-    Wait { ms: u64 },
+    Stray {
+        id: u128,
+        token: u64,
+    },
+    Wait {
+        ms: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -99,14 +122,26 @@
         self.brain.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
-                Action::Send { request, server, .. } => self.check_send(request.0, server.0),
+                Action::Send {
+                    request, server, ..
+                } => self.check_send(request.0, server.0),
                 Action::Fail { request, .. } => self.final_answer(request.0),
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                    ..
+                } => {
                     assert!(*retry_after <= self.settings.limits.max_retry_after);
                     let r = &self.requests[&request.0];
-                    let ran = r.sent.iter().any(|s| s.ended.is_none_or(|o| !o.never_ran()));
+                    let ran = r
+                        .sent
+                        .iter()
+                        .any(|s| s.ended.is_none_or(|o| !o.never_ran()));
                     match self.settings.classes[r.class].effect {
-                        Effect::Safe | Effect::Keyed { group: Group::All, .. } => {}
+                        Effect::Safe
+                        | Effect::Keyed {
+                            group: Group::All, ..
+                        } => {}
                         _ => assert!(!ran, "refused what may have run"),
                     }
                     self.final_answer(request.0);
@@ -124,27 +159,50 @@
     }
 
     fn check_send(&mut self, id: u128, server: u64) {
-        assert_eq!(self.up.get(&server), Some(&true), "sent to a server that drains or is gone");
+        assert_eq!(
+            self.up.get(&server),
+            Some(&true),
+            "sent to a server that drains or is gone"
+        );
         let limits = &self.settings.limits;
         let r = self.requests.get_mut(&id).expect("known");
-        assert!(!r.over && r.finals == 0 && !r.streaming, "sent after the end");
+        assert!(
+            !r.over && r.finals == 0 && !r.streaming,
+            "sent after the end"
+        );
         assert!(self.now < r.deadline, "sent too late");
-        assert!(r.sent.len() < limits.max_attempts as usize, "too many attempts");
+        assert!(
+            r.sent.len() < limits.max_attempts as usize,
+            "too many attempts"
+        );
         let out = r.sent.iter().filter(|s| s.ended.is_none()).count();
         let effect = self.settings.classes[r.class].effect;
-        assert!(out == 0 || out == 1 && limits.second_copies && effect == Effect::Safe, "two at once");
-        let mut ran = r.sent.iter().filter(|s| s.ended.is_none_or(|o| !o.never_ran()));
+        assert!(
+            out == 0 || out == 1 && limits.second_copies && effect == Effect::Safe,
+            "two at once"
+        );
+        let mut ran = r
+            .sent
+            .iter()
+            .filter(|s| s.ended.is_none_or(|o| !o.never_ran()));
         match effect {
             Effect::Safe => {}
             Effect::Unsafe => assert!(ran.next().is_none(), "an unsafe request twice"),
             Effect::Keyed { group, window } => {
                 for earlier in ran {
                     assert!(self.now < earlier.at + window, "after the window");
-                    assert!(group == Group::All || earlier.server % 2 == server % 2, "outside the group");
+                    assert!(
+                        group == Group::All || earlier.server % 2 == server % 2,
+                        "outside the group"
+                    );
                 }
             }
         }
-        r.sent.push(Sent { server, at: self.now, ended: None });
+        r.sent.push(Sent {
+            server,
+            at: self.now,
+            ended: None,
+        });
     }
 
     fn final_answer(&mut self, id: u128) {
@@ -152,13 +210,20 @@
         assert!(!r.over && !r.streaming, "answered what was over");
         r.finals += 1;
         assert_eq!(r.finals, 1, "two final answers");
-        assert!(self.now <= r.deadline + self.settings.rules.answer_slack, "answered too late");
+        assert!(
+            self.now <= r.deadline + self.settings.rules.answer_slack,
+            "answered too late"
+        );
     }
 
     fn out(&self) -> Vec<(u128, usize)> {
         let all = self.requests.iter();
         all.flat_map(|(id, r)| {
-            r.sent.iter().enumerate().filter(|(_, s)| s.ended.is_none()).map(|(n, _)| (*id, n))
+            r.sent
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.ended.is_none())
+                .map(|(n, _)| (*id, n))
         })
         .collect()
     }
@@ -169,7 +234,10 @@
         r.sent[number].ended = Some(outcome);
         let finishes = outcome == Outcome::Ok || own;
         r.over = r.over || finishes || r.finals > 0;
-        let (server, latency) = (ServerId(r.sent[number].server), self.now - r.sent[number].at);
+        let (server, latency) = (
+            ServerId(r.sent[number].server),
+            self.now - r.sent[number].at,
+        );
         let end = Ended {
             request: RequestId(id),
             attempt: AttemptNo(number as u32),
@@ -178,7 +246,10 @@
             latency,
             finished: r.over,
             note: note.then_some(CacheNote::Hit),
-            load: Some(Load { hit_share: Some(f64::NAN), ..Load::default() }),
+            load: Some(Load {
+                hit_share: Some(f64::NAN),
+                ..Load::default()
+            }),
         };
         self.event(Event::Ended(end));
     }
@@ -186,7 +257,9 @@
     fn wait(&mut self, until: Nanos) {
         loop {
             self.timers.sort_by_key(|(at, token)| (*at, token.0));
-            let Some((at, token)) = self.timers.first().copied().filter(|t| t.0 <= until) else { break };
+            let Some((at, token)) = self.timers.first().copied().filter(|t| t.0 <= until) else {
+                break;
+            };
             self.timers.remove(0);
             self.now = self.now.max(at);
             self.event(Event::Timer(token));
@@ -194,13 +267,20 @@
         self.now = self.now.max(until);
         for (id, r) in &self.requests {
             let late = self.now > r.deadline + self.settings.rules.answer_slack;
-            assert!(!late || r.over || r.finals == 1 || r.streaming, "request {id} has no answer");
+            assert!(
+                !late || r.over || r.finals == 1 || r.streaming,
+                "request {id} has no answer"
+            );
         }
     }
 
     fn play(&mut self, step: &Step) {
         match step {
-            Step::Request { class, key, patience } => {
+            Step::Request {
+                class,
+                key,
+                patience,
+            } => {
                 self.next += 1;
                 let seen = Seen {
                     class: *class,
@@ -221,7 +301,11 @@
                     write: *class > 0,
                 }));
             }
-            Step::End { pick, outcome, note } => {
+            Step::End {
+                pick,
+                outcome,
+                note,
+            } => {
                 let out = self.out();
                 if !out.is_empty() {
                     self.end(out[pick % out.len()], OUTCOMES[*outcome], *note);
@@ -238,7 +322,10 @@
                     return;
                 }
                 r.streaming = true;
-                self.event(Event::Begun { request: RequestId(id), attempt: AttemptNo(number as u32) });
+                self.event(Event::Begun {
+                    request: RequestId(id),
+                    attempt: AttemptNo(number as u32),
+                });
                 for other in 0..self.requests[&id].sent.len() {
                     if other != number && self.requests[&id].sent[other].ended.is_none() {
                         self.requests.get_mut(&id).expect("known").sent[other].ended =
@@ -259,7 +346,11 @@
                     self.event(Event::Gone(RequestId(id)));
                 }
             }
-            Step::List { server, phase, fresh } => {
+            Step::List {
+                server,
+                phase,
+                fresh,
+            } => {
                 let phase = [Phase::Up, Phase::Draining, Phase::Removed][*phase];
                 match phase {
                     Phase::Removed => drop(self.up.remove(server)),
@@ -267,20 +358,36 @@
                 }
                 let started = if *fresh { self.now } else { 0 };
                 let entries = vec![entry(*server, phase, started)];
-                self.event(Event::List { scope: ListScope::Patch, entries });
+                self.event(Event::List {
+                    scope: ListScope::Patch,
+                    entries,
+                });
             }
             Step::Whole { servers } => {
                 self.up = servers.iter().map(|s| (*s, true)).collect();
                 let entries = servers.iter().map(|s| entry(*s, Phase::Up, 0)).collect();
-                self.event(Event::List { scope: ListScope::Whole, entries });
+                self.event(Event::List {
+                    scope: ListScope::Whole,
+                    entries,
+                });
             }
-            Step::Failed => self.event(Event::List { scope: ListScope::Failed, entries: Vec::new() }),
+            Step::Failed => self.event(Event::List {
+                scope: ListScope::Failed,
+                entries: Vec::new(),
+            }),
             Step::Stray { id, token } => {
                 let strange = RequestId(id.saturating_add(1 << 100));
                 self.event(Event::Timer(Token(token.saturating_add(1 << 40))));
                 self.event(Event::Gone(strange));
-                self.event(Event::Begun { request: strange, attempt: AttemptNo(3) });
-                self.event(Event::Probed { server: ServerId(77), outcome: Outcome::Ok, load: None });
+                self.event(Event::Begun {
+                    request: strange,
+                    attempt: AttemptNo(3),
+                });
+                self.event(Event::Probed {
+                    server: ServerId(77),
+                    outcome: Outcome::Ok,
+                    load: None,
+                });
                 self.event(Event::Ended(Ended {
                     request: strange,
                     attempt: AttemptNo(0),
@@ -300,12 +407,17 @@
 fn variant(n: usize) -> Settings {
     let mut s = settings();
     let group = [Group::All, Group::Zone, Group::Cell][n % 3];
-    s.classes[1].effect = Effect::Keyed { group, window: 500 * MS };
+    s.classes[1].effect = Effect::Keyed {
+        group,
+        window: 500 * MS,
+    };
     s.limits.second_copies = n % 4 != 3;
     s.limits.probes = n.is_multiple_of(2);
     s.limits.max_attempts = 1 + (n % 5) as u32;
     if n % 5 == 4 {
-        s.discovery = Discovery::Asked { within: 10_000 * MS };
+        s.discovery = Discovery::Asked {
+            within: 10_000 * MS,
+        };
     }
     if n % 7 == 6 {
         s.origin = Origin::Aside { kind: 0 };
@@ -314,8 +426,15 @@
 }
 
 fn runner(seed: u8) -> TestRunner {
-    let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
+    let config = Config {
+        cases: 400,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    TestRunner::new_with_rng(
+        config,
+        TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]),
+    )
 }
 
 #[test]
@@ -324,13 +443,18 @@
     runner(1)
         .run(&steps, |(n, steps)| {
             let mut world = World::new(variant(n));
-            world.play(&Step::Whole { servers: vec![1, 2, 3, 4, 5] });
+            world.play(&Step::Whole {
+                servers: vec![1, 2, 3, 4, 5],
+            });
             for step in &steps {
                 world.play(step);
             }
             world.wait(world.now + 5_000 * MS);
             for (id, r) in &world.requests {
-                assert!(r.over || r.finals == 1 || r.streaming, "request {id} has no answer");
+                assert!(
+                    r.over || r.finals == 1 || r.streaming,
+                    "request {id} has no answer"
+                );
             }
             // Late ends of what is over lead to nothing that breaks a rule.
             for out in world.out() {
@@ -348,7 +472,9 @@
         .run(&steps, |(n, steps)| {
             let mut worlds = [World::new(variant(n)), World::new(variant(n))];
             for world in &mut worlds {
-                world.play(&Step::Whole { servers: vec![5, 3, 1, 2, 4] });
+                world.play(&Step::Whole {
+                    servers: vec![5, 3, 1, 2, 4],
+                });
                 steps.iter().for_each(|step| world.play(step));
             }
             assert_eq!(worlds[0].log, worlds[1].log);
--- a/crates/finchyard/tests/rules.rs
+++ b/crates/finchyard/tests/rules.rs
@@ -10,7 +10,10 @@
     b.request(1, SAFE, Some(7), 1_000 * MS);
     b.run_to(3_000 * MS);
     assert_eq!(b.finals(1), 1);
-    assert!(b.at.iter().any(|(t, a)| matches!(a, Action::Refuse { .. }) && *t <= 1_000 * MS));
+    assert!(
+        b.at.iter()
+            .any(|(t, a)| matches!(a, Action::Refuse { .. }) && *t <= 1_000 * MS)
+    );
 }
 
 #[test]
@@ -21,7 +24,17 @@
     b.run_to(5_000 * MS);
     assert_eq!(b.finals(1), 1);
     let (when, _) =
-        b.at.iter().find(|(_, a)| matches!(a, Action::Fail { request: RequestId(1), .. })).expect("failed");
+        b.at.iter()
+            .find(|(_, a)| {
+                matches!(
+                    a,
+                    Action::Fail {
+                        request: RequestId(1),
+                        ..
+                    }
+                )
+            })
+            .expect("failed");
     assert!(*when >= 900 * MS && *when <= 1_000 * MS + b.slack());
     assert_eq!(b.sends(1).len(), 1);
 }
@@ -56,7 +69,13 @@
         assert_eq!(b.finals(1), usize::from(!again), "{outcome:?}");
         if !again {
             assert!(
-                b.at.iter().any(|(_, a)| matches!(a, Action::Fail { request: RequestId(1), .. })),
+                b.at.iter().any(|(_, a)| matches!(
+                    a,
+                    Action::Fail {
+                        request: RequestId(1),
+                        ..
+                    }
+                )),
                 "a refusal would promise too much"
             );
         }
@@ -82,7 +101,11 @@
         b.request(1, KEYED, Some(7), 4_000 * MS);
         b.run_to(wait * MS);
         b.end(1, 0, Outcome::Error, false);
-        assert_eq!(b.sends(1).len(), if again { 2 } else { 1 }, "after {wait} ms");
+        assert_eq!(
+            b.sends(1).len(),
+            if again { 2 } else { 1 },
+            "after {wait} ms"
+        );
     }
 }
 
@@ -90,7 +113,10 @@
 fn keyed_stays_in_its_group() {
     for group in [Group::Zone, Group::Cell] {
         let mut s = settings();
-        s.classes[KEYED.0].effect = Effect::Keyed { group, window: 500 * MS };
+        s.classes[KEYED.0].effect = Effect::Keyed {
+            group,
+            window: 500 * MS,
+        };
         let mut b = bench(s);
         // Zones and cells are the server's number modulo 2.
         b.list(&[1, 2, 3, 4, 5, 6]);
@@ -106,16 +132,26 @@
 
 #[test]
 fn keyed_that_may_have_run_is_refused_only_where_all_servers_discard_repeats() {
-    for (group, refused) in [(Group::All, true), (Group::Zone, false), (Group::Cell, false)] {
+    for (group, refused) in [
+        (Group::All, true),
+        (Group::Zone, false),
+        (Group::Cell, false),
+    ] {
         let mut s = settings();
-        s.classes[KEYED.0].effect = Effect::Keyed { group, window: 500 * MS };
+        s.classes[KEYED.0].effect = Effect::Keyed {
+            group,
+            window: 500 * MS,
+        };
         let mut b = bench(s);
         b.list(&[1, 2, 3]);
         b.request(1, KEYED, Some(7), 2_000 * MS);
         b.run_to(600 * MS);
         b.end(1, 0, Outcome::Timeout, false);
         assert_eq!(b.finals(1), 1);
-        assert_eq!(b.at.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })), refused);
+        assert_eq!(
+            b.at.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })),
+            refused
+        );
     }
 }
 
@@ -173,9 +209,19 @@
     // served: for 3 s at a ramp from 0.2 to 0.44 some 36 are due; asked there are over 200.
     let mut cold = 0;
     for router in 0..300u64 {
-        let mut b = bench(Settings { routers: 300, ..settings() });
-        b.brain =
-            Brain::new(Settings { routers: 300, ..settings() }, router, 0).expect("settings make sense");
+        let mut b = bench(Settings {
+            routers: 300,
+            ..settings()
+        });
+        b.brain = Brain::new(
+            Settings {
+                routers: 300,
+                ..settings()
+            },
+            router,
+            0,
+        )
+        .expect("settings make sense");
         b.now = 100_000 * MS;
         b.list(&[1, 2, 3]);
         for n in 0..13u64 {
@@ -188,7 +234,16 @@
             cold += b.sends(id).iter().filter(|s| s.0 == 10).count();
             b.run_to(b.now + 100 * MS);
             if !b.sends(id).is_empty() {
-                b.end(id, 0, if n % 2 == 0 { Outcome::Ok } else { Outcome::Full }, n % 2 == 0);
+                b.end(
+                    id,
+                    0,
+                    if n % 2 == 0 {
+                        Outcome::Ok
+                    } else {
+                        Outcome::Full
+                    },
+                    n % 2 == 0,
+                );
                 cold += b.sends(id).iter().skip(1).filter(|s| s.0 == 10).count();
             }
             b.run_to(b.now + 900 * MS);
@@ -206,7 +261,10 @@
     for routers in [20u64, 25, 30] {
         let mut sent_at = Vec::new();
         for router in 0..routers {
-            let settings = Settings { routers: routers as usize, ..settings() };
+            let settings = Settings {
+                routers: routers as usize,
+                ..settings()
+            };
             let mut b = bench(settings.clone());
             b.brain = Brain::new(settings, router, 0).expect("settings make sense");
             b.now = 100_000 * MS;
@@ -229,15 +287,20 @@
         let tip_s = rules.tip_after as f64 / 1e9;
         let started = 102_000 * MS;
         for from in (0..4_000).step_by(100).map(|ms| started + ms * MS) {
-            let sent =
-                sent_at.iter().filter(|at| (from..from + rules.tip_after).contains(*at)).count() as f64;
+            let sent = sent_at
+                .iter()
+                .filter(|at| (from..from + rules.tip_after).contains(*at))
+                .count() as f64;
             let age = (from - started) as f64 / rules.warm_after as f64;
             // The least that it can bear, at the beginning of the span.
             let ramp = rules.cold_from + (1.0 - rules.cold_from) * age;
             let ready_per_s = (routers * EACH_PER_S) as f64 / (3.0 + ramp);
             let bears = rules.overload_factor * ready_per_s * ramp * tip_s;
             let most = bears + 2.0 * bears.sqrt() + 2.0;
-            assert!(sent <= most, "{routers} routers: {sent} of {most} from {from}");
+            assert!(
+                sent <= most,
+                "{routers} routers: {sent} of {most} from {from}"
+            );
         }
         assert!(!sent_at.is_empty(), "it is used");
     }
@@ -281,8 +344,15 @@
     b.request(1, SAFE, Some(7), 400 * MS);
     b.run_to(250 * MS);
     assert_eq!(b.sends(1).len(), 2);
-    b.event(Event::Begun { request: RequestId(1), attempt: AttemptNo(1) });
-    assert!(b.at.iter().any(|(_, a)| *a == Action::Cancel { request: RequestId(1), attempt: AttemptNo(0) }));
+    b.event(Event::Begun {
+        request: RequestId(1),
+        attempt: AttemptNo(1),
+    });
+    assert!(b.at.iter().any(|(_, a)| *a
+        == Action::Cancel {
+            request: RequestId(1),
+            attempt: AttemptNo(0)
+        }));
     b.end(1, 0, Outcome::Cancelled, false);
     b.run_to(5_000 * MS);
     assert_eq!(b.finals(1), 0);
--- a/crates/fleet/src/compare.rs
+++ b/crates/fleet/src/compare.rs
@@ -76,7 +76,9 @@
 
     /// The parts in which two differ, a bit each.
     fn differing(&self, other: &Sums) -> u32 {
-        (0..BUCKETS).filter(|b| self.0[*b] != other.0[*b]).fold(0, |parts, b| parts | 1 << b)
+        (0..BUCKETS)
+            .filter(|b| self.0[*b] != other.0[*b])
+            .fold(0, |parts, b| parts | 1 << b)
     }
 
     fn read(bytes: &[u8]) -> Option<Self> {
@@ -137,7 +139,12 @@
     from: usize,
     last: bool,
 ) -> Answer {
-    let mut answer = Answer { by, parts: 0, last, entries: Vec::new() };
+    let mut answer = Answer {
+        by,
+        parts: 0,
+        last,
+        entries: Vec::new(),
+    };
     // As it is most of the time.
     if differing == 0 {
         return answer;
@@ -150,7 +157,10 @@
         }
     }
     let mut room = PAYLOAD_MAX - ENTRY_MAX - 10;
-    for part in (0..BUCKETS).map(|n| (n + from) % BUCKETS).filter(|part| differing & (1 << part) != 0) {
+    for part in (0..BUCKETS)
+        .map(|n| (n + from) % BUCKETS)
+        .filter(|part| differing & (1 << part) != 0)
+    {
         let mut whole = true;
         // The living first, should one part not fit.
         parts[part].sort_by_key(|entry| entry.down);
@@ -198,7 +208,11 @@
         // Of the dead it is told where it takes them for living only: each forgets them in its own time.
         let unlike = own.filter(|entry| {
             !same(entry)
-                && (!entry.down || self.entries.iter().any(|e| e.id.address == entry.id.address && !e.down))
+                && (!entry.down
+                    || self
+                        .entries
+                        .iter()
+                        .any(|e| e.id.address == entry.id.address && !e.down))
         });
         let back = told(by, self.parts, unlike, 0, true);
         (!back.entries.is_empty()).then_some(back)
@@ -217,7 +231,11 @@
 impl Pace {
     /// A member that has just started is not sure.
     pub fn new(now: Nanos) -> Self {
-        Pace { open: AGREED, since: now, next: now }
+        Pace {
+            open: AGREED,
+            since: now,
+            next: now,
+        }
     }
 
     /// Something changed, or another holds something else.
--- a/crates/fleet/src/compare/tests.rs
+++ b/crates/fleet/src/compare/tests.rs
@@ -5,16 +5,39 @@
 
 fn entry(n: u16, generation: u64, record: u32) -> Entry {
     let address = SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7_946));
-    Entry { id: Identity { address, generation }, incarnation: 0, down: false, record }
+    Entry {
+        id: Identity {
+            address,
+            generation,
+        },
+        incarnation: 0,
+        down: false,
+        record,
+    }
 }
 
 /// One exchange as two members hold it; the later life, then the later record is taken over.
-fn exchange(a: &mut BTreeMap<SocketAddr, Entry>, b: &mut BTreeMap<SocketAddr, Entry>, from: usize) -> usize {
+fn exchange(
+    a: &mut BTreeMap<SocketAddr, Entry>,
+    b: &mut BTreeMap<SocketAddr, Entry>,
+    from: usize,
+) -> usize {
     let by = entry(0, 0, 0).id;
     let all = |list: &BTreeMap<SocketAddr, Entry>| list.values().copied().collect::<Vec<_>>();
     let asked = question(by, &Sums::of(all(a).into_iter()));
-    let (answer, _) = answer(&asked, by, &Sums::of(all(b).into_iter()), all(b).into_iter(), from).unwrap();
-    assert!(write(&answer).len() <= PAYLOAD_MAX, "{}", write(&answer).len());
+    let (answer, _) = answer(
+        &asked,
+        by,
+        &Sums::of(all(b).into_iter()),
+        all(b).into_iter(),
+        from,
+    )
+    .unwrap();
+    assert!(
+        write(&answer).len() <= PAYLOAD_MAX,
+        "{}",
+        write(&answer).len()
+    );
     let answer = read(&write(&answer)).unwrap();
     let back = answer.lacks(by, all(a).into_iter());
     let take = |list: &mut BTreeMap<SocketAddr, Entry>, told: &[Entry]| {
@@ -67,17 +90,25 @@
     let a: Vec<Entry> = (1..=9).map(|n| entry(n, 5, 9)).collect();
     let mut b = a.clone();
     b[3].incarnation = 7;
-    b.push(Entry { down: true, ..entry(10, 5, 9) });
+    b.push(Entry {
+        down: true,
+        ..entry(10, 5, 9)
+    });
     assert_eq!(Sums::of(a.iter().copied()), Sums::of(b.into_iter()));
     let mut c = a.clone();
     c[3].record += 1;
     assert_ne!(Sums::of(a.iter().copied()), Sums::of(c.into_iter()));
-    assert_eq!(answer(b"\xff\xff", a[0].id, &Sums::default(), a.into_iter(), 0), None);
+    assert_eq!(
+        answer(b"\xff\xff", a[0].id, &Sums::default(), a.into_iter(), 0),
+        None
+    );
 }
 
 #[test]
 fn questions_go_out_often_while_it_is_new_that_lists_differ_and_seldom_else() {
-    let asked = |pace: &mut Pace, from: u64, until: u64| (from..until).filter(|ms| pace.due(ms * MS)).count();
+    let asked = |pace: &mut Pace, from: u64, until: u64| {
+        (from..until).filter(|ms| pace.due(ms * MS)).count()
+    };
     let mut pace = Pace::new(0);
     assert_eq!(asked(&mut pace, 0, 1_000), 20);
     (0..AGREED).for_each(|_| pace.agreed());
--- a/crates/fleet/src/count.rs
+++ b/crates/fleet/src/count.rs
@@ -35,7 +35,13 @@
 impl Count {
     /// One balancer alone.
     pub fn new(hold: Nanos, forget: Nanos) -> Self {
-        Count { present: BTreeSet::new(), vanished: BTreeMap::new(), hold, forget, last: 1 }
+        Count {
+            present: BTreeSet::new(),
+            vanished: BTreeMap::new(),
+            hold,
+            forget,
+            last: 1,
+        }
     }
 
     /// Another balancer is there.
@@ -73,8 +79,12 @@
     pub fn now(&mut self, now: Nanos, told: usize) -> usize {
         let forget = self.forget;
         let before = self.vanished.len();
-        self.vanished.retain(|_, since| now.saturating_sub(*since) < forget);
-        self.last = self.last.saturating_sub(before - self.vanished.len()).max(1);
+        self.vanished
+            .retain(|_, since| now.saturating_sub(*since) < forget);
+        self.last = self
+            .last
+            .saturating_sub(before - self.vanished.len())
+            .max(1);
         let living = self.living();
         if planted::is(Fault::CountsOwnSideAtOnce) {
             return living;
--- a/crates/fleet/src/count/tests.rs
+++ b/crates/fleet/src/count/tests.rs
@@ -20,7 +20,11 @@
 
 impl Fleet {
     fn new(n: usize) -> Self {
-        let mut fleet = Fleet { counts: vec![Count::new(HOLD, FORGET); n], side: vec![0; n], now: 0 };
+        let mut fleet = Fleet {
+            counts: vec![Count::new(HOLD, FORGET); n],
+            side: vec![0; n],
+            now: 0,
+        };
         fleet.see();
         fleet
     }
@@ -42,7 +46,11 @@
         (0..self.counts.len())
             .map(|i| {
                 let same = |j: &usize| self.side[*j] == self.side[i];
-                let told = (0..places.len()).filter(same).map(|j| places[j]).max().unwrap_or(0);
+                let told = (0..places.len())
+                    .filter(same)
+                    .map(|j| places[j])
+                    .max()
+                    .unwrap_or(0);
                 self.counts[i].now(self.now, told)
             })
             .collect()
@@ -75,7 +83,11 @@
     assert!(fleet.sum() < 1.5);
     fleet.now += FORGET;
     fleet.divisors(); // What others told before they forgot is one turn old.
-    assert_eq!(fleet.divisors(), [[3; 3].as_slice(), &[9; 9]].concat(), "in the end it was a death");
+    assert_eq!(
+        fleet.divisors(),
+        [[3; 3].as_slice(), &[9; 9]].concat(),
+        "in the end it was a death"
+    );
 }
 
 #[test]
@@ -88,7 +100,11 @@
     }
     let mut newcomer = Count::new(HOLD, FORGET);
     newcomer.appeared(at(3));
-    assert_eq!(newcomer.now(0, 10), 10, "it has met one, which knows of ten places");
+    assert_eq!(
+        newcomer.now(0, 10),
+        10,
+        "it has met one, which knows of ten places"
+    );
     let mut alone = Count::new(HOLD, FORGET);
     assert_eq!(alone.now(0, 0), 1);
     alone.vanished(0, at(7));
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -78,7 +78,10 @@
     /// Whether it goes from one region to another.
     fn is_between_regions(self) -> bool {
         use Kind::{RegionAnswer, RegionNews, RegionQuestion, RegionReferral};
-        matches!(self, RegionQuestion | RegionAnswer | RegionNews | RegionReferral)
+        matches!(
+            self,
+            RegionQuestion | RegionAnswer | RegionNews | RegionReferral
+        )
     }
 
     /// Whether only members that know regions read it.
@@ -100,11 +103,17 @@
     /// Of a fleet of this name without regions, or of one region of it.
     pub fn new(fleet: &str, region: &str) -> Self {
         if region.is_empty() {
-            return Numbers { members: fleet_number(fleet), fleet: None };
+            return Numbers {
+                members: fleet_number(fleet),
+                fleet: None,
+            };
         }
         // No name of a fleet ends like this: names are told as text.
         let members = fleet_number(&format!("{fleet}\0{region}"));
-        Numbers { members, fleet: Some(fleet_number(fleet)) }
+        Numbers {
+            members,
+            fleet: Some(fleet_number(fleet)),
+        }
     }
 
     /// The number that stands on datagrams of a kind; without regions there are kinds that are not read.
@@ -163,13 +172,20 @@
     if whole[2] != VERSION {
         return Err(Refusal::Version);
     }
-    let kind = usize::from(whole[3]).checked_sub(1).and_then(|n| Kind::ALL.get(n)).copied();
-    let number = kind.and_then(|kind| numbers.of(kind)).unwrap_or(numbers.members);
+    let kind = usize::from(whole[3])
+        .checked_sub(1)
+        .and_then(|n| Kind::ALL.get(n))
+        .copied();
+    let number = kind
+        .and_then(|kind| numbers.of(kind))
+        .unwrap_or(numbers.members);
     let foreign = whole[4..HEAD] != number.to_le_bytes();
     if foreign && !crate::planted::is(crate::planted::Fault::ReadsForeignFleets) {
         return Err(Refusal::Foreign);
     }
-    let kind = kind.filter(|kind| numbers.of(*kind).is_some()).ok_or(Refusal::Version)?;
+    let kind = kind
+        .filter(|kind| numbers.of(*kind).is_some())
+        .ok_or(Refusal::Version)?;
     Ok((kind, &whole[HEAD..]))
 }
 
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -31,7 +31,13 @@
 impl Health {
     /// A member that has just started.
     pub fn new(now: Nanos) -> Self {
-        Health { heard: now, due: None, doubt: 0, doubted: now, gaps: 0 }
+        Health {
+            heard: now,
+            due: None,
+            doubt: 0,
+            doubted: now,
+            gaps: 0,
+        }
     }
 
     /// A turn of the member's own clock, before anything else is done in it. True after a gap: what was timed across
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -20,7 +20,10 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Identity { generation: self.generation + 1, ..*self })
+        Some(Identity {
+            generation: self.generation + 1,
+            ..*self
+        })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -93,7 +96,14 @@
 
 impl Wire {
     pub(crate) fn new(own: SocketAddr, named: Named, held: Held, members_max: usize) -> Self {
-        Wire { own, named, held, members_max, from: None, inner: foca::PostcardCodec }
+        Wire {
+            own,
+            named,
+            held,
+            members_max,
+            from: None,
+            inner: foca::PostcardCodec,
+        }
     }
 
     fn note(&self, id: &Identity) {
@@ -114,7 +124,10 @@
         self.inner.encode_header(header, buf)
     }
 
-    fn decode_header(&mut self, buf: impl bytes::Buf) -> Result<foca::Header<Identity>, Self::Error> {
+    fn decode_header(
+        &mut self,
+        buf: impl bytes::Buf,
+    ) -> Result<foca::Header<Identity>, Self::Error> {
         let header: foca::Header<Identity> = self.inner.decode_header(buf)?;
         self.note(&header.dst);
         self.from = Some(header.src.address);
@@ -129,7 +142,10 @@
         self.inner.encode_member(member, buf)
     }
 
-    fn decode_member(&mut self, buf: impl bytes::Buf) -> Result<foca::Member<Identity>, Self::Error> {
+    fn decode_member(
+        &mut self,
+        buf: impl bytes::Buf,
+    ) -> Result<foca::Member<Identity>, Self::Error> {
         let member: foca::Member<Identity> = self.inner.decode_member(buf)?;
         let id = *member.id();
         self.note(&id);
@@ -144,7 +160,10 @@
             // An older life of the sender, which counts as there by its datagram, says nothing; the other news counts.
             Err(()) => {
                 let address = self.from.unwrap_or(id.address);
-                Ok(foca::Member::alive(Identity { address, generation: 0 }))
+                Ok(foca::Member::alive(Identity {
+                    address,
+                    generation: 0,
+                }))
             }
         }
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -95,11 +95,23 @@
     /// milliseconds. `soft` is what it tells of itself; names that are too long are cut.
     pub fn new(settings: FleetSettings, soft: Soft, unix_ms: u64, seed: u64, now: Nanos) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let id = Identity { address: settings.address, generation: unix_ms };
+        let id = Identity {
+            address: settings.address,
+            generation: unix_ms,
+        };
         let (named, held) = (Named::default(), Held::default());
-        let wire = Wire::new(settings.address, named.clone(), held.clone(), settings.members_max);
+        let wire = Wire::new(
+            settings.address,
+            named.clone(),
+            held.clone(),
+            settings.members_max,
+        );
         let swim_rng = Xoshiro256PlusPlus::seed_from_u64(rng.random());
-        let mut own = Record { of: id, version: 1, soft: spread::bounded(soft) };
+        let mut own = Record {
+            of: id,
+            version: 1,
+            soft: spread::bounded(soft),
+        };
         if !settings.location.is_none() {
             own.soft.extra = settings.location.encode();
         }
@@ -226,7 +238,11 @@
         let count = self.total;
         let new = self.now.saturating_sub(self.started) < self.settings.timing.hold;
         let stale = self.now.saturating_sub(self.health.last_heard()) > STALE;
-        if new || stale { count.max(configured) } else { count }
+        if new || stale {
+            count.max(configured)
+        } else {
+            count
+        }
     }
 
     /// Takes a datagram in. Whatever is in it, it is counted and never ends the member.
@@ -296,7 +312,10 @@
         self.recount();
         self.compare();
         self.shed();
-        let next = self.timers.first_key_value().map_or(Nanos::MAX, |((at, _), _)| *at);
+        let next = self
+            .timers
+            .first_key_value()
+            .map_or(Nanos::MAX, |((at, _), _)| *at);
         let pass_on = self.pass_on.unwrap_or(Nanos::MAX);
         self.due = next.min(pass_on).clamp(self.now + MS, self.now + TURN);
         self.health.expect(self.due);
@@ -307,19 +326,34 @@
         self.met |= self.swim.num_members() > 0;
         self.roster.refresh(&self.swim);
         let own = self.id();
-        let Member { now, swim, records, count, .. } = self;
-        let sources = Sources { now: *now, own, swim, records, count };
-        self.table.look(self.roster.mark(), sources, &mut self.changes);
+        let Member {
+            now,
+            swim,
+            records,
+            count,
+            ..
+        } = self;
+        let sources = Sources {
+            now: *now,
+            own,
+            swim,
+            records,
+            count,
+        };
+        self.table
+            .look(self.roster.mark(), sources, &mut self.changes);
         let places = self.count.places().min(usize::from(u16::MAX)) as u16;
         if places != self.own.soft.places {
             self.tell(|soft| soft.places = places);
         }
         if self.table.turned() {
-            self.held.set(self.swim.iter_membership_state().map(|m| m.id().address));
+            self.held
+                .set(self.swim.iter_membership_state().map(|m| m.id().address));
             let table = &self.table;
             self.heard.retain(|address, _| table.knows(address));
             let own = self.settings.address;
-            self.records.retain(|address| address == own || table.knows(&address));
+            self.records
+                .retain(|address| address == own || table.knows(&address));
             let sums = Sums::of(self.entries());
             if sums != self.sums {
                 self.sums = sums;
@@ -334,13 +368,20 @@
         self.total = self.total_count();
         if self.total != was {
             let living = self.count.living() + self.living_elsewhere();
-            self.changes.push(Change::Count { was, is: self.total, living });
+            self.changes.push(Change::Count {
+                was,
+                is: self.total,
+                living,
+            });
         }
     }
 
     /// Whether rumours and comparisons may be sent now; without regions always.
     fn may_send(&mut self) -> bool {
-        let allowed = self.budget.as_mut().is_none_or(|budget| budget.allows(self.now));
+        let allowed = self
+            .budget
+            .as_mut()
+            .is_none_or(|budget| budget.allows(self.now));
         self.traffic.put_off += u64::from(!allowed);
         allowed
     }
--- a/crates/fleet/src/member/agree.rs
+++ b/crates/fleet/src/member/agree.rs
@@ -17,7 +17,12 @@
 impl Member {
     /// What it holds of all others, and of itself.
     pub(super) fn entries(&self) -> impl Iterator<Item = Entry> {
-        let own = Entry { id: self.id(), incarnation: 0, down: false, record: self.records.sum(&self.id()) };
+        let own = Entry {
+            id: self.id(),
+            incarnation: 0,
+            down: false,
+            record: self.records.sum(&self.id()),
+        };
         let others = self.swim.iter_membership_state().map(|m| Entry {
             id: *m.id(),
             incarnation: m.incarnation(),
@@ -53,7 +58,9 @@
     pub(super) fn take_compare(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
         let first = self.rng.random_range(0..compare::BUCKETS);
         let answer = compare::answer(payload, self.id(), &self.sums, self.entries(), first);
-        let Some((answer, by)) = answer else { return false };
+        let Some((answer, by)) = answer else {
+            return false;
+        };
         // Who is not held for living is not told of others: it hears by `foca` that it was given up.
         if !self.is_there(&by) || !answer.agrees() && !self.may_send() {
             return true;
@@ -67,7 +74,9 @@
 
     /// What another holds is taken over as far as it is later, and it is told what it lacks.
     pub(super) fn take_told(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Some(told) = compare::read(payload) else { return false };
+        let Some(told) = compare::read(payload) else {
+            return false;
+        };
         if !self.is_there(&told.by) {
             return true;
         }
@@ -89,7 +98,9 @@
             let address = entry.id.address;
             if address == own {
                 self.named.note(entry.id.generation);
-            } else if entry.down && !self.table.knows(&address) || self.held.admit(address, most).is_err() {
+            } else if entry.down && !self.table.knows(&address)
+                || self.held.admit(address, most).is_err()
+            {
                 // A death of somebody unknown is no news; beyond the bound nobody is taken in.
                 continue;
             } else if entry.record != 0 && entry.record != self.records.sum(&entry.id) {
@@ -100,7 +111,13 @@
             let state = match entry.down {
                 false => foca::State::Alive,
                 true if address == own => foca::State::Down,
-                true if self.heard.get(&address).is_some_and(|at| self.now - *at < HEARD) => continue,
+                true if self
+                    .heard
+                    .get(&address)
+                    .is_some_and(|at| self.now - *at < HEARD) =>
+                {
+                    continue;
+                }
                 true => foca::State::Suspect,
             };
             news.push(foca::Member::new(entry.id, entry.incarnation, state));
@@ -142,12 +159,17 @@
     /// Moves the level, and tells some of the others while there is something to tell.
     pub(super) fn shed(&mut self) {
         let jitter = self.rng.random();
-        let Some(overload) = &mut self.overload else { return };
+        let Some(overload) = &mut self.overload else {
+            return;
+        };
         if overload.turn(self.now, jitter) {
             let table = &self.table;
             overload.retain(|address| table.knows(&address));
         }
-        if self.now < self.tell_load || !overload.is_loud() || planted::is(Fault::KeepsItsLevelToItself) {
+        if self.now < self.tell_load
+            || !overload.is_loud()
+            || planted::is(Fault::KeepsItsLevelToItself)
+        {
             return;
         }
         self.tell_load = self.now + GOSSIP;
@@ -161,10 +183,17 @@
 
     /// Others tell of their load, and of what they heard.
     pub(super) fn take_load(&mut self, payload: &[u8]) -> bool {
-        let Some(overload) = &mut self.overload else { return true };
-        let Ok(words) = postcard::from_bytes::<Vec<Word>>(payload) else { return false };
+        let Some(overload) = &mut self.overload else {
+            return true;
+        };
+        let Ok(words) = postcard::from_bytes::<Vec<Word>>(payload) else {
+            return false;
+        };
         let table = &self.table;
         // One that makes no sense says nothing of the rest.
-        words.into_iter().filter(|word| table.knows(&word.of)).all(|word| overload.hear(self.now, word))
+        words
+            .into_iter()
+            .filter(|word| table.knows(&word.of))
+            .all(|word| overload.hear(self.now, word))
     }
 }
--- a/crates/fleet/src/member/budget.rs
+++ b/crates/fleet/src/member/budget.rs
@@ -21,12 +21,18 @@
 
 impl Budget {
     pub(super) fn new(now: Nanos) -> Self {
-        Budget { left: BURST as i64, at: now }
+        Budget {
+            left: BURST as i64,
+            at: now,
+        }
     }
 
     /// Bytes were sent, whatever they were for.
     pub(super) fn spend(&mut self, bytes: usize) {
-        self.left = self.left.saturating_sub_unsigned(bytes as u64).max(-(BURST as i64));
+        self.left = self
+            .left
+            .saturating_sub_unsigned(bytes as u64)
+            .max(-(BURST as i64));
     }
 
     /// Whether what can wait may be sent now.
--- a/crates/fleet/src/member/delegate.rs
+++ b/crates/fleet/src/member/delegate.rs
@@ -44,7 +44,9 @@
 impl Member {
     /// Announces the region and writes the overview, as its leader.
     pub(super) fn lead(&mut self) {
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if !regional.leads(self.now) {
             if let Some(exchange) = &mut regional.exchange {
                 exchange.retire();
@@ -57,17 +59,25 @@
         regional.due.publish = self.now + PUBLISH;
         regional.written = self.now;
         self.publish();
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         let rows = regional.rows(self.now);
         let unix_ms = regional.unix_ms(self.now);
-        regional.overview.write(self.now, unix_ms, regional.own, rows);
+        regional
+            .overview
+            .write(self.now, unix_ms, regional.own, rows);
     }
 
     /// Announces the region if its figures have changed, to one delegate of each other region and to those of its own.
     fn publish(&mut self) {
         let summary = self.summary();
-        let Some(regional) = &mut self.regional else { return };
-        let Some(exchange) = &mut regional.exchange else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
+        let Some(exchange) = &mut regional.exchange else {
+            return;
+        };
         let former = exchange.own_summary();
         let same = former.is_some_and(|former| former.says_the_same(&summary));
         let busier = former.is_some_and(|former| former.requests != summary.requests);
@@ -89,7 +99,10 @@
         let others = there.filter_map(|seen| seen.soft.as_ref());
         let mut configs: BTreeMap<u64, u32> = BTreeMap::new();
         let mut requests = 0u32;
-        for soft in others.chain([&self.own.soft]).filter(|soft| soft.phase != Phase::Leaving) {
+        for soft in others
+            .chain([&self.own.soft])
+            .filter(|soft| soft.phase != Phase::Leaving)
+        {
             *configs.entry(soft.config).or_default() += 1;
             requests = requests.saturating_add(soft.traffic);
         }
@@ -106,16 +119,23 @@
             config_others: configs.values().sum::<u32>() - most.1,
             requests: two_figures(requests),
             delegates: self.delegates().to_vec(),
-            replaces: regional.and_then(|regional| regional.former_leader).filter(|former| !is_own(former)),
+            replaces: regional
+                .and_then(|regional| regional.former_leader)
+                .filter(|former| !is_own(former)),
         }
     }
 
     /// Tells one delegate of each other region, and the other delegates of the own one.
     fn tell_regions(&mut self, told: &[Told]) {
-        let Some(regional) = &self.regional else { return };
+        let Some(regional) = &self.regional else {
+            return;
+        };
         let mut by_region: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
         for (row, _) in regional.overview.rows() {
-            by_region.entry(&row.region).or_default().extend(&row.delegates);
+            by_region
+                .entry(&row.region)
+                .or_default()
+                .extend(&row.delegates);
         }
         if let Some(exchange) = &regional.exchange {
             for (region, delegates) in exchange.delegates() {
@@ -124,11 +144,19 @@
         }
         by_region.remove(regional.location.region.as_str());
         let mut targets: Vec<SocketAddr> = Vec::new();
-        for delegates in by_region.into_values().filter(|delegates| !delegates.is_empty()) {
+        for delegates in by_region
+            .into_values()
+            .filter(|delegates| !delegates.is_empty())
+        {
             let chosen = self.rng.random_range(0..delegates.len());
             targets.extend(delegates.into_iter().nth(chosen));
         }
-        targets.extend(regional.delegates.iter().filter(|delegate| **delegate != regional.own));
+        targets.extend(
+            regional
+                .delegates
+                .iter()
+                .filter(|delegate| **delegate != regional.own),
+        );
         let payload = Told::write(told);
         for target in targets {
             self.send(target, Kind::RegionNews, &payload);
@@ -138,7 +166,9 @@
     /// Asks a delegate of any region what it holds, if it is time.
     pub(super) fn ask_regions(&mut self) {
         let alone = self.swim.num_members() == 0;
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if self.now < regional.due.ask || (regional.exchange.is_none() && !alone) {
             return;
         }
@@ -147,9 +177,16 @@
         let mut to: Vec<SocketAddr> = self.chosen_target(&targets).into_iter().collect();
         let own_region =
             |address: &SocketAddr| self.table.knows(address) || *address == self.settings.address;
-        let elsewhere: Vec<SocketAddr> =
-            self.settings.join.iter().copied().filter(|address| !own_region(address)).collect();
-        let Some(regional) = &mut self.regional else { return };
+        let elsewhere: Vec<SocketAddr> = self
+            .settings
+            .join
+            .iter()
+            .copied()
+            .filter(|address| !own_region(address))
+            .collect();
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if !regional.knows_others(self.now) {
             // Nobody has been met in another region yet: all of them are asked.
             to.extend(elsewhere);
@@ -162,7 +199,8 @@
 
     /// One of these at random; while regions are silent, one in so many times one of theirs.
     fn chosen_target(&mut self, targets: &[(SocketAddr, bool)]) -> Option<SocketAddr> {
-        let silent: Vec<&(SocketAddr, bool)> = targets.iter().filter(|(_, silent)| *silent).collect();
+        let silent: Vec<&(SocketAddr, bool)> =
+            targets.iter().filter(|(_, silent)| *silent).collect();
         if !silent.is_empty() && self.rng.random_range(0..ASK_SILENT_OF) == 0 {
             return Some(silent[self.rng.random_range(0..silent.len())].0);
         }
@@ -172,10 +210,13 @@
 
     fn ask_region(&mut self, to: SocketAddr) {
         let from = self.rng.random_range(0..usize::from(u16::MAX));
-        let Some(regional) = &self.regional else { return };
+        let Some(regional) = &self.regional else {
+            return;
+        };
         let question = match &regional.exchange {
             Some(exchange) => exchange.question(self.now, true, from),
-            None => Exchange::new(regional.own, &regional.location.region, 0).question(self.now, false, 0),
+            None => Exchange::new(regional.own, &regional.location.region, 0)
+                .question(self.now, false, 0),
         };
         self.traffic.regions_asked += 1;
         let payload = postcard::to_stdvec(&question).unwrap_or_default();
@@ -183,20 +224,29 @@
     }
 
     pub(super) fn take_region_question(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(question) = postcard::from_bytes::<Question>(payload) else { return false };
+        let Ok(question) = postcard::from_bytes::<Question>(payload) else {
+            return false;
+        };
         self.note_region_of(from, &question.region);
-        let Some(regional) = &mut self.regional else { return false };
+        let Some(regional) = &mut self.regional else {
+            return false;
+        };
         let (kind, payload) = match &mut regional.exchange {
             Some(exchange) => {
                 let answer = exchange.answer(self.now, &question);
                 (Kind::RegionAnswer, postcard::to_stdvec(&answer))
             }
             None => {
-                let yours = regional.overview.rows().find(|(row, _)| row.region == question.region);
+                let yours = regional
+                    .overview
+                    .rows()
+                    .find(|(row, _)| row.region == question.region);
                 let referral = Referral {
                     region: regional.location.region.clone(),
                     delegates: regional.delegates.clone(),
-                    yours: yours.map(|(row, _)| row.delegates.clone()).unwrap_or_default(),
+                    yours: yours
+                        .map(|(row, _)| row.delegates.clone())
+                        .unwrap_or_default(),
                 };
                 (Kind::RegionReferral, postcard::to_stdvec(&referral))
             }
@@ -206,14 +256,22 @@
     }
 
     pub(super) fn take_region_answer(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(answer) = postcard::from_bytes::<Answer>(payload) else { return false };
+        let Ok(answer) = postcard::from_bytes::<Answer>(payload) else {
+            return false;
+        };
         self.note_region_of(from, &answer.region);
-        let Some(regional) = &mut self.regional else { return false };
+        let Some(regional) = &mut self.regional else {
+            return false;
+        };
         let own = own_delegates(&regional.location.region, &answer.told);
         self.join_own(own);
-        let Some(regional) = &mut self.regional else { return false };
+        let Some(regional) = &mut self.regional else {
+            return false;
+        };
         let unix_ms = regional.unix_ms(self.now);
-        let Some(exchange) = &mut regional.exchange else { return true };
+        let Some(exchange) = &mut regional.exchange else {
+            return true;
+        };
         let (wanted, new) = exchange.take_answer(self.now, unix_ms, &answer);
         regional.referred.clear();
         if !wanted.is_empty() {
@@ -225,11 +283,17 @@
     }
 
     pub(super) fn take_region_news(&mut self, payload: &[u8]) -> bool {
-        let Ok(told) = postcard::from_bytes::<Vec<Told>>(payload) else { return false };
-        let Some(regional) = &mut self.regional else { return false };
+        let Ok(told) = postcard::from_bytes::<Vec<Told>>(payload) else {
+            return false;
+        };
+        let Some(regional) = &mut self.regional else {
+            return false;
+        };
         let own = own_delegates(&regional.location.region, &told);
         let unix_ms = regional.unix_ms(self.now);
-        let Some(exchange) = &mut regional.exchange else { return true };
+        let Some(exchange) = &mut regional.exchange else {
+            return true;
+        };
         let new = exchange.take(self.now, unix_ms, &told);
         self.heard_of(&new);
         self.join_own(own);
@@ -239,7 +303,9 @@
     /// News of other regions is written into the overview at the leader's next turn; other delegates of the region that
     /// have not heard of it are told by it.
     fn heard_of(&mut self, new: &[Told]) {
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if new.is_empty() {
             return;
         }
@@ -247,7 +313,11 @@
             regional.due.publish = regional.due.publish.min(regional.written + WRITE);
             return;
         }
-        let leader = regional.delegates.first().copied().filter(|leader| *leader != regional.own);
+        let leader = regional
+            .delegates
+            .first()
+            .copied()
+            .filter(|leader| *leader != regional.own);
         let payload = Told::write(new);
         if let Some(leader) = leader
             && payload.len() <= PAYLOAD_MAX
@@ -257,12 +327,16 @@
     }
 
     pub(super) fn take_region_referral(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(referral) = postcard::from_bytes::<Referral>(payload) else { return false };
+        let Ok(referral) = postcard::from_bytes::<Referral>(payload) else {
+            return false;
+        };
         if referral.delegates.len() > DELEGATES || referral.yours.len() > DELEGATES {
             return false;
         }
         self.note_region_of(from, &referral.region);
-        let Some(regional) = &mut self.regional else { return false };
+        let Some(regional) = &mut self.regional else {
+            return false;
+        };
         if referral.region == regional.location.region {
             self.join_own(referral.delegates);
             return true;
@@ -274,7 +348,9 @@
 
     /// A join address in another region is not asked to let this member into its own.
     fn note_region_of(&mut self, from: SocketAddr, region: &str) {
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if region == regional.location.region {
             regional.foreign.remove(&from);
         } else if self.settings.join.contains(&from) && regional.foreign.len() < FOREIGN_MAX {
@@ -284,19 +360,26 @@
 
     /// Whether this join address is known to be in another region.
     pub(super) fn is_foreign(&self, address: &SocketAddr) -> bool {
-        self.regional.as_ref().is_some_and(|regional| regional.foreign.contains(address))
+        self.regional
+            .as_ref()
+            .is_some_and(|regional| regional.foreign.contains(address))
     }
 
     /// Asks delegates of the own region that are not known to let this member in: it has met nobody of its region yet, or
     /// the region is split.
     fn join_own(&mut self, delegates: Vec<SocketAddr>) {
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if planted::is(Fault::IgnoresReferrals) || self.now < regional.due.rejoin {
             return;
         }
-        let known = |address: &SocketAddr| self.swim.iter_members().any(|m| m.id().address == *address);
-        let unknown: Vec<SocketAddr> =
-            delegates.into_iter().filter(|address| *address != regional.own && !known(address)).collect();
+        let known =
+            |address: &SocketAddr| self.swim.iter_members().any(|m| m.id().address == *address);
+        let unknown: Vec<SocketAddr> = delegates
+            .into_iter()
+            .filter(|address| *address != regional.own && !known(address))
+            .collect();
         if unknown.is_empty() {
             return;
         }
@@ -304,7 +387,13 @@
         let mut runtime = Runtime::default();
         for address in unknown.into_iter().take(DELEGATES + 1) {
             // Its errors are those of sending.
-            let _ = self.swim.announce(Identity { address, generation: 0 }, &mut runtime);
+            let _ = self.swim.announce(
+                Identity {
+                    address,
+                    generation: 0,
+                },
+                &mut runtime,
+            );
         }
         self.carry_out(runtime);
     }
@@ -312,8 +401,19 @@
 
 /// Who speaks for this region, by these announcements.
 fn own_delegates(region: &str, told: &[Told]) -> Vec<SocketAddr> {
-    let own = told.iter().map(|told| &told.announcement).filter(|announcement| announcement.region == region);
-    own.flat_map(|announcement| announcement.summary().delegates.iter().copied().take(DELEGATES)).collect()
+    let own = told
+        .iter()
+        .map(|told| &told.announcement)
+        .filter(|announcement| announcement.region == region);
+    own.flat_map(|announcement| {
+        announcement
+            .summary()
+            .delegates
+            .iter()
+            .copied()
+            .take(DELEGATES)
+    })
+    .collect()
 }
 
 /// To two figures: what changes less is not worth telling a whole fleet.
--- a/crates/fleet/src/member/listen.rs
+++ b/crates/fleet/src/member/listen.rs
@@ -19,7 +19,9 @@
 impl Member {
     /// A watcher asks whether this member lives. One that is suspect raises its incarnation.
     pub(super) fn take_ask(&mut self, payload: &[u8]) -> bool {
-        let Ok(ask) = postcard::from_bytes::<Ask>(payload) else { return false };
+        let Ok(ask) = postcard::from_bytes::<Ask>(payload) else {
+            return false;
+        };
         if ask.by.address == self.settings.address {
             return true;
         }
@@ -32,7 +34,9 @@
         }
         let mut runtime = Runtime::default();
         let said = foca::Member::new(suspect, incarnation, foca::State::Suspect);
-        let _ = self.swim.apply_many(std::iter::once(said), true, &mut runtime);
+        let _ = self
+            .swim
+            .apply_many(std::iter::once(said), true, &mut runtime);
         self.roster.touch();
         self.traffic.refuted += 1;
         // Its header carries the new incarnation; the gossip that goes on tells the others.
@@ -45,13 +49,16 @@
     pub(super) fn listen(&mut self) {
         self.roster.refresh(&self.swim);
         let (living, suspects) = (self.roster.living(), self.roster.suspects());
-        self.watch.draw(self.now, living, |address| suspects.contains_key(&address));
+        self.watch
+            .draw(self.now, living, |address| suspects.contains_key(&address));
         self.suspicions.hold(self.now, suspects);
         let heard = |address: SocketAddr| self.heard.get(&address).copied().unwrap_or(0);
         let (patience, may) = (self.health.patience(), self.health.may_accuse(self.now));
         let steps = self.watch.due(self.now, patience, may, heard);
         let watch = &self.watch;
-        let verdicts = self.suspicions.due(self.now, patience, may, |a| watch.watches(a), heard);
+        let verdicts = self
+            .suspicions
+            .due(self.now, patience, may, |a| watch.watches(a), heard);
         for step in steps {
             match step {
                 watch::Step::Beat(to) => self.beat(to),
@@ -77,18 +84,26 @@
     }
 
     pub(super) fn ask(&mut self, of: SocketAddr, suspect: Option<(Identity, u16)>) {
-        let payload = postcard::to_stdvec(&Ask { by: self.id(), suspect }).unwrap_or_default();
+        let payload = postcard::to_stdvec(&Ask {
+            by: self.id(),
+            suspect,
+        })
+        .unwrap_or_default();
         self.traffic.asked += 1;
         self.send(of, Kind::Ask, &payload);
     }
 
     /// Tells all of what a member is, by the word of this one.
     pub(super) fn say(&mut self, of: SocketAddr, state: foca::State) {
-        let Some(member) = self.swim.iter_members().find(|m| m.id().address == of) else { return };
+        let Some(member) = self.swim.iter_members().find(|m| m.id().address == of) else {
+            return;
+        };
         let said = foca::Member::new(*member.id(), member.incarnation(), state);
         let mut runtime = Runtime::default();
         // Its errors are those of sending.
-        let _ = self.swim.apply_many(std::iter::once(said), true, &mut runtime);
+        let _ = self
+            .swim
+            .apply_many(std::iter::once(said), true, &mut runtime);
         self.roster.touch();
         self.carry_out(runtime);
     }
--- a/crates/fleet/src/member/overview.rs
+++ b/crates/fleet/src/member/overview.rs
@@ -20,14 +20,18 @@
     /// Passes news of the overview on.
     pub(super) fn spread_overview(&mut self) {
         let others = self.swim.num_members();
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if self.now < regional.due.gossip || others == 0 || !regional.overview.has_news() {
             return;
         }
         regional.due.gossip = self.now + GOSSIP;
         for _ in 0..GOSSIP_TO.min(others) {
             let Some(to) = self.somebody() else { return };
-            let Some(regional) = &mut self.regional else { return };
+            let Some(regional) = &mut self.regional else {
+                return;
+            };
             let parts = regional.overview.news(self.now);
             if !parts.is_empty() {
                 self.tell_overview(to, &parts);
@@ -42,7 +46,9 @@
 
     /// Asks one of the others whether it holds the same overview, if it is time.
     pub(super) fn compare_overview(&mut self) {
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if self.now < regional.due.compare || planted::is(Fault::KeepsOverviewToItself) {
             return;
         }
@@ -56,8 +62,12 @@
 
     pub(super) fn take_overview_question(&mut self, from: SocketAddr, sums: &[u8]) -> bool {
         let first = self.rng.random_range(0..PARTS);
-        let Some(regional) = &self.regional else { return false };
-        let Some(parts) = regional.overview.differing(self.now, sums, first) else { return false };
+        let Some(regional) = &self.regional else {
+            return false;
+        };
+        let Some(parts) = regional.overview.differing(self.now, sums, first) else {
+            return false;
+        };
         if !parts.is_empty() && self.table.knows(&from) {
             self.tell_overview(from, &parts);
         }
@@ -65,11 +75,15 @@
     }
 
     pub(super) fn take_overview(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(parts) = postcard::from_bytes::<Vec<Part>>(payload) else { return false };
+        let Ok(parts) = postcard::from_bytes::<Vec<Part>>(payload) else {
+            return false;
+        };
         if !self.table.knows(&from) {
             return true;
         }
-        let Some(regional) = &mut self.regional else { return false };
+        let Some(regional) = &mut self.regional else {
+            return false;
+        };
         let unix_ms = regional.unix_ms(self.now);
         let mut older = Vec::new();
         for part in parts {
--- a/crates/fleet/src/member/regional.rs
+++ b/crates/fleet/src/member/regional.rs
@@ -113,11 +113,17 @@
         }
         let first = self.drawn_of.is_none() || living.is_empty();
         self.drawn_of = Some(members);
-        if planted::is(Fault::NeverReplacesDelegates) && !first && now - self.started > 2 * LEAD_AFTER {
+        if planted::is(Fault::NeverReplacesDelegates)
+            && !first
+            && now - self.started > 2 * LEAD_AFTER
+        {
             return;
         }
         let former = self.delegates.first().copied();
-        self.delegates = delegates::draw(&self.location.region, living.iter().copied().chain([self.own]));
+        self.delegates = delegates::draw(
+            &self.location.region,
+            living.iter().copied().chain([self.own]),
+        );
         if former != self.delegates.first().copied() {
             self.former_leader = former;
         }
@@ -133,7 +139,11 @@
 
     /// What was dropped since the start.
     pub(super) fn dropped(&self) -> Dropped {
-        let now = self.exchange.as_ref().map(Exchange::dropped).unwrap_or_default();
+        let now = self
+            .exchange
+            .as_ref()
+            .map(Exchange::dropped)
+            .unwrap_or_default();
         Dropped {
             unsound: self.dropped.unsound + now.unsound,
             older: self.dropped.older + now.older,
@@ -148,11 +158,18 @@
     /// The rows of the overview as its leader knows them. Regions that the leader before knew, and this one has not heard
     /// of, are kept: it may just not have been told yet.
     pub(super) fn rows(&self, now: Nanos) -> Vec<RegionRow> {
-        let Some(exchange) = &self.exchange else { return Vec::new() };
+        let Some(exchange) = &self.exchange else {
+            return Vec::new();
+        };
         let known = exchange.regions(now);
         let mut rows: BTreeMap<String, RegionRow> = BTreeMap::new();
-        let led_for = self.leads_since.map_or(0, |since| now.saturating_sub(since));
-        let unknown = self.overview.rows().filter(|(row, _)| !known.contains_key(row.region.as_str()));
+        let led_for = self
+            .leads_since
+            .map_or(0, |since| now.saturating_sub(since));
+        let unknown = self
+            .overview
+            .rows()
+            .filter(|(row, _)| !known.contains_key(row.region.as_str()));
         for (row, silent_since) in unknown {
             let since = match (silent_since, self.leads_since) {
                 (Some(since), _) => Some(since),
@@ -164,17 +181,29 @@
             }
             let silent_s = since.map(|since| (now.saturating_sub(since) / (1_000 * MS)) as u32);
             let authors = if since.is_some() { 0 } else { row.authors };
-            rows.insert(row.region.clone(), RegionRow { silent_s, authors, ..row.clone() });
+            rows.insert(
+                row.region.clone(),
+                RegionRow {
+                    silent_s,
+                    authors,
+                    ..row.clone()
+                },
+            );
         }
         rows.extend(
-            known.iter().map(|(region, known)| (region.to_string(), RegionRow::of(region, known, now))),
+            known
+                .iter()
+                .map(|(region, known)| (region.to_string(), RegionRow::of(region, known, now))),
         );
         rows.into_values().collect()
     }
 
     /// Whether any other region is known.
     pub(super) fn knows_others(&self, now: Nanos) -> bool {
-        let by_exchange = self.exchange.as_ref().is_some_and(|exchange| !exchange.regions(now).is_empty());
+        let by_exchange = self
+            .exchange
+            .as_ref()
+            .is_some_and(|exchange| !exchange.regions(now).is_empty());
         by_exchange || self.overview.rows().next().is_some()
     }
 
@@ -182,12 +211,18 @@
     pub(super) fn targets(&self, now: Nanos) -> Vec<(SocketAddr, bool)> {
         let mut targets: BTreeMap<SocketAddr, bool> = BTreeMap::new();
         for (row, silent_since) in self.overview.rows() {
-            targets.extend(row.delegates.iter().map(|delegate| (*delegate, silent_since.is_some())));
+            targets.extend(
+                row.delegates
+                    .iter()
+                    .map(|delegate| (*delegate, silent_since.is_some())),
+            );
         }
         if let Some(exchange) = &self.exchange {
             let known = exchange.regions(now);
             for (region, delegates) in exchange.delegates() {
-                let silent = known.get(region).is_some_and(|known| known.silent_since.is_some());
+                let silent = known
+                    .get(region)
+                    .is_some_and(|known| known.silent_since.is_some());
                 targets.extend(delegates.into_iter().map(|delegate| (delegate, silent)));
             }
         }
@@ -200,9 +235,15 @@
     /// Takes the overview into the count, and reports regions that fell silent or are heard again.
     fn recount(&mut self, now: Nanos, changes: &mut Vec<Change>) {
         let mut heard = BTreeMap::new();
-        for (row, silent_since) in self.overview.rows().filter(|(row, _)| row.region != self.location.region)
+        for (row, silent_since) in self
+            .overview
+            .rows()
+            .filter(|(row, _)| row.region != self.location.region)
         {
-            let figures = Figures { living: row.living as usize, places: row.places as usize };
+            let figures = Figures {
+                living: row.living as usize,
+                places: row.places as usize,
+            };
             self.count.set(now, &row.region, figures, silent_since);
             let is_heard = silent_since.is_none();
             if self.heard.get(&row.region) != Some(&is_heard) {
@@ -214,7 +255,8 @@
             }
             heard.insert(row.region.clone(), is_heard);
         }
-        self.count.silence_all_but(now, |region| heard.contains_key(region));
+        self.count
+            .silence_all_but(now, |region| heard.contains_key(region));
         self.heard = heard;
     }
 }
@@ -227,35 +269,49 @@
 
     /// Who speaks for the own region, first the leader; empty where there are no regions.
     pub fn delegates(&self) -> &[SocketAddr] {
-        self.regional.as_ref().map_or(&[], |regional| &regional.delegates)
+        self.regional
+            .as_ref()
+            .map_or(&[], |regional| &regional.delegates)
     }
 
     /// The other regions by the overview.
     pub fn region_rows(&self) -> impl Iterator<Item = (&RegionRow, Option<Nanos>)> {
-        let rows = self.regional.iter().flat_map(|regional| regional.overview.rows());
+        let rows = self
+            .regional
+            .iter()
+            .flat_map(|regional| regional.overview.rows());
         rows.filter(|(row, _)| row.region != self.settings.location.region)
     }
 
     /// Announcements that were dropped, and parts of the overview that were refused.
     pub fn regions_dropped(&self) -> (Dropped, u64) {
         let regional = self.regional.as_ref();
-        regional.map_or_else(Default::default, |regional| (regional.dropped(), regional.refused_parts))
+        regional.map_or_else(Default::default, |regional| {
+            (regional.dropped(), regional.refused_parts)
+        })
     }
 
     /// Announcements held, by a delegate.
     pub fn announcements(&self) -> usize {
-        let exchange = self.regional.as_ref().and_then(|regional| regional.exchange.as_ref());
+        let exchange = self
+            .regional
+            .as_ref()
+            .and_then(|regional| regional.exchange.as_ref());
         exchange.map_or(0, Exchange::len)
     }
 
     pub(super) fn regions_seen(&self) -> Vec<RegionSeen> {
-        let seen =
-            |(row, silent_since): (&RegionRow, Option<Nanos>)| RegionSeen { row: row.clone(), silent_since };
+        let seen = |(row, silent_since): (&RegionRow, Option<Nanos>)| RegionSeen {
+            row: row.clone(),
+            silent_since,
+        };
         self.region_rows().map(seen).collect()
     }
 
     pub(super) fn living_elsewhere(&self) -> usize {
-        let heard = self.region_rows().filter(|(_, silent_since)| silent_since.is_none());
+        let heard = self
+            .region_rows()
+            .filter(|(_, silent_since)| silent_since.is_none());
         heard.map(|(row, _)| row.living as usize).sum()
     }
 
@@ -266,7 +322,10 @@
     /// The figures of the own region, as this member counts them.
     pub(super) fn own_figures(&self) -> Figures {
         let living = self.count.living();
-        Figures { living, places: self.table.count().max(living) }
+        Figures {
+            living,
+            places: self.table.count().max(living),
+        }
     }
 
     pub(super) fn total_count(&mut self) -> usize {
@@ -279,7 +338,9 @@
 
     /// The upper level's turn: what is due is done.
     pub(super) fn regional(&mut self) {
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         self.roster.refresh(&self.swim);
         regional.draw(self.now, self.roster.mark(), self.roster.living());
         if let Some(exchange) = &mut regional.exchange {
@@ -289,7 +350,9 @@
         self.ask_regions();
         self.spread_overview();
         self.compare_overview();
-        let Some(regional) = &mut self.regional else { return };
+        let Some(regional) = &mut self.regional else {
+            return;
+        };
         if self.now >= regional.due.recount {
             regional.due.recount = self.now + RECOUNT;
             regional.recount(self.now, &mut self.changes);
--- a/crates/fleet/src/member/roster.rs
+++ b/crates/fleet/src/member/roster.rs
@@ -20,7 +20,12 @@
 impl Roster {
     /// Nobody, and not looked at yet.
     pub(super) fn new() -> Self {
-        Roster { touched: true, mark: 0, living: Vec::new(), suspects: BTreeMap::new() }
+        Roster {
+            touched: true,
+            mark: 0,
+            living: Vec::new(),
+            suspects: BTreeMap::new(),
+        }
     }
 
     /// The membership may have changed.
@@ -72,8 +77,9 @@
 fn mark(swim: &Swim) -> u64 {
     let mut mark = 1u64;
     for member in swim.iter_membership_state() {
-        let of =
-            (member.id().generation << 18) ^ (u64::from(member.incarnation()) << 2) ^ member.state() as u64;
+        let of = (member.id().generation << 18)
+            ^ (u64::from(member.incarnation()) << 2)
+            ^ member.state() as u64;
         let port = u64::from(member.id().address.port());
         mark = (mark.rotate_left(5) ^ of ^ (port << 48)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
