--- a/crates/fleet/src/member/spread.rs
+++ b/crates/fleet/src/member/spread.rs
@@ -36,9 +36,12 @@
         let swim = &self.swim;
         let known = |address: SocketAddr| {
             let mut all = swim.iter_membership_state();
-            all.find(|m| m.id().address == address).map(|m| m.id().generation)
+            all.find(|m| m.id().address == address)
+                .map(|m| m.id().generation)
         };
-        let taken = self.records.take(self.settings.address, payload, known, swim.num_members());
+        let taken = self
+            .records
+            .take(self.settings.address, payload, known, swim.num_members());
         let Some(unknown) = taken else { return false };
         if unknown > 0 {
             self.pace.stir(self.now);
@@ -48,7 +51,9 @@
 
     /// Another asks for records that it lacks.
     pub(super) fn take_want(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Some(answers) = self.records.answer(payload) else { return false };
+        let Some(answers) = self.records.answer(payload) else {
+            return false;
+        };
         for answer in answers {
             if self.may_send() {
                 self.send(from, Kind::Records, &answer);
@@ -87,7 +92,9 @@
             }
         }
         let members = self.roster.mark();
-        if let Some(want) = self.records.want(self.now, members, self.swim.iter_members().map(|m| m.id()))
+        if let Some(want) =
+            self.records
+                .want(self.now, members, self.swim.iter_members().map(|m| m.id()))
             && let Some(to) = self.somebody()
         {
             self.send(to, Kind::Want, &want);
@@ -111,7 +118,8 @@
         }
         self.tell(|soft| soft.phase = Phase::Leaving);
         let own = self.own.of.address;
-        let mut others: Vec<SocketAddr> = self.swim.iter_members().map(|m| m.id().address).collect();
+        let mut others: Vec<SocketAddr> =
+            self.swim.iter_members().map(|m| m.id().address).collect();
         for _ in 0..LEAVE_TOLD.min(others.len()) {
             let to = others.swap_remove(self.rng.random_range(0..others.len()));
             let payload = self.records.tell(own, true);
--- a/crates/fleet/src/member/swim.rs
+++ b/crates/fleet/src/member/swim.rs
@@ -63,14 +63,23 @@
 /// by comparing lists.
 fn transmissions(settings: &FleetSettings) -> u8 {
     let spread = SPREAD + settings.members_max.max(2).ilog2();
-    if settings.location.is_none() { spread as u8 } else { spread.min(SPREAD_IN_REGIONS) as u8 }
+    if settings.location.is_none() {
+        spread as u8
+    } else {
+        spread.min(SPREAD_IN_REGIONS) as u8
+    }
 }
 
 /// What `foca` is told of the times and bounds.
 pub(super) fn config(settings: &FleetSettings) -> foca::Config {
     let span = Duration::from_nanos;
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let every = |nanos, num| Some(PeriodicParams { frequency: span(nanos), num_members: some(num) });
+    let every = |nanos, num| {
+        Some(PeriodicParams {
+            frequency: span(nanos),
+            num_members: some(num),
+        })
+    };
     foca::Config {
         probe_period: span(settings.timing.probe),
         probe_rtt: span(settings.timing.answer),
@@ -110,7 +119,9 @@
     }
 
     pub(super) fn knows(&self, address: SocketAddr) -> bool {
-        self.swim.iter_membership_state().any(|m| m.id().address == address)
+        self.swim
+            .iter_membership_state()
+            .any(|m| m.id().address == address)
     }
 
     pub(super) fn oldest_dead(&self) -> Option<Identity> {
@@ -129,7 +140,10 @@
         let own = self.id().generation;
         if named > own && self.now.saturating_sub(self.leapt) >= LEAP_EVERY {
             self.leapt = self.now;
-            let id = Identity { generation: named + 1, ..self.id() };
+            let id = Identity {
+                generation: named + 1,
+                ..self.id()
+            };
             let mut runtime = Runtime::default();
             self.roster.touch();
             if self.swim.change_identity(id, &mut runtime).is_ok() {
@@ -141,13 +155,19 @@
 
     pub(super) fn returned(&mut self) {
         self.traffic.returned += 1;
-        self.changes.push(Change::Returned { generation: self.id().generation });
+        self.changes.push(Change::Returned {
+            generation: self.id().generation,
+        });
         self.put_own();
         self.ask_dead(RETURN_TO);
     }
 
     fn dead(&self) -> Vec<Identity> {
-        self.table.members().filter(|seen| seen.state == State::Dead).map(|seen| seen.id).collect()
+        self.table
+            .members()
+            .filter(|seen| seen.state == State::Dead)
+            .map(|seen| seen.id)
+            .collect()
     }
 
     /// Asks those believed dead whom this member is drawn to ask. If all members asked each of the dead, who returns would
@@ -192,10 +212,15 @@
     pub(super) fn begin_anew(&mut self) {
         self.suspicions.begin_anew(self.now);
         self.watch.begin_anew(self.now);
-        let late: Vec<(Nanos, u64)> =
-            self.timers.range(..=(self.now, u64::MAX)).map(|(key, _)| *key).collect();
+        let late: Vec<(Nanos, u64)> = self
+            .timers
+            .range(..=(self.now, u64::MAX))
+            .map(|(key, _)| *key)
+            .collect();
         for key in late {
-            let Some(timer) = self.timers.remove(&key) else { continue };
+            let Some(timer) = self.timers.remove(&key) else {
+                continue;
+            };
             let after = match timer {
                 // The answer may have come meanwhile, and is read before this.
                 Timer::ProbeRandomMember(_) => self.settings.timing.probe,
@@ -208,7 +233,11 @@
     }
 
     pub(super) fn swim_timers(&mut self) {
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= self.now)
+        {
             let timer = entry.remove();
             if matches!(timer, Timer::PeriodicGossip(_)) && !self.may_send() {
                 self.set += 1;
@@ -240,7 +269,8 @@
         }
         let alone = self.swim.num_members() == 0;
         let own = self.settings.address;
-        let there = |address: &SocketAddr| self.swim.iter_members().any(|m| m.id().address == *address);
+        let there =
+            |address: &SocketAddr| self.swim.iter_members().any(|m| m.id().address == *address);
         let missing: Vec<SocketAddr> = self
             .settings
             .join
@@ -259,11 +289,20 @@
             vec![missing[self.rng.random_range(0..missing.len())]]
         };
         for address in chosen {
-            let _ = self.swim.announce(Identity { address, generation: 0 }, &mut runtime);
+            let _ = self.swim.announce(
+                Identity {
+                    address,
+                    generation: 0,
+                },
+                &mut runtime,
+            );
         }
         self.carry_out(runtime);
         let wait = self.join.1;
-        self.join = (self.now + wait / 2 + self.rng.random_range(0..wait), (wait * 2).min(JOIN_MOST));
+        self.join = (
+            self.now + wait / 2 + self.rng.random_range(0..wait),
+            (wait * 2).min(JOIN_MOST),
+        );
         if alone {
             self.join.1 = self.join.1.min(JOIN_MOST / 2);
         }
@@ -294,7 +333,8 @@
                 continue;
             }
             self.set += 1;
-            self.timers.insert((self.now + after.as_nanos() as Nanos, self.set), timer);
+            self.timers
+                .insert((self.now + after.as_nanos() as Nanos, self.set), timer);
         }
         for news in runtime.news {
             match news {
--- a/crates/fleet/src/member/table.rs
+++ b/crates/fleet/src/member/table.rs
@@ -63,13 +63,28 @@
 
     /// Takes over what is known now, and says what changed. `mark` is the membership's checksum.
     pub(super) fn look(&mut self, mark: u64, sources: Sources<'_>, changes: &mut Vec<Change>) {
-        let Sources { now, own, swim, records, count } = sources;
+        let Sources {
+            now,
+            own,
+            swim,
+            records,
+            count,
+        } = sources;
         let (told_anew, urgent) = records.take_touched();
         let members_changed = mark != self.mark;
         self.turned = members_changed || urgent;
         if self.turned {
             self.mark = mark;
-            self.look_closely(Sources { now, own, swim, records, count }, changes);
+            self.look_closely(
+                Sources {
+                    now,
+                    own,
+                    swim,
+                    records,
+                    count,
+                },
+                changes,
+            );
         } else if !told_anew.is_empty() {
             self.take_over_soft(&told_anew, records);
         }
@@ -79,21 +94,34 @@
     /// Takes over what these members said last; nothing of it changes what they are.
     fn take_over_soft(&mut self, told_anew: &BTreeSet<SocketAddr>, records: &Records) {
         for address in told_anew {
-            let Some(seen) = self.seen.get_mut(address) else { continue };
+            let Some(seen) = self.seen.get_mut(address) else {
+                continue;
+            };
             if let Some(record) = records.of(&seen.id) {
                 seen.soft = Some(record.soft.clone());
             }
         }
         let there = self.seen.values().filter(|seen| seen.state.is_there());
-        let places = there.filter_map(|seen| seen.soft.as_ref()).map(|soft| usize::from(soft.places));
+        let places = there
+            .filter_map(|seen| seen.soft.as_ref())
+            .map(|soft| usize::from(soft.places));
         self.told = places.max().unwrap_or(0);
     }
 
     fn look_closely(&mut self, sources: Sources<'_>, changes: &mut Vec<Change>) {
-        let Sources { now, own, swim, records, count } = sources;
+        let Sources {
+            now,
+            own,
+            swim,
+            records,
+            count,
+        } = sources;
         let mut here = BTreeSet::new();
         let mut told = 0;
-        for member in swim.iter_membership_state().filter(|m| m.id().address != own.address) {
+        for member in swim
+            .iter_membership_state()
+            .filter(|m| m.id().address != own.address)
+        {
             let id = *member.id();
             here.insert(id.address);
             let soft = records.of(&id).map(|record| &record.soft);
@@ -103,7 +131,10 @@
             }
             let former = self.seen.get_mut(&id.address);
             let was = former.as_ref().map(|seen| seen.state);
-            let since = former.as_ref().filter(|seen| seen.state == is).map_or(now, |seen| seen.since);
+            let since = former
+                .as_ref()
+                .filter(|seen| seen.state == is)
+                .map_or(now, |seen| seen.since);
             match former {
                 Some(seen) => {
                     seen.id = id;
@@ -115,7 +146,16 @@
                 }
                 None => {
                     let (incarnation, soft) = (member.incarnation(), soft.cloned());
-                    self.seen.insert(id.address, Seen { id, incarnation, state: is, since, soft });
+                    self.seen.insert(
+                        id.address,
+                        Seen {
+                            id,
+                            incarnation,
+                            state: is,
+                            since,
+                            soft,
+                        },
+                    );
                 }
             }
             match is {
@@ -142,8 +182,10 @@
                 && self.twice.len() < self.seen.len()
             {
                 self.twice.insert(soft.name.clone());
-                changes
-                    .push(Change::NameTwice { name: soft.name.clone(), addresses: [other, seen.id.address] });
+                changes.push(Change::NameTwice {
+                    name: soft.name.clone(),
+                    addresses: [other, seen.id.address],
+                });
             }
         }
     }
--- a/crates/fleet/src/overload.rs
+++ b/crates/fleet/src/overload.rs
@@ -90,7 +90,14 @@
 impl Overload {
     /// None is shed yet. `tiers` is how many the module has; `of` and `generation` tell who speaks.
     pub fn new(tiers: usize, of: SocketAddr, generation: u64, now: Nanos) -> Self {
-        let own = Word { of, generation, step: 0, age_ms: 0, tally: Tally::default(), level: 0.0 };
+        let own = Word {
+            of,
+            generation,
+            step: 0,
+            age_ms: 0,
+            tally: Tally::default(),
+            level: 0.0,
+        };
         Overload {
             tiers,
             level: 0.0,
@@ -111,7 +118,10 @@
 
     /// Others whose word is fresh.
     pub fn hears(&self, now: Nanos) -> usize {
-        self.heard.values().filter(|heard| is_fresh(heard, now)).count()
+        self.heard
+            .values()
+            .filter(|heard| is_fresh(heard, now))
+            .count()
     }
 
     /// Counts what ended since the last call.
@@ -127,7 +137,8 @@
             return false;
         }
         let newer = |heard: &Heard| {
-            (word.generation, word.step) > (heard.word.generation, heard.word.step) || !is_fresh(heard, now)
+            (word.generation, word.step) > (heard.word.generation, heard.word.step)
+                || !is_fresh(heard, now)
         };
         let age = u64::from(word.age_ms) * MS;
         if word.of != self.own.of && age < FRESH && self.heard.get(&word.of).is_none_or(newer) {
@@ -149,16 +160,26 @@
 
     /// What it tells: its own word, and the freshest of what it heard.
     pub fn words(&self, now: Nanos) -> Vec<Word> {
-        let mut fresh: Vec<&Heard> = self.heard.values().filter(|heard| is_fresh(heard, now)).collect();
+        let mut fresh: Vec<&Heard> = self
+            .heard
+            .values()
+            .filter(|heard| is_fresh(heard, now))
+            .collect();
         fresh.sort_by_key(|heard| std::cmp::Reverse(heard.said));
         let mut words = vec![self.own];
-        let length = |word: &Word| postcard::to_stdvec(word).map_or(PAYLOAD_MAX, |bytes| bytes.len());
+        let length =
+            |word: &Word| postcard::to_stdvec(word).map_or(PAYLOAD_MAX, |bytes| bytes.len());
         // The count of words stands before them, in at most two bytes.
         let mut room = PAYLOAD_MAX - 2 - length(&words[0]);
         for heard in fresh {
             let age = now.saturating_sub(heard.said) / MS;
-            let word = Word { age_ms: u16::try_from(age).unwrap_or(u16::MAX), ..heard.word };
-            let Some(left) = room.checked_sub(length(&word)) else { break };
+            let word = Word {
+                age_ms: u16::try_from(age).unwrap_or(u16::MAX),
+                ..heard.word
+            };
+            let Some(left) = room.checked_sub(length(&word)) else {
+                break;
+            };
             room = left;
             words.push(word);
         }
@@ -200,7 +221,11 @@
             let grown = DOWN_GROWS.powi(self.downs.saturating_sub(DOWN_SLOW).min(9) as i32);
             let more = let_in * (DOWN_FIRST * grown).min(DOWN_MOST);
             let far_below = let_in < FAR_BELOW * self.best;
-            let more = if far_below { more.max((self.best - let_in) * BACK) } else { more };
+            let more = if far_below {
+                more.max((self.best - let_in) * BACK)
+            } else {
+                more
+            };
             self.lower(more * (0.75 + 0.5 * jitter.clamp(0.0, 1.0)), &sum);
         }
         self.own.level = self.level as f32;
@@ -238,7 +263,8 @@
         while self.level > 0.0 {
             let tier = (self.level.ceil() - 1.0).max(0.0);
             let shed = (self.level - tier).min(SHED_MOST);
-            let asked = f64::from(sum.let_in[(tier as usize).min(TIERS_COUNTED - 1)]) / (1.0 - shed);
+            let asked =
+                f64::from(sum.let_in[(tier as usize).min(TIERS_COUNTED - 1)]) / (1.0 - shed);
             if more < asked * shed {
                 self.level = tier + shed - more / asked;
                 break;
--- a/crates/fleet/src/planted.rs
+++ b/crates/fleet/src/planted.rs
@@ -58,7 +58,10 @@
         (Fault::BelievesOldGeneration, "believes-old-generation"),
         (Fault::CountsOwnSideAtOnce, "counts-own-side-at-once"),
         (Fault::NeverAsksTheDead, "never-asks-the-dead"),
-        (Fault::TrustsItselfAfterAStall, "trusts-itself-after-a-stall"),
+        (
+            Fault::TrustsItselfAfterAStall,
+            "trusts-itself-after-a-stall",
+        ),
         (Fault::AccusesWhileCutOff, "accuses-while-cut-off"),
         (Fault::NoLastQuestion, "no-last-question"),
         (Fault::ReadsForeignFleets, "reads-foreign-fleets"),
@@ -69,10 +72,16 @@
         (Fault::NeverLowersItsLevel, "never-lowers-its-level"),
         (Fault::BelievesStaleWords, "believes-stale-words"),
         (Fault::ShedsTheDearestToo, "sheds-the-dearest-too"),
-        (Fault::DropsSilentRegionsAtOnce, "drops-silent-regions-at-once"),
+        (
+            Fault::DropsSilentRegionsAtOnce,
+            "drops-silent-regions-at-once",
+        ),
         (Fault::NeverReplacesDelegates, "never-replaces-delegates"),
         (Fault::NeverComparesRegions, "never-compares-regions"),
-        (Fault::BelievesOldAnnouncements, "believes-old-announcements"),
+        (
+            Fault::BelievesOldAnnouncements,
+            "believes-old-announcements",
+        ),
         (Fault::BelievesAnyFigures, "believes-any-figures"),
         (Fault::KeepsOverviewToItself, "keeps-overview-to-itself"),
         (Fault::IgnoresReferrals, "ignores-referrals"),
@@ -85,7 +94,10 @@
     static PLANTED: std::sync::OnceLock<Option<Fault>> = std::sync::OnceLock::new();
     let read = || {
         let name = std::env::var("PIPITRUN_PLANTED").ok()?;
-        Fault::ALL.into_iter().find(|(_, n)| *n == name).map(|(fault, _)| fault)
+        Fault::ALL
+            .into_iter()
+            .find(|(_, n)| *n == name)
+            .map(|(fault, _)| fault)
     };
     *PLANTED.get_or_init(read) == Some(fault)
 }
--- a/crates/fleet/src/records.rs
+++ b/crates/fleet/src/records.rs
@@ -87,7 +87,9 @@
 
     fn is_bounded(&self) -> bool {
         let soft = &self.soft;
-        soft.name.len() <= NAME_MAX && soft.build.len() <= BUILD_MAX && soft.extra.len() <= EXTRA_MAX
+        soft.name.len() <= NAME_MAX
+            && soft.build.len() <= BUILD_MAX
+            && soft.extra.len() <= EXTRA_MAX
     }
 }
 
@@ -103,10 +105,22 @@
 impl Held {
     fn new(record: Record, rumours: u32) -> Self {
         let soft = &record.soft;
-        let told = (soft.phase, soft.door, soft.config, &soft.name, &soft.build, &soft.extra);
+        let told = (
+            soft.phase,
+            soft.door,
+            soft.config,
+            &soft.name,
+            &soft.build,
+            &soft.extra,
+        );
         let sum = postcard::to_stdvec(&told).map_or(0, |bytes| xxh3_64(&bytes) as u32);
         let length = postcard::to_stdvec(&record).map_or(PAYLOAD_MAX, |bytes| bytes.len());
-        Held { record, rumours, sum: sum.max(1), length }
+        Held {
+            record,
+            rumours,
+            sum: sum.max(1),
+            length,
+        }
     }
 }
 
@@ -128,7 +142,10 @@
 
 /// Cuts a text to so many bytes.
 pub fn cut(text: &str, most: usize) -> String {
-    let end = (0..=most.min(text.len())).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
+    let end = (0..=most.min(text.len()))
+        .rev()
+        .find(|end| text.is_char_boundary(*end))
+        .unwrap_or(0);
     text[..end].to_string()
 }
 
@@ -162,7 +179,10 @@
 
     /// A checksum of what a member said last of what all should know soon, of this life of its; 0 if nothing is known.
     pub fn sum(&self, id: &Identity) -> u32 {
-        let held = self.held.get(&id.address).filter(|held| held.record.of.generation >= id.generation);
+        let held = self
+            .held
+            .get(&id.address)
+            .filter(|held| held.record.of.generation >= id.generation);
         held.map_or(0, |held| held.sum)
     }
 
@@ -222,7 +242,10 @@
                 unknown += 1;
             }
             if generation.is_some()
-                && self.held.get(&address).is_none_or(|held| record.is_newer(&held.record))
+                && self
+                    .held
+                    .get(&address)
+                    .is_none_or(|held| record.is_newer(&held.record))
             {
                 self.insert(record, members);
             }
@@ -248,7 +271,8 @@
     /// One datagram's worth: news first, then, in turn, what is no news, as far as there is room.
     pub fn tell(&mut self, own: SocketAddr, with_round: bool) -> Vec<u8> {
         let rumours = |address: &SocketAddr| self.held.get(address).map_or(0, |held| held.rumours);
-        let mut picked: Vec<(u32, SocketAddr)> = self.news.iter().map(|a| (rumours(a), *a)).collect();
+        let mut picked: Vec<(u32, SocketAddr)> =
+            self.news.iter().map(|a| (rumours(a), *a)).collect();
         picked.sort_unstable_by(|a, b| b.cmp(a));
         let mut order: Vec<SocketAddr> = picked.into_iter().map(|(_, address)| address).collect();
         if with_round {
@@ -258,8 +282,16 @@
                 None => (Unbounded, Unbounded),
             };
             let later = self.held.range((begin, Unbounded));
-            let sooner = self.held.range((Unbounded, end)).filter(|_| self.round.is_some());
-            order.extend(later.chain(sooner).map(|(address, _)| *address).take(WANT_MAX));
+            let sooner = self
+                .held
+                .range((Unbounded, end))
+                .filter(|_| self.round.is_some());
+            order.extend(
+                later
+                    .chain(sooner)
+                    .map(|(address, _)| *address)
+                    .take(WANT_MAX),
+            );
         }
         let (payload, told) = self.pack(order);
         for address in told {
@@ -306,8 +338,11 @@
         if early || self.complete == Some(members) || planted::is(Fault::TellsRecordsOnce) {
             return None;
         }
-        let missing: Vec<SocketAddr> =
-            living.filter(|id| self.of(id).is_none()).map(|id| id.address).take(WANT_MAX).collect();
+        let missing: Vec<SocketAddr> = living
+            .filter(|id| self.of(id).is_none())
+            .map(|id| id.address)
+            .take(WANT_MAX)
+            .collect();
         if missing.is_empty() {
             self.complete = Some(members);
             return None;
@@ -322,7 +357,9 @@
         // The count of records stands before them, in at most two bytes.
         let mut size = 2;
         for address in order {
-            let Some(held) = self.held.get(&address) else { continue };
+            let Some(held) = self.held.get(&address) else {
+                continue;
+            };
             if size + held.length > PAYLOAD_MAX || told.contains(&address) {
                 continue;
             }
--- a/crates/fleet/src/records/tests.rs
+++ b/crates/fleet/src/records/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn record(n: u16, generation: u64, version: u32) -> Record {
-    let of = Identity { address: SocketAddr::from(([127, 0, 0, 1], n)), generation };
+    let of = Identity {
+        address: SocketAddr::from(([127, 0, 0, 1], n)),
+        generation,
+    };
     let soft = Soft {
         name: format!("n{n}"),
         door: of.address,
@@ -35,17 +38,35 @@
     for old in [record(2, 5, 3), record(2, 5, 2), record(2, 4, 99)] {
         assert_eq!(take(&mut records, old), Some((0, 0)), "replayed");
     }
-    assert_eq!(take(&mut records, record(2, 6, 0)), Some((1, 1)), "another life, to be asked");
-    assert_eq!(take(&mut records, record(9, 1, 1)), Some((0, 1)), "unknown, to be asked");
+    assert_eq!(
+        take(&mut records, record(2, 6, 0)),
+        Some((1, 1)),
+        "another life, to be asked"
+    );
+    assert_eq!(
+        take(&mut records, record(9, 1, 1)),
+        Some((0, 1)),
+        "unknown, to be asked"
+    );
     let mut gone = record(9, 1, 2);
     gone.soft.phase = Phase::Leaving;
     assert_eq!(take(&mut records, gone), Some((0, 0)), "it went");
-    assert_eq!(take(&mut records, record(1, 9, 9)), Some((0, 0)), "of itself it knows best");
+    assert_eq!(
+        take(&mut records, record(1, 9, 9)),
+        Some((0, 0)),
+        "of itself it knows best"
+    );
     let mut long = record(3, 1, 1);
     long.soft.extra.push(0);
     assert_eq!(take(&mut records, long), None, "beyond the bound");
-    assert_eq!(records.take(own(), b"\xff\xff\xff\xff\x0f", |_| Some(1), 3), None);
-    let id = |generation| Identity { address: record(2, 0, 0).of.address, generation };
+    assert_eq!(
+        records.take(own(), b"\xff\xff\xff\xff\x0f", |_| Some(1), 3),
+        None
+    );
+    let id = |generation| Identity {
+        address: record(2, 0, 0).of.address,
+        generation,
+    };
     assert!(records.of(&id(6)).is_some() && records.of(&id(7)).is_none());
 }
 
@@ -54,7 +75,12 @@
     let mut records = Records::new(record(1, 1, 1));
     let all: Vec<Record> = (2..=60).map(|n| record(n, 1, 1)).collect();
     for chunk in all.chunks(5) {
-        records.take(own(), &postcard::to_stdvec(&chunk).unwrap(), |_| Some(1), 60);
+        records.take(
+            own(),
+            &postcard::to_stdvec(&chunk).unwrap(),
+            |_| Some(1),
+            60,
+        );
     }
     let mut datagrams = 0;
     records.put(record(1, 1, 2), 60);
@@ -84,13 +110,23 @@
     let mut theirs = Records::new(record(2, 1, 1));
     let living: Vec<Identity> = (2..=80).map(|n| record(n, 1, 1).of).collect();
     let want = mine.want(WANT_EVERY, 1, living.iter()).unwrap();
-    assert_eq!(mine.want(WANT_EVERY + 1, 1, living.iter()), None, "not so often");
+    assert_eq!(
+        mine.want(WANT_EVERY + 1, 1, living.iter()),
+        None,
+        "not so often"
+    );
     let answer = theirs.answer(&want).unwrap();
     assert_eq!(mine.take(own(), &answer[0], |_| Some(1), 2), Some(0));
     assert!(mine.of(&living[0]).is_some());
     theirs.put(record(2, 1, 2), 2);
-    let many: Vec<SocketAddr> = (0..=WANT_MAX as u16).map(|n| record(n, 1, 1).of.address).collect();
-    assert_eq!(theirs.answer(&postcard::to_stdvec(&many).unwrap()), None, "beyond the bound");
+    let many: Vec<SocketAddr> = (0..=WANT_MAX as u16)
+        .map(|n| record(n, 1, 1).of.address)
+        .collect();
+    assert_eq!(
+        theirs.answer(&postcard::to_stdvec(&many).unwrap()),
+        None,
+        "beyond the bound"
+    );
 }
 
 #[test]
--- a/crates/fleet/src/regions/count.rs
+++ b/crates/fleet/src/regions/count.rs
@@ -60,7 +60,13 @@
 impl RegionCount {
     /// The own region alone.
     pub fn new(hold: Nanos, forget: Nanos) -> Self {
-        RegionCount { others: BTreeMap::new(), own_peak: Peak::default(), hold, forget, last: 1 }
+        RegionCount {
+            others: BTreeMap::new(),
+            own_peak: Peak::default(),
+            hold,
+            forget,
+            last: 1,
+        }
     }
 
     /// Another region is there, or silent since a time.
@@ -94,7 +100,9 @@
         self.own_peak.note(now, own.places, forget);
         let mut forgotten = 0;
         self.others.retain(|_, region| {
-            let keep = region.silent_since.is_none_or(|since| now.saturating_sub(since) < forget);
+            let keep = region
+                .silent_since
+                .is_none_or(|since| now.saturating_sub(since) < forget);
             forgotten += if keep { 0 } else { region.figures.places };
             keep
         });
@@ -115,7 +123,11 @@
             }
         }
         let majority = 2 * living > all || planted::is(Fault::DropsSilentRegionsAtOnce);
-        self.last = if majority { counted } else { self.last.max(counted) };
+        self.last = if majority {
+            counted
+        } else {
+            self.last.max(counted)
+        };
         self.last
     }
 }
--- a/crates/fleet/src/regions/exchange.rs
+++ b/crates/fleet/src/regions/exchange.rs
@@ -47,7 +47,11 @@
 impl Told {
     /// An announcement that its author has just made.
     pub fn new(announcement: Announcement) -> Self {
-        Told { announcement, beats: 0, age_s: 0 }
+        Told {
+            announcement,
+            beats: 0,
+            age_s: 0,
+        }
     }
 
     /// Announcements as they stand in a datagram.
@@ -114,7 +118,11 @@
     }
 
     fn told(&self, now: Nanos) -> Told {
-        Told { announcement: self.announcement.clone(), beats: self.beats, age_s: self.age_s(now) }
+        Told {
+            announcement: self.announcement.clone(),
+            beats: self.beats,
+            age_s: self.age_s(now),
+        }
     }
 
     fn is_silent(&self, now: Nanos) -> bool {
@@ -123,7 +131,8 @@
 
     /// Whether another took its author's place, and it has not shown since that it lives.
     fn is_replaced(&self) -> bool {
-        self.replaced_at.is_some_and(|beats| self.beats <= beats + LATE_BEATS)
+        self.replaced_at
+            .is_some_and(|beats| self.beats <= beats + LATE_BEATS)
     }
 }
 
@@ -197,19 +206,29 @@
 
     /// What this member last announced itself.
     pub fn own_summary(&self) -> Option<&Summary> {
-        self.held.get(&self.own_key()).map(|held| held.announcement.summary())
+        self.held
+            .get(&self.own_key())
+            .map(|held| held.announcement.summary())
     }
 
     /// Announces the own region, by a version above any that is known of this author.
     pub fn publish(&mut self, now: Nanos, unix_ms: u64, summary: Summary) -> Told {
-        let former = self.held.get(&self.own_key()).map_or(0, |held| held.announcement.version);
+        let former = self
+            .held
+            .get(&self.own_key())
+            .map_or(0, |held| held.announcement.version);
         let announcement = Announcement {
             region: self.region.clone(),
             author: self.own,
             version: unix_ms.max(former + 1),
             payload: Payload::Summary(summary),
         };
-        let held = Held { announcement, beats: 0, heard: now, replaced_at: None };
+        let held = Held {
+            announcement,
+            beats: 0,
+            heard: now,
+            replaced_at: None,
+        };
         let told = held.told(now);
         self.held.insert(self.own_key(), held);
         told
@@ -230,8 +249,12 @@
                 own.beats += 1;
             }
         }
-        let living: BTreeSet<String> =
-            self.held.iter().filter(|(_, held)| !held.is_silent(now)).map(|(key, _)| key.0.clone()).collect();
+        let living: BTreeSet<String> = self
+            .held
+            .iter()
+            .filter(|(_, held)| !held.is_silent(now))
+            .map(|(key, _)| key.0.clone())
+            .collect();
         let forget = self.forget;
         let is_over = |(region, _): &(String, SocketAddr), held: &Held| {
             let replaced = held.is_silent(now) && living.contains(region);
@@ -243,27 +266,47 @@
             .filter(|(place, held)| is_over(place, held))
             .map(|(place, _)| place.clone())
             .collect();
-        over.into_iter().for_each(|place| self.forget_author(now, place));
-        self.forgotten.retain(|_, forgotten| now.saturating_sub(forgotten.at) < forget);
+        over.into_iter()
+            .for_each(|place| self.forget_author(now, place));
+        self.forgotten
+            .retain(|_, forgotten| now.saturating_sub(forgotten.at) < forget);
     }
 
     fn forget_author(&mut self, now: Nanos, place: (String, SocketAddr)) {
-        let Some(held) = self.held.remove(&place) else { return };
+        let Some(held) = self.held.remove(&place) else {
+            return;
+        };
         if self.forgotten.len() >= FORGOTTEN_MAX {
-            let oldest = self.forgotten.iter().min_by_key(|(_, forgotten)| forgotten.at);
-            oldest.map(|(place, _)| place.clone()).and_then(|place| self.forgotten.remove(&place));
+            let oldest = self
+                .forgotten
+                .iter()
+                .min_by_key(|(_, forgotten)| forgotten.at);
+            oldest
+                .map(|(place, _)| place.clone())
+                .and_then(|place| self.forgotten.remove(&place));
         }
-        let forgotten = Forgotten { version: held.announcement.version, beats: held.beats, at: now };
+        let forgotten = Forgotten {
+            version: held.announcement.version,
+            beats: held.beats,
+            at: now,
+        };
         self.forgotten.insert(place, forgotten);
     }
 
     /// The regions other than the own one.
     pub fn regions(&self, now: Nanos) -> BTreeMap<&str, Known> {
         let mut regions: BTreeMap<&str, Vec<&Held>> = BTreeMap::new();
-        for ((region, _), held) in self.held.iter().filter(|((region, _), _)| *region != self.region) {
+        for ((region, _), held) in self
+            .held
+            .iter()
+            .filter(|((region, _), _)| *region != self.region)
+        {
             regions.entry(region).or_default().push(held);
         }
-        regions.into_iter().filter_map(|(region, held)| Some((region, known(&held, now)?))).collect()
+        regions
+            .into_iter()
+            .filter_map(|(region, held)| Some((region, known(&held, now)?)))
+            .collect()
     }
 
     /// The delegates of all authors, by region, the own region's included.
@@ -292,13 +335,20 @@
 
     fn by_key(&self) -> BTreeMap<u32, (String, SocketAddr)> {
         let key = |held: &Held| AnnouncementKey::of(&held.announcement).0;
-        self.held.iter().map(|(place, held)| (key(held), place.clone())).collect()
+        self.held
+            .iter()
+            .map(|(place, held)| (key(held), place.clone()))
+            .collect()
     }
 
     /// Answers a question, as far as a datagram bears it.
     pub fn answer(&mut self, now: Nanos, question: &Question) -> Answer {
-        let mut answer =
-            Answer { region: self.region.clone(), rows: Vec::new(), told: Vec::new(), wanted: Vec::new() };
+        let mut answer = Answer {
+            region: self.region.clone(),
+            rows: Vec::new(),
+            told: Vec::new(),
+            wanted: Vec::new(),
+        };
         if planted::is(Fault::NeverComparesRegions) {
             return answer;
         }
@@ -307,7 +357,10 @@
         let mut named = BTreeSet::new();
         for row in question.rows.iter().take(ROWS_MAX) {
             named.insert(row.key);
-            let Some(held) = places.get(&row.key).and_then(|place| self.held.get_mut(place)) else {
+            let Some(held) = places
+                .get(&row.key)
+                .and_then(|place| self.held.get_mut(place))
+            else {
                 if question.delegate {
                     add(&mut answer.wanted, row.key, &mut room);
                 }
@@ -334,10 +387,17 @@
     }
 
     /// Takes an answer over; returns what the other wants to be told, and the announcements that are new here.
-    pub fn take_answer(&mut self, now: Nanos, unix_ms: u64, answer: &Answer) -> (Vec<Told>, Vec<Told>) {
+    pub fn take_answer(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        answer: &Answer,
+    ) -> (Vec<Told>, Vec<Told>) {
         let places = self.by_key();
         for row in &answer.rows {
-            if let Some(held) = places.get(&row.key).and_then(|place| self.held.get_mut(place))
+            if let Some(held) = places
+                .get(&row.key)
+                .and_then(|place| self.held.get_mut(place))
                 && row.version == held.announcement.version
             {
                 hear(held, now, row.beats, row.age_s);
@@ -369,8 +429,10 @@
         let heard = now.saturating_sub(Nanos::from(told.age_s) * SECOND);
         // Of oneself one knows best; but an earlier life may have told a later time, which the next version goes beyond.
         if place == self.own_key() {
-            if let Some(own) =
-                self.held.get_mut(&place).filter(|own| own.announcement.version < announcement.version)
+            if let Some(own) = self
+                .held
+                .get_mut(&place)
+                .filter(|own| own.announcement.version < announcement.version)
             {
                 own.announcement.version = announcement.version + 1;
             }
@@ -391,10 +453,18 @@
         }
         self.forgotten.remove(&place);
         let replaces = |announcement: &Announcement| announcement.summary().replaces;
-        let before = self.held.get(&place).and_then(|held| replaces(&held.announcement));
+        let before = self
+            .held
+            .get(&place)
+            .and_then(|held| replaces(&held.announcement));
         let former = replaces(announcement).filter(|former| *former != announcement.author);
         let replaced_at = self.held.get(&place).and_then(|held| held.replaced_at);
-        let held = Held { announcement: announcement.clone(), beats: told.beats, heard, replaced_at };
+        let held = Held {
+            announcement: announcement.clone(),
+            beats: told.beats,
+            heard,
+            replaced_at,
+        };
         self.held.insert(place, held);
         // Said once it is known: where a region is split each part says so of the other's leader.
         if let Some(former) = former.filter(|former| Some(*former) != before)
@@ -407,7 +477,10 @@
 
     /// Whether this is no later word of an author than the last one before it was forgotten.
     fn is_forgotten(&self, place: &(String, SocketAddr), told: &Told) -> bool {
-        let last = self.forgotten.get(place).map(|forgotten| (forgotten.version, forgotten.beats));
+        let last = self
+            .forgotten
+            .get(place)
+            .map(|forgotten| (forgotten.version, forgotten.beats));
         last.is_some_and(|last| (told.announcement.version, told.beats) <= last)
     }
 
@@ -416,7 +489,10 @@
     fn has_room(&mut self, place: &(String, SocketAddr), told: &Told, now: Nanos) -> bool {
         let heard = now.saturating_sub(Nanos::from(told.age_s) * SECOND);
         let silent = now.saturating_sub(heard) >= SILENT_AFTER;
-        let authors = self.held.iter().filter(|((region, _), _)| *region == place.0);
+        let authors = self
+            .held
+            .iter()
+            .filter(|((region, _), _)| *region == place.0);
         let authors: Vec<(&(String, SocketAddr), &Held)> = authors.collect();
         let replaced = silent && authors.iter().any(|(_, held)| !held.is_silent(now));
         if replaced || now.saturating_sub(heard) >= self.forget {
@@ -433,7 +509,8 @@
         }
         let says = |held: &Held| (!held.is_silent(now), held.announcement.summary().living);
         let least = authors.iter().min_by_key(|(_, held)| says(held));
-        let least = least.filter(|(_, held)| says(held) < (!silent, told.announcement.summary().living));
+        let least =
+            least.filter(|(_, held)| says(held) < (!silent, told.announcement.summary().living));
         let Some(least) = least.map(|(place, _)| (*place).clone()) else {
             self.dropped.full += 1;
             return false;
@@ -446,18 +523,30 @@
 /// What the authors of one region say, taken together: the word of the one with the most living members. In a region that
 /// is split it is the same one each time, whoever spoke last.
 fn known(authors: &[&Held], now: Nanos) -> Option<Known> {
-    let mut living: Vec<&Held> = authors.iter().copied().filter(|held| !held.is_silent(now)).collect();
+    let mut living: Vec<&Held> = authors
+        .iter()
+        .copied()
+        .filter(|held| !held.is_silent(now))
+        .collect();
     if living.iter().any(|held| !held.is_replaced()) {
         living.retain(|held| !held.is_replaced());
     }
     let considered = if living.is_empty() { authors } else { &living };
-    let rank = |held: &&&Held| (held.announcement.summary().living, held.announcement.version);
+    let rank = |held: &&&Held| {
+        (
+            held.announcement.summary().living,
+            held.announcement.version,
+        )
+    };
     let first = if living.is_empty() {
         considered.iter().max_by_key(|held| held.heard)?
     } else {
         considered.iter().max_by_key(rank)?
     };
-    let places = considered.iter().map(|held| held.announcement.summary().places).max()?;
+    let places = considered
+        .iter()
+        .map(|held| held.announcement.summary().places)
+        .max()?;
     Some(Known {
         summary: first.announcement.summary().clone(),
         version: first.announcement.version,
--- a/crates/fleet/src/regions/overview.rs
+++ b/crates/fleet/src/regions/overview.rs
@@ -71,7 +71,10 @@
     }
 
     fn without_silence(&self) -> RegionRow {
-        RegionRow { silent_s: None, ..self.clone() }
+        RegionRow {
+            silent_s: None,
+            ..self.clone()
+        }
     }
 }
 
@@ -138,9 +141,17 @@
 
 impl Default for Overview {
     fn default() -> Self {
-        let part = |number| Part { number: number as u8, ..Part::default() };
-        let held = |number| Held { part: part(number), ..Held::default() };
-        Overview { held: (0..PARTS).map(held).collect() }
+        let part = |number| Part {
+            number: number as u8,
+            ..Part::default()
+        };
+        let held = |number| Held {
+            part: part(number),
+            ..Held::default()
+        };
+        Overview {
+            held: (0..PARTS).map(held).collect(),
+        }
     }
 }
 
@@ -154,7 +165,10 @@
     pub fn rows(&self) -> impl Iterator<Item = (&RegionRow, Option<Nanos>)> {
         self.held.iter().flat_map(|held| {
             let since = |silent_s: u32| held.taken.saturating_sub(Nanos::from(silent_s) * SECOND);
-            held.part.rows.iter().map(move |row| (row, row.silent_s.map(since)))
+            held.part
+                .rows
+                .iter()
+                .map(move |row| (row, row.silent_s.map(since)))
         })
     }
 
@@ -168,13 +182,27 @@
         }
         for (held, rows) in self.held.iter_mut().zip(parts) {
             let same = held.part.rows.len() == rows.len()
-                && held.part.rows.iter().zip(&rows).all(|(former, row)| former.says_the_same(row));
+                && held
+                    .part
+                    .rows
+                    .iter()
+                    .zip(&rows)
+                    .all(|(former, row)| former.says_the_same(row));
             if same {
                 continue;
             }
             let version = unix_ms.max(held.part.version + 1);
-            let part = Part { number: held.part.number, author: Some(author), version, rows };
-            *held = Held { part, taken: now, rumours: RUMOURS };
+            let part = Part {
+                number: held.part.number,
+                author: Some(author),
+                version,
+                rows,
+            };
+            *held = Held {
+                part,
+                taken: now,
+                rumours: RUMOURS,
+            };
         }
     }
 
@@ -184,8 +212,15 @@
         let sound = part.version <= unix_ms + CLOCK_SKEW_MAX_MS
             && part.author.is_some()
             && part.rows.len() <= REGIONS_MAX
-            && part.rows.iter().all(|row| bounded(row) && part_of(&row.region) == usize::from(part.number));
-        let Some(held) = self.held.get_mut(usize::from(part.number)).filter(|_| sound) else {
+            && part
+                .rows
+                .iter()
+                .all(|row| bounded(row) && part_of(&row.region) == usize::from(part.number));
+        let Some(held) = self
+            .held
+            .get_mut(usize::from(part.number))
+            .filter(|_| sound)
+        else {
             return Taken::Refused;
         };
         let rank = |part: &Part| (part.version, part.author);
@@ -195,8 +230,16 @@
         if rank(&part) < rank(&held.part) {
             return Taken::Older(held.told(now));
         }
-        let rumours = if planted::is(Fault::KeepsOverviewToItself) { 0 } else { RUMOURS };
-        *held = Held { part, taken: now, rumours };
+        let rumours = if planted::is(Fault::KeepsOverviewToItself) {
+            0
+        } else {
+            RUMOURS
+        };
+        *held = Held {
+            part,
+            taken: now,
+            rumours,
+        };
         Taken::New
     }
 
@@ -222,7 +265,10 @@
 
     /// What is held, summed up: four bytes a part.
     pub fn sums(&self) -> Vec<u8> {
-        self.held.iter().flat_map(|held| held.sum().to_le_bytes()).collect()
+        self.held
+            .iter()
+            .flat_map(|held| held.sum().to_le_bytes())
+            .collect()
     }
 
     /// The parts in which another holds something else, as many as a datagram bears, from this one on; `None` if the sums
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -46,16 +46,27 @@
 impl Suspicions {
     /// None yet; a watcher gives its suspect up after `span`.
     pub fn new(span: Nanos) -> Self {
-        Suspicions { running: BTreeMap::new(), span, begun: 0, given_up: 0 }
+        Suspicions {
+            running: BTreeMap::new(),
+            span,
+            begun: 0,
+            given_up: 0,
+        }
     }
 
     /// These are suspect now: a suspicion that is new begins, one that no longer holds ends.
     pub fn hold(&mut self, now: Nanos, suspects: &BTreeMap<SocketAddr, (Identity, u16)>) {
-        self.running.retain(|address, r| suspects.get(address) == Some(&(r.suspect, r.incarnation)));
+        self.running
+            .retain(|address, r| suspects.get(address) == Some(&(r.suspect, r.incarnation)));
         for (address, (suspect, incarnation)) in suspects {
             self.running.entry(*address).or_insert_with(|| {
                 self.begun += 1;
-                Running { suspect: *suspect, incarnation: *incarnation, since: now, ask: now }
+                Running {
+                    suspect: *suspect,
+                    incarnation: *incarnation,
+                    since: now,
+                    ask: now,
+                }
             });
         }
     }
@@ -84,7 +95,11 @@
         for (address, r) in &mut self.running {
             let watched = watches(*address);
             // A word of its own proves that it lives, whatever others say; it is asked on until it refutes.
-            let quiet_since = if last_question { r.since.max(heard(*address)) } else { r.since };
+            let quiet_since = if last_question {
+                r.since.max(heard(*address))
+            } else {
+                r.since
+            };
             let wait = self.span * patience * if watched { 1 } else { OTHERS_WAIT };
             if may_accuse && now.saturating_sub(quiet_since) >= wait {
                 over.push(*address);
--- a/crates/fleet/src/suspicion/tests.rs
+++ b/crates/fleet/src/suspicion/tests.rs
@@ -4,11 +4,16 @@
 use crate::MS;
 
 fn id(n: u8) -> Identity {
-    Identity { address: SocketAddr::from(([127, 0, 0, n], 1)), generation: 1 }
+    Identity {
+        address: SocketAddr::from(([127, 0, 0, n], 1)),
+        generation: 1,
+    }
 }
 
 fn suspects(of: &[(u8, u16)]) -> BTreeMap<SocketAddr, (Identity, u16)> {
-    of.iter().map(|(n, incarnation)| (id(*n).address, (id(*n), *incarnation))).collect()
+    of.iter()
+        .map(|(n, incarnation)| (id(*n).address, (id(*n), *incarnation)))
+        .collect()
 }
 
 #[test]
@@ -33,12 +38,21 @@
         steps.iter().any(|s| matches!(s, Step::GiveUp(..)))
     };
     assert!(!gives_up(&mut mine, 1_500, 1, true, 501), "heard since");
-    assert!(!gives_up(&mut mine, 1_999, 2, true, 0), "in doubt of itself");
+    assert!(
+        !gives_up(&mut mine, 1_999, 2, true, 0),
+        "in doubt of itself"
+    );
     assert!(!gives_up(&mut mine, 5_000, 1, false, 0), "cut off itself");
     mine.begin_anew(5_000 * MS);
-    assert!(!gives_up(&mut mine, 5_999, 1, true, 0), "stood still until 5 s");
+    assert!(
+        !gives_up(&mut mine, 5_999, 1, true, 0),
+        "stood still until 5 s"
+    );
     mine.hold(5_999 * MS, &suspects(&[(1, 8)]));
-    assert!(!gives_up(&mut mine, 6_900, 1, true, 0), "refuted once, and suspect anew");
+    assert!(
+        !gives_up(&mut mine, 6_900, 1, true, 0),
+        "refuted once, and suspect anew"
+    );
     mine.hold(6_950 * MS, &suspects(&[]));
     assert!(!gives_up(&mut mine, 99_000, 1, true, 0));
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -60,7 +60,9 @@
 impl Seen {
     /// Its name, or its address where it has not told one.
     pub fn name(&self) -> String {
-        self.soft.as_ref().map_or_else(|| self.id.address.to_string(), |soft| soft.name.clone())
+        self.soft
+            .as_ref()
+            .map_or_else(|| self.id.address.to_string(), |soft| soft.name.clone())
     }
 }
 
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -44,7 +44,12 @@
     let others: Vec<u64> = living.iter().map(|address| number(*address)).collect();
     let is_drawn = |watched: u64| {
         let mine = weight(own, watched);
-        others.iter().filter(|other| weight(**other, watched) > mine).take(WATCHERS).count() < WATCHERS
+        others
+            .iter()
+            .filter(|other| weight(**other, watched) > mine)
+            .take(WATCHERS)
+            .count()
+            < WATCHERS
     };
     (0..of.len()).filter(|n| is_drawn(number(of[*n]))).collect()
 }
@@ -80,33 +85,55 @@
 impl Watch {
     /// A member at this address that knows nobody.
     pub fn new(own: SocketAddr) -> Self {
-        Watch { own, living: Vec::new(), watchers: Vec::new(), watched: BTreeMap::new(), drawn: 0, beat: 0 }
+        Watch {
+            own,
+            living: Vec::new(),
+            watchers: Vec::new(),
+            watched: BTreeMap::new(),
+            drawn: 0,
+            beat: 0,
+        }
     }
 
     /// Draws the lists anew if the living have changed: `living` are the others that are not suspect, in order.
     pub fn draw(&mut self, now: Nanos, living: &[SocketAddr], held: impl Fn(SocketAddr) -> bool) {
-        if living == self.living || (now.saturating_sub(self.drawn) < DRAW_EVERY && !self.living.is_empty()) {
+        if living == self.living
+            || (now.saturating_sub(self.drawn) < DRAW_EVERY && !self.living.is_empty())
+        {
             return;
         }
         self.drawn = now;
         self.living = living.to_vec();
         let numbers: Vec<u64> = living.iter().map(|a| number(*a)).collect();
         let own = number(self.own);
-        let mut all: Vec<(u64, SocketAddr)> =
-            numbers.iter().zip(living).map(|(n, a)| (weight(*n, own), *a)).collect();
+        let mut all: Vec<(u64, SocketAddr)> = numbers
+            .iter()
+            .zip(living)
+            .map(|(n, a)| (weight(*n, own), *a))
+            .collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         self.watchers = all.into_iter().take(WATCHERS).map(|(_, a)| a).collect();
         // Who is suspect is listened for as before, until it is given up or refutes; who is not keeps the silence that
         // has been counted, or each draw during a mass death would put the others' suspicions off.
-        self.watched.retain(|address, _| held(*address) || living.binary_search(address).is_ok());
+        self.watched
+            .retain(|address, _| held(*address) || living.binary_search(address).is_ok());
         for (i, address) in living.iter().enumerate() {
             let mine = weight(own, numbers[i]);
             let heavier = |(j, n): (usize, &u64)| j != i && weight(*n, numbers[i]) > mine;
-            let rank = numbers.iter().enumerate().filter(|(j, n)| heavier((*j, n))).take(KEPT).count();
+            let rank = numbers
+                .iter()
+                .enumerate()
+                .filter(|(j, n)| heavier((*j, n)))
+                .take(KEPT)
+                .count();
             if rank < WATCHERS {
                 // Whoever watched it before may have died with it: it is asked at once.
                 let since = now.saturating_sub(QUIET);
-                self.watched.entry(*address).or_insert(Watched { since, ask: now, told: false });
+                self.watched.entry(*address).or_insert(Watched {
+                    since,
+                    ask: now,
+                    told: false,
+                });
             } else if rank >= KEPT {
                 self.watched.remove(address);
             }
--- a/crates/pipitrun/src/agent.rs
+++ b/crates/pipitrun/src/agent.rs
@@ -22,7 +22,10 @@
 impl Pace {
     /// A pace that suits this grace for caches that drain, in nanoseconds; one of 0 is paced like the shortest.
     pub fn new(grace: Nanos) -> Self {
-        Pace { most: (grace / GRACE_PART).clamp(FIRST, MOST), wait: FIRST }
+        Pace {
+            most: (grace / GRACE_PART).clamp(FIRST, MOST),
+            wait: FIRST,
+        }
     }
 
     /// How long to wait after a watch that ended when it had stood for `stood`: not at all after one that stood for
@@ -48,7 +51,11 @@
         assert_eq!(pace.ended(126 * MS), 0);
         let waits: Vec<_> = (0..6).map(|_| pace.ended(0) / MS).collect();
         assert_eq!(waits, [10, 20, 40, 80, 125, 125]);
-        assert_eq!((pace.ended(126 * MS), pace.ended(1) / MS), (0, 10), "begun anew");
+        assert_eq!(
+            (pace.ended(126 * MS), pace.ended(1) / MS),
+            (0, 10),
+            "begun anew"
+        );
     }
 
     #[test]
--- a/crates/pipitrun/src/config.rs
+++ b/crates/pipitrun/src/config.rs
@@ -75,7 +75,10 @@
 impl std::error::Error for ConfigError {}
 
 fn wrong(key: &str, problem: impl fmt::Display) -> ConfigError {
-    ConfigError { key: key.into(), problem: problem.to_string() }
+    ConfigError {
+        key: key.into(),
+        problem: problem.to_string(),
+    }
 }
 
 #[derive(Deserialize)]
@@ -105,7 +108,8 @@
     /// `GW_DISCOVERY` go before the file.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = variable("GW_CONFIG").ok_or_else(|| wrong("GW_CONFIG", "is not set"))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| wrong("GW_CONFIG", format!("{path}: {e}")))?;
+        let text = std::fs::read_to_string(&path)
+            .map_err(|e| wrong("GW_CONFIG", format!("{path}: {e}")))?;
         Config::parse(&text, variable)
     }
 
@@ -138,7 +142,10 @@
             ("settings", settings),
             ("fleet", self.fleet != former.fleet),
         ];
-        keys.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
+        keys.into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(key, _)| key)
+            .collect()
     }
 
     /// The configuration in this text, with no environment.
@@ -153,10 +160,11 @@
             .map_err(|e| wrong(&e.path().to_string(), e.inner()))?;
         json.end().map_err(|e| wrong("GW_CONFIG", e))?;
         // Which key tells something, and what: the environment goes before the file.
-        let told = |name: &'static str, key: &'static str, in_file: Option<String>| match variable(name) {
-            Some(text) => Some((name, text)),
-            None => in_file.map(|text| (key, text)),
-        };
+        let told =
+            |name: &'static str, key: &'static str, in_file: Option<String>| match variable(name) {
+                Some(text) => Some((name, text)),
+                None => in_file.map(|text| (key, text)),
+            };
         let address = |name, key, in_file| {
             let missing = || wrong(key, format!("is missing, and {name} is not set"));
             let (key, text) = told(name, key, in_file).ok_or_else(missing)?;
@@ -167,7 +175,8 @@
             Some((key, text)) => {
                 let address = parse_address(key, &text)?;
                 if address == listen && address.port() != 0 {
-                    let problem = format!("\"{text}\" is where clients connect; it must be another address");
+                    let problem =
+                        format!("\"{text}\" is where clients connect; it must be another address");
                     return Err(wrong(key, problem));
                 }
                 Some(address)
@@ -175,32 +184,57 @@
             None => None,
         };
         let descriptor = |text: String| {
-            let problem =
-                || format!("\"{text}\" is no number of a descriptor; a listening TCP socket is expected");
+            let problem = || {
+                format!(
+                    "\"{text}\" is no number of a descriptor; a listening TCP socket is expected"
+                )
+            };
             text.parse().map_err(|_| wrong("GW_SOCKET_FD", problem()))
         };
         let socket_fd = variable("GW_SOCKET_FD").map(descriptor).transpose()?;
         let remarks = file.settings.remarks();
-        let (settings, names, transport) = file.settings.translate().map_err(|e| wrong("settings", e))?;
-        settings.check().map_err(|e| wrong(&format!("settings.{}", key_of(&e)), e.problem))?;
+        let (settings, names, transport) = file
+            .settings
+            .translate()
+            .map_err(|e| wrong("settings", e))?;
+        settings
+            .check()
+            .map_err(|e| wrong(&format!("settings.{}", key_of(&e)), e.problem))?;
         let figure = |key: &str, value: Option<f64>, default: usize, least: usize| match value {
             None => Ok(default),
             Some(v) if v >= least as f64 => Ok(v as usize),
-            Some(v) => Err(wrong(key, format!("{v} is too little, {least} is the least"))),
+            Some(v) => Err(wrong(
+                key,
+                format!("{v} is too little, {least} is the least"),
+            )),
         };
         Ok(Config {
-            name: variable("GW_NAME").or(file.name).unwrap_or_else(|| "balancer".into()),
+            name: variable("GW_NAME")
+                .or(file.name)
+                .unwrap_or_else(|| "balancer".into()),
             listen,
             management,
             socket_fd,
-            folder: variable("TMPDIR").filter(|f| !f.is_empty()).map(PathBuf::from),
+            folder: variable("TMPDIR")
+                .filter(|f| !f.is_empty())
+                .map(PathBuf::from),
             fleet: file.fleet.map(FileFleet::check).transpose()?,
             discovery: address("GW_DISCOVERY", "discovery", file.discovery.clone())?,
             discovery_in_file: file.discovery,
             seed: seed(&file.seed),
-            sockets: figure("limits.sockets", file.limits.sockets, SOCKETS_DEFAULT, SOCKETS_LEAST)?,
-            memory: figure("limits.memory_mb", file.limits.memory_mb, MEMORY_DEFAULT, 16)?
-                .saturating_mul(1 << 20),
+            sockets: figure(
+                "limits.sockets",
+                file.limits.sockets,
+                SOCKETS_DEFAULT,
+                SOCKETS_LEAST,
+            )?,
+            memory: figure(
+                "limits.memory_mb",
+                file.limits.memory_mb,
+                MEMORY_DEFAULT,
+                16,
+            )?
+            .saturating_mul(1 << 20),
             known: file.known,
             settings,
             names,
@@ -211,12 +245,15 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| wrong(key, format!("\"{text}\" is no address with a port")))
+    text.parse()
+        .map_err(|_| wrong(key, format!("\"{text}\" is no address with a port")))
 }
 
 /// The seed is hex digits; whatever else stands there still tells one start from another.
 fn seed(value: &Value) -> u64 {
-    let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
+    let text = value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes()))
 }
 
--- a/crates/pipitrun/src/config/fleet.rs
+++ b/crates/pipitrun/src/config/fleet.rs
@@ -67,7 +67,10 @@
 impl FileFleet {
     pub(super) fn check(self) -> Result<FleetConfig, ConfigError> {
         if self.name.is_empty() || self.name.len() > NAME_MAX {
-            let problem = format!("has {} bytes; 1 to {NAME_MAX} are expected", self.name.len());
+            let problem = format!(
+                "has {} bytes; 1 to {NAME_MAX} are expected",
+                self.name.len()
+            );
             return Err(wrong("fleet.name", problem));
         }
         let bind = parse_address("fleet.bind", &self.bind)?;
@@ -77,20 +80,30 @@
         };
         let advertise = parse_address(key, text)?;
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            let problem =
-                format!("\"{text}\" is no address that others can send to; name one in fleet.advertise");
+            let problem = format!(
+                "\"{text}\" is no address that others can send to; name one in fleet.advertise"
+            );
             return Err(wrong(key, problem));
         }
         if self.join.len() > JOIN_MAX {
-            let problem = format!("names {} addresses; {JOIN_MAX} are the most", self.join.len());
+            let problem = format!(
+                "names {} addresses; {JOIN_MAX} are the most",
+                self.join.len()
+            );
             return Err(wrong("fleet.join", problem));
         }
-        let join =
-            self.join.iter().enumerate().map(|(i, text)| parse_address(&format!("fleet.join[{i}]"), text));
+        let join = self
+            .join
+            .iter()
+            .enumerate()
+            .map(|(i, text)| parse_address(&format!("fleet.join[{i}]"), text));
         let join = join.collect::<Result<Vec<_>, _>>()?;
         let members_max = self.members_max.unwrap_or(MEMBERS_DEFAULT);
         if !(2..=MEMBERS_MOST).contains(&members_max) {
-            return Err(wrong("fleet.members_max", format!("{members_max} is not in 2 to {MEMBERS_MOST}")));
+            return Err(wrong(
+                "fleet.members_max",
+                format!("{members_max} is not in 2 to {MEMBERS_MOST}"),
+            ));
         }
         let default = Timing::default();
         let span = |key: &str, value: Option<u64>, default: u64, least: u64, most: u64| {
@@ -98,12 +111,38 @@
             if (least..=most).contains(&value) {
                 return Ok(value * MS);
             }
-            Err(wrong(key, format!("{value} ms is not in {least} to {most}")))
+            Err(wrong(
+                key,
+                format!("{value} ms is not in {least} to {most}"),
+            ))
+        };
+        let suspect = span(
+            "fleet.suspect_ms",
+            self.suspect_ms,
+            default.suspect,
+            300,
+            60_000,
+        )?;
+        let hold = span(
+            "fleet.hold_ms",
+            self.hold_ms,
+            default.hold,
+            suspect / MS,
+            3_600_000,
+        )?;
+        let forget = span(
+            "fleet.forget_ms",
+            self.forget_ms,
+            default.forget,
+            2 * hold / MS,
+            86_400_000,
+        )?;
+        let timing = Timing {
+            suspect,
+            hold,
+            forget,
+            ..default
         };
-        let suspect = span("fleet.suspect_ms", self.suspect_ms, default.suspect, 300, 60_000)?;
-        let hold = span("fleet.hold_ms", self.hold_ms, default.hold, suspect / MS, 3_600_000)?;
-        let forget = span("fleet.forget_ms", self.forget_ms, default.forget, 2 * hold / MS, 86_400_000)?;
-        let timing = Timing { suspect, hold, forget, ..default };
         let location = location(self.region, self.zone, self.site)?;
         Ok(FleetConfig {
             bind,
@@ -126,7 +165,10 @@
 ) -> Result<Location, ConfigError> {
     let name = |key: &str, value: Option<String>| match value {
         Some(name) if name.is_empty() || name.len() > LOCATION_NAME_MAX => {
-            let problem = format!("has {} bytes; 1 to {LOCATION_NAME_MAX} are expected", name.len());
+            let problem = format!(
+                "has {} bytes; 1 to {LOCATION_NAME_MAX} are expected",
+                name.len()
+            );
             Err(wrong(key, problem))
         }
         value => Ok(value.unwrap_or_default()),
@@ -136,7 +178,10 @@
     let site = name("fleet.site", site)?;
     for (key, value) in [("fleet.zone", &zone), ("fleet.site", &site)] {
         if region.is_empty() && !value.is_empty() {
-            return Err(wrong(key, "says where in a region, and fleet.region is not set"));
+            return Err(wrong(
+                key,
+                "says where in a region, and fleet.region is not set",
+            ));
         }
     }
     Ok(Location { region, zone, site })
--- a/crates/pipitrun/src/config/tests.rs
+++ b/crates/pipitrun/src/config/tests.rs
@@ -17,8 +17,14 @@
 fn a_good_configuration_is_read_and_the_environment_goes_before_it() {
     let variable = |name: &str| (name == "GW_LISTEN").then(|| "127.0.0.9:1".to_string());
     let config = Config::parse(GOOD, variable).unwrap();
-    assert_eq!((config.listen.to_string().as_str(), config.seed), ("127.0.0.9:1", 255));
-    assert_eq!((config.sockets, config.memory, config.name.as_str()), (512, 128 << 20, "n3"));
+    assert_eq!(
+        (config.listen.to_string().as_str(), config.seed),
+        ("127.0.0.9:1", 255)
+    );
+    assert_eq!(
+        (config.sockets, config.memory, config.name.as_str()),
+        (512, 128 << 20, "n3")
+    );
     assert_eq!(config.settings.limits.max_attempts, 3);
 }
 
@@ -36,12 +42,30 @@
     ] {
         let config = told(&format!("{sound}\"{mode}\","));
         assert_eq!(config.settings.discovery, discovery);
-        let named = config.remarks.iter().filter(|r| r.contains("membership_mode: \"carrier\"")).count();
-        assert_eq!((named, config.remarks.len()), if mode == "carrier" { (1, 1) } else { (0, 0) });
+        let named = config
+            .remarks
+            .iter()
+            .filter(|r| r.contains("membership_mode: \"carrier\""))
+            .count();
+        assert_eq!(
+            (named, config.remarks.len()),
+            if mode == "carrier" { (1, 1) } else { (0, 0) }
+        );
     }
     let bare = told("");
-    let keys = ["membership_mode: \"\"", "group_size: 0", "obligations.drain_grace_ns: 0"];
-    assert!(bare.remarks.iter().zip(keys).all(|(r, key)| r.starts_with(key)), "{:?}", bare.remarks);
+    let keys = [
+        "membership_mode: \"\"",
+        "group_size: 0",
+        "obligations.drain_grace_ns: 0",
+    ];
+    assert!(
+        bare.remarks
+            .iter()
+            .zip(keys)
+            .all(|(r, key)| r.starts_with(key)),
+        "{:?}",
+        bare.remarks
+    );
     assert_eq!((bare.remarks.len(), bare.settings.routers), (3, 1));
 }
 
@@ -49,7 +73,9 @@
 fn the_inherited_socket_is_told_by_number() {
     let fd = |text: &str| {
         let variable = |name: &str| (name == "GW_SOCKET_FD").then(|| text.to_string());
-        Config::parse(GOOD, variable).map(|c| c.socket_fd).map_err(|e| e.to_string())
+        Config::parse(GOOD, variable)
+            .map(|c| c.socket_fd)
+            .map_err(|e| e.to_string())
     };
     assert_eq!(fd("7"), Ok(Some(7)));
     let error = "configuration: GW_SOCKET_FD: \"seven\" is no number of a descriptor; a listening TCP socket is expected";
@@ -60,39 +86,91 @@
 fn a_new_address_of_discovery_in_the_file_goes_before_the_environment_at_a_reload() {
     let variable = |name: &str| (name == "GW_DISCOVERY").then(|| "127.0.0.9:1".to_string());
     let first = Config::parse(GOOD, variable).unwrap();
-    let same = first.follow(Config::parse(GOOD, variable).unwrap()).unwrap();
-    assert_eq!(same.discovery.to_string(), "127.0.0.9:1", "the file says nothing new");
-    let moved = GOOD.replace("127.0.0.2:8500", "127.0.0.4:8500").replace("\"ff\"", "\"fe\"");
-    let moved = same.follow(Config::parse(&moved, variable).unwrap()).unwrap();
+    let same = first
+        .follow(Config::parse(GOOD, variable).unwrap())
+        .unwrap();
+    assert_eq!(
+        same.discovery.to_string(),
+        "127.0.0.9:1",
+        "the file says nothing new"
+    );
+    let moved = GOOD
+        .replace("127.0.0.2:8500", "127.0.0.4:8500")
+        .replace("\"ff\"", "\"fe\"");
+    let moved = same
+        .follow(Config::parse(&moved, variable).unwrap())
+        .unwrap();
     assert_eq!(moved.discovery.to_string(), "127.0.0.4:8500");
     assert_eq!(moved.start_only(&first), ["seed"]);
-    let again = moved.follow(Config::parse(GOOD, variable).unwrap()).unwrap();
-    assert_eq!(again.discovery.to_string(), "127.0.0.2:8500", "moved back, in the file");
+    let again = moved
+        .follow(Config::parse(GOOD, variable).unwrap())
+        .unwrap();
+    assert_eq!(
+        again.discovery.to_string(),
+        "127.0.0.2:8500",
+        "moved back, in the file"
+    );
     let bad = Config::parse(&GOOD.replace("127.0.0.2:8500", "there"), variable).unwrap();
     let error = again.follow(bad).unwrap_err().to_string();
-    assert_eq!(error, "configuration: discovery: \"there\" is no address with a port");
+    assert_eq!(
+        error,
+        "configuration: discovery: \"there\" is no address with a port"
+    );
 }
 
 #[test]
 fn a_faulty_key_is_named() {
     let cases = [
-        ("\"listen\":\"127.0.0.1:6379\",", "", "listen: is missing, and GW_LISTEN is not set"),
-        ("127.0.0.2:8500", "there", "discovery: \"there\" is no address with a port"),
-        ("\"seed\"", "\"management\":\"x:1\",\"seed\"", "management: \"x:1\" is no address with a port"),
+        (
+            "\"listen\":\"127.0.0.1:6379\",",
+            "",
+            "listen: is missing, and GW_LISTEN is not set",
+        ),
+        (
+            "127.0.0.2:8500",
+            "there",
+            "discovery: \"there\" is no address with a port",
+        ),
+        (
+            "\"seed\"",
+            "\"management\":\"x:1\",\"seed\"",
+            "management: \"x:1\" is no address with a port",
+        ),
         (
             "\"seed\"",
             "\"management\":\"127.0.0.1:6379\",\"seed\"",
             "management: \"127.0.0.1:6379\" is where clients connect; it must be another address",
         ),
-        ("\"sockets\":512", "\"sockets\":5", "limits.sockets: 5 is too little, 64 is the least"),
-        ("\"give_up_ns\":1000", "\"give_up_ns\":0", "settings.profiles[0].give_up_ns: must be over 0"),
-        ("\"max_attempts\":3", "\"max_attempts\":0", "settings.caps.max_attempts: must be over 0"),
+        (
+            "\"sockets\":512",
+            "\"sockets\":5",
+            "limits.sockets: 5 is too little, 64 is the least",
+        ),
+        (
+            "\"give_up_ns\":1000",
+            "\"give_up_ns\":0",
+            "settings.profiles[0].give_up_ns: must be over 0",
+        ),
+        (
+            "\"max_attempts\":3",
+            "\"max_attempts\":0",
+            "settings.caps.max_attempts: must be over 0",
+        ),
     ];
     for (from, to, message) in cases {
-        assert_eq!(load(from, to).unwrap_err(), format!("configuration: {message}"));
+        assert_eq!(
+            load(from, to).unwrap_err(),
+            format!("configuration: {message}")
+        );
     }
     let error = load("\"give_up_ns\":1000", "\"give_up_ns\":\"x\"").unwrap_err();
-    assert!(error.starts_with("configuration: settings.profiles[0].give_up_ns: invalid type"), "{error}");
+    assert!(
+        error.starts_with("configuration: settings.profiles[0].give_up_ns: invalid type"),
+        "{error}"
+    );
     let error = load("\"seq\":4", "\"seq\":\"4\"").unwrap_err();
-    assert!(error.starts_with("configuration: known.seq: invalid type"), "{error}");
+    assert!(
+        error.starts_with("configuration: known.seq: invalid type"),
+        "{error}"
+    );
 }
--- a/crates/pipitrun/src/decide.rs
+++ b/crates/pipitrun/src/decide.rs
@@ -3,8 +3,8 @@
 use crate::request::Incoming;
 use crate::upstream_group::{Host, HostList};
 use finchyard::{
-    Action, Brain, ClassId, Entry, Event, Key, Learnt, ListScope, Nanos, NewRequest, Phase, ServerId, Tally,
-    TenantId,
+    Action, Brain, ClassId, Entry, Event, Key, Learnt, ListScope, Nanos, NewRequest, Phase,
+    ServerId, Tally, TenantId,
 };
 use finchyard_settings::Names;
 use xxhash_rust::xxh3::xxh3_64;
@@ -56,7 +56,11 @@
         Some(Event::Request(NewRequest {
             id: incoming.ticket.request,
             class: ClassId(place(&self.names.classes, &incoming.class)?),
-            tenant: incoming.tenant.as_ref().and_then(|t| place(&self.names.tenants, t)).map(TenantId),
+            tenant: incoming
+                .tenant
+                .as_ref()
+                .and_then(|t| place(&self.names.tenants, t))
+                .map(TenantId),
             key: Some(key(&incoming.order.key)),
             patience: incoming.patience,
             work: incoming.work,
@@ -71,16 +75,31 @@
             (false, true) => ListScope::Whole,
             (false, false) => ListScope::Patch,
         };
-        Event::List { scope, entries: list.hosts.iter().map(|h| self.entry(h)).collect() }
+        Event::List {
+            scope,
+            entries: list.hosts.iter().map(|h| self.entry(h)).collect(),
+        }
     }
 
     fn entry(&self, host: &Host) -> Entry {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         // A zone that the settings don't name is one of its own, and where none is told each host is; so it is with cells. Taken for one,
         // the caches of two would be trusted to discard each other's repeats.
-        let own = |told: &str| xxh3_64(if told.is_empty() { host.host.as_bytes() } else { told.as_bytes() });
+        let own = |told: &str| {
+            xxh3_64(if told.is_empty() {
+                host.host.as_bytes()
+            } else {
+                told.as_bytes()
+            })
+        };
         let zone = || (own(&host.site) | 1 << 63) as usize;
-        let block = || if host.block.is_null() { String::new() } else { host.block.to_string() };
+        let block = || {
+            if host.block.is_null() {
+                String::new()
+            } else {
+                host.block.to_string()
+            }
+        };
         Entry {
             server: server_id(&host.host),
             zone: place(&self.names.zones, &host.site).unwrap_or_else(zone),
@@ -116,7 +135,9 @@
 /// Keys are hex digits; any other text is as good a key.
 fn key(text: &[u8]) -> Key {
     let hex = std::str::from_utf8(text).ok().filter(|t| t.len() == 16);
-    Key(hex.and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or_else(|| xxh3_64(text)))
+    Key(hex
+        .and_then(|t| u64::from_str_radix(t, 16).ok())
+        .unwrap_or_else(|| xxh3_64(text)))
 }
 
 #[cfg(test)]
--- a/crates/pipitrun/src/decide/tests.rs
+++ b/crates/pipitrun/src/decide/tests.rs
@@ -12,13 +12,16 @@
     let list = r#"{"seq":1,"whole":true,"hosts":[
         {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3}, {"host":"h2","site":"c","block":"x"},
         {"host":"h3","site":"b","block":"x"}, {"host":"h4"}, {"host":"h5"}]}"#;
-    let Event::List { entries, .. } = decide.list(&serde_json::from_str(list).unwrap(), false) else {
+    let Event::List { entries, .. } = decide.list(&serde_json::from_str(list).unwrap(), false)
+    else {
         panic!("a list");
     };
     // Which hosts share a zone, and which a cell.
     let pairs = |same: &dyn Fn(&Entry, &Entry) -> bool| {
         let pairs = (0..entries.len()).flat_map(|a| (a + 1..entries.len()).map(move |b| (a, b)));
-        pairs.filter(|(a, b)| same(&entries[*a], &entries[*b])).collect::<Vec<_>>()
+        pairs
+            .filter(|(a, b)| same(&entries[*a], &entries[*b]))
+            .collect::<Vec<_>>()
     };
     assert_eq!(entries[0].zone, 0, "by its place in the settings");
     assert_eq!(pairs(&|a, b| a.zone == b.zone), [(1, 3)], "both in b");
--- a/crates/pipitrun/src/event_loop.rs
+++ b/crates/pipitrun/src/event_loop.rs
@@ -119,30 +119,46 @@
         let looks = Looks::start(now);
         let poll = what(Poll::new(), "poller")?;
         let (for_peers, for_clients) = split_sockets(config.sockets, config.management.is_some());
-        let brain = Brain::new(config.settings.clone(), config.seed, now).map_err(|e| e.to_string())?;
+        let brain =
+            Brain::new(config.settings.clone(), config.seed, now).map_err(|e| e.to_string())?;
         let transport = config.transport;
         let known = config.known.take();
         let deadlines = config.settings.classes.iter().map(|class| class.deadline);
-        let life = LifeCycle::new(config.socket_fd.is_some(), deadlines.max().unwrap_or_default());
+        let life = LifeCycle::new(
+            config.socket_fd.is_some(),
+            deadlines.max().unwrap_or_default(),
+        );
         let grace = config.settings.rules.drain_grace;
         let pace = (config.settings.discovery == Discovery::Pushed).then(|| Pace::new(grace));
         let management = |address| {
             let key = "configuration: management (GW_MANAGEMENT)";
-            Management::listen(&poll, address, config.fleet.is_some())
-                .map_err(|e| format!("{key}: {address}: {e}; a free address of this machine is expected"))
+            Management::listen(&poll, address, config.fleet.is_some()).map_err(|e| {
+                format!("{key}: {address}: {e}; a free address of this machine is expected")
+            })
         };
         let mut me = EventLoop {
             stop: what(signals(&poll, &[SIGTERM, SIGINT], Source::Stop), "signals")?,
             report: what(signals(&poll, &[SIGUSR1], Source::Report), "signals")?,
             reload: what(signals(&poll, &[SIGHUP], Source::Reload), "signals")?,
             front: what(
-                RespFront::listen(&poll, clients_socket(&config)?, for_clients, life.stance(now), looks),
+                RespFront::listen(
+                    &poll,
+                    clients_socket(&config)?,
+                    for_clients,
+                    life.stance(now),
+                    looks,
+                ),
                 &format!("listening on {}", config.listen),
             )?,
             seats: take_seat(&config, now),
             hand_over: HandOver::new(),
             group: UpstreamGroup::new(&poll, config.discovery, pace),
-            peers: Peers::new(&poll, for_peers, transport.connect_timeout, transport.conn_idle),
+            peers: Peers::new(
+                &poll,
+                for_peers,
+                transport.connect_timeout,
+                transport.conn_idle,
+            ),
             decide: Decide::new(brain, config.names.clone()),
             tries: Tries::default(),
             timers: Timers::default(),
@@ -201,7 +217,9 @@
             return Duration::ZERO;
         }
         let most = Duration::from_nanos(WAIT_MOST);
-        self.timers.wait(self.clock.now()).map_or(most, |wait| wait.min(most))
+        self.timers
+            .wait(self.clock.now())
+            .map_or(most, |wait| wait.min(most))
     }
 
     /// Waits for ready sockets. False if a signal cut the wait short.
@@ -248,11 +266,17 @@
         }
         self.tries.set_lost(self.looks.lost());
         // The operators' calls go first: whatever the load, an answer waits for one turn at most.
-        for one in ready.iter().filter(|one| matches!(one.source, Source::Management | Source::Caller(_))) {
+        for one in ready
+            .iter()
+            .filter(|one| matches!(one.source, Source::Management | Source::Caller(_)))
+        {
             self.management(now, *one);
         }
         self.turns.step(TurnStep::Lists, now);
-        for one in ready.iter().filter(|one| matches!(one.source, Source::Discovery(_))) {
+        for one in ready
+            .iter()
+            .filter(|one| matches!(one.source, Source::Discovery(_)))
+        {
             let mut events = Vec::new();
             self.group.ready(now, *one, &mut events, &mut self.counters);
             self.group_events(events);
@@ -265,7 +289,8 @@
                 Source::Management | Source::Caller(_) | Source::Discovery(_) => {}
                 Source::Peer(_) => {
                     let mut events = Vec::new();
-                    self.peers.ready(now, one, &mut self.timers, &mut events, &mut self.counters);
+                    self.peers
+                        .ready(now, one, &mut self.timers, &mut events, &mut self.counters);
                     self.peer_events(now, events);
                 }
                 Source::Stop => self.stop(now),
@@ -302,9 +327,17 @@
             Due::Try(request, attempt) => {
                 // What was not sent whole never ran, and may be repeated.
                 let unsent = self.peers.is_unsent(Job::Try(request, attempt));
-                let outcome = if unsent { Outcome::ConnectFailed } else { Outcome::Timeout };
-                if let Some(event) = self.tries.give_up(now, request, attempt, outcome, &mut self.counters) {
-                    self.peers.abandon(Job::Try(request, attempt), &mut self.counters);
+                let outcome = if unsent {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Timeout
+                };
+                if let Some(event) =
+                    self.tries
+                        .give_up(now, request, attempt, outcome, &mut self.counters)
+                {
+                    self.peers
+                        .abandon(Job::Try(request, attempt), &mut self.counters);
                     self.news.push(event);
                 }
             }
@@ -316,20 +349,28 @@
             }
             Due::Connect(number) => {
                 let mut events = Vec::new();
-                self.peers.connect_due(number, &mut events, &mut self.counters);
+                self.peers
+                    .connect_due(number, &mut events, &mut self.counters);
                 self.peer_events(now, events);
             }
             Due::Stall(number) => {
                 let mut events = Vec::new();
                 // What came since the last look is not read yet.
                 let seen = self.looks.quiet();
-                self.peers.stall_due(seen, number, &mut events, &mut self.counters);
+                self.peers
+                    .stall_due(seen, number, &mut events, &mut self.counters);
                 self.peer_events(now, events);
             }
             Due::Discovery(number) => {
                 let mut events = Vec::new();
                 let seen = self.looks.quiet();
-                self.group.due(seen, number, &mut self.timers, &mut events, &mut self.counters);
+                self.group.due(
+                    seen,
+                    number,
+                    &mut self.timers,
+                    &mut events,
+                    &mut self.counters,
+                );
                 self.group_events(events);
             }
             Due::Watch => self.watch(now),
@@ -351,8 +392,23 @@
 
     fn carry_out(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { request, attempt, server, timeout, begin_within } => {
-                self.send(now, Wanted { request, attempt, server, timeout, begin_within });
+            Action::Send {
+                request,
+                attempt,
+                server,
+                timeout,
+                begin_within,
+            } => {
+                self.send(
+                    now,
+                    Wanted {
+                        request,
+                        attempt,
+                        server,
+                        timeout,
+                        begin_within,
+                    },
+                );
             }
             Action::Fail { request, why } => {
                 self.explain(request, Step::Failed, &why);
@@ -360,16 +416,27 @@
                     self.answer(now, answer);
                 }
             }
-            Action::Note { request, withheld, why } => {
+            Action::Note {
+                request,
+                withheld,
+                why,
+            } => {
                 let step = match withheld {
                     Withheld::Held => Step::Held,
                     Withheld::Copy => Step::NoCopy,
                 };
                 self.explain(request, step, &why);
             }
-            Action::Refuse { request, retry_after, why } => {
+            Action::Refuse {
+                request,
+                retry_after,
+                why,
+            } => {
                 self.explain(request, Step::Refused, &why);
-                if let Some(answer) = self.tries.answer(request, FinalAnswer::Refused { retry_after }) {
+                if let Some(answer) = self
+                    .tries
+                    .answer(request, FinalAnswer::Refused { retry_after })
+                {
                     self.answer(now, answer);
                 }
             }
@@ -377,7 +444,9 @@
             Action::Probe(server) => self.probe(now, server),
             Action::Close(server) => self.peers.close_idle(server, &mut self.counters),
             Action::Watch => self.watch(now),
-            Action::Timer { after, token } => self.timers.set(now.saturating_add(after), Due::Module(token)),
+            Action::Timer { after, token } => self
+                .timers
+                .set(now.saturating_add(after), Due::Module(token)),
             Action::Log(text) => log::info!("{text}"),
         }
     }
@@ -418,12 +487,17 @@
         new.known = None;
         let later = new.start_only(&self.config);
         if !later.is_empty() {
-            log::warn!("changed, but heeded at the next start only: {}", later.join(", "));
+            log::warn!(
+                "changed, but heeded at the next start only: {}",
+                later.join(", ")
+            );
         }
         if new.discovery != self.config.discovery {
             self.news.push(Event::DiscoveryAnew);
         }
-        let failed = self.group.move_to(new.discovery, now, &mut self.timers, &mut self.counters);
+        let failed = self
+            .group
+            .move_to(new.discovery, now, &mut self.timers, &mut self.counters);
         self.group_events(failed.into_iter().collect());
         self.config = new;
         self.split();
--- a/crates/pipitrun/src/event_loop/attempts.rs
+++ b/crates/pipitrun/src/event_loop/attempts.rs
@@ -66,19 +66,25 @@
         let command = match job {
             Job::Try(request, attempt) => {
                 self.look_for_client(now, request);
-                self.tries.first_byte(now, request, attempt, &mut self.counters)
+                self.tries
+                    .first_byte(now, request, attempt, &mut self.counters)
             }
             Job::Probe(_) => {
                 // Where load is reported the probe asks for it.
                 let load = !self.decide.names().report.is_empty();
-                let words: &[&[u8]] = if load { &[b"INFO", b"load"] } else { &[b"PING"] };
+                let words: &[&[u8]] = if load {
+                    &[b"INFO", b"load"]
+                } else {
+                    &[b"PING"]
+                };
                 Ok(write_command(words))
             }
         };
         match command {
             Ok(command) => {
                 let mut events = Vec::new();
-                self.peers.begin(job, command, &mut events, &mut self.counters);
+                self.peers
+                    .begin(job, command, &mut events, &mut self.counters);
                 self.peer_events(now, events);
             }
             Err(never_sent) => {
@@ -93,9 +99,12 @@
 
     /// Nothing is owed to a client that has left, though its end has not been read yet.
     fn look_for_client(&mut self, now: Nanos, request: RequestId) {
-        let Some(connection) = self.tries.owed_to(request) else { return };
+        let Some(connection) = self.tries.owed_to(request) else {
+            return;
+        };
         let mut events = Vec::new();
-        self.front.is_there(connection, now, &mut events, &mut self.counters);
+        self.front
+            .is_there(connection, now, &mut events, &mut self.counters);
         self.front_events(now, events);
     }
 
@@ -107,7 +116,14 @@
                 let whole = matches!(end, JobEnd::Answer(_));
                 self.counters.broken_off += u64::from(!whole);
                 let mut events = Vec::new();
-                self.front.finish(connection, request, whole, now, &mut events, &mut self.counters);
+                self.front.finish(
+                    connection,
+                    request,
+                    whole,
+                    now,
+                    &mut events,
+                    &mut self.counters,
+                );
                 return self.front_events(now, events);
             }
         }
@@ -121,9 +137,14 @@
 
     /// A long value has begun to come.
     fn begun(&mut self, now: Nanos, job: Job, length: usize) {
-        let Job::Try(request, attempt) = job else { return };
+        let Job::Try(request, attempt) = job else {
+            return;
+        };
         self.timers.cancel(Due::Try(request, attempt));
-        match self.tries.begun(now, (request, attempt), length, &mut self.counters) {
+        match self
+            .tries
+            .begun(now, (request, attempt), length, &mut self.counters)
+        {
             Some((event, answer)) => {
                 self.news.push(event);
                 self.answer(now, answer);
@@ -132,18 +153,29 @@
             None => {
                 self.peers.abandon(job, &mut self.counters);
                 let outcome = Outcome::Cancelled;
-                self.news.extend(self.tries.give_up(now, request, attempt, outcome, &mut self.counters));
+                self.news.extend(self.tries.give_up(
+                    now,
+                    request,
+                    attempt,
+                    outcome,
+                    &mut self.counters,
+                ));
             }
         }
     }
 
     /// Passes on the next bytes of a long value, and stops reading its cache while the client can't take more.
     fn part(&mut self, now: Nanos, job: Job, bytes: &[u8]) {
-        let Job::Try(request, attempt) = job else { return };
-        let Some(connection) = self.tries.passing((request, attempt)) else { return };
+        let Job::Try(request, attempt) = job else {
+            return;
+        };
+        let Some(connection) = self.tries.passing((request, attempt)) else {
+            return;
+        };
         self.front.part(connection, request, bytes);
         let mut events = Vec::new();
-        self.front.flush(connection, now, &mut events, &mut self.counters);
+        self.front
+            .flush(connection, now, &mut events, &mut self.counters);
         // At half of what would have requests refused: long values must not cause that.
         let waits = self.front.waits(connection, request) > 0;
         let tight = waits && self.tries.held() + self.front.buffered() > self.memory / 2;
@@ -155,9 +187,18 @@
 
     /// Begins an attempt, unless its request has no time any more.
     pub(super) fn send(&mut self, now: Nanos, wanted: Wanted) {
-        let Wanted { request, attempt, server, timeout, begin_within } = wanted;
+        let Wanted {
+            request,
+            attempt,
+            server,
+            timeout,
+            begin_within,
+        } = wanted;
         let bounds = (timeout, begin_within);
-        match self.tries.start(now, (request, attempt), server, bounds, &mut self.counters) {
+        match self
+            .tries
+            .start(now, (request, attempt), server, bounds, &mut self.counters)
+        {
             Ok(outgoing) => {
                 if let Job::Try(request, attempt) = outgoing.job {
                     self.timers.set(outgoing.until, Due::Try(request, attempt));
@@ -174,9 +215,13 @@
             self.tries.count_unsent(now, request, &mut self.counters);
         }
         let outcome = Outcome::Cancelled;
-        if let Some(event) = self.tries.give_up(now, request, attempt, outcome, &mut self.counters) {
+        if let Some(event) = self
+            .tries
+            .give_up(now, request, attempt, outcome, &mut self.counters)
+        {
             self.timers.cancel(Due::Try(request, attempt));
-            self.peers.abandon(Job::Try(request, attempt), &mut self.counters);
+            self.peers
+                .abandon(Job::Try(request, attempt), &mut self.counters);
             self.news.push(event);
         }
     }
@@ -187,12 +232,25 @@
         if let Job::Probe(probe) = job {
             self.timers.set(now + PROBE_TIMEOUT, Due::Probe(probe));
         }
-        self.dispatch(now, Outgoing { job, server, until: now + PROBE_TIMEOUT });
+        self.dispatch(
+            now,
+            Outgoing {
+                job,
+                server,
+                until: now + PROBE_TIMEOUT,
+            },
+        );
     }
 
     fn dispatch(&mut self, now: Nanos, outgoing: Outgoing) {
         let mut events = Vec::new();
-        self.peers.dispatch(now, outgoing, &mut self.timers, &mut events, &mut self.counters);
+        self.peers.dispatch(
+            now,
+            outgoing,
+            &mut self.timers,
+            &mut events,
+            &mut self.counters,
+        );
         self.peer_events(now, events);
         self.begin_jobs(false);
     }
--- a/crates/pipitrun/src/event_loop/fleet.rs
+++ b/crates/pipitrun/src/event_loop/fleet.rs
@@ -10,7 +10,9 @@
 impl EventLoop {
     /// Begins the talk, where the configuration has the key.
     pub(super) fn join_fleet(&mut self, now: Nanos) -> Result<(), String> {
-        let Some(config) = &self.config.fleet else { return Ok(()) };
+        let Some(config) = &self.config.fleet else {
+            return Ok(());
+        };
         let door = self.front.address().unwrap_or(self.config.listen);
         // Balancers of one fleet differ in their names and addresses, and in nothing of the settings.
         let checksum = xxh3_64(format!("{:?}", self.config.settings).as_bytes());
@@ -27,8 +29,16 @@
         let routers = self.config.settings.routers;
         let beside = self.config.socket_fd.is_some();
         let tiers = self.config.settings.tiers();
-        let mut fleet = Fleet::open(&self.poll, config, soft, routers, self.config.seed, now, beside)
-            .map_err(|e| format!("configuration: fleet.bind: {}: {e}", config.bind))?;
+        let mut fleet = Fleet::open(
+            &self.poll,
+            config,
+            soft,
+            routers,
+            self.config.seed,
+            now,
+            beside,
+        )
+        .map_err(|e| format!("configuration: fleet.bind: {}: {e}", config.bind))?;
         if config.shed_together {
             fleet.share_overload(tiers);
         }
--- a/crates/pipitrun/src/event_loop/lists.rs
+++ b/crates/pipitrun/src/event_loop/lists.rs
@@ -25,7 +25,10 @@
                     Some(at) => self.timers.set(at, Due::Watch),
                     None => {
                         let entries = Vec::new();
-                        self.news.push(Event::List { scope: ListScope::Failed, entries });
+                        self.news.push(Event::List {
+                            scope: ListScope::Failed,
+                            entries,
+                        });
                     }
                 },
             }
@@ -45,9 +48,21 @@
     }
 
     fn list_part(&mut self, part: ListPart) {
-        let ListPart { seq, whole, hosts, is_last } = part;
+        let ListPart {
+            seq,
+            whole,
+            hosts,
+            is_last,
+        } = part;
         log::debug!(seq, whole, hosts = hosts.len(), is_last; "upstream group: a part of a message");
-        self.list(&HostList { seq, whole: false, hosts }, false);
+        self.list(
+            &HostList {
+                seq,
+                whole: false,
+                hosts,
+            },
+            false,
+        );
         if is_last && self.group.is_listed() {
             self.serve();
         }
@@ -74,15 +89,28 @@
         let mut events = Vec::new();
         let mut listed = BTreeSet::new();
         // A line for each of thousands would hold the process up, and push what matters out of the log.
-        let level = if list.hosts.len() > HOSTS_LOGGED { log::Level::Debug } else { log::Level::Info };
+        let level = if list.hosts.len() > HOSTS_LOGGED {
+            log::Level::Debug
+        } else {
+            log::Level::Info
+        };
         if level == log::Level::Debug {
-            log::info!("upstream group: version {}: {} hosts", list.seq, list.hosts.len());
+            log::info!(
+                "upstream group: version {}: {} hosts",
+                list.seq,
+                list.hosts.len()
+            );
         }
         for host in &list.hosts {
             listed.insert(self.listed_host(host, level, &mut events));
         }
         if list.whole {
-            for server in self.peers.listed().into_iter().filter(|s| !listed.contains(s)) {
+            for server in self
+                .peers
+                .listed()
+                .into_iter()
+                .filter(|s| !listed.contains(s))
+            {
                 self.peers.withdraw(server, &mut events, &mut self.counters);
                 self.peers.forget(server);
             }
@@ -92,22 +120,42 @@
     }
 
     /// Tells the pools what is said of one host.
-    fn listed_host(&mut self, host: &Host, level: log::Level, events: &mut Vec<PeerEvent>) -> ServerId {
+    fn listed_host(
+        &mut self,
+        host: &Host,
+        level: log::Level,
+        events: &mut Vec<PeerEvent>,
+    ) -> ServerId {
         let server = server_id(&host.host);
         let phase = phase(&host.health);
         if known_phase(&host.health).is_none() {
             let health = &host.health;
-            log::warn!("upstream group: {}: health \"{health}\" is unknown; it gets nothing new", host.host);
+            log::warn!(
+                "upstream group: {}: health \"{health}\" is unknown; it gets nothing new",
+                host.host
+            );
         }
         match host.dial.parse() {
             Ok(address) => {
-                if self.peers.set_address(server, address, events, &mut self.counters) {
+                if self
+                    .peers
+                    .set_address(server, address, events, &mut self.counters)
+                {
                     // The module's log lines name servers by their numbers only.
-                    log::log!(level, "upstream group: {} is server {}, at {address}", host.host, server.0);
+                    log::log!(
+                        level,
+                        "upstream group: {} is server {}, at {address}",
+                        host.host,
+                        server.0
+                    );
                 }
             }
             Err(_) => {
-                log::warn!("upstream group: {}: \"{}\" is no address with a port", host.host, host.dial)
+                log::warn!(
+                    "upstream group: {}: \"{}\" is no address with a port",
+                    host.host,
+                    host.dial
+                )
             }
         }
         if phase != Phase::Up {
--- a/crates/pipitrun/src/event_loop/operators.rs
+++ b/crates/pipitrun/src/event_loop/operators.rs
@@ -13,7 +13,8 @@
         if let Some(seats) = &mut self.seats {
             seats.set_ready(self.life.is_ready());
         }
-        self.front.follow(self.life.stance(now), now, &mut events, &mut self.counters);
+        self.front
+            .follow(self.life.stance(now), now, &mut events, &mut self.counters);
         self.front_events(now, events);
         if let Some(due) = self.life.due(now) {
             self.timers.set(due, Due::LifeCycle);
@@ -22,16 +23,24 @@
 
     /// The operators' door.
     pub(super) fn management(&mut self, now: Nanos, ready: Ready) {
-        let Some(management) = &mut self.management else { return };
+        let Some(management) = &mut self.management else {
+            return;
+        };
         if ready.source == Source::Management {
             return management.accept(now, &mut self.counters);
         }
-        let Some(Asked { caller, call }) = management.ready(ready, &mut self.counters) else { return };
+        let Some(Asked { caller, call }) = management.ready(ready, &mut self.counters) else {
+            return;
+        };
         let former = self.life.name();
         let done = match call {
             Call::Health => Ok(()),
             Call::Fleet => {
-                let json = self.fleet.as_ref().map(|fleet| fleet.json(now)).unwrap_or_default();
+                let json = self
+                    .fleet
+                    .as_ref()
+                    .map(|fleet| fleet.json(now))
+                    .unwrap_or_default();
                 return management.answer_json(caller, &json);
             }
             Call::Quiesce => {
--- a/crates/pipitrun/src/event_loop/requests.rs
+++ b/crates/pipitrun/src/event_loop/requests.rs
@@ -16,7 +16,8 @@
             match event {
                 FrontEvent::Request(mut incoming) => {
                     if let Some(by) = self.life.answer_by() {
-                        incoming.patience = incoming.patience.min(by.saturating_sub(incoming.arrived));
+                        incoming.patience =
+                            incoming.patience.min(by.saturating_sub(incoming.arrived));
                     }
                     // More would end the process for its memory, and with it all that was taken.
                     let full = self.tries.held() + self.front.buffered() > self.memory;
@@ -27,7 +28,8 @@
                         let mut more = Vec::new();
                         let connection = incoming.ticket.connection;
                         self.front.answer(incoming.ticket, answer);
-                        self.front.flush(connection, now, &mut more, &mut self.counters);
+                        self.front
+                            .flush(connection, now, &mut more, &mut self.counters);
                         events.extend(more);
                         continue;
                     }
@@ -59,7 +61,12 @@
 
     /// The answer to a request that isn't taken. One without a known class, or with the id of an open one, must
     /// reach no peer: that would take it for the other, or complain, and the module would think ill of the peer.
-    fn turn_away(&mut self, incoming: &Incoming, class_known: bool, full: bool) -> Option<FinalAnswer> {
+    fn turn_away(
+        &mut self,
+        incoming: &Incoming,
+        class_known: bool,
+        full: bool,
+    ) -> Option<FinalAnswer> {
         if !class_known {
             self.counters.class_unknown += 1;
             Some(FinalAnswer::Invalid("unknown class"))
@@ -97,7 +104,8 @@
         let connection = ticket.connection;
         self.front.answer(ticket, answer);
         let mut events = Vec::new();
-        self.front.flush(connection, now, &mut events, &mut self.counters);
+        self.front
+            .flush(connection, now, &mut events, &mut self.counters);
         self.front_events(now, events);
     }
 }
--- a/crates/pipitrun/src/event_loop/tests.rs
+++ b/crates/pipitrun/src/event_loop/tests.rs
@@ -35,7 +35,11 @@
     window_ms: u64,
 }
 
-const GIVEN: Given = Given { caches: 1, cancel: true, window_ms: 60_000 };
+const GIVEN: Given = Given {
+    caches: 1,
+    cancel: true,
+    window_ms: 60_000,
+};
 
 impl Stage {
     fn set(given: Given) -> Self {
@@ -48,7 +52,9 @@
         let caches: Vec<TcpListener> = (0..given.caches).map(|_| listen()).collect();
         let discovery = listen();
         // Also for what it accepts: a step that does not come fails, and does not hang.
-        SockRef::from(&discovery).set_read_timeout(Some(PATIENCE)).unwrap();
+        SockRef::from(&discovery)
+            .set_read_timeout(Some(PATIENCE))
+            .unwrap();
         let host = |(n, cache)| json!({"host": format!("s-{n}"), "dial": local(cache)});
         let hosts: Vec<_> = caches.iter().enumerate().map(host).collect();
         let class = |name: &str, repeat: &str| {
@@ -69,11 +75,18 @@
         let mut config = Config::read(&config.to_string()).expect("it is sound");
         told(&mut config);
         let the = EventLoop::new(config).expect("it starts");
-        Stage { the, events: Events::new(), caches, discovery, clients: Vec::new() }
+        Stage {
+            the,
+            events: Events::new(),
+            caches,
+            discovery,
+            clients: Vec::new(),
+        }
     }
 
     fn client(&mut self) -> usize {
-        let client = TcpStream::connect(self.the.front.address().expect("the door is open")).unwrap();
+        let client =
+            TcpStream::connect(self.the.front.address().expect("the door is open")).unwrap();
         client.set_read_timeout(Some(PATIENCE)).unwrap();
         self.clients.push(client);
         self.turn(&[Source::Listener]);
@@ -89,7 +102,9 @@
             words[0] = b"C.SET";
             words.push(b"value");
         }
-        self.clients[number].write_all(&write_command(&words)).unwrap();
+        self.clients[number]
+            .write_all(&write_command(&words))
+            .unwrap();
         self.turn(&[Source::Client(number as u64)]);
     }
 
@@ -134,7 +149,10 @@
         let asked = Instant::now();
         while asked.elapsed() < PATIENCE {
             let mut ready = Vec::new();
-            self.the.poll.wait(&mut self.events, Some(Duration::from_millis(1)), &mut ready).unwrap();
+            self.the
+                .poll
+                .wait(&mut self.events, Some(Duration::from_millis(1)), &mut ready)
+                .unwrap();
             if let Some(one) = ready.into_iter().find(|one| one.source == source) {
                 return one;
             }
@@ -206,7 +224,12 @@
     let mut text = Vec::new();
     while crate::resp::read_command(&text).unwrap().is_none() {
         let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).unwrap(), 1, "after {}", text.escape_ascii());
+        assert_eq!(
+            stream.read(&mut byte).unwrap(),
+            1,
+            "after {}",
+            text.escape_ascii()
+        );
         text.push(byte[0]);
     }
     String::from_utf8(text).unwrap()
@@ -217,7 +240,13 @@
 
 /// The time that a cache is told to be waited for, in milliseconds.
 fn time_told(stream: &mut TcpStream) -> u64 {
-    command(stream).trim_end().rsplit_once("d=").expect("a field").1.parse().unwrap()
+    command(stream)
+        .trim_end()
+        .rsplit_once("d=")
+        .expect("a field")
+        .1
+        .parse()
+        .unwrap()
 }
 
 const FIRST: Source = Source::Peer(0);
@@ -249,7 +278,11 @@
         s.the.postponed_turns = 0;
         s.the.gather(&mut vec![up], true);
     }
-    assert_eq!(s.the.up.len(), 1, "it waits once, however often it is reported");
+    assert_eq!(
+        s.the.up.len(),
+        1,
+        "it waits once, however often it is reported"
+    );
     s.turn(&[FIRST]);
     let mut cache = s.accept(0);
     command(&mut cache);
@@ -271,7 +304,9 @@
     // The connection rests until then.
     std::thread::sleep(Duration::from_millis(12));
     let client = s.client();
-    s.clients[client].write_all(&write_command(&[b"C.GET", b"a", b"2", b"c=read,d=50000"])).unwrap();
+    s.clients[client]
+        .write_all(&write_command(&[b"C.GET", b"a", b"2", b"c=read,d=50000"]))
+        .unwrap();
     let asks = s.wait(Source::Client(client as u64));
     s.the.looks.prompt(s.the.clock.now());
     s.the.gather(&mut vec![asks], true);
@@ -283,7 +318,11 @@
     let hosts = json!([{"host": "s-0", "dial": dial, "health": "terminating"}]);
     s.news(&json!({"seq": 8, "hosts": hosts}).to_string());
     s.turn(&[Source::Discovery(0)]);
-    assert_eq!(rest(&mut cache), "", "the connection that the attempt had is closed unused");
+    assert_eq!(
+        rest(&mut cache),
+        "",
+        "the connection that the attempt had is closed unused"
+    );
 }
 
 #[rstest]
@@ -297,7 +336,9 @@
     let mut cache = s.accept(0);
     let client = s.clients.pop().unwrap();
     if reset {
-        SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&client)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
     drop(client);
     s.turn(&[CLIENT]);
@@ -306,7 +347,10 @@
     }
     assert_eq!(rest(&mut cache), "");
     assert_eq!((s.the.counters.gone, s.the.counters.left_unsent), (1, 1));
-    assert!(s.the.counters.left_unsent_ms < 300, "as long as the connection took");
+    assert!(
+        s.the.counters.left_unsent_ms < 300,
+        "as long as the connection took"
+    );
     assert_eq!(s.the.tries.open(), 0);
 }
 
@@ -317,7 +361,14 @@
     cache.write_all(b"-BUSY\r\n").unwrap();
     drop(s.clients.pop());
     s.turn(&[FIRST, CLIENT]);
-    assert_eq!((s.the.counters.try_full, s.the.counters.peers_opened, s.the.tries.open()), (1, 1, 0));
+    assert_eq!(
+        (
+            s.the.counters.try_full,
+            s.the.counters.peers_opened,
+            s.the.tries.open()
+        ),
+        (1, 1, 0)
+    );
 }
 
 #[rstest]
@@ -325,7 +376,11 @@
     #[values(true, false)] cancel: bool,
     #[values(true, false)] in_that_turn: bool,
 ) {
-    let mut s = Stage::set(Given { caches: 2, cancel, ..GIVEN });
+    let mut s = Stage::set(Given {
+        caches: 2,
+        cancel,
+        ..GIVEN
+    });
     // The copy is due after half of this.
     let (_, _cache) = s.passed_on("read", 400);
     drop(s.clients.pop());
@@ -340,7 +395,14 @@
         }
     }
     s.turn(&[]);
-    assert_eq!((s.the.counters.tries, s.the.counters.copies, s.the.counters.gone), (1, 0, 1));
+    assert_eq!(
+        (
+            s.the.counters.tries,
+            s.the.counters.copies,
+            s.the.counters.gone
+        ),
+        (1, 0, 1)
+    );
 }
 
 #[test]
@@ -348,18 +410,32 @@
     let mut s = Stage::set(GIVEN);
     for client in 0..8 {
         s.client();
-        let ask = |n| write_command(&[b"C.GET", b"a", format!("{client}-{n}").as_bytes(), b"c=read,d=50000"]);
+        let ask = |n| {
+            write_command(&[
+                b"C.GET",
+                b"a",
+                format!("{client}-{n}").as_bytes(),
+                b"c=read,d=50000",
+            ])
+        };
         let asks: Vec<u8> = (0..125).flat_map(ask).collect();
         s.clients[client].write_all(&asks).unwrap();
         s.turn(&[Source::Client(client as u64)]);
     }
     assert_eq!(s.the.tries.open(), 1_000);
-    assert!(s.the.counters.tries < 100, "most are held: {}", s.the.counters.tries);
+    assert!(
+        s.the.counters.tries < 100,
+        "most are held: {}",
+        s.the.counters.tries
+    );
     s.clients.clear();
     let all: Vec<Source> = (0..8).map(Source::Client).collect();
     s.turn(&all);
     let tries = s.the.counters.tries;
-    assert_eq!((s.the.tries.open(), s.the.tries.held(), s.the.counters.gone), (0, 0, 1_000));
+    assert_eq!(
+        (s.the.tries.open(), s.the.tries.held(), s.the.counters.gone),
+        (0, 0, 1_000)
+    );
     let asked = s.the.clock.now();
     // The module releases what it holds ten times a second.
     while s.the.clock.now() < asked + 300 * MS {
@@ -412,7 +488,10 @@
 
 #[test]
 fn a_keyed_write_is_not_repeated_once_its_window_has_ended_while_the_connection_was_late() {
-    let mut s = Stage::set(Given { window_ms: 2_000, ..GIVEN });
+    let mut s = Stage::set(Given {
+        window_ms: 2_000,
+        ..GIVEN
+    });
     s.ask("put", 50_000);
     s.turn(&[FIRST]);
     let mut cache = s.accept(0);
@@ -435,7 +514,10 @@
 
 #[test]
 fn a_keyed_write_whose_window_is_shorter_than_its_way_runs_once() {
-    let mut s = Stage::set(Given { window_ms: 1, ..GIVEN });
+    let mut s = Stage::set(Given {
+        window_ms: 1,
+        ..GIVEN
+    });
     s.ask("put", 50_000);
     let mut unsent = s.accept(0);
     // Its first try is over before its connection is up: it never ran, and the next is the first.
@@ -448,7 +530,11 @@
     drop(cache);
     while s.the.clock.now() < sent + MS {}
     s.turn(&[SECOND]);
-    assert_eq!((s.the.counters.try_reset, s.the.counters.peers_opened), (1, 2), "it may have run: no repeat");
+    assert_eq!(
+        (s.the.counters.try_reset, s.the.counters.peers_opened),
+        (1, 2),
+        "it may have run: no repeat"
+    );
     s.answers(0, "-");
 }
 
@@ -466,7 +552,10 @@
     s.turn(&[FIRST, Source::Discovery(0)]);
     assert_eq!((s.the.counters.try_full, s.the.counters.list_news), (1, 1));
     s.caches[other].set_nonblocking(true).unwrap();
-    assert!(s.caches[other].accept().is_err(), "no connection to the one that drains");
+    assert!(
+        s.caches[other].accept().is_err(),
+        "no connection to the one that drains"
+    );
 }
 
 #[rstest]
@@ -500,12 +589,21 @@
 
 #[test]
 fn a_try_that_ran_out_of_time_before_it_was_sent_never_ran() {
-    let mut s = Stage::set(Given { window_ms: 100, ..GIVEN });
+    let mut s = Stage::set(Given {
+        window_ms: 100,
+        ..GIVEN
+    });
     // A keyed write's first try has three quarters of the window.
     s.ask("put", 50_000);
     let _cache = s.accept(0);
     s.until(|the| the.counters.try_timeout + the.counters.try_connect_failed > 0);
-    assert_eq!((s.the.counters.try_timeout, s.the.counters.try_connect_failed), (0, 1));
+    assert_eq!(
+        (
+            s.the.counters.try_timeout,
+            s.the.counters.try_connect_failed
+        ),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -517,7 +615,10 @@
     s.turn(&[FIRST]);
     let mut cache = s.accept(0);
     let d = time_told(&mut cache);
-    assert!(d <= 3_600, "{d}: the process is killed 3.7 s after the request to stop at the earliest");
+    assert!(
+        d <= 3_600,
+        "{d}: the process is killed 3.7 s after the request to stop at the earliest"
+    );
 }
 
 #[rstest]
@@ -587,7 +688,9 @@
     s.turn(&[Source::Discovery(0)]);
     let (down, _) = s.discovery.accept().unwrap();
     let address = s.the.front.address().expect("the door is open");
-    let _idle: Vec<TcpStream> = (0..2 * places).map(|_| TcpStream::connect(address).unwrap()).collect();
+    let _idle: Vec<TcpStream> = (0..2 * places)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
     s.turn(&[Source::Listener]);
     s.until(|the| the.counters.clients_accepted >= places as u64);
     drop(down);
@@ -598,7 +701,10 @@
     s.until(|the| the.counters.list_calls == 2);
     let open = s.the.counters.clients_accepted - s.the.counters.clients_closed;
     assert!(open <= places as u64, "{open} of {places}");
-    assert!(places + 8 < SOCKETS, "{places}: the rest is for caches, discovery and the door");
+    assert!(
+        places + 8 < SOCKETS,
+        "{places}: the rest is for caches, discovery and the door"
+    );
     s.turn(&[Source::Discovery(1)]);
     s.discovery.accept().expect("it is called again");
 }
@@ -630,9 +736,13 @@
 
 impl Pair {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("pipitrun-pair-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("pipitrun-pair-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Pair { folder, listener: TcpListener::bind("127.0.0.1:0").unwrap() }
+        Pair {
+            folder,
+            listener: TcpListener::bind("127.0.0.1:0").unwrap(),
+        }
     }
 
     /// One that has just started, and is ready as soon as it waits for no notes.
@@ -650,7 +760,10 @@
         let mut new = self.start();
         old.look();
         new.look();
-        assert!(old.the.life.is_ready() && new.the.life.is_ready(), "its notes lay there");
+        assert!(
+            old.the.life.is_ready() && new.the.life.is_ready(),
+            "its notes lay there"
+        );
         (old, new)
     }
 
@@ -703,7 +816,10 @@
     let seat = std::fs::File::options().write(true).open(seat).unwrap();
     seat.lock().unwrap();
     old.look();
-    assert!(old.the.hand_over.is_beside() && !notes.exists(), "nobody could tell that they are for him");
+    assert!(
+        old.the.hand_over.is_beside() && !notes.exists(),
+        "nobody could tell that they are for him"
+    );
     drop(seat);
     // The next dies before it reads its notes.
     let new = pair.start();
@@ -711,7 +827,10 @@
     assert!(notes.exists());
     drop(new);
     let mut new = pair.start();
-    assert!(!notes.exists() && !new.the.life.is_ready(), "it waits for its own");
+    assert!(
+        !notes.exists() && !new.the.life.is_ready(),
+        "it waits for its own"
+    );
     old.look();
     new.look();
     assert!(new.the.life.is_ready() && !notes.exists());
@@ -794,7 +913,10 @@
     client.set_nonblocking(true).unwrap();
     let mut text = Vec::new();
     let end = client.read_to_end(&mut text);
-    assert!(matches!(end, Err(e) if e.kind() == io::ErrorKind::WouldBlock), "it stays open");
+    assert!(
+        matches!(end, Err(e) if e.kind() == io::ErrorKind::WouldBlock),
+        "it stays open"
+    );
     String::from_utf8(text).unwrap()
 }
 
@@ -803,7 +925,11 @@
     #[values([FIRST, SECOND], [SECOND, FIRST])] order: [Source; 2],
     #[values(VALUE, b"-ERR failed\r\n", b"*3\r\n$x")] other: &[u8],
 ) {
-    let mut s = Stage::set(Given { caches: 2, cancel: false, ..GIVEN });
+    let mut s = Stage::set(Given {
+        caches: 2,
+        cancel: false,
+        ..GIVEN
+    });
     s.ask("read", 4_000);
     s.turn(&[FIRST]);
     let (_, mut first) = s.next();
@@ -816,7 +942,14 @@
     second.write_all(other).unwrap();
     s.turn(&order);
     assert_eq!(sent(&mut s.clients[0]), "$1\r\nv\r\n");
-    assert_eq!((s.the.counters.served, s.the.tries.open(), s.the.counters.tries), (1, 0, 2));
+    assert_eq!(
+        (
+            s.the.counters.served,
+            s.the.tries.open(),
+            s.the.counters.tries
+        ),
+        (1, 0, 2)
+    );
 }
 
 #[test]
@@ -830,5 +963,12 @@
     s.turn_at(asked + 1_020 * MS, answer);
     s.turn(&[]);
     assert_eq!(sent(&mut s.clients[0]), "$1\r\nv\r\n");
-    assert_eq!((s.the.counters.served, s.the.counters.failed, s.the.tries.open()), (1, 0, 0));
+    assert_eq!(
+        (
+            s.the.counters.served,
+            s.the.counters.failed,
+            s.the.tries.open()
+        ),
+        (1, 0, 0)
+    );
 }
--- a/crates/pipitrun/src/event_loop/turns.rs
+++ b/crates/pipitrun/src/event_loop/turns.rs
@@ -40,7 +40,11 @@
 impl TurnMeter {
     /// A turn begins.
     pub(super) fn start(now: Nanos) -> Self {
-        TurnMeter { began: now, step: (TurnStep::Operators, now), longest: (TurnStep::Operators, 0) }
+        TurnMeter {
+            began: now,
+            step: (TurnStep::Operators, now),
+            longest: (TurnStep::Operators, 0),
+        }
     }
 
     /// The next step begins.
@@ -75,7 +79,10 @@
         let ms = held_up / MS;
         self.counters.held_up += 1;
         self.counters.held_up_ms = self.counters.held_up_ms.max(ms);
-        log::log!(level(self.counters.held_up), "held up for {ms} ms between two looks at the sockets");
+        log::log!(
+            level(self.counters.held_up),
+            "held up for {ms} ms between two looks at the sockets"
+        );
     }
 
     /// After a hold-up: whether all of the list that had come was taken in.
@@ -106,7 +113,11 @@
 
 /// The first, second, fourth and so on of such lines is seen; where a process is held up all the time, they are many.
 fn level(count: u64) -> log::Level {
-    if count.is_power_of_two() { log::Level::Warn } else { log::Level::Debug }
+    if count.is_power_of_two() {
+        log::Level::Warn
+    } else {
+        log::Level::Debug
+    }
 }
 
 #[cfg(test)]
--- a/crates/pipitrun/src/event_loop/upgrade.rs
+++ b/crates/pipitrun/src/event_loop/upgrade.rs
@@ -20,14 +20,20 @@
 /// The clients' socket: the one this process was started with, or one of its own.
 pub(super) fn clients_socket(config: &Config) -> Result<TcpListener, String> {
     let Some(number) = config.socket_fd else {
-        return what(TcpListener::bind(config.listen), &format!("listening on {}", config.listen));
+        return what(
+            TcpListener::bind(config.listen),
+            &format!("listening on {}", config.listen),
+        );
     };
     let listener = inherited(number).map_err(|e| {
         format!("configuration: GW_SOCKET_FD: {number} {e}; a listening TCP socket is expected")
     })?;
     let address = what(listener.local_addr(), "GW_SOCKET_FD")?;
     if address != config.listen {
-        log::warn!("GW_SOCKET_FD: descriptor {number} listens on {address}, not on {}", config.listen);
+        log::warn!(
+            "GW_SOCKET_FD: descriptor {number} listens on {address}, not on {}",
+            config.listen
+        );
     }
     Ok(listener)
 }
@@ -37,22 +43,35 @@
     config.socket_fd?;
     let folder = config.folder.as_ref()?;
     let process = format!("{}-{now}", std::process::id());
-    Seats::take(folder, process).map_err(|e| log::warn!("seat in $TMPDIR {}: {e}", folder.display())).ok()
+    Seats::take(folder, process)
+        .map_err(|e| log::warn!("seat in $TMPDIR {}: {e}", folder.display()))
+        .ok()
 }
 
 impl EventLoop {
     /// Looks for the other process of an upgrade.
     pub(super) fn look(&mut self, now: Nanos) {
         let Some(seats) = &mut self.seats else { return };
-        let todo = self.hand_over.look(now, seats.other(), seats.notes_there(), self.life.is_ready());
+        let todo = self.hand_over.look(
+            now,
+            seats.other(),
+            seats.notes_there(),
+            self.life.is_ready(),
+        );
         if todo.split {
-            log::info!("another process of this balancer: {}", self.hand_over.is_beside());
+            log::info!(
+                "another process of this balancer: {}",
+                self.hand_over.is_beside()
+            );
         }
         let notes = todo.go_on.then(|| seats.read_notes::<Notes>());
         if let Some(to) = todo.write_notes_for
             && let Some(list) = self.group.list()
         {
-            let notes = Notes { list, learnt: self.decide.learnt() };
+            let notes = Notes {
+                list,
+                learnt: self.decide.learnt(),
+            };
             match seats.write_notes(&to, notes) {
                 Ok(bytes) => log::info!("{bytes} bytes of notes left for process {to}"),
                 Err(e) => log::warn!("notes for process {to}: {e}"),
@@ -75,7 +94,11 @@
     /// Takes over what the other process of this balancer knew. The list only if discovery has told no newer one.
     fn recall(&mut self, notes: Notes) {
         let known = self.group.seq().unwrap_or(0);
-        log::info!("notes of the other process: list {}, {} is known", notes.list.seq, known);
+        log::info!(
+            "notes of the other process: list {}, {} is known",
+            notes.list.seq,
+            known
+        );
         if notes.list.seq > known {
             self.known_list(notes.list);
         }
--- a/crates/pipitrun/src/fleet.rs
+++ b/crates/pipitrun/src/fleet.rs
@@ -112,14 +112,18 @@
             delegates: row.delegates.clone(),
             authors: row.authors,
             changed_ms: (now / MS).saturating_sub(row.version),
-            silent_ms: seen.silent_since.map(|since| now.saturating_sub(since) / MS),
+            silent_ms: seen
+                .silent_since
+                .map(|since| now.saturating_sub(since) / MS),
         }
     }
 }
 
 /// The zone and the site that a record tells of.
 fn place_of(soft: Option<&Soft>) -> (Option<String>, Option<String>) {
-    let location = soft.and_then(|soft| Location::decode(&soft.extra)).unwrap_or_default();
+    let location = soft
+        .and_then(|soft| Location::decode(&soft.extra))
+        .unwrap_or_default();
     let named = |name: String| Some(name).filter(|name| !name.is_empty());
     (named(location.zone), named(location.site))
 }
@@ -141,7 +145,13 @@
             bind: config.bind,
             socket: None,
             bind_again: 0,
-            member: Member::new(config.settings(&soft.name, configured), soft, now / MS, seed, now),
+            member: Member::new(
+                config.settings(&soft.name, configured),
+                soft,
+                now / MS,
+                seed,
+                now,
+            ),
             told: configured,
             allowed: Allowance::default(),
             traffic: (0, now),
@@ -149,7 +159,10 @@
         };
         match me.bind(now) {
             Err(e) if beside && e.kind() == ErrorKind::AddrInUse => {
-                log::info!("fleet: {} is held by the other process of this balancer", config.bind);
+                log::info!(
+                    "fleet: {} is held by the other process of this balancer",
+                    config.bind
+                );
             }
             result => result?,
         }
@@ -160,7 +173,11 @@
         self.bind_again = now + BIND_AGAIN;
         let socket = UdpSocket::bind(self.bind)?;
         socket.set_nonblocking(true)?;
-        log::info!("fleet: {} talks at {}", self.member.fleet(), socket.local_addr()?);
+        log::info!(
+            "fleet: {} talks at {}",
+            self.member.fleet(),
+            socket.local_addr()?
+        );
         self.socket = Some(self.poll.watch(socket, Source::Fleet, true, false)?);
         Ok(())
     }
@@ -234,7 +251,11 @@
             return None;
         }
         let turn = now / SHED_TURN;
-        let allowed = Allowance { level, turn, turn_ends: (turn + 1) * SHED_TURN };
+        let allowed = Allowance {
+            level,
+            turn,
+            turn_ends: (turn + 1) * SHED_TURN,
+        };
         let (rose, fell) = (level > 0.0 && self.allowed.level == 0.0, level == 0.0);
         if rose {
             log::warn!(level = level; "fleet: more is asked for than there is room for; all shed by one level");
@@ -249,7 +270,11 @@
 
     /// When the next turn is due.
     pub fn due(&self) -> Nanos {
-        if self.socket.is_some() { self.member.due() } else { self.bind_again }
+        if self.socket.is_some() {
+            self.member.due()
+        } else {
+            self.bind_again
+        }
     }
 
     /// Tells the others that this balancer goes.
@@ -261,7 +286,10 @@
     /// Sends and logs what the member hands out.
     fn after(&mut self) {
         for (to, datagram) in self.member.take_outputs() {
-            let sent = self.socket.as_ref().map(|socket| socket.socket().send_to(&datagram, to));
+            let sent = self
+                .socket
+                .as_ref()
+                .map(|socket| socket.socket().send_to(&datagram, to));
             // What does not go is as good as lost on the way: the talk is made for that.
             self.unsent += u64::from(!matches!(sent, Some(Ok(_))));
         }
@@ -273,7 +301,11 @@
     /// What the operators are shown.
     pub fn json(&self, now: Nanos) -> String {
         let view = self.member.view();
-        let members: Vec<Shown> = view.members.iter().map(|seen| Shown::of(seen, now)).collect();
+        let members: Vec<Shown> = view
+            .members
+            .iter()
+            .map(|seen| Shown::of(seen, now))
+            .collect();
         let (id, soft) = (self.member.id(), self.member.soft());
         let mut shown = serde_json::json!({
             "fleet": self.member.fleet(),
@@ -303,12 +335,21 @@
     fn show_regions(&self, shown: &mut serde_json::Value, now: Nanos) {
         let view = self.member.view();
         let location = self.member.location();
-        let regions: Vec<ShownRegion> = view.regions.iter().map(|seen| ShownRegion::of(seen, now)).collect();
+        let regions: Vec<ShownRegion> = view
+            .regions
+            .iter()
+            .map(|seen| ShownRegion::of(seen, now))
+            .collect();
         let (dropped, refused_parts) = self.member.regions_dropped();
         shown["region"] = location.region.as_str().into();
         shown["zone"] = location.zone.as_str().into();
         shown["site"] = location.site.as_str().into();
-        shown["delegates"] = view.delegates.iter().map(ToString::to_string).collect::<Vec<_>>().into();
+        shown["delegates"] = view
+            .delegates
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+            .into();
         shown["regions"] = serde_json::json!(regions);
         shown["regions_dropped"] = serde_json::json!({
             "unsound": dropped.unsound,
@@ -330,7 +371,11 @@
     match change {
         Change::Became { name, id, was, is } => {
             let was = was.map_or("unknown", State::name);
-            let level = if *is == State::Dead { log::Level::Warn } else { log::Level::Info };
+            let level = if *is == State::Dead {
+                log::Level::Warn
+            } else {
+                log::Level::Info
+            };
             log::log!(
                 level, member = name.as_str(), address:% = id.address, generation = id.generation,
                 was = was, is = is.name();
@@ -340,16 +385,27 @@
         Change::Count { was, is, living } => {
             log::info!(was = *was, is = *is, living = *living; "fleet: shares are divided by {is}");
         }
-        Change::NameTwice { name, addresses: [one, other] } => {
+        Change::NameTwice {
+            name,
+            addresses: [one, other],
+        } => {
             log::warn!(member = name.as_str(); "fleet: {one} and {other} are both called {name}; both count");
         }
         Change::Returned { generation } => {
             log::warn!(generation = *generation; "fleet: given up by others, and back");
         }
-        Change::Region { region, heard: true, living } => {
+        Change::Region {
+            region,
+            heard: true,
+            living,
+        } => {
             log::info!(region = region.as_str(), living = *living; "fleet: region {region} is heard");
         }
-        Change::Region { region, heard: false, living } => {
+        Change::Region {
+            region,
+            heard: false,
+            living,
+        } => {
             log::warn!(region = region.as_str(), living = *living; "fleet: region {region} is silent");
         }
         Change::StoodStill => {
@@ -362,11 +418,25 @@
 impl fmt::Display for Fleet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let view = self.member.view();
-        let count = |state: State| view.members.iter().filter(|seen| seen.state == state).count();
-        write!(f, "fleet: shared_by={} living={} places={}", self.told, view.living, view.places)?;
-        for state in
-            [State::Joining, State::Serving, State::Stalled, State::Draining, State::Left, State::Dead]
-        {
+        let count = |state: State| {
+            view.members
+                .iter()
+                .filter(|seen| seen.state == state)
+                .count()
+        };
+        write!(
+            f,
+            "fleet: shared_by={} living={} places={}",
+            self.told, view.living, view.places
+        )?;
+        for state in [
+            State::Joining,
+            State::Serving,
+            State::Stalled,
+            State::Draining,
+            State::Left,
+            State::Dead,
+        ] {
             write!(f, " {}={}", state.name(), count(state))?;
         }
         let t = self.member.traffic();
@@ -397,7 +467,11 @@
         if self.member.location().is_none() {
             return Ok(());
         }
-        let silent = view.regions.iter().filter(|seen| seen.silent_since.is_some()).count();
+        let silent = view
+            .regions
+            .iter()
+            .filter(|seen| seen.silent_since.is_some())
+            .count();
         let (dropped, refused_parts) = self.member.regions_dropped();
         write!(
             f,
--- a/crates/pipitrun/src/front/management.rs
+++ b/crates/pipitrun/src/front/management.rs
@@ -80,7 +80,9 @@
         Ok(httparse::Status::Complete(length)) if length > HEAD_MAX => return Head::Wrong(431, ""),
         Ok(httparse::Status::Complete(_)) => {}
         Ok(httparse::Status::Partial) if input.len() < HEAD_MAX => return Head::More,
-        Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => return Head::Wrong(431, ""),
+        Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
+            return Head::Wrong(431, "");
+        }
         Err(_) => return Head::Wrong(400, ""),
     }
     let path = request.path.unwrap_or_default();
@@ -91,7 +93,11 @@
         "/admin/fleet" if fleet => (Call::Fleet, "GET"),
         _ => return Head::Wrong(404, ""),
     };
-    if request.method == Some(method) { Head::Call(call) } else { Head::Wrong(405, method) }
+    if request.method == Some(method) {
+        Head::Call(call)
+    } else {
+        Head::Wrong(405, method)
+    }
 }
 
 fn reason(status: u16) -> &'static str {
@@ -114,7 +120,13 @@
         log::info!("management listens on {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
         let listener = poll.watch(listener, Source::Management, true, false)?;
-        Ok(Management { poll: poll.clone(), listener, callers: BTreeMap::new(), next_caller: 0, fleet })
+        Ok(Management {
+            poll: poll.clone(),
+            listener,
+            callers: BTreeMap::new(),
+            next_caller: 0,
+            fleet,
+        })
     }
 
     /// Takes the callers that wait.
@@ -122,7 +134,12 @@
         for _ in 0..ACCEPT_MAX {
             let stream = match self.listener.socket().accept() {
                 Ok((stream, _)) => stream,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) =>
+                {
                     continue;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -144,7 +161,13 @@
                 Ok(stream) => {
                     self.next_caller += 1;
                     let (input, output) = (Vec::new(), Vec::new());
-                    let caller = Caller { stream, since: now, input, output, written: 0 };
+                    let caller = Caller {
+                        stream,
+                        since: now,
+                        input,
+                        output,
+                        written: 0,
+                    };
                     self.callers.insert(number, caller);
                 }
                 Err(e) => log::warn!("management call: {e}"),
@@ -154,7 +177,9 @@
 
     /// Reads and writes what a caller is ready for. Tells of a call that waits for its answer.
     pub fn ready(&mut self, ready: Ready, counters: &mut Counters) -> Option<Asked> {
-        let Source::Caller(number) = ready.source else { return None };
+        let Source::Caller(number) = ready.source else {
+            return None;
+        };
         let c = self.callers.get_mut(&number)?;
         if !c.output.is_empty() {
             if ready.readable && !discard(c.stream.socket(), DISCARD_MAX) {
@@ -169,7 +194,9 @@
         let got = c.stream.socket().read(&mut c.input[held..]);
         c.input.truncate(held + *got.as_ref().unwrap_or(&0));
         match got {
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return None,
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                return None;
+            }
             Ok(n) if n > 0 => {}
             _ => {
                 self.callers.remove(&number);
@@ -180,7 +207,10 @@
             Head::More => None,
             Head::Call(call) => {
                 counters.calls += 1;
-                Some(Asked { caller: number, call })
+                Some(Asked {
+                    caller: number,
+                    call,
+                })
             }
             Head::Wrong(status, allow) => {
                 counters.calls_wrong += 1;
@@ -201,12 +231,23 @@
     }
 
     fn put(&mut self, number: u64, status: u16, state: &str, allow: &str) {
-        self.put_body(number, status, &format!("{{\"state\":\"{state}\"}}\n"), allow);
+        self.put_body(
+            number,
+            status,
+            &format!("{{\"state\":\"{state}\"}}\n"),
+            allow,
+        );
     }
 
     fn put_body(&mut self, number: u64, status: u16, body: &str, allow: &str) {
-        let Some(c) = self.callers.get_mut(&number) else { return };
-        let allow = if allow.is_empty() { String::new() } else { format!("Allow: {allow}\r\n") };
+        let Some(c) = self.callers.get_mut(&number) else {
+            return;
+        };
+        let allow = if allow.is_empty() {
+            String::new()
+        } else {
+            format!("Allow: {allow}\r\n")
+        };
         c.output = format!(
             "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\nCache-Control: no-store\r\n\
              {allow}Connection: close\r\n\r\n{body}",
@@ -218,7 +259,9 @@
     }
 
     fn write(&mut self, number: u64) {
-        let Some(c) = self.callers.get_mut(&number) else { return };
+        let Some(c) = self.callers.get_mut(&number) else {
+            return;
+        };
         while c.written < c.output.len() {
             match c.stream.socket().write(&c.output[c.written..]) {
                 Ok(n) if n > 0 => c.written += n,
@@ -231,7 +274,8 @@
         if !unsent {
             // The caller ends the connection: closing over what it still sends would reset the answer away.
             let socket = c.stream.socket();
-            if socket.shutdown(std::net::Shutdown::Write).is_err() || !discard(socket, DISCARD_MAX) {
+            if socket.shutdown(std::net::Shutdown::Write).is_err() || !discard(socket, DISCARD_MAX)
+            {
                 return drop(self.callers.remove(&number));
             }
         }
@@ -243,9 +287,15 @@
     /// Ends calls that don't become whole, and answered ones whose callers stay.
     pub fn sweep(&mut self, now: Nanos, counters: &mut Counters) {
         // Closed at once, what still comes would reset the answer away.
-        self.callers.retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + LEAVE);
+        self.callers
+            .retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + LEAVE);
         let late = |c: &Caller| c.output.is_empty() && now.saturating_sub(c.since) >= UNFINISHED;
-        let late: Vec<u64> = self.callers.iter().filter(|(_, c)| late(c)).map(|(n, _)| *n).collect();
+        let late: Vec<u64> = self
+            .callers
+            .iter()
+            .filter(|(_, c)| late(c))
+            .map(|(n, _)| *n)
+            .collect();
         for number in late {
             counters.calls_unfinished += 1;
             self.put(number, 408, reason(408), "");
--- a/crates/pipitrun/src/front/resp.rs
+++ b/crates/pipitrun/src/front/resp.rs
@@ -110,17 +110,26 @@
     }
 
     fn takes_commands(&self) -> bool {
-        !self.last && self.leaves.is_none() && self.places.len() < OWED_MAX && self.unsent() < UNSENT_MAX
+        !self.last
+            && self.leaves.is_none()
+            && self.places.len() < OWED_MAX
+            && self.unsent() < UNSENT_MAX
     }
 
     /// Between requests: nothing owed, nothing begun, nothing unsent.
     fn is_idle(&self) -> bool {
-        self.leaves.is_none() && self.places.is_empty() && self.unsent() == 0 && self.input.is_empty()
+        self.leaves.is_none()
+            && self.places.is_empty()
+            && self.unsent() == 0
+            && self.input.is_empty()
     }
 
     /// Whether it is watched for reading, which also shows its end.
     fn is_read(&self) -> bool {
-        self.leaves.is_none() && !self.last && self.input.len() < INPUT_MAX && self.unsent() < UNSENT_MAX
+        self.leaves.is_none()
+            && !self.last
+            && self.input.len() < INPUT_MAX
+            && self.unsent() < UNSENT_MAX
     }
 }
 
@@ -153,7 +162,10 @@
         stance: Stance,
         looks: Looks,
     ) -> io::Result<Self> {
-        log::info!("listening on {}, for at most {most} client connections", listener.local_addr()?);
+        log::info!(
+            "listening on {}, for at most {most} client connections",
+            listener.local_addr()?
+        );
         listener.set_nonblocking(true)?;
         let listener = poll.watch(listener, Source::Listener, true, false)?;
         let mut front = RespFront {
@@ -195,7 +207,9 @@
         events: &mut Vec<FrontEvent>,
         counters: &mut Counters,
     ) -> bool {
-        let Some(c) = self.connections.get_mut(&number) else { return false };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return false;
+        };
         if Looks::is_fresh(c.presence.seen(&self.looks, c.is_read()), now) {
             return true;
         }
@@ -215,8 +229,9 @@
             Place::Answered(bytes) | Place::Coming { bytes, .. } => bytes.len(),
             Place::Waiting(_) => 0,
         };
-        let of =
-            |c: &ClientConnection| c.input.len() + c.unsent() + c.places.iter().map(answered).sum::<usize>();
+        let of = |c: &ClientConnection| {
+            c.input.len() + c.unsent() + c.places.iter().map(answered).sum::<usize>()
+        };
         self.connections.values().map(of).sum()
     }
 
@@ -231,8 +246,16 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(&mut self, now: Nanos, ready: Ready, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
-        let Source::Client(number) = ready.source else { return };
+    pub fn ready(
+        &mut self,
+        now: Nanos,
+        ready: Ready,
+        events: &mut Vec<FrontEvent>,
+        counters: &mut Counters,
+    ) {
+        let Source::Client(number) = ready.source else {
+            return;
+        };
         if ready.writable {
             self.flush(number, now, events, counters);
         }
@@ -241,8 +264,16 @@
         }
     }
 
-    fn read(&mut self, number: u64, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+    fn read(
+        &mut self,
+        number: u64,
+        now: Nanos,
+        events: &mut Vec<FrontEvent>,
+        counters: &mut Counters,
+    ) {
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         if c.leaves.is_some() {
             return self.leaving(number, counters, events);
         }
@@ -281,7 +312,9 @@
         events: &mut Vec<FrontEvent>,
         counters: &mut Counters,
     ) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         let mut at = 0;
         while c.takes_commands() {
             match read_command(&c.input[at..]) {
@@ -293,15 +326,23 @@
                     // What has come there all the same is answered, or it would be lost.
                     let takes = self.stance.takes || !c.spoken;
                     (c.spoken, c.since) = (true, now);
-                    let ticket = Ticket { request: RequestId(self.next_request), connection: number };
+                    let ticket = Ticket {
+                        request: RequestId(self.next_request),
+                        connection: number,
+                    };
                     match command(input, &words, ticket, self.stance) {
                         Taken::Request(_) if !takes => {
                             counters.refused += 1;
                             c.places
-                                .push_back(Place::Answered(encode(FinalAnswer::Refused { retry_after: 0 })));
+                                .push_back(Place::Answered(encode(FinalAnswer::Refused {
+                                    retry_after: 0,
+                                })));
                         }
                         Taken::Request(incoming) => {
-                            let incoming = Incoming { arrived, ..incoming };
+                            let incoming = Incoming {
+                                arrived,
+                                ..incoming
+                            };
                             self.next_request += 1;
                             c.places.push_back(Place::Waiting(incoming.ticket.request));
                             counters.taken += 1;
@@ -310,7 +351,8 @@
                         Taken::Answer(answer) => c.places.push_back(Place::Answered(answer)),
                         Taken::Malformed(problem) => {
                             counters.malformed += 1;
-                            c.places.push_back(Place::Answered(error(&format!("ERR {problem}"))));
+                            c.places
+                                .push_back(Place::Answered(error(&format!("ERR {problem}"))));
                         }
                         Taken::Nothing => {}
                     }
@@ -319,7 +361,8 @@
                     // Where the next command begins is not known: answer, then close.
                     log::debug!("client connection {number}: {e}");
                     counters.malformed += 1;
-                    c.places.push_back(Place::Answered(error(&format!("ERR {e}"))));
+                    c.places
+                        .push_back(Place::Answered(error(&format!("ERR {e}"))));
                     c.last = true;
                 }
             }
@@ -335,13 +378,17 @@
 
     /// Gives the final answer for a ticket; it goes out once those before it on its connection have.
     pub fn answer(&mut self, ticket: Ticket, answer: FinalAnswer) {
-        let Some(c) = self.connections.get_mut(&ticket.connection) else { return };
+        let Some(c) = self.connections.get_mut(&ticket.connection) else {
+            return;
+        };
         let waiting = |p: &&mut Place| matches!(p, Place::Waiting(id) if *id == ticket.request);
         if let Some(place) = c.places.iter_mut().find(waiting) {
             *place = match answer {
-                FinalAnswer::Coming(_) => {
-                    Place::Coming { request: ticket.request, bytes: encode(answer), held_back: false }
-                }
+                FinalAnswer::Coming(_) => Place::Coming {
+                    request: ticket.request,
+                    bytes: encode(answer),
+                    held_back: false,
+                },
                 answer => Place::Answered(encode(answer)),
             };
         }
@@ -349,8 +396,13 @@
 
     /// The place of a value that comes in parts.
     fn coming(&mut self, connection: u64, wanted: RequestId) -> Option<&mut Place> {
-        let is_it = |p: &&mut Place| matches!(p, Place::Coming { request, .. } if *request == wanted);
-        self.connections.get_mut(&connection)?.places.iter_mut().find(is_it)
+        let is_it =
+            |p: &&mut Place| matches!(p, Place::Coming { request, .. } if *request == wanted);
+        self.connections
+            .get_mut(&connection)?
+            .places
+            .iter_mut()
+            .find(is_it)
     }
 
     /// The next bytes of a value that comes in parts.
@@ -362,7 +414,9 @@
 
     /// How much of this value waits for its client.
     pub fn waits(&self, connection: u64, wanted: RequestId) -> usize {
-        let Some(c) = self.connections.get(&connection) else { return 0 };
+        let Some(c) = self.connections.get(&connection) else {
+            return 0;
+        };
         c.places
             .iter()
             .enumerate()
@@ -380,7 +434,9 @@
     /// `tight`. [`FrontEvent::Room`] tells when.
     pub fn holds_back(&mut self, connection: u64, request: RequestId, tight: bool) -> bool {
         let waits = self.waits(connection, request);
-        let Some(Place::Coming { held_back, .. }) = self.coming(connection, request) else { return false };
+        let Some(Place::Coming { held_back, .. }) = self.coming(connection, request) else {
+            return false;
+        };
         *held_back = waits >= WINDOW || tight && waits > 0;
         *held_back
     }
@@ -395,7 +451,9 @@
         events: &mut Vec<FrontEvent>,
         counters: &mut Counters,
     ) {
-        let Some(place) = self.coming(connection, request) else { return };
+        let Some(place) = self.coming(connection, request) else {
+            return;
+        };
         if let Place::Coming { bytes, .. } = place {
             let mut bytes = std::mem::take(bytes);
             bytes.extend_from_slice(if whole { b"\r\n" } else { b"" });
@@ -409,9 +467,17 @@
     }
 
     /// Writes what may go out on this connection, and goes on with commands that waited for that.
-    pub fn flush(&mut self, number: u64, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
+    pub fn flush(
+        &mut self,
+        number: u64,
+        now: Nanos,
+        events: &mut Vec<FrontEvent>,
+        counters: &mut Counters,
+    ) {
         loop {
-            let Some(c) = self.connections.get_mut(&number) else { return };
+            let Some(c) = self.connections.get_mut(&number) else {
+                return;
+            };
             while let Some(Place::Answered(_)) = c.places.front()
                 && let Some(Place::Answered(bytes)) = c.places.pop_front()
             {
@@ -439,7 +505,9 @@
                 (c.output, c.written) = (Vec::new(), 0);
             }
             let unsent = c.unsent();
-            if let Some(Place::Coming { request, held_back, .. }) = c.places.front_mut()
+            if let Some(Place::Coming {
+                request, held_back, ..
+            }) = c.places.front_mut()
                 && *held_back
                 && unsent == 0
             {
@@ -468,8 +536,11 @@
                 let arrived = c.presence.read_in_turn(&self.looks).unwrap_or(now);
                 self.parse(number, (now, arrived), events, counters);
             }
-            let Some(c) = self.connections.get_mut(&number) else { return };
-            let more = matches!(c.places.front(), Some(Place::Answered(_))) && c.places.len() > before;
+            let Some(c) = self.connections.get_mut(&number) else {
+                return;
+            };
+            let more =
+                matches!(c.places.front(), Some(Place::Answered(_))) && c.places.len() > before;
             if more && c.unsent() == 0 {
                 continue;
             }
@@ -484,15 +555,25 @@
 
     /// Ends a connection on which nothing is owed. Closing over bytes that are unread, or that still come, resets it, and
     /// what was just answered may be destroyed on its way. So at first only our sending ends.
-    fn leave(&mut self, number: u64, now: Nanos, counters: &mut Counters, events: &mut Vec<FrontEvent>) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+    fn leave(
+        &mut self,
+        number: u64,
+        now: Nanos,
+        counters: &mut Counters,
+        events: &mut Vec<FrontEvent>,
+    ) {
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         if !c.spoken && !c.last {
             // Nothing was ever answered on it.
             return self.remove(number, counters, events);
         }
         c.leaves = Some(now + LEAVE);
         c.input = Vec::new();
-        if c.stream.socket().shutdown(Shutdown::Write).is_err() || c.stream.interest(true, false).is_err() {
+        if c.stream.socket().shutdown(Shutdown::Write).is_err()
+            || c.stream.interest(true, false).is_err()
+        {
             return self.remove(number, counters, events);
         }
         self.leaving(number, counters, events);
@@ -501,7 +582,9 @@
     /// Takes what still comes on a connection that leaves, where its framing is lost. A command that can be read stays
     /// unread: whoever sent it is told by the reset, and sends it elsewhere.
     fn leaving(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<FrontEvent>) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         let socket = c.stream.socket();
         let stays = if c.last {
             discard(socket, DISCARD_MAX)
@@ -520,7 +603,9 @@
 
     /// Closes a connection; whoever waited on it has gone.
     fn remove(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<FrontEvent>) {
-        let Some(c) = self.connections.remove(&number) else { return };
+        let Some(c) = self.connections.remove(&number) else {
+            return;
+        };
         counters.clients_closed += 1;
         for place in c.places {
             if let Place::Waiting(request) | Place::Coming { request, .. } = place {
--- a/crates/pipitrun/src/front/resp/commands.rs
+++ b/crates/pipitrun/src/front/resp/commands.rs
@@ -23,7 +23,12 @@
 }
 
 /// Reads a whole command of these words.
-pub(super) fn command(input: &[u8], words: &[Range<usize>], ticket: Ticket, stance: Stance) -> Taken {
+pub(super) fn command(
+    input: &[u8],
+    words: &[Range<usize>],
+    ticket: Ticket,
+    stance: Stance,
+) -> Taken {
     let word = |i: usize| words.get(i).map_or(&[][..], |range| &input[range.clone()]);
     if words.is_empty() {
         return Taken::Nothing;
@@ -32,15 +37,17 @@
     match (name.as_slice(), words.len()) {
         (b"C.GET", 4) | (b"C.SET", 5) => {
             let value = (words.len() == 5).then(|| word(4).to_vec());
-            request([word(1), word(2), word(3)], value, ticket).map_or_else(Taken::Malformed, Taken::Request)
+            request([word(1), word(2), word(3)], value, ticket)
+                .map_or_else(Taken::Malformed, Taken::Request)
         }
         (b"C.GET" | b"C.SET", _) => Taken::Malformed("wrong number of arguments".into()),
         (b"PING", _) if stance.ready => Taken::Answer(b"+PONG\r\n".to_vec()),
         (b"PING", _) => Taken::Answer(error(&format!("LOADING {}", stance.state))),
         (b"CLIENT" | b"SELECT", _) => Taken::Answer(b"+OK\r\n".to_vec()),
-        _ => {
-            Taken::Malformed(format!("unknown command '{}'", word(0)[..word(0).len().min(32)].escape_ascii()))
-        }
+        _ => Taken::Malformed(format!(
+            "unknown command '{}'",
+            word(0)[..word(0).len().min(32)].escape_ascii()
+        )),
     }
 }
 
@@ -54,16 +61,22 @@
         return Err("key or id is empty".into());
     }
     let fields = std::str::from_utf8(fields).map_err(|_| "fields are not UTF-8".to_string())?;
-    let (mut class, mut tenant, mut patience, mut work, mut kept) = (None, None, None, None, Vec::new());
+    let (mut class, mut tenant, mut patience, mut work, mut kept) =
+        (None, None, None, None, Vec::new());
     for field in fields.split(',').filter(|f| !f.is_empty()) {
-        let (name, text) = field.split_once('=').ok_or_else(|| format!("field '{field}' has no value"))?;
+        let (name, text) = field
+            .split_once('=')
+            .ok_or_else(|| format!("field '{field}' has no value"))?;
         match name {
             "c" => class = Some(text.to_string()),
             "t" => tenant = Some(text.to_string()),
             "d" => patience = Some(text),
             // A guess, in microseconds: one that makes no sense is none.
             "h" => {
-                let us = text.parse::<f64>().ok().filter(|us| (1.0..=HINT_MAX).contains(us));
+                let us = text
+                    .parse::<f64>()
+                    .ok()
+                    .filter(|us| (1.0..=HINT_MAX).contains(us));
                 work = us.map(|us| (us * 1_000.0) as Nanos);
             }
             _ => {}
@@ -78,13 +91,28 @@
     if !patience.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
         return Err(format!("field 'd': '{patience}' is no time"));
     }
-    let ms: f64 = patience.parse().map_err(|_| format!("field 'd': '{patience}' is no number"))?;
+    let ms: f64 = patience
+        .parse()
+        .map_err(|_| format!("field 'd': '{patience}' is no number"))?;
     if ms > PATIENCE_MAX {
         return Err(format!("field 'd': '{patience}' is too long a time"));
     }
     let patience = (ms * MS as f64) as Nanos;
-    let order = Order { value, key: key.to_vec(), id: id.to_vec(), fields: kept };
-    Ok(Incoming { ticket, class, tenant, arrived: 0, patience, work, order })
+    let order = Order {
+        value,
+        key: key.to_vec(),
+        id: id.to_vec(),
+        fields: kept,
+    };
+    Ok(Incoming {
+        ticket,
+        class,
+        tenant,
+        arrived: 0,
+        patience,
+        work,
+        order,
+    })
 }
 
 /// An error on the wire.
@@ -105,7 +133,9 @@
         // The value itself comes in parts.
         FinalAnswer::Coming(length) => format!("${length}\r\n").into_bytes(),
         FinalAnswer::Refused { retry_after: 0 } => error("BUSY"),
-        FinalAnswer::Refused { retry_after } => error(&format!("BUSY {}", retry_after.div_ceil(MS))),
+        FinalAnswer::Refused { retry_after } => {
+            error(&format!("BUSY {}", retry_after.div_ceil(MS)))
+        }
         FinalAnswer::Failed => error("ERR failed"),
         FinalAnswer::Invalid(problem) => error(&format!("ERR {problem}")),
     }
--- a/crates/pipitrun/src/front/resp/door.rs
+++ b/crates/pipitrun/src/front/resp/door.rs
@@ -9,7 +9,10 @@
             return;
         }
         // Who is taken now may have waited since then, unless none was left when the listener was last served.
-        let waited_since = self.looks.arrived().min(self.door_waits.unwrap_or(Nanos::MAX));
+        let waited_since = self
+            .looks
+            .arrived()
+            .min(self.door_waits.unwrap_or(Nanos::MAX));
         self.door_waits = Some(waited_since);
         for _ in 0..ACCEPT_MAX {
             if self.connections.len() >= self.most && !self.make_room(now, counters) {
@@ -17,14 +20,18 @@
                 // would use up the descriptors that peers and discovery need.
                 return self.pause(true);
             }
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             match listener.socket().accept() {
                 Ok((stream, _)) => {
                     let number = self.next_connection;
                     let watched = stream
                         .set_nonblocking(true)
                         .and_then(|()| stream.set_nodelay(true))
-                        .and_then(|()| self.poll.watch(stream, Source::Client(number), true, false));
+                        .and_then(|()| {
+                            self.poll.watch(stream, Source::Client(number), true, false)
+                        });
                     let stream = match watched {
                         Ok(stream) => stream,
                         Err(e) => {
@@ -55,7 +62,11 @@
                     self.door_waits = None;
                     return;
                 }
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(e) => {
                     // Out of descriptors, most likely: without a pause the loop would spin on the same error.
                     log::warn!("accepting clients: {e}");
@@ -90,8 +101,16 @@
     /// Those that leave anyway go first, then those on which nothing ever came, or clients that say nothing would push
     /// out those that do.
     fn make_room(&mut self, now: Nanos, counters: &mut Counters) -> bool {
-        let mute = self.connections.values().filter(|c| !c.spoken && c.input.is_empty()).count();
-        let spoken_least = if mute > self.most / MUTE_PART { IDLE_CROWDED } else { IDLE_FULL };
+        let mute = self
+            .connections
+            .values()
+            .filter(|c| !c.spoken && c.input.is_empty())
+            .count();
+        let spoken_least = if mute > self.most / MUTE_PART {
+            IDLE_CROWDED
+        } else {
+            IDLE_FULL
+        };
         // In this order; whether something waits to be read or sent is asked last, for it is a system call.
         let rank = |c: &ClientConnection| {
             if c.leaves.is_some() {
@@ -106,13 +125,19 @@
                 (still >= MUTE_LEAST).then_some(1)
             }
         };
-        let ranked = self.connections.iter().filter_map(|(n, c)| Some((rank(c)?, c.active, *n)));
+        let ranked = self
+            .connections
+            .iter()
+            .filter_map(|(n, c)| Some((rank(c)?, c.active, *n)));
         let mut ranked: Vec<(u8, Nanos, u64)> = ranked.collect();
         ranked.sort_unstable();
         let silent = |n: &u64| {
-            let stands =
-                |c: &ClientConnection| is_silent(c.stream.socket()) && !has_unsent(c.stream.socket());
-            self.connections.get(n).is_some_and(|c| c.leaves.is_some() || stands(c))
+            let stands = |c: &ClientConnection| {
+                is_silent(c.stream.socket()) && !has_unsent(c.stream.socket())
+            };
+            self.connections
+                .get(n)
+                .is_some_and(|c| c.leaves.is_some() || stands(c))
         };
         let number = ranked.into_iter().map(|(.., number)| number).find(silent);
         let Some(number) = number else { return false };
--- a/crates/pipitrun/src/front/resp/sweep.rs
+++ b/crates/pipitrun/src/front/resp/sweep.rs
@@ -17,7 +17,11 @@
 
     /// The connections of which this is so.
     fn those(&self, is_so: impl Fn(&ClientConnection) -> bool) -> Vec<u64> {
-        self.connections.iter().filter(|(_, c)| is_so(c)).map(|(number, _)| *number).collect()
+        self.connections
+            .iter()
+            .filter(|(_, c)| is_so(c))
+            .map(|(number, _)| *number)
+            .collect()
     }
 
     fn close_stuck(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
@@ -40,7 +44,12 @@
     }
 
     /// A client that says nothing, or half a command, must hold neither place nor memory for good.
-    fn close_unfinished(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
+    fn close_unfinished(
+        &mut self,
+        now: Nanos,
+        events: &mut Vec<FrontEvent>,
+        counters: &mut Counters,
+    ) {
         let unfinished = self.those(|c| {
             !(c.spoken && c.input.is_empty())
                 && c.takes_commands()
@@ -51,8 +60,14 @@
         });
         for number in unfinished {
             counters.clients_unfinished += 1;
-            if let Some(c) = self.connections.get_mut(&number).filter(|c| !c.input.is_empty()) {
-                c.places.push_back(Place::Answered(error("ERR the command did not end in time")));
+            if let Some(c) = self
+                .connections
+                .get_mut(&number)
+                .filter(|c| !c.input.is_empty())
+            {
+                c.places.push_back(Place::Answered(error(
+                    "ERR the command did not end in time",
+                )));
                 c.input = Vec::new();
                 c.last = true;
                 self.flush(number, now, events, counters);
@@ -63,7 +78,11 @@
     }
 
     fn close_idle(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
-        let stay = self.connections.values().filter(|c| c.leaves.is_none()).count();
+        let stay = self
+            .connections
+            .values()
+            .filter(|c| c.leaves.is_none())
+            .count();
         let crowded = stay > self.most / 2;
         let most = match (self.stance.closes_idle, crowded) {
             (true, _) => IDLE_CLOSING,
@@ -74,10 +93,15 @@
             c.is_idle() && now.saturating_sub(c.active) >= least && is_silent(c.stream.socket())
         };
         let mut done = self.those(|c| is_idle_for(c, most));
-        let beyond = stay.saturating_sub(done.len()).saturating_sub(self.most * CROWD / 100);
+        let beyond = stay
+            .saturating_sub(done.len())
+            .saturating_sub(self.most * CROWD / 100);
         if beyond > 0 {
             let idle = |c: &ClientConnection| c.spoken && is_idle_for(c, IDLE_LEAST);
-            let idle = self.connections.iter().filter(|(n, c)| idle(c) && !done.contains(n));
+            let idle = self
+                .connections
+                .iter()
+                .filter(|(n, c)| idle(c) && !done.contains(n));
             let mut idle: Vec<(Nanos, u64)> = idle.map(|(n, c)| (c.active, *n)).collect();
             idle.sort_unstable();
             done.extend(idle.into_iter().take(beyond).map(|(_, number)| number));
--- a/crates/pipitrun/src/front/resp/tests.rs
+++ b/crates/pipitrun/src/front/resp/tests.rs
@@ -6,20 +6,38 @@
 use socket2::SockRef;
 use std::time::Duration;
 
-const SERVING: Stance =
-    Stance { state: "serving", ready: true, door: Door::Open, closes_idle: false, takes: true };
-const CLOSING: Stance = Stance { ready: false, closes_idle: true, ..SERVING };
+const SERVING: Stance = Stance {
+    state: "serving",
+    ready: true,
+    door: Door::Open,
+    closes_idle: false,
+    takes: true,
+};
+const CLOSING: Stance = Stance {
+    ready: false,
+    closes_idle: true,
+    ..SERVING
+};
 
 /// A front for this many connections, and a way to connect to it.
 fn front(most: usize) -> (RespFront, impl Fn() -> TcpStream) {
     let poll = Poll::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let front = RespFront::listen(&poll, listener, most, SERVING, Looks::start(0)).expect("it listens");
-    let address = front.listener.as_ref().unwrap().socket().local_addr().unwrap();
+    let front =
+        RespFront::listen(&poll, listener, most, SERVING, Looks::start(0)).expect("it listens");
+    let address = front
+        .listener
+        .as_ref()
+        .unwrap()
+        .socket()
+        .local_addr()
+        .unwrap();
     let connect = move || {
         let client = TcpStream::connect(address).expect("it takes clients");
         // An end that does not come fails, and does not hang.
-        client.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
+        client
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("a time-out");
         // What is written is there at once, also behind something small.
         client.set_nodelay(true).expect("no delay");
         client
@@ -29,7 +47,12 @@
 
 /// The connections that do not leave: to the others nothing more is sent, and they close once the client has.
 fn staying(front: &RespFront) -> Vec<u64> {
-    front.connections.iter().filter(|(_, c)| c.leaves.is_none()).map(|(number, _)| *number).collect()
+    front
+        .connections
+        .iter()
+        .filter(|(_, c)| c.leaves.is_none())
+        .map(|(number, _)| *number)
+        .collect()
 }
 
 #[test]
@@ -40,20 +63,36 @@
     front.accept(0, &mut counters);
     let _second = connect();
     front.accept(1, &mut counters);
-    assert_eq!((counters.clients_accepted, counters.clients_closed), (1, 0), "just taken");
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (1, 0),
+        "just taken"
+    );
     assert!(!front.accepting, "the newcomer waits");
     front.sweep(2, &mut Vec::new(), &mut counters);
     assert!(front.accepting, "but not for good");
     first.write_all(b"*1\r\n").unwrap();
     front.accept(IDLE_LEAST, &mut counters);
-    assert_eq!((counters.clients_accepted, counters.clients_closed), (1, 0), "something to read");
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (1, 0),
+        "something to read"
+    );
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     front.ready(IDLE_LEAST, ready, &mut Vec::new(), &mut counters);
     assert!(!front.connections[&0].is_idle(), "half a command");
     first.write_all(b"$4\r\nPING\r\n").unwrap();
     front.ready(IDLE_LEAST, ready, &mut Vec::new(), &mut counters);
     front.accept(2 * IDLE_LEAST, &mut counters);
-    assert_eq!((counters.clients_accepted, counters.clients_closed), (2, 1), "idle by now");
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (2, 1),
+        "idle by now"
+    );
 }
 
 #[test]
@@ -68,22 +107,38 @@
     unread.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     clients[2].write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     for number in 0..3 {
-        let ready = Ready { source: Source::Client(number), readable: true, writable: false };
+        let ready = Ready {
+            source: Source::Client(number),
+            readable: true,
+            writable: false,
+        };
         front.ready(1, ready, &mut events, &mut counters);
     }
     front.sweep(UNFINISHED - 1, &mut events, &mut counters);
     assert_eq!(front.connections.len(), 4);
     front.sweep(UNFINISHED, &mut events, &mut counters);
-    assert_eq!((staying(&front), counters.clients_unfinished), (vec![2, 3], 2), "one is only unread");
+    assert_eq!(
+        (staying(&front), counters.clients_unfinished),
+        (vec![2, 3], 2),
+        "one is only unread"
+    );
     drop(front.connections.remove(&3));
     let mut text = String::new();
     clients[1].read_to_string(&mut text).unwrap();
     assert_eq!(text, "-ERR the command did not end in time\r\n");
     front.sweep(IDLE, &mut events, &mut counters);
-    assert_eq!((staying(&front), counters.clients_idle), (vec![2], 0), "not yet");
+    assert_eq!(
+        (staying(&front), counters.clients_idle),
+        (vec![2], 0),
+        "not yet"
+    );
     front.set_most(1);
     front.sweep(IDLE, &mut events, &mut counters);
-    assert_eq!((staying(&front), counters.clients_idle), (vec![], 1), "crowded");
+    assert_eq!(
+        (staying(&front), counters.clients_idle),
+        (vec![], 1),
+        "crowded"
+    );
     // Their clients do not close: their time ends it.
     front.sweep(IDLE + LEAVE - 1, &mut events, &mut counters);
     assert_eq!(front.connections.keys().copied().collect::<Vec<_>>(), [2]);
@@ -97,7 +152,11 @@
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
     front.accept(0, &mut counters);
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     front.ready(0, ready, &mut events, &mut counters);
     client.write_all(b"*1\r\n$4").unwrap();
@@ -118,7 +177,11 @@
         front.accept(number, &mut counters);
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
         clients.push(client);
-        let ready = Ready { source: Source::Client(number), readable: true, writable: false };
+        let ready = Ready {
+            source: Source::Client(number),
+            readable: true,
+            writable: false,
+        };
         front.ready(number, ready, &mut events, &mut counters);
     }
     front.sweep(IDLE_LEAST - 1, &mut events, &mut counters);
@@ -133,10 +196,19 @@
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut clients: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
     front.accept(0, &mut counters);
-    front.connections.get_mut(&3).unwrap().places.push_back(Place::Waiting(RequestId(8)));
+    front
+        .connections
+        .get_mut(&3)
+        .unwrap()
+        .places
+        .push_back(Place::Waiting(RequestId(8)));
     let mut say = |front: &mut RespFront, number: u64, now: Nanos, text: &[u8]| {
         clients[number as usize].write_all(text).unwrap();
-        let ready = Ready { source: Source::Client(number), readable: true, writable: false };
+        let ready = Ready {
+            source: Source::Client(number),
+            readable: true,
+            writable: false,
+        };
         front.ready(now, ready, &mut events, &mut Counters::default());
     };
     say(&mut front, 0, 0, b"*1\r\n");
@@ -152,11 +224,22 @@
     say(&mut front, 0, IDLE_FULL + 1, b"$4\r\n");
     front.pause(false);
     front.accept(IDLE_FULL + MUTE_LEAST, &mut counters);
-    assert_eq!(front.connections.keys().copied().collect::<Vec<_>>(), [0, 1, 3, 5]);
-    front.connections.get_mut(&5).unwrap().places.push_back(Place::Waiting(RequestId(9)));
+    assert_eq!(
+        front.connections.keys().copied().collect::<Vec<_>>(),
+        [0, 1, 3, 5]
+    );
+    front
+        .connections
+        .get_mut(&5)
+        .unwrap()
+        .places
+        .push_back(Place::Waiting(RequestId(9)));
     front.pause(false);
     front.accept(HALF_LEAST, &mut counters);
-    assert_eq!(front.connections.keys().copied().collect::<Vec<_>>(), [0, 3, 5, 6]);
+    assert_eq!(
+        front.connections.keys().copied().collect::<Vec<_>>(),
+        [0, 3, 5, 6]
+    );
 }
 
 #[test]
@@ -167,7 +250,11 @@
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
     client.write_all(&command.repeat(100)).unwrap();
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     front.ready(0, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 100);
 }
@@ -179,7 +266,11 @@
     let mut usual = connect();
     front.accept(0, &mut counters);
     usual.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     front.ready(0, ready, &mut Vec::new(), &mut counters);
     let _mute: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
     for turn in 1..9 {
@@ -198,7 +289,15 @@
     front.accept(1, &mut counters);
     assert!(!front.is_empty());
     let _later = connect();
-    front.follow(Stance { door: Door::Closed, ..CLOSING }, 2, &mut Vec::new(), &mut counters);
+    front.follow(
+        Stance {
+            door: Door::Closed,
+            ..CLOSING
+        },
+        2,
+        &mut Vec::new(),
+        &mut counters,
+    );
     assert!(front.is_empty());
     assert_eq!(counters.clients_accepted, 2);
 }
@@ -217,16 +316,34 @@
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=900000"]);
     endless.write_all(&command.repeat(2)).unwrap();
     front.sweep(IDLE_CLOSING + 1, &mut events, &mut counters);
-    assert_eq!(front.connections.keys().copied().collect::<Vec<_>>(), [1], "the idle one has gone");
-    let ready = Ready { source: Source::Client(1), readable: true, writable: false };
+    assert_eq!(
+        front.connections.keys().copied().collect::<Vec<_>>(),
+        [1],
+        "the idle one has gone"
+    );
+    let ready = Ready {
+        source: Source::Client(1),
+        readable: true,
+        writable: false,
+    };
     front.ready(IDLE_CLOSING + 2, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2);
-    front.follow(Stance { takes: false, ..CLOSING }, IDLE_CLOSING + 3, &mut events, &mut counters);
+    front.follow(
+        Stance {
+            takes: false,
+            ..CLOSING
+        },
+        IDLE_CLOSING + 3,
+        &mut events,
+        &mut counters,
+    );
     endless.write_all(&command).unwrap();
     front.ready(IDLE_CLOSING + 4, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2, "no further command is taken");
     for event in std::mem::take(&mut events) {
-        let FrontEvent::Request(incoming) = event else { panic!("nobody has gone") };
+        let FrontEvent::Request(incoming) = event else {
+            panic!("nobody has gone")
+        };
         assert!(!front.is_empty(), "what was taken is answered first");
         front.answer(incoming.ticket, FinalAnswer::Failed);
         front.flush(1, IDLE_CLOSING + 5, &mut Vec::new(), &mut counters);
@@ -234,7 +351,11 @@
     assert!(staying(&front).is_empty());
     let mut text = String::new();
     endless.read_to_string(&mut text).unwrap();
-    assert_eq!(text, "-ERR failed\r\n".repeat(2) + "-BUSY\r\n", "what came too late is answered too");
+    assert_eq!(
+        text,
+        "-ERR failed\r\n".repeat(2) + "-BUSY\r\n",
+        "what came too late is answered too"
+    );
     drop(endless);
     front.ready(IDLE_CLOSING + 6, ready, &mut events, &mut counters);
     assert!(front.is_empty());
@@ -248,7 +369,11 @@
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
     client.write_all(&command.repeat(2)).unwrap();
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     front.ready(0, ready, &mut events, &mut counters);
     let tickets = events.into_iter().map(|event| match event {
         FrontEvent::Request(incoming) => incoming.ticket,
@@ -278,8 +403,13 @@
     assert!(!front.holds_back(0, one, true), "nothing waits for it");
     front.part(0, one, b"xx");
     front.finish(0, one, true, 1, &mut events, &mut counters);
-    let want =
-        [b"$3\r\nxxx\r\n", format!("${}\r\n", WINDOW + 1).as_bytes(), &[b'y'; WINDOW + 1], b"\r\n"].concat();
+    let want = [
+        b"$3\r\nxxx\r\n",
+        format!("${}\r\n", WINDOW + 1).as_bytes(),
+        &[b'y'; WINDOW + 1],
+        b"\r\n",
+    ]
+    .concat();
     let mut got = vec![0; want.len()];
     client.read_exact(&mut got).unwrap();
     assert!(got == want && front.connections[&0].is_idle());
@@ -299,9 +429,16 @@
         sent += READ_SIZE;
         assert!(sent < LENGTH, "the sockets' buffers are smaller");
     }
-    assert!(front.buffered() <= WINDOW + READ_SIZE, "what one long value holds");
+    assert!(
+        front.buffered() <= WINDOW + READ_SIZE,
+        "what one long value holds"
+    );
     client.set_nonblocking(true).unwrap();
-    let ready = Ready { source: Source::Client(0), readable: false, writable: true };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: false,
+        writable: true,
+    };
     while events.is_empty() {
         while matches!(client.read(&mut [0; READ_SIZE]), Ok(n) if n > 0) {}
         front.ready(2, ready, &mut events, &mut counters);
@@ -318,12 +455,18 @@
 fn a_guess_at_the_work_is_taken_and_passed_on_and_one_that_makes_no_sense_is_only_passed_on() {
     let read = |h: &str| {
         let fields = format!("c=read,h={h},d=480");
-        let ticket = Ticket { request: finchyard::RequestId(1), connection: 0 };
+        let ticket = Ticket {
+            request: finchyard::RequestId(1),
+            connection: 0,
+        };
         request([b"key", b"id", fields.as_bytes()], None, ticket).unwrap()
     };
-    for (h, work) in
-        [("48000", Some(48 * MS)), ("0.5", None), ("1.5", Some(1_500)), ("3600000000", Some(3_600_000 * MS))]
-    {
+    for (h, work) in [
+        ("48000", Some(48 * MS)),
+        ("0.5", None),
+        ("1.5", Some(1_500)),
+        ("3600000000", Some(3_600_000 * MS)),
+    ] {
         assert_eq!(read(h).work, work, "{h}");
     }
     for h in ["", "0", "-5", "inf", "NaN", "3600000001", "soon"] {
@@ -353,12 +496,16 @@
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
     let taken = match unread {
         Unread::Garbled => {
-            client.write_all(&[&command[..], b"*x\r\n"].concat()).unwrap();
+            client
+                .write_all(&[&command[..], b"*x\r\n"].concat())
+                .unwrap();
             1
         }
         // Behind the most that may be owed more has come than is kept, and the rest is in the socket.
         Unread::Full => {
-            client.write_all(&command.repeat(OWED_MAX + INPUT_MAX / command.len() + 100)).unwrap();
+            client
+                .write_all(&command.repeat(OWED_MAX + INPUT_MAX / command.len() + 100))
+                .unwrap();
             OWED_MAX
         }
         Unread::Owed => {
@@ -366,7 +513,11 @@
             1
         }
     };
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     while front.connections[&0].is_read() {
         front.ready(0, ready, &mut events, &mut counters);
         if matches!(unread, Unread::Owed) {
@@ -376,14 +527,27 @@
     }
     assert_eq!(events.drain(..).count(), taken);
     front.sweep(1, &mut events, &mut counters);
-    assert_eq!((events.len(), counters.left_unread), (0, 0), "it is still there");
+    assert_eq!(
+        (events.len(), counters.left_unread),
+        (0, 0),
+        "it is still there"
+    );
     if reset {
-        SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&client)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
     drop(client);
     front.sweep(2, &mut events, &mut counters);
-    assert!(events.iter().all(|event| matches!(event, FrontEvent::Gone(_))));
-    assert_eq!((events.len(), counters.left_unread, front.is_empty()), (taken, 1, true));
+    assert!(
+        events
+            .iter()
+            .all(|event| matches!(event, FrontEvent::Gone(_)))
+    );
+    assert_eq!(
+        (events.len(), counters.left_unread, front.is_empty()),
+        (taken, 1, true)
+    );
 }
 
 /// Why a connection is closed behind an answer.
@@ -405,24 +569,42 @@
     SockRef::from(&client).set_recv_buffer_size(4_096).unwrap();
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
-    let behind: &[u8] = if matches!(close, Close::Garbled) { b"*x\r\n" } else { b"" };
+    let behind: &[u8] = if matches!(close, Close::Garbled) {
+        b"*x\r\n"
+    } else {
+        b""
+    };
     client.write_all(&[&command[..], behind].concat()).unwrap();
-    let ready = Ready { source: Source::Client(0), readable: true, writable: true };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: true,
+    };
     front.ready(0, ready, &mut events, &mut counters);
-    let Some(FrontEvent::Request(incoming)) = events.pop() else { panic!("it is taken") };
+    let Some(FrontEvent::Request(incoming)) = events.pop() else {
+        panic!("it is taken")
+    };
     front.answer(incoming.ticket, FinalAnswer::Served(vec![b'v'; VALUE_MAX]));
     front.flush(0, 0, &mut events, &mut counters);
     match close {
         Close::Garbled => {}
         Close::Drain => front.follow(CLOSING, 1, &mut events, &mut counters),
-        Close::NoLongerTaken => {
-            front.follow(Stance { takes: false, ..CLOSING }, 1, &mut events, &mut counters)
-        }
+        Close::NoLongerTaken => front.follow(
+            Stance {
+                takes: false,
+                ..CLOSING
+            },
+            1,
+            &mut events,
+            &mut counters,
+        ),
     }
     // What crosses the close: it is not read as a command any more.
     client.write_all(&command.repeat(3)).unwrap();
     let mut got = Vec::new();
-    client.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_millis(1)))
+        .unwrap();
     let mut now = 1;
     let end = loop {
         // The kernel sends on as the client takes what has come; the loop has its turns meanwhile.
@@ -456,7 +638,15 @@
     for client in &mut clients {
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     }
-    front.follow(Stance { door: Door::Closed, ..CLOSING }, 0, &mut events, &mut counters);
+    front.follow(
+        Stance {
+            door: Door::Closed,
+            ..CLOSING
+        },
+        0,
+        &mut events,
+        &mut counters,
+    );
     assert_eq!(counters.clients_accepted, 100);
     for mut client in clients {
         let mut text = String::new();
@@ -483,7 +673,11 @@
     let mut client = connect();
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
-    let ready = Ready { source: Source::Client(0), readable: true, writable: false };
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: false,
+    };
     let ending = Stance { door, ..CLOSING };
     match crosses {
         // The door was just passed, and nothing is read yet.
@@ -504,7 +698,9 @@
         Crosses::BehindAnAnswer => {
             client.write_all(&command).unwrap();
             front.ready(1, ready, &mut events, &mut counters);
-            let Some(FrontEvent::Request(incoming)) = events.pop() else { panic!("it is taken") };
+            let Some(FrontEvent::Request(incoming)) = events.pop() else {
+                panic!("it is taken")
+            };
             front.follow(ending, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
             front.answer(incoming.ticket, FinalAnswer::Served(b"v".to_vec()));
@@ -512,12 +708,17 @@
         }
     }
     front.ready(2, ready, &mut events, &mut counters);
-    let Some(FrontEvent::Request(incoming)) = events.pop() else { panic!("it is taken") };
+    let Some(FrontEvent::Request(incoming)) = events.pop() else {
+        panic!("it is taken")
+    };
     front.answer(incoming.ticket, FinalAnswer::Served(b"w".to_vec()));
     front.flush(0, 2, &mut events, &mut counters);
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
-    assert!(text.ends_with("$1\r\nw\r\n"), "{text}, and the end, since nothing is owed");
+    assert!(
+        text.ends_with("$1\r\nw\r\n"),
+        "{text}, and the end, since nothing is owed"
+    );
     assert!(staying(&front).is_empty());
 }
 
@@ -540,12 +741,23 @@
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
     front.accept(0, &mut counters);
-    client.write_all(&resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"])).unwrap();
-    let ready = Ready { source: Source::Client(0), readable: true, writable: true };
+    client
+        .write_all(&resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]))
+        .unwrap();
+    let ready = Ready {
+        source: Source::Client(0),
+        readable: true,
+        writable: true,
+    };
     front.ready(0, ready, &mut events, &mut counters);
-    let Some(FrontEvent::Request(incoming)) = events.pop() else { panic!("it is taken") };
+    let Some(FrontEvent::Request(incoming)) = events.pop() else {
+        panic!("it is taken")
+    };
     // More than the client's side takes unread: the kernel holds the rest for it.
-    front.answer(incoming.ticket, FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]));
+    front.answer(
+        incoming.ticket,
+        FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]),
+    );
     front.flush(0, 0, &mut events, &mut counters);
     while front.connections[&0].unsent() > 0 {
         let _ = client.read(&mut [0; 4_096]).unwrap();
@@ -559,5 +771,9 @@
         let _ = client.read(&mut [0; 4_096]).unwrap();
     }
     front.accept(2 * IDLE_LEAST, &mut counters);
-    assert_eq!((counters.clients_accepted, counters.clients_closed), (2, 1), "it has taken it by now");
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (2, 1),
+        "it has taken it by now"
+    );
 }
--- a/crates/pipitrun/src/hand_over.rs
+++ b/crates/pipitrun/src/hand_over.rs
@@ -45,13 +45,27 @@
 impl HandOver {
     /// Nothing is seen yet.
     pub fn new() -> Self {
-        HandOver { other: None, notes_until: None, first: true, served: None }
+        HandOver {
+            other: None,
+            notes_until: None,
+            first: true,
+            served: None,
+        }
     }
 
     /// Takes in what stands in the other's seat, and whether notes for this process are there. Only who `serves` writes
     /// notes.
-    pub fn look(&mut self, now: Nanos, other: Option<Other>, notes_there: bool, serves: bool) -> Todo {
-        let mut todo = Todo { split: other.is_some() != self.other.is_some(), ..Todo::default() };
+    pub fn look(
+        &mut self,
+        now: Nanos,
+        other: Option<Other>,
+        notes_there: bool,
+        serves: bool,
+    ) -> Todo {
+        let mut todo = Todo {
+            split: other.is_some() != self.other.is_some(),
+            ..Todo::default()
+        };
         // One whose seat can't be read yet may serve, or may be the newcomer: what it is to be told waits until it can.
         let unknown = other.as_ref().is_some_and(|o| o.process.is_empty());
         if std::mem::take(&mut self.first) && other.as_ref().is_some_and(|o| o.ready || unknown) {
@@ -64,7 +78,10 @@
             self.notes_until = None;
             todo.go_on = true;
         }
-        if let Some(other) = self.other.as_ref().filter(|o| serves && !o.ready && !unknown)
+        if let Some(other) = self
+            .other
+            .as_ref()
+            .filter(|o| serves && !o.ready && !unknown)
             && self.served.as_ref() != Some(&other.process)
         {
             self.served = Some(other.process.clone());
--- a/crates/pipitrun/src/hand_over/tests.rs
+++ b/crates/pipitrun/src/hand_over/tests.rs
@@ -5,7 +5,10 @@
 use proptest::test_runner::RngSeed;
 
 fn other(process: &str, ready: bool) -> Option<Other> {
-    Some(Other { process: process.into(), ready })
+    Some(Other {
+        process: process.into(),
+        ready,
+    })
 }
 
 #[test]
@@ -13,15 +16,34 @@
     let there = |s: &mut HandOver| s.look(1, other("a", true), true, false);
     let late = |s: &mut HandOver| s.look(NOTES_WAIT, other("a", true), false, false);
     let dead = |s: &mut HandOver| s.look(1, None, false, false);
-    for (end, beside) in [(&there as &dyn Fn(&mut HandOver) -> Todo, true), (&late, true), (&dead, false)] {
+    for (end, beside) in [
+        (&there as &dyn Fn(&mut HandOver) -> Todo, true),
+        (&late, true),
+        (&dead, false),
+    ] {
         let mut hand_over = HandOver::new();
         let first = hand_over.look(0, other("a", true), false, false);
-        assert_eq!(first, Todo { split: true, ..Todo::default() });
+        assert_eq!(
+            first,
+            Todo {
+                split: true,
+                ..Todo::default()
+            }
+        );
         assert!(hand_over.waits() && hand_over.next_look() == LOOK_FOR_NOTES);
-        assert!(!hand_over.look(NOTES_WAIT - 1, other("a", true), false, false).go_on);
+        assert!(
+            !hand_over
+                .look(NOTES_WAIT - 1, other("a", true), false, false)
+                .go_on
+        );
         assert!(end(&mut hand_over).go_on);
         assert_eq!((hand_over.waits(), hand_over.is_beside()), (false, beside));
-        assert!(!hand_over.look(2 * NOTES_WAIT, other("a", true), true, false).go_on, "only once");
+        assert!(
+            !hand_over
+                .look(2 * NOTES_WAIT, other("a", true), true, false)
+                .go_on,
+            "only once"
+        );
     }
 }
 
@@ -39,16 +61,39 @@
     let mut hand_over = HandOver::new();
     assert_eq!(hand_over.look(0, None, false, true), Todo::default());
     let todo = hand_over.look(1, other("b", false), false, true);
-    assert_eq!(todo, Todo { split: true, write_notes_for: Some("b".into()), go_on: false });
-    assert_eq!(hand_over.look(2, other("b", false), false, true), Todo::default());
+    assert_eq!(
+        todo,
+        Todo {
+            split: true,
+            write_notes_for: Some("b".into()),
+            go_on: false
+        }
+    );
+    assert_eq!(
+        hand_over.look(2, other("b", false), false, true),
+        Todo::default()
+    );
     assert!(!hand_over.other_serves());
-    assert_eq!(hand_over.look(3, other("b", true), false, true), Todo::default());
+    assert_eq!(
+        hand_over.look(3, other("b", true), false, true),
+        Todo::default()
+    );
     assert!(hand_over.other_serves());
     // It was killed, and another one came.
     assert!(hand_over.look(4, None, false, true).split && !hand_over.is_beside());
-    assert_eq!(hand_over.look(5, other("c", false), false, true).write_notes_for, Some("c".into()));
+    assert_eq!(
+        hand_over
+            .look(5, other("c", false), false, true)
+            .write_notes_for,
+        Some("c".into())
+    );
     let mut idle = HandOver::new();
-    assert_eq!(idle.look(0, other("c", false), false, false).write_notes_for, None, "it serves nobody");
+    assert_eq!(
+        idle.look(0, other("c", false), false, false)
+            .write_notes_for,
+        None,
+        "it serves nobody"
+    );
 }
 
 #[test]
@@ -56,8 +101,17 @@
     // The old one looks when the newcomer has its seat and has not written its name.
     let mut old = HandOver::new();
     old.look(0, None, false, true);
-    assert_eq!(old.look(1, other("", false), false, true), Todo { split: true, ..Todo::default() });
-    assert_eq!(old.look(2, other("b", false), false, true).write_notes_for, Some("b".into()));
+    assert_eq!(
+        old.look(1, other("", false), false, true),
+        Todo {
+            split: true,
+            ..Todo::default()
+        }
+    );
+    assert_eq!(
+        old.look(2, other("b", false), false, true).write_notes_for,
+        Some("b".into())
+    );
     // The newcomer looks when the old one writes its seat anew.
     let mut new = HandOver::new();
     new.look(0, other("", false), false, false);
--- a/crates/pipitrun/src/life_cycle.rs
+++ b/crates/pipitrun/src/life_cycle.rs
@@ -97,7 +97,13 @@
     pub fn new(shared: bool, longest_deadline: Nanos) -> Self {
         let last_answer = longest_deadline.min(DEADLINE_MOST) + ACCEPT_ON - KILL_MARGIN;
         let state = State::Starting { listed: false };
-        LifeCycle { state, shared, other_serves: false, waits: false, last_answer }
+        LifeCycle {
+            state,
+            shared,
+            other_serves: false,
+            waits: false,
+            last_answer,
+        }
     }
 
     /// By when what is taken now is answered, whatever its client's patience: the process may be killed then.
@@ -193,15 +199,24 @@
             // On a shared socket a client that isn't answered yet is better off with the other, or in the queue.
             State::Starting { .. } if self.shared => (Door::Waits, false),
             State::Starting { .. } | State::Serving => (Door::Open, false),
-            State::Quiesced { since, .. } => {
-                (if theirs { Door::Waits } else { Door::Open }, now >= since + TURN_AWAY)
-            }
+            State::Quiesced { since, .. } => (
+                if theirs { Door::Waits } else { Door::Open },
+                now >= since + TURN_AWAY,
+            ),
             State::Ending { .. } if theirs => (Door::Left, true),
             State::Ending { since } if now < since + ACCEPT_ON => (Door::Open, true),
             State::Ending { .. } => (Door::Closed, true),
         };
-        let takes = self.since().is_none_or(|since| now < since + self.take_on());
-        Stance { state: self.name(), ready: self.is_ready(), door, closes_idle, takes }
+        let takes = self
+            .since()
+            .is_none_or(|since| now < since + self.take_on());
+        Stance {
+            state: self.name(),
+            ready: self.is_ready(),
+            door,
+            closes_idle,
+            takes,
+        }
     }
 
     /// Since when clients are sent away, if they are.
@@ -217,7 +232,10 @@
         let since = self.since()?;
         let mut parts = [TURN_AWAY, ACCEPT_ON, self.take_on()];
         parts.sort_unstable();
-        parts.into_iter().map(|part| since + part).find(|at| *at > now)
+        parts
+            .into_iter()
+            .map(|part| since + part)
+            .find(|at| *at > now)
     }
 
     /// Whether the process may end, with or without clients connected.
