--- a/crates/pipitrun/src/life_cycle/tests.rs
+++ b/crates/pipitrun/src/life_cycle/tests.rs
@@ -57,13 +57,23 @@
     let mut life = play(&[Step::Listed], 0);
     life.quiesce(1000);
     life.quiesce(2000);
-    assert_eq!(life.due(1000), Some(1000 + TURN_AWAY), "said again it begins nothing anew");
+    assert_eq!(
+        life.due(1000),
+        Some(1000 + TURN_AWAY),
+        "said again it begins nothing anew"
+    );
     assert!(!life.stance(999 + TURN_AWAY).closes_idle && life.stance(1000 + TURN_AWAY).closes_idle);
     assert!(life.stance(999 + TAKE_ON).takes && !life.stance(1000 + TAKE_ON).takes);
     assert!(life.stance(u64::MAX).door == Door::Open && !life.is_over(u64::MAX, false));
     assert_eq!(life.due(1000 + TAKE_ON), None);
     life.resume().unwrap();
-    let serving = Stance { state: "serving", ready: true, door: Door::Open, closes_idle: false, takes: true };
+    let serving = Stance {
+        state: "serving",
+        ready: true,
+        door: Door::Open,
+        closes_idle: false,
+        takes: true,
+    };
     assert_eq!(life.stance(u64::MAX), serving);
 }
 
@@ -80,18 +90,30 @@
 
 #[test]
 fn what_an_end_still_takes_is_answered_before_the_kill_whatever_the_deadlines() {
-    for (deadline, answered, takes) in
-        [(100, 700, 700), (800, 1_400, 1_400), (2_500, 3_100, 1_500), (30_000, 3_600, 1_500)]
-    {
+    for (deadline, answered, takes) in [
+        (100, 700, 700),
+        (800, 1_400, 1_400),
+        (2_500, 3_100, 1_500),
+        (30_000, 3_600, 1_500),
+    ] {
         let mut life = LifeCycle::new(false, deadline * MS);
         life.listed();
         assert_eq!(life.answer_by(), None);
         life.stop(1_000 * MS);
-        assert_eq!(life.answer_by(), Some((1_000 + answered) * MS), "{deadline}");
+        assert_eq!(
+            life.answer_by(),
+            Some((1_000 + answered) * MS),
+            "{deadline}"
+        );
         let takes = (1_000 + takes) * MS;
-        assert!(life.stance(takes - 1).takes && !life.stance(takes).takes, "{deadline}");
         assert!(
-            (0..takes).step_by(50 * MS as usize).all(|now| life.due(now).is_some_and(|due| due <= takes))
+            life.stance(takes - 1).takes && !life.stance(takes).takes,
+            "{deadline}"
+        );
+        assert!(
+            (0..takes)
+                .step_by(50 * MS as usize)
+                .all(|now| life.due(now).is_some_and(|due| due <= takes))
         );
         let mut drained = LifeCycle::new(false, deadline * MS);
         drained.listed();
@@ -119,11 +141,19 @@
 #[test]
 fn on_a_shared_socket_the_door_is_left_to_the_one_that_serves() {
     let mut life = LifeCycle::new(true, LONGEST);
-    assert_eq!(life.stance(0).door, Door::Waits, "not ready: the queue is the other's");
+    assert_eq!(
+        life.stance(0).door,
+        Door::Waits,
+        "not ready: the queue is the other's"
+    );
     life.listed();
     assert_eq!(life.stance(0).door, Door::Open);
     life.set_other_serves(true);
-    assert_eq!(life.stance(0).door, Door::Open, "both serve until one is asked to stop");
+    assert_eq!(
+        life.stance(0).door,
+        Door::Open,
+        "both serve until one is asked to stop"
+    );
     let serving = life;
     life.quiesce(0);
     assert_eq!(life.stance(0).door, Door::Waits, "the other answers");
--- a/crates/pipitrun/src/looks.rs
+++ b/crates/pipitrun/src/looks.rs
@@ -35,7 +35,13 @@
 impl Looks {
     /// Nothing can have come before `now`.
     pub fn start(now: Nanos) -> Self {
-        Looks { count: 0, quiet: now, arrived: now, returned: now, lost: 0 }
+        Looks {
+            count: 0,
+            quiet: now,
+            arrived: now,
+            returned: now,
+            lost: 0,
+        }
     }
 
     /// A wait for ready sockets began and returned at these times; without `looked` a signal cut it short. Returns how
@@ -93,14 +99,28 @@
 impl Presence {
     /// A connection that was just taken from the listener, where it may have waited since then.
     pub fn accepted(looks: &Looks, waited_since: Nanos) -> Self {
-        Presence { look: looks.count, arrived: waited_since, unread: true, seen: waited_since }
+        Presence {
+            look: looks.count,
+            arrived: waited_since,
+            unread: true,
+            seen: waited_since,
+        }
     }
 
     /// Bytes were read from it; with `unread` more may wait. Returns the earliest time at which they can have come.
     pub fn read(&mut self, looks: &Looks, unread: bool) -> Nanos {
         let waited_before = self.unread && self.look + 1 >= looks.count;
-        let arrived = if waited_before { self.arrived.min(looks.arrived) } else { looks.arrived };
-        *self = Presence { look: looks.count, arrived, unread, seen: arrived };
+        let arrived = if waited_before {
+            self.arrived.min(looks.arrived)
+        } else {
+            looks.arrived
+        };
+        *self = Presence {
+            look: looks.count,
+            arrived,
+            unread,
+            seen: arrived,
+        };
         arrived
     }
 
@@ -111,7 +131,11 @@
 
     /// When the other end was there for sure. A connection that is not watched for reading is not looked at.
     pub fn seen(&self, looks: &Looks, watched: bool) -> Nanos {
-        if watched && self.look < looks.count { self.seen.max(looks.quiet) } else { self.seen }
+        if watched && self.look < looks.count {
+            self.seen.max(looks.quiet)
+        } else {
+            self.seen
+        }
     }
 
     /// The other end was asked for, and is there.
--- a/crates/pipitrun/src/looks/tests.rs
+++ b/crates/pipitrun/src/looks/tests.rs
@@ -5,7 +5,10 @@
 impl Looks {
     /// As if a look had just been made, and none had been late.
     pub(crate) fn prompt(&mut self, now: Nanos) {
-        *self = Looks { count: self.count + 1, ..Looks::start(now) };
+        *self = Looks {
+            count: self.count + 1,
+            ..Looks::start(now)
+        };
     }
 }
 
@@ -21,21 +24,39 @@
     assert_eq!(looks.waited(at(1), at(21), true), 0);
     assert_eq!((looks.quiet(), looks.arrived()), (at(21), at(21)));
     assert_eq!(looks.waited(at(22), at(52), true), 0);
-    assert_eq!((looks.quiet(), looks.arrived(), looks.lost()), (at(52), at(52), 0));
+    assert_eq!(
+        (looks.quiet(), looks.arrived(), looks.lost()),
+        (at(52), at(52), 0)
+    );
     assert!(Looks::is_fresh(looks.quiet(), at(77)) && !Looks::is_fresh(looks.quiet(), at(78)));
 }
 
 #[test]
 fn behind_a_long_turn_or_a_long_wait_it_may_have_come_right_after_the_look_before() {
     let mut looks = Looks::start(START);
-    assert_eq!(looks.waited(at(650), at(650), true), 650 * MS, "the turn was long");
+    assert_eq!(
+        looks.waited(at(650), at(650), true),
+        650 * MS,
+        "the turn was long"
+    );
     assert_eq!((looks.quiet(), looks.arrived()), (at(650), START));
-    assert_eq!(looks.waited(at(660), at(1_330), true), 640 * MS, "the wait was longer than asked for");
-    assert_eq!((looks.quiet(), looks.arrived()), (at(660), at(650)), "and may have looked at its beginning");
+    assert_eq!(
+        looks.waited(at(660), at(1_330), true),
+        640 * MS,
+        "the wait was longer than asked for"
+    );
+    assert_eq!(
+        (looks.quiet(), looks.arrived()),
+        (at(660), at(650)),
+        "and may have looked at its beginning"
+    );
     assert_eq!(looks.waited(at(1_331), at(1_331), true), 0);
     assert_eq!((looks.quiet(), looks.arrived()), (at(1_331), at(660)));
     assert_eq!(looks.waited(at(1_332), at(1_333), true), 0);
-    assert_eq!((looks.quiet(), looks.arrived(), looks.lost()), (at(1_333), at(1_333), 1_290 * MS));
+    assert_eq!(
+        (looks.quiet(), looks.arrived(), looks.lost()),
+        (at(1_333), at(1_333), 1_290 * MS)
+    );
 }
 
 #[test]
@@ -55,16 +76,32 @@
     let mut presence = Presence::accepted(&looks, at(4));
     assert_eq!(presence.seen(&looks, true), at(4));
     looks.waited(at(20), at(20), true);
-    assert_eq!(presence.seen(&looks, true), at(20), "a look that did not report its end");
+    assert_eq!(
+        presence.seen(&looks, true),
+        at(20),
+        "a look that did not report its end"
+    );
     assert_eq!(presence.seen(&looks, false), at(4), "it was not watched");
-    assert_eq!(presence.read(&looks, false), at(4), "it may have waited at the listener");
-    assert_eq!(presence.seen(&looks, true), at(4), "behind what was read there may be an end");
+    assert_eq!(
+        presence.read(&looks, false),
+        at(4),
+        "it may have waited at the listener"
+    );
+    assert_eq!(
+        presence.seen(&looks, true),
+        at(4),
+        "behind what was read there may be an end"
+    );
     looks.waited(at(30), at(30), true);
     assert_eq!(presence.read(&looks, true), at(30));
     assert_eq!(presence.read_in_turn(&looks), Some(at(30)));
     looks.waited(at(40), at(40), true);
     assert_eq!(presence.read_in_turn(&looks), None);
-    assert_eq!(presence.read(&looks, false), at(30), "not all was read before");
+    assert_eq!(
+        presence.read(&looks, false),
+        at(30),
+        "not all was read before"
+    );
     looks.waited(at(50), at(50), true);
     looks.waited(at(60), at(60), true);
     assert_eq!(presence.read(&looks, false), at(60));
--- a/crates/pipitrun/src/main.rs
+++ b/crates/pipitrun/src/main.rs
@@ -27,10 +27,14 @@
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    let result =
-        config::Config::load(|name| std::env::var(name).ok()).map_err(|e| e.to_string()).and_then(|config| {
+    let result = config::Config::load(|name| std::env::var(name).ok())
+        .map_err(|e| e.to_string())
+        .and_then(|config| {
             log::info!("{}: discovery is at {}", config.name, config.discovery);
-            config.remarks.iter().for_each(|remark| log::warn!("configuration: settings.{remark}"));
+            config
+                .remarks
+                .iter()
+                .for_each(|remark| log::warn!("configuration: settings.{remark}"));
             log::debug!("{:?}", config.settings);
             event_loop::EventLoop::new(config)?.run()
         });
--- a/crates/pipitrun/src/passing.rs
+++ b/crates/pipitrun/src/passing.rs
@@ -48,7 +48,11 @@
 
     /// Reads what stands behind the value, once all of it has been taken.
     pub fn tail(&self, input: &[u8]) -> Result<Option<Tail>, RespError> {
-        if self.left > 0 { Ok(None) } else { read_tail(input) }
+        if self.left > 0 {
+            Ok(None)
+        } else {
+            read_tail(input)
+        }
     }
 }
 
@@ -57,14 +61,20 @@
     use super::*;
 
     fn answer(value: &[u8], tail: &[u8]) -> Vec<u8> {
-        [format!("*3\r\n${}\r\n", value.len()).as_bytes(), value, tail].concat()
+        [
+            format!("*3\r\n${}\r\n", value.len()).as_bytes(),
+            value,
+            tail,
+        ]
+        .concat()
     }
 
     /// Feeds these pieces and returns the length, the value and the end.
     fn feed<'a>(
         pieces: impl Iterator<Item = &'a [u8]>,
     ) -> (Option<usize>, Vec<u8>, Result<Option<Tail>, RespError>) {
-        let (mut input, mut passing, mut length, mut value) = (Vec::new(), None::<Passing>, None, Vec::new());
+        let (mut input, mut passing, mut length, mut value) =
+            (Vec::new(), None::<Passing>, None, Vec::new());
         for piece in pieces {
             input.extend_from_slice(piece);
             if passing.is_none()
@@ -72,7 +82,9 @@
             {
                 (passing, length) = (Some(begun), Some(long));
             }
-            let Some(passing) = &mut passing else { continue };
+            let Some(passing) = &mut passing else {
+                continue;
+            };
             value.extend(passing.part(&mut input));
             match passing.tail(&input) {
                 Ok(None) => {}
@@ -86,12 +98,25 @@
     fn a_value_comes_through_whole_wherever_it_is_split() {
         let value: Vec<u8> = (0..VALUE_MAX + 9).map(|n| (n % 251) as u8).collect();
         let whole = answer(&value, b"\r\n$3\r\nhit\r\n$-1\r\n");
-        let cuts = (1..40).chain(BEGIN_AFTER..BEGIN_AFTER + 20).chain(whole.len() - 30..whole.len());
+        let cuts = (1..40)
+            .chain(BEGIN_AFTER..BEGIN_AFTER + 20)
+            .chain(whole.len() - 30..whole.len());
         for cut in cuts {
             let (length, got, end) = feed([&whole[..cut], &whole[cut..]].into_iter());
-            assert_eq!((length, got == value), (Some(value.len()), true), "cut at {cut}");
+            assert_eq!(
+                (length, got == value),
+                (Some(value.len()), true),
+                "cut at {cut}"
+            );
             let (made, next) = end.unwrap().unwrap();
-            assert_eq!(made, Answer::Made { value: Vec::new(), note: Some(b"hit".to_vec()), load: None });
+            assert_eq!(
+                made,
+                Answer::Made {
+                    value: Vec::new(),
+                    note: Some(b"hit".to_vec()),
+                    load: None
+                }
+            );
             // What of the report hasn't come with the rest makes the connection useless, not the value.
             assert!(next.is_none() || next == Some(b"\r\n$3\r\nhit\r\n$-1\r\n".len()));
         }
@@ -112,10 +137,20 @@
         ];
         for (length, come, begins) in cases {
             let mut input = [head(length).as_bytes(), come].concat();
-            assert_eq!(is_long(&input), (VALUE_MAX + 1..=ANSWER_VALUE_MAX).contains(&length));
+            assert_eq!(
+                is_long(&input),
+                (VALUE_MAX + 1..=ANSWER_VALUE_MAX).contains(&length)
+            );
             assert_eq!(Passing::begin(&mut input).is_some(), begins, "{length}");
         }
-        for text in ["-ERR failed\r\n", "*3\r\n$-1\r\n", "*2\r\n$70000\r\n", "*3\r\n$7x", "", "*3\r\n$700"] {
+        for text in [
+            "-ERR failed\r\n",
+            "*3\r\n$-1\r\n",
+            "*2\r\n$70000\r\n",
+            "*3\r\n$7x",
+            "",
+            "*3\r\n$700",
+        ] {
             assert!(!is_long(text.as_bytes()), "{text}");
         }
     }
@@ -126,7 +161,11 @@
         let whole = answer(&value, b"more\r\n$3\r\nhit\r\n$-1\r\n");
         assert_eq!(feed([&whole[..]].into_iter()).2, Err(RespError::End));
         for tail in [b"\r\n+3".as_slice(), b"\n", b"\r\r", b"\r\n$-5\r\n"] {
-            assert!(feed([&answer(&value, tail)[..]].into_iter()).2.is_err(), "{}", tail.escape_ascii());
+            assert!(
+                feed([&answer(&value, tail)[..]].into_iter()).2.is_err(),
+                "{}",
+                tail.escape_ascii()
+            );
         }
     }
 }
--- a/crates/pipitrun/src/peers.rs
+++ b/crates/pipitrun/src/peers.rs
@@ -155,7 +155,11 @@
 
     /// How the job at hand ends when the connection breaks now.
     fn broken(&self) -> JobEnd {
-        if self.written < self.output.len() { JobEnd::NeverSent } else { JobEnd::Broken }
+        if self.written < self.output.len() {
+            JobEnd::NeverSent
+        } else {
+            JobEnd::Broken
+        }
     }
 }
 
@@ -241,17 +245,32 @@
 
     /// The peer wants nothing new, or is gone. What has not begun to be written never will be: a connection
     /// that comes up only after the grace of the drain rule must not carry its job there.
-    pub fn withdraw(&mut self, server: ServerId, events: &mut Vec<PeerEvent>, counters: &mut Counters) {
+    pub fn withdraw(
+        &mut self,
+        server: ServerId,
+        events: &mut Vec<PeerEvent>,
+        counters: &mut Counters,
+    ) {
         if let Some(peer) = self.peers.get_mut(&server) {
             peer.withdrawn = true;
         }
         self.drop_unwritten(server, events, counters);
     }
 
-    fn drop_unwritten(&mut self, server: ServerId, events: &mut Vec<PeerEvent>, counters: &mut Counters) {
-        let unwritten = |c: &PeerConnection| c.server == server && c.written == 0 && c.job().is_some();
-        let unwritten: Vec<u64> =
-            self.connections.iter().filter(|(_, c)| unwritten(c)).map(|(n, _)| *n).collect();
+    fn drop_unwritten(
+        &mut self,
+        server: ServerId,
+        events: &mut Vec<PeerEvent>,
+        counters: &mut Counters,
+    ) {
+        let unwritten =
+            |c: &PeerConnection| c.server == server && c.written == 0 && c.job().is_some();
+        let unwritten: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| unwritten(c))
+            .map(|(n, _)| *n)
+            .collect();
         for number in unwritten {
             self.end(number, JobEnd::NeverSent, events, counters);
         }
@@ -269,7 +288,11 @@
     ) {
         while let Some(number) = self.take_idle(now, server) {
             // It may have ended since it was last looked at; a job written to it would be lost as a reset.
-            if !self.connections.get(&number).is_some_and(|c| is_silent(c.stream.socket())) {
+            if !self
+                .connections
+                .get(&number)
+                .is_some_and(|c| is_silent(c.stream.socket()))
+            {
                 self.remove(number, counters);
                 continue;
             }
@@ -289,7 +312,10 @@
                     Ok(stream) => stream,
                     Err(e) => {
                         log::warn!("connection to a peer: {e}");
-                        return events.push(PeerEvent::End { job, end: JobEnd::NoPlace });
+                        return events.push(PeerEvent::End {
+                            job,
+                            end: JobEnd::NoPlace,
+                        });
                     }
                 };
                 self.next_connection += 1;
@@ -325,21 +351,31 @@
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
     ) {
-        let Some(number) = self.jobs.get(&job).copied() else { return };
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(number) = self.jobs.get(&job).copied() else {
+            return;
+        };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         // A job begins once, however often its connection is reported to be up.
         if !matches!(c.state, State::Unbegun(_)) {
             return;
         }
         (c.state, c.output, c.written) = (State::Busy(job), command, 0);
         let round_trip = self.peers.get(&c.server).and_then(|peer| peer.round_trip);
-        c.stall = round_trip.unwrap_or_default().saturating_mul(STALL_TRIPS).clamp(STALL, STALL_LONG);
+        c.stall = round_trip
+            .unwrap_or_default()
+            .saturating_mul(STALL_TRIPS)
+            .clamp(STALL, STALL_LONG);
         self.write(number, events, counters);
     }
 
     /// Whether this job's last byte is not written: it never ran.
     pub fn is_unsent(&self, job: Job) -> bool {
-        let c = self.jobs.get(&job).and_then(|number| self.connections.get(number));
+        let c = self
+            .jobs
+            .get(&job)
+            .and_then(|number| self.connections.get(number));
         c.is_some_and(|c| matches!(c.state, State::Unbegun(_)) || c.written < c.output.len())
     }
 
@@ -357,8 +393,16 @@
     }
 
     /// Begins a connection, or says how the job that needed it ends.
-    fn open(&mut self, server: ServerId, counters: &mut Counters) -> Result<(TcpStream, SocketAddr), JobEnd> {
-        let peer = self.peers.get(&server).filter(|p| !p.withdrawn).ok_or(JobEnd::NeverSent)?;
+    fn open(
+        &mut self,
+        server: ServerId,
+        counters: &mut Counters,
+    ) -> Result<(TcpStream, SocketAddr), JobEnd> {
+        let peer = self
+            .peers
+            .get(&server)
+            .filter(|p| !p.withdrawn)
+            .ok_or(JobEnd::NeverSent)?;
         let address = peer.address.ok_or(JobEnd::NeverSent)?;
         let crowded = peer.connections >= (self.most / PEER_PART).max(1);
         if crowded && !self.make_room(Some(server), counters) {
@@ -367,24 +411,30 @@
         if self.connections.len() >= self.most && !self.make_room(None, counters) {
             return Err(JobEnd::NoPlace);
         }
-        connect(address).map(|stream| (stream, address)).map_err(|e| match e.kind() {
-            ErrorKind::ConnectionRefused | ErrorKind::NetworkUnreachable | ErrorKind::HostUnreachable => {
-                JobEnd::NeverSent
-            }
-            // Out of descriptors or ports: ours to bear, not the peer's.
-            _ => {
-                log::warn!("socket for a peer at {address}: {e}");
-                JobEnd::NoPlace
-            }
-        })
+        connect(address)
+            .map(|stream| (stream, address))
+            .map_err(|e| match e.kind() {
+                ErrorKind::ConnectionRefused
+                | ErrorKind::NetworkUnreachable
+                | ErrorKind::HostUnreachable => JobEnd::NeverSent,
+                // Out of descriptors or ports: ours to bear, not the peer's.
+                _ => {
+                    log::warn!("socket for a peer at {address}: {e}");
+                    JobEnd::NoPlace
+                }
+            })
     }
 
     /// Closes the connection that has been idle longest, to this peer or to any, if one is. It may be one that rests.
     fn make_room(&mut self, server: Option<ServerId>, counters: &mut Counters) -> bool {
-        let eligible =
-            self.connections.iter().filter(|(_, c)| server.is_none_or(|server| c.server == server));
+        let eligible = self
+            .connections
+            .iter()
+            .filter(|(_, c)| server.is_none_or(|server| c.server == server));
         let idle = eligible.filter_map(|(n, c)| Some((c.idle_since()?, *n)));
-        let Some((_, number)) = idle.min() else { return false };
+        let Some((_, number)) = idle.min() else {
+            return false;
+        };
         self.remove(number, counters);
         true
     }
@@ -404,8 +454,17 @@
     }
 
     /// A connection that is not up by now has failed.
-    pub fn connect_due(&mut self, number: u64, events: &mut Vec<PeerEvent>, counters: &mut Counters) {
-        if self.connections.get(&number).is_some_and(|c| matches!(c.state, State::Unbegun(_))) {
+    pub fn connect_due(
+        &mut self,
+        number: u64,
+        events: &mut Vec<PeerEvent>,
+        counters: &mut Counters,
+    ) {
+        if self
+            .connections
+            .get(&number)
+            .is_some_and(|c| matches!(c.state, State::Unbegun(_)))
+        {
             self.end(number, JobEnd::NeverSent, events, counters);
         }
     }
@@ -418,7 +477,11 @@
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
     ) {
-        let Some(c) = self.connections.get(&number).filter(|c| c.job().is_some() && !c.paused) else {
+        let Some(c) = self
+            .connections
+            .get(&number)
+            .filter(|c| c.job().is_some() && !c.paused)
+        else {
             return;
         };
         let begun = c.passing.is_some() || !c.input.is_empty();
@@ -430,8 +493,16 @@
 
     /// Whether the answer to this job is read on: not while the client can't take more of it.
     pub fn pause(&mut self, now: Nanos, job: Job, pause: bool, timers: &mut Timers) {
-        let Some(number) = self.jobs.get(&job).copied() else { return };
-        let Some(c) = self.connections.get_mut(&number).filter(|c| c.paused != pause) else { return };
+        let Some(number) = self.jobs.get(&job).copied() else {
+            return;
+        };
+        let Some(c) = self
+            .connections
+            .get_mut(&number)
+            .filter(|c| c.paused != pause)
+        else {
+            return;
+        };
         if let Err(e) = c.stream.interest(!pause, false) {
             // It is read on: better a longer buffer than an answer that never ends.
             return log::warn!("connection to a peer: {e}");
@@ -452,11 +523,15 @@
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
     ) {
-        let Source::Peer(number) = ready.source else { return };
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Source::Peer(number) = ready.source else {
+            return;
+        };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         if let State::Unbegun(job) = c.state {
-            let up =
-                matches!(c.stream.socket().take_error(), Ok(None)) && c.stream.socket().peer_addr().is_ok();
+            let up = matches!(c.stream.socket().take_error(), Ok(None))
+                && c.stream.socket().peer_addr().is_ok();
             if !up {
                 return self.end(number, JobEnd::NeverSent, events, counters);
             }
@@ -475,7 +550,9 @@
     }
 
     fn write(&mut self, number: u64, events: &mut Vec<PeerEvent>, counters: &mut Counters) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         while c.written < c.output.len() {
             match c.stream.socket().write(&c.output[c.written..]) {
                 Ok(0) => return self.end(number, JobEnd::NeverSent, events, counters),
@@ -500,7 +577,9 @@
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
     ) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         match c.stream.socket().read(&mut self.scratch) {
             Ok(0) => {
                 let end = c.broken();
@@ -540,7 +619,9 @@
                 if !bytes.is_empty() {
                     events.push(PeerEvent::Part { job, bytes });
                 }
-                passing.tail(&c.input).map(|t| t.map(|(answer, length)| (JobEnd::Answer(answer), length)))
+                passing
+                    .tail(&c.input)
+                    .map(|t| t.map(|(answer, length)| (JobEnd::Answer(answer), length)))
             }
         };
         let (end, length) = match read {
@@ -557,10 +638,20 @@
                 log::debug!("server {}: an answer can't be read: {start}", c.server.0);
                 counters.spoilt += 1;
                 // Before the last byte of the command nothing can have run.
-                (if unwritten { JobEnd::NeverSent } else { JobEnd::Spoilt }, None)
+                (
+                    if unwritten {
+                        JobEnd::NeverSent
+                    } else {
+                        JobEnd::Spoilt
+                    },
+                    None,
+                )
             }
         };
-        let peer = self.peers.get_mut(&c.server).filter(|p| p.address == Some(c.address) && !p.withdrawn);
+        let peer = self
+            .peers
+            .get_mut(&c.server)
+            .filter(|p| p.address == Some(c.address) && !p.withdrawn);
         let useless = length != Some(c.input.len()) || unwritten;
         let Some(peer) = peer.filter(|_| !useless) else {
             // It came early, can't be read or has something behind it: where the next answer would begin is unknown. Or
@@ -577,7 +668,13 @@
     }
 
     /// Closes a connection and says how its job ended.
-    fn end(&mut self, number: u64, end: JobEnd, events: &mut Vec<PeerEvent>, counters: &mut Counters) {
+    fn end(
+        &mut self,
+        number: u64,
+        end: JobEnd,
+        events: &mut Vec<PeerEvent>,
+        counters: &mut Counters,
+    ) {
         if let Some(job) = self.remove(number, counters) {
             events.push(PeerEvent::End { job, end });
         }
@@ -613,12 +710,20 @@
 
     /// The peers with an address.
     pub fn listed(&self) -> Vec<ServerId> {
-        self.peers.iter().filter(|(_, p)| p.address.is_some()).map(|(id, _)| *id).collect()
+        self.peers
+            .iter()
+            .filter(|(_, p)| p.address.is_some())
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Closes the idle connections to a peer.
     pub fn close_idle(&mut self, server: ServerId, counters: &mut Counters) {
-        let idle = self.peers.get_mut(&server).map(|p| std::mem::take(&mut p.idle)).unwrap_or_default();
+        let idle = self
+            .peers
+            .get_mut(&server)
+            .map(|p| std::mem::take(&mut p.idle))
+            .unwrap_or_default();
         for number in idle {
             self.remove(number, counters);
         }
@@ -627,9 +732,15 @@
     /// Closes connections that have stood idle for long.
     pub fn sweep(&mut self, now: Nanos, counters: &mut Counters) {
         let old = |c: &PeerConnection| {
-            c.idle_since().is_some_and(|since| now.saturating_sub(since) >= self.idle_time)
+            c.idle_since()
+                .is_some_and(|since| now.saturating_sub(since) >= self.idle_time)
         };
-        let old: Vec<u64> = self.connections.iter().filter(|(_, c)| old(c)).map(|(n, _)| *n).collect();
+        let old: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| old(c))
+            .map(|(n, _)| *n)
+            .collect();
         for number in old {
             self.remove(number, counters);
         }
@@ -639,8 +750,12 @@
 /// How a job ended by what has come for it, and the length of that unless the connection is of no further use.
 fn read_end(job: Job, input: &[u8]) -> Result<Option<(JobEnd, Option<usize>)>, RespError> {
     Ok(match job {
-        Job::Try(..) => read_answer(input)?.map(|(answer, length)| (JobEnd::Answer(answer), length)),
-        Job::Probe(_) => read_reply(input)?.map(|(reply, length)| (JobEnd::Reply(reply), Some(length))),
+        Job::Try(..) => {
+            read_answer(input)?.map(|(answer, length)| (JobEnd::Answer(answer), length))
+        }
+        Job::Probe(_) => {
+            read_reply(input)?.map(|(reply, length)| (JobEnd::Reply(reply), Some(length)))
+        }
     })
 }
 
--- a/crates/pipitrun/src/peers/tests.rs
+++ b/crates/pipitrun/src/peers/tests.rs
@@ -24,12 +24,27 @@
 fn stage() -> Stage {
     let peer = TcpListener::bind("127.0.0.1:0").unwrap();
     // Also for what it accepts: a step that does not come fails, and does not hang.
-    SockRef::from(&peer).set_read_timeout(Some(PATIENCE)).unwrap();
+    SockRef::from(&peer)
+        .set_read_timeout(Some(PATIENCE))
+        .unwrap();
     let (poll, mut counters) = (Poll::new().unwrap(), Counters::default());
     let mut peers = Peers::new(&poll, 8, MS, 1000 * MS);
     let mut events = Vec::new();
-    peers.set_address(SERVER, peer.local_addr().unwrap(), &mut events, &mut counters);
-    Stage { peers, peer, timers: Timers::default(), counters, events, now: 0, commands: HashMap::new() }
+    peers.set_address(
+        SERVER,
+        peer.local_addr().unwrap(),
+        &mut events,
+        &mut counters,
+    );
+    Stage {
+        peers,
+        peer,
+        timers: Timers::default(),
+        counters,
+        events,
+        now: 0,
+        commands: HashMap::new(),
+    }
 }
 
 impl Stage {
@@ -39,8 +54,18 @@
 
     fn send(&mut self, job: Job, command: Vec<u8>) {
         self.commands.insert(job, command);
-        let outgoing = Outgoing { job, server: SERVER, until: MS };
-        self.peers.dispatch(self.now, outgoing, &mut self.timers, &mut self.events, &mut self.counters);
+        let outgoing = Outgoing {
+            job,
+            server: SERVER,
+            until: MS,
+        };
+        self.peers.dispatch(
+            self.now,
+            outgoing,
+            &mut self.timers,
+            &mut self.events,
+            &mut self.counters,
+        );
         self.begin();
     }
 
@@ -52,13 +77,24 @@
                 continue;
             };
             let command = self.commands.remove(&job).expect("up once");
-            self.peers.begin(job, command, &mut self.events, &mut self.counters);
+            self.peers
+                .begin(job, command, &mut self.events, &mut self.counters);
         }
     }
 
     fn ready(&mut self, number: u64) {
-        let ready = Ready { source: Source::Peer(number), readable: true, writable: true };
-        self.peers.ready(self.now, ready, &mut self.timers, &mut self.events, &mut self.counters);
+        let ready = Ready {
+            source: Source::Peer(number),
+            readable: true,
+            writable: true,
+        };
+        self.peers.ready(
+            self.now,
+            ready,
+            &mut self.timers,
+            &mut self.events,
+            &mut self.counters,
+        );
         self.begin();
     }
 
@@ -116,13 +152,21 @@
     s.ends();
     s.now += later;
     s.dispatch(2, b"two".to_vec());
-    assert_eq!((s.counters.peers_opened, s.counters.peers_closed), (2, 0), "the first one rests");
+    assert_eq!(
+        (s.counters.peers_opened, s.counters.peers_closed),
+        (2, 0),
+        "the first one rests"
+    );
     let mut second = s.peer.accept().unwrap().0;
     s.ready(1);
     // The second answer to the first job comes, and is looked at first.
     first.write_all(b"-ERR again\r\n").unwrap();
     s.ready(0);
-    assert_eq!((s.ends(), s.counters.peers_closed), (vec![], 1), "it is nobody's");
+    assert_eq!(
+        (s.ends(), s.counters.peers_closed),
+        (vec![], 1),
+        "it is nobody's"
+    );
     s.pongs(&mut second, 1);
     assert_eq!(s.ends(), [pong()]);
 }
@@ -135,7 +179,13 @@
     s.pongs(&mut first, 0);
     s.now = REST;
     s.pongs(&mut second, 1);
-    assert_eq!([s.peers.take_idle(REST, SERVER), s.peers.take_idle(REST, SERVER)], [Some(0), None]);
+    assert_eq!(
+        [
+            s.peers.take_idle(REST, SERVER),
+            s.peers.take_idle(REST, SERVER)
+        ],
+        [Some(0), None]
+    );
     assert_eq!(s.peers.take_idle(2 * REST, SERVER), Some(1));
 }
 
@@ -145,7 +195,11 @@
     s.peers.set_most(4);
     let mut first = s.connects(1, 0);
     s.dispatch(2, b"two".to_vec());
-    assert_eq!(s.ends(), [JobEnd::NoPlace], "a peer has one of four, and that is at work");
+    assert_eq!(
+        s.ends(),
+        [JobEnd::NoPlace],
+        "a peer has one of four, and that is at work"
+    );
     s.pongs(&mut first, 0);
     s.ends();
     s.dispatch(3, b"three".to_vec());
@@ -164,7 +218,10 @@
         // Given up: whoever gave it up needs no telling.
         |s| {
             s.peers.abandon(Job::Probe(1), &mut s.counters);
-            s.events.push(PeerEvent::End { job: Job::Probe(1), end: JobEnd::NeverSent });
+            s.events.push(PeerEvent::End {
+                job: Job::Probe(1),
+                end: JobEnd::NeverSent,
+            });
         },
     ];
     for late in cases {
@@ -173,7 +230,11 @@
         let mut connection = s.peer.accept().unwrap().0;
         late(&mut s);
         s.ready(0);
-        assert_eq!(connection.read(&mut [0; 3]).unwrap(), 0, "ended without a byte");
+        assert_eq!(
+            connection.read(&mut [0; 3]).unwrap(),
+            0,
+            "ended without a byte"
+        );
         assert_eq!(s.ends(), [JobEnd::NeverSent]);
     }
 }
@@ -183,7 +244,11 @@
     let mut s = stage();
     let mut peer = s.connects(1, 0);
     s.peers.stall_due(STALL, 0, &mut s.events, &mut s.counters);
-    assert_eq!(s.ends(), [], "none has begun: that is for the module's time-out");
+    assert_eq!(
+        s.ends(),
+        [],
+        "none has begun: that is for the module's time-out"
+    );
     for part in [b"+P", b"ON"] {
         peer.write_all(part).unwrap();
         s.now += STALL - 1;
@@ -191,9 +256,13 @@
         s.peers.stall_due(s.now, 0, &mut s.events, &mut s.counters);
     }
     assert_eq!(s.ends(), []);
-    s.peers.stall_due(s.now + STALL, 0, &mut s.events, &mut s.counters);
+    s.peers
+        .stall_due(s.now + STALL, 0, &mut s.events, &mut s.counters);
     assert_eq!((s.ends(), s.counters.stalled), (vec![JobEnd::Spoilt], 1));
-    assert!(s.peers.connections.is_empty(), "where the next answer would begin is unknown");
+    assert!(
+        s.peers.connections.is_empty(),
+        "where the next answer would begin is unknown"
+    );
 }
 
 #[test]
@@ -203,7 +272,9 @@
     let mut first = s.connects(1, 0);
     let mut second = s.connects(2, 1);
     for (stream, number, spoilt) in [(&mut first, 0, false), (&mut second, 1, true)] {
-        stream.write_all(&[b"$60000\r\n".as_slice(), &[b'x'; 600]].concat()).unwrap();
+        stream
+            .write_all(&[b"$60000\r\n".as_slice(), &[b'x'; 600]].concat())
+            .unwrap();
         s.ready(number);
         assert_eq!(s.ends() == [JobEnd::Spoilt], spoilt);
     }
@@ -213,7 +284,9 @@
 }
 
 #[rstest]
-fn a_break_before_the_last_byte_is_written_means_that_it_never_ran(#[values(false, true)] withdrawn: bool) {
+fn a_break_before_the_last_byte_is_written_means_that_it_never_ran(
+    #[values(false, true)] withdrawn: bool,
+) {
     let mut s = stage();
     // More than the sockets' buffers hold, and nobody reads.
     s.dispatch(1, vec![0; 64 << 20]);
@@ -235,7 +308,10 @@
     for probe in 1..=3 {
         s.dispatch(probe, b"one".to_vec());
     }
-    assert_eq!((s.ends(), s.counters.peers_opened), (vec![JobEnd::NoPlace], 2));
+    assert_eq!(
+        (s.ends(), s.counters.peers_opened),
+        (vec![JobEnd::NoPlace], 2)
+    );
 }
 
 #[test]
@@ -247,29 +323,47 @@
     s.ready(0);
     peer.write_all(b"*3\r\n$70000\r\n").unwrap();
     s.ready(0);
-    s.peers.stall_due(STALL_LONG - 1, 0, &mut s.events, &mut s.counters);
+    s.peers
+        .stall_due(STALL_LONG - 1, 0, &mut s.events, &mut s.counters);
     assert_eq!(s.events, [], "a long one may come slowly");
     peer.write_all(&[b'x'; 5_000]).unwrap();
     s.ready(0);
-    let part = PeerEvent::Part { job, bytes: vec![b'x'; 5_000] };
-    assert_eq!(s.events, [PeerEvent::Begun { job, length: 70_000 }, part]);
+    let part = PeerEvent::Part {
+        job,
+        bytes: vec![b'x'; 5_000],
+    };
+    assert_eq!(
+        s.events,
+        [
+            PeerEvent::Begun {
+                job,
+                length: 70_000
+            },
+            part
+        ]
+    );
     assert_eq!(s.peers.coming, 0, "what was passed on is not held");
     s.events.clear();
     s.peers.pause(0, job, true, &mut s.timers);
-    s.peers.stall_due(STALL_PASSING, 0, &mut s.events, &mut s.counters);
+    s.peers
+        .stall_due(STALL_PASSING, 0, &mut s.events, &mut s.counters);
     assert_eq!(s.events, [], "the client is waited for");
     s.peers.pause(STALL_PASSING, job, false, &mut s.timers);
-    s.peers.stall_due(2 * STALL_PASSING - 1, 0, &mut s.events, &mut s.counters);
+    s.peers
+        .stall_due(2 * STALL_PASSING - 1, 0, &mut s.events, &mut s.counters);
     assert_eq!(s.events, []);
-    s.peers.stall_due(2 * STALL_PASSING, 0, &mut s.events, &mut s.counters);
+    s.peers
+        .stall_due(2 * STALL_PASSING, 0, &mut s.events, &mut s.counters);
     assert_eq!((s.ends(), s.counters.stalled), (vec![JobEnd::Spoilt], 1));
 }
 
 #[test]
 fn a_connection_that_the_peer_may_be_closing_for_its_idle_time_carries_nothing_more() {
-    for (conn_idle, at, reused) in
-        [(1_000 * MS, 749 * MS, true), (1_000 * MS, 750 * MS, false), (0, REST, false)]
-    {
+    for (conn_idle, at, reused) in [
+        (1_000 * MS, 749 * MS, true),
+        (1_000 * MS, 750 * MS, false),
+        (0, REST, false),
+    ] {
         let mut s = stage();
         s.peers.idle_time = Peers::new(&s.peers.poll, 8, MS, conn_idle).idle_time;
         let mut first = s.connects(1, 0);
@@ -278,7 +372,11 @@
         // The sweep, which closes it, has not come by.
         s.now = at;
         s.dispatch(2, b"two".to_vec());
-        assert_eq!(s.counters.peers_opened, if reused { 1 } else { 2 }, "{conn_idle} {at}");
+        assert_eq!(
+            s.counters.peers_opened,
+            if reused { 1 } else { 2 },
+            "{conn_idle} {at}"
+        );
     }
 }
 
@@ -291,7 +389,12 @@
     assert_eq!(s.ends(), [pong()], "what has begun ends there");
     s.dispatch(2, b"two".to_vec());
     assert_eq!(s.ends(), [JobEnd::NeverSent]);
-    s.peers.set_address(SERVER, s.peer.local_addr().unwrap(), &mut s.events, &mut s.counters);
+    s.peers.set_address(
+        SERVER,
+        s.peer.local_addr().unwrap(),
+        &mut s.events,
+        &mut s.counters,
+    );
     s.dispatch(3, b"three".to_vec());
     assert_eq!(
         (s.ends(), s.counters.peers_opened, s.counters.peers_closed),
@@ -316,7 +419,8 @@
         peer.write_all(b"+P").unwrap();
         s.ready(0);
         let started = s.now;
-        s.peers.stall_due(started + 2 * FAR, 0, &mut s.events, &mut s.counters);
+        s.peers
+            .stall_due(started + 2 * FAR, 0, &mut s.events, &mut s.counters);
         assert_eq!(s.ends(), [], "the rest may be on its way");
         peer.write_all(b"ONG\r\n").unwrap();
         s.now = started + 2 * FAR;
@@ -327,9 +431,11 @@
         s.dispatch(3, b"two".to_vec());
         peer.write_all(b"+P").unwrap();
         s.ready(0);
-        s.peers.stall_due(s.now + 3 * FAR - 1, 0, &mut s.events, &mut s.counters);
+        s.peers
+            .stall_due(s.now + 3 * FAR - 1, 0, &mut s.events, &mut s.counters);
         assert_eq!(s.ends(), []);
-        s.peers.stall_due(s.now + 3 * FAR, 0, &mut s.events, &mut s.counters);
+        s.peers
+            .stall_due(s.now + 3 * FAR, 0, &mut s.events, &mut s.counters);
         assert_eq!(s.ends(), [JobEnd::Spoilt], "no longer than that");
     }
 }
@@ -348,11 +454,20 @@
     let (mut read, mut some) = (0, vec![0; READ_SIZE]);
     while read < LENGTH {
         read += peer.read(&mut some).unwrap();
-        let ready = Ready { source: Source::Peer(0), readable: false, writable: true };
-        s.peers.ready(s.now, ready, &mut s.timers, &mut s.events, &mut s.counters);
+        let ready = Ready {
+            source: Source::Peer(0),
+            readable: false,
+            writable: true,
+        };
+        s.peers
+            .ready(s.now, ready, &mut s.timers, &mut s.events, &mut s.counters);
     }
     s.pongs(&mut peer, 0);
     assert_eq!(s.ends(), [pong()]);
     s.dispatch(2, b"two".to_vec());
-    assert_eq!((s.ends(), s.counters.peers_closed), (vec![JobEnd::NeverSent], 1), "nothing new");
+    assert_eq!(
+        (s.ends(), s.counters.peers_closed),
+        (vec![JobEnd::NeverSent], 1),
+        "nothing new"
+    );
 }
--- a/crates/pipitrun/src/poll.rs
+++ b/crates/pipitrun/src/poll.rs
@@ -16,7 +16,11 @@
 
 /// Begins a connection without waiting for it: once the socket is writable, it is up or has failed.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
@@ -34,11 +38,17 @@
     // SAFETY: the number is only looked at until it is known to be an open socket, and never closed by this.
     let looked_at = unsafe { BorrowedFd::borrow_raw(number) };
     let socket = SockRef::from(&looked_at);
-    let kind = socket.r#type().map_err(|e| format!("is no open socket: {e}"))?;
+    let kind = socket
+        .r#type()
+        .map_err(|e| format!("is no open socket: {e}"))?;
     if kind != Type::STREAM || !socket.is_listener().unwrap_or(false) {
         return Err("is no listening TCP socket".into());
     }
-    socket.local_addr().ok().and_then(|a| a.as_socket()).ok_or("is no listening TCP socket")?;
+    socket
+        .local_addr()
+        .ok()
+        .and_then(|a| a.as_socket())
+        .ok_or("is no listening TCP socket")?;
     // SAFETY: it is open and listens, so it was given to this process by whoever started it: this is called once, before
     // the program listens anywhere itself, and nothing else here holds it.
     Ok(unsafe { TcpListener::from_raw_fd(number) })
@@ -162,7 +172,9 @@
 impl Poll {
     /// An empty set.
     pub fn new() -> io::Result<Self> {
-        Ok(Poll { poller: Rc::new(Poller::new()?) })
+        Ok(Poll {
+            poller: Rc::new(Poller::new()?),
+        })
     }
 
     /// Watches a socket until the returned guard is dropped.
@@ -178,9 +190,15 @@
         // SAFETY: the socket must leave the poller before it is closed. It moves into `Watched`, which owns it,
         // never lets it out, and removes it from the poller when dropped, before the socket itself is dropped.
         unsafe {
-            self.poller.add_with_mode(&socket.source(), interest, PollMode::Level)?;
+            self.poller
+                .add_with_mode(&socket.source(), interest, PollMode::Level)?;
         }
-        Ok(Watched { socket, source, interest: (readable, writable), poller: Rc::clone(&self.poller) })
+        Ok(Watched {
+            socket,
+            source,
+            interest: (readable, writable),
+            poller: Rc::clone(&self.poller),
+        })
     }
 
     /// Waits until a socket is ready or the time is over, and appends what is ready. False if a signal came in between: then
@@ -225,7 +243,8 @@
     pub fn interest(&mut self, readable: bool, writable: bool) -> io::Result<()> {
         if self.interest != (readable, writable) {
             let event = Event::new(self.source.key(), readable, writable);
-            self.poller.modify_with_mode(&self.socket, event, PollMode::Level)?;
+            self.poller
+                .modify_with_mode(&self.socket, event, PollMode::Level)?;
             self.interest = (readable, writable);
         }
         Ok(())
--- a/crates/pipitrun/src/poll/tests.rs
+++ b/crates/pipitrun/src/poll/tests.rs
@@ -14,8 +14,14 @@
         (2, "is a standard stream"),
         (client.as_raw_fd(), "is no listening TCP socket"),
         (udp.as_raw_fd(), "is no listening TCP socket"),
-        (file.as_raw_fd(), "is no open socket: Socket operation on non-socket (os error 88)"),
-        (1_000_000, "is no open socket: Bad file descriptor (os error 9)"),
+        (
+            file.as_raw_fd(),
+            "is no open socket: Socket operation on non-socket (os error 88)",
+        ),
+        (
+            1_000_000,
+            "is no open socket: Bad file descriptor (os error 9)",
+        ),
     ];
     for (number, problem) in wrong {
         assert_eq!(inherited(number).err().as_deref(), Some(problem));
--- a/crates/pipitrun/src/request.rs
+++ b/crates/pipitrun/src/request.rs
@@ -56,13 +56,19 @@
         fields.push_str(&format!("d={ms}"));
         match &self.value {
             None => write_command(&[b"C.GET", &self.key, &self.id, fields.as_bytes()]),
-            Some(value) => write_command(&[b"C.SET", &self.key, &self.id, fields.as_bytes(), value]),
+            Some(value) => {
+                write_command(&[b"C.SET", &self.key, &self.id, fields.as_bytes(), value])
+            }
         }
     }
 
     /// Bytes that it holds.
     pub fn size(&self) -> usize {
-        let fields: usize = self.fields.iter().map(|(name, value)| name.len() + value.len()).sum();
+        let fields: usize = self
+            .fields
+            .iter()
+            .map(|(name, value)| name.len() + value.len())
+            .sum();
         self.value.as_ref().map_or(0, Vec::len) + self.key.len() + self.id.len() + fields
     }
 }
@@ -118,7 +124,13 @@
 impl RequestContext {
     /// The context of a request that has just come.
     pub fn new(ticket: Ticket, order: Order, deadline: Nanos) -> Self {
-        RequestContext { owed: Some(ticket), left: None, order, deadline, out: BTreeMap::new() }
+        RequestContext {
+            owed: Some(ticket),
+            left: None,
+            order,
+            deadline,
+            out: BTreeMap::new(),
+        }
     }
 
     /// Nothing is owed and nothing expected any more.
--- a/crates/pipitrun/src/resp.rs
+++ b/crates/pipitrun/src/resp.rs
@@ -44,7 +44,9 @@
 impl fmt::Display for RespError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RespError::Start(byte) => write!(f, "Protocol error: unexpected '{}'", byte.escape_ascii()),
+            RespError::Start(byte) => {
+                write!(f, "Protocol error: unexpected '{}'", byte.escape_ascii())
+            }
             RespError::Length => f.write_str("Protocol error: invalid length"),
             RespError::TooLong => f.write_str("Protocol error: too long"),
             RespError::End => f.write_str("Protocol error: missing line end"),
@@ -87,7 +89,11 @@
     fn line(&mut self) -> Result<Option<&'a [u8]>, RespError> {
         let rest = &self.input[self.at..];
         let Some(end) = rest.iter().take(LINE_MAX).position(|b| *b == b'\n') else {
-            return if rest.len() >= LINE_MAX { Err(RespError::TooLong) } else { Ok(None) };
+            return if rest.len() >= LINE_MAX {
+                Err(RespError::TooLong)
+            } else {
+                Ok(None)
+            };
         };
         let line = rest[..end].strip_suffix(b"\r").ok_or(RespError::End)?;
         self.at += end + 1;
@@ -97,7 +103,10 @@
     fn number(&mut self) -> Result<Option<i64>, RespError> {
         // Told by the first byte that is none of a number's: whoever sends such a line may never end it.
         let rest = &self.input[self.at..];
-        let digits = rest.iter().take_while(|b| b.is_ascii_digit() || **b == b'-').count();
+        let digits = rest
+            .iter()
+            .take_while(|b| b.is_ascii_digit() || **b == b'-')
+            .count();
         if digits > NUMBER_MAX || rest.get(digits).is_some_and(|b| *b != b'\r') {
             return Err(RespError::Length);
         }
@@ -122,7 +131,9 @@
             return Err(RespError::TooLong);
         }
         let range = self.at..self.at + length;
-        let Some(end) = self.input.get(range.end..range.end + 2) else { return Ok(None) };
+        let Some(end) = self.input.get(range.end..range.end + 2) else {
+            return Ok(None);
+        };
         if end != b"\r\n" {
             return Err(RespError::End);
         }
@@ -134,7 +145,9 @@
     fn member(&mut self, most: usize) -> Result<Option<Option<Vec<u8>>>, RespError> {
         match self.start() {
             None => Ok(None),
-            Some(b'$') => Ok(self.bulk(most)?.map(|range| range.map(|range| self.input[range].to_vec()))),
+            Some(b'$') => Ok(self
+                .bulk(most)?
+                .map(|range| range.map(|range| self.input[range].to_vec()))),
             Some(other) => Err(RespError::Start(other)),
         }
     }
@@ -143,7 +156,9 @@
         match more!(self.number()) {
             -1 => Ok(Some(None)),
             n if n > ARRAY_MAX as i64 => Err(RespError::TooLong),
-            n => usize::try_from(n).map(|n| Some(Some(n))).map_err(|_| RespError::Length),
+            n => usize::try_from(n)
+                .map(|n| Some(Some(n)))
+                .map_err(|_| RespError::Length),
         }
     }
 
@@ -155,18 +170,26 @@
             Ok(None) | Err(_) => Err(()),
         };
         let length = load.as_ref().ok().map(|_| self.at);
-        let made = Answer::Made { value, note, load: load.unwrap_or_default() };
+        let made = Answer::Made {
+            value,
+            note,
+            load: load.unwrap_or_default(),
+        };
         Ok(Some((made, length)))
     }
 
     fn reply(&mut self, depth: usize) -> Result<Option<Reply>, RespError> {
-        let Some(start) = self.start() else { return Ok(None) };
+        let Some(start) = self.start() else {
+            return Ok(None);
+        };
         let text = |line: &[u8]| String::from_utf8_lossy(line).into_owned();
         Ok(Some(match start {
             b'+' => Reply::Status(text(more!(self.line()))),
             b'-' => Reply::Error(text(more!(self.line()))),
             b':' => Reply::Integer(more!(self.number())),
-            b'$' => Reply::Bulk(more!(self.bulk(VALUE_MAX)).map(|range| self.input[range].to_vec())),
+            b'$' => {
+                Reply::Bulk(more!(self.bulk(VALUE_MAX)).map(|range| self.input[range].to_vec()))
+            }
             b'*' if depth < DEPTH_MAX => match more!(self.count()) {
                 None => Reply::Array(None),
                 Some(count) => {
@@ -200,7 +223,11 @@
         match reader.start() {
             None => return Ok(None),
             Some(b'$') => {
-                let most = if place == VALUE_PLACE { VALUE_MAX } else { WORD_MAX };
+                let most = if place == VALUE_PLACE {
+                    VALUE_MAX
+                } else {
+                    WORD_MAX
+                };
                 words.push(more!(reader.bulk(most)).ok_or(RespError::Length)?);
             }
             Some(other) => return Err(RespError::Start(other)),
@@ -235,7 +262,10 @@
         Some(b'*') => {}
         Some(b'-') => {
             let rest = &input[1..];
-            let text = rest.split(|b| matches!(b, b'\r' | b'\n')).next().unwrap_or_default();
+            let text = rest
+                .split(|b| matches!(b, b'\r' | b'\n'))
+                .next()
+                .unwrap_or_default();
             if !text.iter().all(|b| (b' '..=b'~').contains(b)) {
                 return Err(RespError::End);
             }
@@ -272,7 +302,11 @@
     if come < end.len() {
         return Ok(None);
     }
-    Reader { input, at: end.len() }.made(Vec::new())
+    Reader {
+        input,
+        at: end.len(),
+    }
+    .made(Vec::new())
 }
 
 /// Reads a reply; with it comes its length.
@@ -329,8 +363,15 @@
         for cut in 0..whole.len() {
             assert_eq!(read_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
         }
-        let inner = Reply::Array(Some(vec![Reply::Integer(7), Reply::Error("ERR failed".into())]));
-        let reply = Reply::Array(Some(vec![Reply::Bulk(Some(b"ab".to_vec())), Reply::Bulk(None), inner]));
+        let inner = Reply::Array(Some(vec![
+            Reply::Integer(7),
+            Reply::Error("ERR failed".into()),
+        ]));
+        let reply = Reply::Array(Some(vec![
+            Reply::Bulk(Some(b"ab".to_vec())),
+            Reply::Bulk(None),
+            inner,
+        ]));
         assert_eq!(read_reply(whole), Ok(Some((reply, whole.len()))));
     }
 
@@ -352,12 +393,17 @@
         ];
         for input in spoilt {
             // An array of another size is told with its line.
-            let told = read_answer(input).is_err() || read_answer(&[input, b"\r\n"].concat()).is_err();
+            let told =
+                read_answer(input).is_err() || read_answer(&[input, b"\r\n"].concat()).is_err();
             assert!(told, "{}", input.escape_ascii());
         }
         let made = |load: Option<&[u8]>| {
             let load = load.map(<[u8]>::to_vec);
-            Answer::Made { value: b"v".to_vec(), note: Some(b"hit".to_vec()), load }
+            Answer::Made {
+                value: b"v".to_vec(),
+                note: Some(b"hit".to_vec()),
+                load,
+            }
         };
         let head = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
         type Case<'a> = (&'a [u8], Option<&'a [u8]>, bool);
@@ -370,7 +416,10 @@
         ];
         for (tail, load, useful) in cases {
             let (answer, length) = read_answer(&[head, tail].concat()).unwrap().unwrap();
-            assert_eq!((answer, length), (made(load), useful.then_some(head.len() + tail.len())));
+            assert_eq!(
+                (answer, length),
+                (made(load), useful.then_some(head.len() + tail.len()))
+            );
         }
         assert_eq!(read_answer(&head[..head.len() - 1]), Ok(None));
     }
@@ -391,7 +440,13 @@
         for (input, error) in cases {
             assert_eq!(read_command(input), Err(error), "{}", input.escape_ascii());
         }
-        assert_eq!(read_command(&[b"*", &long[..]].concat()), Err(RespError::Length));
-        assert_eq!(read_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n"), Err(RespError::TooLong));
+        assert_eq!(
+            read_command(&[b"*", &long[..]].concat()),
+            Err(RespError::Length)
+        );
+        assert_eq!(
+            read_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n"),
+            Err(RespError::TooLong)
+        );
     }
 }
--- a/crates/pipitrun/src/seats.rs
+++ b/crates/pipitrun/src/seats.rs
@@ -38,12 +38,23 @@
     pub fn take(folder: &Path, process: String) -> io::Result<Self> {
         let open = |place: usize| {
             let path = folder.join(format!("pipitrun.seat-{place}"));
-            OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
+            OpenOptions::new()
+                .read(true)
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .open(path)
         };
         let notes = folder.join("pipitrun.notes");
         // What was left for a process that died before it read it. Nothing is left for this one before it sits.
         let _ = std::fs::remove_file(&notes);
-        let mut seats = Seats { files: [open(0)?, open(1)?], own: None, process, ready: false, notes };
+        let mut seats = Seats {
+            files: [open(0)?, open(1)?],
+            own: None,
+            process,
+            ready: false,
+            notes,
+        };
         seats.sit();
         Ok(seats)
     }
@@ -58,11 +69,16 @@
 
     fn write(&mut self) {
         let Some(own) = self.own else { return };
-        let seat = Other { process: self.process.clone(), ready: self.ready };
+        let seat = Other {
+            process: self.process.clone(),
+            ready: self.ready,
+        };
         let text = serde_json::to_vec(&seat).unwrap_or_default();
         let file = &mut self.files[own];
-        let written =
-            file.seek(SeekFrom::Start(0)).and_then(|_| file.set_len(0)).and_then(|()| file.write_all(&text));
+        let written = file
+            .seek(SeekFrom::Start(0))
+            .and_then(|_| file.set_len(0))
+            .and_then(|()| file.write_all(&text));
         if let Err(e) = written {
             log::warn!("seat in $TMPDIR: {e}");
         }
@@ -79,8 +95,13 @@
     /// The other process, if one lives. One whose seat can't be read yet is there, but not ready.
     pub fn other(&mut self) -> Option<Other> {
         self.sit();
-        let unknown = Other { process: String::new(), ready: false };
-        let Some(own) = self.own else { return Some(unknown) };
+        let unknown = Other {
+            process: String::new(),
+            ready: false,
+        };
+        let Some(own) = self.own else {
+            return Some(unknown);
+        };
         let file = &mut self.files[1 - own];
         if file.try_lock().is_ok() {
             // Nobody sits there. What the dead left goes: the next one to sit has the lock before it has written its name, and would
@@ -90,8 +111,14 @@
             return None;
         }
         let mut text = Vec::new();
-        let read = file.seek(SeekFrom::Start(0)).and_then(|_| file.take(SEAT_MAX).read_to_end(&mut text));
-        Some(read.ok().and_then(|_| serde_json::from_slice(&text).ok()).unwrap_or(unknown))
+        let read = file
+            .seek(SeekFrom::Start(0))
+            .and_then(|_| file.take(SEAT_MAX).read_to_end(&mut text));
+        Some(
+            read.ok()
+                .and_then(|_| serde_json::from_slice(&text).ok())
+                .unwrap_or(unknown),
+        )
     }
 
     /// Whether notes lie there that nobody has looked at yet; whom they are for is only known once they are read.
@@ -101,10 +128,17 @@
 
     /// Leaves notes for this process; who reads them finds them whole or not at all.
     pub fn write_notes<T: Serialize>(&self, to: &str, notes: T) -> io::Result<usize> {
-        let notes = Notes { version: VERSION, to: to.into(), notes };
+        let notes = Notes {
+            version: VERSION,
+            to: to.into(),
+            notes,
+        };
         let text = serde_json::to_vec(&notes)?;
         if text.len() > NOTES_MAX {
-            return Err(io::Error::other(format!("{} bytes are too long", text.len())));
+            return Err(io::Error::other(format!(
+                "{} bytes are too long",
+                text.len()
+            )));
         }
         let new = self.notes.with_extension("notes.new");
         std::fs::write(&new, &text)?;
--- a/crates/pipitrun/src/seats/tests.rs
+++ b/crates/pipitrun/src/seats/tests.rs
@@ -7,7 +7,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("pipitrun-seats-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("pipitrun-seats-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -29,14 +30,36 @@
     let mut a = folder.seat("a");
     assert_eq!(a.other(), None);
     let mut b = folder.seat("b");
-    assert_eq!(a.other(), Some(Other { process: "b".into(), ready: false }));
+    assert_eq!(
+        a.other(),
+        Some(Other {
+            process: "b".into(),
+            ready: false
+        })
+    );
     b.set_ready(true);
-    assert_eq!(a.other(), Some(Other { process: "b".into(), ready: true }));
-    assert_eq!(b.other(), Some(Other { process: "a".into(), ready: false }));
+    assert_eq!(
+        a.other(),
+        Some(Other {
+            process: "b".into(),
+            ready: true
+        })
+    );
+    assert_eq!(
+        b.other(),
+        Some(Other {
+            process: "a".into(),
+            ready: false
+        })
+    );
     let mut c = folder.seat("c");
     assert_eq!(c.other().map(|o| o.ready), Some(false), "no seat is free");
     drop(a);
-    assert_eq!(b.other(), None, "what stands in the seat of the dead is nothing");
+    assert_eq!(
+        b.other(),
+        None,
+        "what stands in the seat of the dead is nothing"
+    );
     assert_eq!(c.other().map(|o| o.process), Some("b".into()), "now one is");
     assert_eq!(b.other().map(|o| o.process), Some("c".into()));
 }
@@ -51,9 +74,18 @@
     // Killed: nothing is written any more.
     drop(b);
     assert_eq!(a.other(), None);
-    let next = File::options().write(true).open(folder.0.join("pipitrun.seat-1")).unwrap();
+    let next = File::options()
+        .write(true)
+        .open(folder.0.join("pipitrun.seat-1"))
+        .unwrap();
     next.lock().unwrap();
-    assert_eq!(a.other(), Some(Other { process: String::new(), ready: false }));
+    assert_eq!(
+        a.other(),
+        Some(Other {
+            process: String::new(),
+            ready: false
+        })
+    );
 }
 
 #[test]
@@ -61,7 +93,11 @@
     let folder = Folder::new("half");
     let a = folder.seat("a");
     let b = folder.seat("b");
-    std::fs::write(b.notes.with_extension("notes.new"), "{\"version\":1,\"to\":\"b\",\"no").unwrap();
+    std::fs::write(
+        b.notes.with_extension("notes.new"),
+        "{\"version\":1,\"to\":\"b\",\"no",
+    )
+    .unwrap();
     assert!(!b.notes_there());
     a.write_notes("b", [5]).unwrap();
     assert_eq!(b.read_notes::<Vec<u64>>(), Ok(vec![5]));
@@ -74,9 +110,15 @@
     let long = format!("\"{}\"", "x".repeat(NOTES_MAX));
     let cases = [
         ("", "EOF while parsing a value at line 1 column 0"),
-        ("{\"version\":1,\"to\":\"b\",\"no", "EOF while parsing a string at line 1 column 25"),
+        (
+            "{\"version\":1,\"to\":\"b\",\"no",
+            "EOF while parsing a string at line 1 column 25",
+        ),
         ("{\"version\":2,\"to\":\"b\"}", "of version 2, not 1"),
-        ("{\"version\":1,\"to\":\"a\",\"notes\":[1]}", "for a, not for b"),
+        (
+            "{\"version\":1,\"to\":\"a\",\"notes\":[1]}",
+            "for a, not for b",
+        ),
         (
             "{\"version\":1,\"to\":\"b\",\"notes\":[1,\"x\"]}",
             "notes[1]: invalid type: string \"x\", expected u64 at line 1 column 36",
--- a/crates/pipitrun/src/timers.rs
+++ b/crates/pipitrun/src/timers.rs
@@ -17,8 +17,13 @@
 impl Clock {
     /// Starts now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_nanos() as Nanos, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix: unix.as_nanos() as Nanos,
+            start: Instant::now(),
+        }
     }
 
     /// The time now.
@@ -81,7 +86,10 @@
 
     /// The next one that is due at `now`; among equals the one set first.
     pub fn pop(&mut self, now: Nanos) -> Option<Due> {
-        let next = self.queue.first_entry().filter(|next| next.key().0 <= now)?;
+        let next = self
+            .queue
+            .first_entry()
+            .filter(|next| next.key().0 <= now)?;
         let due = next.remove();
         self.places.remove(&due);
         Some(due)
@@ -106,13 +114,19 @@
         timers.set(10, Due::Connect(0));
         assert_eq!(timers.pop(9), None);
         assert_eq!(timers.wait(4), Some(Duration::from_nanos(6)));
-        assert_eq!([timers.pop(10), timers.pop(10)], [Some(Due::Connect(1)), Some(Due::Connect(0))]);
+        assert_eq!(
+            [timers.pop(10), timers.pop(10)],
+            [Some(Due::Connect(1)), Some(Due::Connect(0))]
+        );
         assert_eq!([timers.pop(19), timers.pop(30)], [None, Some(Due::Sweep)]);
         timers.set(40, Due::Probe(1));
         timers.set(50, Due::Probe(2));
         timers.set(60, Due::Probe(1));
         timers.cancel(Due::Probe(2));
-        assert_eq!([timers.pop(59), timers.pop(60), timers.pop(99)], [None, Some(Due::Probe(1)), None]);
+        assert_eq!(
+            [timers.pop(59), timers.pop(60), timers.pop(99)],
+            [None, Some(Due::Probe(1)), None]
+        );
         assert!(timers.queue.is_empty() && timers.places.is_empty());
     }
 }
--- a/crates/pipitrun/src/tries.rs
+++ b/crates/pipitrun/src/tries.rs
@@ -55,7 +55,10 @@
         self.held += incoming.order.size();
         self.ids.insert(incoming.order.id.clone());
         let id = incoming.ticket.request;
-        self.contexts.insert(id, RequestContext::new(incoming.ticket, incoming.order, deadline));
+        self.contexts.insert(
+            id,
+            RequestContext::new(incoming.ticket, incoming.order, deadline),
+        );
     }
 
     /// A long value has begun to come: it is the request's answer, unless there is one. The cache has done its work, so the
@@ -84,7 +87,9 @@
 
     /// The try whose value is on its way for this request.
     pub fn passing_try(&self, request: RequestId) -> Option<Job> {
-        self.passing.get(&request).map(|(_, attempt)| Job::Try(request, *attempt))
+        self.passing
+            .get(&request)
+            .map(|(_, attempt)| Job::Try(request, *attempt))
     }
 
     /// The value is through, broken off or not wanted any more.
@@ -118,7 +123,10 @@
     }
 
     fn clear(&mut self, request: RequestId) {
-        if self.contexts.get(&request).is_some_and(RequestContext::is_over)
+        if self
+            .contexts
+            .get(&request)
+            .is_some_and(RequestContext::is_over)
             && let Some(context) = self.contexts.remove(&request)
         {
             self.held -= context.order.size();
@@ -148,7 +156,9 @@
     ) -> Result<Outgoing, Box<Event>> {
         // The attempt is the module's own number: with a wrong one it would wait for its end for good.
         let moot = |finished| Box::new(ended(request, attempt, server, 0, Outcome::Moot, finished));
-        let Some(context) = self.contexts.get_mut(&request) else { return Err(moot(true)) };
+        let Some(context) = self.contexts.get_mut(&request) else {
+            return Err(moot(true));
+        };
         // A peer is told whole milliseconds, and one that answers within microseconds may well need one once.
         let time = timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let until = now.saturating_add(time).min(context.deadline);
@@ -160,8 +170,21 @@
         counters.copies += u64::from(!context.out.is_empty());
         let begin_by = begin_within.map_or(Nanos::MAX, |within| now.saturating_add(within));
         let lost = self.lost;
-        context.out.insert(attempt, Try { server, sent: now, lost, until, begin_by });
-        Ok(Outgoing { job: Job::Try(request, attempt), server, until })
+        context.out.insert(
+            attempt,
+            Try {
+                server,
+                sent: now,
+                lost,
+                until,
+                begin_by,
+            },
+        );
+        Ok(Outgoing {
+            job: Job::Try(request, attempt),
+            server,
+            until,
+        })
     }
 
     /// What is written for a try whose connection is up. A connection may come up long after the module decided, so all that
@@ -178,11 +201,13 @@
             let one = context.out.get(&attempt)?;
             // A peer is told whole milliseconds.
             let in_time = one.until >= now + MS && now < one.begin_by;
-            (context.owed.is_some() && in_time).then(|| context.order.command((one.until - now) / MS))
+            (context.owed.is_some() && in_time)
+                .then(|| context.order.command((one.until - now) / MS))
         });
         wanted.ok_or_else(|| {
             self.count_unsent(now, request, counters);
-            self.give_up(now, request, attempt, Outcome::Moot, counters).map(Box::new)
+            self.give_up(now, request, attempt, Outcome::Moot, counters)
+                .map(Box::new)
         })
     }
 
@@ -190,7 +215,9 @@
     pub fn count_unsent(&self, now: Nanos, request: RequestId, counters: &mut Counters) {
         if let Some(left) = self.contexts.get(&request).and_then(|context| context.left) {
             counters.left_unsent += 1;
-            counters.left_unsent_ms = counters.left_unsent_ms.max(now.saturating_sub(left).div_ceil(MS));
+            counters.left_unsent_ms = counters
+                .left_unsent_ms
+                .max(now.saturating_sub(left).div_ceil(MS));
         }
     }
 
@@ -204,12 +231,19 @@
         counters: &mut Counters,
     ) -> Option<Event> {
         let context = self.contexts.get_mut(&request)?;
-        let Try { server, sent, lost, .. } = context.out.remove(&attempt)?;
+        let Try {
+            server, sent, lost, ..
+        } = context.out.remove(&attempt)?;
         let finished = context.owed.is_none();
         self.clear(request);
         let latency = now.saturating_sub(sent).saturating_sub(self.lost - lost);
         let ms = latency / MS;
-        log::trace!("request {} try {} at {}: {outcome:?} after {ms} ms", request.0, attempt.0, server.0);
+        log::trace!(
+            "request {} try {} at {}: {outcome:?} after {ms} ms",
+            request.0,
+            attempt.0,
+            server.0
+        );
         count(outcome, counters);
         Some(ended(request, attempt, server, latency, outcome, finished))
     }
@@ -225,7 +259,11 @@
     /// A probe has had its time.
     pub fn probe_due(&mut self, probe: u64) -> Option<Event> {
         let server = self.probes.remove(&probe)?;
-        Some(Event::Probed { server, outcome: Outcome::Timeout, load: None })
+        Some(Event::Probed {
+            server,
+            outcome: Outcome::Timeout,
+            load: None,
+        })
     }
 
     /// What a peer did with a job, as the module is told it, and the final answer that comes with it.
@@ -255,11 +293,16 @@
         };
         // The first answer is the request's; of a copy that was served too only the outcome is told.
         let ticket = self.contexts.get_mut(&request).and_then(|c| c.owed.take());
-        let event = self.give_up(now, request, attempt, outcome, counters).map(|event| match event {
-            Event::Ended(end) => Event::Ended(Ended { note, load, ..end }),
-            other => other,
-        });
-        (event, ticket.map(|ticket| (ticket, FinalAnswer::Served(value))))
+        let event =
+            self.give_up(now, request, attempt, outcome, counters)
+                .map(|event| match event {
+                    Event::Ended(end) => Event::Ended(Ended { note, load, ..end }),
+                    other => other,
+                });
+        (
+            event,
+            ticket.map(|ticket| (ticket, FinalAnswer::Served(value))),
+        )
     }
 }
 
@@ -286,7 +329,16 @@
     outcome: Outcome,
     finished: bool,
 ) -> Event {
-    Event::Ended(Ended { request, attempt, server, outcome, latency, finished, note: None, load: None })
+    Event::Ended(Ended {
+        request,
+        attempt,
+        server,
+        outcome,
+        latency,
+        finished,
+        note: None,
+        load: None,
+    })
 }
 
 /// What a peer made for a request.
@@ -326,23 +378,30 @@
 
 /// A load report: names and values, parted by commas.
 fn read_load(text: &str) -> Load {
-    let pairs = text.split([',', ' ']).filter_map(|pair| pair.split_once('='));
+    let pairs = text
+        .split([',', ' '])
+        .filter_map(|pair| pair.split_once('='));
     finchyard_settings::load(pairs.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
 }
 
 fn probed(server: ServerId, end: JobEnd) -> Event {
     let (outcome, load) = match end {
         JobEnd::Reply(Reply::Status(_)) => (Outcome::Ok, None),
-        JobEnd::Reply(Reply::Bulk(Some(report))) => {
-            (Outcome::Ok, Some(read_load(&String::from_utf8_lossy(&report))))
-        }
+        JobEnd::Reply(Reply::Bulk(Some(report))) => (
+            Outcome::Ok,
+            Some(read_load(&String::from_utf8_lossy(&report))),
+        ),
         JobEnd::Reply(_) => (Outcome::Error, None),
         JobEnd::NeverSent => (Outcome::ConnectFailed, None),
         JobEnd::Broken => (Outcome::Reset, None),
         JobEnd::Spoilt | JobEnd::Answer(_) => (Outcome::Unknown, None),
         JobEnd::NoPlace => (Outcome::Moot, None),
     };
-    Event::Probed { server, outcome, load }
+    Event::Probed {
+        server,
+        outcome,
+        load,
+    }
 }
 
 #[cfg(test)]
--- a/crates/pipitrun/src/tries/tests.rs
+++ b/crates/pipitrun/src/tries/tests.rs
@@ -13,64 +13,156 @@
         ("ERR bad request", Outcome::Unfit),
     ];
     for (text, outcome) in cases {
-        assert_eq!(read_outcome(PeerAnswer::Error(text.into())).0, outcome, "{text}");
+        assert_eq!(
+            read_outcome(PeerAnswer::Error(text.into())).0,
+            outcome,
+            "{text}"
+        );
     }
     let text = |text: &str| Some(text.as_bytes().to_vec());
     let (note, load) = (text("pending"), text("depth=3,new=1,x0=oops"));
-    let answer = PeerAnswer::Made { value: b"v".to_vec(), note, load };
+    let answer = PeerAnswer::Made {
+        value: b"v".to_vec(),
+        note,
+        load,
+    };
     let served = read_outcome(answer).1.expect("it is served");
-    assert_eq!((served.value.as_slice(), served.note), (&b"v"[..], Some(CacheNote::MissPending)));
-    assert_eq!(served.load, Some(Load { queue: Some(3.0), ..Load::default() }));
+    assert_eq!(
+        (served.value.as_slice(), served.note),
+        (&b"v"[..], Some(CacheNote::MissPending))
+    );
+    assert_eq!(
+        served.load,
+        Some(Load {
+            queue: Some(3.0),
+            ..Load::default()
+        })
+    );
     let (note, load) = (None, text("\u{fffd}!"));
-    let served = read_outcome(PeerAnswer::Made { value: b"v".to_vec(), note, load }).1;
-    assert_eq!(served.expect("without a report that can be read too").load, Some(Load::default()));
+    let served = read_outcome(PeerAnswer::Made {
+        value: b"v".to_vec(),
+        note,
+        load,
+    })
+    .1;
+    assert_eq!(
+        served.expect("without a report that can be read too").load,
+        Some(Load::default())
+    );
 }
 
 fn incoming(ticket: Ticket, patience: Nanos, order: Order) -> Incoming {
-    Incoming { ticket, class: String::new(), tenant: None, arrived: 0, patience, work: None, order }
+    Incoming {
+        ticket,
+        class: String::new(),
+        tenant: None,
+        arrived: 0,
+        patience,
+        work: None,
+        order,
+    }
 }
 
 #[test]
 fn no_cache_is_blamed_for_what_the_process_was_held_up() {
     let (mut tries, mut counters) = (Tries::default(), Counters::default());
-    let order = Order { value: None, key: b"k".to_vec(), id: b"i".to_vec(), fields: Vec::new() };
-    tries.take(incoming(Ticket { request: RequestId(1), connection: 0 }, 9_000 * MS, order));
+    let order = Order {
+        value: None,
+        key: b"k".to_vec(),
+        id: b"i".to_vec(),
+        fields: Vec::new(),
+    };
+    tries.take(incoming(
+        Ticket {
+            request: RequestId(1),
+            connection: 0,
+        },
+        9_000 * MS,
+        order,
+    ));
     tries.set_lost(40 * MS);
     let first = (RequestId(1), AttemptNo(0));
-    assert!(tries.start(0, first, ServerId(1), (None, None), &mut counters).is_ok());
+    assert!(
+        tries
+            .start(0, first, ServerId(1), (None, None), &mut counters)
+            .is_ok()
+    );
     tries.set_lost(690 * MS);
     let end = tries.give_up(660 * MS, first.0, first.1, Outcome::Timeout, &mut counters);
-    assert!(matches!(end, Some(Event::Ended(Ended { latency, .. })) if latency == 10 * MS), "{end:?}");
+    assert!(
+        matches!(end, Some(Event::Ended(Ended { latency, .. })) if latency == 10 * MS),
+        "{end:?}"
+    );
 }
 
 #[test]
 fn a_try_that_comes_too_late_ends_under_its_own_number() {
     let (mut tries, mut counters) = (Tries::default(), Counters::default());
-    let order = Order { value: None, key: b"k".to_vec(), id: b"i".to_vec(), fields: Vec::new() };
-    let ticket = Ticket { request: RequestId(1), connection: 0 };
+    let order = Order {
+        value: None,
+        key: b"k".to_vec(),
+        id: b"i".to_vec(),
+        fields: Vec::new(),
+    };
+    let ticket = Ticket {
+        request: RequestId(1),
+        connection: 0,
+    };
     tries.take(incoming(ticket, 100 * MS, order));
     assert!(tries.is_open(b"i") && !tries.is_open(b"j"));
     let first = (RequestId(1), AttemptNo(0));
-    assert!(tries.start(0, first, ServerId(1), (None, None), &mut counters).is_ok());
+    assert!(
+        tries
+            .start(0, first, ServerId(1), (None, None), &mut counters)
+            .is_ok()
+    );
     let outcome = Outcome::Reset;
-    assert!(tries.give_up(1, first.0, first.1, outcome, &mut counters).is_some());
+    assert!(
+        tries
+            .give_up(1, first.0, first.1, outcome, &mut counters)
+            .is_some()
+    );
     tries.gone(1, RequestId(1));
     assert!(!tries.is_open(b"i"), "nothing is left of it");
     let second = (RequestId(1), AttemptNo(1));
-    let Err(end) = tries.start(1, second, ServerId(2), (None, None), &mut counters) else { panic!("sent") };
-    assert!(matches!(*end, Event::Ended(Ended { attempt: AttemptNo(1), finished: true, .. })), "{end:?}");
+    let Err(end) = tries.start(1, second, ServerId(2), (None, None), &mut counters) else {
+        panic!("sent")
+    };
+    assert!(
+        matches!(
+            *end,
+            Event::Ended(Ended {
+                attempt: AttemptNo(1),
+                finished: true,
+                ..
+            })
+        ),
+        "{end:?}"
+    );
 }
 
 #[test]
 fn a_try_has_a_millisecond_at_least_unless_its_request_has_less() {
     for (patience, sent) in [(100 * MS, true), (MS, true), (MS - 1, false)] {
         let (mut tries, mut counters) = (Tries::default(), Counters::default());
-        let order = Order { value: None, key: b"k".to_vec(), id: b"i".to_vec(), fields: Vec::new() };
-        let ticket = Ticket { request: RequestId(1), connection: 0 };
+        let order = Order {
+            value: None,
+            key: b"k".to_vec(),
+            id: b"i".to_vec(),
+            fields: Vec::new(),
+        };
+        let ticket = Ticket {
+            request: RequestId(1),
+            connection: 0,
+        };
         tries.take(incoming(ticket, patience, order));
         // Peers that answer within 0.1 ms have the module give a try up after a fraction of one.
         let first = (RequestId(1), AttemptNo(0));
         let started = tries.start(0, first, ServerId(1), (Some(MS / 4), None), &mut counters);
-        assert_eq!(started.ok().map(|o| o.until), sent.then_some(MS), "{patience}");
+        assert_eq!(
+            started.ok().map(|o| o.until),
+            sent.then_some(MS),
+            "{patience}"
+        );
     }
 }
--- a/crates/pipitrun/src/upstream_group.rs
+++ b/crates/pipitrun/src/upstream_group.rs
@@ -227,11 +227,20 @@
 
     /// The whole list as it is known, if one is.
     pub fn list(&self) -> Option<HostList> {
-        Some(HostList { seq: self.seq?, whole: true, hosts: self.hosts.values().cloned().collect() })
+        Some(HostList {
+            seq: self.seq?,
+            whole: true,
+            hosts: self.hosts.values().cloned().collect(),
+        })
     }
 
     /// Begins a watch, unless one is open.
-    pub fn watch(&mut self, now: Nanos, timers: &mut Timers, counters: &mut Counters) -> Option<GroupEvent> {
+    pub fn watch(
+        &mut self,
+        now: Nanos,
+        timers: &mut Timers,
+        counters: &mut Counters,
+    ) -> Option<GroupEvent> {
         self.wanted = true;
         if self.call.is_some() {
             return None;
@@ -242,7 +251,9 @@
         self.next_call += 1;
         match self.connect(number) {
             Ok(stream) => {
-                let since = self.seq.map_or(String::new(), |seq| format!("&since={seq}"));
+                let since = self
+                    .seq
+                    .map_or(String::new(), |seq| format!("&since={seq}"));
                 let request = format!(
                     "GET /registry/instances?follow=1{since} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
                     self.address
@@ -284,22 +295,45 @@
         log::info!("discovery moves from {} to {address}", self.address);
         self.address = address;
         self.call = None;
-        if self.wanted { self.watch(now, timers, counters) } else { None }
+        if self.wanted {
+            self.watch(now, timers, counters)
+        } else {
+            None
+        }
     }
 
     fn connect(&self, number: u64) -> std::io::Result<Watched<TcpStream>> {
-        self.poll.watch(connect(self.address)?, Source::Discovery(number), false, true)
+        self.poll.watch(
+            connect(self.address)?,
+            Source::Discovery(number),
+            false,
+            true,
+        )
     }
 
     /// Reads and writes what the watch is ready for.
-    pub fn ready(&mut self, now: Nanos, ready: Ready, events: &mut Vec<GroupEvent>, counters: &mut Counters) {
-        let Some(call) = self.call.as_mut().filter(|c| Source::Discovery(c.number) == ready.source) else {
+    pub fn ready(
+        &mut self,
+        now: Nanos,
+        ready: Ready,
+        events: &mut Vec<GroupEvent>,
+        counters: &mut Counters,
+    ) {
+        let Some(call) = self
+            .call
+            .as_mut()
+            .filter(|c| Source::Discovery(c.number) == ready.source)
+        else {
             return;
         };
         if !self.pending.is_empty() {
             return;
         }
-        let result = if ready.writable && call.written < call.request.len() { call.write() } else { Ok(()) };
+        let result = if ready.writable && call.written < call.request.len() {
+            call.write()
+        } else {
+            Ok(())
+        };
         let result = match result {
             Ok(()) if ready.readable => call.read(now),
             other => other,
@@ -320,7 +354,11 @@
         self.call = None;
         counters.list_failed += 1;
         self.failures = self.failures.saturating_add(1);
-        let level = if self.failures.is_power_of_two() { log::Level::Warn } else { log::Level::Debug };
+        let level = if self.failures.is_power_of_two() {
+            log::Level::Warn
+        } else {
+            log::Level::Debug
+        };
         log::log!(
             level,
             "discovery at {}: {problem}; failed {} times since its last line",
@@ -339,7 +377,9 @@
         events: &mut Vec<GroupEvent>,
         counters: &mut Counters,
     ) {
-        let Some(call) = self.call.as_ref().filter(|c| c.number == number) else { return };
+        let Some(call) = self.call.as_ref().filter(|c| c.number == number) else {
+            return;
+        };
         let due = call.heard
             + match (&call.body, call.written) {
                 (Some(_), _) => SILENCE,
@@ -352,13 +392,18 @@
         let (silent, stage) = (now.saturating_sub(call.heard) / MS, call.stage());
         counters.list_silent += 1;
         counters.list_silent_ms = counters.list_silent_ms.max(silent);
-        events.push(self.fail(&format!("silent for {silent} ms, {stage}; it is called anew"), counters));
+        events.push(self.fail(
+            &format!("silent for {silent} ms, {stage}; it is called anew"),
+            counters,
+        ));
     }
 
     /// Takes what is whole of the text that has come. A message ends with its last brace, on whatever line that is: lists may
     /// come indented.
     fn lines(&mut self, counters: &mut Counters) -> Result<(), String> {
-        let Some(call) = self.call.as_mut() else { return Ok(()) };
+        let Some(call) = self.call.as_mut() else {
+            return Ok(());
+        };
         while let Some(place) = call.scanner.next(&call.text)? {
             let text = call.text[place.clone()].to_vec();
             call.text.drain(..place.end);
@@ -370,7 +415,9 @@
             if known.is_some_and(|seq| message.seq < seq) {
                 counters.list_old += 1;
                 let (address, seq) = (self.address, message.seq);
-                log::warn!("discovery at {address}: a line of version {seq} is left, {known:?} was told");
+                log::warn!(
+                    "discovery at {address}: a line of version {seq} is left, {known:?} was told"
+                );
                 continue;
             }
             call.seq = Some(message.seq);
@@ -382,7 +429,11 @@
             call.text.clear();
             call.scanner = MessageScanner::default();
         }
-        if call.text.len() > LINE_MAX { Err("line of the list: too long".into()) } else { Ok(()) }
+        if call.text.len() > LINE_MAX {
+            Err("line of the list: too long".into())
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -394,12 +445,16 @@
         while self.written < self.request.len() {
             match self.stream.socket().write(&self.request[self.written..]) {
                 Ok(n) => self.written += n,
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => break,
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                    break;
+                }
                 Err(e) => return Err(format!("writing: {e}")),
             }
         }
         let unsent = self.written < self.request.len();
-        self.stream.interest(true, unsent).map_err(|e| format!("watching: {e}"))
+        self.stream
+            .interest(true, unsent)
+            .map_err(|e| format!("watching: {e}"))
     }
 
     fn read(&mut self, now: Nanos) -> Result<(), String> {
@@ -411,7 +466,9 @@
         match got {
             Ok(0) => return Err("the watch has ended".into()),
             Ok(_) => self.heard = now,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return Ok(()),
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                return Ok(());
+            }
             Err(e) => return Err(format!("reading: {e}")),
         }
         if self.body.is_none() {
@@ -446,16 +503,25 @@
             return Err(format!("status {}", response.code.unwrap_or(0)));
         }
         let value = |name: &str| {
-            let header = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
+            let header = response
+                .headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case(name))?;
             std::str::from_utf8(header.value).ok().map(str::trim)
         };
-        self.body = Some(if value("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-            Body::Chunked { left: 0 }
-        } else if let Some(length) = value("content-length") {
-            Body::Length(length.parse().map_err(|_| format!("content-length: \"{length}\""))?)
-        } else {
-            Body::UntilClose
-        });
+        self.body = Some(
+            if value("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
+                Body::Chunked { left: 0 }
+            } else if let Some(length) = value("content-length") {
+                Body::Length(
+                    length
+                        .parse()
+                        .map_err(|_| format!("content-length: \"{length}\""))?,
+                )
+            } else {
+                Body::UntilClose
+            },
+        );
         self.input.drain(..length);
         Ok(())
     }
@@ -500,7 +566,9 @@
                     }
                 }
                 Some(Body::Chunked { left }) => match httparse::parse_chunk_size(&self.input) {
-                    Ok(httparse::Status::Complete((_, 0))) => return Err("the watch has ended".into()),
+                    Ok(httparse::Status::Complete((_, 0))) => {
+                        return Err("the watch has ended".into());
+                    }
                     Ok(httparse::Status::Complete((_, size))) if size > LINE_MAX as u64 => {
                         return Err("chunk: too long".into());
                     }
--- a/crates/pipitrun/src/upstream_group/messages.rs
+++ b/crates/pipitrun/src/upstream_group/messages.rs
@@ -78,7 +78,10 @@
                 Ok(())
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
-            _ => Err(format!("line of the list: begins with \"{}\"", byte.escape_ascii())),
+            _ => Err(format!(
+                "line of the list: begins with \"{}\"",
+                byte.escape_ascii()
+            )),
         }
     }
 }
@@ -139,7 +142,15 @@
         let hosts: Vec<Range<usize>> = head.hosts.iter().map(place).collect();
         let (seq, whole) = (head.seq, head.whole);
         let (named, hosts) = (BTreeSet::new(), hosts.into_iter());
-        Ok(Message { seq, whole, text, hosts, taken: 0, named, missing: None })
+        Ok(Message {
+            seq,
+            whole,
+            text,
+            hosts,
+            taken: 0,
+            named,
+            missing: None,
+        })
     }
 
     /// At most `most` of the hosts that are left. Of one that names all hosts, those `listed` that it does not name follow.
@@ -147,12 +158,21 @@
     /// # Errors
     ///
     /// Names the host and the key that makes no sense.
-    pub(super) fn take(&mut self, most: usize, listed: &BTreeMap<String, Host>) -> Result<ListPart, String> {
+    pub(super) fn take(
+        &mut self,
+        most: usize,
+        listed: &BTreeMap<String, Host>,
+    ) -> Result<ListPart, String> {
         let mut hosts = Vec::new();
         for place in self.hosts.by_ref().take(most) {
             let mut json = serde_json::Deserializer::from_slice(&self.text[place]);
             let host: Host = serde_path_to_error::deserialize(&mut json).map_err(|e| {
-                format!("line of the list: hosts[{}].{}: {}", self.taken, e.path(), e.inner())
+                format!(
+                    "line of the list: hosts[{}].{}: {}",
+                    self.taken,
+                    e.path(),
+                    e.inner()
+                )
             })?;
             self.taken += 1;
             if self.whole {
@@ -161,17 +181,31 @@
             hosts.push(host);
         }
         if self.whole && self.hosts.len() == 0 {
-            let missing = self.missing.get_or_insert_with(|| unnamed(listed, &self.named).into_iter());
+            let missing = self
+                .missing
+                .get_or_insert_with(|| unnamed(listed, &self.named).into_iter());
             let room = most - hosts.len();
             hosts.extend(missing.by_ref().take(room));
         }
         let missing = self.missing.as_ref().map_or(0, ExactSizeIterator::len);
-        Ok(ListPart { seq: self.seq, whole: self.whole, hosts, is_last: self.hosts.len() + missing == 0 })
+        Ok(ListPart {
+            seq: self.seq,
+            whole: self.whole,
+            hosts,
+            is_last: self.hosts.len() + missing == 0,
+        })
     }
 }
 
 /// The listed hosts that are not named, as gone.
 fn unnamed(listed: &BTreeMap<String, Host>, named: &BTreeSet<String>) -> Vec<Host> {
-    let gone = |host: &Host| Host { health: "terminated".into(), ..host.clone() };
-    listed.values().filter(|host| !named.contains(&host.host)).map(gone).collect()
+    let gone = |host: &Host| Host {
+        health: "terminated".into(),
+        ..host.clone()
+    };
+    listed
+        .values()
+        .filter(|host| !named.contains(&host.host))
+        .map(gone)
+        .collect()
 }
--- a/crates/pipitrun/tests/common/mod.rs
+++ b/crates/pipitrun/tests/common/mod.rs
@@ -44,9 +44,20 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log")).lines().map_while(Result::ok);
-        let address = log.find_map(|l| Some(l.split_once("listening on ")?.1.split_once(',')?.0.to_string()));
-        let management = log.find_map(|l| Some(l.split_once("management listens on ")?.1.to_string()));
+        let mut log = BufReader::new(child.stderr.take().expect("its log"))
+            .lines()
+            .map_while(Result::ok);
+        let address = log.find_map(|l| {
+            Some(
+                l.split_once("listening on ")?
+                    .1
+                    .split_once(',')?
+                    .0
+                    .to_string(),
+            )
+        });
+        let management =
+            log.find_map(|l| Some(l.split_once("management listens on ")?.1.to_string()));
         let (lines, log_lines) = channel();
         // Read on even when nobody asks, or the program would wait for its log to be read.
         std::thread::spawn(move || log.for_each(|line| drop(lines.send(line))));
@@ -74,7 +85,8 @@
 
     /// Whether it is ready to serve, as it says itself.
     pub fn is_ready(&self) -> bool {
-        self.call("GET /admin/health").starts_with("HTTP/1.1 200 OK\r\n")
+        self.call("GET /admin/health")
+            .starts_with("HTTP/1.1 200 OK\r\n")
     }
 
     /// Waits until it says that.
@@ -84,16 +96,25 @@
 
     /// Waits for its next log line with this text.
     pub fn wait_log(&self, text: &str) {
-        while !self.log.recv_timeout(PATIENCE).expect("a log line").contains(text) {}
+        while !self
+            .log
+            .recv_timeout(PATIENCE)
+            .expect("a log line")
+            .contains(text)
+        {}
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([&format!("-{name}"), &self.child.id().to_string()])
+            .status();
         assert!(sent.expect("kill is there").success(), "signal sent");
         if name == "STOP" {
             // What comes from now on is all there in one turn once it goes on.
             let stat = format!("/proc/{}/stat", self.child.id());
-            wait("it to stand still", || std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
+            wait("it to stand still", || {
+                std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T "))
+            });
         }
     }
 }
@@ -135,7 +156,12 @@
     let mut text = Vec::new();
     while !text.ends_with(end.as_bytes()) {
         let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).expect("it comes"), 1, "after {}", text.escape_ascii());
+        assert_eq!(
+            stream.read(&mut byte).expect("it comes"),
+            1,
+            "after {}",
+            text.escape_ascii()
+        );
         text.push(byte[0]);
     }
     String::from_utf8(text).expect("text")
--- a/crates/pipitrun/tests/deployments.rs
+++ b/crates/pipitrun/tests/deployments.rs
@@ -14,7 +14,10 @@
 
 fn get(id: u32, fields: &str) -> String {
     let (id, length) = (id.to_string(), fields.len());
-    format!("*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n${}\r\n{id}\r\n${length}\r\n{fields}\r\n", id.len())
+    format!(
+        "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n${}\r\n{id}\r\n${length}\r\n{fields}\r\n",
+        id.len()
+    )
 }
 
 #[rstest]
@@ -29,9 +32,16 @@
     let (cache, discovery) = (listen(), listen());
     let address = |l: &TcpListener| l.local_addr().expect("an address").to_string();
     let host = json!({"host": "s-1", "dial": address(&cache)});
-    let accounts =
-        if tenant.is_empty() { json!([]) } else { json!([{"name": "acme", "allowance_per_s": 9.0}]) };
-    let (aim, give_up) = if mode == "automatic" { (1_200, 2_500) } else { (300, 600) };
+    let accounts = if tenant.is_empty() {
+        json!([])
+    } else {
+        json!([{"name": "acme", "allowance_per_s": 9.0}])
+    };
+    let (aim, give_up) = if mode == "automatic" {
+        (1_200, 2_500)
+    } else {
+        (300, 600)
+    };
     let config = json!({
         "listen": "127.0.0.1:0", "discovery": address(&discovery), "seed": "2a",
         "known": {"seq": 7, "whole": true, "hosts": [host]},
@@ -54,10 +64,14 @@
     std::fs::remove_file(&path).expect("it was read");
 
     let mut watch = accept(&discovery);
-    assert!(read_until(&mut watch, "\r\n\r\n").starts_with("GET /registry/instances?follow=1&since=7 "));
+    assert!(
+        read_until(&mut watch, "\r\n\r\n").starts_with("GET /registry/instances?follow=1&since=7 ")
+    );
     let mut client = program.client();
     let fields = |d: &str| format!("c=read,{tenant}{guess}size=0.4{mark},d={d}");
-    client.write_all(get(1, &fields("900000")).as_bytes()).expect("it reads");
+    client
+        .write_all(get(1, &fields("900000")).as_bytes())
+        .expect("it reads");
     let mut one = accept(&cache);
     let got = read_until(&mut one, "\r\n").replace("*4", "");
     assert_eq!(got, "\r\n");
@@ -65,16 +79,18 @@
     let want = get(1, &fields(""));
     let want = &want[want.rfind("c=read").expect("fields")..want.len() - 2];
     assert!(passed.ends_with(want), "{passed} {want}");
-    one.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n").expect("it reads");
+    one.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+        .expect("it reads");
     assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
 
-    let news =
-        json!({"seq": 8, "hosts": [{"host": "s-1", "dial": address(&cache), "health": "terminating"}]});
+    let news = json!({"seq": 8, "hosts": [{"host": "s-1", "dial": address(&cache), "health": "terminating"}]});
     write!(watch, "HTTP/1.1 200 OK\r\n\r\n{news}\n").expect("it reads");
     // The idle connection is closed with the news; whatever else was unread there is passed over.
     let mut rest = Vec::new();
     one.read_to_end(&mut rest).expect("closed in time");
-    client.write_all(get(2, &fields("900000")).as_bytes()).expect("it reads");
+    client
+        .write_all(get(2, &fields("900000")).as_bytes())
+        .expect("it reads");
     assert!(read_until(&mut client, "\r\n").starts_with("-BUSY"));
 }
 
@@ -96,8 +112,9 @@
                 "memory_span_ns": 20_000 * MS, "goal_time_ns": give_up * MS / 2, "give_up_ns": give_up * MS, "worth": n})
         })
         .collect();
-    let accounts: Vec<_> =
-        (0..tenants).map(|n| json!({"name": format!("t{n}"), "allowance_per_s": 9.0})).collect();
+    let accounts: Vec<_> = (0..tenants)
+        .map(|n| json!({"name": format!("t{n}"), "allowance_per_s": 9.0}))
+        .collect();
     let config = json!({
         "listen": "127.0.0.1:0", "discovery": address(&discovery), "seed": "2a",
         "known": {"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": address(&cache)}]},
@@ -107,13 +124,18 @@
             "obligations": {"drain_grace_ns": 500 * MS, "grace_to_answer_ns": 20 * MS}, "profiles": profiles,
         },
     });
-    let name = format!("pipitrun-{}-{classes}-{repeat}-{tenants}.json", std::process::id());
+    let name = format!(
+        "pipitrun-{}-{classes}-{repeat}-{tenants}.json",
+        std::process::id()
+    );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config.to_string()).expect("a place for the configuration");
     let program = Program::start(&path, &[]);
     std::fs::remove_file(&path).expect("it was read");
     let mut client = program.client();
-    client.write_all(get(1, &format!("c=class-{classes},d=19000")).as_bytes()).expect("it reads");
+    client
+        .write_all(get(1, &format!("c=class-{classes},d=19000")).as_bytes())
+        .expect("it reads");
     // It may have run when its connection ends.
     let mut one = accept(&cache);
     read_until(&mut one, ",d=");
@@ -123,7 +145,8 @@
         let mut one = accept(&cache);
         read_until(&mut one, ",d=");
         read_until(&mut one, "\r\n");
-        one.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n").expect("it reads");
+        one.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+            .expect("it reads");
         assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
     } else {
         assert_eq!(read_until(&mut client, "\r\n"), "-ERR failed\r\n");
--- a/crates/pipitrun/tests/exchanges.rs
+++ b/crates/pipitrun/tests/exchanges.rs
@@ -67,7 +67,11 @@
 impl Stage {
     fn set(story: &Path, given: &[(&str, &str)]) -> Stage {
         let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let listeners = HashMap::from([("cache", listen()), ("discovery", listen()), ("registry", listen())]);
+        let listeners = HashMap::from([
+            ("cache", listen()),
+            ("discovery", listen()),
+            ("registry", listen()),
+        ]);
         let mut text = CONFIG
             .replace("DISCOVERY", &local(&listeners["discovery"]))
             .replace("CACHE", &local(&listeners["cache"]));
@@ -75,11 +79,22 @@
             assert!(text.contains(old), "{old} in {text}");
             text = text.replace(old, new);
         }
-        let story = story.file_stem().expect("a story").to_string_lossy().into_owned();
-        let config = std::env::temp_dir().join(format!("pipitrun-{}-{story}.json", std::process::id()));
+        let story = story
+            .file_stem()
+            .expect("a story")
+            .to_string_lossy()
+            .into_owned();
+        let config =
+            std::env::temp_dir().join(format!("pipitrun-{}-{story}.json", std::process::id()));
         std::fs::write(&config, text).expect("a place for the configuration");
         let program = Program::start(&config, &[]);
-        Stage { program, listeners, down: Vec::new(), streams: HashMap::new(), config }
+        Stage {
+            program,
+            listeners,
+            down: Vec::new(),
+            streams: HashMap::new(),
+            config,
+        }
     }
 
     /// The connection of this party, made or taken if there is none yet.
@@ -99,7 +114,10 @@
     fn step(&mut self, line: &str) {
         let (name, step) = line.split_once(' ').unwrap_or((line, ""));
         match (name, step.split_at(step.len().min(2))) {
-            ("exit", _) => assert!(self.program.child.wait().expect("it ends").success(), "exit code"),
+            ("exit", _) => assert!(
+                self.program.child.wait().expect("it ends").success(),
+                "exit code"
+            ),
             ("rest", _) => std::thread::sleep(REST),
             ("signal", _) => self.program.signal(step),
             ("file", _) => {
@@ -109,7 +127,10 @@
                 std::fs::write(&self.config, text.replace(old, new)).expect("it can be written");
             }
             ("log", _) => self.program.wait_log(step),
-            (_, ("> ", bytes)) => self.stream(name).write_all(&unescape(bytes)).expect("the program reads"),
+            (_, ("> ", bytes)) => self
+                .stream(name)
+                .write_all(&unescape(bytes))
+                .expect("the program reads"),
             (_, ("< ", bytes)) => {
                 let want = unescape(bytes);
                 let mut got = vec![0; want.len()];
@@ -137,7 +158,9 @@
             (_, ("do", "wn")) => {
                 // Its port stays taken: set free, it might soon be somebody else's, who takes connections.
                 let listener = self.listeners.remove(name).expect("it listens");
-                SockRef::from(&listener).shutdown(Shutdown::Both).expect("it can stop listening");
+                SockRef::from(&listener)
+                    .shutdown(Shutdown::Both)
+                    .expect("it can stop listening");
                 self.down.push(listener);
             }
             _ => panic!("no such step"),
@@ -164,7 +187,11 @@
                 });
                 rest = &rest[e.len_utf8()..];
             }
-            ('{', _) if rest.split_once('}').is_some_and(|(inner, _)| inner.contains('*')) => {
+            ('{', _)
+                if rest
+                    .split_once('}')
+                    .is_some_and(|(inner, _)| inner.contains('*')) =>
+            {
                 let (inner, after) = rest.split_once('}').expect("just seen");
                 let (count, letter) = inner.split_once('*').expect("just seen");
                 out.extend(letter.repeat(count.parse().expect("a count")).bytes());
@@ -179,9 +206,14 @@
 #[rstest]
 fn the_program_keeps_to_the_record(#[files("tests/exchanges/*.txt")] story: PathBuf) {
     let text = std::fs::read_to_string(&story).expect("the story can be read");
-    let steps: Vec<_> =
-        text.lines().enumerate().filter(|(_, l)| !l.is_empty() && !l.starts_with('#')).collect();
-    let given = steps.iter().map_while(|(_, line)| line.strip_prefix("file ")?.split_once(" => "));
+    let steps: Vec<_> = text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.is_empty() && !l.starts_with('#'))
+        .collect();
+    let given = steps
+        .iter()
+        .map_while(|(_, line)| line.strip_prefix("file ")?.split_once(" => "));
     let given: Vec<_> = given.collect();
     let mut stage = Stage::set(&story, &given);
     let address = |(name, listener): (&&str, &TcpListener)| (name.to_uppercase(), local(listener));
@@ -189,6 +221,10 @@
     for (at, line) in &steps[given.len()..] {
         // The step is printed first, so that a failure names its line.
         println!("line {}: {line}", at + 1);
-        stage.step(&addresses.iter().fold(line.to_string(), |line, (name, at)| line.replace(name, at)));
+        stage.step(
+            &addresses
+                .iter()
+                .fold(line.to_string(), |line, (name, at)| line.replace(name, at)),
+        );
     }
 }
--- a/crates/pipitrun/tests/hold_ups.rs
+++ b/crates/pipitrun/tests/hold_ups.rs
@@ -39,8 +39,7 @@
     fn new(test: &str, caches: Vec<TcpListener>) -> Self {
         let discovery = listen();
         let address = |l: &TcpListener| l.local_addr().expect("an address").to_string();
-        let host =
-            |(n, cache): (usize, &TcpListener)| json!({"host": format!("s-{n}"), "dial": address(cache)});
+        let host = |(n, cache): (usize, &TcpListener)| json!({"host": format!("s-{n}"), "dial": address(cache)});
         let config = json!({
             "listen": "127.0.0.1:0", "discovery": address(&discovery), "seed": "2a",
             "known": {"seq": 7, "whole": true, "hosts": caches.iter().enumerate().map(host).collect::<Vec<_>>()},
@@ -52,12 +51,19 @@
                 "profiles": [class("read", "safe", 0), class("put", "keyed", 400)],
             },
         });
-        let path = std::env::temp_dir().join(format!("pipitrun-hold-up-{}-{test}.json", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "pipitrun-hold-up-{}-{test}.json",
+            std::process::id()
+        ));
         std::fs::write(&path, config.to_string()).expect("a place for the configuration");
         let program = Program::start(&path, &[]);
         program.wait_ready();
         std::fs::remove_file(&path).expect("it was read");
-        Setting { program, caches, _discovery: discovery }
+        Setting {
+            program,
+            caches,
+            _discovery: discovery,
+        }
     }
 
     fn client(&self, command: &[u8]) -> TcpStream {
@@ -91,7 +97,10 @@
             while let Ok((mut stream, _)) = cache.accept() {
                 stream.set_nonblocking(true).expect("it can be asked");
                 match stream.read_to_end(&mut text) {
-                    Err(e) if e.kind() != ErrorKind::WouldBlock && e.kind() != ErrorKind::ConnectionReset => {
+                    Err(e)
+                        if e.kind() != ErrorKind::WouldBlock
+                            && e.kind() != ErrorKind::ConnectionReset =>
+                    {
                         panic!("{e}")
                     }
                     _ => {}
@@ -104,13 +113,20 @@
 
 fn read_command(id: u64, d: u64) -> Vec<u8> {
     let fields = format!("c=read,d={d}");
-    format!("*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n{id}\r\n${}\r\n{fields}\r\n", fields.len()).into_bytes()
+    format!(
+        "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n{id}\r\n${}\r\n{fields}\r\n",
+        fields.len()
+    )
+    .into_bytes()
 }
 
 fn write_command(id: u64, d: u64) -> Vec<u8> {
     let fields = format!("c=put,k=1,d={d}");
-    format!("*5\r\n$5\r\nC.SET\r\n$1\r\na\r\n$1\r\n{id}\r\n${}\r\n{fields}\r\n$1\r\nv\r\n", fields.len())
-        .into_bytes()
+    format!(
+        "*5\r\n$5\r\nC.SET\r\n$1\r\na\r\n$1\r\n{id}\r\n${}\r\n{fields}\r\n$1\r\nv\r\n",
+        fields.len()
+    )
+    .into_bytes()
 }
 
 /// A cache at which no connection comes up until [`FullCache::make_room`]: its queue of connections is full.
@@ -138,8 +154,15 @@
     fn make_room(listener: &TcpListener, queued: usize) {
         (0..queued).for_each(|_| drop(accept(listener)));
         let mut next = [PollFd::new(listener, PollFlags::IN)];
-        let timeout = Timespec { tv_sec: PATIENCE.as_secs() as i64, tv_nsec: 0 };
-        assert_eq!(poll(&mut next, Some(&timeout)), Ok(1), "the program's connection comes up");
+        let timeout = Timespec {
+            tv_sec: PATIENCE.as_secs() as i64,
+            tv_nsec: 0,
+        };
+        assert_eq!(
+            poll(&mut next, Some(&timeout)),
+            Ok(1),
+            "the program's connection comes up"
+        );
     }
 }
 
@@ -169,7 +192,9 @@
     let mut kept = Some(client);
     setting.held_up(|| {
         let client = kept.as_mut().expect("it is there");
-        client.write_all(&read_command(1, d)).expect("it takes commands");
+        client
+            .write_all(&read_command(1, d))
+            .expect("it takes commands");
         if closes {
             std::thread::sleep(Duration::from_millis(200));
             kept = None;
@@ -185,7 +210,9 @@
     let setting = Setting::new(name, vec![listen(), listen()]);
     let client = setting.client(command);
     let mut first = None;
-    wait("the first attempt", || setting.caches.iter().any(has_connection));
+    wait("the first attempt", || {
+        setting.caches.iter().any(has_connection)
+    });
     for cache in setting.caches.iter().filter(|cache| has_connection(cache)) {
         let mut stream = accept(cache);
         read_until(&mut stream, ",d=");
--- a/crates/pipitrun/tests/long_values.rs
+++ b/crates/pipitrun/tests/long_values.rs
@@ -20,7 +20,9 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || {
-                let mut lines = BufReader::new(stream.try_clone().unwrap()).lines().map_while(Result::ok);
+                let mut lines = BufReader::new(stream.try_clone().unwrap())
+                    .lines()
+                    .map_while(Result::ok);
                 // Nine lines are a command of four words.
                 while lines.nth(8).is_some() {
                     let mut answer = format!("*3\r\n${LENGTH}\r\n").into_bytes();
@@ -38,7 +40,8 @@
 
 #[test]
 fn many_long_values_before_clients_that_do_not_read_hold_little_memory_and_come_whole() {
-    let config = std::env::temp_dir().join(format!("pipitrun-long-values-{}.json", std::process::id()));
+    let config =
+        std::env::temp_dir().join(format!("pipitrun-long-values-{}.json", std::process::id()));
     let hosts = (0..4).map(|n| format!(r#"{{"host":"s-{n}","dial":"{}"}}"#, cache()));
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"memory_mb":{MEMORY},"sockets":512}},
@@ -54,8 +57,11 @@
         let mut client = program.client();
         for command in 0..COMMANDS {
             let id = format!("{n:02}{command:02}");
-            write!(client, "*4\r\n$5\r\nC.GET\r\n$4\r\n{id}\r\n$4\r\n{id}\r\n$14\r\nc=read,d=30000\r\n")
-                .unwrap();
+            write!(
+                client,
+                "*4\r\n$5\r\nC.GET\r\n$4\r\n{id}\r\n$4\r\n{id}\r\n$14\r\nc=read,d=30000\r\n"
+            )
+            .unwrap();
         }
         let mut got = vec![0; head.len()];
         client.read_exact(&mut got).unwrap();
@@ -66,14 +72,20 @@
         for command in 0..COMMANDS {
             let mut got = vec![0; if command > 0 { head.len() } else { 0 }];
             client.read_exact(&mut got).unwrap();
-            assert!(command == 0 || got == head.as_bytes(), "{}", got.escape_ascii());
+            assert!(
+                command == 0 || got == head.as_bytes(),
+                "{}",
+                got.escape_ascii()
+            );
             let mut value = vec![0; LENGTH + 2];
             client.read_exact(&mut value).unwrap();
             assert!(value[..LENGTH].iter().all(|b| *b == b'v') && value.ends_with(b"\r\n"));
         }
     }
     let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
+    let peak = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
     let peak: usize = peak.expect("its peak").parse().unwrap();
     std::fs::remove_file(&config).unwrap();
     assert!(peak < MEMORY << 10, "{peak} kB at the peak");
--- a/crates/pipitrun/tests/start.rs
+++ b/crates/pipitrun/tests/start.rs
@@ -27,7 +27,11 @@
         assert!(asked.elapsed() < PATIENCE, "discovery is never asked");
         std::thread::sleep(Duration::from_millis(1));
     };
-    assert!(program.call("GET /admin/health").starts_with("HTTP/1.1 503 Service Unavailable\r\n"));
+    assert!(
+        program
+            .call("GET /admin/health")
+            .starts_with("HTTP/1.1 503 Service Unavailable\r\n")
+    );
     let list = r#"{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1"}]}"#;
     write!(
         watch,
--- a/crates/pipitrun/tests/upgrade.rs
+++ b/crates/pipitrun/tests/upgrade.rs
@@ -84,16 +84,26 @@
         let address = listener.local_addr().unwrap().to_string();
         let socket = Socket::from(listener);
         socket.set_cloexec(false).unwrap();
-        let folder = std::env::temp_dir().join(format!("pipitrun-upgrade-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("pipitrun-upgrade-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let config = CONFIG.replace("LISTEN", &address).replace("CACHE", &cache());
+        let config = CONFIG
+            .replace("LISTEN", &address)
+            .replace("CACHE", &cache());
         std::fs::write(folder.join("config.json"), config).unwrap();
-        Stage { socket, address, folder }
+        Stage {
+            socket,
+            address,
+            folder,
+        }
     }
 
     fn start(&self) -> Program {
         let socket = self.socket.as_raw_fd().to_string();
-        let variables = [("GW_SOCKET_FD", socket.as_ref()), ("TMPDIR", self.folder.as_os_str())];
+        let variables = [
+            ("GW_SOCKET_FD", socket.as_ref()),
+            ("TMPDIR", self.folder.as_os_str()),
+        ];
         Program::start(&self.folder.join("config.json"), &variables)
     }
 
@@ -110,8 +120,11 @@
 /// One request on this connection; false if the connection has ended without an answer. Whatever comes must be the whole answer.
 fn ask(stream: &mut TcpStream, id: &str) -> bool {
     let fields = "c=read,d=9000";
-    let command =
-        format!("*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n${}\r\n{id}\r\n${}\r\n{fields}\r\n", id.len(), fields.len());
+    let command = format!(
+        "*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n${}\r\n{id}\r\n${}\r\n{fields}\r\n",
+        id.len(),
+        fields.len()
+    );
     if stream.write_all(command.as_bytes()).is_err() {
         return false;
     }
@@ -168,14 +181,22 @@
             })
         });
         let threads = threads.collect();
-        Clients { stop, answered, lost, threads }
+        Clients {
+            stop,
+            answered,
+            lost,
+            threads,
+        }
     }
 
     /// Waits until this many more have been answered.
     fn wait(&self, more: usize) {
         let until = self.answered.load(Ordering::Relaxed) + more;
         wait("answers", || {
-            assert!(self.threads.iter().all(|t| !t.is_finished()), "a client has failed");
+            assert!(
+                self.threads.iter().all(|t| !t.is_finished()),
+                "a client has failed"
+            );
             self.answered.load(Ordering::Relaxed) >= until
         });
     }
@@ -259,7 +280,10 @@
     old.wait_log("asked to stop");
     assert!(ask(&mut connect(&stage.address), "2"));
     assert!(old.child.wait().unwrap().success());
-    assert!(ask(&mut connect(&stage.address), "3"), "drained, it still serves who comes");
+    assert!(
+        ask(&mut connect(&stage.address), "3"),
+        "drained, it still serves who comes"
+    );
 }
 
 /// The fleet's talk has one address: the newer process serves without it until the older one has left.
@@ -267,9 +291,14 @@
 fn the_newer_process_takes_the_talk_over_once_the_older_has_left() {
     let stage = Stage::set("fleet");
     let file = stage.folder.join("config.json");
-    let address = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let address = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let fleet = format!("\"fleet\":{{\"name\":\"a\",\"bind\":\"{address}\"}},\"settings\"");
-    let config = std::fs::read_to_string(&file).unwrap().replace("\"settings\"", &fleet);
+    let config = std::fs::read_to_string(&file)
+        .unwrap()
+        .replace("\"settings\"", &fleet);
     std::fs::write(&file, config).unwrap();
     let older = stage.start();
     older.wait_ready();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,8 @@
 #![forbid(unsafe_code)]
 
 use finchyard::{
-    Class, Discovery, Effect, Group, Limits, Load, Nanos, Origin, Rules, Settings, SettingsError, Tenant,
+    Class, Discovery, Effect, Group, Limits, Load, Nanos, Origin, Rules, Settings, SettingsError,
+    Tenant,
 };
 use serde::Deserialize;
 
@@ -139,9 +140,17 @@
 
 /// The module's complaint about a setting, under the name that the key has in JSON.
 pub fn key_of(error: &SettingsError) -> String {
-    let renamed =
-        [("classes", "profiles"), ("deadline", "give_up_ns"), ("limits", "caps"), ("routers", "group_size")];
-    renamed.iter().fold(error.field.clone(), |key, (module, json)| key.replace(module, json))
+    let renamed = [
+        ("classes", "profiles"),
+        ("deadline", "give_up_ns"),
+        ("limits", "caps"),
+        ("routers", "group_size"),
+    ];
+    renamed
+        .iter()
+        .fold(error.field.clone(), |key, (module, json)| {
+            key.replace(module, json)
+        })
 }
 
 impl Setup {
@@ -180,10 +189,19 @@
             kinds: self.machine_types,
             report: self.feedback.columns,
         };
-        let origin_kind = self.specifics.origin_kind.and_then(|k| usize::try_from(k).ok());
+        let origin_kind = self
+            .specifics
+            .origin_kind
+            .and_then(|k| usize::try_from(k).ok());
         let settings = Settings {
             classes: self.profiles.iter().map(class).collect::<Result<_, _>>()?,
-            tenants: self.accounts.iter().map(|a| Tenant { allowance_per_s: a.allowance_per_s }).collect(),
+            tenants: self
+                .accounts
+                .iter()
+                .map(|a| Tenant {
+                    allowance_per_s: a.allowance_per_s,
+                })
+                .collect(),
             over_share_worth: self.over_share_worth,
             routers: self.group_size.max(1),
             origin: match (self.specifics.mode.as_str(), origin_kind) {
@@ -193,7 +211,9 @@
             // Whatever else it says: to ask, with its back-off, suits both an agent and a service that all share.
             discovery: match self.membership_mode.as_str() {
                 PUSHED => Discovery::Pushed,
-                _ => Discovery::Asked { within: self.obligations.must_ask_in_ns },
+                _ => Discovery::Asked {
+                    within: self.obligations.must_ask_in_ns,
+                },
             },
             live_weights: self.weights == "live",
             limits: Limits {
@@ -229,7 +249,10 @@
     Ok(Class {
         effect: match p.repeat.as_str() {
             "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed { group, window: p.memory_span_ns },
+            "keyed" => Effect::Keyed {
+                group,
+                window: p.memory_span_ns,
+            },
             _ => Effect::Unsafe,
         },
         aim: p.goal_time_ns,
--- a/crates/trials/src/capacity.rs
+++ b/crates/trials/src/capacity.rs
@@ -210,7 +210,8 @@
             figure(row.plan),
             figure(row.worst),
             shown(row.budget),
-            row.over().map_or_else(|| "-".into(), |over| format!("{over:.2}")),
+            row.over()
+                .map_or_else(|| "-".into(), |over| format!("{over:.2}")),
             row.source,
             row.mechanism,
             row.state.name()
@@ -221,14 +222,25 @@
 
 /// What is missing or only in part there, the greatest need over what is allowed first.
 fn missing(rows: &[Row]) -> Vec<String> {
-    let mut open: Vec<&Row> = rows.iter().filter(|row| row.state != State::Built).collect();
+    let mut open: Vec<&Row> = rows
+        .iter()
+        .filter(|row| row.state != State::Built)
+        .collect();
     open.sort_by(|a, b| {
         let worst = |row: &Row| row.over().unwrap_or(0.0);
         worst(b).total_cmp(&worst(a))
     });
     let line = |row: &&Row| {
-        let over = row.over().map_or_else(|| "-".into(), |over| format!("{over:.2}"));
-        format!("| {} | {} | {} | {over} | {} |", row.role, row.what, row.mechanism, row.state.name())
+        let over = row
+            .over()
+            .map_or_else(|| "-".into(), |over| format!("{over:.2}"));
+        format!(
+            "| {} | {} | {} | {over} | {} |",
+            row.role,
+            row.what,
+            row.mechanism,
+            row.state.name()
+        )
     };
     let mut lines = vec![
         "| role | figure | mechanism | need over allowed | |".to_string(),
@@ -244,7 +256,11 @@
         "| slope | unit | by | measured from, to | at 0 | for each | residual | how |".to_string(),
         "| --- | --- | --- | --- | --- | --- | --- | --- |".into(),
     ];
-    for slope in slopes.slopes.iter().filter(|slope| !slope.points.is_empty()) {
+    for slope in slopes
+        .slopes
+        .iter()
+        .filter(|slope| !slope.points.is_empty())
+    {
         let (least, most) = slope.range();
         lines.push(format!(
             "| `{}` | {} | {} | {least}, {most} | {:.4} | {:.6} | {:.2} | {} |",
@@ -269,7 +285,11 @@
     let rows = rows::all(plan, slopes)?;
     let mut tables = Vec::new();
     for role in rows::ROLES {
-        let of_role: Vec<Row> = rows.iter().filter(|row| row.role == role).cloned().collect();
+        let of_role: Vec<Row> = rows
+            .iter()
+            .filter(|row| row.role == role)
+            .cloned()
+            .collect();
         tables.push((role.to_string(), table(&of_role)));
     }
     tables.push(("missing".into(), missing(&rows)));
@@ -294,7 +314,12 @@
         let begin = begins(name);
         let at = lines.iter().position(|line| *line == begin);
         let at = at.ok_or_else(|| format!("no line \"{begin}\""))? + 1;
-        for (n, expected) in expected.iter().map(String::as_str).chain([ENDS]).enumerate() {
+        for (n, expected) in expected
+            .iter()
+            .map(String::as_str)
+            .chain([ENDS])
+            .enumerate()
+        {
             let is = lines.get(at + n).copied().unwrap_or_default();
             if is != expected {
                 return Err(format!(
@@ -316,8 +341,14 @@
     let mut page = page.to_string();
     for (name, lines) in tables {
         let begin = begins(name) + "\n";
-        let from = page.find(&begin).ok_or_else(|| format!("no line \"{}\"", begins(name)))? + begin.len();
-        let to = page[from..].find(ENDS).ok_or_else(|| format!("table \"{name}\" has no end"))? + from;
+        let from = page
+            .find(&begin)
+            .ok_or_else(|| format!("no line \"{}\"", begins(name)))?
+            + begin.len();
+        let to = page[from..]
+            .find(ENDS)
+            .ok_or_else(|| format!("table \"{name}\" has no end"))?
+            + from;
         page.replace_range(from..to, &(lines.join("\n") + "\n"));
     }
     Ok(page)
--- a/crates/trials/src/capacity/rows.rs
+++ b/crates/trials/src/capacity/rows.rs
@@ -4,8 +4,16 @@
 use crate::slopes::Slopes;
 
 /// The roles, in the order of the page.
-pub(super) const ROLES: [&str; 8] =
-    ["data path", "control", "delegates", "discovery", "configuration", "purges", "caches", "machines"];
+pub(super) const ROLES: [&str; 8] = [
+    "data path",
+    "control",
+    "delegates",
+    "discovery",
+    "configuration",
+    "purges",
+    "caches",
+    "machines",
+];
 
 /// Connections that stay open at a cache over all balancers, and for how long each (`IDLE_CONNECTIONS`, `IDLE_LEAST` of
 /// the decision module).
@@ -27,7 +35,10 @@
 
 impl Derived {
     fn new(size: Size) -> Self {
-        Derived { size, requests: size.requests_per_s / size.balancers }
+        Derived {
+            size,
+            requests: size.requests_per_s / size.balancers,
+        }
     }
 
     /// Handshakes with caches a second of one balancer that sends to so many: those that find no connection left open.
@@ -42,7 +53,12 @@
 
 /// All rows.
 pub(super) fn all(plan: &Plan, slopes: &Slopes) -> Result<Vec<Row>, String> {
-    let context = Context { plan, slopes, today: Derived::new(plan.today), planned: Derived::new(plan.plan) };
+    let context = Context {
+        plan,
+        slopes,
+        today: Derived::new(plan.today),
+        planned: Derived::new(plan.plan),
+    };
     let mut rows = context.data_path()?;
     rows.extend(context.control()?);
     rows.extend(context.delegates()?);
@@ -69,7 +85,11 @@
     /// Where a figure comes from: the slope, and whether the size lies beyond what was measured.
     fn source(&self, name: &str, size: f64) -> Result<String, String> {
         let (_, most) = self.slopes.find(name)?.range();
-        let beyond = if size > most { format!(", measured up to {most}") } else { String::new() };
+        let beyond = if size > most {
+            format!(", measured up to {most}")
+        } else {
+            String::new()
+        };
         Ok(format!("`{name}`{beyond}"))
     }
 
@@ -84,7 +104,10 @@
         let (today, plan) = (self.plan.today, self.plan.plan);
         let role = "data path";
         // A zone of the largest region is gone: its other half takes all of that region's requests.
-        let doubled = Derived { requests: 2.0 * self.planned.requests, ..Derived::new(plan) };
+        let doubled = Derived {
+            requests: 2.0 * self.planned.requests,
+            ..Derived::new(plan)
+        };
         let regional = plan.caches / plan.regions;
         Ok(vec![
             Row {
@@ -126,7 +149,9 @@
                 today: Some(self.today.handshakes(today.caches)),
                 plan: self.planned.handshakes(plan.caches),
                 worst: doubled.handshakes(plan.caches),
-                budget: Some(self.plan.assumed.cache_handshakes_per_s * plan.caches / plan.balancers),
+                budget: Some(
+                    self.plan.assumed.cache_handshakes_per_s * plan.caches / plan.balancers,
+                ),
                 source: "assumed: keys spread evenly; `IDLE_CONNECTIONS`, `IDLE_LEAST`".into(),
                 mechanism: "caches of the own region only",
                 state: State::Missing,
@@ -137,7 +162,9 @@
                 today: None,
                 plan: self.planned.handshakes(regional),
                 worst: doubled.handshakes(regional),
-                budget: Some(self.plan.assumed.cache_handshakes_per_s * plan.caches / plan.balancers),
+                budget: Some(
+                    self.plan.assumed.cache_handshakes_per_s * plan.caches / plan.balancers,
+                ),
                 source: "assumed: keys spread evenly".into(),
                 mechanism: "a list of its region's caches alone, by discovery",
                 state: State::Part,
@@ -146,7 +173,11 @@
     }
 
     fn control(&self) -> Result<Vec<Row>, String> {
-        let (today, plan, budget) = (self.plan.today.balancers, self.plan.plan.balancers, self.plan.budget);
+        let (today, plan, budget) = (
+            self.plan.today.balancers,
+            self.plan.plan.balancers,
+            self.plan.budget,
+        );
         let role = "control";
         let levels = "a view in two levels";
         let row = |what: &str, today, plan, worst, budget, source| Row {
@@ -314,7 +345,8 @@
             },
             Row {
                 role,
-                what: "bytes a second; worst: one whole configuration to all within its time".into(),
+                what: "bytes a second; worst: one whole configuration to all within its time"
+                    .into(),
                 today: None,
                 plan: demand.config_changes_per_day / DAY_S * bytes,
                 worst: bytes / demand.config_within_s,
@@ -330,7 +362,8 @@
                 plan: DAY_S,
                 worst: DAY_S,
                 budget: Some(demand.config_within_s),
-                source: "counted: `settings` are heeded at the next start, assumed one a day".into(),
+                source: "counted: `settings` are heeded at the next start, assumed one a day"
+                    .into(),
                 mechanism: "settings that apply live",
                 state: State::Missing,
             },
@@ -388,7 +421,13 @@
                 Some(self.plan.budget.control_bytes_per_s),
                 "plan; assumed: bytes of a purge",
             ),
-            missing("purges that a region cut off has missed when it is back", 0.0, backlog, None, "plan"),
+            missing(
+                "purges that a region cut off has missed when it is back",
+                0.0,
+                backlog,
+                None,
+                "plan",
+            ),
             missing(
                 "a second to catch up within the purge's time, at one region",
                 demand.purges_per_s,
@@ -409,10 +448,15 @@
     fn caches(&self) -> Vec<Row> {
         let (today, plan, assumed) = (self.plan.today, self.plan.plan, self.plan.assumed);
         let role = "caches";
-        let handshakes = |of: &Derived| of.handshakes(of.size.caches) * of.size.balancers / of.size.caches;
-        let in_flight = |of: &Derived| of.size.requests_per_s * assumed.answer_ms / 1e3 / of.size.caches;
+        let handshakes =
+            |of: &Derived| of.handshakes(of.size.caches) * of.size.balancers / of.size.caches;
+        let in_flight =
+            |of: &Derived| of.size.requests_per_s * assumed.answer_ms / 1e3 / of.size.caches;
         let open = |of: &Derived| in_flight(of) + IDLE_CONNECTIONS + handshakes(of) * IDLE_LEAST_S;
-        let doubled = Derived { requests: 2.0 * self.planned.requests, ..Derived::new(plan) };
+        let doubled = Derived {
+            requests: 2.0 * self.planned.requests,
+            ..Derived::new(plan)
+        };
         vec![
             Row {
                 role,
@@ -457,7 +501,8 @@
         let egress = assumed.machine_egress_bytes_per_s;
         // All call anew within five seconds, as they do after an outage.
         let lists = list * plan.balancers / 5.0 / egress;
-        let config = assumed.config_bytes * plan.balancers / self.plan.demand.config_within_s / egress;
+        let config =
+            assumed.config_bytes * plan.balancers / self.plan.demand.config_within_s / egress;
         let purges = self.plan.demand.purges_per_s * plan.caches / assumed.machine_calls_per_s;
         let row = |what: &str, plan: f64, worst: f64, state| Row {
             role,
@@ -483,7 +528,12 @@
                 config,
                 State::Missing,
             ),
-            row("machines that purges to all caches take", purges, purges / 0.9, State::Missing),
+            row(
+                "machines that purges to all caches take",
+                purges,
+                purges / 0.9,
+                State::Missing,
+            ),
             row(
                 "machines that all of it takes together",
                 (lists + config) / 10.0 + purges,
--- a/crates/trials/src/chart.rs
+++ b/crates/trials/src/chart.rs
@@ -33,12 +33,19 @@
         let scenario = report["scenario"].as_str().unwrap_or_default();
         let instances = report["instances"].as_u64().unwrap_or_default();
         for (what, seconds) in report["settled"].as_object().into_iter().flatten() {
-            let Some(seconds) = seconds.as_f64() else { continue };
-            let name = if what == "join" { "join".into() } else { format!("{scenario}: {what}") };
+            let Some(seconds) = seconds.as_f64() else {
+                continue;
+            };
+            let name = if what == "join" {
+                "join".into()
+            } else {
+                format!("{scenario}: {what}")
+            };
             all.entry((name, instances)).or_default().push(seconds);
         }
     }
-    all.values_mut().for_each(|times| times.sort_by(f64::total_cmp));
+    all.values_mut()
+        .for_each(|times| times.sort_by(f64::total_cmp));
     all
 }
 
@@ -49,7 +56,10 @@
     );
     for ((name, instances), times) in settled {
         let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
-        text.push_str(&format!("| {name} | {instances} | {} | {median:.2} | {worst:.2} |\n", times.len()));
+        text.push_str(&format!(
+            "| {name} | {instances} | {} | {median:.2} | {worst:.2} |\n",
+            times.len()
+        ));
     }
     text
 }
@@ -78,7 +88,10 @@
     let root = SVGBackend::new(file, (860, height)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| problem(&e))?;
     let mut chart = ChartBuilder::on(&root)
-        .caption("Seconds until all views are true; each dot a play", ("sans-serif", 17))
+        .caption(
+            "Seconds until all views are true; each dot a play",
+            ("sans-serif", 17),
+        )
         .margin(12)
         .x_label_area_size(32)
         .y_label_area_size(200)
@@ -102,11 +115,14 @@
         .map_err(|e| problem(&e))?;
     for (i, size) in sizes.iter().enumerate() {
         let colour = COLOURS[i % COLOURS.len()];
-        let dots = settled.iter().filter(|((_, n), _)| n == size).flat_map(|((name, _), times)| {
-            let row = names.iter().position(|n| *n == name).unwrap_or(0) as f64;
-            let y = row + (i as f64 + 1.0) / (sizes.len() as f64 + 1.0);
-            times.iter().map(move |x| (*x, y))
-        });
+        let dots = settled
+            .iter()
+            .filter(|((_, n), _)| n == size)
+            .flat_map(|((name, _), times)| {
+                let row = names.iter().position(|n| *n == name).unwrap_or(0) as f64;
+                let y = row + (i as f64 + 1.0) / (sizes.len() as f64 + 1.0);
+                times.iter().map(move |x| (*x, y))
+            });
         chart
             .draw_series(dots.map(|(x, y)| Circle::new((x, y), 3, colour.mix(0.6).filled())))
             .map_err(|e| problem(&e))?
@@ -128,13 +144,29 @@
     let problem = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut lines: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
-        let (Some(members), Some(value)) = (row["members"].as_u64(), row[figure].as_f64()) else { continue };
-        let loss = format!("{:.0} % lost", row["loss"].as_f64().unwrap_or_default() * 100.0);
-        lines.entry(loss).or_default().entry(members).or_default().push(value);
+        let (Some(members), Some(value)) = (row["members"].as_u64(), row[figure].as_f64()) else {
+            continue;
+        };
+        let loss = format!(
+            "{:.0} % lost",
+            row["loss"].as_f64().unwrap_or_default() * 100.0
+        );
+        lines
+            .entry(loss)
+            .or_default()
+            .entry(members)
+            .or_default()
+            .push(value);
     }
     let members = lines.values().flat_map(|line| line.keys().copied());
     let (least, most) = members.fold((u64::MAX, 1), |(a, b), n| (a.min(n), b.max(n)));
-    let highest = lines.values().flat_map(|l| l.values()).flatten().copied().fold(0.0, f64::max) * 1.1;
+    let highest = lines
+        .values()
+        .flat_map(|l| l.values())
+        .flatten()
+        .copied()
+        .fold(0.0, f64::max)
+        * 1.1;
     if highest <= 0.0 {
         return Err(format!("no row has {figure}"));
     }
@@ -147,12 +179,21 @@
         .y_label_area_size(56)
         .build_cartesian_2d((least as f64..most as f64 * 1.1).log_scale(), 0.0..highest)
         .map_err(|e| problem(&e))?;
-    chart.configure_mesh().x_desc("members").draw().map_err(|e| problem(&e))?;
+    chart
+        .configure_mesh()
+        .x_desc("members")
+        .draw()
+        .map_err(|e| problem(&e))?;
     for (i, (name, line)) in lines.iter().enumerate() {
         let colour = COLOURS[i % COLOURS.len()];
         let points: Vec<(f64, f64)> = line
             .iter()
-            .map(|(members, values)| (*members as f64, values.iter().sum::<f64>() / values.len() as f64))
+            .map(|(members, values)| {
+                (
+                    *members as f64,
+                    values.iter().sum::<f64>() / values.len() as f64,
+                )
+            })
             .collect();
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)).point_size(3))
@@ -177,19 +218,32 @@
     #[test]
     fn a_table_names_median_and_worst_and_charts_are_drawn() {
         let report = |seconds: f64, instances: u64| serde_json::json!({"scenario": "split", "instances": instances, "settled": {"healed": seconds, "join": 0.5}});
-        let all = settled(&[report(1.0, 12), report(3.0, 12), report(2.0, 12), report(0.5, 40)]);
+        let all = settled(&[
+            report(1.0, 12),
+            report(3.0, 12),
+            report(2.0, 12),
+            report(0.5, 40),
+        ]);
         let text = table(&all);
-        assert!(text.contains("| split: healed | 12 | 3 | 2.00 | 3.00 |"), "{text}");
+        assert!(
+            text.contains("| split: healed | 12 | 3 | 2.00 | 3.00 |"),
+            "{text}"
+        );
         assert!(text.contains("| join | 40 | 1 | 0.50 | 0.50 |"), "{text}");
         let folder = std::env::temp_dir().join(format!("pipitrun-chart-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         draw_settled(&all, 3.0, &folder.join("a.svg")).unwrap();
-        let rows: Vec<Value> =
-            [10, 100].map(|n| serde_json::json!({"members": n, "loss": 0.2, "bytes_per_s": 7.0})).into();
+        let rows: Vec<Value> = [10, 100]
+            .map(|n| serde_json::json!({"members": n, "loss": 0.2, "bytes_per_s": 7.0}))
+            .into();
         draw_measured(&rows, "bytes_per_s", "bytes", &folder.join("b.svg")).unwrap();
         assert!(draw_measured(&rows, "nothing", "bytes", &folder.join("c.svg")).is_err());
         for file in ["a.svg", "b.svg"] {
-            assert!(std::fs::read_to_string(folder.join(file)).unwrap().contains("</svg>"));
+            assert!(
+                std::fs::read_to_string(folder.join(file))
+                    .unwrap()
+                    .contains("</svg>")
+            );
         }
         std::fs::remove_dir_all(&folder).unwrap();
     }
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -121,7 +121,12 @@
 }
 
 fn entry(cache: u64, phase: Phase) -> Entry {
-    Entry { server: ServerId(cache), weight: 1.0, phase, ..Entry::default() }
+    Entry {
+        server: ServerId(cache),
+        weight: 1.0,
+        phase,
+        ..Entry::default()
+    }
 }
 
 impl Driver {
@@ -138,8 +143,19 @@
             next_cache: caches as u64 + 1,
             spent: BTreeMap::new(),
         };
-        let entries = driver.caches.iter().map(|cache| entry(*cache, Phase::Up)).collect();
-        driver.tell(0, Event::List { scope: ListScope::Whole, entries }, Account::Change);
+        let entries = driver
+            .caches
+            .iter()
+            .map(|cache| entry(*cache, Phase::Up))
+            .collect();
+        driver.tell(
+            0,
+            Event::List {
+                scope: ListScope::Whole,
+                entries,
+            },
+            Account::Change,
+        );
         driver.push(0, Due::Arrival);
         driver.push(CHANGE_EVERY, Due::Change);
         Ok(driver)
@@ -160,8 +176,16 @@
         spent.1 += 1;
         for action in actions {
             match action {
-                Action::Send { request, attempt, server, .. } => {
-                    self.push(now + ANSWER_AFTER, Due::Answer(request, attempt, server, now));
+                Action::Send {
+                    request,
+                    attempt,
+                    server,
+                    ..
+                } => {
+                    self.push(
+                        now + ANSWER_AFTER,
+                        Due::Answer(request, attempt, server, now),
+                    );
                 }
                 Action::Timer { after, token } => self.push(now + after, Due::Timer(token)),
                 _ => {}
@@ -213,13 +237,31 @@
             entry(self.next_cache - 1, Phase::Up)
         };
         self.push(now + CHANGE_EVERY, Due::Change);
-        self.tell(now, Event::List { scope: ListScope::Patch, entries: vec![entry] }, Account::Change);
+        self.tell(
+            now,
+            Event::List {
+                scope: ListScope::Patch,
+                entries: vec![entry],
+            },
+            Account::Change,
+        );
     }
 
     /// The list is told whole again.
     fn whole_list(&mut self, now: Nanos) {
-        let entries = self.caches.iter().map(|cache| entry(*cache, Phase::Up)).collect();
-        self.tell(now, Event::List { scope: ListScope::Whole, entries }, Account::WholeList);
+        let entries = self
+            .caches
+            .iter()
+            .map(|cache| entry(*cache, Phase::Up))
+            .collect();
+        self.tell(
+            now,
+            Event::List {
+                scope: ListScope::Whole,
+                entries,
+            },
+            Account::WholeList,
+        );
     }
 
     fn play(&mut self, until: Nanos) {
@@ -233,8 +275,11 @@
                 Due::Change => self.change(now),
                 Due::Timer(token) => {
                     // A deadline or a copy that is no longer wanted costs next to nothing; the rest is housekeeping.
-                    let account =
-                        if self.is_housekeeping(now) { Account::Housekeeping } else { Account::Request };
+                    let account = if self.is_housekeeping(now) {
+                        Account::Housekeeping
+                    } else {
+                        Account::Request
+                    };
                     self.tell(now, Event::Timer(token), account);
                 }
             }
@@ -247,11 +292,15 @@
     }
 
     fn mean(&self, account: Account) -> f64 {
-        self.spent.get(&account).map_or(0.0, |(seconds, count)| seconds / (*count).max(1) as f64)
+        self.spent
+            .get(&account)
+            .map_or(0.0, |(seconds, count)| seconds / (*count).max(1) as f64)
     }
 
     fn seconds(&self, account: Account) -> f64 {
-        self.spent.get(&account).map_or(0.0, |(seconds, _)| *seconds)
+        self.spent
+            .get(&account)
+            .map_or(0.0, |(seconds, _)| *seconds)
     }
 }
 
@@ -263,12 +312,18 @@
 /// Says what of the settings makes no sense.
 pub fn measure(caches: &[usize], seconds: u64, rounds: u64) -> Result<Vec<Cost>, String> {
     let round = |seed: u64| -> Result<Vec<Cost>, String> {
-        caches.iter().map(|count| measure_once(*count, seconds, seed)).collect()
+        caches
+            .iter()
+            .map(|count| measure_once(*count, seconds, seed))
+            .collect()
     };
     let mut least = round(1)?;
     for seed in 2..=rounds {
         let again = round(seed)?;
-        least.iter_mut().zip(&again).for_each(|(cost, other)| cost.take_least(other));
+        least
+            .iter_mut()
+            .zip(&again)
+            .for_each(|(cost, other)| cost.take_least(other));
     }
     Ok(least)
 }
--- a/crates/trials/src/ground.rs
+++ b/crates/trials/src/ground.rs
@@ -72,7 +72,11 @@
             cold: scenario.cache.options(true),
             origin: scenario.origin.map(|origin| origin.options()),
             clients: scenario.clients,
-            rate_most: scenario.steps.iter().filter_map(|step| step.rate).fold(0.0, f64::max),
+            rate_most: scenario
+                .steps
+                .iter()
+                .filter_map(|step| step.rate)
+                .fold(0.0, f64::max),
             ..Plan::default()
         }
     }
@@ -111,7 +115,9 @@
 impl Network {
     pub(crate) fn take() -> io::Result<Self> {
         static TAKEN: AtomicU32 = AtomicU32::new(0);
-        let begin = std::process::id().wrapping_mul(7).wrapping_add(TAKEN.fetch_add(1, Ordering::Relaxed));
+        let begin = std::process::id()
+            .wrapping_mul(7)
+            .wrapping_add(TAKEN.fetch_add(1, Ordering::Relaxed));
         for step in 0..1_000 {
             let n = begin.wrapping_add(step * 131);
             let (a, b) = (64 + (n >> 8) as u8 % 128, n as u8);
@@ -138,13 +144,24 @@
 /// The program that is tried: named, or beside this one in the build's folder.
 pub fn program(named: Option<&PathBuf>) -> Result<PathBuf, String> {
     if let Some(path) = named {
-        return if path.is_file() { Ok(path.clone()) } else { Err(format!("{} is no file", path.display())) };
+        return if path.is_file() {
+            Ok(path.clone())
+        } else {
+            Err(format!("{} is no file", path.display()))
+        };
     }
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let found =
-        own.ancestors().skip(1).take(2).map(|folder| folder.join("pipitrun")).find(|path| path.is_file());
+    let found = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("pipitrun"))
+        .find(|path| path.is_file());
     found.ok_or_else(|| {
-        format!("no pipitrun beside {}; build the workspace first, or name it with --program", own.display())
+        format!(
+            "no pipitrun beside {}; build the workspace first, or name it with --program",
+            own.display()
+        )
     })
 }
 
@@ -200,8 +217,12 @@
 impl Ground {
     /// Lays it out; no process runs yet.
     pub fn lay_out(plan: Plan) -> Result<Self, String> {
-        if !(1..=INSTANCES_MAX).contains(&plan.instances) || !(1..=CACHES_MAX).contains(&plan.caches) {
-            return Err(format!("1 to {INSTANCES_MAX} instances and 1 to {CACHES_MAX} caches have room"));
+        if !(1..=INSTANCES_MAX).contains(&plan.instances)
+            || !(1..=CACHES_MAX).contains(&plan.caches)
+        {
+            return Err(format!(
+                "1 to {INSTANCES_MAX} instances and 1 to {CACHES_MAX} caches have room"
+            ));
         }
         let told = |what: &str| {
             let what = what.to_string();
@@ -227,7 +248,13 @@
             let cache = Cache::start(&cache_name(c), network.cache(c), plan.cache, origin.clone());
             let cache = cache.map_err(told("cache"))?;
             caches.push(Some(cache));
-            list.put(&cache_name(c), Host { health: "in_service", born_ms: 0 });
+            list.put(
+                &cache_name(c),
+                Host {
+                    health: "in_service",
+                    born_ms: 0,
+                },
+            );
         }
         let (mut relays, mut discovery, mut members) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..n {
@@ -236,7 +263,10 @@
             let mut dials = HashMap::new();
             for c in 0..plan.caches {
                 let listen = network.member(i, 7_100 + c as u16);
-                mine.push(Relay::start(listen, network.cache(c), seed + c as u64).map_err(told("relay"))?);
+                mine.push(
+                    Relay::start(listen, network.cache(c), seed + c as u64)
+                        .map_err(told("relay"))?,
+                );
                 dials.insert(cache_name(c), listen);
             }
             relays.push(mine);
@@ -293,13 +323,16 @@
     /// Starts the clients, if the plan has any.
     pub fn start_clients(&mut self) {
         if self.plan.rate > 0.0 && self.clients.is_none() {
-            let doors: Vec<SocketAddr> =
-                (0..self.plan.instances).map(|i| self.network.member(i, 6_379)).collect();
+            let doors: Vec<SocketAddr> = (0..self.plan.instances)
+                .map(|i| self.network.member(i, 6_379))
+                .collect();
             // More at a time than the slowest class keeps out; each has one request out.
             let workers = (self.plan.rate.max(self.plan.rate_most).ceil() as usize).clamp(8, 1_000);
             self.load.set(self.plan.rate);
             let (seed, behaviour) = (self.plan.seed, self.plan.clients);
-            self.clients = Some(Clients::start(&doors, workers, &self.load, behaviour, seed, self.begun));
+            self.clients = Some(Clients::start(
+                &doors, workers, &self.load, behaviour, seed, self.begun,
+            ));
         }
     }
 
@@ -347,20 +380,34 @@
 
     /// Starts a cache again, cold and holding nothing; the list says so later.
     pub fn start_cache(&mut self, n: usize) -> Result<(), String> {
-        let cache = Cache::start(&cache_name(n), self.network.cache(n), self.plan.cold, self.origin.clone());
+        let cache = Cache::start(
+            &cache_name(n),
+            self.network.cache(n),
+            self.plan.cold,
+            self.origin.clone(),
+        );
         self.caches[n] = Some(cache.map_err(|e| e.to_string())?);
         Ok(())
     }
 
     /// Puts a cache on the list.
     pub fn list_cache(&self, n: usize, born_ms: u64) {
-        self.list.put(&cache_name(n), Host { health: "in_service", born_ms });
+        self.list.put(
+            &cache_name(n),
+            Host {
+                health: "in_service",
+                born_ms,
+            },
+        );
     }
 
     /// What came to all caches, those that have died included.
     pub fn cache_counts(&self) -> Counts {
         let mut sum = self.past;
-        self.caches.iter().flatten().for_each(|cache| add(&mut sum, cache.counts()));
+        self.caches
+            .iter()
+            .flatten()
+            .for_each(|cache| add(&mut sum, cache.counts()));
         sum
     }
 
@@ -380,8 +427,15 @@
     pub fn views(&self) -> Vec<Option<View>> {
         // Side by side: one after the other takes long enough among many for the first to be out of date.
         std::thread::scope(|scope| {
-            let asked: Vec<_> = self.members.iter().map(|member| scope.spawn(|| member.view())).collect();
-            asked.into_iter().map(|one| one.join().unwrap_or_default()).collect()
+            let asked: Vec<_> = self
+                .members
+                .iter()
+                .map(|member| scope.spawn(|| member.view()))
+                .collect();
+            asked
+                .into_iter()
+                .map(|one| one.join().unwrap_or_default())
+                .collect()
         })
     }
 
--- a/crates/trials/src/hollow.rs
+++ b/crates/trials/src/hollow.rs
@@ -93,7 +93,10 @@
 
 /// The address of the n-th member of a region.
 pub fn address(region: usize, n: usize) -> SocketAddr {
-    SocketAddr::from(([127, 1 + region as u8, (n / 250) as u8, (n % 250) as u8 + 1], 17_946))
+    SocketAddr::from((
+        [127, 1 + region as u8, (n / 250) as u8, (n % 250) as u8 + 1],
+        17_946,
+    ))
 }
 
 /// One member of the layout.
@@ -104,20 +107,33 @@
 }
 
 fn layout(plan: &Plan) -> Vec<Place> {
-    let sizes = if plan.regions > 1 { sizes(plan.members, plan.regions) } else { vec![plan.members] };
+    let sizes = if plan.regions > 1 {
+        sizes(plan.members, plan.regions)
+    } else {
+        vec![plan.members]
+    };
     let of_region = |(region, size): (usize, &usize)| {
-        (0..*size).map(move |n| Place { region, address: address(region, n) }).collect::<Vec<_>>()
+        (0..*size)
+            .map(move |n| Place {
+                region,
+                address: address(region, n),
+            })
+            .collect::<Vec<_>>()
     };
     sizes.iter().enumerate().flat_map(of_region).collect()
 }
 
 /// What a run of these members takes in memory at most, in KB.
 fn expected_kb(sizes: &[usize]) -> usize {
-    sizes.iter().map(|size| size * (MEMBER_KB + (*size as f64 * ENTRY_KB) as usize)).sum()
+    sizes
+        .iter()
+        .map(|size| size * (MEMBER_KB + (*size as f64 * ENTRY_KB) as usize))
+        .sum()
 }
 
 fn machine_kb() -> Result<usize, String> {
-    let text = std::fs::read_to_string("/proc/meminfo").map_err(|e| format!("/proc/meminfo: {e}"))?;
+    let text =
+        std::fs::read_to_string("/proc/meminfo").map_err(|e| format!("/proc/meminfo: {e}"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     let kb = line.and_then(|line| line.trim().trim_end_matches("kB").trim().parse().ok());
     kb.ok_or_else(|| "/proc/meminfo: no MemTotal".into())
@@ -125,8 +141,12 @@
 
 impl Plan {
     fn check(&self) -> Result<(), String> {
-        if self.members < 2 || self.regions == 0 || self.regions > self.members || self.regions > 64 {
-            return Err(format!("{} members in {} regions make no fleet", self.members, self.regions));
+        if self.members < 2 || self.regions == 0 || self.regions > self.members || self.regions > 64
+        {
+            return Err(format!(
+                "{} members in {} regions make no fleet",
+                self.members, self.regions
+            ));
         }
         let least = self.members.div_ceil(PER_PROCESS_MAX);
         if !(least..=PROCESSES_MAX).contains(&self.processes) {
@@ -135,7 +155,11 @@
                 self.processes, self.members
             ));
         }
-        let sizes = if self.regions > 1 { sizes(self.members, self.regions) } else { vec![self.members] };
+        let sizes = if self.regions > 1 {
+            sizes(self.members, self.regions)
+        } else {
+            vec![self.members]
+        };
         let (expected, most) = (expected_kb(&sizes), machine_kb()? / MEMORY_PART);
         if expected > most {
             return Err(format!(
@@ -173,7 +197,15 @@
     let processes = Processes::start(&plan)?;
     let alive = vec![false; places.len()];
     let memory_most_kb = machine_kb()? / MEMORY_PART;
-    let mut run = Run { plan, places, processes, alive, cut: None, interrupted, memory_most_kb };
+    let mut run = Run {
+        plan,
+        places,
+        processes,
+        alive,
+        cut: None,
+        interrupted,
+        memory_most_kb,
+    };
     let result = run.play();
     run.processes.end();
     result
@@ -186,8 +218,8 @@
         let joined = self.until_settled()?;
         self.wait(SETTLING)?;
         let calm = self.measured(Duration::from_secs(self.plan.seconds))?;
-        let memory_kb =
-            (self.processes.resident_kb().saturating_sub(empty_kb)) as f64 / self.plan.members as f64;
+        let memory_kb = (self.processes.resident_kb().saturating_sub(empty_kb)) as f64
+            / self.plan.members as f64;
         let before = self.processes.false_deaths();
         let (event, settled) = self.event(joined)?;
         let members = self.plan.members as f64;
@@ -208,7 +240,9 @@
 
     /// What happens after the calm, and how long until all views were true; the worst second's bytes in it.
     fn event(&mut self, joined: Option<Duration>) -> Result<(u64, Option<Duration>), String> {
-        let largest: Vec<usize> = (0..self.places.len()).filter(|n| self.places[*n].region == 0).collect();
+        let largest: Vec<usize> = (0..self.places.len())
+            .filter(|n| self.places[*n].region == 0)
+            .collect();
         match self.plan.event {
             Event::None => return Ok((0, joined)),
             Event::Rack => {
@@ -249,7 +283,12 @@
     /// Tells all what is true from now on.
     fn expect(&mut self) -> Result<(), String> {
         let mut living: BTreeMap<usize, usize> = BTreeMap::new();
-        for (place, _) in self.places.iter().zip(&self.alive).filter(|(_, alive)| **alive) {
+        for (place, _) in self
+            .places
+            .iter()
+            .zip(&self.alive)
+            .filter(|(_, alive)| **alive)
+        {
             *living.entry(place.region).or_default() += 1;
         }
         self.processes.expect(living)
--- a/crates/trials/src/hollow/members.rs
+++ b/crates/trials/src/hollow/members.rs
@@ -6,7 +6,9 @@
 use crate::virtual_trials::resident_kb;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use pipitrun_fleet::envelope::DATAGRAM_MAX;
-use pipitrun_fleet::{Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing};
+use pipitrun_fleet::{
+    Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::io::{BufRead, ErrorKind, Write};
@@ -57,7 +59,10 @@
 /// Processor time of this process so far.
 fn busy_ns() -> u64 {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
-    text.split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0)
+    text.split(' ')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Runs these members until standard input ends.
@@ -65,18 +70,26 @@
     let (tell, commands) = channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            let Ok(command) = serde_json::from_str::<Command>(&line) else { return };
+            let Ok(command) = serde_json::from_str::<Command>(&line) else {
+                return;
+            };
             if tell.send(command).is_err() {
                 return;
             }
         }
     });
     let epoll = Epoll::new(EpollCreateFlags::empty()).map_err(|e| format!("epoll: {e}"))?;
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_err(|e| e.to_string())?;
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_err(|e| e.to_string())?;
     let mut process = Process {
         plan,
         places,
-        by_address: places.iter().enumerate().map(|(n, place)| (place.address, n)).collect(),
+        by_address: places
+            .iter()
+            .enumerate()
+            .map(|(n, place)| (place.address, n))
+            .collect(),
         epoll,
         members: BTreeMap::new(),
         own,
@@ -112,7 +125,11 @@
                 }
             }
             let now = self.now();
-            let next = self.due.peek().map_or(Nanos::MAX, |Reverse((at, _))| *at).min(self.next_report);
+            let next = self
+                .due
+                .peek()
+                .map_or(Nanos::MAX, |Reverse((at, _))| *at)
+                .min(self.next_report);
             let wait_ms = next.saturating_sub(now).div_ceil(MS).min(WAIT_MAX_MS) as u16;
             let ready = match self.epoll.wait(&mut events, EpollTimeout::from(wait_ms)) {
                 Ok(ready) => ready,
@@ -131,7 +148,10 @@
         match command {
             Command::Start(who) => {
                 who.iter().for_each(|n| self.killed[*n] = false);
-                let own: Vec<usize> = who.into_iter().filter(|n| self.own.binary_search(n).is_ok()).collect();
+                let own: Vec<usize> = who
+                    .into_iter()
+                    .filter(|n| self.own.binary_search(n).is_ok())
+                    .collect();
                 own.into_iter().try_for_each(|n| self.start(n))?;
             }
             Command::Kill(who) => {
@@ -160,14 +180,22 @@
         let socket = UdpSocket::bind(place.address).map_err(problem)?;
         socket.set_nonblocking(true).map_err(problem)?;
         let event = EpollEvent::new(EpollFlags::EPOLLIN, n as u64);
-        self.epoll.add(&socket, event).map_err(|e| format!("epoll: {e}"))?;
+        self.epoll
+            .add(&socket, event)
+            .map_err(|e| format!("epoll: {e}"))?;
         let now = self.now();
         let name = format!("h{n}");
         let location = match self.plan.regions {
             1 => Location::default(),
-            _ => Location { region: region_name(place.region), ..Location::default() },
+            _ => Location {
+                region: region_name(place.region),
+                ..Location::default()
+            },
         };
-        let of_region = self.places.iter().filter(|other| other.region == place.region);
+        let of_region = self
+            .places
+            .iter()
+            .filter(|other| other.region == place.region);
         let mut join: Vec<SocketAddr> = of_region.take(2).map(|other| other.address).collect();
         join.push(self.places[0].address);
         let settings = FleetSettings {
@@ -190,16 +218,30 @@
             places: 1,
             extra: Vec::new(),
         };
-        let seed = self.plan.seed.wrapping_mul(1_000_003).wrapping_add(n as u64);
+        let seed = self
+            .plan
+            .seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(n as u64);
         let member = Member::new(settings, soft, self.unix_ms + now / MS, seed, now);
         self.due.push(Reverse((now, n)));
-        self.members.insert(n, Hollow { place: n, member, socket, bytes: 0 });
+        self.members.insert(
+            n,
+            Hollow {
+                place: n,
+                member,
+                socket,
+                bytes: 0,
+            },
+        );
         Ok(())
     }
 
     fn read(&mut self, n: usize) {
         let now = self.now();
-        let Some(hollow) = self.members.get_mut(&n) else { return };
+        let Some(hollow) = self.members.get_mut(&n) else {
+            return;
+        };
         let mut bytes = [0; DATAGRAM_MAX + 1];
         for _ in 0..READ_MAX {
             match hollow.socket.recv_from(&mut bytes) {
@@ -213,9 +255,16 @@
 
     fn turns(&mut self) {
         let now = self.now();
-        while let Some(Reverse((_, n))) = self.due.peek().copied().filter(|Reverse((at, _))| *at <= now) {
+        while let Some(Reverse((_, n))) = self
+            .due
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now)
+        {
             self.due.pop();
-            let Some(hollow) = self.members.get_mut(&n) else { continue };
+            let Some(hollow) = self.members.get_mut(&n) else {
+                continue;
+            };
             if hollow.member.due() <= now {
                 hollow.member.turn(now);
             }
@@ -227,18 +276,29 @@
 
     /// Sends what the member hands out, and counts whom it takes for dead wrongly.
     fn after(&mut self, n: usize) {
-        let Some(hollow) = self.members.get_mut(&n) else { return };
+        let Some(hollow) = self.members.get_mut(&n) else {
+            return;
+        };
         let region = self.places[hollow.place].region;
         for (to, datagram) in hollow.member.take_outputs() {
-            let to_region = self.by_address.get(&to).map(|other| self.places[*other].region);
-            let apart = self.cut.is_some_and(|cut| (cut == region) != (Some(cut) == to_region));
+            let to_region = self
+                .by_address
+                .get(&to)
+                .map(|other| self.places[*other].region);
+            let apart = self
+                .cut
+                .is_some_and(|cut| (cut == region) != (Some(cut) == to_region));
             if !apart {
                 // What does not go is as good as lost on the way.
                 let _ = hollow.socket.send_to(&datagram, to);
             }
         }
         for change in hollow.member.take_changes() {
-            if let Change::Became { id, is: State::Dead, .. } = change
+            if let Change::Became {
+                id,
+                is: State::Dead,
+                ..
+            } = change
                 && let Some(other) = self.by_address.get(&id.address)
                 && !self.killed[*other]
             {
@@ -274,8 +334,13 @@
 
     /// Whether all members of this process see what is true; the look begins where the last one ended.
     fn is_settled(&mut self) -> bool {
-        let order = self.members.range(self.untrue..).chain(self.members.range(..self.untrue));
-        let untrue = order.map(|(n, hollow)| (*n, self.is_true(hollow))).find(|(_, is_true)| !is_true);
+        let order = self
+            .members
+            .range(self.untrue..)
+            .chain(self.members.range(..self.untrue));
+        let untrue = order
+            .map(|(n, hollow)| (*n, self.is_true(hollow)))
+            .find(|(_, is_true)| !is_true);
         self.untrue = untrue.map_or(self.untrue, |(n, _)| n);
         untrue.is_none()
     }
@@ -289,7 +354,8 @@
         let before = busy_ns();
         self.report.settled = self.is_settled();
         let traffic = self.members.values().map(|hollow| hollow.member.traffic());
-        let (sent, bytes) = traffic.fold(self.gone, |sum, t| (sum.0 + t.sent, sum.1 + t.sent_bytes));
+        let (sent, bytes) =
+            traffic.fold(self.gone, |sum, t| (sum.0 + t.sent, sum.1 + t.sent_bytes));
         (self.report.datagrams, self.report.bytes) = (sent, bytes);
         if now - self.second >= 1_000 * MS {
             self.second = now;
--- a/crates/trials/src/hollow/processes.rs
+++ b/crates/trials/src/hollow/processes.rs
@@ -32,14 +32,31 @@
 impl Processes {
     pub(super) fn start(plan: &Plan) -> Result<Self, String> {
         let own = std::env::current_exe().map_err(|e| e.to_string())?;
-        let mut processes = Processes { all: Vec::new(), epoch: 0 };
+        let mut processes = Processes {
+            all: Vec::new(),
+            epoch: 0,
+        };
         for share in 0..plan.processes {
             let mut command = std::process::Command::new(&own);
-            command.arg("hollow-members").args(["--share", &share.to_string()]);
-            command.args(["--members", &plan.members.to_string(), "--regions", &plan.regions.to_string()]);
-            command.args(["--processes", &plan.processes.to_string(), "--seed", &plan.seed.to_string()]);
+            command
+                .arg("hollow-members")
+                .args(["--share", &share.to_string()]);
+            command.args([
+                "--members",
+                &plan.members.to_string(),
+                "--regions",
+                &plan.regions.to_string(),
+            ]);
+            command.args([
+                "--processes",
+                &plan.processes.to_string(),
+                "--seed",
+                &plan.seed.to_string(),
+            ]);
             command.stdin(Stdio::piped()).stdout(Stdio::piped());
-            let mut child = command.spawn().map_err(|e| format!("{}: {e}", own.display()))?;
+            let mut child = command
+                .spawn()
+                .map_err(|e| format!("{}: {e}", own.display()))?;
             let (input, output) = (child.stdin.take(), child.stdout.take());
             let last = Arc::new(Mutex::new(Last::default()));
             if let Some(output) = output {
@@ -54,7 +71,9 @@
     pub(super) fn tell(&mut self, command: &Command) -> Result<(), String> {
         let line = serde_json::to_string(command).map_err(|e| e.to_string())?;
         for process in &mut self.all {
-            let Some(input) = &mut process.input else { continue };
+            let Some(input) = &mut process.input else {
+                continue;
+            };
             writeln!(input, "{line}").map_err(|e| format!("a process of members: {e}"))?;
         }
         Ok(())
@@ -63,7 +82,10 @@
     /// What is true from now on.
     pub(super) fn expect(&mut self, living: BTreeMap<usize, usize>) -> Result<(), String> {
         self.epoch += 1;
-        self.tell(&Command::Expect { epoch: self.epoch, living })
+        self.tell(&Command::Expect {
+            epoch: self.epoch,
+            living,
+        })
     }
 
     /// A process that ended by itself is named.
@@ -77,13 +99,16 @@
     }
 
     fn lasts(&self) -> impl Iterator<Item = std::sync::MutexGuard<'_, Last>> {
-        self.all.iter().filter_map(|process| process.last.lock().ok())
+        self.all
+            .iter()
+            .filter_map(|process| process.last.lock().ok())
     }
 
     /// When the last process's views came to be true, if all are.
     pub(super) fn settled_at(&self) -> Option<Instant> {
-        let settled =
-            |last: std::sync::MutexGuard<'_, Last>| last.settled.filter(|_| last.report.epoch == self.epoch);
+        let settled = |last: std::sync::MutexGuard<'_, Last>| {
+            last.settled.filter(|_| last.report.epoch == self.epoch)
+        };
         let all: Option<Vec<Instant>> = self.lasts().map(settled).collect();
         all.and_then(|all| all.into_iter().max())
     }
@@ -131,7 +156,9 @@
 /// Reads the reports of one process until it ends.
 fn listen(output: impl BufRead, last: &Mutex<Last>) {
     for line in output.lines().map_while(Result::ok) {
-        let Ok(report) = serde_json::from_str::<Report>(&line) else { continue };
+        let Ok(report) = serde_json::from_str::<Report>(&line) else {
+            continue;
+        };
         let Ok(mut last) = last.lock() else { return };
         let same = last.report.epoch == report.epoch;
         last.settled = match (report.settled, last.settled.filter(|_| same)) {
--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -5,8 +5,8 @@
 use pipitrun_trials::ground::Plan;
 use pipitrun_trials::play::{Report, play};
 use pipitrun_trials::{
-    chart, decisions, hollow, mutations, scenarios, silence, slopes, soak, virtual_overload, virtual_regions,
-    virtual_trials,
+    chart, decisions, hollow, mutations, scenarios, silence, slopes, soak, virtual_overload,
+    virtual_regions, virtual_trials,
 };
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -291,14 +291,29 @@
 
 impl Layout {
     fn plan(&self, seconds: u64, event: hollow::Event) -> hollow::Plan {
-        let Layout { members, regions, processes, seed } = *self;
-        hollow::Plan { members, regions, processes, seed, seconds, event }
+        let Layout {
+            members,
+            regions,
+            processes,
+            seed,
+        } = *self;
+        hollow::Plan {
+            members,
+            regions,
+            processes,
+            seed,
+            seconds,
+            event,
+        }
     }
 }
 
 fn run_hollow(plan: hollow::Plan, interrupted: &AtomicBool) -> Result<ExitCode, String> {
     let measured = hollow::run(plan, interrupted)?;
-    println!("{}", serde_json::to_string(&measured).map_err(|e| e.to_string())?);
+    println!(
+        "{}",
+        serde_json::to_string(&measured).map_err(|e| e.to_string())?
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -308,24 +323,49 @@
     // What plays in virtual time alone has nothing to put in order and ends at once.
     let heeded = matches!(
         command,
-        Command::Run { .. } | Command::Hollow { .. } | Command::HollowMembers { .. } | Command::Slopes { .. }
+        Command::Run { .. }
+            | Command::Hollow { .. }
+            | Command::HollowMembers { .. }
+            | Command::Slopes { .. }
     );
-    for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM].into_iter().filter(|_| heeded) {
+    for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM]
+        .into_iter()
+        .filter(|_| heeded)
+    {
         if let Err(e) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
             eprintln!("pipitrun-trials: signals: {e}");
         }
     }
     let result = match command {
         Command::List => list(),
-        Command::Measure { members, loss, seeds, calm, first } => {
-            measure(&members, &loss, first..first + seeds, calm)
-        }
-        Command::Course { members, loss, seed, every, most } => {
+        Command::Measure {
+            members,
+            loss,
+            seeds,
+            calm,
+            first,
+        } => measure(&members, &loss, first..first + seeds, calm),
+        Command::Course {
+            members,
+            loss,
+            seed,
+            every,
+            most,
+        } => {
             let span = (every.max(1) * MS, most * 1_000 * MS);
             virtual_trials::course(members, loss, seed, span, |line| println!("{line}"));
             Ok(ExitCode::SUCCESS)
         }
-        Command::Regions { members, regions, loss, loss_between, delay_between, seeds, calm, events } => {
+        Command::Regions {
+            members,
+            regions,
+            loss,
+            loss_between,
+            delay_between,
+            seeds,
+            calm,
+            events,
+        } => {
             let plan = virtual_regions::Plan {
                 members: 0,
                 regions,
@@ -338,27 +378,61 @@
             };
             measure_regions(plan, &members, &loss, seeds)
         }
-        Command::Silence { sizes, program } => {
-            pipitrun_trials::ground::program(program.as_ref()).and_then(|program| {
+        Command::Silence { sizes, program } => pipitrun_trials::ground::program(program.as_ref())
+            .and_then(|program| {
                 silence::print_table(&program, &sizes)?;
                 Ok(ExitCode::SUCCESS)
-            })
-        }
+            }),
         Command::Growth(arguments) => soak::growth::run(&arguments),
         Command::Soak(arguments) => soak::command::run(&arguments),
-        Command::Slopes { out, caches, one_region, in_regions, hollow, regions, add } => {
-            let sizes = slopes::Sizes { caches, one_region, in_regions, hollow, regions };
+        Command::Slopes {
+            out,
+            caches,
+            one_region,
+            in_regions,
+            hollow,
+            regions,
+            add,
+        } => {
+            let sizes = slopes::Sizes {
+                caches,
+                one_region,
+                in_regions,
+                hollow,
+                regions,
+            };
             measure_slopes(&out, &sizes, &add, &interrupted)
         }
-        Command::Capacity { plan, slopes, check, write } => capacity(&plan, &slopes, check, write),
-        Command::Hollow { layout, seconds, event } => run_hollow(layout.plan(seconds, event), &interrupted),
+        Command::Capacity {
+            plan,
+            slopes,
+            check,
+            write,
+        } => capacity(&plan, &slopes, check, write),
+        Command::Hollow {
+            layout,
+            seconds,
+            event,
+        } => run_hollow(layout.plan(seconds, event), &interrupted),
         Command::HollowMembers { layout, share } => {
             hollow::serve(layout.plan(0, hollow::Event::None), share).map(|()| ExitCode::SUCCESS)
         }
-        Command::Levels { members, loss, seeds } => levels(&members, &loss, seeds),
-        Command::Decisions { caches, seconds, rounds } => decisions(&caches, seconds, rounds),
+        Command::Levels {
+            members,
+            loss,
+            seeds,
+        } => levels(&members, &loss, seeds),
+        Command::Decisions {
+            caches,
+            seconds,
+            rounds,
+        } => decisions(&caches, seconds, rounds),
         Command::Shares { members, seeds } => shares(members, seeds),
-        Command::Chart { reports, measured, out } => chart(&reports, measured, &out),
+        Command::Chart {
+            reports,
+            measured,
+            out,
+        } => chart(&reports, measured, &out),
         Command::Mutations { program } => mutations(program),
         Command::Run {
             scenario,
@@ -376,8 +450,22 @@
             if shed_together {
                 fleet_keys.insert("shed_together".into(), true.into());
             }
-            let plan = Plan { program, fleet_keys, fleet: !no_fleet, logs, planted, ..Plan::default() };
-            run(&scenario, instances, (seed, repeat), out, &plan, &interrupted)
+            let plan = Plan {
+                program,
+                fleet_keys,
+                fleet: !no_fleet,
+                logs,
+                planted,
+                ..Plan::default()
+            };
+            run(
+                &scenario,
+                instances,
+                (seed, repeat),
+                out,
+                &plan,
+                &interrupted,
+            )
         }
     };
     result.unwrap_or_else(|e| {
@@ -403,10 +491,16 @@
     seeds: std::ops::Range<u64>,
     calm: u64,
 ) -> Result<ExitCode, String> {
-    for (members, loss) in members.iter().flat_map(|m| loss.iter().map(move |l| (*m, *l))) {
+    for (members, loss) in members
+        .iter()
+        .flat_map(|m| loss.iter().map(move |l| (*m, *l)))
+    {
         for seed in seeds.clone() {
             let measured = virtual_trials::measure(members, loss, seed, calm);
-            println!("{}", serde_json::to_string(&measured).map_err(|e| e.to_string())?);
+            println!(
+                "{}",
+                serde_json::to_string(&measured).map_err(|e| e.to_string())?
+            );
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -418,10 +512,21 @@
     loss: &[f64],
     seeds: u64,
 ) -> Result<ExitCode, String> {
-    for (members, loss) in members.iter().flat_map(|m| loss.iter().map(move |l| (*m, *l))) {
+    for (members, loss) in members
+        .iter()
+        .flat_map(|m| loss.iter().map(move |l| (*m, *l)))
+    {
         for seed in 1..=seeds {
-            let measured = virtual_regions::measure(virtual_regions::Plan { members, loss, seed, ..plan });
-            println!("{}", serde_json::to_string(&measured).map_err(|e| e.to_string())?);
+            let measured = virtual_regions::measure(virtual_regions::Plan {
+                members,
+                loss,
+                seed,
+                ..plan
+            });
+            println!(
+                "{}",
+                serde_json::to_string(&measured).map_err(|e| e.to_string())?
+            );
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -459,7 +564,8 @@
     let plan = pipitrun_trials::capacity::Plan::read(plan)?;
     let slopes = slopes::Slopes::read(slopes)?;
     let tables = pipitrun_trials::capacity::tables(&plan, &slopes)?;
-    let page = |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
+    let page =
+        |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     match (check, write) {
         (Some(path), _) => {
             let checked = pipitrun_trials::capacity::check(&page(&path)?, &tables);
@@ -480,11 +586,17 @@
 }
 
 fn levels(members: &[usize], loss: &[f64], seeds: u64) -> Result<ExitCode, String> {
-    for (members, loss) in members.iter().flat_map(|m| loss.iter().map(move |l| (*m, *l))) {
+    for (members, loss) in members
+        .iter()
+        .flat_map(|m| loss.iter().map(move |l| (*m, *l)))
+    {
         for trouble in virtual_overload::TROUBLES {
             for seed in 1..=seeds {
                 let row = virtual_overload::levels(members, loss, seed, trouble);
-                println!("{}", serde_json::to_string(&row).map_err(|e| e.to_string())?);
+                println!(
+                    "{}",
+                    serde_json::to_string(&row).map_err(|e| e.to_string())?
+                );
             }
         }
     }
@@ -532,8 +644,12 @@
     print!("{}", chart::table(&settled));
     chart::draw_settled(&settled, 3.0, &out.join("fleet-settled.svg"))?;
     if let Some(path) = measured {
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let rows = text.lines().map(serde_json::from_str).collect::<Result<Vec<serde_json::Value>, _>>();
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let rows = text
+            .lines()
+            .map(serde_json::from_str)
+            .collect::<Result<Vec<serde_json::Value>, _>>();
         let rows = rows.map_err(|e| format!("{}: {e}", path.display()))?;
         let title = "Bytes sent a member a second in calm";
         chart::draw_measured(&rows, "bytes_per_s", title, &out.join("fleet-bytes.svg"))?;
@@ -548,11 +664,18 @@
     let rows = mutations::check(&own, program.as_deref())?;
     for row in &rows {
         let found = if row.found { "found" } else { "NOT FOUND" };
-        println!("| `{}` | `{}` | {found} | {} |", row.fault, row.trial, row.with);
+        println!(
+            "| `{}` | `{}` | {found} | {} |",
+            row.fault, row.trial, row.with
+        );
     }
     let found = rows.iter().filter(|row| row.found).count();
     println!("{found} of {} found", rows.len());
-    Ok(if found == rows.len() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if found == rows.len() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn run(
@@ -592,14 +715,20 @@
             ..of
         };
         let report = play(&scenario, plan, interrupted)?;
-        println!("{} with {} instances, seed {seed}", scenario.name, report.instances);
+        println!(
+            "{} with {} instances, seed {seed}",
+            scenario.name, report.instances
+        );
         for (at, what) in &report.done {
             println!("  {at:7.2} s  {what}");
         }
         for (what, seconds) in &report.settled {
             println!("  {what}: all views true after {seconds:.2} s");
         }
-        println!("  greatest sum of shares {:.2}; requests {:?}", report.shares_most, report.requests);
+        println!(
+            "  greatest sum of shares {:.2}; requests {:?}",
+            report.shares_most, report.requests
+        );
         for (name, span) in &report.spans {
             println!(
                 "  {name}: worth {:.2}, of perfect {:.2}; tries {:.2}, copies {:.2}, connections {:.2} a request; probes {:.2} a cache a second",
@@ -627,12 +756,17 @@
         }
         if !report.spans.is_empty() {
             match report.recovered_s {
-                Some(seconds) => println!("  nine tenths of the worth back {seconds:.0} s after the trouble"),
+                Some(seconds) => {
+                    println!("  nine tenths of the worth back {seconds:.0} s after the trouble")
+                }
                 None => println!("  nine tenths of the worth did not come back"),
             }
         }
         for failure in &report.failures {
-            println!("  {:7.2} s  {}: {}", failure.at, failure.invariant, failure.what);
+            println!(
+                "  {:7.2} s  {}: {}",
+                failure.at, failure.invariant, failure.what
+            );
         }
         if let Some(out) = &out {
             write(out, &report)?;
@@ -649,28 +783,55 @@
         summary(&reports);
     }
     let failed = reports.iter().find(|report| report.failed > 0);
-    println!("{}", failed.or(reports.last()).map(Report::verdict).unwrap_or_default());
-    Ok(if failed.is_some() { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    println!(
+        "{}",
+        failed
+            .or(reports.last())
+            .map(Report::verdict)
+            .unwrap_or_default()
+    );
+    Ok(if failed.is_some() {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 fn write(out: &PathBuf, report: &Report) -> Result<(), String> {
     let problem = |e: std::io::Error| format!("--out {}: {e}", out.display());
     std::fs::create_dir_all(out).map_err(problem)?;
-    let planted = report.planted.as_ref().map(|p| format!("-{p}")).unwrap_or_default();
-    let file = format!("{}-{}-{}{planted}.json", report.scenario, report.instances, report.seed);
+    let planted = report
+        .planted
+        .as_ref()
+        .map(|p| format!("-{p}"))
+        .unwrap_or_default();
+    let file = format!(
+        "{}-{}-{}{planted}.json",
+        report.scenario, report.instances, report.seed
+    );
     let json = serde_json::to_string_pretty(report).map_err(|e| e.to_string())?;
     std::fs::write(out.join(file), json + "\n").map_err(problem)
 }
 
 fn summary(reports: &[Report]) {
-    let names: std::collections::BTreeSet<&String> = reports.iter().flat_map(|r| r.settled.keys()).collect();
+    let names: std::collections::BTreeSet<&String> =
+        reports.iter().flat_map(|r| r.settled.keys()).collect();
     for name in names {
-        let mut all: Vec<f64> = reports.iter().filter_map(|r| r.settled.get(name).copied()).collect();
+        let mut all: Vec<f64> = reports
+            .iter()
+            .filter_map(|r| r.settled.get(name).copied())
+            .collect();
         all.sort_by(f64::total_cmp);
         let (median, worst) = (all[all.len() / 2], all[all.len() - 1]);
-        println!("{name}: median {median:.2} s, worst {worst:.2} s of {}", all.len());
+        println!(
+            "{name}: median {median:.2} s, worst {worst:.2} s of {}",
+            all.len()
+        );
     }
     let shares = reports.iter().map(|r| r.shares_most).fold(0.0, f64::max);
     let passed = reports.iter().filter(|r| r.failed == 0).count();
-    println!("greatest sum of shares {shares:.2}; {passed} of {} passed", reports.len());
+    println!(
+        "greatest sum of shares {shares:.2}; {passed} of {} passed",
+        reports.len()
+    );
 }
--- a/crates/trials/src/member.rs
+++ b/crates/trials/src/member.rs
@@ -123,7 +123,15 @@
     /// A process that is not started yet.
     pub fn new(spec: Spec) -> Self {
         let (begun, lines, counters) = (Instant::now(), Arc::default(), Arc::default());
-        MemberProcess { spec, meant: Meant::Down, child: None, begun, lines, counters, starts: 0 }
+        MemberProcess {
+            spec,
+            meant: Meant::Down,
+            child: None,
+            begun,
+            lines,
+            counters,
+            starts: 0,
+        }
     }
 
     /// Starts it, under the same name and addresses each time.
@@ -140,9 +148,13 @@
             object.insert("fleet".into(), fleet.clone());
         }
         let path = spec.folder.join(format!("{}.json", spec.name));
-        std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, config.to_string())
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         let mut command = Command::new(&spec.program);
-        command.env_clear().env("GW_CONFIG", &path).env("RUST_LOG", "info");
+        command
+            .env_clear()
+            .env("GW_CONFIG", &path)
+            .env("RUST_LOG", "info");
         if let Some(planted) = &spec.planted {
             command.env("PIPITRUN_PLANTED", planted);
         }
@@ -159,7 +171,10 @@
                 for text in BufReader::new(log).lines().map_while(Result::ok) {
                     let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
                     if lines.len() < LINES_MAX {
-                        lines.push(Line { at: begun.elapsed().as_secs_f64(), text });
+                        lines.push(Line {
+                            at: begun.elapsed().as_secs_f64(),
+                            text,
+                        });
                     }
                 }
             });
@@ -173,7 +188,9 @@
             };
             std::thread::spawn(move || {
                 for text in BufReader::new(output).lines().map_while(Result::ok) {
-                    let Some(pairs) = text.strip_prefix("counters: ") else { continue };
+                    let Some(pairs) = text.strip_prefix("counters: ") else {
+                        continue;
+                    };
                     let read = pairs.split(' ').filter_map(|pair| {
                         let (name, count) = pair.split_once('=')?;
                         Some((name.to_string(), count.parse().ok()?))
@@ -197,7 +214,12 @@
     /// Its counters as last printed, summed over its lives.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         let mut sum = BTreeMap::new();
-        for life in self.counters.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+        for life in self
+            .counters
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .iter()
+        {
             for (name, count) in life {
                 *sum.entry(name.clone()).or_insert(0) += count;
             }
@@ -207,11 +229,18 @@
 
     /// Its log so far, over all its lives.
     pub fn log(&self) -> Vec<Line> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.lines
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok()) {
+        if let Some(pid) = self
+            .child
+            .as_ref()
+            .and_then(|child| i32::try_from(child.id()).ok())
+        {
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
