--- a/crates/trials/src/meter.rs
+++ b/crates/trials/src/meter.rs
@@ -6,8 +6,11 @@
 use std::collections::BTreeMap;
 
 /// A class's worth, and the time within which an answer earns it, in seconds; as in the members' settings.
-pub const CLASSES: [(&str, f64, f64); 3] =
-    [("tile-read", 3.0, 0.3), ("status-set", 10.0, 0.3), ("map-publish", 5.0, 0.6)];
+pub const CLASSES: [(&str, f64, f64); 3] = [
+    ("tile-read", 3.0, 0.3),
+    ("status-set", 10.0, 0.3),
+    ("map-publish", 5.0, 0.6),
+];
 
 /// Sums over the fleet at one moment, since the start.
 #[derive(Clone, Debug, Default)]
@@ -97,7 +100,10 @@
 }
 
 fn class_of(name: &str) -> (f64, f64) {
-    CLASSES.iter().find(|(n, ..)| *n == name).map_or((0.0, 0.0), |(_, worth, goal)| (*worth, *goal))
+    CLASSES
+        .iter()
+        .find(|(n, ..)| *n == name)
+        .map_or((0.0, 0.0), |(_, worth, goal)| (*worth, *goal))
 }
 
 fn in_time(one: &Asked) -> bool {
@@ -129,7 +135,10 @@
         .collect();
     for one in asked {
         let at = one.at - begun;
-        let Some(i) = samples.windows(2).position(|pair| (pair[0].at..pair[1].at).contains(&at)) else {
+        let Some(i) = samples
+            .windows(2)
+            .position(|pair| (pair[0].at..pair[1].at).contains(&at))
+        else {
             continue;
         };
         let worth = class_of(one.class).0;
@@ -148,8 +157,10 @@
 
 /// What so much room would earn with perfect choice: the dearest first. A request takes one unit of it.
 pub fn perfect(asked: &BTreeMap<String, Class>, room: f64) -> f64 {
-    let mut classes: Vec<(f64, f64)> =
-        asked.iter().map(|(name, class)| (class_of(name).0, class.asked as f64)).collect();
+    let mut classes: Vec<(f64, f64)> = asked
+        .iter()
+        .map(|(name, class)| (class_of(name).0, class.asked as f64))
+        .collect();
     classes.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut left = room;
     let mut worth = 0.0;
@@ -173,7 +184,10 @@
     let mut classes: BTreeMap<String, Class> = BTreeMap::new();
     let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
     let (mut worth_asked, mut worth, mut first) = (0.0, 0.0, 0u64);
-    for one in asked.iter().filter(|one| (from..to).contains(&(one.at - begun))) {
+    for one in asked
+        .iter()
+        .filter(|one| (from..to).contains(&(one.at - begun)))
+    {
         let class = classes.entry(one.class.into()).or_default();
         if !one.again {
             class.asked += 1;
@@ -190,21 +204,37 @@
             End::Failed | End::Wrong => class.failed += 1,
             End::Broken | End::NoDoor | End::Never => class.unanswered += 1,
         }
-        let of = balancers.entry((one.class.into(), one.balancer)).or_default();
+        let of = balancers
+            .entry((one.class.into(), one.balancer))
+            .or_default();
         of.0 += 1;
         of.1 += u64::from(one.end == End::Refused);
     }
     for (name, class) in &mut classes {
-        let shares = balancers.iter().filter(|((n, _), (all, _))| n == name && *all >= 20);
-        let shares: Vec<f64> = shares.map(|(_, (all, refused))| *refused as f64 / *all as f64).collect();
+        let shares = balancers
+            .iter()
+            .filter(|((n, _), (all, _))| n == name && *all >= 20);
+        let shares: Vec<f64> = shares
+            .map(|(_, (all, refused))| *refused as f64 / *all as f64)
+            .collect();
         class.refused_least = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
         class.refused_most = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
     }
-    let sample = |at: f64| samples.iter().min_by(|a, b| (a.at - at).abs().total_cmp(&(b.at - at).abs()));
-    let (a, b) = (sample(from).cloned().unwrap_or_default(), sample(to).cloned().unwrap_or_default());
+    let sample = |at: f64| {
+        samples
+            .iter()
+            .min_by(|a, b| (a.at - at).abs().total_cmp(&(b.at - at).abs()))
+    };
+    let (a, b) = (
+        sample(from).cloned().unwrap_or_default(),
+        sample(to).cloned().unwrap_or_default(),
+    );
     let per_request = |count: u64| count as f64 / first.max(1) as f64;
     let length = (b.at - a.at).max(0.001);
-    let reasons = b.members.keys().filter_map(|name| name.strip_prefix("refused."));
+    let reasons = b
+        .members
+        .keys()
+        .filter_map(|name| name.strip_prefix("refused."));
     Span {
         from,
         to,
@@ -212,10 +242,19 @@
         of_perfect: worth / perfect(&classes, room * (to - from)).max(0.001),
         tries_per_request: per_request(b.caches.tries.saturating_sub(a.caches.tries)),
         copies_per_request: per_request(delta(&a.members, &b.members, "copies")),
-        probes_per_cache_s: b.caches.probes.saturating_sub(a.caches.probes) as f64 / length / caches as f64,
-        connects_per_request: per_request(b.caches.connections.saturating_sub(a.caches.connections)),
+        probes_per_cache_s: b.caches.probes.saturating_sub(a.caches.probes) as f64
+            / length
+            / caches as f64,
+        connects_per_request: per_request(
+            b.caches.connections.saturating_sub(a.caches.connections),
+        ),
         refused_by_reason: reasons
-            .map(|reason| (reason.to_string(), delta(&a.members, &b.members, &format!("refused.{reason}"))))
+            .map(|reason| {
+                (
+                    reason.to_string(),
+                    delta(&a.members, &b.members, &format!("refused.{reason}")),
+                )
+            })
             .filter(|(_, count)| *count > 0)
             .collect(),
         classes,
@@ -226,14 +265,21 @@
 /// served; `None` if that never comes.
 pub fn recovery(seconds: &[Second], before: (f64, f64), end: f64) -> Option<f64> {
     let share = |of: &[&Second]| {
-        let (worth, asked) = of.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.worth, sum.1 + s.worth_asked));
+        let (worth, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
+            (sum.0 + s.worth, sum.1 + s.worth_asked)
+        });
         if asked > 0.0 { worth / asked } else { 1.0 }
     };
-    let usual: Vec<&Second> =
-        seconds.iter().filter(|s| (before.0..before.1).contains(&(s.at as f64))).collect();
+    let usual: Vec<&Second> = seconds
+        .iter()
+        .filter(|s| (before.0..before.1).contains(&(s.at as f64)))
+        .collect();
     let wanted = 0.9 * share(&usual);
     let after: Vec<&Second> = seconds.iter().filter(|s| s.at as f64 >= end).collect();
-    after.windows(2).find(|pair| share(pair) >= wanted).map(|pair| (pair[0].at as f64 - end).max(0.0))
+    after
+        .windows(2)
+        .find(|pair| share(pair) >= wanted)
+        .map(|pair| (pair[0].at as f64 - end).max(0.0))
 }
 
 #[cfg(test)]
@@ -241,12 +287,35 @@
     use super::*;
 
     fn one(at: f64, class: &'static str, end: End, took: f64, balancer: usize) -> Asked {
-        Asked { id: "1".into(), class, balancer, at, took, end, extra: false, again: false, wait_ms: None }
+        Asked {
+            id: "1".into(),
+            class,
+            balancer,
+            at,
+            took,
+            end,
+            extra: false,
+            again: false,
+            wait_ms: None,
+        }
     }
 
     fn sample(at: f64, tries: u64, refused: u64) -> Sample {
-        let members = [("refused.limit".to_string(), refused), ("copies".to_string(), tries / 10)].into();
-        Sample { at, caches: Counts { tries, probes: tries, ..Counts::default() }, origin: (0, 0), members }
+        let members = [
+            ("refused.limit".to_string(), refused),
+            ("copies".to_string(), tries / 10),
+        ]
+        .into();
+        Sample {
+            at,
+            caches: Counts {
+                tries,
+                probes: tries,
+                ..Counts::default()
+            },
+            origin: (0, 0),
+            members,
+        }
     }
 
     #[test]
@@ -255,7 +324,11 @@
         let mut asked = Vec::new();
         for i in 0..40 {
             let at = 100.0 + i as f64 / 10.0;
-            let end = if i % 2 == 0 { End::Served } else { End::Refused };
+            let end = if i % 2 == 0 {
+                End::Served
+            } else {
+                End::Refused
+            };
             asked.push(one(at, "tile-read", end, 0.1, i % 2));
         }
         asked.push(one(100.5, "status-set", End::Served, 0.31, 0));
@@ -263,11 +336,18 @@
         assert_eq!(span.classes["tile-read"].served, 20);
         assert_eq!(span.classes["status-set"].late, 1, "past its aim");
         assert_eq!(
-            (span.classes["tile-read"].refused_least, span.classes["tile-read"].refused_most),
+            (
+                span.classes["tile-read"].refused_least,
+                span.classes["tile-read"].refused_most
+            ),
             (0.0, 1.0)
         );
         // Room for 20: the one status-set and 19 reads.
-        assert!((span.of_perfect - 60.0 / 67.0).abs() < 1e-9, "{}", span.of_perfect);
+        assert!(
+            (span.of_perfect - 60.0 / 67.0).abs() < 1e-9,
+            "{}",
+            span.of_perfect
+        );
         assert!((span.tries_per_request - 120.0 / 41.0).abs() < 1e-9);
         assert_eq!(span.refused_by_reason["limit"], 20);
         assert!((span.probes_per_cache_s - 15.0).abs() < 1e-9);
@@ -275,14 +355,23 @@
 
     #[test]
     fn recovery_is_the_first_two_good_seconds_after_the_end() {
-        let second = |at: u64, worth: f64| Second { at, worth, worth_asked: 10.0, ..Second::default() };
+        let second = |at: u64, worth: f64| Second {
+            at,
+            worth,
+            worth_asked: 10.0,
+            ..Second::default()
+        };
         let seconds: Vec<Second> = [10.0, 10.0, 2.0, 2.0, 9.0, 4.0, 9.0, 9.5, 10.0]
             .iter()
             .enumerate()
             .map(|(i, w)| second(i as u64, *w))
             .collect();
         assert_eq!(recovery(&seconds, (0.0, 2.0), 3.0), Some(3.0));
-        assert_eq!(recovery(&seconds[..6], (0.0, 2.0), 3.0), None, "it stays bad");
+        assert_eq!(
+            recovery(&seconds[..6], (0.0, 2.0), 3.0),
+            None,
+            "it stays bad"
+        );
     }
 
     #[test]
@@ -293,7 +382,12 @@
         let asked = [one(100.2, "tile-read", End::Refused, 0.1, 0), again];
         let seconds = seconds(&samples, &asked, 100.0);
         assert_eq!(
-            (seconds[0].asked, seconds[0].worth, seconds[1].again, seconds[1].worth),
+            (
+                seconds[0].asked,
+                seconds[0].worth,
+                seconds[1].again,
+                seconds[1].worth
+            ),
             (1, 0.0, 1, 3.0)
         );
         assert_eq!(seconds[1].tries, 30);
--- a/crates/trials/src/mutations.rs
+++ b/crates/trials/src/mutations.rs
@@ -60,28 +60,45 @@
         }
         if let Some(fault) = fault {
             // For the members, which are processes or play in this one.
-            command.args(["--planted", fault]).env("PIPITRUN_PLANTED", fault);
+            command
+                .args(["--planted", fault])
+                .env("PIPITRUN_PLANTED", fault);
         }
         let output = command.output().map_err(|e| e.to_string())?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        text.lines().last().map(str::to_string).ok_or_else(|| format!("{trial}: no verdict"))
+        text.lines()
+            .last()
+            .map(str::to_string)
+            .ok_or_else(|| format!("{trial}: no verdict"))
     };
     FINDS
         .iter()
         .map(|(fault, trial)| {
-            let name = Fault::ALL.iter().find(|(f, _)| f == fault).map_or("", |(_, name)| name);
+            let name = Fault::ALL
+                .iter()
+                .find(|(f, _)| f == fault)
+                .map_or("", |(_, name)| name);
             let (without, with) = (play(trial, None)?, play(trial, Some(name))?);
             let found = without == "verdict: passed"
                 && with.starts_with("verdict: failed ")
                 && !with.ends_with("to play");
-            Ok(Row { fault: name, trial, without, with, found })
+            Ok(Row {
+                fault: name,
+                trial,
+                without,
+                with,
+                found,
+            })
         })
         .collect()
 }
 
 /// Plays a trial in virtual time, if there is one of this name.
 pub fn play_virtual(name: &str, seed: u64) -> Option<Result<(), String>> {
-    virtual_trials::ALL.iter().find(|(n, _)| *n == name).map(|(_, trial)| trial(seed))
+    virtual_trials::ALL
+        .iter()
+        .find(|(n, _)| *n == name)
+        .map(|(_, trial)| trial(seed))
 }
 
 #[cfg(test)]
--- a/crates/trials/src/mutations/tests.rs
+++ b/crates/trials/src/mutations/tests.rs
@@ -5,7 +5,11 @@
 #[test]
 fn each_mistake_has_its_trial_and_each_trial_exists() {
     for (fault, name) in Fault::ALL {
-        let trial = FINDS.iter().find(|(f, _)| *f == fault).unwrap_or_else(|| panic!("{name}")).1;
+        let trial = FINDS
+            .iter()
+            .find(|(f, _)| *f == fault)
+            .unwrap_or_else(|| panic!("{name}"))
+            .1;
         let known = crate::scenarios::names().chain(virtual_trials::ALL.iter().map(|(n, _)| *n));
         assert!(known.into_iter().any(|n| n == trial), "{trial}");
     }
--- a/crates/trials/src/play.rs
+++ b/crates/trials/src/play.rs
@@ -122,14 +122,26 @@
     fn write_logs(&self, folder: &Path) -> Result<(), String> {
         let mut lines: Vec<(f64, String)> = Vec::new();
         for member in &self.ground.members {
-            let of = |line: crate::member::Line| (line.at, format!("{} {}", member.spec.name, line.text));
+            let of = |line: crate::member::Line| {
+                (line.at, format!("{} {}", member.spec.name, line.text))
+            };
             lines.extend(member.log().into_iter().map(of));
         }
-        lines.extend(self.done.iter().map(|(at, what)| (*at, format!("TRIAL {what}"))));
+        lines.extend(
+            self.done
+                .iter()
+                .map(|(at, what)| (*at, format!("TRIAL {what}"))),
+        );
         lines.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let text: String = lines.iter().map(|(at, text)| format!("{at:8.3} {text}\n")).collect();
+        let text: String = lines
+            .iter()
+            .map(|(at, text)| format!("{at:8.3} {text}\n"))
+            .collect();
         let plan = &self.ground.plan;
-        let file = folder.join(format!("{}-{}-{}.log", self.scenario.name, plan.instances, plan.seed));
+        let file = folder.join(format!(
+            "{}-{}-{}.log",
+            self.scenario.name, plan.instances, plan.seed
+        ));
         std::fs::create_dir_all(folder)
             .and_then(|()| std::fs::write(&file, text))
             .map_err(|e| format!("{}: {e}", file.display()))
@@ -142,12 +154,14 @@
     fn run(&mut self) -> Result<(), String> {
         let n = self.ground.plan.instances;
         let everyone: Vec<usize> = (0..n).collect();
-        self.ground.set_links(&everyone, &everyone, self.scenario.links);
+        self.ground
+            .set_links(&everyone, &everyone, self.scenario.links);
         (0..n).for_each(|i| self.referee.away(0.0, i, true));
         // Members of two fleets are to each other as if there were no way.
         let fleets = self.ground.plan.fleets;
-        for (i, j) in
-            (0..n).flat_map(|i| (0..n).map(move |j| (i, j))).filter(|(i, j)| i % fleets != j % fleets)
+        for (i, j) in (0..n)
+            .flat_map(|i| (0..n).map(move |j| (i, j)))
+            .filter(|(i, j)| i % fleets != j % fleets)
         {
             self.referee.cut(0.0, i, j, true);
         }
@@ -188,20 +202,34 @@
             return;
         }
         let (caches, members) = (self.ground.cache_counts(), self.ground.member_counts());
-        let origin = self.ground.origin.as_ref().map(|o| o.counts()).unwrap_or_default();
-        self.samples.push(Sample { at, caches, origin, members });
+        let origin = self
+            .ground
+            .origin
+            .as_ref()
+            .map(|o| o.counts())
+            .unwrap_or_default();
+        self.samples.push(Sample {
+            at,
+            caches,
+            origin,
+            members,
+        });
     }
 
     /// Carries out what the list is to say by now.
     fn listings(&mut self) -> Result<(), String> {
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.listings).into_iter().partition(|(at, ..)| *at <= now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.listings)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.listings = later;
         for (at, cache, there) in due {
             if there {
                 let age = now.saturating_duration_since(at) + LISTED_AFTER;
-                let born = SystemTime::now().duration_since(UNIX_EPOCH).map_err(|e| e.to_string())? - age;
+                let born = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .map_err(|e| e.to_string())?
+                    - age;
                 self.ground.list_cache(cache, born.as_millis() as u64);
             } else {
                 self.ground.unlist_cache(cache);
@@ -212,12 +240,18 @@
 
     /// Judges the spans before, in and after the trouble, where there is one.
     fn judge(&mut self, asked: &[crate::stand_ins::clients::Asked], offset: f64) {
-        let Some((from, to)) = self.scenario.trouble else { return };
+        let Some((from, to)) = self.scenario.trouble else {
+            return;
+        };
         let last = self.samples.last().map_or(to, |sample| sample.at);
         let caches = self.ground.plan.caches;
         let room = self.scenario.cache.room() * caches as f64;
         let before = (WARM_UP.min(from), from);
-        for (name, span) in [("before", before), ("trouble", (from, to)), ("after", (to, last))] {
+        for (name, span) in [
+            ("before", before),
+            ("trouble", (from, to)),
+            ("after", (to, last)),
+        ] {
             let judged = meter::span(span, &self.samples, asked, offset, room, caches);
             self.spans.insert(name.into(), judged);
         }
@@ -226,7 +260,11 @@
     }
 
     fn check_interrupted(&self) -> Result<(), String> {
-        if self.interrupted.load(Ordering::Relaxed) { Err("interrupted".into()) } else { Ok(()) }
+        if self.interrupted.load(Ordering::Relaxed) {
+            Err("interrupted".into())
+        } else {
+            Ok(())
+        }
     }
 
     fn note(&mut self, what: String) {
@@ -249,12 +287,17 @@
             // What was true when the last member was asked was so a little earlier.
             let took = since.elapsed();
             let untrue = if self.ground.plan.fleet {
-                self.referee.untrue(&self.ground, &views, self.scenario.suspicions)
+                self.referee
+                    .untrue(&self.ground, &views, self.scenario.suspicions)
             } else {
                 let away = |m: &&crate::member::MemberProcess| {
                     m.meant == Meant::Up && m.call("/admin/health").is_none()
                 };
-                self.ground.members.iter().find(away).map(|m| format!("{} is not ready", m.spec.name))
+                self.ground
+                    .members
+                    .iter()
+                    .find(away)
+                    .map(|m| format!("{} is not ready", m.spec.name))
             };
             let Some(untrue) = untrue else {
                 self.settled.insert(name.into(), took.as_secs_f64());
@@ -262,7 +305,10 @@
             };
             if took >= ceiling || self.interrupted.load(Ordering::Relaxed) {
                 let at = self.now();
-                let what = format!("{name}: not settled after {:.0} s: {untrue}", took.as_secs_f64());
+                let what = format!(
+                    "{name}: not settled after {:.0} s: {untrue}",
+                    took.as_secs_f64()
+                );
                 return self.referee.fail(at, "settles", what);
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -272,7 +318,12 @@
     fn step(&mut self, step: &Step) -> Result<(), String> {
         let n = self.ground.plan.instances;
         let (from, to) = (members(&step.members, n)?, members(&step.to, n)?);
-        self.note(format!("{:?} {} {}", step.act, step.members, if step.both { "both ways" } else { "" }));
+        self.note(format!(
+            "{:?} {} {}",
+            step.act,
+            step.members,
+            if step.both { "both ways" } else { "" }
+        ));
         match step.act {
             Act::Kill => self.each(&from, true, |m| m.kill()),
             Act::Stop => self.each(&from, true, |m| m.stop()),
@@ -290,20 +341,33 @@
                     self.look();
                 }
             }
-            Act::Cut => self.links(&from, &to, step.both, Faults { cut: true, ..self.scenario.links }),
+            Act::Cut => self.links(
+                &from,
+                &to,
+                step.both,
+                Faults {
+                    cut: true,
+                    ..self.scenario.links
+                },
+            ),
             Act::Link => self.links(&from, &to, step.both, step.faults),
             Act::Heal => self.links(&from, &to, step.both, self.scenario.links),
-            Act::Load => self.ground.load.set(step.rate.unwrap_or(self.scenario.rate)),
+            Act::Load => self
+                .ground
+                .load
+                .set(step.rate.unwrap_or(self.scenario.rate)),
             Act::KillCaches => {
                 for cache in members(&step.members, self.ground.plan.caches)? {
                     self.ground.kill_cache(cache);
-                    self.listings.push((Instant::now() + UNLISTED_AFTER, cache, false));
+                    self.listings
+                        .push((Instant::now() + UNLISTED_AFTER, cache, false));
                 }
             }
             Act::StartCaches => {
                 for cache in members(&step.members, self.ground.plan.caches)? {
                     self.ground.start_cache(cache)?;
-                    self.listings.push((Instant::now() + LISTED_AFTER, cache, true));
+                    self.listings
+                        .push((Instant::now() + LISTED_AFTER, cache, true));
                 }
             }
             Act::SlowOrigin => {
@@ -333,10 +397,14 @@
 
     /// They were started: until they are ready they count as away.
     fn back(&mut self, who: &[usize]) {
-        let ready = |ground: &Ground| who.iter().all(|i| ground.members[*i].call("/admin/health").is_some());
+        let ready = |ground: &Ground| {
+            who.iter()
+                .all(|i| ground.members[*i].call("/admin/health").is_some())
+        };
         if self.ground.wait(END_MOST, ready).is_none() {
             let at = self.now();
-            self.referee.fail(at, "starts", format!("{who:?}: not ready in time"));
+            self.referee
+                .fail(at, "starts", format!("{who:?}: not ready in time"));
         }
         let at = self.now();
         who.iter().for_each(|i| self.referee.away(at, *i, false));
@@ -348,7 +416,8 @@
         self.ground.members[i].term();
         let ended = self.ground.members[i].ended(END_MOST);
         if !ended.is_some_and(|status| status.success()) {
-            self.referee.fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
+            self.referee
+                .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
         }
         self.ground.members[i].start()?;
         self.back(&[i]);
@@ -373,11 +442,29 @@
         let mut member: BTreeMap<String, f64> = BTreeMap::new();
         let views: Vec<_> = self.ground.views().into_iter().flatten().collect();
         let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
-        for name in ["sent", "sent_bytes", "heard", "suspicions", "given_up", "refuted", "returned", "gaps"] {
-            let figures = views.iter().filter_map(|v| v.datagrams.get(name)?.as_f64()).collect();
+        for name in [
+            "sent",
+            "sent_bytes",
+            "heard",
+            "suspicions",
+            "given_up",
+            "refuted",
+            "returned",
+            "gaps",
+        ] {
+            let figures = views
+                .iter()
+                .filter_map(|v| v.datagrams.get(name)?.as_f64())
+                .collect();
             member.insert(name.into(), mean(figures));
         }
-        let memory = self.ground.members.iter().filter_map(|m| m.memory()).map(|b| b as f64).collect();
+        let memory = self
+            .ground
+            .members
+            .iter()
+            .filter_map(|m| m.memory())
+            .map(|b| b as f64)
+            .collect();
         member.insert("memory".into(), mean(memory));
         let (failures, failed) = self.referee.failures();
         Report {
@@ -387,7 +474,10 @@
             planted: self.ground.plan.planted.clone(),
             settled: self.settled,
             shares_most: self.referee.shares,
-            false_deaths: failures.iter().filter(|f| f.invariant == "false-death").count(),
+            false_deaths: failures
+                .iter()
+                .filter(|f| f.invariant == "false-death")
+                .count(),
             requests: self.requests,
             datagrams: self.ground.datagrams(),
             seconds: self.seconds,
--- a/crates/trials/src/referee.rs
+++ b/crates/trials/src/referee.rs
@@ -59,27 +59,43 @@
 
 /// Whether any of these spans reaches into that time.
 fn near(spans: Option<&Vec<Span>>, from: f64, to: f64) -> bool {
-    spans.is_some_and(|spans| spans.iter().any(|s| s.from <= to && s.to.is_none_or(|end| end >= from)))
+    spans.is_some_and(|spans| {
+        spans
+            .iter()
+            .any(|s| s.from <= to && s.to.is_none_or(|end| end >= from))
+    })
 }
 
 impl Referee {
     /// A member is away from now on, or back.
     pub fn away(&mut self, at: f64, member: usize, away: bool) {
         let spans = self.away.entry(member).or_default();
-        if away { begin(spans, at) } else { end(spans, at) }
+        if away {
+            begin(spans, at)
+        } else {
+            end(spans, at)
+        }
     }
 
     /// A link is cut from now on, or open.
     pub fn cut(&mut self, at: f64, from: usize, to: usize, cut: bool) {
         let spans = self.cut.entry((from, to)).or_default();
-        if cut { begin(spans, at) } else { end(spans, at) }
+        if cut {
+            begin(spans, at)
+        } else {
+            end(spans, at)
+        }
     }
 
     /// Notes a failure.
     pub fn fail(&mut self, at: f64, invariant: &'static str, what: String) {
         self.count += 1;
         if self.failures.len() < TOLD_MAX {
-            self.failures.push(Failure { at, invariant, what });
+            self.failures.push(Failure {
+                at,
+                invariant,
+                what,
+            });
         }
     }
 
@@ -89,7 +105,10 @@
     }
 
     fn open(&self, from: usize, to: usize) -> bool {
-        self.cut.get(&(from, to)).and_then(|spans| spans.last()).is_none_or(|span| span.to.is_some())
+        self.cut
+            .get(&(from, to))
+            .and_then(|spans| spans.last())
+            .is_none_or(|span| span.to.is_some())
     }
 
     /// Who is reached from whom, over others too, by ways that are open in both directions: a number for each side.
@@ -112,14 +131,21 @@
     }
 
     /// The first thing in which a member's view is not true, if any.
-    pub fn untrue(&self, ground: &Ground, views: &[Option<View>], suspicions: bool) -> Option<String> {
+    pub fn untrue(
+        &self,
+        ground: &Ground,
+        views: &[Option<View>],
+        suspicions: bool,
+    ) -> Option<String> {
         let n = ground.members.len();
         let side = self.sides(n);
         for (i, view) in views.iter().enumerate() {
             if ground.members[i].meant != Meant::Up {
                 continue;
             }
-            let Some(view) = view else { return Some(format!("n{i} does not answer")) };
+            let Some(view) = view else {
+                return Some(format!("n{i} does not answer"));
+            };
             let seen: HashMap<_, _> = view.members.iter().map(|m| (m.address, m)).collect();
             for (j, other) in ground.members.iter().enumerate().filter(|(j, _)| *j != i) {
                 let state = seen.get(&other.spec.advertised).map(|m| m.state.as_str());
@@ -128,7 +154,8 @@
                     Meant::Up => {
                         let same = views[j].as_ref().map(|v| v.generation);
                         let life = seen.get(&other.spec.advertised).map(|m| m.generation);
-                        (state == Some("serving") || suspicions && state == Some("stalled")) && same == life
+                        (state == Some("serving") || suspicions && state == Some("stalled"))
+                            && same == life
                     }
                     Meant::Stopped => matches!(state, Some("stalled" | "dead")),
                     Meant::Left => matches!(state, Some("left" | "draining") | None),
@@ -148,7 +175,11 @@
 
     /// Holds the sum of all shares against its bound.
     pub fn shares(&mut self, at: f64, views: &[Option<View>], most: f64) {
-        let sum: f64 = views.iter().flatten().map(|v| 1.0 / v.shared_by.max(1) as f64).sum();
+        let sum: f64 = views
+            .iter()
+            .flatten()
+            .map(|v| 1.0 / v.shared_by.max(1) as f64)
+            .sum();
         self.shares = self.shares.max(sum);
         if sum > most {
             let divisors: Vec<usize> = views.iter().flatten().map(|v| v.shared_by).collect();
@@ -167,11 +198,19 @@
         let logs: Vec<Vec<crate::member::Line>> = ground.members.iter().map(|m| m.log()).collect();
         let stood: Vec<Vec<f64>> = logs
             .iter()
-            .map(|log| log.iter().filter(|l| l.text.contains("stood still")).map(|l| l.at).collect())
+            .map(|log| {
+                log.iter()
+                    .filter(|l| l.text.contains("stood still"))
+                    .map(|l| l.at)
+                    .collect()
+            })
             .collect();
         let mut found = 0;
         for (i, log) in logs.iter().enumerate() {
-            for line in log.iter().filter(|l| l.text.contains("fleet: ") && l.text.contains(" is dead")) {
+            for line in log
+                .iter()
+                .filter(|l| l.text.contains("fleet: ") && l.text.contains(" is dead"))
+            {
                 let Some(j) = (0..n).find(|j| {
                     let address = ground.members[*j].spec.advertised;
                     line.text.contains(&format!("address={address} "))
@@ -183,10 +222,17 @@
                     || near(self.away.get(&i), from, to)
                     || near(self.cut.get(&(i, j)), from, to)
                     || near(self.cut.get(&(j, i)), from, to)
-                    || stood[j].iter().chain(&stood[i]).any(|at| (at - line.at).abs() < NEAR);
+                    || stood[j]
+                        .iter()
+                        .chain(&stood[i])
+                        .any(|at| (at - line.at).abs() < NEAR);
                 if !excused {
                     found += 1;
-                    self.fail(line.at, "false-death", format!("n{i} took n{j} for dead: {}", line.text));
+                    self.fail(
+                        line.at,
+                        "false-death",
+                        format!("n{i} took n{j} for dead: {}", line.text),
+                    );
                 }
             }
             for line in log.iter().filter(|l| l.text.contains("panicked")) {
@@ -200,7 +246,9 @@
     pub fn clients(&mut self, asked: &[Asked]) -> BTreeMap<String, usize> {
         let mut ends: BTreeMap<String, usize> = BTreeMap::new();
         for one in asked {
-            *ends.entry(format!("{:?}", one.end).to_lowercase()).or_default() += 1;
+            *ends
+                .entry(format!("{:?}", one.end).to_lowercase())
+                .or_default() += 1;
             let what = || {
                 format!(
                     "{} ({}) at n{}: {:?} after {:.3} s",
@@ -208,12 +256,20 @@
                 )
             };
             if one.extra {
-                self.fail(one.at, "one-answer", format!("more than one answer: {}", what()));
+                self.fail(
+                    one.at,
+                    "one-answer",
+                    format!("more than one answer: {}", what()),
+                );
             }
             if one.end == End::Wrong {
                 self.fail(one.at, "true-answer", what());
             }
-            let away = near(self.away.get(&one.balancer), one.at - 1.0, one.at + one.took);
+            let away = near(
+                self.away.get(&one.balancer),
+                one.at - 1.0,
+                one.at + one.took,
+            );
             let answered = matches!(one.end, End::Served | End::Refused | End::Failed);
             if answered && one.took > deadline(one.class) + SLACK && !away {
                 *ends.entry("late".into()).or_default() += 1;
@@ -236,7 +292,11 @@
             }
         }
         for (id, times) in effects.into_iter().filter(|(_, times)| *times > 1) {
-            self.fail(at, "runs-once", format!("{id} (map-publish) ran {times} times"));
+            self.fail(
+                at,
+                "runs-once",
+                format!("{id} (map-publish) ran {times} times"),
+            );
         }
     }
 }
@@ -250,7 +310,11 @@
         let mut referee = Referee::default();
         assert_eq!(referee.sides(4), [0; 4]);
         referee.cut(1.0, 0, 1, true);
-        assert_eq!(referee.sides(4), [0; 4], "over others they reach each other");
+        assert_eq!(
+            referee.sides(4),
+            [0; 4],
+            "over others they reach each other"
+        );
         for (from, to) in [(0, 2), (0, 3), (2, 1)] {
             referee.cut(1.0, from, to, true);
         }
@@ -288,7 +352,10 @@
             one(20.0, End::Never, 20.0, false),
             one(1.0, End::Served, 0.1, true),
         ];
-        assert_eq!(referee.clients(&[one(1.0, End::Served, 1.7, false)])["late"], 1);
+        assert_eq!(
+            referee.clients(&[one(1.0, End::Served, 1.7, false)])["late"],
+            1
+        );
         assert_eq!(referee.failures().1, 0, "a busy machine is no failure");
         referee.clients(&bad);
         assert_eq!(referee.failures().1, 4);
--- a/crates/trials/src/relay.rs
+++ b/crates/trials/src/relay.rs
@@ -35,7 +35,11 @@
             there: Link::default(),
             back: Link::default(),
         };
-        let (end, there, back) = (Arc::clone(&relay.end), relay.there.clone(), relay.back.clone());
+        let (end, there, back) = (
+            Arc::clone(&relay.end),
+            relay.there.clone(),
+            relay.back.clone(),
+        );
         std::thread::spawn(move || {
             let mut number = seed;
             for stream in listener.incoming().flatten() {
@@ -64,13 +68,23 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-fn carry(near: TcpStream, target: SocketAddr, end: &Arc<AtomicBool>, [there, back]: [Link; 2], seed: u64) {
+fn carry(
+    near: TcpStream,
+    target: SocketAddr,
+    end: &Arc<AtomicBool>,
+    [there, back]: [Link; 2],
+    seed: u64,
+) {
     // While the way is cut a connection comes up at the relay and then hears nothing.
     while there.get().cut && !end.load(Ordering::Relaxed) {
         std::thread::sleep(LOOK);
     }
-    let Ok(far) = TcpStream::connect(target) else { return reset(&near) };
-    let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else { return };
+    let Ok(far) = TcpStream::connect(target) else {
+        return reset(&near);
+    };
+    let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else {
+        return;
+    };
     // A reset of either direction ends both.
     let over = Arc::new(AtomicBool::new(false));
     let ends = [Arc::clone(end), Arc::clone(&over)];
@@ -80,7 +94,13 @@
 }
 
 /// Passes bytes on until either side ends, with what is wrong on the way now.
-fn pump(mut from: &TcpStream, mut to: &TcpStream, link: &Link, ends: &[Arc<AtomicBool>; 2], seed: u64) {
+fn pump(
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    link: &Link,
+    ends: &[Arc<AtomicBool>; 2],
+    seed: u64,
+) {
     let ended = || ends.iter().any(|end| end.load(Ordering::Relaxed));
     let break_off = || {
         reset(from);
@@ -104,7 +124,14 @@
         let length = match from.read(&mut bytes) {
             Ok(0) => break,
             Ok(length) => length,
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => continue,
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) =>
+            {
+                continue;
+            }
             Err(_) => return break_off(),
         };
         let wait = faults.delay_ms + rng.random_range(0..=faults.jitter_ms);
@@ -134,24 +161,38 @@
     #[test]
     fn a_stream_passes_stands_still_while_cut_goes_on_and_is_reset() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let free = TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         let relay = Relay::start(free, listener.local_addr().unwrap(), 1).unwrap();
         let mut near = TcpStream::connect(free).unwrap();
-        near.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        near.set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         let (mut far, _) = listener.accept().unwrap();
         near.write_all(b"there").unwrap();
         let mut bytes = [0; 5];
         far.read_exact(&mut bytes).unwrap();
-        relay.back.set(Faults { cut: true, ..Faults::default() });
+        relay.back.set(Faults {
+            cut: true,
+            ..Faults::default()
+        });
         std::thread::sleep(3 * LOOK);
         far.write_all(b"later").unwrap();
         near.set_read_timeout(Some(3 * LOOK)).unwrap();
         assert!(near.read(&mut bytes).is_err(), "nothing passes");
-        near.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        relay.back.set(Faults { drip_ms: 1, ..Faults::default() });
+        near.set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
+        relay.back.set(Faults {
+            drip_ms: 1,
+            ..Faults::default()
+        });
         near.read_exact(&mut bytes).unwrap();
         assert_eq!(&bytes, b"later", "nothing is lost of a stream");
-        relay.there.set(Faults { reset: true, ..Faults::default() });
+        relay.there.set(Faults {
+            reset: true,
+            ..Faults::default()
+        });
         let ended = near.read(&mut bytes).map_err(|e| e.kind());
         assert_eq!(ended, Err(io::ErrorKind::ConnectionReset));
     }
--- a/crates/trials/src/scenarios.rs
+++ b/crates/trials/src/scenarios.rs
@@ -4,7 +4,10 @@
 
 const ALL: [(&str, &str); 17] = [
     ("join", include_str!("../scenarios/join.toml")),
-    ("kill-quarter", include_str!("../scenarios/kill-quarter.toml")),
+    (
+        "kill-quarter",
+        include_str!("../scenarios/kill-quarter.toml"),
+    ),
     ("stall", include_str!("../scenarios/stall.toml")),
     ("split", include_str!("../scenarios/split.toml")),
     ("one-way", include_str!("../scenarios/one-way.toml")),
@@ -17,7 +20,10 @@
     ("cold-return", include_str!("../scenarios/cold-return.toml")),
     ("slow-origin", include_str!("../scenarios/slow-origin.toml")),
     ("uneven", include_str!("../scenarios/uneven.toml")),
-    ("overload-restarts", include_str!("../scenarios/overload-restarts.toml")),
+    (
+        "overload-restarts",
+        include_str!("../scenarios/overload-restarts.toml"),
+    ),
     ("insist", include_str!("../scenarios/insist.toml")),
     ("bursts", include_str!("../scenarios/bursts.toml")),
 ];
@@ -34,7 +40,10 @@
     }
     let text = std::fs::read_to_string(name).map_err(|e| {
         let names: Vec<&str> = names().collect();
-        format!("{name}: {e}; a file or one of {} is expected", names.join(", "))
+        format!(
+            "{name}: {e}; a file or one of {} is expected",
+            names.join(", ")
+        )
     })?;
     read(&text).map_err(|e| format!("{name}: {e}"))
 }
@@ -48,6 +57,10 @@
         for name in names() {
             assert_eq!(find(name).unwrap().name, name);
         }
-        assert!(find("/nowhere").unwrap_err().contains("one of join, kill-quarter"));
+        assert!(
+            find("/nowhere")
+                .unwrap_err()
+                .contains("one of join, kill-quarter")
+        );
     }
 }
--- a/crates/trials/src/silence.rs
+++ b/crates/trials/src/silence.rs
@@ -120,11 +120,23 @@
         .map_err(|e| format!("{}: {e}", program.display()))?;
     let log = child.stderr.take();
     let child = Balancer(child);
-    let mut lines = BufReader::new(log.ok_or("no log")?).lines().map_while(Result::ok);
-    let address = lines.find_map(|l| l.split_once("listening on ")?.1.split_once(',')?.0.parse().ok());
+    let mut lines = BufReader::new(log.ok_or("no log")?)
+        .lines()
+        .map_while(Result::ok);
+    let address = lines.find_map(|l| {
+        l.split_once("listening on ")?
+            .1
+            .split_once(',')?
+            .0
+            .parse()
+            .ok()
+    });
     // Read on, or the program would wait for its log to be read.
     std::thread::spawn(move || lines.for_each(drop));
-    Ok((child, address.ok_or("the program does not say where it listens")?))
+    Ok((
+        child,
+        address.ok_or("the program does not say where it listens")?,
+    ))
 }
 
 /// A client that sends `PING` without a pause and keeps the longest time that an answer took.
@@ -137,7 +149,10 @@
     fn start(address: SocketAddr) -> io::Result<Self> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        let (longest, end) = (Arc::new(Mutex::new(Duration::ZERO)), Arc::new(AtomicBool::new(false)));
+        let (longest, end) = (
+            Arc::new(Mutex::new(Duration::ZERO)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (kept, ending) = (Arc::clone(&longest), Arc::clone(&end));
         std::thread::spawn(move || -> io::Result<()> {
             let mut answer = [0; 7];
@@ -188,7 +203,12 @@
     let mut input = BufReader::new(stream.try_clone()?);
     for number in 0..READS {
         let (key, id) = (format!("{number:016x}"), format!("{number:x}"));
-        let words: [&[u8]; 4] = [b"C.GET", key.as_bytes(), id.as_bytes(), b"c=tile-read,d=600"];
+        let words: [&[u8]; 4] = [
+            b"C.GET",
+            key.as_bytes(),
+            id.as_bytes(),
+            b"c=tile-read,d=600",
+        ];
         stream.write_all(&write_command(&words))?;
         resp::answer(&mut input)?;
     }
@@ -196,9 +216,15 @@
 }
 
 fn peak_kb(child: &Child) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-    let peak =
-        status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB")?.parse().ok());
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
+    let peak = status.lines().find_map(|line| {
+        line.strip_prefix("VmHWM:")?
+            .trim()
+            .strip_suffix(" kB")?
+            .parse()
+            .ok()
+    });
     peak.unwrap_or(0)
 }
 
@@ -208,19 +234,26 @@
 ///
 /// Says which step failed: a socket, the program's start, or its readiness.
 pub fn measure(program: &Path, caches: usize, batch: usize) -> Result<Silence, String> {
-    let quick =
-        CacheOptions { slots: 64, service: Duration::ZERO, fetch: Duration::ZERO, ..CacheOptions::default() };
+    let quick = CacheOptions {
+        slots: 64,
+        service: Duration::ZERO,
+        fetch: Duration::ZERO,
+        ..CacheOptions::default()
+    };
     let mut dials = Vec::new();
     let mut running = Vec::new();
     for number in 0..LISTENERS {
-        let free =
-            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
-        let cache = Cache::start(&format!("c{number}"), free, quick, None).map_err(|e| e.to_string())?;
+        let free = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .map_err(|e| e.to_string())?;
+        let cache =
+            Cache::start(&format!("c{number}"), free, quick, None).map_err(|e| e.to_string())?;
         running.push(cache);
         dials.push(free);
     }
-    let hosts =
-        |range: std::ops::Range<usize>, health| range.map(|n| host(n, health, &dials)).collect::<Vec<_>>();
+    let hosts = |range: std::ops::Range<usize>, health| {
+        range.map(|n| host(n, health, &dials)).collect::<Vec<_>>()
+    };
     let first = message(1, true, hosts(0..caches, "in_service"));
     let (discovery, tell) = discovery(first).map_err(|e| format!("discovery: {e}"))?;
     let (balancer, address) = start(program, discovery)?;
@@ -232,11 +265,16 @@
     let mut around = [Duration::ZERO; 3];
     for (place, change) in Change::ALL.into_iter().enumerate() {
         let batch = hosts(caches..caches + batch, change.health());
-        tell.send(message(2 + place as u64, false, batch)).map_err(|e| e.to_string())?;
+        tell.send(message(2 + place as u64, false, batch))
+            .map_err(|e| e.to_string())?;
         std::thread::sleep(AFTER);
         around[place] = pings.take();
     }
-    Ok(Silence { calm, around, peak_kb: peak_kb(&balancer.0) })
+    Ok(Silence {
+        calm,
+        around,
+        peak_kb: peak_kb(&balancer.0),
+    })
 }
 
 /// A number of caches and the batch that comes to them, written `3200:1000`.
@@ -254,7 +292,10 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let read = || {
             let (caches, batch) = text.split_once(':')?;
-            Some(Size { caches: caches.parse().ok()?, batch: batch.parse().ok()? })
+            Some(Size {
+                caches: caches.parse().ok()?,
+                batch: batch.parse().ok()?,
+            })
         };
         read().ok_or_else(|| format!("\"{text}\": caches and batch are expected, as in 3200:1000"))
     }
@@ -268,7 +309,11 @@
 pub fn print_table(program: &Path, sizes: &[Size]) -> Result<(), String> {
     println!("caches batch   calm_ms  joins_ms drains_ms   goes_ms   peak_kb");
     for size in sizes {
-        let Silence { calm, around, peak_kb } = measure(program, size.caches, size.batch)?;
+        let Silence {
+            calm,
+            around,
+            peak_kb,
+        } = measure(program, size.caches, size.batch)?;
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
         let [joins, drains, goes] = around.map(ms);
         println!(
--- a/crates/trials/src/slopes.rs
+++ b/crates/trials/src/slopes.rs
@@ -52,27 +52,44 @@
 impl Slope {
     fn new(name: &str, unit: &str, by: &str, how: &str, points: Vec<Point>) -> Self {
         let fit = fit(&points);
-        Slope { name: name.into(), unit: unit.into(), by: by.into(), how: how.into(), points, fit }
+        Slope {
+            name: name.into(),
+            unit: unit.into(),
+            by: by.into(),
+            how: how.into(),
+            points,
+            fit,
+        }
     }
 
     /// The value at a size: the greatest measured there, or that of the line where it was not measured. Beyond the sizes
     /// that were measured it is not under the greatest value of any: a line that falls is no promise.
     pub fn at(&self, size: f64) -> f64 {
         let greatest = |of: &dyn Fn(&&Point) -> bool| {
-            self.points.iter().filter(of).map(|point| point.value).fold(f64::NEG_INFINITY, f64::max)
+            self.points
+                .iter()
+                .filter(of)
+                .map(|point| point.value)
+                .fold(f64::NEG_INFINITY, f64::max)
         };
         let there = greatest(&|point| point.size == size);
         if there.is_finite() {
             return there;
         }
         let line = (self.fit.at_zero + self.fit.each * size).max(0.0);
-        if size > self.range().1 { line.max(greatest(&|_| true)) } else { line }
+        if size > self.range().1 {
+            line.max(greatest(&|_| true))
+        } else {
+            line
+        }
     }
 
     /// The least and the greatest size that was measured.
     pub fn range(&self) -> (f64, f64) {
         let sizes = self.points.iter().map(|point| point.size);
-        sizes.fold((f64::INFINITY, 0.0), |(least, most), size| (least.min(size), most.max(size)))
+        sizes.fold((f64::INFINITY, 0.0), |(least, most), size| {
+            (least.min(size), most.max(size))
+        })
     }
 }
 
@@ -88,7 +105,15 @@
     };
     let at_zero = value - each * size;
     let beside = mean(&|point| (point.value - at_zero - each * point.size).powi(2)).sqrt();
-    Fit { at_zero, each, residual: if value == 0.0 { 0.0 } else { beside / value.abs() } }
+    Fit {
+        at_zero,
+        each,
+        residual: if value == 0.0 {
+            0.0
+        } else {
+            beside / value.abs()
+        },
+    }
 }
 
 /// All slopes, as they stand in a file.
@@ -152,10 +177,17 @@
         loss_between: 0.0,
         delay_between_ms: 40,
         calm_s: 20,
-        events: if regions > 1 { Events::ALL } else { Events::default() },
+        events: if regions > 1 {
+            Events::ALL
+        } else {
+            Events::default()
+        },
     };
-    let one: Vec<Measured> =
-        sizes.one_region.iter().map(|members| virtual_regions::measure(plan(*members, 1, 0.0))).collect();
+    let one: Vec<Measured> = sizes
+        .one_region
+        .iter()
+        .map(|members| virtual_regions::measure(plan(*members, 1, 0.0)))
+        .collect();
     slopes.extend(view_slopes("one_region", "members of one region", &one));
     let mut many: Vec<Measured> = Vec::new();
     for members in &sizes.in_regions {
@@ -171,11 +203,19 @@
 pub fn extend(mut slopes: Slopes, rows: &[Measured]) -> Slopes {
     // Each was played by a process of its own, in which nothing was freed before.
     let alone: Vec<Measured> = rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
-    let memory = points(&alone, |row| row.members as f64, |row| row.memory_kb.unwrap_or(0.0));
+    let memory = points(
+        &alone,
+        |row| row.members as f64,
+        |row| row.memory_kb.unwrap_or(0.0),
+    );
     let how = "virtual time, the network's queue included (`regions`)";
     let memory = Slope::new("regions_memory", "KB", "members in 26 regions", how, memory);
     for more in row_slopes(rows).into_iter().chain([memory]) {
-        match slopes.slopes.iter_mut().find(|slope| slope.name == more.name) {
+        match slopes
+            .slopes
+            .iter_mut()
+            .find(|slope| slope.name == more.name)
+        {
             Some(slope) => {
                 slope.points.extend(more.points);
                 slope.fit = fit(&slope.points);
@@ -191,20 +231,36 @@
     let calm: Vec<Measured> = rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
     let lossy: Vec<Measured> = rows.iter().filter(|row| row.loss > 0.0).cloned().collect();
     let mut slopes = view_slopes("regions", "members in 26 regions", &calm);
-    slopes.extend(view_slopes("regions_lossy", "members in 26 regions, a tenth lost", &lossy));
+    slopes.extend(view_slopes(
+        "regions_lossy",
+        "members in 26 regions, a tenth lost",
+        &lossy,
+    ));
     slopes.extend(event_slopes(&calm));
     slopes
 }
 
 fn points<T>(of: &[T], size: impl Fn(&T) -> f64, value: impl Fn(&T) -> f64) -> Vec<Point> {
-    of.iter().map(|one| Point { size: size(one), seed: 1, value: value(one) }).collect()
+    of.iter()
+        .map(|one| Point {
+            size: size(one),
+            seed: 1,
+            value: value(one),
+        })
+        .collect()
 }
 
 fn decision_slopes(caches: &[usize]) -> Result<Vec<Slope>, String> {
     let costs = decisions::measure(caches, 30, 3)?;
     let slope = |name: &str, unit: &str, value: fn(&decisions::Cost) -> f64| {
         let how = "the module driven by hand, least of three rounds (`decisions`)";
-        Slope::new(name, unit, "caches", how, points(&costs, |cost| cost.caches as f64, value))
+        Slope::new(
+            name,
+            unit,
+            "caches",
+            how,
+            points(&costs, |cost| cost.caches as f64, value),
+        )
     };
     Ok(vec![
         slope("decision_request", "us", |cost| cost.request_us),
@@ -220,24 +276,45 @@
     let bytes = |count: usize| {
         let list = List::default();
         for n in 0..count {
-            list.put(&format!("cache-{n:04}"), Host { health: "in_service", born_ms: 1_700_000_000_000 });
+            list.put(
+                &format!("cache-{n:04}"),
+                Host {
+                    health: "in_service",
+                    born_ms: 1_700_000_000_000,
+                },
+            );
         }
         let address = SocketAddr::from(([10, 250, 250, 250], 7_100));
-        list.line(0, &|_: &str| Some(address)).map_or(0, |(_, line)| line.len())
+        list.line(0, &|_: &str| Some(address))
+            .map_or(0, |(_, line)| line.len())
     };
     let points = points(caches, |count| *count as f64, |count| bytes(*count) as f64);
-    Slope::new("list_bytes", "bytes", "caches", "the stand-in's list, counted", points)
+    Slope::new(
+        "list_bytes",
+        "bytes",
+        "caches",
+        "the stand-in's list, counted",
+        points,
+    )
 }
 
 fn view_slopes(prefix: &str, by: &str, rows: &[Measured]) -> Vec<Slope> {
     let slope = |name: &str, unit: &str, value: fn(&Measured) -> f64| {
         let how = "virtual time, calm (`regions`)";
-        Slope::new(&format!("{prefix}_{name}"), unit, by, how, points(rows, |row| row.members as f64, value))
+        Slope::new(
+            &format!("{prefix}_{name}"),
+            unit,
+            by,
+            how,
+            points(rows, |row| row.members as f64, value),
+        )
     };
     vec![
         slope("datagrams", "datagrams/s", |row| row.datagrams_per_s),
         slope("bytes", "bytes/s", |row| row.bytes_per_s),
-        slope("bytes_delegates", "bytes/s", |row| row.bytes_per_s_delegates),
+        slope("bytes_delegates", "bytes/s", |row| {
+            row.bytes_per_s_delegates
+        }),
         slope("cpu", "% of a core", |row| row.cpu_percent),
         slope("cpu_worst", "% of a core", |row| row.cpu_percent_worst),
         slope("entries", "entries", |row| row.entries as f64),
@@ -247,24 +324,45 @@
 /// What events cost in a fleet in regions.
 fn event_slopes(rows: &[Measured]) -> Vec<Slope> {
     let by = "members in 26 regions";
-    let slope = |name: &str, unit: &str, what: &str, value: fn(&virtual_regions::Event) -> Option<f64>| {
-        let of = |row: &Measured| {
-            let event = row.events.iter().find(|event| event.what == what)?;
-            Some(Point { size: row.members as f64, seed: row.seed, value: value(event)? })
+    let slope =
+        |name: &str, unit: &str, what: &str, value: fn(&virtual_regions::Event) -> Option<f64>| {
+            let of = |row: &Measured| {
+                let event = row.events.iter().find(|event| event.what == what)?;
+                Some(Point {
+                    size: row.members as f64,
+                    seed: row.seed,
+                    value: value(event)?,
+                })
+            };
+            let points = rows.iter().filter_map(of).collect();
+            Slope::new(
+                name,
+                unit,
+                by,
+                &format!("virtual time: {what} (`regions`)"),
+                points,
+            )
         };
-        let points = rows.iter().filter_map(of).collect();
-        Slope::new(name, unit, by, &format!("virtual time: {what} (`regions`)"), points)
-    };
     vec![
         slope("death_region", "s", "one dies", |event| event.region_s),
         slope("death_settled", "s", "one dies", |event| event.settled_s),
-        slope("leader_settled", "s", "the leader dies", |event| event.settled_s),
+        slope("leader_settled", "s", "the leader dies", |event| {
+            event.settled_s
+        }),
         slope("rack_settled", "s", "a rack dies", |event| event.settled_s),
         slope("zone_settled", "s", "a zone dies", |event| event.settled_s),
-        slope("zone_bytes", "bytes/s", "a zone dies", |event| Some(event.bytes_per_s_most)),
-        slope("zone_cpu_mean", "% of a core", "a zone dies", |event| Some(event.cpu_percent)),
-        slope("returning_bytes", "bytes/s", "it is back", |event| Some(event.bytes_per_s_most)),
-        slope("healed_settled", "s", "it is heard again", |event| event.settled_s),
+        slope("zone_bytes", "bytes/s", "a zone dies", |event| {
+            Some(event.bytes_per_s_most)
+        }),
+        slope("zone_cpu_mean", "% of a core", "a zone dies", |event| {
+            Some(event.cpu_percent)
+        }),
+        slope("returning_bytes", "bytes/s", "it is back", |event| {
+            Some(event.bytes_per_s_most)
+        }),
+        slope("healed_settled", "s", "it is heard again", |event| {
+            event.settled_s
+        }),
     ]
 }
 
--- a/crates/trials/src/soak/balancers.rs
+++ b/crates/trials/src/soak/balancers.rs
@@ -43,7 +43,11 @@
 impl Board {
     /// For so many balancers.
     pub fn new(balancers: usize) -> Self {
-        let none = Public { doors: Doors::Shut, lives: Vec::new(), stops: Vec::new() };
+        let none = Public {
+            doors: Doors::Shut,
+            lives: Vec::new(),
+            stops: Vec::new(),
+        };
         Board(Arc::new(Mutex::new(vec![none; balancers])))
     }
 
@@ -94,7 +98,16 @@
         clock: Clock,
         board: Board,
     ) -> Self {
-        Balancer { number, listen, program, config, folder, clock, board, child: None }
+        Balancer {
+            number,
+            listen,
+            program,
+            config,
+            folder,
+            clock,
+            board,
+            child: None,
+        }
     }
 
     fn public<T>(&self, change: impl FnOnce(&mut Public) -> T) -> T {
@@ -109,7 +122,8 @@
     pub fn configure(&mut self, key: &str, value: Value) -> Result<PathBuf, String> {
         self.config[key] = value;
         let path = self.folder.join(format!("n{}.json", self.number));
-        std::fs::write(&path, self.config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, self.config.to_string())
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(path)
     }
 
@@ -122,7 +136,11 @@
         self.kill();
         let path = self.configure("known", known)?;
         let log = self.folder.join(format!("n{}.log", self.number));
-        let log = File::options().create(true).append(true).open(&log).map_err(|e| e.to_string())?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&log)
+            .map_err(|e| e.to_string())?;
         let counters = log.try_clone().map_err(|e| e.to_string())?;
         let child = Command::new(&self.program)
             .env_clear()
@@ -135,14 +153,20 @@
             .map_err(|e| format!("{}: {e}", self.program.display()))?;
         self.child = Some(child);
         let started = self.clock.now();
-        self.public(|me| me.lives.push(Life { started, ..Life::default() }));
+        self.public(|me| {
+            me.lives.push(Life {
+                started,
+                ..Life::default()
+            })
+        });
         Ok(())
     }
 
     /// Asks whether it is ready, if it is not known to be.
     pub fn look(&mut self) {
-        let shut =
-            self.public(|me| me.doors == Doors::Shut && me.lives.last().is_some_and(|l| l.ready.is_none()));
+        let shut = self.public(|me| {
+            me.doors == Doors::Shut && me.lives.last().is_some_and(|l| l.ready.is_none())
+        });
         if self.child.is_none() || !shut || !self.says_ready() {
             return;
         }
@@ -169,7 +193,11 @@
 
     /// Sends it a signal.
     pub fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok()) {
+        if let Some(pid) = self
+            .child
+            .as_ref()
+            .and_then(|child| i32::try_from(child.id()).ok())
+        {
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
@@ -198,8 +226,12 @@
 
     /// Whether it runs; notes its end.
     pub fn is_running(&mut self) -> bool {
-        let Some(child) = &mut self.child else { return false };
-        let Ok(Some(status)) = child.try_wait() else { return true };
+        let Some(child) = &mut self.child else {
+            return false;
+        };
+        let Ok(Some(status)) = child.try_wait() else {
+            return true;
+        };
         let now = self.clock.now();
         self.child = None;
         self.public(|me| {
@@ -217,7 +249,9 @@
         if !self.is_running() {
             return;
         }
-        let Some(mut child) = self.child.take() else { return };
+        let Some(mut child) = self.child.take() else {
+            return;
+        };
         let now: Time = self.clock.now();
         self.public(|me| {
             me.doors = Doors::Shut;
@@ -235,7 +269,11 @@
         std::thread::sleep(Duration::from_millis(100));
         let log = self.folder.join(format!("n{}.log", self.number));
         let text = std::fs::read_to_string(log).unwrap_or_default();
-        let line = text.lines().rev().find_map(|line| line.strip_prefix("counters: ")).unwrap_or_default();
+        let line = text
+            .lines()
+            .rev()
+            .find_map(|line| line.strip_prefix("counters: "))
+            .unwrap_or_default();
         let read = |pair: &str| {
             let (name, count) = pair.split_once('=')?;
             Some((name.to_string(), count.parse().ok()?))
@@ -250,10 +288,20 @@
         let stat = read("stat")?;
         let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
         // User and system time, in hundredths of a second on Linux.
-        let ticks: f64 = fields.get(11..13)?.iter().filter_map(|f| f.parse::<f64>().ok()).sum();
+        let ticks: f64 = fields
+            .get(11..13)?
+            .iter()
+            .filter_map(|f| f.parse::<f64>().ok())
+            .sum();
         let status = read("status")?;
-        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"))?;
+        let peak = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"))?;
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count();
-        Some(Usage { cpu_s: ticks / 100.0, peak_mb: peak.trim().parse::<f64>().ok()? / 1_024.0, descriptors })
+        Some(Usage {
+            cpu_s: ticks / 100.0,
+            peak_mb: peak.trim().parse::<f64>().ok()? / 1_024.0,
+            descriptors,
+        })
     }
 }
--- a/crates/trials/src/soak/caches.rs
+++ b/crates/trials/src/soak/caches.rs
@@ -103,7 +103,10 @@
         let listeners = (0..count).map(|_| TcpListener::bind("127.0.0.1:0"));
         let listeners: Vec<TcpListener> = listeners.collect::<io::Result<_>>()?;
         listeners.iter().try_for_each(|l| l.set_nonblocking(true))?;
-        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
+        let addresses = listeners
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<io::Result<_>>()?;
         let (faults, end) = (SharedFaults::default(), Arc::new(AtomicBool::new(false)));
         let mut work = Work {
             clock,
@@ -120,7 +123,12 @@
             while !ending.load(Ordering::Relaxed) && work.turn().is_ok() {}
             work.attempts
         });
-        Ok(Caches { addresses, faults, end, thread })
+        Ok(Caches {
+            addresses,
+            faults,
+            end,
+            thread,
+        })
     }
 
     /// Ends them; all attempts that came.
@@ -135,7 +143,10 @@
         // Whatever this look finds came after the one before, which ended no sooner than this.
         let before = self.clock.now();
         let listeners = self.listeners.iter().map(AsFd::as_fd);
-        let connections = self.connections.values().map(|served| served.connection.fd());
+        let connections = self
+            .connections
+            .values()
+            .map(|served| served.connection.fd());
         let ready = readable(listeners.chain(connections))?;
         let (at_door, at_work) = ready.split_at(self.listeners.len());
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
@@ -147,28 +158,45 @@
             self.accept(listener, before, &down);
         }
         let cut_off = |served: &Served| down.contains(&served.listener);
-        let lost: Vec<u64> = self.connections.iter().filter(|(_, c)| cut_off(c)).map(|(n, _)| *n).collect();
-        lost.into_iter().for_each(|number| self.drop_connection(number, true));
+        let lost: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| cut_off(c))
+            .map(|(n, _)| *n)
+            .collect();
+        lost.into_iter()
+            .for_each(|number| self.drop_connection(number, true));
         self.answer();
         Ok(())
     }
 
     fn accept(&mut self, listener: usize, before: Time, down: &HashSet<usize>) {
         while let Ok((stream, _)) = self.listeners[listener].accept() {
-            let Ok(connection) = Connection::new(stream) else { continue };
+            let Ok(connection) = Connection::new(stream) else {
+                continue;
+            };
             if down.contains(&listener) {
                 connection.reset();
                 continue;
             }
-            self.connections
-                .insert(self.next, Served { connection, listener, began: before, open: Vec::new() });
+            self.connections.insert(
+                self.next,
+                Served {
+                    connection,
+                    listener,
+                    began: before,
+                    open: Vec::new(),
+                },
+            );
             self.next += 1;
             self.read(self.next - 1, before);
         }
     }
 
     fn read(&mut self, number: u64, before: Time) {
-        let Some(served) = self.connections.get_mut(&number) else { return };
+        let Some(served) = self.connections.get_mut(&number) else {
+            return;
+        };
         if served.connection.input.is_empty() {
             served.began = before;
         }
@@ -176,7 +204,9 @@
         while let Some(served) = self.connections.get_mut(&number) {
             let mut input = served.connection.input.as_slice();
             let held = input.len();
-            let Ok(words) = resp::command(&mut input) else { break };
+            let Ok(words) = resp::command(&mut input) else {
+                break;
+            };
             let (used, began) = (held - input.len(), served.began);
             served.connection.input.drain(..used);
             served.began = before;
@@ -188,17 +218,24 @@
     }
 
     fn take(&mut self, number: u64, words: &[Vec<u8>], began: Time) {
-        let Some(served) = self.connections.get_mut(&number) else { return };
+        let Some(served) = self.connections.get_mut(&number) else {
+            return;
+        };
         let [name, key, id, fields, ..] = words else {
-            served.connection.write(if words.first().is_some_and(|w| w == b"PING") {
-                b"+PONG\r\n"
-            } else {
-                b"-SYNTAX\r\n"
-            });
+            served
+                .connection
+                .write(if words.first().is_some_and(|w| w == b"PING") {
+                    b"+PONG\r\n"
+                } else {
+                    b"-SYNTAX\r\n"
+                });
             return;
         };
         let fields = String::from_utf8_lossy(fields);
-        let told_ms = fields.rsplit_once("d=").and_then(|(_, d)| d.parse().ok()).unwrap_or(u64::MAX);
+        let told_ms = fields
+            .rsplit_once("d=")
+            .and_then(|(_, d)| d.parse().ok())
+            .unwrap_or(u64::MAX);
         let now = self.clock.now();
         let attempt = self.attempts.len();
         let listener = served.listener;
@@ -223,8 +260,17 @@
             return;
         }
         let at = now + self.rng.random_range(SERVICE_MS.0..SERVICE_MS.1) * MS;
-        let whole = format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes();
-        let mut due = |at, bytes, then| self.due.push(Due { at, connection: number, attempt, bytes, then });
+        let whole =
+            format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes();
+        let mut due = |at, bytes, then| {
+            self.due.push(Due {
+                at,
+                connection: number,
+                attempt,
+                bytes,
+                then,
+            })
+        };
         let mut left = self.rng.random::<f64>();
         let mut falls = |share: f64| {
             left -= share;
@@ -256,8 +302,17 @@
         let now = self.clock.now();
         let (due, later): (Vec<Due>, Vec<Due>) = self.due.drain(..).partition(|due| due.at <= now);
         self.due = later;
-        for Due { connection, attempt, bytes, then, .. } in due {
-            let Some(served) = self.connections.get_mut(&connection) else { continue };
+        for Due {
+            connection,
+            attempt,
+            bytes,
+            then,
+            ..
+        } in due
+        {
+            let Some(served) = self.connections.get_mut(&connection) else {
+                continue;
+            };
             served.connection.write(&bytes);
             served.open.retain(|open| *open != attempt);
             self.attempts[attempt].over = Some(self.clock.now());
@@ -268,13 +323,18 @@
     }
 
     fn drop_connection(&mut self, number: u64, reset: bool) {
-        let Some(served) = self.connections.remove(&number) else { return };
+        let Some(served) = self.connections.remove(&number) else {
+            return;
+        };
         if reset {
             served.connection.reset()
         } else {
             served.connection.close()
         }
         let now = self.clock.now();
-        served.open.into_iter().for_each(|attempt| self.attempts[attempt].over = Some(now));
+        served
+            .open
+            .into_iter()
+            .for_each(|attempt| self.attempts[attempt].over = Some(now));
     }
 }
--- a/crates/trials/src/soak/clients.rs
+++ b/crates/trials/src/soak/clients.rs
@@ -76,7 +76,13 @@
 
 impl Clients {
     /// Starts them.
-    pub fn start(doors: Vec<SocketAddr>, manners: Manners, board: Board, clock: Clock, seed: u64) -> Self {
+    pub fn start(
+        doors: Vec<SocketAddr>,
+        manners: Manners,
+        board: Board,
+        clock: Clock,
+        seed: u64,
+    ) -> Self {
         let end = Arc::new(AtomicBool::new(false));
         let next_at = vec![0; doors.len()];
         let mut work = Work {
@@ -95,7 +101,9 @@
         let thread = std::thread::spawn(move || {
             while !ending.load(Ordering::Relaxed) && work.turn(true).is_ok() {}
             // What was asked is waited for.
-            while work.clients.values().any(|client| !client.open.is_empty()) && work.turn(false).is_ok() {}
+            while work.clients.values().any(|client| !client.open.is_empty())
+                && work.turn(false).is_ok()
+            {}
             work.asked
         });
         Clients { end, thread }
@@ -126,16 +134,22 @@
     }
 
     fn read(&mut self, number: u64, before: Time) {
-        let Some(client) = self.clients.get_mut(&number) else { return };
+        let Some(client) = self.clients.get_mut(&number) else {
+            return;
+        };
         let state = client.connection.read();
         loop {
             let mut input = client.connection.input.as_slice();
             let held = input.len();
-            let Ok(answer) = resp::answer(&mut input) else { break };
+            let Ok(answer) = resp::answer(&mut input) else {
+                break;
+            };
             let used = held - input.len();
             client.connection.input.drain(..used);
             client.answered = true;
-            let Some(request) = client.open.pop_front() else { continue };
+            let Some(request) = client.open.pop_front() else {
+                continue;
+            };
             let end = judge(&answer, self.keys[request], &self.asked[request]);
             (self.asked[request].end, self.asked[request].ended) = (end, before);
             if let Some(next) = client.open.front() {
@@ -145,9 +159,15 @@
         if state == State::Open {
             return;
         }
-        let Some(client) = self.clients.remove(&number) else { return };
+        let Some(client) = self.clients.remove(&number) else {
+            return;
+        };
         for request in client.open {
-            let end = if state == State::Ended { End::Closed } else { End::Reset };
+            let end = if state == State::Ended {
+                End::Closed
+            } else {
+                End::Reset
+            };
             (self.asked[request].end, self.asked[request].ended) = (end, before);
         }
         client.connection.close();
@@ -156,7 +176,9 @@
     /// What a client does by time: writes the rest, leaves, gives up.
     fn go_on(&mut self, number: u64) {
         let now = self.clock.now();
-        let Some(client) = self.clients.get_mut(&number) else { return };
+        let Some(client) = self.clients.get_mut(&number) else {
+            return;
+        };
         client.connection.flush();
         if let Some((at, bytes, request)) = client.rest.take() {
             if now < at {
@@ -172,7 +194,9 @@
         if !never && !leaves {
             return;
         }
-        let Some(client) = self.clients.remove(&number) else { return };
+        let Some(client) = self.clients.remove(&number) else {
+            return;
+        };
         client.connection.close();
         let closed = self.clock.now();
         for request in client.open {
@@ -204,7 +228,11 @@
         let idle = |c: &Client| {
             c.balancer == balancer && c.open.is_empty() && c.rest.is_none() && c.leaves.is_none()
         };
-        let found = self.clients.iter().find(|(_, client)| idle(client)).map(|(number, _)| *number);
+        let found = self
+            .clients
+            .iter()
+            .find(|(_, client)| idle(client))
+            .map(|(number, _)| *number);
         let number = match found {
             Some(number) => number,
             None if may_connect => match self.connect(balancer, life) {
@@ -217,10 +245,19 @@
     }
 
     fn connect(&mut self, balancer: usize, life: usize) -> Option<u64> {
-        let stream = TcpStream::connect_timeout(&self.doors[balancer], Duration::from_millis(20)).ok()?;
+        let stream =
+            TcpStream::connect_timeout(&self.doors[balancer], Duration::from_millis(20)).ok()?;
         let connection = Connection::new(stream).ok()?;
         let (answered, open) = (false, VecDeque::new());
-        let client = Client { balancer, life, connection, answered, open, leaves: None, rest: None };
+        let client = Client {
+            balancer,
+            life,
+            connection,
+            answered,
+            open,
+            leaves: None,
+            rest: None,
+        };
         self.clients.insert(self.next_client, client);
         self.next_client += 1;
         Some(self.next_client - 1)
@@ -228,12 +265,28 @@
 
     fn ask(&mut self, number: u64) {
         let draw = self.rng.random::<f64>();
-        let Manners { leave, pipeline, slow, half, .. } = self.manners;
-        let commands = if draw < pipeline { self.rng.random_range(2..12) } else { 1 };
-        let draw = if draw < pipeline { 1.0 } else { draw - pipeline };
+        let Manners {
+            leave,
+            pipeline,
+            slow,
+            half,
+            ..
+        } = self.manners;
+        let commands = if draw < pipeline {
+            self.rng.random_range(2..12)
+        } else {
+            1
+        };
+        let draw = if draw < pipeline {
+            1.0
+        } else {
+            draw - pipeline
+        };
         for _ in 0..commands {
             let (command, request) = self.command(number);
-            let Some(client) = self.clients.get_mut(&number) else { return };
+            let Some(client) = self.clients.get_mut(&number) else {
+                return;
+            };
             if draw < half {
                 // It never asks: what becomes of its connection is no request's end.
                 client.connection.write(&command[..command.len() / 2]);
@@ -277,7 +330,8 @@
             fields.push_str(&format!(",k={request:x}"));
         }
         let text = format!("{key:016x}");
-        let mut words: Vec<&[u8]> = vec![b"C.GET", text.as_bytes(), id.as_bytes(), fields.as_bytes()];
+        let mut words: Vec<&[u8]> =
+            vec![b"C.GET", text.as_bytes(), id.as_bytes(), fields.as_bytes()];
         if effect != Effect::Safe {
             words[0] = b"C.SET";
             words.push(b"value");
@@ -318,5 +372,9 @@
     } else {
         format!("receipt {}", asked.id)
     };
-    if *value == made.into_bytes() { End::Served } else { End::Wrong }
+    if *value == made.into_bytes() {
+        End::Served
+    } else {
+        End::Wrong
+    }
 }
--- a/crates/trials/src/soak/command.rs
+++ b/crates/trials/src/soak/command.rs
@@ -75,7 +75,10 @@
     let plan = draw(seed, arguments.short);
     let (balancers, caches) = (plan.balancers, plan.caches);
     let own = std::env::temp_dir().join(format!("pipitrun-soak-{}-{seed}", std::process::id()));
-    let kept = arguments.out.as_ref().map(|out| out.join(format!("seed-{seed}")));
+    let kept = arguments
+        .out
+        .as_ref()
+        .map(|out| out.join(format!("seed-{seed}")));
     let folder = kept.clone().unwrap_or(own);
     let played = play(plan, program, &folder);
     let outcome = match played {
@@ -85,7 +88,11 @@
             return Some(format!("seed {seed} (trial)"));
         }
     };
-    let ends: Vec<String> = outcome.ends.iter().map(|(end, count)| format!("{end} {count}")).collect();
+    let ends: Vec<String> = outcome
+        .ends
+        .iter()
+        .map(|(end, count)| format!("{end} {count}"))
+        .collect();
     println!(
         "seed {seed}: {balancers} balancers, {caches} caches, {} attempts, {}, {} breaches",
         outcome.attempts,
@@ -93,7 +100,12 @@
         outcome.breaches.len()
     );
     for breach in outcome.breaches.iter().take(BREACHES_PRINTED) {
-        println!("  {:.3} {}: {}", breach.at as f64 / 1e9, breach.rule, breach.what);
+        println!(
+            "  {:.3} {}: {}",
+            breach.at as f64 / 1e9,
+            breach.rule,
+            breach.what
+        );
     }
     match &kept {
         Some(folder) => keep(&outcome, folder),
--- a/crates/trials/src/soak/discovery.rs
+++ b/crates/trials/src/soak/discovery.rs
@@ -77,7 +77,11 @@
 impl List {
     /// An empty one.
     pub fn new(clock: Clock, dials: impl Fn(usize) -> SocketAddr + Send + Sync + 'static) -> Self {
-        List { state: Arc::default(), clock, dials: Arc::new(dials) }
+        List {
+            state: Arc::default(),
+            clock,
+            dials: Arc::new(dials),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -95,7 +99,12 @@
                 state.caches.insert(*cache, to);
             }
         }
-        let change = Change { version: state.version, at: self.clock.now(), caches, state: to };
+        let change = Change {
+            version: state.version,
+            at: self.clock.now(),
+            caches,
+            state: to,
+        };
         state.changes.push(change);
     }
 
@@ -104,7 +113,10 @@
         let mut state = self.lock();
         let now = self.clock.now();
         if trouble == Trouble::Down && state.trouble != Trouble::Down {
-            state.down.push(Span { from: now, to: Time::MAX });
+            state.down.push(Span {
+                from: now,
+                to: Time::MAX,
+            });
         }
         if trouble != Trouble::Down
             && let Some(span) = state.down.last_mut().filter(|span| span.to == Time::MAX)
@@ -128,7 +140,11 @@
     /// What was done.
     pub fn log(&self) -> Log {
         let state = self.lock();
-        (state.changes.clone(), state.told.clone(), state.down.clone())
+        (
+            state.changes.clone(),
+            state.told.clone(),
+            state.down.clone(),
+        )
     }
 
     /// Bytes of changes that were written so far, to all balancers.
@@ -156,11 +172,21 @@
                 let changes = state.changes.iter().filter(|change| change.version > since);
                 let caches: std::collections::BTreeSet<usize> =
                     changes.flat_map(|c| c.caches.clone()).collect();
-                caches.into_iter().map(|cache| self.host(cache, state.caches.get(&cache))).collect()
+                caches
+                    .into_iter()
+                    .map(|cache| self.host(cache, state.caches.get(&cache)))
+                    .collect()
             }
-            None => state.caches.iter().map(|(cache, state)| self.host(*cache, Some(state))).collect(),
+            None => state
+                .caches
+                .iter()
+                .map(|(cache, state)| self.host(*cache, Some(state)))
+                .collect(),
         };
-        Some((version, json!({"seq": version, "whole": since.is_none(), "hosts": hosts})))
+        Some((
+            version,
+            json!({"seq": version, "whole": since.is_none(), "hosts": hosts}),
+        ))
     }
 
     /// The whole list as a balancer's configuration has it.
@@ -194,8 +220,9 @@
             state.watches += 1;
             state.watches - 1
         };
-        let mut since =
-            head.split_once("since=").and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok());
+        let mut since = head
+            .split_once("since=")
+            .and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok());
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n")?;
         let mut empty = LOOKS_EMPTY;
         loop {
@@ -208,7 +235,11 @@
                         self.write(&mut stream, &message)?;
                         (since, empty) = (Some(version), 0);
                         let at = self.clock.now();
-                        self.lock().told.push(Told { balancer, version, at });
+                        self.lock().told.push(Told {
+                            balancer,
+                            version,
+                            at,
+                        });
                     }
                     None if empty >= LOOKS_EMPTY => {
                         stream.write_all(b"\n")?;
--- a/crates/trials/src/soak/draw.rs
+++ b/crates/trials/src/soak/draw.rs
@@ -118,10 +118,24 @@
 /// What this seed plays, in a small way if `short`.
 pub fn draw(seed: u64, short: bool) -> Plan {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let balancers = if short { rng.random_range(2..5) } else { pick(&mut rng, &[2, 3, 5, 8, 16, 40]) };
-    let caches =
-        pick(&mut rng, if short { &[10, 10, 60, 400, 3_200] } else { &[10, 40, 200, 800, 1_300, 3_200] });
-    let per_s = if balancers > 8 { 8.0 } else { pick(&mut rng, &[15.0, 30.0, 60.0]) };
+    let balancers = if short {
+        rng.random_range(2..5)
+    } else {
+        pick(&mut rng, &[2, 3, 5, 8, 16, 40])
+    };
+    let caches = pick(
+        &mut rng,
+        if short {
+            &[10, 10, 60, 400, 3_200]
+        } else {
+            &[10, 40, 200, 800, 1_300, 3_200]
+        },
+    );
+    let per_s = if balancers > 8 {
+        8.0
+    } else {
+        pick(&mut rng, &[15.0, 30.0, 60.0])
+    };
     let patience = |rng: &mut Xoshiro256PlusPlus, of: &[u64]| pick(rng, of) * MS;
     let patience = [
         patience(&mut rng, &[150, 284, 600, 1_200]),
@@ -152,20 +166,42 @@
         half: share(&mut rng) / 5.0,
     };
     use super::discovery::Form;
-    let form = pick(&mut rng, &[Form::Line, Form::Line, Form::Indented, Form::Torn]);
+    let form = pick(
+        &mut rng,
+        &[Form::Line, Form::Line, Form::Indented, Form::Torn],
+    );
     let count = rng.random_range(4..9);
     let times = |rng: &mut Xoshiro256PlusPlus| rng.random_range(1_000..LENGTH / MS - 2_500) * MS;
-    let mut events: Vec<(Time, Event)> =
-        (0..count).map(|_| (times(&mut rng), event(&mut rng, balancers, caches))).collect();
+    let mut events: Vec<(Time, Event)> = (0..count)
+        .map(|_| (times(&mut rng), event(&mut rng, balancers, caches)))
+        .collect();
     // Each seed has a shutdown, a hold-up, caches that hang and caches that come back cold, whatever else.
     let own = OWN_MOST.min(caches / 2);
     events.push((times(&mut rng), Event::Cold(own.div_ceil(2))));
-    events.push((times(&mut rng), Event::Hangs(own, rng.random_range(300..1_500) * MS)));
-    let held_up = Event::HoldUp(rng.random_range(0..balancers), rng.random_range(150..1_500) * MS);
+    events.push((
+        times(&mut rng),
+        Event::Hangs(own, rng.random_range(300..1_500) * MS),
+    ));
+    let held_up = Event::HoldUp(
+        rng.random_range(0..balancers),
+        rng.random_range(150..1_500) * MS,
+    );
     events.push((times(&mut rng), held_up));
-    events.push((times(&mut rng), Event::Restart(rng.random_range(0..balancers))));
+    events.push((
+        times(&mut rng),
+        Event::Restart(rng.random_range(0..balancers)),
+    ));
     events.sort_by_key(|(at, _)| *at);
-    Plan { seed, balancers, caches, settings, rules, manners, form, events }
+    Plan {
+        seed,
+        balancers,
+        caches,
+        settings,
+        rules,
+        manners,
+        form,
+        events,
+    }
 }
 
 /// The same day for one balancer at any number of caches: the same traffic and the same capacity of all caches together; a
@@ -175,7 +211,14 @@
     plan.balancers = 1;
     plan.caches = caches;
     plan.form = super::discovery::Form::Line;
-    plan.manners = Manners { per_s, leave: 0.0, pipeline: 0.0, slow: 0.0, half: 0.0, ..plan.manners };
+    plan.manners = Manners {
+        per_s,
+        leave: 0.0,
+        pipeline: 0.0,
+        slow: 0.0,
+        half: 0.0,
+        ..plan.manners
+    };
     plan.manners.patience = [600 * MS, 1_000 * MS, 2_500 * MS];
     plan.rules.own_listeners = 0;
     plan.rules.length = GROWTH_LENGTH;
@@ -194,7 +237,8 @@
     let one = rng.random_range(0..balancers);
     let own = OWN_MOST.min(caches / 2);
     let some = rng.random_range(1..own.max(2));
-    let span = |rng: &mut dyn FnMut(std::ops::Range<u64>) -> u64, of: std::ops::Range<u64>| rng(of) * MS;
+    let span =
+        |rng: &mut dyn FnMut(std::ops::Range<u64>) -> u64, of: std::ops::Range<u64>| rng(of) * MS;
     let mut draw = |of: std::ops::Range<u64>| rng.random_range(of);
     match draw(0..18) {
         0 | 1 => Event::Joins(1 + draw(0..(caches as u64 / 3).max(1)) as usize),
--- a/crates/trials/src/soak/growth.rs
+++ b/crates/trials/src/soak/growth.rs
@@ -37,7 +37,14 @@
 impl Need {
     fn of(outcome: &Outcome) -> Self {
         let usage = outcome.usage.first().copied().unwrap_or_default();
-        let counter = |name: &str| outcome.counters.first().and_then(|c| c.get(name)).copied().unwrap_or(0);
+        let counter = |name: &str| {
+            outcome
+                .counters
+                .first()
+                .and_then(|c| c.get(name))
+                .copied()
+                .unwrap_or(0)
+        };
         let served = outcome.ends.get("Served").copied().unwrap_or(0);
         let asked: usize = outcome.ends.values().sum();
         Need {
@@ -86,18 +93,31 @@
     let mut usual: Option<Need> = None;
     let mut over = Vec::new();
     for caches in &arguments.caches {
-        let folder = std::env::temp_dir().join(format!("pipitrun-growth-{}-{caches}", std::process::id()));
-        let outcome = play(growth(arguments.seed, *caches, arguments.per_s), &program, &folder)?;
+        let folder =
+            std::env::temp_dir().join(format!("pipitrun-growth-{}-{caches}", std::process::id()));
+        let outcome = play(
+            growth(arguments.seed, *caches, arguments.per_s),
+            &program,
+            &folder,
+        )?;
         let _ = std::fs::remove_dir_all(&folder);
         let need = Need::of(&outcome);
         let allowed = usual.map(|usual| usual.allowed(*caches));
         println!("{caches} caches, {} breaches", outcome.breaches.len());
         for (place, (name, figure)) in need.figures().into_iter().enumerate() {
             let limit = allowed.map(|allowed| allowed.figures()[place].1);
-            let fails =
-                limit.is_some_and(|limit| if name == "served" { figure < limit } else { figure > limit });
+            let fails = limit.is_some_and(|limit| {
+                if name == "served" {
+                    figure < limit
+                } else {
+                    figure > limit
+                }
+            });
             let limit = limit.map_or(String::new(), |limit| format!("  allowed {limit:.3}"));
-            println!("  {name:12} {figure:9.3}{limit}{}", if fails { "  OVER" } else { "" });
+            println!(
+                "  {name:12} {figure:9.3}{limit}{}",
+                if fails { "  OVER" } else { "" }
+            );
             if fails {
                 over.push(format!("{name} at {caches}"));
             }
--- a/crates/trials/src/soak/mod.rs
+++ b/crates/trials/src/soak/mod.rs
@@ -115,7 +115,13 @@
     world.start()?;
     let doors = world.balancers.iter().map(|b| lock(b).listen).collect();
     let manners = world.plan.manners.clone();
-    let clients = Clients::start(doors, manners, world.board.clone(), world.clock, world.plan.seed);
+    let clients = Clients::start(
+        doors,
+        manners,
+        world.board.clone(),
+        world.clock,
+        world.plan.seed,
+    );
     world.run();
     let asked = clients.stop();
     world.finish(asked)
@@ -129,11 +135,16 @@
     fn lay_out(plan: Plan, program: &Path, folder: &Path) -> Result<Self, String> {
         let clock = Clock::start();
         let own = plan.rules.own_listeners;
-        let caches =
-            Caches::start(own + SHARED_LISTENERS, clock, plan.seed).map_err(|e| format!("caches: {e}"))?;
+        let caches = Caches::start(own + SHARED_LISTENERS, clock, plan.seed)
+            .map_err(|e| format!("caches: {e}"))?;
         let addresses = caches.addresses.clone();
-        let dial =
-            move |cache: usize| addresses[if cache < own { cache } else { own + cache % SHARED_LISTENERS }];
+        let dial = move |cache: usize| {
+            addresses[if cache < own {
+                cache
+            } else {
+                own + cache % SHARED_LISTENERS
+            }]
+        };
         let list = List::new(clock, dial);
         list.change((0..plan.caches).collect(), CacheState::Up { born_ms: 0 });
         list.form(plan.form);
@@ -143,7 +154,10 @@
         for number in 0..plan.balancers {
             let pair = DISCOVERY_PORTS.map(|port| network.member(number, port));
             for door in pair {
-                open.push(list.door(door, number).map_err(|e| format!("discovery at {door}: {e}"))?);
+                open.push(
+                    list.door(door, number)
+                        .map_err(|e| format!("discovery at {door}: {e}"))?,
+                );
             }
             let listen = network.member(number, CLIENTS_PORT);
             let config = serde_json::json!({
@@ -152,7 +166,15 @@
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "settings": plan.settings,
             });
             let (program, folder): (PathBuf, PathBuf) = (program.into(), folder.into());
-            let balancer = Balancer::new(number, listen, program, config, folder, clock, board.clone());
+            let balancer = Balancer::new(
+                number,
+                listen,
+                program,
+                config,
+                folder,
+                clock,
+                board.clone(),
+            );
             balancers.push(Arc::new(Mutex::new(balancer)));
             doors.push(pair);
         }
@@ -185,7 +207,12 @@
             lock(balancer).start(known.clone())?;
         }
         let asked = std::time::Instant::now();
-        while self.board.lock().iter().any(|me| me.doors == balancers::Doors::Shut) {
+        while self
+            .board
+            .lock()
+            .iter()
+            .any(|me| me.doors == balancers::Doors::Shut)
+        {
             if asked.elapsed() > READY_MOST {
                 return Err("the balancers do not become ready".into());
             }
@@ -197,7 +224,11 @@
 
     /// Looks at all processes that no thread has standing still.
     fn look(&self) {
-        for balancer in self.balancers.iter().filter_map(|balancer| balancer.try_lock().ok()) {
+        for balancer in self
+            .balancers
+            .iter()
+            .filter_map(|balancer| balancer.try_lock().ok())
+        {
             let mut balancer = balancer;
             if balancer.is_running() {
                 balancer.look();
@@ -216,9 +247,11 @@
                 self.events.push((now, format!("{event:?}")));
                 self.happen(event);
             }
-            let (due, later): (Vec<_>, Vec<_>) = self.later.drain(..).partition(|(at, _)| *at <= now);
+            let (due, later): (Vec<_>, Vec<_>) =
+                self.later.drain(..).partition(|(at, _)| *at <= now);
             self.later = later;
-            due.into_iter().for_each(|(_, what)| self.happen_later(what));
+            due.into_iter()
+                .for_each(|(_, what)| self.happen_later(what));
             self.look();
             if now >= sample {
                 sample = now + SAMPLE;
@@ -242,7 +275,10 @@
 
     fn count_descriptors(&mut self) {
         for (balancer, most) in self.balancers.iter().zip(&mut self.descriptors) {
-            let usage = balancer.try_lock().ok().and_then(|balancer| balancer.usage());
+            let usage = balancer
+                .try_lock()
+                .ok()
+                .and_then(|balancer| balancer.usage());
             *most = usage.map_or(*most, |usage| usage.descriptors.max(*most));
         }
     }
@@ -275,9 +311,12 @@
                 self.after(span, Later::Gone(caches));
             }
             Event::Cold(count) => {
-                let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+                let born = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default();
                 let born_ms = born.as_millis() as u64;
-                self.list.change(self.own(count), CacheState::Up { born_ms });
+                self.list
+                    .change(self.own(count), CacheState::Up { born_ms });
             }
             Event::Hangs(count, span) => {
                 let caches = self.own(count);
@@ -318,7 +357,8 @@
             Event::HoldUp(one, span) => {
                 let balancer = Arc::clone(&self.balancers[one]);
                 let span = Duration::from_nanos(span);
-                self.threads.push(std::thread::spawn(move || lock(&balancer).hold_up(span)));
+                self.threads
+                    .push(std::thread::spawn(move || lock(&balancer).hold_up(span)));
             }
             Event::Share(one, share, span) => self.share(one, share, span),
         }
@@ -341,7 +381,11 @@
             Later::Whole => {
                 let mut faults = self.caches.faults.lock();
                 let (hanging, down) = (faults.hanging.clone(), faults.down.clone());
-                *faults = caches::CacheFaults { hanging, down, ..Default::default() };
+                *faults = caches::CacheFaults {
+                    hanging,
+                    down,
+                    ..Default::default()
+                };
             }
             Later::Discovery => self.list.trouble(Trouble::None),
             Later::Term(one) => self.term(one),
@@ -357,7 +401,14 @@
 
     /// How long after the request to end a process is killed: as early as may be.
     fn kill_after(&self) -> Time {
-        let longest = self.plan.manners.patience.iter().max().copied().unwrap_or_default();
+        let longest = self
+            .plan
+            .manners
+            .patience
+            .iter()
+            .max()
+            .copied()
+            .unwrap_or_default();
         longest.min(DEADLINE_MOST) + KILL_AFTER
     }
 
@@ -407,20 +458,49 @@
         self.look();
         let with_most = |(balancer, most): (&Shared, &usize)| {
             let usage = lock(balancer).usage().unwrap_or_default();
-            Usage { descriptors: *most, ..usage }
+            Usage {
+                descriptors: *most,
+                ..usage
+            }
         };
-        let usage = self.balancers.iter().zip(&self.descriptors).map(with_most).collect();
-        let counters = self.balancers.iter().map(|balancer| lock(balancer).counters()).collect();
+        let usage = self
+            .balancers
+            .iter()
+            .zip(&self.descriptors)
+            .map(with_most)
+            .collect();
+        let counters = self
+            .balancers
+            .iter()
+            .map(|balancer| lock(balancer).counters())
+            .collect();
         let change_bytes = self.list.change_bytes();
         let attempts = self.caches.stop();
         let (changes, told, down) = self.list.log();
         let public = self.board.lock().clone();
         let (stops, lives) = public.into_iter().map(|me| (me.stops, me.lives)).unzip();
         let events = self.events;
-        let records = Records { asked, attempts, changes, told, down, stops, lives, events };
+        let records = Records {
+            asked,
+            attempts,
+            changes,
+            told,
+            down,
+            stops,
+            lives,
+            events,
+        };
         let breaches = referee::judge(&records, &self.plan.rules);
         let ends = referee::ends(&records.asked);
         let attempts = records.attempts.len();
-        Ok(Outcome { breaches, ends, attempts, usage, counters, change_bytes, records })
+        Ok(Outcome {
+            breaches,
+            ends,
+            attempts,
+            usage,
+            counters,
+            change_bytes,
+            records,
+        })
     }
 }
--- a/crates/trials/src/soak/records.rs
+++ b/crates/trials/src/soak/records.rs
@@ -24,8 +24,11 @@
 
 impl Effect {
     /// All of them, as classes of the settings, by name and `repeat`.
-    pub const CLASSES: [(Effect, &'static str, &'static str); 3] =
-        [(Effect::Safe, "read", "safe"), (Effect::Keyed, "put", "keyed"), (Effect::Unsafe, "once", "unsafe")];
+    pub const CLASSES: [(Effect, &'static str, &'static str); 3] = [
+        (Effect::Safe, "read", "safe"),
+        (Effect::Keyed, "put", "keyed"),
+        (Effect::Unsafe, "once", "unsafe"),
+    ];
 
     /// The name of its class.
     pub fn class(self) -> &'static str {
--- a/crates/trials/src/soak/referee.rs
+++ b/crates/trials/src/soak/referee.rs
@@ -4,7 +4,9 @@
 //! and a latest time, the one counts that speaks for the balancer.
 
 use super::draw::Rules;
-use super::records::{Asked, Attempt, AttemptEnd, CacheState, Effect, End, Life, MS, Records, Time};
+use super::records::{
+    Asked, Attempt, AttemptEnd, CacheState, Effect, End, Life, MS, Records, Time,
+};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
@@ -43,14 +45,21 @@
     }
     let mut breaches = Vec::new();
     for asked in &records.asked {
-        let attempts = by_id.get(asked.id.as_str()).map(Vec::as_slice).unwrap_or_default();
+        let attempts = by_id
+            .get(asked.id.as_str())
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         breaches.extend(lost(records, asked, attempts));
         for attempt in attempts {
             breaches.extend(sent_too_late(asked, attempt));
         }
         breaches.extend(duplicate(rules, asked, attempts));
     }
-    let asked: HashMap<&str, &Asked> = records.asked.iter().map(|asked| (asked.id.as_str(), asked)).collect();
+    let asked: HashMap<&str, &Asked> = records
+        .asked
+        .iter()
+        .map(|asked| (asked.id.as_str(), asked))
+        .collect();
     breaches.extend(drains(records, rules, &asked));
     breaches.extend(failbacks(records, rules, &asked));
     breaches.extend(lives(records, rules));
@@ -64,12 +73,16 @@
 
 /// How long the balancer stood still in this time.
 fn stood_still(records: &Records, balancer: usize, from: Time, to: Time) -> Time {
-    records.stops.get(balancer).map_or(0, |stops| stops.iter().map(|stop| stop.within(from, to)).sum())
+    records.stops.get(balancer).map_or(0, |stops| {
+        stops.iter().map(|stop| stop.within(from, to)).sum()
+    })
 }
 
 /// Whether the process was gone before it had to have answered, by no fault of its own.
 fn is_excused(asked: &Asked, life: &Life, limit: Time) -> bool {
-    let Some(killed) = life.killed.filter(|killed| *killed <= limit) else { return false };
+    let Some(killed) = life.killed.filter(|killed| *killed <= limit) else {
+        return false;
+    };
     match life.asked_to_end {
         Some(end) => asked.sent <= end + ACCEPT_ON && killed >= asked.sent,
         None => true,
@@ -94,21 +107,32 @@
     let limit = answer_limit(records, asked);
     let excused = life(records, asked).is_some_and(|life| is_excused(asked, life, limit));
     let breach = |at, what: &str| {
-        let Asked { id, balancer, sent, .. } = asked;
-        let what =
-            format!("{what}: {id} of {:?} at n{balancer}, sent {:.3}", asked.effect, *sent as f64 / 1e9);
-        Some(Breach { rule: "lost", at, what })
+        let Asked {
+            id, balancer, sent, ..
+        } = asked;
+        let what = format!(
+            "{what}: {id} of {:?} at n{balancer}, sent {:.3}",
+            asked.effect,
+            *sent as f64 / 1e9
+        );
+        Some(Breach {
+            rule: "lost",
+            at,
+            what,
+        })
     };
     match asked.end {
         End::Wrong => breach(asked.ended, "a value that was made for another request"),
         End::Never if !excused => breach(limit, "no answer"),
         // Between two requests a balancer may end its sending; a request that crosses that is not read.
-        End::Closed if !excused && (asked.fresh || !attempts.is_empty()) => {
-            breach(asked.ended, "read, and its connection closed with no answer")
-        }
-        End::Reset if !excused && !attempts.is_empty() => {
-            breach(asked.ended, "forwarded, and its connection reset with no answer")
-        }
+        End::Closed if !excused && (asked.fresh || !attempts.is_empty()) => breach(
+            asked.ended,
+            "read, and its connection closed with no answer",
+        ),
+        End::Reset if !excused && !attempts.is_empty() => breach(
+            asked.ended,
+            "forwarded, and its connection reset with no answer",
+        ),
         End::Served | End::Refused | End::Failed if asked.ended > limit => {
             let ms = (asked.ended - asked.deadline()) / MS;
             breach(asked.ended, &format!("answered {ms} ms after its time"))
@@ -120,11 +144,20 @@
 /// An attempt that begins after its client has closed, or is told more time than is left.
 fn sent_too_late(asked: &Asked, attempt: &Attempt) -> Option<Breach> {
     let id = &asked.id;
-    if let Some(closed) = asked.closed.filter(|closed| attempt.began > closed + CLOSED_SLACK) {
+    if let Some(closed) = asked
+        .closed
+        .filter(|closed| attempt.began > closed + CLOSED_SLACK)
+    {
         let ms = (attempt.began - closed) / MS;
-        let what =
-            format!("attempt of {id} at n{} began {ms} ms after its client had closed", asked.balancer);
-        return Some(Breach { rule: "lost", at: attempt.began, what });
+        let what = format!(
+            "attempt of {id} at n{} began {ms} ms after its client had closed",
+            asked.balancer
+        );
+        return Some(Breach {
+            rule: "lost",
+            at: attempt.began,
+            what,
+        });
     }
     let left = asked.deadline().saturating_sub(attempt.began);
     let told = attempt.told_ms.saturating_mul(MS);
@@ -137,7 +170,11 @@
         attempt.told_ms,
         left / MS
     );
-    Some(Breach { rule: "lost", at: attempt.began, what })
+    Some(Breach {
+        rule: "lost",
+        at: attempt.began,
+        what,
+    })
 }
 
 /// Attempts that came whole and may have run, each with the one before it.
@@ -145,9 +182,18 @@
     if asked.effect == Effect::Safe {
         return None;
     }
-    let mut ran: Vec<&&Attempt> = attempts.iter().filter(|a| a.end != AttemptEnd::TurnedAway).collect();
+    let mut ran: Vec<&&Attempt> = attempts
+        .iter()
+        .filter(|a| a.end != AttemptEnd::TurnedAway)
+        .collect();
     ran.sort_by_key(|attempt| attempt.began);
-    let breach = |at, what: String| Some(Breach { rule: "duplicate", at, what });
+    let breach = |at, what: String| {
+        Some(Breach {
+            rule: "duplicate",
+            at,
+            what,
+        })
+    };
     let (first, rest) = ran.split_first()?;
     let mut former = first;
     for attempt in rest {
@@ -156,10 +202,19 @@
         }
         if attempt.began > first.whole + rules.window + WINDOW_SLACK {
             let ms = (attempt.began - first.whole) / MS;
-            return breach(attempt.began, format!("{} repeated {ms} ms after it may have run", asked.id));
+            return breach(
+                attempt.began,
+                format!("{} repeated {ms} ms after it may have run", asked.id),
+            );
         }
-        if former.over.is_none_or(|over| over > attempt.whole + TOLD_SLACK) {
-            return breach(attempt.began, format!("{} sent while another was out", asked.id));
+        if former
+            .over
+            .is_none_or(|over| over > attempt.whole + TOLD_SLACK)
+        {
+            return breach(
+                attempt.began,
+                format!("{} sent while another was out", asked.id),
+            );
         }
         former = attempt;
     }
@@ -168,10 +223,16 @@
 
 /// When a change counts as told to a balancer.
 fn told(records: &Records, balancer: usize, version: u64, changed: Time) -> Time {
-    let written = records.told.iter().filter(|told| told.balancer == balancer && told.version >= version);
+    let written = records
+        .told
+        .iter()
+        .filter(|told| told.balancer == balancer && told.version >= version);
     let written = written.map(|told| told.at).min().unwrap_or(Time::MAX);
     let had = |at: Time| {
-        let down = records.down.iter().find(|span| span.from <= at && at < span.to);
+        let down = records
+            .down
+            .iter()
+            .find(|span| span.from <= at && at < span.to);
         down.map_or(at, |span| span.to)
     };
     // Counted anew from each moment from which discovery could be reached.
@@ -191,8 +252,16 @@
 
 fn drains(records: &Records, rules: &Rules, asked: &HashMap<&str, &Asked>) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for change in records.changes.iter().filter(|c| !matches!(c.state, CacheState::Up { .. })) {
-        for cache in change.caches.iter().filter(|cache| **cache < rules.own_listeners) {
+    for change in records
+        .changes
+        .iter()
+        .filter(|c| !matches!(c.state, CacheState::Up { .. }))
+    {
+        for cache in change
+            .caches
+            .iter()
+            .filter(|cache| **cache < rules.own_listeners)
+        {
             // Until it is at work again.
             let back = records.changes.iter().find(|later| {
                 later.version > change.version
@@ -200,9 +269,14 @@
                     && matches!(later.state, CacheState::Up { .. })
             });
             let until = back.map_or(Time::MAX, |back| back.at);
-            let at_cache = records.attempts.iter().filter(|a| a.listener == *cache && a.began < until);
+            let at_cache = records
+                .attempts
+                .iter()
+                .filter(|a| a.listener == *cache && a.began < until);
             for attempt in at_cache.filter(|attempt| attempt.began > change.at) {
-                let Some(balancer) = sender(asked, attempt) else { continue };
+                let Some(balancer) = sender(asked, attempt) else {
+                    continue;
+                };
                 let told = told(records, balancer, change.version, change.at);
                 let limit = told.saturating_add(rules.grace + DRAIN_SLACK);
                 if attempt.began > limit {
@@ -211,7 +285,11 @@
                         "{} sent by n{balancer} to cache {cache} {ms} ms after it was told that it is {:?}",
                         attempt.id, change.state
                     );
-                    breaches.push(Breach { rule: "drain", at: attempt.began, what });
+                    breaches.push(Breach {
+                        rule: "drain",
+                        at: attempt.began,
+                        what,
+                    });
                 }
             }
         }
@@ -223,15 +301,26 @@
 fn failbacks(records: &Records, rules: &Rules, asked: &HashMap<&str, &Asked>) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for change in &records.changes {
-        let CacheState::Up { born_ms: 1.. } = change.state else { continue };
-        for cache in change.caches.iter().filter(|cache| **cache < rules.own_listeners) {
+        let CacheState::Up { born_ms: 1.. } = change.state else {
+            continue;
+        };
+        for cache in change
+            .caches
+            .iter()
+            .filter(|cache| **cache < rules.own_listeners)
+        {
             let cold = change.at..change.at + rules.warm_after;
-            let came = records.attempts.iter().filter(|a| a.listener == *cache && cold.contains(&a.began));
+            let came = records
+                .attempts
+                .iter()
+                .filter(|a| a.listener == *cache && cold.contains(&a.began));
             let mut came: Vec<&Attempt> = came.collect();
             came.sort_by_key(|attempt| attempt.began);
             let fall = (0..came.len()).find_map(|last| {
                 let now = came[last].began;
-                let window = came[..=last].iter().filter(|a| a.began + rules.tip_after > now);
+                let window = came[..=last]
+                    .iter()
+                    .filter(|a| a.began + rules.tip_after > now);
                 let window: Vec<&Attempt> = window.copied().collect();
                 let age = (now - change.at) as f64 / rules.warm_after as f64;
                 (window.len() as f64 > rules.allowed(age)).then_some((now, window))
@@ -239,7 +328,8 @@
             let Some((at, window)) = fall else { continue };
             let knew = |attempt: &&&Attempt| {
                 let balancer = sender(asked, attempt);
-                balancer.is_some_and(|b| told(records, b, change.version, change.at) <= attempt.began)
+                balancer
+                    .is_some_and(|b| told(records, b, change.version, change.at) <= attempt.began)
             };
             let told = window.iter().filter(knew).count();
             if told as f64 > TOLD_PART * window.len() as f64 {
@@ -247,7 +337,11 @@
                     "cold cache {cache} got {} requests in a window, {told} of them by who knew",
                     window.len()
                 );
-                breaches.push(Breach { rule: "failback", at, what });
+                breaches.push(Breach {
+                    rule: "failback",
+                    at,
+                    what,
+                });
             }
         }
     }
@@ -259,10 +353,17 @@
     for (balancer, lives) in records.lives.iter().enumerate() {
         for life in lives {
             if let Some((at, false)) = life.ended {
-                breaches.push(Breach { rule: "crash", at, what: format!("n{balancer} ended by itself") });
+                breaches.push(Breach {
+                    rule: "crash",
+                    at,
+                    what: format!("n{balancer} ended by itself"),
+                });
             }
-            let over =
-                life.killed.or(life.ended.map(|(at, _)| at)).or(life.asked_to_end).unwrap_or(rules.length);
+            let over = life
+                .killed
+                .or(life.ended.map(|(at, _)| at))
+                .or(life.asked_to_end)
+                .unwrap_or(rules.length);
             let ready = life.ready.unwrap_or(over);
             let late = life.started + rules.ready_within;
             if ready > late + stood_still(records, balancer, life.started, ready) {
--- a/crates/trials/src/soak/sockets.rs
+++ b/crates/trials/src/soak/sockets.rs
@@ -30,7 +30,9 @@
 
 /// Waits a moment for any of these to become readable; tells which are, by their places.
 pub fn readable<'a>(sockets: impl Iterator<Item = BorrowedFd<'a>>) -> io::Result<Vec<bool>> {
-    let mut fds: Vec<PollFd> = sockets.map(|fd| PollFd::new(fd, PollFlags::POLLIN)).collect();
+    let mut fds: Vec<PollFd> = sockets
+        .map(|fd| PollFd::new(fd, PollFlags::POLLIN))
+        .collect();
     match poll(&mut fds, PollTimeout::from(WAIT_MS)) {
         Ok(_) | Err(nix::errno::Errno::EINTR) => {}
         Err(e) => return Err(e.into()),
@@ -62,7 +64,11 @@
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Ok(Connection { stream, input: Vec::new(), output: Vec::new() })
+        Ok(Connection {
+            stream,
+            input: Vec::new(),
+            output: Vec::new(),
+        })
     }
 
     /// For looks.
--- a/crates/trials/src/stand_ins/cache.rs
+++ b/crates/trials/src/stand_ins/cache.rs
@@ -106,7 +106,11 @@
     fn slowness(&self) -> f64 {
         let warm = self.options.warm_after.as_secs_f64();
         let age = self.started.elapsed().as_secs_f64();
-        let part = if warm > 0.0 { (age / warm).min(1.0) } else { 1.0 };
+        let part = if warm > 0.0 {
+            (age / warm).min(1.0)
+        } else {
+            1.0
+        };
         1.0 / (self.options.cold_from + (1.0 - self.options.cold_from) * part)
     }
 }
@@ -135,7 +139,10 @@
         });
         let serving = Arc::clone(&shared);
         let door = Door::open(address, move |stream| serve(&serving, stream))?;
-        Ok(Cache { shared, _door: door })
+        Ok(Cache {
+            shared,
+            _door: door,
+        })
     }
 
     /// What it did, by request id.
@@ -187,7 +194,14 @@
 
 /// A field of a command's list of names and values.
 fn field(options: &str, name: &str) -> Option<String> {
-    options.split(',').find_map(|pair| Some(pair.split_once('=').filter(|(n, _)| *n == name)?.1.to_string()))
+    options.split(',').find_map(|pair| {
+        Some(
+            pair.split_once('=')
+                .filter(|(n, _)| *n == name)?
+                .1
+                .to_string(),
+        )
+    })
 }
 
 fn answer(
@@ -198,7 +212,10 @@
     options: &[u8],
     value: Option<&[u8]>,
 ) -> io::Result<()> {
-    let (id, options) = (String::from_utf8_lossy(id).into_owned(), String::from_utf8_lossy(options));
+    let (id, options) = (
+        String::from_utf8_lossy(id).into_owned(),
+        String::from_utf8_lossy(options),
+    );
     let k = field(&options, "k");
     let (note, word) = {
         let mut state = shared.state();
@@ -211,7 +228,10 @@
             }
             state.waiting += 1;
             while state.at_work >= shared.options.slots {
-                state = shared.freed.wait(state).unwrap_or_else(PoisonError::into_inner);
+                state = shared
+                    .freed
+                    .wait(state)
+                    .unwrap_or_else(PoisonError::into_inner);
             }
             state.waiting -= 1;
         }
@@ -236,8 +256,9 @@
                 let hit = state.held.contains(key);
                 state.hits += u64::from(hit);
                 state.misses += u64::from(!hit);
-                let made =
-                    || format!("tile {} by {}", String::from_utf8_lossy(key), shared.name).into_bytes();
+                let made = || {
+                    format!("tile {} by {}", String::from_utf8_lossy(key), shared.name).into_bytes()
+                };
                 let word = state.written.get(key).cloned().unwrap_or_else(made);
                 (Some(if hit { "hit" } else { "miss" }), word)
             }
@@ -251,7 +272,11 @@
         _ if note == Some("hit") => true,
         Some(origin) => origin.work(),
         None => {
-            std::thread::sleep(if note.is_some() { shared.options.fetch } else { Duration::ZERO });
+            std::thread::sleep(if note.is_some() {
+                shared.options.fetch
+            } else {
+                Duration::ZERO
+            });
             true
         }
     };
--- a/crates/trials/src/stand_ins/clients.rs
+++ b/crates/trials/src/stand_ins/clients.rs
@@ -87,7 +87,11 @@
 
 impl Default for Behaviour {
     fn default() -> Self {
-        Behaviour { returns: 0, obey: true, first: 1.0 }
+        Behaviour {
+            returns: 0,
+            obey: true,
+            first: 1.0,
+        }
     }
 }
 
@@ -149,7 +153,10 @@
         seed: u64,
         begun: Instant,
     ) -> Self {
-        let (end, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (end, asked) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Vec::new())),
+        );
         // Of workers in turn so many stay with the first balancer that it gets its multiple of the mean.
         let others = doors.len() as f64 - 1.0;
         let first = behaviour.first / (behaviour.first + others);
@@ -182,7 +189,11 @@
                         let mut gone = 0.0;
                         while gone < gap && !end.load(Ordering::Relaxed) {
                             let per_s = load.get() / workers as f64;
-                            let left = if per_s > 0.0 { (gap - gone) / per_s } else { 1.0 };
+                            let left = if per_s > 0.0 {
+                                (gap - gone) / per_s
+                            } else {
+                                1.0
+                            };
                             // What is shorter is over: steps that round to nothing would never end.
                             let step = Duration::from_secs_f64(left.clamp(1e-4, 0.05));
                             next += step;
@@ -196,7 +207,11 @@
                 })
             })
             .collect();
-        Clients { end, asked, threads }
+        Clients {
+            end,
+            asked,
+            threads,
+        }
     }
 
     /// Ends them; what each asked, and how it went.
@@ -223,7 +238,9 @@
             stream.set_nodelay(true)?;
             self.stream = Some((stream.try_clone()?, BufReader::new(stream)));
         }
-        self.stream.as_mut().ok_or_else(|| io::Error::other("no connection"))
+        self.stream
+            .as_mut()
+            .ok_or_else(|| io::Error::other("no connection"))
     }
 
     /// One request, and its returns.
@@ -233,19 +250,25 @@
         loop {
             let one = self.ask(&order, again > 0);
             let (end, wait_ms) = (one.end, one.wait_ms);
-            asked.lock().unwrap_or_else(PoisonError::into_inner).push(one);
+            asked
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(one);
             // After a failure only what may run twice is said again; a refusal says that a return is harmless.
-            let harmless = end == End::Refused || end == End::Failed && order.class != "map-publish";
+            let harmless =
+                end == End::Refused || end == End::Failed && order.class != "map-publish";
             if !harmless || again >= self.behaviour.returns {
                 break;
             }
             again += 1;
             if self.behaviour.obey {
-                let wait = wait_ms.map_or(WAIT_USUAL, |ms| Duration::from_millis(ms.min(OBEYED_MOST)));
+                let wait =
+                    wait_ms.map_or(WAIT_USUAL, |ms| Duration::from_millis(ms.min(OBEYED_MOST)));
                 std::thread::sleep(wait);
             } else if self.doors.len() > 1 {
                 self.stream = None;
-                self.at = (self.at + 1 + self.rng.random_range(0..self.doors.len() - 1)) % self.doors.len();
+                self.at = (self.at + 1 + self.rng.random_range(0..self.doors.len() - 1))
+                    % self.doors.len();
             }
         }
         if self.at != self.home && self.stream.is_some() && !self.behaviour.obey {
@@ -263,14 +286,29 @@
         });
         let (class, _, deadline, write, keyed) = *class.unwrap_or(&CLASSES[0]);
         // A few keys are asked for far more than the others.
-        let key = format!("{:016x}", (KEYS as f64 * self.rng.random::<f64>().powi(3)) as u64);
+        let key = format!(
+            "{:016x}",
+            (KEYS as f64 * self.rng.random::<f64>().powi(3)) as u64
+        );
         // A return carries the key of the first.
         let keyed = keyed.then(|| format!("{}-{:x}", self.name, self.sent + 1));
-        Order { class, deadline, write, keyed, key }
+        Order {
+            class,
+            deadline,
+            write,
+            keyed,
+            key,
+        }
     }
 
     fn ask(&mut self, order: &Order, again: bool) -> Asked {
-        let Order { class, deadline, write, keyed, key } = order;
+        let Order {
+            class,
+            deadline,
+            write,
+            keyed,
+            key,
+        } = order;
         let (class, deadline, write) = (*class, *deadline, *write);
         self.sent += 1;
         let id = format!("{}{:012x}", self.name, self.sent);
@@ -281,8 +319,12 @@
         if again {
             options.push_str(",r=1");
         }
-        let mut words: Vec<&[u8]> =
-            vec![if write { b"C.SET" } else { b"C.GET" }, key.as_bytes(), id.as_bytes(), options.as_bytes()];
+        let mut words: Vec<&[u8]> = vec![
+            if write { b"C.SET" } else { b"C.GET" },
+            key.as_bytes(),
+            id.as_bytes(),
+            options.as_bytes(),
+        ];
         let value = format!("written by {id}");
         if write {
             words.push(value.as_bytes());
@@ -297,7 +339,17 @@
             self.at = self.rng.random_range(0..self.doors.len());
         }
         let at = sent.duration_since(begun).as_secs_f64();
-        Asked { id, class, balancer, at, took: sent.elapsed().as_secs_f64(), end, extra, again, wait_ms }
+        Asked {
+            id,
+            class,
+            balancer,
+            at,
+            took: sent.elapsed().as_secs_f64(),
+            end,
+            extra,
+            again,
+            wait_ms,
+        }
     }
 
     fn exchange(
@@ -311,13 +363,17 @@
         if self.stream.as_ref().is_some_and(|(stream, _)| {
             let _ = stream.set_nonblocking(true);
             let ended = matches!(stream.peek(&mut [0]), Ok(0))
-                || stream.peek(&mut [0]).is_err_and(|e| e.kind() != io::ErrorKind::WouldBlock);
+                || stream
+                    .peek(&mut [0])
+                    .is_err_and(|e| e.kind() != io::ErrorKind::WouldBlock);
             let _ = stream.set_nonblocking(false);
             ended
         }) {
             self.stream = None;
         }
-        let Ok((stream, input)) = self.connection() else { return (End::NoDoor, false, None) };
+        let Ok((stream, input)) = self.connection() else {
+            return (End::NoDoor, false, None);
+        };
         if stream.set_read_timeout(Some(most)).is_err() || stream.write_all(command).is_err() {
             return (End::Broken, false, None);
         }
@@ -333,7 +389,14 @@
                 End::Refused
             }
             Ok(_) => End::Failed,
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => End::Never,
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) =>
+            {
+                End::Never
+            }
             Err(_) => End::Broken,
         };
         // One request is out at a time: whatever else came is a second answer.
--- a/crates/trials/src/stand_ins/discovery.rs
+++ b/crates/trials/src/stand_ins/discovery.rs
@@ -46,7 +46,11 @@
     }
 
     /// The whole list as it goes over the wire, and its version; `None` if it is not newer than what was told.
-    pub fn line(&self, told: u64, dial: &impl Fn(&str) -> Option<SocketAddr>) -> Option<(u64, String)> {
+    pub fn line(
+        &self,
+        told: u64,
+        dial: &impl Fn(&str) -> Option<SocketAddr>,
+    ) -> Option<(u64, String)> {
         let list = self.lock();
         if list.0 <= told {
             return None;
@@ -61,7 +65,10 @@
                 }))
             })
             .collect();
-        Some((list.0, serde_json::json!({"seq": list.0, "whole": true, "hosts": hosts}).to_string()))
+        Some((
+            list.0,
+            serde_json::json!({"seq": list.0, "whole": true, "hosts": hosts}).to_string(),
+        ))
     }
 }
 
@@ -77,11 +84,17 @@
         list: List,
         dial: impl Fn(&str) -> Option<SocketAddr> + Clone + Send + 'static,
     ) -> io::Result<Self> {
-        Ok(Discovery { _door: Door::open(address, move |stream| serve(stream, &list, &dial))? })
+        Ok(Discovery {
+            _door: Door::open(address, move |stream| serve(stream, &list, &dial))?,
+        })
     }
 }
 
-fn serve(mut stream: TcpStream, list: &List, dial: &impl Fn(&str) -> Option<SocketAddr>) -> io::Result<()> {
+fn serve(
+    mut stream: TcpStream,
+    list: &List,
+    dial: &impl Fn(&str) -> Option<SocketAddr>,
+) -> io::Result<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") && head.len() < HEAD_MAX {
         let mut byte = [0];
--- a/crates/trials/src/stand_ins/mod.rs
+++ b/crates/trials/src/stand_ins/mod.rs
@@ -26,10 +26,13 @@
         address: SocketAddr,
         serve: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
     ) -> io::Result<Self> {
-        let listener =
-            TcpListener::bind(address).map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))?;
+        let listener = TcpListener::bind(address)
+            .map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))?;
         let address = listener.local_addr()?;
-        let (end, open) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::<TcpStream>::new())));
+        let (end, open) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Vec::<TcpStream>::new())),
+        );
         let (ending, taken) = (Arc::clone(&end), Arc::clone(&open));
         let thread = std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -50,7 +53,12 @@
                 });
             }
         });
-        Ok(Door { end, address, open, thread: Some(thread) })
+        Ok(Door {
+            end,
+            address,
+            open,
+            thread: Some(thread),
+        })
     }
 }
 
@@ -63,7 +71,12 @@
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        for stream in self.open.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
+        for stream in self
+            .open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .drain(..)
+        {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
--- a/crates/trials/src/stand_ins/origin.rs
+++ b/crates/trials/src/stand_ins/origin.rs
@@ -34,7 +34,10 @@
 impl Origin {
     /// An origin that works like this.
     pub fn new(options: OriginOptions) -> Self {
-        Origin { options, state: Arc::default() }
+        Origin {
+            options,
+            state: Arc::default(),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -62,7 +65,12 @@
                 state.failed += 1;
                 return false;
             }
-            state = self.state.1.wait_timeout(state, left).unwrap_or_else(PoisonError::into_inner).0;
+            state = self
+                .state
+                .1
+                .wait_timeout(state, left)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
         state.at_work += 1;
         state.fetches += 1;
--- a/crates/trials/src/switch.rs
+++ b/crates/trials/src/switch.rs
@@ -89,7 +89,9 @@
         let shared = Arc::new(Shared {
             sockets,
             own: own.to_vec(),
-            links: (0..n).map(|_| (0..n).map(|_| Link::default()).collect()).collect(),
+            links: (0..n)
+                .map(|_| (0..n).map(|_| Link::default()).collect())
+                .collect(),
             queue: Mutex::default(),
             wake: Condvar::new(),
             end: AtomicBool::new(false),
@@ -114,7 +116,10 @@
 
     /// Datagrams passed on, and lost by faults.
     pub fn counts(&self) -> (u64, u64) {
-        (self.shared.passed.load(Ordering::Relaxed), self.shared.lost.load(Ordering::Relaxed))
+        (
+            self.shared.passed.load(Ordering::Relaxed),
+            self.shared.lost.load(Ordering::Relaxed),
+        )
     }
 }
 
@@ -122,9 +127,13 @@
     fn take(&self, to: usize, mut rng: Xoshiro256PlusPlus) {
         let mut bytes = [0; 2_048];
         while !self.end.load(Ordering::Relaxed) {
-            let Ok((length, source)) = self.sockets[to].recv_from(&mut bytes) else { continue };
+            let Ok((length, source)) = self.sockets[to].recv_from(&mut bytes) else {
+                continue;
+            };
             // Nobody else has business here.
-            let Some(from) = self.own.iter().position(|own| *own == source) else { continue };
+            let Some(from) = self.own.iter().position(|own| *own == source) else {
+                continue;
+            };
             let faults = self.links[from][to].get();
             if faults.cut || rng.random_bool(faults.drop) {
                 self.lost.fetch_add(1, Ordering::Relaxed);
@@ -157,7 +166,13 @@
         if queue.held.len() < HELD_MAX {
             queue.number += 1;
             let number = queue.number;
-            queue.held.push(Held { at, number, from, to, bytes: bytes.to_vec() });
+            queue.held.push(Held {
+                at,
+                number,
+                from,
+                to,
+                bytes: bytes.to_vec(),
+            });
             self.wake.notify_one();
         }
     }
@@ -181,7 +196,11 @@
                 Some(held) => held.at - now,
                 None => LOOK,
             };
-            queue = self.wake.wait_timeout(queue, wait.min(LOOK)).unwrap_or_else(PoisonError::into_inner).0;
+            queue = self
+                .wake
+                .wait_timeout(queue, wait.min(LOOK))
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 }
@@ -201,11 +220,20 @@
     use crate::faults::Faults;
 
     fn pair() -> (Vec<UdpSocket>, Vec<SocketAddr>, Switch) {
-        let own: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let own: Vec<UdpSocket> = (0..2)
+            .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
+            .collect();
         for socket in &own {
-            socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+            socket
+                .set_read_timeout(Some(Duration::from_secs(10)))
+                .unwrap();
         }
-        let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let free = || {
+            UdpSocket::bind("127.0.0.1:0")
+                .unwrap()
+                .local_addr()
+                .unwrap()
+        };
         let advertised = vec![free(), free()];
         let addresses: Vec<SocketAddr> = own.iter().map(|s| s.local_addr().unwrap()).collect();
         let switch = Switch::start(&advertised, &addresses, 1).unwrap();
@@ -219,14 +247,25 @@
         own[0].send_to(b"one", advertised[1]).unwrap();
         let (length, from) = own[1].recv_from(&mut bytes).unwrap();
         assert_eq!((&bytes[..length], from), (b"one".as_slice(), advertised[0]));
-        switch.link(0, 1).set(Faults { cut: true, ..Faults::default() });
+        switch.link(0, 1).set(Faults {
+            cut: true,
+            ..Faults::default()
+        });
         own[0].send_to(b"lost", advertised[1]).unwrap();
         own[1].send_to(b"back", advertised[0]).unwrap();
-        assert_eq!(own[0].recv_from(&mut bytes).unwrap().0, 4, "the other direction is open");
+        assert_eq!(
+            own[0].recv_from(&mut bytes).unwrap().0,
+            4,
+            "the other direction is open"
+        );
         while switch.counts().1 == 0 {
             std::thread::yield_now();
         }
-        switch.link(0, 1).set(Faults { duplicate: 1.0, delay_ms: 5, ..Faults::default() });
+        switch.link(0, 1).set(Faults {
+            duplicate: 1.0,
+            delay_ms: 5,
+            ..Faults::default()
+        });
         own[0].send_to(b"two", advertised[1]).unwrap();
         for _ in 0..2 {
             let (length, _) = own[1].recv_from(&mut bytes).unwrap();
@@ -237,7 +276,10 @@
     #[test]
     fn who_is_held_back_comes_behind() {
         let (own, advertised, switch) = pair();
-        switch.link(0, 1).set(Faults { reorder: 1.0, ..Faults::default() });
+        switch.link(0, 1).set(Faults {
+            reorder: 1.0,
+            ..Faults::default()
+        });
         own[0].send_to(b"first", advertised[1]).unwrap();
         while switch.shared.queue.lock().unwrap().held.is_empty() {
             std::thread::yield_now();
@@ -251,6 +293,10 @@
             order.push(bytes[..length].to_vec());
         }
         order.sort();
-        assert_eq!(order, [b"first".to_vec(), b"second".to_vec()], "both come, in whatever order");
+        assert_eq!(
+            order,
+            [b"first".to_vec(), b"second".to_vec()],
+            "both come, in whatever order"
+        );
     }
 }
--- a/crates/trials/src/timeline.rs
+++ b/crates/trials/src/timeline.rs
@@ -79,7 +79,13 @@
 
 impl Default for CacheFigures {
     fn default() -> Self {
-        CacheFigures { slots: 4, queue: 32, service_ms: 8, cold_from: 1.0, warm_s: 0.0 }
+        CacheFigures {
+            slots: 4,
+            queue: 32,
+            service_ms: 8,
+            cold_from: 1.0,
+            warm_s: 0.0,
+        }
     }
 }
 
@@ -217,7 +223,10 @@
     for (i, step) in scenario.steps.iter().enumerate() {
         let wrong = |key: &str, problem: String| Err(format!("step[{i}].{key}: {problem}"));
         if !step.at.is_finite() || step.at < before {
-            return wrong("at", format!("{} comes before the step above, at {before}", step.at));
+            return wrong(
+                "at",
+                format!("{} comes before the step above, at {before}", step.at),
+            );
         }
         before = step.at;
         for (key, text) in [("members", &step.members), ("to", &step.to)] {
@@ -225,8 +234,18 @@
                 return wrong(key, problem);
             }
         }
-        if step.act == Act::Load && step.rate.is_none_or(|rate| !(0.0..=RATE_MAX).contains(&rate)) {
-            return wrong("rate", format!("{:?}; 0 to {RATE_MAX} requests a second are expected", step.rate));
+        if step.act == Act::Load
+            && step
+                .rate
+                .is_none_or(|rate| !(0.0..=RATE_MAX).contains(&rate))
+        {
+            return wrong(
+                "rate",
+                format!(
+                    "{:?}; 0 to {RATE_MAX} requests a second are expected",
+                    step.rate
+                ),
+            );
         }
         if step.act == Act::SlowOrigin && step.slow.is_none_or(|slow| slow < 1.0) {
             return wrong("slow", format!("{:?}; 1 or more is expected", step.slow));
@@ -237,7 +256,10 @@
             ("reorder", step.faults.reorder),
         ] {
             if !(0.0..=1.0).contains(&share) {
-                return wrong(&format!("faults.{key}"), format!("{share} is no share of 0 to 1"));
+                return wrong(
+                    &format!("faults.{key}"),
+                    format!("{share} is no share of 0 to 1"),
+                );
             }
         }
     }
@@ -282,16 +304,31 @@
     fn a_timeline_is_read_and_a_faulty_one_named() {
         let scenario = read(GOOD).unwrap();
         assert_eq!(members(&scenario.steps[0].members, 8).unwrap(), [0, 2, 3]);
-        assert_eq!((scenario.steps[0].act, scenario.steps[1].act), (Act::Cut, Act::Heal));
+        assert_eq!(
+            (scenario.steps[0].act, scenario.steps[1].act),
+            (Act::Cut, Act::Heal)
+        );
         for (from, to, message) in [
-            ("at=9.5", "at=3", "step[1].at: 3 comes before the step above, at 4"),
+            (
+                "at=9.5",
+                "at=3",
+                "step[1].at: 3 comes before the step above, at 4",
+            ),
             ("'0,2-3'", "'x'", "step[0].members: \"x\" is no member"),
-            ("both=true", "faults={drop=1.5}", "step[0].faults.drop: 1.5 is no share of 0 to 1"),
+            (
+                "both=true",
+                "faults={drop=1.5}",
+                "step[0].faults.drop: 1.5 is no share of 0 to 1",
+            ),
         ] {
             let error = read(&GOOD.replace(from, to)).unwrap_err();
             assert!(error.starts_with(message), "{error}");
         }
-        assert!(read(&GOOD.replace("'heal'", "'mend'")).unwrap_err().contains("unknown variant `mend`"));
+        assert!(
+            read(&GOOD.replace("'heal'", "'mend'"))
+                .unwrap_err()
+                .contains("unknown variant `mend`")
+        );
     }
 
     #[test]
--- a/crates/trials/src/virtual_overload.rs
+++ b/crates/trials/src/virtual_overload.rs
@@ -39,8 +39,13 @@
 }
 
 /// All of them, in the order of the table.
-pub const TROUBLES: [Trouble; 5] =
-    [Trouble::None, Trouble::Split, Trouble::Silence, Trouble::Uneven, Trouble::Restarts];
+pub const TROUBLES: [Trouble; 5] = [
+    Trouble::None,
+    Trouble::Split,
+    Trouble::Silence,
+    Trouble::Uneven,
+    Trouble::Restarts,
+];
 
 /// What a fleet's level did through an overload of twice the room.
 #[derive(Clone, Debug, Serialize)]
@@ -110,7 +115,10 @@
             *whole = carried.floor() as u32;
             *carried -= carried.floor();
         }
-        let mut tally = Tally { short: whole[2], ..Tally::default() };
+        let mut tally = Tally {
+            short: whole[2],
+            ..Tally::default()
+        };
         (tally.let_in[READS], tally.let_in[WRITES]) = (whole[0], whole[1]);
         fleet.count(n, tally);
     }
@@ -122,8 +130,13 @@
 }
 
 fn spread(fleet: &Fleet) -> f64 {
-    let levels = fleet.running().into_iter().map(|n| shed(fleet.level(n), READS));
-    let (least, most) = levels.fold((f64::MAX, 0f64), |(a, b), level| (a.min(level), b.max(level)));
+    let levels = fleet
+        .running()
+        .into_iter()
+        .map(|n| shed(fleet.level(n), READS));
+    let (least, most) = levels.fold((f64::MAX, 0f64), |(a, b), level| {
+        (a.min(level), b.max(level))
+    });
     (most - least).max(0.0)
 }
 
@@ -138,7 +151,13 @@
 }
 
 /// Plays calm, 15 s of twice the room, and calm until nothing is shed.
-fn run(members: usize, loss: f64, seed: u64, trouble: Trouble, apart: bool) -> (Sum, Option<f64>, f64) {
+fn run(
+    members: usize,
+    loss: f64,
+    seed: u64,
+    trouble: Trouble,
+    apart: bool,
+) -> (Sum, Option<f64>, f64) {
     let mut fleet = met(members, loss, seed);
     fleet.network.load_loss = if apart { 1.0 } else { 0.0 };
     let mut weights = vec![1.0; members];
@@ -152,7 +171,13 @@
     for _ in 0..5 * S / TICK {
         tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
     }
-    let sent = |fleet: &Fleet| fleet.running().iter().map(|n| fleet.traffic(*n).sent).sum::<u64>();
+    let sent = |fleet: &Fleet| {
+        fleet
+            .running()
+            .iter()
+            .map(|n| fleet.traffic(*n).sent)
+            .sum::<u64>()
+    };
     let mut sum = Sum::default();
     let (begun, before) = (fleet.now, sent(&fleet));
     let quarter = members - members.div_ceil(4)..members;
@@ -169,7 +194,9 @@
                 fleet.split(half, false);
                 stage = 2;
             }
-            Trouble::Silence => fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart),
+            Trouble::Silence => {
+                fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart)
+            }
             Trouble::Restarts if stage == 0 && at >= 5 * S => {
                 quarter.clone().for_each(|n| fleet.kill(n));
                 stage = 1;
@@ -238,12 +265,24 @@
     let mut fleet = met(6, 0.0, seed);
     let (mut carried, weights) = (vec![[0.0; 3]; 6], vec![1.0; 6]);
     for _ in 0..5 * S / TICK {
-        tick(&mut fleet, &mut carried, &weights, 8.0 * ROOM, &mut Sum::default());
+        tick(
+            &mut fleet,
+            &mut carried,
+            &weights,
+            8.0 * ROOM,
+            &mut Sum::default(),
+        );
     }
     (1..6).for_each(|n| fleet.kill(n));
     let gone = fleet.now;
     while fleet.level(0) > 0.0 && fleet.now - gone < FRESH + 15 * S {
-        fleet.count(0, Tally { let_in: [4; TIERS_COUNTED], short: 0 });
+        fleet.count(
+            0,
+            Tally {
+                let_in: [4; TIERS_COUNTED],
+                short: 0,
+            },
+        );
         fleet.play(fleet.now + TICK);
     }
     match fleet.level(0) {
--- a/crates/trials/src/virtual_region_trials.rs
+++ b/crates/trials/src/virtual_region_trials.rs
@@ -16,7 +16,11 @@
 /// A fleet in regions of these sizes in which all views are true.
 pub fn settled(sizes: &[usize], seed: u64) -> Result<Fleet, String> {
     let mut fleet = Fleet::in_regions(sizes, seed);
-    fleet.between = Some(Network { delay: 40 * MS, jitter: 5 * MS, ..Network::default() });
+    fleet.between = Some(Network {
+        delay: 40 * MS,
+        jitter: 5 * MS,
+        ..Network::default()
+    });
     fleet.start_all();
     settle(&mut fleet, "the regions meet")?;
     Ok(fleet)
@@ -24,7 +28,9 @@
 
 fn settle(fleet: &mut Fleet, what: &str) -> Result<(), String> {
     let settled = fleet.until(CEILING, Fleet::settled);
-    settled.map(|_| ()).ok_or_else(|| format!("{what}: not settled after {} s", CEILING / S))
+    settled
+        .map(|_| ())
+        .ok_or_else(|| format!("{what}: not settled after {} s", CEILING / S))
 }
 
 /// Regions are cut apart, and one of them in two, in a row drawn by the seed: the shares keep their bound.
@@ -36,13 +42,22 @@
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     for _ in 0..3 {
         let sides: Vec<usize> = sizes.iter().map(|_| rng.random_range(0..3)).collect();
-        let (in_two, at) = (rng.random_range(0..sizes.len()), rng.random_range(0..sizes[0]));
+        let (in_two, at) = (
+            rng.random_range(0..sizes.len()),
+            rng.random_range(0..sizes[0]),
+        );
         let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
-        let side = |n: usize| 2 * sides[regions[n]] + usize::from(regions[n] == in_two && n % sizes[0] < at);
+        let side = |n: usize| {
+            2 * sides[regions[n]] + usize::from(regions[n] == in_two && n % sizes[0] < at)
+        };
         fleet.split(side, true);
         for _ in 0..rng.random_range(5..60) {
             fleet.play(fleet.now + S);
-            let sum: f64 = fleet.running().iter().map(|n| 1.0 / fleet.view(*n).count.max(1) as f64).sum();
+            let sum: f64 = fleet
+                .running()
+                .iter()
+                .map(|n| 1.0 / fleet.view(*n).count.max(1) as f64)
+                .sum();
             if sum >= BOUND {
                 return Err(format!("the shares sum to {sum:.2}"));
             }
@@ -57,7 +72,10 @@
 pub fn delegates_die(seed: u64) -> Result<(), String> {
     let mut fleet = settled(&[20, 8, 8], seed)?;
     fleet.play(fleet.now + 10 * S);
-    let named: Vec<SocketAddr> = fleet.member(0).map(|m| m.delegates().to_vec()).unwrap_or_default();
+    let named: Vec<SocketAddr> = fleet
+        .member(0)
+        .map(|m| m.delegates().to_vec())
+        .unwrap_or_default();
     for n in (0..20).filter(|n| named.contains(&address(*n))) {
         fleet.kill(n);
     }
@@ -67,7 +85,12 @@
 /// Half of all datagrams between regions are lost: changes get through, though each is told once only.
 pub fn lossy(seed: u64) -> Result<(), String> {
     let mut fleet = settled(&[12, 12, 6, 6], seed)?;
-    fleet.between = Some(Network { loss: 0.5, delay: 40 * MS, jitter: 5 * MS, ..Network::default() });
+    fleet.between = Some(Network {
+        loss: 0.5,
+        delay: 40 * MS,
+        jitter: 5 * MS,
+        ..Network::default()
+    });
     for n in [3, 15, 25, 31] {
         fleet.kill(n);
         settle(&mut fleet, "a death with half of the datagrams lost")?;
@@ -81,9 +104,20 @@
 pub fn lies(seed: u64) -> Result<(), String> {
     let mut fleet = settled(&[12, 6], seed)?;
     fleet.play(fleet.now + 20 * S);
-    let speaks = |n: &usize| fleet.member(*n).is_some_and(|m| m.delegates().contains(&address(*n)));
-    let delegate = (0..12).find(speaks).ok_or("nobody speaks for the first region")?;
-    let row = fleet.view(delegate).regions.first().map(|seen| seen.row.clone()).ok_or("one region only")?;
+    let speaks = |n: &usize| {
+        fleet
+            .member(*n)
+            .is_some_and(|m| m.delegates().contains(&address(*n)))
+    };
+    let delegate = (0..12)
+        .find(speaks)
+        .ok_or("nobody speaks for the first region")?;
+    let row = fleet
+        .view(delegate)
+        .regions
+        .first()
+        .map(|seen| seen.row.clone())
+        .ok_or("one region only")?;
     let author = row.delegates[0];
     let announcement = |version: u64, places: u32| Announcement {
         region: region_name(1),
@@ -99,13 +133,25 @@
             replaces: None,
         }),
     };
-    for lie in [announcement(row.version + 1, u32::MAX / 2), announcement(row.version - 1, 500)] {
+    for lie in [
+        announcement(row.version + 1, u32::MAX / 2),
+        announcement(row.version - 1, 500),
+    ] {
         let payload = Told::write(&[Told::new(lie)]);
-        fleet.inject(delegate, author, &seal(Numbers::new("trial", "any"), Kind::RegionNews, &payload));
+        fleet.inject(
+            delegate,
+            author,
+            &seal(Numbers::new("trial", "any"), Kind::RegionNews, &payload),
+        );
     }
     for _ in 0..100 {
         fleet.play(fleet.now + S / 10);
-        let count = fleet.running().into_iter().map(|n| fleet.view(n).count).max().unwrap_or(0);
+        let count = fleet
+            .running()
+            .into_iter()
+            .map(|n| fleet.view(n).count)
+            .max()
+            .unwrap_or(0);
         if count > 18 {
             return Err(format!("shares are divided by {count}, and 18 members run"));
         }
@@ -116,7 +162,11 @@
 /// Members that are told addresses in another region only find their own by what those refer them to.
 pub fn referral(seed: u64) -> Result<(), String> {
     let mut fleet = Fleet::in_regions(&[8, 8], seed);
-    fleet.between = Some(Network { delay: 40 * MS, jitter: 5 * MS, ..Network::default() });
+    fleet.between = Some(Network {
+        delay: 40 * MS,
+        jitter: 5 * MS,
+        ..Network::default()
+    });
     fleet.join_at(&[0, 1]);
     fleet.start_all();
     settle(&mut fleet, "a region that knows addresses of another only")
--- a/crates/trials/src/virtual_regions.rs
+++ b/crates/trials/src/virtual_regions.rs
@@ -57,7 +57,11 @@
 
 impl Events {
     /// All of them.
-    pub const ALL: Events = Events { deaths: true, losses: true, cut: true };
+    pub const ALL: Events = Events {
+        deaths: true,
+        losses: true,
+        cut: true,
+    };
 }
 
 /// What it costs and takes; times in seconds, `None` if it took over a minute.
@@ -124,8 +128,10 @@
 pub fn sizes(members: usize, regions: usize) -> Vec<usize> {
     let weights: Vec<f64> = (1..=regions).map(|n| (n as f64).powf(UNEVEN)).collect();
     let sum: f64 = weights.iter().sum();
-    let mut sizes: Vec<usize> =
-        weights.iter().map(|weight| ((members as f64 * weight / sum) as usize).max(1)).collect();
+    let mut sizes: Vec<usize> = weights
+        .iter()
+        .map(|weight| ((members as f64 * weight / sum) as usize).max(1))
+        .collect();
     let missing = members.saturating_sub(sizes.iter().sum());
     (0..missing).for_each(|n| sizes[n % regions] += 1);
     sizes
@@ -157,7 +163,9 @@
 }
 
 fn bytes_of(fleet: &Fleet) -> Vec<u64> {
-    (0..fleet.len()).map(|n| fleet.traffic(n).sent_bytes).collect()
+    (0..fleet.len())
+        .map(|n| fleet.traffic(n).sent_bytes)
+        .collect()
 }
 
 fn sent_of(fleet: &Fleet) -> u64 {
@@ -169,7 +177,9 @@
 }
 
 fn speaks(fleet: &Fleet, n: usize) -> bool {
-    fleet.member(n).is_some_and(|member| member.delegates().contains(&member.id().address))
+    fleet
+        .member(n)
+        .is_some_and(|member| member.delegates().contains(&member.id().address))
 }
 
 impl Meter {
@@ -188,7 +198,11 @@
     /// A second has passed.
     fn second(&mut self, fleet: &Fleet) {
         let now = bytes_of(fleet);
-        let most = now.iter().zip(&self.last).map(|(now, last)| now.saturating_sub(*last)).max();
+        let most = now
+            .iter()
+            .zip(&self.last)
+            .map(|(now, last)| now.saturating_sub(*last))
+            .max();
         self.worst = self.worst.max(most.unwrap_or(0));
         self.last = now;
     }
@@ -198,10 +212,15 @@
         let now = bytes_of(fleet);
         let running = fleet.running();
         let bytes = |n: usize| now[n].saturating_sub(self.bytes[n]) as f64 / length;
-        let cpu = |n: usize| fleet.busy(n).saturating_sub(self.busy[n]).as_secs_f64() / length * 100.0;
+        let cpu =
+            |n: usize| fleet.busy(n).saturating_sub(self.busy[n]).as_secs_f64() / length * 100.0;
         let all = |of: &dyn Fn(usize) -> f64| running.iter().map(|n| of(*n)).collect::<Vec<f64>>();
         let cpus = all(&cpu);
-        let delegates: Vec<f64> = running.iter().filter(|n| speaks(fleet, **n)).map(|n| bytes(*n)).collect();
+        let delegates: Vec<f64> = running
+            .iter()
+            .filter(|n| speaks(fleet, **n))
+            .map(|n| bytes(*n))
+            .collect();
         Cost {
             bytes_worst: self.worst,
             bytes_most: all(&bytes).into_iter().fold(0.0, f64::max),
@@ -306,15 +325,21 @@
     let one = of_region[of_region.len() / 2];
     let mut events = vec![
         event(fleet, "one dies", REGION, whole, |fleet| fleet.kill(one)),
-        event(fleet, "it is back", REGION, whole, |fleet| fleet.start(one, 0)),
+        event(fleet, "it is back", REGION, whole, |fleet| {
+            fleet.start(one, 0)
+        }),
     ];
     let leads = |n: &usize| {
         let member = fleet.member(*n);
         member.is_some_and(|member| member.delegates().first() == Some(&member.id().address))
     };
     if let Some(leader) = of_region.iter().copied().find(leads) {
-        events.push(event(fleet, "the leader dies", REGION, whole, |fleet| fleet.kill(leader)));
-        events.push(event(fleet, "it is back", REGION, whole, |fleet| fleet.start(leader, 0)));
+        events.push(event(fleet, "the leader dies", REGION, whole, |fleet| {
+            fleet.kill(leader)
+        }));
+        events.push(event(fleet, "it is back", REGION, whole, |fleet| {
+            fleet.start(leader, 0)
+        }));
     }
     events
 }
@@ -322,8 +347,17 @@
 /// A rack dies and is back, then a zone.
 fn losses(fleet: &mut Fleet) -> Vec<Event> {
     let of_region = fleet.of_region(REGION);
-    let rack: Vec<usize> = of_region.iter().copied().rev().take(RACK.min(of_region.len() / 2)).collect();
-    let zone: Vec<usize> = of_region.iter().copied().skip(of_region.len().div_ceil(2)).collect();
+    let rack: Vec<usize> = of_region
+        .iter()
+        .copied()
+        .rev()
+        .take(RACK.min(of_region.len() / 2))
+        .collect();
+    let zone: Vec<usize> = of_region
+        .iter()
+        .copied()
+        .skip(of_region.len().div_ceil(2))
+        .collect();
     let mut events = Vec::new();
     for (what, lost) in [("a rack dies", rack), ("a zone dies", zone)] {
         let kill = |fleet: &mut Fleet| lost.iter().for_each(|n| fleet.kill(*n));
@@ -338,9 +372,17 @@
 fn cut(fleet: &mut Fleet) -> Vec<Event> {
     let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
     let apart = |n: usize| usize::from(regions[n] == REGION);
-    let off = event(fleet, "a region is cut off", REGION, apart, |fleet| fleet.split(apart, true));
+    let off = event(fleet, "a region is cut off", REGION, apart, |fleet| {
+        fleet.split(apart, true)
+    });
     fleet.play(fleet.now + CUT);
-    let back = event(fleet, "it is heard again", REGION, |_| 0, |fleet| fleet.split(apart, false));
+    let back = event(
+        fleet,
+        "it is heard again",
+        REGION,
+        |_| 0,
+        |fleet| fleet.split(apart, false),
+    );
     vec![off, back]
 }
 
@@ -357,14 +399,21 @@
         meter.second(&fleet);
     }
     let cost = meter.cost(&fleet);
-    let memory_kb = resident.zip(resident_kb()).map(|(from, to)| (to - from) / plan.members as f64);
+    let memory_kb = resident
+        .zip(resident_kb())
+        .map(|(from, to)| (to - from) / plan.members as f64);
     let false_deaths = fleet.false_deaths() - false_before;
     let entries = (0..fleet.len()).filter_map(|n| fleet.member(n));
-    let entries = entries.map(|m| m.seen().count() + m.region_rows().count() + m.announcements()).max();
+    let entries = entries
+        .map(|m| m.seen().count() + m.region_rows().count() + m.announcements())
+        .max();
     Measured {
         members: plan.members,
         regions: plan.regions,
-        largest: sizes(plan.members, plan.regions).into_iter().max().unwrap_or(0),
+        largest: sizes(plan.members, plan.regions)
+            .into_iter()
+            .max()
+            .unwrap_or(0),
         loss: plan.loss,
         seed: plan.seed,
         join_s: seconds(joined),
--- a/crates/trials/src/virtual_time.rs
+++ b/crates/trials/src/virtual_time.rs
@@ -27,7 +27,13 @@
 
 impl Default for Network {
     fn default() -> Self {
-        Network { loss: 0.0, delay: MS / 2, jitter: MS / 2, twice: 0.0, load_loss: 0.0 }
+        Network {
+            loss: 0.0,
+            delay: MS / 2,
+            jitter: MS / 2,
+            twice: 0.0,
+            load_loss: 0.0,
+        }
     }
 }
 
@@ -140,8 +146,15 @@
     pub fn in_regions(sizes: &[usize], seed: u64) -> Self {
         let mut fleet = Fleet::new(sizes.iter().sum(), 2, seed);
         fleet.in_regions = true;
-        let regions = sizes.iter().enumerate().flat_map(|(region, size)| vec![region; *size]);
-        fleet.places.iter_mut().zip(regions).for_each(|(place, region)| place.region = region);
+        let regions = sizes
+            .iter()
+            .enumerate()
+            .flat_map(|(region, size)| vec![region; *size]);
+        fleet
+            .places
+            .iter_mut()
+            .zip(regions)
+            .for_each(|(place, region)| place.region = region);
         fleet
     }
 
@@ -162,7 +175,9 @@
 
     /// The places of a region.
     pub fn of_region(&self, region: usize) -> Vec<usize> {
-        (0..self.places.len()).filter(|n| self.places[*n].region == region).collect()
+        (0..self.places.len())
+            .filter(|n| self.places[*n].region == region)
+            .collect()
     }
 
     /// From now on members tell of requests that change all the time.
@@ -211,10 +226,17 @@
     pub fn start(&mut self, n: usize, clock_ms: i64) {
         let region = self.places[n].region;
         let location = match self.in_regions {
-            true => Location { region: region_name(region), ..Location::default() },
+            true => Location {
+                region: region_name(region),
+                ..Location::default()
+            },
             false => Location::default(),
         };
-        let first = self.places.iter().position(|place| place.region == region).unwrap_or(0);
+        let first = self
+            .places
+            .iter()
+            .position(|place| place.region == region)
+            .unwrap_or(0);
         let of_region = (first..self.places.len()).filter(|n| self.places[*n].region == region);
         let mut join: Vec<SocketAddr> = of_region.take(self.joins).map(address).collect();
         join.extend(self.joins_at.iter().map(|n| address(*n)));
@@ -298,12 +320,18 @@
 
     /// Those that run.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.places.len()).filter(|n| self.places[*n].member.is_some()).collect()
+        (0..self.places.len())
+            .filter(|n| self.places[*n].member.is_some())
+            .collect()
     }
 
     /// What a member sees; it must run.
     pub fn view(&self, n: usize) -> View {
-        self.places[n].member.as_ref().map(Member::view).unwrap_or_default()
+        self.places[n]
+            .member
+            .as_ref()
+            .map(Member::view)
+            .unwrap_or_default()
     }
 
     /// How often anybody took a member for dead that ran and could be reached by it.
@@ -313,7 +341,11 @@
 
     /// The sum of all counts of datagrams, of those that run.
     pub fn traffic(&self, n: usize) -> Traffic {
-        self.places[n].member.as_ref().map(Member::traffic).unwrap_or(self.places[n].traffic)
+        self.places[n]
+            .member
+            .as_ref()
+            .map(Member::traffic)
+            .unwrap_or(self.places[n].traffic)
     }
 
     fn push(&mut self, at: Nanos, what: What) {
@@ -323,7 +355,9 @@
 
     fn send(&mut self, from: usize, outputs: Vec<(SocketAddr, Vec<u8>)>) {
         for (to, datagram) in outputs {
-            let Some(to) = self.numbers.get(&to).copied() else { continue };
+            let Some(to) = self.numbers.get(&to).copied() else {
+                continue;
+            };
             self.pass(from, to, datagram);
         }
     }
@@ -364,7 +398,11 @@
 
     /// Plays on until then.
     pub fn play(&mut self, until: Nanos) {
-        while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
+        while let Some(entry) = self
+            .queue
+            .first_entry()
+            .filter(|entry| entry.key().0 <= until)
+        {
             let ((at, _), what) = entry.remove_entry();
             self.now = self.now.max(at);
             match what {
@@ -378,7 +416,9 @@
     fn turn(&mut self, n: usize) {
         let now = self.now;
         let place = &mut self.places[n];
-        let Some(member) = &mut place.member else { return };
+        let Some(member) = &mut place.member else {
+            return;
+        };
         if place.stalled > now {
             let at = place.stalled;
             return self.push(at, What::Turn(n));
@@ -405,7 +445,9 @@
     fn arrive(&mut self, n: usize, from: SocketAddr, datagram: Vec<u8>) {
         let now = self.now;
         let place = &mut self.places[n];
-        let Some(member) = &mut place.member else { return };
+        let Some(member) = &mut place.member else {
+            return;
+        };
         if place.stalled > now {
             if place.inbox.len() < INBOX {
                 place.inbox.push((from, datagram));
@@ -419,15 +461,24 @@
     }
 
     fn after(&mut self, n: usize) {
-        let Some(member) = &mut self.places[n].member else { return };
+        let Some(member) = &mut self.places[n].member else {
+            return;
+        };
         let outputs = member.take_outputs();
         let changes = member.take_changes();
         let sent = outputs.len() as u64;
         self.places[n].sent_max = self.places[n].sent_max.max(sent);
         for change in changes {
-            if let Change::Became { id, is: State::Dead, .. } = change
+            if let Change::Became {
+                id,
+                is: State::Dead,
+                ..
+            } = change
                 && let Some(&other) = self.numbers.get(&id.address)
-                && self.places[other].member.as_ref().is_some_and(|m| m.id() == id)
+                && self.places[other]
+                    .member
+                    .as_ref()
+                    .is_some_and(|m| m.id() == id)
                 && self.places[other].stalled <= self.now
                 && !self.cut[other][n]
                 && !self.cut[n][other]
@@ -450,7 +501,10 @@
         let count = self.places.len();
         let living = self.living(&side);
         let untrue = |n: &usize| !self.sees_the_truth(*n, &side, &living);
-        match (0..count).map(|i| (self.untrue_at.get() + i) % count).find(untrue) {
+        match (0..count)
+            .map(|i| (self.untrue_at.get() + i) % count)
+            .find(untrue)
+        {
             Some(n) => {
                 self.untrue_at.set(n);
                 false
@@ -493,17 +547,28 @@
         side: impl Fn(usize) -> usize,
         living: &HashMap<(usize, usize), usize>,
     ) -> bool {
-        let Some(member) = &self.places[n].member else { return true };
+        let Some(member) = &self.places[n].member else {
+            return true;
+        };
         let region = self.places[n].region;
         let with_it = living[&(region, side(n))] - 1;
         let mut there = 0;
         let true_ones = member.seen().filter(|seen| {
             there += usize::from(seen.state.is_there());
             // Where datagrams get lost a suspicion that is refuted at once is no error.
-            let serves = seen.soft.as_ref().is_some_and(|soft| soft.phase == Phase::Serving);
+            let serves = seen
+                .soft
+                .as_ref()
+                .is_some_and(|soft| soft.phase == Phase::Serving);
             let right = seen.state == State::Serving || seen.state == State::Stalled && serves;
-            let of = self.numbers.get(&seen.id.address).copied().filter(|m| side(*m) == side(n));
-            let id = of.and_then(|m| self.places[m].member.as_ref()).map(Member::id);
+            let of = self
+                .numbers
+                .get(&seen.id.address)
+                .copied()
+                .filter(|m| side(*m) == side(n));
+            let id = of
+                .and_then(|m| self.places[m].member.as_ref())
+                .map(Member::id);
             right && id == Some(seen.id)
         });
         true_ones.count() == with_it && there == with_it
@@ -516,14 +581,18 @@
         side: impl Fn(usize) -> usize,
         living: &HashMap<(usize, usize), usize>,
     ) -> bool {
-        let Some(member) = &self.places[n].member else { return true };
+        let Some(member) = &self.places[n].member else {
+            return true;
+        };
         let (own, side) = (self.places[n].region, side(n));
         let heard: HashMap<&str, usize> = member
             .region_rows()
             .filter(|(_, silent_since)| silent_since.is_none())
             .map(|(row, _)| (row.region.as_str(), row.living as usize))
             .collect();
-        let others = living.iter().filter(|((region, of_side), _)| *region != own && *of_side == side);
+        let others = living
+            .iter()
+            .filter(|((region, of_side), _)| *region != own && *of_side == side);
         let mut count = 0;
         let all = others
             .inspect(|_| count += 1)
@@ -535,14 +604,18 @@
     pub fn untrue(&self) -> BTreeMap<&'static str, usize> {
         let mut all = BTreeMap::new();
         for n in self.running() {
-            let Some(member) = &self.places[n].member else { continue };
+            let Some(member) = &self.places[n].member else {
+                continue;
+            };
             let seen: HashMap<SocketAddr, &pipitrun_fleet::Seen> =
                 member.seen().map(|seen| (seen.id.address, seen)).collect();
             for (m, place) in self.places.iter().enumerate().filter(|(m, _)| *m != n) {
                 let what = match (&place.member, seen.get(&address(m))) {
                     (Some(_), None) => "not known",
                     (None, Some(seen)) if seen.state.is_there() => "death not known",
-                    (Some(member), Some(seen)) if seen.id != member.id() && seen.state.is_there() => {
+                    (Some(member), Some(seen))
+                        if seen.id != member.id() && seen.state.is_there() =>
+                    {
                         "older life taken for there"
                     }
                     (Some(member), Some(seen)) if seen.id != member.id() => "older life known dead",
--- a/crates/trials/src/virtual_trials.rs
+++ b/crates/trials/src/virtual_trials.rs
@@ -37,7 +37,9 @@
 }
 
 fn settle(fleet: &mut Fleet, what: &str) -> Result<Nanos, String> {
-    fleet.until(CEILING, Fleet::settled).ok_or_else(|| format!("{what}: not settled after {} s", CEILING / S))
+    fleet
+        .until(CEILING, Fleet::settled)
+        .ok_or_else(|| format!("{what}: not settled after {} s", CEILING / S))
 }
 
 fn no_false_death(fleet: &Fleet) -> Result<(), String> {
@@ -50,7 +52,13 @@
 /// Six in ten datagrams are lost and all are late: nobody is given up in five minutes.
 fn lossy(seed: u64) -> Result<(), String> {
     let mut fleet = settled(12, seed)?;
-    fleet.network = Network { loss: 0.6, delay: 50 * MS, jitter: 10 * MS, twice: 0.02, ..Network::default() };
+    fleet.network = Network {
+        loss: 0.6,
+        delay: 50 * MS,
+        jitter: 10 * MS,
+        twice: 0.02,
+        ..Network::default()
+    };
     fleet.play(fleet.now + 300 * S);
     no_false_death(&fleet)
 }
@@ -60,7 +68,12 @@
     let mut fleet = settled(8, seed)?;
     (1..8).for_each(|n| fleet.cut(n, 0, true));
     fleet.play(fleet.now + 8 * S);
-    if let Some(seen) = fleet.view(0).members.iter().find(|seen| !seen.state.is_there()) {
+    if let Some(seen) = fleet
+        .view(0)
+        .members
+        .iter()
+        .find(|seen| !seen.state.is_there())
+    {
         return Err(format!("the deaf one gave {} up", seen.id.address));
     }
     no_false_death(&fleet)?;
@@ -93,8 +106,16 @@
     fleet.start(11, 0);
     settle(&mut fleet, "the twelfth")?;
     let view = fleet.view(11);
-    let heard = view.members.iter().filter(|seen| seen.soft.is_some()).count();
-    if heard == 11 { Ok(()) } else { Err(format!("{}: {heard} of 11 records", address(11))) }
+    let heard = view
+        .members
+        .iter()
+        .filter(|seen| seen.soft.is_some())
+        .count();
+    if heard == 11 {
+        Ok(())
+    } else {
+        Err(format!("{}: {heard} of 11 records", address(11)))
+    }
 }
 
 /// Many return at once: each is known to all soon, though rumours die out now and then before they have reached all.
@@ -106,7 +127,11 @@
     settle(&mut fleet, "death")?;
     (90..100).for_each(|n| fleet.start(n, 0));
     let back = settle(&mut fleet, "back")?;
-    if back > SOON { Err(format!("back: known to all after {} ms", back / MS)) } else { Ok(()) }
+    if back > SOON {
+        Err(format!("back: known to all after {} ms", back / MS))
+    } else {
+        Ok(())
+    }
 }
 
 /// Parts of a fleet don't hear each other: whatever the parts, the shares keep their sum.
@@ -126,7 +151,13 @@
     let mut fleet = settled(n, seed)?;
     fleet.play(fleet.now + 20 * S);
     // Parts of different size: the worst for the rule is one that just has more than half.
-    let side = move |m: usize| if parts == 2 { usize::from(m > n / 2) } else { m % parts };
+    let side = move |m: usize| {
+        if parts == 2 {
+            usize::from(m > n / 2)
+        } else {
+            m % parts
+        }
+    };
     let (mut by_rule, mut at_once) = (0f64, 0f64);
     let mut look = |fleet: &Fleet| {
         let views: Vec<_> = fleet.running().into_iter().map(|m| fleet.view(m)).collect();
@@ -179,7 +210,9 @@
 /// What this process holds in memory, in KB.
 pub(crate) fn resident_kb() -> Option<f64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     line.trim().trim_end_matches("kB").trim().parse().ok()
 }
 
@@ -198,12 +231,16 @@
             .running()
             .iter()
             .map(|n| fleet.traffic(*n))
-            .fold((0, 0, 0), |sum, t| (sum.0 + t.sent, sum.1 + t.sent_bytes, sum.2 + t.suspicions))
+            .fold((0, 0, 0), |sum, t| {
+                (sum.0 + t.sent, sum.1 + t.sent_bytes, sum.2 + t.suspicions)
+            })
     };
     let before = sum(&fleet);
     fleet.play(fleet.now + calm * S);
     let after = sum(&fleet);
-    let memory_kb = resident.zip(resident_kb()).map(|(from, to)| (to - from) / members as f64);
+    let memory_kb = resident
+        .zip(resident_kb())
+        .map(|(from, to)| (to - from) / members as f64);
     let per_s = |before: u64, after: u64| (after - before) as f64 / members as f64 / calm as f64;
     let tenth = members - members.div_ceil(10)..members;
     tenth.clone().for_each(|n| fleet.kill(n));
@@ -249,7 +286,10 @@
         while fleet.now - begun < most {
             fleet.play(fleet.now + every);
             let untrue = fleet.untrue();
-            tell(&format!("{what} {:6.2} s {untrue:?}", ((fleet.now - begun) / MS) as f64 / 1e3));
+            tell(&format!(
+                "{what} {:6.2} s {untrue:?}",
+                ((fleet.now - begun) / MS) as f64 / 1e3
+            ));
             if fleet.settled() {
                 break;
             }
--- a/crates/trials/tests/capacity.rs
+++ b/crates/trials/tests/capacity.rs
@@ -9,13 +9,21 @@
 }
 
 fn point(size: f64, value: f64) -> Point {
-    Point { size, seed: 1, value }
+    Point {
+        size,
+        seed: 1,
+        value,
+    }
 }
 
 #[test]
 fn a_fit_is_the_line_of_least_squares_and_tells_what_lies_beside_it() {
     let line = fit(&[point(100.0, 21.0), point(200.0, 41.0), point(300.0, 61.0)]);
-    assert!((line.at_zero - 1.0).abs() < 1e-9 && (line.each - 0.2).abs() < 1e-12 && line.residual < 1e-12);
+    assert!(
+        (line.at_zero - 1.0).abs() < 1e-9
+            && (line.each - 0.2).abs() < 1e-12
+            && line.residual < 1e-12
+    );
     let bent = fit(&[point(1.0, 1.0), point(2.0, 4.0), point(3.0, 9.0)]);
     assert!(bent.residual > 0.05, "{bent:?}");
     let flat = fit(&[point(5.0, 7.0)]);
@@ -30,13 +38,26 @@
     let tables = tables(&plan, &slopes).unwrap();
     check(&page, &tables).unwrap_or_else(|e| panic!("docs/CAPACITY.md: {e}"));
     // Any figure that differs is named by its line; writing the tables anew mends it.
-    let (number, line) =
-        page.lines().enumerate().find(|(_, line)| line.contains("handshakes with caches")).unwrap();
-    let wrong = page.replace(line, &line.replace("| data", "| no data").replace(" | ", " |  "));
+    let (number, line) = page
+        .lines()
+        .enumerate()
+        .find(|(_, line)| line.contains("handshakes with caches"))
+        .unwrap();
+    let wrong = page.replace(
+        line,
+        &line.replace("| data", "| no data").replace(" | ", " |  "),
+    );
     let problem = check(&wrong, &tables).unwrap_err();
-    assert!(problem.starts_with(&format!("line {}: ", number + 1)), "{problem}");
+    assert!(
+        problem.starts_with(&format!("line {}: ", number + 1)),
+        "{problem}"
+    );
     assert_eq!(rewrite(&wrong, &tables).unwrap(), page);
-    assert!(check("", &tables).unwrap_err().starts_with("no line \"<!-- table: "));
+    assert!(
+        check("", &tables)
+            .unwrap_err()
+            .starts_with("no line \"<!-- table: ")
+    );
 }
 
 #[test]
@@ -44,14 +65,21 @@
     let text = std::fs::read_to_string(docs().join("capacity/plan.toml")).unwrap();
     let path = std::env::temp_dir().join(format!("pipitrun-plan-{}.toml", std::process::id()));
     let cases = [
-        ("balancers = 4_600", "balancers = 0", "plan.balancers: 0 is not 1 or more"),
+        (
+            "balancers = 4_600",
+            "balancers = 0",
+            "plan.balancers: 0 is not 1 or more",
+        ),
         ("balancers = 4_600", "ballancers = 4_600", "ballancers"),
         ("regions = 26\n", "", "missing field `regions`"),
     ];
     for (from, to, problem) in cases {
         std::fs::write(&path, text.replace(from, to)).unwrap();
         let error = Plan::read(&path).unwrap_err();
-        assert!(error.contains(problem) && error.contains("pipitrun-plan"), "{error}");
+        assert!(
+            error.contains(problem) && error.contains("pipitrun-plan"),
+            "{error}"
+        );
     }
     std::fs::remove_file(&path).unwrap();
     assert!(Plan::read(&path).unwrap_err().contains("pipitrun-plan"));
--- a/crates/trials/tests/processes.rs
+++ b/crates/trials/tests/processes.rs
@@ -14,12 +14,31 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn trial(name: &str) -> Report {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let scenario = scenarios::find(name).unwrap();
-    let plan = Plan { instances: 6, rate: 20.0, ..Plan::of(&scenario) };
+    let plan = Plan {
+        instances: 6,
+        rate: 20.0,
+        ..Plan::of(&scenario)
+    };
     let report = play(&scenario, plan, &AtomicBool::new(false)).unwrap();
-    assert_eq!(report.failed, 0, "{}\n{:#?}", report.verdict(), report.failures);
-    assert!(report.requests.get("served").is_some_and(|served| *served > 0), "{:?}", report.requests);
+    assert_eq!(
+        report.failed,
+        0,
+        "{}\n{:#?}",
+        report.verdict(),
+        report.failures
+    );
+    assert!(
+        report
+            .requests
+            .get("served")
+            .is_some_and(|served| *served > 0),
+        "{:?}",
+        report.requests
+    );
     report
 }
 
@@ -59,9 +78,16 @@
 /// Without the key nothing differs: no socket, no descriptor more than that one, no path at the operators' door.
 #[test]
 fn without_the_key_there_is_no_socket_and_no_path() {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let descriptors = |fleet: bool| {
-        let plan = Plan { instances: 1, caches: 1, fleet, ..Plan::default() };
+        let plan = Plan {
+            instances: 1,
+            caches: 1,
+            fleet,
+            ..Plan::default()
+        };
         let mut ground = Ground::lay_out(plan).unwrap();
         ground.start_all().unwrap();
         let ready = |g: &Ground| g.members[0].call("/admin/health").is_some();
@@ -69,7 +95,11 @@
         let member = &ground.members[0];
         assert_eq!(member.call("/admin/fleet").is_some(), fleet);
         let log = member.log();
-        assert_eq!(log.iter().any(|line| line.text.contains("fleet")), fleet, "{log:?}");
+        assert_eq!(
+            log.iter().any(|line| line.text.contains("fleet")),
+            fleet,
+            "{log:?}"
+        );
         // The calls above are over when the process has let go of them.
         let mut least = usize::MAX;
         ground.wait(Duration::from_millis(500), |g| {
@@ -85,24 +115,47 @@
 /// All that a member is told to ask is dead: it serves alone, divides by the settings' figure, and meets whoever comes.
 #[test]
 fn with_all_join_addresses_dead_it_serves_alone_and_is_found_later() {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Ground::lay_out(Plan { instances: 4, joins: 1, ..Plan::default() }).unwrap();
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut ground = Ground::lay_out(Plan {
+        instances: 4,
+        joins: 1,
+        ..Plan::default()
+    })
+    .unwrap();
     ground.members[2].start().unwrap();
     ground.members[3].start().unwrap();
-    let alone = |g: &Ground, i: usize| g.members[i].view().is_some_and(|v| v.living == 1 && v.shared_by == 4);
+    let alone = |g: &Ground, i: usize| {
+        g.members[i]
+            .view()
+            .is_some_and(|v| v.living == 1 && v.shared_by == 4)
+    };
     let served = |g: &Ground, i: usize| g.members[i].call("/admin/health").is_some();
     let both = |g: &Ground| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
     ground.wait(PATIENCE, both).expect("each serves alone");
     ground.members[0].start().unwrap();
-    let met = |g: &Ground| [0, 2, 3].iter().all(|i| g.members[*i].view().is_some_and(|v| v.living == 3));
-    ground.wait(PATIENCE, met).expect("the one that was asked in vain brings them together");
+    let met = |g: &Ground| {
+        [0, 2, 3]
+            .iter()
+            .all(|i| g.members[*i].view().is_some_and(|v| v.living == 3))
+    };
+    ground
+        .wait(PATIENCE, met)
+        .expect("the one that was asked in vain brings them together");
 }
 
 /// Two processes under one name at two addresses are two members; it is said once and both count.
 #[test]
 fn two_of_one_name_both_count_and_are_named() {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Ground::lay_out(Plan { instances: 3, ..Plan::default() }).unwrap();
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut ground = Ground::lay_out(Plan {
+        instances: 3,
+        ..Plan::default()
+    })
+    .unwrap();
     // Its configuration file bears its name: the later start must not write over it while it is read.
     ground.members[2].spec.name = "n1".into();
     ground.members[0].start().unwrap();
@@ -112,7 +165,12 @@
     ground.members[2].start().unwrap();
     let three = |g: &Ground| g.members[0].view().is_some_and(|v| v.living == 3);
     ground.wait(PATIENCE, three).expect("both count");
-    let named = |g: &Ground| g.members[0].log().iter().any(|l| l.text.contains("are both called n1"));
+    let named = |g: &Ground| {
+        g.members[0]
+            .log()
+            .iter()
+            .any(|l| l.text.contains("are both called n1"))
+    };
     ground.wait(PATIENCE, named).expect("it is said");
 }
 
@@ -120,11 +178,23 @@
 /// told to the other region by its summary.
 #[test]
 fn balancers_in_two_regions_see_the_other_as_a_summary() {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Ground::lay_out(Plan { instances: 4, joins: 4, caches: 1, ..Plan::default() }).unwrap();
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut ground = Ground::lay_out(Plan {
+        instances: 4,
+        joins: 4,
+        caches: 1,
+        ..Plan::default()
+    })
+    .unwrap();
     for (i, member) in ground.members.iter_mut().enumerate() {
-        let fleet =
-            member.spec.fleet.as_mut().and_then(serde_json::Value::as_object_mut).expect("the key is set");
+        let fleet = member
+            .spec
+            .fleet
+            .as_mut()
+            .and_then(serde_json::Value::as_object_mut)
+            .expect("the key is set");
         fleet.insert("region".into(), format!("region-{}", i / 2).into());
         fleet.insert("zone".into(), format!("z{i}").into());
     }
@@ -144,39 +214,71 @@
         })
     };
     let all = |g: &Ground| (0..4).all(|i| sees(g, i, 1, 2, 4));
-    ground.wait(PATIENCE, all).expect("each sees its own region and the other's summary");
-    assert_eq!(shown(&ground, 0).expect("it answers")["members"][0]["zone"], "z1");
+    ground
+        .wait(PATIENCE, all)
+        .expect("each sees its own region and the other's summary");
+    assert_eq!(
+        shown(&ground, 0).expect("it answers")["members"][0]["zone"],
+        "z1"
+    );
     ground.members[3].kill();
     // Its place is kept: one of two that hears nobody may be half of a split.
     let told = |g: &Ground| (0..2).all(|i| sees(g, i, 1, 1, 4)) && sees(g, 2, 0, 2, 4);
-    ground.wait(PATIENCE, told).expect("a death in one region is told to the other");
+    ground
+        .wait(PATIENCE, told)
+        .expect("a death in one region is told to the other");
 }
 
 /// Hollow members over real sockets meet, and nothing of them is left behind, also where a run is interrupted.
 #[test]
 fn hollow_members_meet_and_leave_nothing_behind() {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let command = |more: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_pipitrun-trials"));
-        command.args(["hollow", "--members", "24", "--regions", "3", "--processes", "2"]).args(more);
-        command.stdout(std::process::Stdio::piped()).stderr(std::process::Stdio::piped());
+        command
+            .args([
+                "hollow",
+                "--members",
+                "24",
+                "--regions",
+                "3",
+                "--processes",
+                "2",
+            ])
+            .args(more);
+        command
+            .stdout(std::process::Stdio::piped())
+            .stderr(std::process::Stdio::piped());
         command
     };
-    let output = command(&["--seconds", "1", "--event", "cut"]).output().unwrap();
+    let output = command(&["--seconds", "1", "--event", "cut"])
+        .output()
+        .unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let last = text.lines().last().unwrap_or_default();
-    let measured: serde_json::Value = serde_json::from_str(last).unwrap_or_else(|e| panic!("{last}: {e}"));
-    assert!(measured["settled_s"].is_number() && measured["members"] == 24, "{last}");
+    let measured: serde_json::Value =
+        serde_json::from_str(last).unwrap_or_else(|e| panic!("{last}: {e}"));
+    assert!(
+        measured["settled_s"].is_number() && measured["members"] == 24,
+        "{last}"
+    );
     let mut interrupted = command(&["--seconds", "600"]).spawn().unwrap();
     let id = interrupted.id();
-    let children = || std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).unwrap_or_default();
+    let children =
+        || std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).unwrap_or_default();
     let begun = std::time::Instant::now();
     while children().split_whitespace().count() < 2 {
         assert!(begun.elapsed() < PATIENCE, "two processes start");
         std::thread::sleep(Duration::from_millis(10));
     }
     let members: Vec<String> = children().split_whitespace().map(str::to_string).collect();
-    nix::sys::signal::kill(nix::unistd::Pid::from_raw(id as i32), nix::sys::signal::Signal::SIGINT).unwrap();
+    nix::sys::signal::kill(
+        nix::unistd::Pid::from_raw(id as i32),
+        nix::sys::signal::Signal::SIGINT,
+    )
+    .unwrap();
     assert_eq!(interrupted.wait().unwrap().code(), Some(1));
     let runs = |pid: &String| {
         let command = std::fs::read_to_string(format!("/proc/{pid}/cmdline")).unwrap_or_default();
@@ -191,14 +293,19 @@
     command.args(["hollow", "--members", "200000", "--processes", "300"]);
     let output = command.output().unwrap();
     let problem = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(problem.contains("half of the machine's memory is"), "{problem}");
+    assert!(
+        problem.contains("half of the machine's memory is"),
+        "{problem}"
+    );
     assert_eq!(output.status.code(), Some(1));
 }
 
 /// Ctrl-C in the middle of a trial: no process and no file of it is left.
 #[test]
 fn an_interrupted_trial_leaves_nothing_behind() {
-    let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _one = ONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut trial = std::process::Command::new(env!("CARGO_BIN_EXE_pipitrun-trials"))
         .args(["run", "stall", "--instances", "3"])
         .stdout(std::process::Stdio::null())
@@ -208,7 +315,9 @@
     let folder = || {
         let mine = format!("pipitrun-trial-{id}-");
         let entries = std::fs::read_dir(std::env::temp_dir()).unwrap().flatten();
-        entries.map(|entry| entry.path()).find(|path| path.to_string_lossy().contains(&mine))
+        entries
+            .map(|entry| entry.path())
+            .find(|path| path.to_string_lossy().contains(&mine))
     };
     let children = || {
         let path = format!("/proc/{id}/task/{id}/children");
@@ -224,7 +333,11 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     let (members, files) = (children(), folder().expect("it has a folder"));
-    nix::sys::signal::kill(nix::unistd::Pid::from_raw(id as i32), nix::sys::signal::Signal::SIGINT).unwrap();
+    nix::sys::signal::kill(
+        nix::unistd::Pid::from_raw(id as i32),
+        nix::sys::signal::Signal::SIGINT,
+    )
+    .unwrap();
     let status = trial.wait().unwrap();
     assert_eq!(status.code(), Some(1));
     let runs = |pid: &String| {
--- a/crates/trials/tests/shedding.rs
+++ b/crates/trials/tests/shedding.rs
@@ -28,8 +28,13 @@
         keys.insert("shed_together".into(), true.into());
     }
     let service = Duration::from_millis(40);
-    let cache =
-        CacheOptions { slots: 1, queue: 8, service, fetch: Duration::ZERO, ..CacheOptions::default() };
+    let cache = CacheOptions {
+        slots: 1,
+        queue: 8,
+        service,
+        fetch: Duration::ZERO,
+        ..CacheOptions::default()
+    };
     let plan = Plan {
         instances: MEMBERS,
         caches: 2,
@@ -41,7 +46,14 @@
     };
     let mut ground = Ground::lay_out(plan).unwrap();
     ground.start_all().unwrap();
-    let met = |g: &Ground| g.views().iter().flatten().filter(|v| v.living == MEMBERS).count() == MEMBERS;
+    let met = |g: &Ground| {
+        g.views()
+            .iter()
+            .flatten()
+            .filter(|v| v.living == MEMBERS)
+            .count()
+            == MEMBERS
+    };
     ground.wait(PATIENCE, met).expect("all meet");
     ground.start_clients();
     ground
@@ -49,13 +61,17 @@
 
 fn levels(ground: &Ground, of: &[usize]) -> Option<Vec<f64>> {
     let views = ground.views();
-    of.iter().map(|i| views[*i].as_ref().map(|view| view.level)).collect()
+    of.iter()
+        .map(|i| views[*i].as_ref().map(|view| view.level))
+        .collect()
 }
 
 /// All of these shed something, and nearly the same.
 fn alike(ground: &Ground, of: &[usize]) -> bool {
     levels(ground, of).is_some_and(|levels| {
-        let (least, most) = levels.iter().fold((f64::MAX, 0f64), |(a, b), l| (a.min(*l), b.max(*l)));
+        let (least, most) = levels
+            .iter()
+            .fold((f64::MAX, 0f64), |(a, b), l| (a.min(*l), b.max(*l)));
         least > 0.0 && most - least < 0.2
     })
 }
@@ -70,7 +86,10 @@
     std::thread::sleep(Duration::from_millis(300));
     let counts = ground.member_counts();
     let of = |name: &str| counts.get(name).copied().unwrap_or(0);
-    (of("refused.level"), of("refused.limit") + of("refused.spacing"))
+    (
+        of("refused.level"),
+        of("refused.limit") + of("refused.spacing"),
+    )
 }
 
 /// Each request has one answer, but for those whose balancer was killed.
@@ -80,7 +99,10 @@
         *ids.entry(&one.id).or_default() += 1;
         assert!(!one.extra, "two answers: {one:?}");
         assert!(!matches!(one.end, End::Wrong | End::Never), "{one:?}");
-        assert!(killed || !matches!(one.end, End::Broken | End::NoDoor), "{one:?}");
+        assert!(
+            killed || !matches!(one.end, End::Broken | End::NoDoor),
+            "{one:?}"
+        );
     }
     assert!(ids.values().all(|times| *times == 1));
 }
@@ -90,22 +112,41 @@
     let _one = one();
     let mut ground = ground(true);
     ground.load.set(STORM);
-    ground.wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3])).expect("all shed by one level");
+    ground
+        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .expect("all shed by one level");
     // Each half goes by its own counts, and goes on shedding.
-    let cut = Faults { cut: true, ..Faults::default() };
+    let cut = Faults {
+        cut: true,
+        ..Faults::default()
+    };
     ground.set_links(&[0, 1], &[2, 3], cut);
     ground.set_links(&[2, 3], &[0, 1], cut);
-    let split = |g: &Ground| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
+    let split =
+        |g: &Ground| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
     ground.wait(PATIENCE, split).expect("the split is known");
-    ground.wait(PATIENCE, |g| alike(g, &[0, 1]) && alike(g, &[2, 3])).expect("each half by one level");
+    ground
+        .wait(PATIENCE, |g| alike(g, &[0, 1]) && alike(g, &[2, 3]))
+        .expect("each half by one level");
     ground.set_links(&[0, 1], &[2, 3], Faults::default());
     ground.set_links(&[2, 3], &[0, 1], Faults::default());
-    let healed = |g: &Ground| g.views().iter().flatten().filter(|v| v.living == MEMBERS).count() == MEMBERS;
+    let healed = |g: &Ground| {
+        g.views()
+            .iter()
+            .flatten()
+            .filter(|v| v.living == MEMBERS)
+            .count()
+            == MEMBERS
+    };
     ground.wait(PATIENCE, healed).expect("they find each other");
-    ground.wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3])).expect("one level again");
+    ground
+        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .expect("one level again");
     assert!(refused(&ground).0 > 0);
     ground.load.set(CALM);
-    ground.wait(PATIENCE, calm).expect("nothing is shed when it is over");
+    ground
+        .wait(PATIENCE, calm)
+        .expect("nothing is shed when it is over");
     answered_once(&ground.stop_clients(), false);
 }
 
@@ -114,10 +155,14 @@
     let _one = one();
     let mut ground = ground(true);
     ground.load.set(STORM);
-    ground.wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3])).expect("all shed by one level");
+    ground
+        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .expect("all shed by one level");
     ground.members[3].kill();
     ground.members[2].stop();
-    ground.wait(PATIENCE, |g| alike(g, &[0, 1])).expect("the others go on");
+    ground
+        .wait(PATIENCE, |g| alike(g, &[0, 1]))
+        .expect("the others go on");
     let known = |g: &Ground| g.members[0].view().is_some_and(|v| v.living == 2);
     ground.wait(PATIENCE, known).expect("both are given up");
     ground.members[2].go_on();
@@ -126,7 +171,9 @@
         .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
         .expect("the newcomer and the one that stood still too");
     ground.load.set(CALM);
-    ground.wait(PATIENCE, calm).expect("nothing is shed when it is over");
+    ground
+        .wait(PATIENCE, calm)
+        .expect("nothing is shed when it is over");
     answered_once(&ground.stop_clients(), true);
 }
 
@@ -135,10 +182,15 @@
     let _one = one();
     let mut ground = ground(false);
     ground.load.set(STORM);
-    ground.wait(PATIENCE, |g| refused(g).1 > 20).expect("they refuse for want of room");
+    ground
+        .wait(PATIENCE, |g| refused(g).1 > 20)
+        .expect("they refuse for want of room");
     assert!(calm(&ground));
     assert_eq!(refused(&ground).0, 0);
     let words = |i: usize| ground.members[i].view().unwrap().datagrams["load"].as_u64();
-    assert!((0..MEMBERS).all(|i| words(i) == Some(0)), "not one word of load");
+    assert!(
+        (0..MEMBERS).all(|i| words(i) == Some(0)),
+        "not one word of load"
+    );
     answered_once(&ground.stop_clients(), false);
 }
