--- a/crates/trials/tests/virtual_regions.rs
+++ b/crates/trials/tests/virtual_regions.rs
@@ -18,19 +18,35 @@
 }
 
 fn sum_of_shares(fleet: &Fleet) -> f64 {
-    fleet.running().iter().map(|n| 1.0 / fleet.view(*n).count.max(1) as f64).sum()
+    fleet
+        .running()
+        .iter()
+        .map(|n| 1.0 / fleet.view(*n).count.max(1) as f64)
+        .sum()
 }
 
 fn delegates(fleet: &Fleet, region: usize) -> Vec<usize> {
-    let first = fleet.of_region(region).into_iter().find_map(|n| fleet.member(n)).expect("one runs");
+    let first = fleet
+        .of_region(region)
+        .into_iter()
+        .find_map(|n| fleet.member(n))
+        .expect("one runs");
     let named: BTreeSet<SocketAddr> = first.delegates().iter().copied().collect();
-    fleet.running().into_iter().filter(|n| named.contains(&address(*n))).collect()
+    fleet
+        .running()
+        .into_iter()
+        .filter(|n| named.contains(&address(*n)))
+        .collect()
 }
 
 /// The living that a member sees in another region.
 fn living_in(fleet: &Fleet, n: usize, region: usize) -> Option<u32> {
     let name = region_name(region);
-    fleet.member(n)?.region_rows().find(|(row, _)| row.region == name).map(|(row, _)| row.living)
+    fleet
+        .member(n)?
+        .region_rows()
+        .find(|(row, _)| row.region == name)
+        .map(|(row, _)| row.living)
 }
 
 #[test]
@@ -66,7 +82,9 @@
         let dead = delegates(&fleet, 0);
         assert_eq!(dead.len(), 3);
         dead.iter().for_each(|n| fleet.kill(*n));
-        fleet.until(CEILING, Fleet::settled).expect("others speak for it");
+        fleet
+            .until(CEILING, Fleet::settled)
+            .expect("others speak for it");
         assert!(delegates(&fleet, 0).iter().all(|n| !dead.contains(n)));
         assert_eq!(living_in(&fleet, 45, 0), Some(27));
     }
@@ -87,9 +105,17 @@
         let count = |n: usize| fleet.view(n).count;
         // The larger part holds more than half of all places and counts the others out; they go on dividing by all.
         assert_eq!((count(0), count(31), count(45)), (30, 54, 54));
-        assert!(fleet.view(0).regions.iter().all(|seen| seen.silent_since.is_some()));
+        assert!(
+            fleet
+                .view(0)
+                .regions
+                .iter()
+                .all(|seen| seen.silent_since.is_some())
+        );
         fleet.split(apart, false);
-        let healed = fleet.until(CEILING, Fleet::settled).expect("they hear each other");
+        let healed = fleet
+            .until(CEILING, Fleet::settled)
+            .expect("they hear each other");
         assert!(healed <= 5 * S, "seed {seed}: {healed}");
         fleet.play(fleet.now + S);
         assert!(fleet.running().iter().all(|n| fleet.view(*n).count == 54));
@@ -118,15 +144,25 @@
             let sum = sum_of_shares(&fleet);
             assert!(sum <= 1.5, "seed {seed}: {sum}");
             if second >= 30 {
-                let row =
-                    fleet.view(30).regions.iter().find(|seen| seen.row.region == region_name(0)).cloned();
+                let row = fleet
+                    .view(30)
+                    .regions
+                    .iter()
+                    .find(|seen| seen.row.region == region_name(0))
+                    .cloned();
                 let row = row.expect("it is told of").row;
                 told.insert((row.living, row.places, row.authors));
             }
         }
-        assert_eq!(told, BTreeSet::from([(12, 24, 2)]), "the same all the time, and two speak for it");
-        let halves: BTreeSet<Vec<SocketAddr>> =
-            (0..24).filter_map(|n| fleet.member(n)).map(|m| m.delegates().to_vec()).collect();
+        assert_eq!(
+            told,
+            BTreeSet::from([(12, 24, 2)]),
+            "the same all the time, and two speak for it"
+        );
+        let halves: BTreeSet<Vec<SocketAddr>> = (0..24)
+            .filter_map(|n| fleet.member(n))
+            .map(|m| m.delegates().to_vec())
+            .collect();
         assert_eq!(halves.len(), 2, "each half has delegates of its own");
         assert_eq!(half(12), 1);
         cut(&mut fleet, false);
@@ -156,9 +192,15 @@
     fleet.set_region(7, 1);
     fleet.start(7, 0);
     fleet.until(CEILING, Fleet::settled).expect("it has moved");
-    assert_eq!((living_in(&fleet, 25, 0), living_in(&fleet, 0, 1)), (Some(19), Some(13)));
+    assert_eq!(
+        (living_in(&fleet, 25, 0), living_in(&fleet, 0, 1)),
+        (Some(19), Some(13))
+    );
     fleet.play(fleet.now + 30 * S);
-    assert!(fleet.running().iter().all(|n| fleet.view(*n).count == 32), "its former place is given up");
+    assert!(
+        fleet.running().iter().all(|n| fleet.view(*n).count == 32),
+        "its former place is given up"
+    );
 }
 
 #[test]
@@ -169,10 +211,14 @@
     let mut fleet = Fleet::in_regions(&[12, 12], 4);
     fleet.join_at(&[0, 1]);
     fleet.start_all();
-    fleet.until(CEILING, Fleet::settled).expect("those of the second region meet through the first");
+    fleet
+        .until(CEILING, Fleet::settled)
+        .expect("those of the second region meet through the first");
     // And one that comes when all is calm.
     fleet.kill(20);
-    fleet.until(CEILING, Fleet::settled).expect("its death is known");
+    fleet
+        .until(CEILING, Fleet::settled)
+        .expect("its death is known");
     fleet.start(20, 0);
     fleet.until(CEILING, Fleet::settled).expect("it is back");
 }
@@ -181,9 +227,13 @@
 fn a_large_region_beside_a_small_one_settles() {
     let mut fleet = settled_regions(&[150, 4], 5);
     fleet.kill(151);
-    fleet.until(CEILING, Fleet::settled).expect("a death in the small one is known to all");
+    fleet
+        .until(CEILING, Fleet::settled)
+        .expect("a death in the small one is known to all");
     fleet.kill(9);
-    fleet.until(CEILING, Fleet::settled).expect("and one in the large one");
+    fleet
+        .until(CEILING, Fleet::settled)
+        .expect("and one in the large one");
 }
 
 /// The bound that `regions::count` states, through splits of regions and within one.
@@ -197,7 +247,12 @@
 #[test]
 fn nobody_is_taken_for_dead_in_a_minute_of_calm_with_far_regions_and_loss_between_them() {
     let mut fleet = settled_regions(&[40, 20, 20], 6);
-    fleet.between = Some(Network { loss: 0.01, delay: 80 * MS, jitter: 10 * MS, ..Network::default() });
+    fleet.between = Some(Network {
+        loss: 0.01,
+        delay: 80 * MS,
+        jitter: 10 * MS,
+        ..Network::default()
+    });
     fleet.play(fleet.now + 60 * S);
     assert_eq!(fleet.false_deaths(), 0);
     assert!(fleet.settled(), "and no region for silent");
@@ -245,8 +300,14 @@
         with(6, u32::MAX),
         with(7, 6),
         with(0, 0),
-        Announcement { version: leader.version + year_ms, ..sound.clone() },
-        Announcement { region: "x".repeat(21), ..sound.clone() },
+        Announcement {
+            version: leader.version + year_ms,
+            ..sound.clone()
+        },
+        Announcement {
+            region: "x".repeat(21),
+            ..sound.clone()
+        },
     ];
     for lie in &lies {
         fleet.inject(delegate, author, &news("trial", lie));
@@ -260,11 +321,21 @@
     let foreign = fleet.traffic(delegate).foreign;
     fleet.inject(delegate, author, &news("another", &with(1, 1)));
     let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
-    assert_eq!((after.unsound - before.unsound, after.older - before.older), (lies.len() as u64, 1));
-    assert_eq!(fleet.traffic(delegate).foreign, foreign + 1, "of another fleet");
+    assert_eq!(
+        (after.unsound - before.unsound, after.older - before.older),
+        (lies.len() as u64, 1)
+    );
+    assert_eq!(
+        fleet.traffic(delegate).foreign,
+        foreign + 1,
+        "of another fleet"
+    );
     fleet.play(fleet.now + 10 * S);
     assert!(fleet.settled());
-    assert!(fleet.running().iter().all(|n| fleet.view(*n).count == 18), "nobody divides by what was made up");
+    assert!(
+        fleet.running().iter().all(|n| fleet.view(*n).count == 18),
+        "nobody divides by what was made up"
+    );
 }
 
 /// What a member holds and sends follows its region and the number of regions, not the size of the fleet.
@@ -284,8 +355,18 @@
     let large = measure(plan(240, 12));
     assert!(large.join_s.is_some() && small.join_s.is_some());
     let ratio = |large: f64, small: f64| large / small;
-    assert!(ratio(large.bytes_per_s, small.bytes_per_s) < 1.3, "{} {}", small.bytes_per_s, large.bytes_per_s);
+    assert!(
+        ratio(large.bytes_per_s, small.bytes_per_s) < 1.3,
+        "{} {}",
+        small.bytes_per_s,
+        large.bytes_per_s
+    );
     assert!(ratio(large.datagrams_per_s, small.datagrams_per_s) < 1.2);
-    assert!(large.entries < small.entries + 80, "{} {}", small.entries, large.entries);
+    assert!(
+        large.entries < small.entries + 80,
+        "{} {}",
+        small.entries,
+        large.entries
+    );
     assert_eq!(sizes(4_600, 26).iter().sum::<usize>(), 4_600);
 }
--- a/crates/trials/tests/virtual_time.rs
+++ b/crates/trials/tests/virtual_time.rs
@@ -6,7 +6,13 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 const S: u64 = 1_000 * MS;
-const LOSSY: Network = Network { loss: 0.2, delay: 50 * MS, jitter: 10 * MS, twice: 0.02, load_loss: 0.0 };
+const LOSSY: Network = Network {
+    loss: 0.2,
+    delay: 50 * MS,
+    jitter: 10 * MS,
+    twice: 0.02,
+    load_loss: 0.0,
+};
 
 fn settled(n: usize, seed: u64, network: Network) -> Fleet {
     let mut fleet = Fleet::new(n, 3, seed);
@@ -21,8 +27,13 @@
     let mut fleet = settled(12, 1, LOSSY);
     fleet.play(fleet.now + 600 * S);
     assert_eq!(fleet.false_deaths(), 0);
-    assert!(fleet.traffic(0).suspicions > 0, "there was something to refute");
-    fleet.until(10 * S, Fleet::settled).expect("and all still see each other");
+    assert!(
+        fleet.traffic(0).suspicions > 0,
+        "there was something to refute"
+    );
+    fleet
+        .until(10 * S, Fleet::settled)
+        .expect("and all still see each other");
 }
 
 #[test]
@@ -30,7 +41,9 @@
     for seed in 0..5 {
         let mut fleet = settled(40, seed, Network::default());
         (30..40).for_each(|n| fleet.kill(n));
-        let known = fleet.until(60 * S, Fleet::settled).expect("the death is known");
+        let known = fleet
+            .until(60 * S, Fleet::settled)
+            .expect("the death is known");
         assert!(known <= 3 * S, "seed {seed}: {known}");
         (30..40).for_each(|n| fleet.start(n, 0));
         let back = fleet.until(60 * S, Fleet::settled).expect("they are back");
@@ -44,10 +57,15 @@
     for seed in 1..4 {
         let mut fleet = settled(100, seed, Network::default());
         (90..100).for_each(|n| fleet.kill(n));
-        fleet.until(60 * S, Fleet::settled).expect("the death is known");
+        fleet
+            .until(60 * S, Fleet::settled)
+            .expect("the death is known");
         (90..100).for_each(|n| fleet.start(n, 0));
         let back = fleet.until(60 * S, Fleet::settled).expect("they are back");
-        assert!(back <= S, "seed {seed}: {back}; 2.2 s and more where rumours alone tell of them");
+        assert!(
+            back <= S,
+            "seed {seed}: {back}; 2.2 s and more where rumours alone tell of them"
+        );
         fleet.play(fleet.now + 20 * S);
         let (before, calm) = (fleet.traffic(3).compared, 10);
         fleet.play(fleet.now + calm * S);
@@ -63,15 +81,23 @@
         let side = |n: usize| usize::from(n >= 5);
         fleet.split(side, true);
         let sum = |fleet: &Fleet| -> f64 {
-            fleet.running().iter().map(|n| 1.0 / fleet.view(*n).count as f64).sum()
+            fleet
+                .running()
+                .iter()
+                .map(|n| 1.0 / fleet.view(*n).count as f64)
+                .sum()
         };
-        fleet.until(60 * S, |f| f.settled_by(side)).expect("each side knows");
+        fleet
+            .until(60 * S, |f| f.settled_by(side))
+            .expect("each side knows");
         for _ in 0..40 {
             fleet.play(fleet.now + S);
             assert!(sum(&fleet) <= 1.5, "seed {seed}: {}", sum(&fleet));
         }
         fleet.split(side, false);
-        let healed = fleet.until(60 * S, Fleet::settled).expect("they find each other");
+        let healed = fleet
+            .until(60 * S, Fleet::settled)
+            .expect("they find each other");
         assert!(healed <= 3 * S, "seed {seed}: {healed}");
         assert!((sum(&fleet) - 1.0).abs() < 1e-9);
     }
@@ -84,12 +110,16 @@
         let mut fleet = settled(40, seed, Network::default());
         let side = |n: usize| usize::from(n >= 19);
         fleet.split(side, true);
-        fleet.until(60 * S, |f| f.settled_by(side)).expect("each side knows");
+        fleet
+            .until(60 * S, |f| f.settled_by(side))
+            .expect("each side knows");
         // Rumours of it run out.
         fleet.play(fleet.now + 10 * S);
         let before = fleet.false_deaths();
         fleet.split(side, false);
-        fleet.until(60 * S, Fleet::settled).expect("they find each other");
+        fleet
+            .until(60 * S, Fleet::settled)
+            .expect("they find each other");
         assert_eq!(fleet.false_deaths(), before, "seed {seed}");
     }
 }
@@ -101,8 +131,15 @@
     (1..8).for_each(|n| fleet.cut(n, 0, true));
     fleet.play(fleet.now + 8 * S);
     assert!(fleet.view(0).cut_off);
-    assert!(fleet.view(0).members.iter().all(|m| m.state.is_there()), "it blames itself");
-    assert_eq!(fleet.false_deaths(), 0, "and nobody else is given up for its sake");
+    assert!(
+        fleet.view(0).members.iter().all(|m| m.state.is_there()),
+        "it blames itself"
+    );
+    assert_eq!(
+        fleet.false_deaths(),
+        0,
+        "and nobody else is given up for its sake"
+    );
     (1..8).for_each(|n| fleet.cut(n, 0, false));
     fleet.until(10 * S, Fleet::settled).expect("taken back");
 }
@@ -114,7 +151,11 @@
         fleet.stall(4, 10 * S);
         fleet.play(fleet.now + 10 * S);
         assert!(
-            !fleet.view(0).members.iter().any(|m| m.id.address == address(4) && m.state == State::Serving)
+            !fleet
+                .view(0)
+                .members
+                .iter()
+                .any(|m| m.id.address == address(4) && m.state == State::Serving)
         );
         fleet.until(10 * S, Fleet::settled).expect("taken back");
         fleet.play(fleet.now + 5 * S);
@@ -130,12 +171,19 @@
         fleet.kill(2);
         // At once, and after its death is known.
         fleet.start(2, clock);
-        fleet.until(20 * S, Fleet::settled).unwrap_or_else(|| panic!("clock {clock}"));
-        assert!(fleet.member(2).unwrap().id().generation > before, "clock {clock}");
+        fleet
+            .until(20 * S, Fleet::settled)
+            .unwrap_or_else(|| panic!("clock {clock}"));
+        assert!(
+            fleet.member(2).unwrap().id().generation > before,
+            "clock {clock}"
+        );
         fleet.kill(2);
         fleet.play(fleet.now + 6 * S);
         fleet.start(2, clock);
-        fleet.until(20 * S, Fleet::settled).unwrap_or_else(|| panic!("late, clock {clock}"));
+        fleet
+            .until(20 * S, Fleet::settled)
+            .unwrap_or_else(|| panic!("late, clock {clock}"));
     }
 }
 
@@ -148,7 +196,11 @@
     for n in 0..9 {
         let view = fleet.view(n);
         assert_eq!(view.count, 9);
-        assert!(view.members.iter().any(|m| m.id.address == address(9) && m.state == State::Left));
+        assert!(
+            view.members
+                .iter()
+                .any(|m| m.id.address == address(9) && m.state == State::Left)
+        );
     }
 }
 
@@ -160,9 +212,15 @@
     fleet.play(20 * S);
     for n in 0..60 {
         let members = fleet.view(n).members.len();
-        assert!(members <= 10 + 1, "{members}: ten, and the sender of a datagram at the bound");
+        assert!(
+            members <= 10 + 1,
+            "{members}: ten, and the sender of a datagram at the bound"
+        );
     }
-    assert!(fleet.view(0).members.len() >= 10 && fleet.traffic(0).full > 0, "the others are counted");
+    assert!(
+        fleet.view(0).members.len() >= 10 && fleet.traffic(0).full > 0,
+        "the others are counted"
+    );
 }
 
 #[test]
@@ -170,11 +228,16 @@
     let mut fleet = settled(6, 1, Network::default());
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let (before, seen) = (fleet.traffic(0), fleet.view(0).members.len());
-    let rounds = std::env::var("PIPITRUN_DATAGRAMS").ok().and_then(|n| n.parse().ok()).unwrap_or(20_000);
+    let rounds = std::env::var("PIPITRUN_DATAGRAMS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(20_000);
     let fleets = ["trial", "another"].map(|name| pipitrun_fleet::envelope::Numbers::new(name, ""));
     let kinds = {
         use pipitrun_fleet::envelope::Kind::*;
-        [Swim, Records, Want, Ask, Beat, Compare, Told, Load, RegionNews, Overview]
+        [
+            Swim, Records, Want, Ask, Beat, Compare, Told, Load, RegionNews, Overview,
+        ]
     };
     for round in 0..rounds {
         let length = rng.random_range(0..1_500);
@@ -182,8 +245,11 @@
         if round % 2 == 0 {
             // A whole frame with anything in it.
             bytes.truncate(pipitrun_fleet::envelope::PAYLOAD_MAX);
-            bytes =
-                pipitrun_fleet::envelope::seal(fleets[round / 2 % 2], kinds[round / 4 % kinds.len()], &bytes);
+            bytes = pipitrun_fleet::envelope::seal(
+                fleets[round / 2 % 2],
+                kinds[round / 4 % kinds.len()],
+                &bytes,
+            );
         }
         fleet.inject(0, address(9), &bytes);
         if round % 500 == 0 {
@@ -191,8 +257,14 @@
         }
     }
     let after = fleet.traffic(0);
-    assert!(after.torn > before.torn && after.foreign > before.foreign && after.malformed > before.malformed);
-    fleet.until(20 * S, Fleet::settled).expect("all see each other as before");
+    assert!(
+        after.torn > before.torn
+            && after.foreign > before.foreign
+            && after.malformed > before.malformed
+    );
+    fleet
+        .until(20 * S, Fleet::settled)
+        .expect("all see each other as before");
     assert_eq!(fleet.view(0).members.len(), seen, "nobody was made up");
 }
 
@@ -204,7 +276,9 @@
     fleet.play(fleet.now + 10 * S);
     fleet.start(5, 0);
     fleet.leave(4);
-    fleet.until(20 * S, Fleet::settled).expect("a new life, and a leave");
+    fleet
+        .until(20 * S, Fleet::settled)
+        .expect("a new life, and a leave");
     let tape = fleet.tape();
     assert!(tape.len() > 1_000);
     fleet.network = Network::default();
@@ -217,5 +291,11 @@
     fleet.until(20 * S, Fleet::settled).expect("as before");
     fleet.play(fleet.now + 5 * S);
     assert!(fleet.settled());
-    assert!(fleet.view(0).members.iter().any(|m| m.id.address == address(4) && m.state == State::Left));
+    assert!(
+        fleet
+            .view(0)
+            .members
+            .iter()
+            .any(|m| m.id.address == address(4) && m.state == State::Left)
+    );
 }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -44,13 +44,19 @@
         self.values.get(at).unwrap_or(&Value::Null)
     }
     fn text(&self, at: usize, field: &str) -> Result<&'a str, String> {
-        self.get(at).as_str().map_or_else(|| self.wrong(field, "not a text"), Ok)
+        self.get(at)
+            .as_str()
+            .map_or_else(|| self.wrong(field, "not a text"), Ok)
     }
     fn whole(&self, at: usize, field: &str) -> Result<u64, String> {
         whole(self.get(at)).map_or_else(|| self.wrong(field, "not a whole number from 0"), Ok)
     }
     fn optional(&self, at: usize, field: &str) -> Result<Option<u64>, String> {
-        if self.get(at).is_null() { Ok(None) } else { self.whole(at, field).map(Some) }
+        if self.get(at).is_null() {
+            Ok(None)
+        } else {
+            self.whole(at, field).map(Some)
+        }
     }
     fn request(&self, at: usize) -> Result<RequestId, String> {
         let text = self.text(at, "rid")?;
@@ -61,17 +67,25 @@
     }
     fn attempt(&self, at: usize) -> Result<AttemptNo, String> {
         let number = self.whole(at, "trial")?;
-        u32::try_from(number).map_or_else(|_| self.wrong("trial", "too large"), |n| Ok(AttemptNo(n)))
+        u32::try_from(number)
+            .map_or_else(|_| self.wrong("trial", "too large"), |n| Ok(AttemptNo(n)))
     }
     fn named(&self, at: usize, field: &str, names: &[String]) -> Result<usize, String> {
         let name = self.text(at, field)?;
-        names.iter().position(|n| n == name).map_or_else(|| self.wrong(field, "not in the settings"), Ok)
+        names
+            .iter()
+            .position(|n| n == name)
+            .map_or_else(|| self.wrong(field, "not in the settings"), Ok)
     }
     fn load(&self, at: usize, names: &Names) -> Result<Option<Load>, String> {
         match self.get(at) {
             Value::Null => Ok(None),
             Value::Array(values) => Ok(Some(load(
-                names.report.iter().zip(values).filter_map(|(c, v)| Some((c.as_str(), v.as_f64()?))),
+                names
+                    .report
+                    .iter()
+                    .zip(values)
+                    .filter_map(|(c, v)| Some((c.as_str(), v.as_f64()?))),
             ))),
             _ => self.wrong("usage", "not a row"),
         }
@@ -80,7 +94,12 @@
 
 /// A whole number, also where it is written with a fraction of 0.
 fn whole(value: &Value) -> Option<u64> {
-    value.as_u64().or_else(|| value.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64))
+    value.as_u64().or_else(|| {
+        value
+            .as_f64()
+            .filter(|f| *f >= 0.0 && f.fract() == 0.0)
+            .map(|f| f as u64)
+    })
 }
 
 /// Request ids are hex digits in the groups 8-4-4-4-12; only what is written back the same is taken.
@@ -92,7 +111,14 @@
 
 fn write_id(RequestId(id): RequestId) -> String {
     let hex = format!("{id:032x}");
-    [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]].join("-")
+    [
+        &hex[..8],
+        &hex[8..12],
+        &hex[12..16],
+        &hex[16..20],
+        &hex[20..],
+    ]
+    .join("-")
 }
 
 fn outcome(name: &str) -> Outcome {
@@ -114,10 +140,16 @@
     let Value::Array(values) = value else {
         return Err("peers_known.nodes_list: a line is not a row".into());
     };
-    let f = Fields { event: "peers_known.nodes_list", values };
+    let f = Fields {
+        event: "peers_known.nodes_list",
+        values,
+    };
     // A zone or kind that the settings don't name is one of its own.
     let index = |at: usize, names: &[String]| {
-        f.get(at).as_str().and_then(|name| names.iter().position(|n| n == name)).unwrap_or(usize::MAX)
+        f.get(at)
+            .as_str()
+            .and_then(|name| names.iter().position(|n| n == name))
+            .unwrap_or(usize::MAX)
     };
     let phase = match f.text(4, "phase")? {
         "up" => Phase::Up,
@@ -147,7 +179,10 @@
                 _ => return f.wrong("scope", "unknown"),
             },
             entries: match f.get(3) {
-                Value::Array(lines) => lines.iter().map(|l| entry(l, names)).collect::<Result<_, _>>()?,
+                Value::Array(lines) => lines
+                    .iter()
+                    .map(|l| entry(l, names))
+                    .collect::<Result<_, _>>()?,
                 Value::Null => Vec::new(),
                 _ => return f.wrong("nodes_list", "not a list"),
             },
@@ -201,7 +236,10 @@
             load: f.load(4, names)?,
         },
         "deadline_hit" => Event::Timer(Token(f.whole(1, "cookie")?)),
-        "begun" => Event::Begun { request: f.request(1)?, attempt: f.attempt(2)? },
+        "begun" => Event::Begun {
+            request: f.request(1)?,
+            attempt: f.attempt(2)?,
+        },
         _ => return Err(format!("{}: unknown event", f.event)),
     })
 }
@@ -210,18 +248,37 @@
 fn action(router: &str, action: Action) -> Option<Value> {
     Some(match action {
         Action::Note { .. } => return None,
-        Action::Send { request, server, timeout, .. } => {
-            json!(["deliver", router, write_id(request), server.0, timeout.unwrap_or(0)])
+        Action::Send {
+            request,
+            server,
+            timeout,
+            ..
+        } => {
+            json!([
+                "deliver",
+                router,
+                write_id(request),
+                server.0,
+                timeout.unwrap_or(0)
+            ])
         }
         Action::Fail { request, .. } => json!(["report_failure", router, write_id(request)]),
-        Action::Refuse { request, retry_after, .. } => {
+        Action::Refuse {
+            request,
+            retry_after,
+            ..
+        } => {
             json!(["overload_reply", router, write_id(request), retry_after])
         }
-        Action::Cancel { request, attempt } => json!(["withdraw", router, write_id(request), attempt.0]),
+        Action::Cancel { request, attempt } => {
+            json!(["withdraw", router, write_id(request), attempt.0])
+        }
         Action::Probe(server) => json!(["ping", router, server.0]),
         Action::Close(server) => json!(["let_go", router, server.0]),
         Action::Watch => json!(["observe", router, true]),
-        Action::Timer { after, token } => json!(["notify_me", router, after.min(LONGEST_TIMER), token.0]),
+        Action::Timer { after, token } => {
+            json!(["notify_me", router, after.min(LONGEST_TIMER), token.0])
+        }
         Action::Log(text) => json!(["emit", router, text]),
     })
 }
@@ -229,7 +286,8 @@
 impl Host {
     /// One batch in, its reply out.
     pub fn batch(&mut self, line: &str) -> Result<String, String> {
-        let batch: Batch = serde_json::from_str(line).map_err(|e| format!("batch: not valid: {e}"))?;
+        let batch: Batch =
+            serde_json::from_str(line).map_err(|e| format!("batch: not valid: {e}"))?;
         let mut outbox = Vec::new();
         for (at, values) in batch.arrivals.iter().enumerate() {
             self.arrival(batch.moment_ns, values, &mut outbox)
@@ -238,22 +296,39 @@
         Ok(json!({"serial": batch.serial, "outbox": outbox}).to_string())
     }
 
-    fn arrival(&mut self, now: Nanos, values: &[Value], outbox: &mut Vec<Value>) -> Result<(), String> {
-        let Some(Value::String(name)) = values.first() else { return Err("event has no name".into()) };
-        let f = Fields { event: name, values: &values[1..] };
+    fn arrival(
+        &mut self,
+        now: Nanos,
+        values: &[Value],
+        outbox: &mut Vec<Value>,
+    ) -> Result<(), String> {
+        let Some(Value::String(name)) = values.first() else {
+            return Err("event has no name".into());
+        };
+        let f = Fields {
+            event: name,
+            values: &values[1..],
+        };
         let router = f.text(0, "router_id")?;
         if name == "enlist" {
             let seed = match f.get(1) {
-                Value::Number(n) => {
-                    n.as_u64().or(n.as_i64().map(|i| i as u64)).or(n.as_f64().map(|x| x.to_bits()))
-                }
+                Value::Number(n) => n
+                    .as_u64()
+                    .or(n.as_i64().map(|i| i as u64))
+                    .or(n.as_f64().map(|x| x.to_bits())),
                 _ => None,
             };
-            let Some(seed) = seed else { return f.wrong("prng", "not a number") };
+            let Some(seed) = seed else {
+                return f.wrong("prng", "not a number");
+            };
             let setup = Setup::deserialize(f.get(2)).map_err(|e| format!("enlist.setup: {e}"))?;
-            let (settings, names, _) = setup.translate().map_err(|e| format!("enlist.setup: {e}"))?;
-            let brain = Brain::new(settings, seed, now).map_err(|e| format!("enlist.setup: {e}"))?;
-            self.instances.insert(router.into(), Instance { brain, names });
+            let (settings, names, _) = setup
+                .translate()
+                .map_err(|e| format!("enlist.setup: {e}"))?;
+            let brain =
+                Brain::new(settings, seed, now).map_err(|e| format!("enlist.setup: {e}"))?;
+            self.instances
+                .insert(router.into(), Instance { brain, names });
             return Ok(());
         }
         if name == "stop" {
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -24,7 +24,11 @@
     let mut line = Vec::new();
     loop {
         line.clear();
-        if input.read_until(b'\n', &mut line).map_err(|e| format!("reading: {e}"))? == 0 {
+        if input
+            .read_until(b'\n', &mut line)
+            .map_err(|e| format!("reading: {e}"))?
+            == 0
+        {
             return Ok(());
         }
         let text = std::str::from_utf8(&line).map_err(|e| format!("batch: not UTF-8: {e}"))?;
@@ -32,6 +36,8 @@
             continue;
         }
         let reply = host.batch(text)?;
-        writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(|e| format!("writing: {e}"))?;
+        writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("writing: {e}"))?;
     }
 }
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -21,7 +21,13 @@
         .expect("the binary starts");
     let input = child.stdin.take();
     let output = BufReader::new(child.stdout.take().expect("piped"));
-    Host { child, input, output, serial: 0, now: 5_000_000_000 }
+    Host {
+        child,
+        input,
+        output,
+        serial: 0,
+        now: 5_000_000_000,
+    }
 }
 
 impl Host {
@@ -33,7 +39,10 @@
 
     fn batch(&mut self, arrivals: Value) -> Vec<Value> {
         self.serial += 1;
-        self.line(&json!({"moment_ns": self.now, "serial": self.serial, "arrivals": arrivals}).to_string());
+        self.line(
+            &json!({"moment_ns": self.now, "serial": self.serial, "arrivals": arrivals})
+                .to_string(),
+        );
         let mut reply = String::new();
         self.output.read_line(&mut reply).expect("a reply");
         let reply: Value = serde_json::from_str(&reply).expect("a reply is JSON");
@@ -46,7 +55,12 @@
         drop(self.input.take());
         let (mut rest, mut errors) = (String::new(), String::new());
         self.output.read_to_string(&mut rest).expect("readable");
-        self.child.stderr.take().expect("piped").read_to_string(&mut errors).expect("readable");
+        self.child
+            .stderr
+            .take()
+            .expect("piped")
+            .read_to_string(&mut errors)
+            .expect("readable");
         (self.child.wait().expect("it ends").code(), rest, errors)
     }
 }
@@ -109,10 +123,16 @@
     ]]));
     let sent = named(&out, "deliver");
     assert_eq!(sent.len(), 1);
-    assert_eq!((&sent[0][1], &sent[0][2], &sent[0][4]), (&json!("router_3"), &json!(ID), &json!(0)));
+    assert_eq!(
+        (&sent[0][1], &sent[0][2], &sent[0][4]),
+        (&json!("router_3"), &json!(ID), &json!(0))
+    );
     let first = sent[0][3].clone();
     let timers: Vec<Value> = named(&out, "notify_me").into_iter().cloned().collect();
-    let copy = timers.iter().find(|t| t[2] == 200_000_000u64).expect("T is half the time left at first");
+    let copy = timers
+        .iter()
+        .find(|t| t[2] == 200_000_000u64)
+        .expect("T is half the time left at first");
     host.now += 200_000_000;
     let out = host.batch(json!([["deadline_hit", "router_3", copy[3]]]));
     let second = named(&out, "deliver")[0][3].clone();
@@ -150,10 +170,31 @@
 #[test]
 fn an_unknown_outcome_may_have_run() {
     let mut host = enlisted();
-    let out =
-        host.batch(json!([["inbound", "router_3", ID, "pay", "one", null, 400_000_000u64, null, null, 4]]));
+    let out = host.batch(json!([[
+        "inbound",
+        "router_3",
+        ID,
+        "pay",
+        "one",
+        null,
+        400_000_000u64,
+        null,
+        null,
+        4
+    ]]));
     let to = named(&out, "deliver")[0][3].clone();
-    let out = host.batch(json!([["attempt_end", "router_3", ID, 0, to, "vaporised", 1, false, null, null]]));
+    let out = host.batch(json!([[
+        "attempt_end",
+        "router_3",
+        ID,
+        0,
+        to,
+        "vaporised",
+        1,
+        false,
+        null,
+        null
+    ]]));
     assert_eq!(out, vec![json!(["report_failure", "router_3", ID])]);
     assert_eq!(host.close().0, Some(0));
 }
@@ -161,10 +202,26 @@
 #[test]
 fn instances_share_nothing_and_a_stopped_one_starts_empty() {
     let mut host = enlisted();
-    host.batch(json!([["stop", "router_3"], ["enlist", "router_3", 77, setup()]]));
-    let out =
-        host.batch(json!([["inbound", "router_3", ID, "read", "one", null, 400_000_000u64, null, null, 0]]));
-    assert!(named(&out, "deliver").is_empty(), "no list was told since the start");
+    host.batch(json!([
+        ["stop", "router_3"],
+        ["enlist", "router_3", 77, setup()]
+    ]));
+    let out = host.batch(json!([[
+        "inbound",
+        "router_3",
+        ID,
+        "read",
+        "one",
+        null,
+        400_000_000u64,
+        null,
+        null,
+        0
+    ]]));
+    assert!(
+        named(&out, "deliver").is_empty(),
+        "no list was told since the start"
+    );
     host.batch(json!([
         ["enlist", "router_4", 1, setup()],
         ["peers_known", "router_4", "stale_copy", 1, nodes()]
@@ -223,14 +280,21 @@
     ];
     for (arrivals, named) in cases {
         let mut host = enlisted();
-        host.line(&format!("{{\"moment_ns\":{},\"serial\":41,\"arrivals\":{arrivals}}}", host.now));
+        host.line(&format!(
+            "{{\"moment_ns\":{},\"serial\":41,\"arrivals\":{arrivals}}}",
+            host.now
+        ));
         let (code, output, errors) = host.close();
         assert_eq!((code, output.as_str()), (Some(1), ""), "{arrivals}");
         assert_eq!(errors.lines().count(), 1, "{errors}");
         assert!(
-            errors.contains(named) || named.starts_with("router_") && errors.contains("unknown instance"),
+            errors.contains(named)
+                || named.starts_with("router_") && errors.contains("unknown instance"),
+            "{errors}"
+        );
+        assert!(
+            arrivals.starts_with("[1, 2") || errors.contains("batch 41: arrival 0"),
             "{errors}"
         );
-        assert!(arrivals.starts_with("[1, 2") || errors.contains("batch 41: arrival 0"), "{errors}");
     }
 }
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -22,20 +22,51 @@
 
 fn main() -> io::Result<()> {
     let list = List::default();
-    let options =
-        CacheOptions { service: Duration::from_millis(20), fetch: Duration::ZERO, ..CacheOptions::default() };
+    let options = CacheOptions {
+        service: Duration::from_millis(20),
+        fetch: Duration::ZERO,
+        ..CacheOptions::default()
+    };
     let caches = (1..=CACHES).map(|n| Cache::start(&name(n), address(n), options, None));
     let _caches = caches.collect::<io::Result<Vec<_>>>()?;
-    (1..=CACHES).for_each(|n| list.put(&name(n), Host { health: "in_service", born_ms: 0 }));
+    (1..=CACHES).for_each(|n| {
+        list.put(
+            &name(n),
+            Host {
+                health: "in_service",
+                born_ms: 0,
+            },
+        )
+    });
     let dial = |host: &str| (1..=CACHES).find(|n| name(*n) == host).map(address);
-    let _discovery = Discovery::start(SocketAddr::from(([127, 0, 0, 1], 8_500)), list.clone(), dial)?;
+    let _discovery = Discovery::start(
+        SocketAddr::from(([127, 0, 0, 1], 8_500)),
+        list.clone(),
+        dial,
+    )?;
     println!("three tile caches and discovery are up; type 'drain 2' or 'up 2'");
     for line in io::stdin().lines() {
         let line = line?;
-        let cache = line.split(' ').nth(1).and_then(|n| n.parse().ok()).filter(|n| (1..=CACHES).contains(n));
+        let cache = line
+            .split(' ')
+            .nth(1)
+            .and_then(|n| n.parse().ok())
+            .filter(|n| (1..=CACHES).contains(n));
         match (line.split(' ').next(), cache) {
-            (Some("drain"), Some(n)) => list.put(&name(n), Host { health: "terminating", born_ms: 0 }),
-            (Some("up"), Some(n)) => list.put(&name(n), Host { health: "in_service", born_ms: 0 }),
+            (Some("drain"), Some(n)) => list.put(
+                &name(n),
+                Host {
+                    health: "terminating",
+                    born_ms: 0,
+                },
+            ),
+            (Some("up"), Some(n)) => list.put(
+                &name(n),
+                Host {
+                    health: "in_service",
+                    born_ms: 0,
+                },
+            ),
             _ => println!("'drain N' or 'up N', with N from 1 to {CACHES}"),
         }
     }
