--- a/crates/pipitrun/src/agent.rs
+++ b/crates/balancer/src/agent.rs
@@ -2,7 +2,7 @@
 //! has counts as told whether or not it was read. Fed with times; no I/O.
 
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 
 /// The first wait after a watch that ended soon; it doubles from there.
 const FIRST: Nanos = 10 * MS;
--- a/crates/pipitrun/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -5,9 +5,9 @@
 pub use fleet::FleetConfig;
 
 use crate::upstream_group::HostList;
-use finchyard::Settings;
-use finchyard_settings::{Names, Setup, Transport, key_of};
 use fleet::FileFleet;
+use routing::Settings;
+use routing_config::{Names, Setup, Transport, key_of};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
--- a/crates/pipitrun/src/config/fleet.rs
+++ b/crates/balancer/src/config/fleet.rs
@@ -1,7 +1,7 @@
 //! The key `fleet`: the talk with other balancers. Off unless it is there.
 
 use super::{ConfigError, parse_address, wrong};
-use pipitrun_fleet::{FleetSettings, LOCATION_NAME_MAX, Location, MS, Timing};
+use membership::{FleetSettings, LOCATION_NAME_MAX, Location, MS, Timing};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/pipitrun/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `config`.
 
 use super::*;
-use finchyard::Discovery;
+use routing::Discovery;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.2:8500","seed":"ff",
     "limits":{"cores":1.0,"memory_mb":128,"sockets":512},
--- a/crates/pipitrun/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the balancer took in, sent and answered.
 
-use finchyard::Reason;
+use routing::Reason;
 use std::fmt;
 
 /// A step that the module took, or left out, for a reason.
--- a/crates/pipitrun/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -2,11 +2,11 @@
 
 use crate::request::Incoming;
 use crate::upstream_group::{Host, HostList};
-use finchyard::{
+use routing::{
     Action, Brain, ClassId, Entry, Event, Key, Learnt, ListScope, Nanos, NewRequest, Phase,
     ServerId, Tally, TenantId,
 };
-use finchyard_settings::Names;
+use routing_config::Names;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The module with the names by which messages speak of its classes, tenants, zones and kinds.
--- a/crates/pipitrun/src/event_loop/attempts.rs
+++ b/crates/balancer/src/event_loop/attempts.rs
@@ -5,7 +5,7 @@
 use crate::peers::{Job, JobEnd, Outgoing, PeerEvent};
 use crate::resp::write_command;
 use crate::timers::{Due, MS};
-use finchyard::{AttemptNo, Nanos, Outcome, RequestId, ServerId};
+use routing::{AttemptNo, Nanos, Outcome, RequestId, ServerId};
 
 /// A probe is given up after this.
 const PROBE_TIMEOUT: Nanos = 500 * MS;
--- a/crates/pipitrun/src/event_loop/fleet.rs
+++ b/crates/balancer/src/event_loop/fleet.rs
@@ -3,8 +3,8 @@
 use super::EventLoop;
 use crate::fleet::Fleet;
 use crate::timers::Due;
-use finchyard::{Event, Nanos};
-use pipitrun_fleet::{Phase, Soft};
+use membership::{Phase, Soft};
+use routing::{Event, Nanos};
 use xxhash_rust::xxh3::xxh3_64;
 
 impl EventLoop {
--- a/crates/pipitrun/src/event_loop/lists.rs
+++ b/crates/balancer/src/event_loop/lists.rs
@@ -6,7 +6,7 @@
 use crate::timers::Due;
 use crate::upstream_group::messages::ListPart;
 use crate::upstream_group::{GroupEvent, Host, HostList};
-use finchyard::{Event, ListScope, Nanos, Phase, ServerId};
+use routing::{Event, ListScope, Nanos, Phase, ServerId};
 use std::collections::BTreeSet;
 
 /// Hosts of a list that are taken in one turn: at some microseconds each, they hold nothing else up.
--- a/crates/pipitrun/src/event_loop/operators.rs
+++ b/crates/balancer/src/event_loop/operators.rs
@@ -4,7 +4,7 @@
 use crate::front::management::{Asked, Call};
 use crate::poll::{Ready, Source};
 use crate::timers::Due;
-use finchyard::Nanos;
+use routing::Nanos;
 
 impl EventLoop {
     /// Has the clients' door do what follows from the life cycle now.
--- a/crates/pipitrun/src/event_loop/requests.rs
+++ b/crates/balancer/src/event_loop/requests.rs
@@ -6,7 +6,7 @@
 use crate::request::{FinalAnswer, Incoming};
 use crate::timers::MS;
 use crate::tries::Answer;
-use finchyard::{Event, Nanos, RequestId, Why};
+use routing::{Event, Nanos, RequestId, Why};
 use std::collections::VecDeque;
 
 impl EventLoop {
--- a/crates/pipitrun/src/event_loop/turns.rs
+++ b/crates/balancer/src/event_loop/turns.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 
 /// A turn that takes longer is counted, and logged with the step that took most of it.
 const TURN_LONG: Nanos = 20 * MS;
--- a/crates/pipitrun/src/event_loop/upgrade.rs
+++ b/crates/balancer/src/event_loop/upgrade.rs
@@ -6,7 +6,7 @@
 use crate::seats::Seats;
 use crate::timers::Due;
 use crate::upstream_group::HostList;
-use finchyard::{Learnt, Nanos};
+use routing::{Learnt, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::TcpListener;
 
--- a/crates/pipitrun/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's talk: one UDP socket and one timer, fed into a `pipitrun_fleet::Member`. What it says of the others goes
+//! The fleet's talk: one UDP socket and one timer, fed into a `membership::Member`. What it says of the others goes
 //! into the log, the counters, the operators' door, and, as one figure, to the module. Without the key `fleet` of the
 //! configuration there is none of this.
 
@@ -6,9 +6,9 @@
 use crate::life_cycle::LifeCycle;
 use crate::poll::{Poll, Source, Watched};
 use crate::timers::MS;
-use finchyard::{Allowance, Nanos, Tally};
-use pipitrun_fleet::envelope::DATAGRAM_MAX;
-use pipitrun_fleet::{Change, Location, Member, Phase, RegionSeen, Seen, Soft, State};
+use membership::envelope::DATAGRAM_MAX;
+use membership::{Change, Location, Member, Phase, RegionSeen, Seen, Soft, State};
+use routing::{Allowance, Nanos, Tally};
 use serde::Serialize;
 use std::fmt;
 use std::io::{self, ErrorKind};
--- a/crates/pipitrun/src/front/management.rs
+++ b/crates/balancer/src/front/management.rs
@@ -5,7 +5,7 @@
 use crate::counters::Counters;
 use crate::poll::{Poll, Ready, Source, Watched, discard};
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/pipitrun/src/front/mod.rs
+++ b/crates/balancer/src/front/mod.rs
@@ -4,7 +4,7 @@
 pub mod resp;
 
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 
 /// Who is sent nothing more has this long to take what it was answered and to close: a far one needs a round trip, a slow
 /// one some more.
--- a/crates/pipitrun/src/front/resp.rs
+++ b/crates/balancer/src/front/resp.rs
@@ -13,7 +13,7 @@
 use crate::resp::{self, VALUE_MAX, read_command};
 use crate::timers::MS;
 use commands::{Taken, command, encode, error};
-use finchyard::{Nanos, RequestId};
+use routing::{Nanos, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/pipitrun/src/front/resp/commands.rs
+++ b/crates/balancer/src/front/resp/commands.rs
@@ -4,7 +4,7 @@
 use crate::request::{FinalAnswer, Incoming, Order, Ticket};
 use crate::resp;
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 use std::ops::Range;
 
 /// The most work that a client may guess, in microseconds: more than an hour is no guess.
--- a/crates/pipitrun/src/front/resp/tests.rs
+++ b/crates/balancer/src/front/resp/tests.rs
@@ -456,7 +456,7 @@
     let read = |h: &str| {
         let fields = format!("c=read,h={h},d=480");
         let ticket = Ticket {
-            request: finchyard::RequestId(1),
+            request: routing::RequestId(1),
             connection: 0,
         };
         request([b"key", b"id", fields.as_bytes()], None, ticket).unwrap()
--- a/crates/pipitrun/src/hand_over.rs
+++ b/crates/balancer/src/hand_over.rs
@@ -1,7 +1,7 @@
 //! Two processes of one balancer during an upgrade, without I/O: it is told what stands in the other's seat, and when.
 
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// How often a process looks whether the other lives.
--- a/crates/pipitrun/src/life_cycle.rs
+++ b/crates/balancer/src/life_cycle.rs
@@ -1,7 +1,7 @@
 //! The life cycle, without I/O: it is told what happens and when, and what the doors say and do follows from it alone.
 
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 
 /// How long client connections stay open in a drain: a front that asks ten times a second and takes 0.2 s to turn away
 /// has done so by then, and whoever is sent away sooner only comes back.
--- a/crates/pipitrun/src/looks.rs
+++ b/crates/balancer/src/looks.rs
@@ -6,7 +6,7 @@
 //! monotonic clock. No I/O.
 
 use crate::timers::MS;
-use finchyard::Nanos;
+use routing::Nanos;
 
 /// No wait for ready sockets is longer than this, so that a longer one shows that the process was held up.
 pub const WAIT_MOST: Nanos = 30 * MS;
--- a/crates/pipitrun/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,6 +1,6 @@
 //! pipitrun: one balancer of tile caches on real sockets. The modules follow the stages of a request: a front
 //! takes it from a client connection, `request` is its context, `decide` asks the module, `tries` and `peers`
-//! carry out what it says, and the front answers. No decision is taken here; they are all finchyard's.
+//! carry out what it says, and the front answers. No decision is taken here; they are all routing's.
 #![deny(unsafe_code)]
 
 mod agent;
--- a/crates/pipitrun/src/peers.rs
+++ b/crates/balancer/src/peers.rs
@@ -6,7 +6,7 @@
 use crate::poll::{Poll, Ready, Source, Watched, connect, is_silent};
 use crate::resp::{Answer, Reply, RespError, read_answer, read_reply};
 use crate::timers::{Due, MS, Timers};
-use finchyard::{AttemptNo, Nanos, RequestId, ServerId};
+use routing::{AttemptNo, Nanos, RequestId, ServerId};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/pipitrun/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,7 +1,7 @@
 //! The neutral request context: what every front's requests have in common, whatever protocol they came by.
 
 use crate::resp::write_command;
-use finchyard::{AttemptNo, Nanos, RequestId, ServerId};
+use routing::{AttemptNo, Nanos, RequestId, ServerId};
 use std::collections::BTreeMap;
 
 /// The right to answer one request, and the duty. It can't be copied, and answering uses it up: so nothing is
--- a/crates/pipitrun/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,7 +1,7 @@
 //! What is due when. Who gets a timer that is out of date ignores it; those that could stand for long are taken
 //! back, or a day of many short requests with long deadlines would heap them up.
 
-use finchyard::{AttemptNo, Nanos, RequestId, Token};
+use routing::{AttemptNo, Nanos, RequestId, Token};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/pipitrun/src/tries.rs
+++ b/crates/balancer/src/tries.rs
@@ -6,7 +6,7 @@
 use crate::request::{FinalAnswer, Incoming, RequestContext, Ticket, Try};
 use crate::resp::{Answer as PeerAnswer, Reply};
 use crate::timers::MS;
-use finchyard::{AttemptNo, CacheNote, Ended, Event, Load, Nanos, Outcome, RequestId, ServerId};
+use routing::{AttemptNo, CacheNote, Ended, Event, Load, Nanos, Outcome, RequestId, ServerId};
 use std::collections::{HashMap, HashSet};
 
 /// A final answer that is due now.
@@ -381,7 +381,7 @@
     let pairs = text
         .split([',', ' '])
         .filter_map(|pair| pair.split_once('='));
-    finchyard_settings::load(pairs.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
+    routing_config::load(pairs.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
 }
 
 fn probed(server: ServerId, end: JobEnd) -> Event {
--- a/crates/fleet/src/overload.rs
+++ b/crates/membership/src/overload.rs
@@ -12,7 +12,7 @@
 use crate::envelope::PAYLOAD_MAX;
 use crate::planted::{self, Fault};
 use crate::{MS, Nanos};
-pub use finchyard::{SHED_MOST, TIERS_COUNTED, Tally};
+pub use routing::{SHED_MOST, TIERS_COUNTED, Tally};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/settings/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -2,7 +2,7 @@
 //! their translation into what the decision module is told.
 #![forbid(unsafe_code)]
 
-use finchyard::{
+use routing::{
     Class, Discovery, Effect, Group, Limits, Load, Nanos, Origin, Rules, Settings, SettingsError,
     Tenant,
 };
--- a/crates/finchyard/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,7 +7,7 @@
 //! # Embedding in a router
 //!
 //! ```
-//! use finchyard::*;
+//! use routing::*;
 //!
 //! const MS: Nanos = 1_000_000;
 //! let settings = Settings {
--- a/crates/finchyard/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A hand-driven router: plays events into a brain, keeps its timers and all that it ordered.
 #![allow(dead_code)]
 
-use finchyard::*;
+use routing::*;
 
 pub const MS: Nanos = 1_000_000;
 pub const SAFE: ClassId = ClassId(0);
--- a/crates/finchyard/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use finchyard::*;
+use routing::*;
 
 /// Plays `count` reads of ever new keys, 10 ms apart, and ends each attempt at once as told.
 fn play(b: &mut Bench, from: u128, count: u128, outcome: Outcome) -> (usize, usize) {
--- a/crates/finchyard/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use finchyard::*;
+use routing::*;
 
 #[test]
 fn a_request_without_servers_is_turned_away_once() {
--- a/crates/wirehost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,10 +1,10 @@
 //! Translation between lines of the wire and the events and actions of one brain for each instance.
 
-use finchyard::{
+use routing::{
     Action, AttemptNo, Brain, CacheNote, ClassId, Ended, Entry, Event, Key, ListScope, Load, Nanos,
     NewRequest, Outcome, Phase, RequestId, ServerId, TenantId, Token,
 };
-use finchyard_settings::{Names, Setup, load};
+use routing_config::{Names, Setup, load};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::HashMap;
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts finchyard's decision module on the operators' wire: batches of events on standard input, one reply
+//! Hosts routing's decision module on the operators' wire: batches of events on standard input, one reply
 //! each on standard output. No decision is taken here.
 #![forbid(unsafe_code)]
 
@@ -11,7 +11,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("finchyard-wirehost: {e}");
+            eprintln!("simulator-adapter: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/trials/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -4,9 +4,9 @@
 //! goes or another comes. Time is taken on the machine's clock round each event. The rows of the table of candidates
 //! fill up while the run warms up; that is measured apart, as the cost of a first request.
 
-use finchyard::*;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
+use routing::*;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/trials/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -10,8 +10,8 @@
 mod processes;
 
 use crate::virtual_regions::sizes;
+use membership::MS;
 use messages::{Command, Report};
-use pipitrun_fleet::MS;
 use processes::Processes;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/trials/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -4,11 +4,9 @@
 use super::{Place, Plan, REPORT};
 use crate::virtual_time::region_name;
 use crate::virtual_trials::resident_kb;
+use membership::envelope::DATAGRAM_MAX;
+use membership::{Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
-use pipitrun_fleet::envelope::DATAGRAM_MAX;
-use pipitrun_fleet::{
-    Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing,
-};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::io::{BufRead, ErrorKind, Write};
--- a/crates/trials/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,21 +1,21 @@
 //! Plays trials from the command line; the last line is the verdict.
 
 use clap::{Parser, Subcommand};
-use pipitrun_fleet::MS;
-use pipitrun_trials::ground::Plan;
-use pipitrun_trials::play::{Report, play};
-use pipitrun_trials::{
-    chart, decisions, hollow, mutations, scenarios, silence, slopes, soak, virtual_overload,
-    virtual_regions, virtual_trials,
-};
+use membership::MS;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use testbed::ground::Plan;
+use testbed::play::{Report, play};
+use testbed::{
+    chart, decisions, hollow, mutations, scenarios, silence, slopes, soak, virtual_overload,
+    virtual_regions, virtual_trials,
+};
 
 /// Trials of many pipitrun processes, with faults between them.
 #[derive(Parser)]
-#[command(name = "pipitrun-trials", version, about)]
+#[command(name = "testbed", version, about)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -333,7 +333,7 @@
         .filter(|_| heeded)
     {
         if let Err(e) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
-            eprintln!("pipitrun-trials: signals: {e}");
+            eprintln!("testbed: signals: {e}");
         }
     }
     let result = match command {
@@ -378,11 +378,12 @@
             };
             measure_regions(plan, &members, &loss, seeds)
         }
-        Command::Silence { sizes, program } => pipitrun_trials::ground::program(program.as_ref())
-            .and_then(|program| {
+        Command::Silence { sizes, program } => {
+            testbed::ground::program(program.as_ref()).and_then(|program| {
                 silence::print_table(&program, &sizes)?;
                 Ok(ExitCode::SUCCESS)
-            }),
+            })
+        }
         Command::Growth(arguments) => soak::growth::run(&arguments),
         Command::Soak(arguments) => soak::command::run(&arguments),
         Command::Slopes {
@@ -469,7 +470,7 @@
         }
     };
     result.unwrap_or_else(|e| {
-        eprintln!("pipitrun-trials: {e}");
+        eprintln!("testbed: {e}");
         println!("verdict: failed to play");
         ExitCode::FAILURE
     })
@@ -561,18 +562,18 @@
     check: Option<PathBuf>,
     write: Option<PathBuf>,
 ) -> Result<ExitCode, String> {
-    let plan = pipitrun_trials::capacity::Plan::read(plan)?;
+    let plan = testbed::capacity::Plan::read(plan)?;
     let slopes = slopes::Slopes::read(slopes)?;
-    let tables = pipitrun_trials::capacity::tables(&plan, &slopes)?;
+    let tables = testbed::capacity::tables(&plan, &slopes)?;
     let page =
         |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     match (check, write) {
         (Some(path), _) => {
-            let checked = pipitrun_trials::capacity::check(&page(&path)?, &tables);
+            let checked = testbed::capacity::check(&page(&path)?, &tables);
             checked.map_err(|e| format!("{}: {e}", path.display()))?;
         }
         (None, Some(path)) => {
-            let written = pipitrun_trials::capacity::rewrite(&page(&path)?, &tables);
+            let written = testbed::capacity::rewrite(&page(&path)?, &tables);
             let written = written.map_err(|e| format!("{}: {e}", path.display()))?;
             std::fs::write(&path, written).map_err(|e| format!("{}: {e}", path.display()))?;
         }
--- a/crates/trials/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -1,7 +1,7 @@
 //! The mutation check: each mistake that can be planted has to be found by a trial that passes without it.
 
 use crate::virtual_trials;
-use pipitrun_fleet::planted::Fault;
+use membership::planted::Fault;
 use serde::Serialize;
 use std::path::Path;
 use std::process::Command;
--- a/crates/trials/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,4 +1,4 @@
-//! `pipitrun-trials soak`: plays seeds and prints a row for each, the breaches, and the verdict.
+//! `testbed soak`: plays seeds and prints a row for each, the breaches, and the verdict.
 
 use super::draw::draw;
 use super::{Outcome, play};
--- a/crates/trials/src/virtual_overload.rs
+++ b/crates/testbed/src/virtual_overload.rs
@@ -3,8 +3,8 @@
 //! worth 3 and, a tenth, writes worth 10.
 
 use crate::virtual_time::Fleet;
-use pipitrun_fleet::overload::{FRESH, SHED_MOST, TIERS_COUNTED, Tally};
-use pipitrun_fleet::{MS, Nanos};
+use membership::overload::{FRESH, SHED_MOST, TIERS_COUNTED, Tally};
+use membership::{MS, Nanos};
 use serde::Serialize;
 
 const S: Nanos = 1_000 * MS;
--- a/crates/trials/src/virtual_region_trials.rs
+++ b/crates/testbed/src/virtual_region_trials.rs
@@ -1,10 +1,10 @@
 //! Trials of a fleet in regions, in virtual time, each with a verdict.
 
 use crate::virtual_time::{Fleet, Network, address, region_name};
-use pipitrun_fleet::envelope::{Kind, Numbers, seal};
-use pipitrun_fleet::regions::exchange::Told;
-use pipitrun_fleet::regions::{Announcement, Payload, Summary};
-use pipitrun_fleet::{MS, Nanos};
+use membership::envelope::{Kind, Numbers, seal};
+use membership::regions::exchange::Told;
+use membership::regions::{Announcement, Payload, Summary};
+use membership::{MS, Nanos};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::net::SocketAddr;
--- a/crates/trials/src/virtual_regions.rs
+++ b/crates/testbed/src/virtual_regions.rs
@@ -2,7 +2,7 @@
 
 use crate::virtual_time::{Fleet, Network};
 use crate::virtual_trials::resident_kb;
-use pipitrun_fleet::{MS, Nanos};
+use membership::{MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/trials/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -1,6 +1,6 @@
 //! Members of the `fleet` crate side by side in virtual time: the same seed plays the same course on every machine.
 
-use pipitrun_fleet::{
+use membership::{
     Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing, Traffic, View,
 };
 use rand::{RngExt, SeedableRng};
@@ -201,7 +201,7 @@
     }
 
     /// Counts what a member's module let in and what of it found no room.
-    pub fn count(&mut self, n: usize, tally: pipitrun_fleet::overload::Tally) {
+    pub fn count(&mut self, n: usize, tally: membership::overload::Tally) {
         if let Some(member) = &mut self.places[n].member {
             member.count(tally);
         }
@@ -372,7 +372,7 @@
         if self.cut[from][to] || self.rng.random_bool(network.loss) {
             return;
         }
-        let load = datagram.get(3) == Some(&(pipitrun_fleet::envelope::Kind::Load as u8));
+        let load = datagram.get(3) == Some(&(membership::envelope::Kind::Load as u8));
         if load && network.load_loss > 0.0 && self.rng.random_bool(network.load_loss) {
             return;
         }
@@ -607,7 +607,7 @@
             let Some(member) = &self.places[n].member else {
                 continue;
             };
-            let seen: HashMap<SocketAddr, &pipitrun_fleet::Seen> =
+            let seen: HashMap<SocketAddr, &membership::Seen> =
                 member.seen().map(|seen| (seen.id.address, seen)).collect();
             for (m, place) in self.places.iter().enumerate().filter(|(m, _)| *m != n) {
                 let what = match (&place.member, seen.get(&address(m))) {
--- a/crates/trials/src/virtual_trials.rs
+++ b/crates/testbed/src/virtual_trials.rs
@@ -2,7 +2,7 @@
 
 use crate::virtual_region_trials as regions;
 use crate::virtual_time::{Fleet, Network, address};
-use pipitrun_fleet::{MS, Nanos};
+use membership::{MS, Nanos};
 use serde::Serialize;
 
 const S: Nanos = 1_000 * MS;
--- a/crates/trials/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,8 +1,8 @@
 //! The page of capacity: fits, tables and the check that names what differs.
 
-use pipitrun_trials::capacity::{Plan, check, rewrite, tables};
-use pipitrun_trials::slopes::{Point, Slopes, fit};
 use std::path::{Path, PathBuf};
+use testbed::capacity::{Plan, check, rewrite, tables};
+use testbed::slopes::{Point, Slopes, fit};
 
 fn docs() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
--- a/crates/trials/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -1,13 +1,13 @@
 //! Several processes that shed load by one level (`fleet.shed_together`), with faults between them. What holds is waited
 //! for, up to wide ceilings; how well and how fast is measured elsewhere.
 
-use pipitrun_trials::faults::Faults;
-use pipitrun_trials::ground::{Ground, Plan};
-use pipitrun_trials::stand_ins::cache::CacheOptions;
-use pipitrun_trials::stand_ins::clients::{Asked, End};
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
+use testbed::faults::Faults;
+use testbed::ground::{Ground, Plan};
+use testbed::stand_ins::cache::CacheOptions;
+use testbed::stand_ins::clients::{Asked, End};
 
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
--- a/crates/trials/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -1,14 +1,14 @@
 //! A fleet in regions, in virtual time: the same seed plays the same course everywhere.
 
-use pipitrun_fleet::envelope::{Kind, Numbers, seal};
-use pipitrun_fleet::regions::exchange::Told;
-use pipitrun_fleet::regions::{Announcement, Payload, Summary};
-use pipitrun_fleet::{MS, Nanos};
-use pipitrun_trials::virtual_region_trials as trials;
-use pipitrun_trials::virtual_regions::{Events, Plan, measure, sizes};
-use pipitrun_trials::virtual_time::{Fleet, Network, address, region_name};
+use membership::envelope::{Kind, Numbers, seal};
+use membership::regions::exchange::Told;
+use membership::regions::{Announcement, Payload, Summary};
+use membership::{MS, Nanos};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
+use testbed::virtual_region_trials as trials;
+use testbed::virtual_regions::{Events, Plan, measure, sizes};
+use testbed::virtual_time::{Fleet, Network, address, region_name};
 
 const S: Nanos = 1_000 * MS;
 const CEILING: Nanos = 60 * S;
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -4,11 +4,11 @@
 //! them. A line on standard input changes the list: `drain 2` lets the second cache drain, `up 2` brings it back. The
 //! caches keep values for as long as the process runs; a read of what none was given gets a made-up tile.
 
-use pipitrun_trials::stand_ins::cache::{Cache, CacheOptions};
-use pipitrun_trials::stand_ins::discovery::{Discovery, Host, List};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::stand_ins::cache::{Cache, CacheOptions};
+use testbed::stand_ins::discovery::{Discovery, Host, List};
 
 const CACHES: usize = 3;
 
