--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -7,7 +7,7 @@
 use crate::upstream_group::HostList;
 use fleet::FileFleet;
 use routing::Settings;
-use routing_config::{Names, Setup, Transport, key_of};
+use routing_config::{NameTables, OperatorSettings, TransportSettings, operator_key};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -52,9 +52,9 @@
     /// What the module is told.
     pub settings: Settings,
     /// The names in messages.
-    pub names: Names,
+    pub names: NameTables,
     /// What the network side needs of the settings.
-    pub transport: Transport,
+    pub transport: TransportSettings,
     /// What the settings say that is borne and yet should be known.
     pub remarks: Vec<String>,
 }
@@ -93,7 +93,7 @@
     #[serde(default)]
     limits: FileLimits,
     known: Option<HostList>,
-    settings: Setup,
+    settings: OperatorSettings,
 }
 
 #[derive(Deserialize, Default)]
@@ -192,14 +192,14 @@
             text.parse().map_err(|_| wrong("GW_SOCKET_FD", problem()))
         };
         let socket_fd = variable("GW_SOCKET_FD").map(descriptor).transpose()?;
-        let remarks = file.settings.remarks();
+        let remarks = file.settings.warnings();
         let (settings, names, transport) = file
             .settings
             .translate()
             .map_err(|e| wrong("settings", e))?;
         settings
             .check()
-            .map_err(|e| wrong(&format!("settings.{}", key_of(&e)), e.problem))?;
+            .map_err(|e| wrong(&format!("settings.{}", operator_key(&e)), e.problem))?;
         let figure = |key: &str, value: Option<f64>, default: usize, least: usize| match value {
             None => Ok(default),
             Some(v) if v >= least as f64 => Ok(v as usize),
--- a/crates/balancer/src/config/fleet.rs
+++ b/crates/balancer/src/config/fleet.rs
@@ -1,7 +1,7 @@
 //! The key `fleet`: the talk with other balancers. Off unless it is there.
 
 use super::{ConfigError, parse_address, wrong};
-use membership::{FleetSettings, LOCATION_NAME_MAX, Location, MS, Timing};
+use membership::{LOCATION_NAME_MAX, Location, MS, MembershipSettings, Timing};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -50,14 +50,14 @@
 
 impl FleetConfig {
     /// What a member is told: this balancer's name, and the settings' number of balancers.
-    pub fn settings(&self, name: &str, configured: usize) -> FleetSettings {
-        FleetSettings {
+    pub fn settings(&self, name: &str, configured: usize) -> MembershipSettings {
+        MembershipSettings {
             fleet: self.name.clone(),
             name: name.into(),
             address: self.advertise,
             join: self.join.clone(),
             members_max: self.members_max,
-            configured,
+            configured_balancers: configured,
             timing: self.timing,
             location: self.location.clone(),
         }
@@ -119,28 +119,28 @@
         let suspect = span(
             "fleet.suspect_ms",
             self.suspect_ms,
-            default.suspect,
+            default.suspicion_timeout,
             300,
             60_000,
         )?;
         let hold = span(
             "fleet.hold_ms",
             self.hold_ms,
-            default.hold,
+            default.share_retention,
             suspect / MS,
             3_600_000,
         )?;
         let forget = span(
             "fleet.forget_ms",
             self.forget_ms,
-            default.forget,
+            default.tombstone_retention,
             2 * hold / MS,
             86_400_000,
         )?;
         let timing = Timing {
-            suspect,
-            hold,
-            forget,
+            suspicion_timeout: suspect,
+            share_retention: hold,
+            tombstone_retention: forget,
             ..default
         };
         let location = location(self.region, self.zone, self.site)?;
--- a/crates/balancer/src/config/fleet/tests.rs
+++ b/crates/balancer/src/config/fleet/tests.rs
@@ -19,14 +19,14 @@
         (
             settings.address.port(),
             settings.join.len(),
-            settings.configured
+            settings.configured_balancers
         ),
         (7946, 1, 3)
     );
     let behind = r#"{"name":"a","bind":"0.0.0.0:7946","advertise":"127.0.0.9:7","hold_ms":2000,"forget_ms":4000}"#;
     let settings = parse(behind).unwrap().fleet.unwrap().settings("n1", 3);
     assert_eq!(
-        (settings.address.port(), settings.timing.hold),
+        (settings.address.port(), settings.timing.share_retention),
         (7, 2_000_000_000)
     );
     let key =
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `config`.
 
 use super::*;
-use routing::Discovery;
+use routing::DiscoveryMode;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.2:8500","seed":"ff",
     "limits":{"cores":1.0,"memory_mb":128,"sockets":512},
@@ -25,7 +25,7 @@
         (config.sockets, config.memory, config.name.as_str()),
         (512, 128 << 20, "n3")
     );
-    assert_eq!(config.settings.limits.max_attempts, 3);
+    assert_eq!(config.settings.capabilities.max_attempts, 3);
 }
 
 #[test]
@@ -36,9 +36,9 @@
     };
     let sound = "\"group_size\":3,\"obligations\":{\"drain_grace_ns\":5},\"membership_mode\":";
     for (mode, discovery) in [
-        ("automatic", Discovery::Pushed),
-        ("subscribe", Discovery::Asked { within: 0 }),
-        ("carrier", Discovery::Asked { within: 0 }),
+        ("automatic", DiscoveryMode::Push),
+        ("subscribe", DiscoveryMode::Poll { staleness_limit: 0 }),
+        ("carrier", DiscoveryMode::Poll { staleness_limit: 0 }),
     ] {
         let config = told(&format!("{sound}\"{mode}\","));
         assert_eq!(config.settings.discovery, discovery);
@@ -66,7 +66,7 @@
         "{:?}",
         bare.remarks
     );
-    assert_eq!((bare.remarks.len(), bare.settings.routers), (3, 1));
+    assert_eq!((bare.remarks.len(), bare.settings.balancers), (3, 1));
 }
 
 #[test]
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the balancer took in, sent and answered.
 
-use routing::Reason;
+use routing::DecisionReason;
 use std::fmt;
 
 /// A step that the module took, or left out, for a reason.
@@ -32,11 +32,11 @@
 
 /// How often each step was taken for each reason.
 #[derive(Default)]
-pub struct Steps([[u64; Reason::ALL.len()]; Step::ALL.len()]);
+pub struct Steps([[u64; DecisionReason::ALL.len()]; Step::ALL.len()]);
 
 impl Steps {
     /// Counts one.
-    pub fn count(&mut self, step: Step, reason: Reason) {
+    pub fn count(&mut self, step: Step, reason: DecisionReason) {
         self.0[step as usize][reason as usize] += 1;
     }
 }
@@ -45,7 +45,7 @@
 impl fmt::Display for Steps {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for step in Step::ALL {
-            for reason in Reason::ALL {
+            for reason in DecisionReason::ALL {
                 let count = self.0[step as usize][reason as usize];
                 if count > 0 {
                     write!(f, " {}.{}={count}", step.name(), reason.name())?;
--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/decide.rs
@@ -3,26 +3,26 @@
 use crate::request::Incoming;
 use crate::upstream_group::{Host, HostList};
 use routing::{
-    Action, Brain, ClassId, Entry, Event, Key, Learnt, ListScope, Nanos, NewRequest, Phase,
-    ServerId, Tally, TenantId,
+    Action, AdmissionCounts, ClassId, Endpoint, EndpointId, EndpointState, Engine, Event, Key,
+    Nanos, NewRequest, Snapshot, TenantId, UpdateKind,
 };
-use routing_config::Names;
+use routing_config::NameTables;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The module with the names by which messages speak of its classes, tenants, zones and kinds.
 pub struct Decide {
-    brain: Brain,
-    names: Names,
+    brain: Engine,
+    names: NameTables,
 }
 
 impl Decide {
     /// Puts the names to a module.
-    pub fn new(brain: Brain, names: Names) -> Self {
+    pub fn new(brain: Engine, names: NameTables) -> Self {
         Decide { brain, names }
     }
 
     /// The names of a load report's values.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &NameTables {
         &self.names
     }
 
@@ -36,24 +36,24 @@
     }
 
     /// What the module let in and what of it found no room, since the last call.
-    pub fn take_tally(&mut self) -> Tally {
-        self.brain.take_tally()
+    pub fn take_tally(&mut self) -> AdmissionCounts {
+        self.brain.take_admission_counts()
     }
 
     /// What the module has learnt, for the next process of this balancer.
-    pub fn learnt(&mut self) -> Learnt {
-        self.brain.learnt()
+    pub fn learnt(&mut self) -> Snapshot {
+        self.brain.take_snapshot()
     }
 
     /// Takes over what another process's module had learnt, or tells what makes no sense of it.
-    pub fn recall(&mut self, learnt: &Learnt) -> Result<(), &'static str> {
-        self.brain.recall(learnt)
+    pub fn recall(&mut self, learnt: &Snapshot) -> Result<(), &'static str> {
+        self.brain.restore(learnt)
     }
 
     /// A client's request in the module's terms; none if the settings don't name its class.
     pub fn request(&self, incoming: &Incoming) -> Option<Event> {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        Some(Event::Request(NewRequest {
+        Some(Event::RequestArrived(NewRequest {
             id: incoming.ticket.request,
             class: ClassId(place(&self.names.classes, &incoming.class)?),
             tenant: incoming
@@ -62,26 +62,26 @@
                 .and_then(|t| place(&self.names.tenants, t))
                 .map(TenantId),
             key: Some(key(&incoming.order.key)),
-            patience: incoming.patience,
-            work: incoming.work,
-            write: incoming.order.value.is_some(),
+            client_timeout: incoming.patience,
+            estimated_work: incoming.work,
+            is_write: incoming.order.value.is_some(),
         }))
     }
 
     /// A list in the module's terms.
     pub fn list(&self, list: &HostList, stale: bool) -> Event {
         let scope = match (stale, list.whole) {
-            (true, _) => ListScope::Stale,
-            (false, true) => ListScope::Whole,
-            (false, false) => ListScope::Patch,
+            (true, _) => UpdateKind::Stale,
+            (false, true) => UpdateKind::Full,
+            (false, false) => UpdateKind::Delta,
         };
-        Event::List {
-            scope,
-            entries: list.hosts.iter().map(|h| self.entry(h)).collect(),
+        Event::EndpointUpdate {
+            kind: scope,
+            endpoints: list.hosts.iter().map(|h| self.entry(h)).collect(),
         }
     }
 
-    fn entry(&self, host: &Host) -> Entry {
+    fn entry(&self, host: &Host) -> Endpoint {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         // A zone that the settings don't name is one of its own, and where none is told each host is; so it is with cells. Taken for one,
         // the caches of two would be trusted to discard each other's repeats.
@@ -100,12 +100,12 @@
                 host.block.to_string()
             }
         };
-        Entry {
-            server: server_id(&host.host),
+        Endpoint {
+            id: server_id(&host.host),
             zone: place(&self.names.zones, &host.site).unwrap_or_else(zone),
             kind: place(&self.names.kinds, &host.class).unwrap_or(usize::MAX),
             cell: host.block.as_u64().unwrap_or_else(|| own(&block())),
-            phase: phase(&host.health),
+            state: phase(&host.health),
             weight: host.share,
             started: (host.born_ms.max(0.0) * 1e6) as Nanos,
         }
@@ -113,23 +113,23 @@
 }
 
 /// What the list says of a host. A word of a later version of the protocol gets nothing new: the cautious side.
-pub fn phase(health: &str) -> Phase {
-    known_phase(health).unwrap_or(Phase::Draining)
+pub fn phase(health: &str) -> EndpointState {
+    known_phase(health).unwrap_or(EndpointState::Draining)
 }
 
 /// The same, for the words of this version.
-pub fn known_phase(health: &str) -> Option<Phase> {
+pub fn known_phase(health: &str) -> Option<EndpointState> {
     match health {
-        "in_service" => Some(Phase::Up),
-        "terminating" => Some(Phase::Draining),
-        "terminated" => Some(Phase::Removed),
+        "in_service" => Some(EndpointState::Active),
+        "terminating" => Some(EndpointState::Draining),
+        "terminated" => Some(EndpointState::Removed),
         _ => None,
     }
 }
 
 /// The module's id of a host: from its name, which is the same at every balancer, as its address is not.
-pub fn server_id(host: &str) -> ServerId {
-    ServerId(xxh3_64(host.as_bytes()))
+pub fn server_id(host: &str) -> EndpointId {
+    EndpointId(xxh3_64(host.as_bytes()))
 }
 
 /// Keys are hex digits; any other text is as good a key.
--- a/crates/balancer/src/decide/tests.rs
+++ b/crates/balancer/src/decide/tests.rs
@@ -8,16 +8,18 @@
     let config = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"areas":["a"],
         "profiles":[{"name":"put","repeat":"keyed","group":"zone","give_up_ns":1}]}}"#;
     let config = Config::read(config).unwrap();
-    let decide = Decide::new(Brain::new(config.settings, 1, 0).unwrap(), config.names);
+    let decide = Decide::new(Engine::new(config.settings, 1, 0).unwrap(), config.names);
     let list = r#"{"seq":1,"whole":true,"hosts":[
         {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3}, {"host":"h2","site":"c","block":"x"},
         {"host":"h3","site":"b","block":"x"}, {"host":"h4"}, {"host":"h5"}]}"#;
-    let Event::List { entries, .. } = decide.list(&serde_json::from_str(list).unwrap(), false)
+    let Event::EndpointUpdate {
+        endpoints: entries, ..
+    } = decide.list(&serde_json::from_str(list).unwrap(), false)
     else {
         panic!("a list");
     };
     // Which hosts share a zone, and which a cell.
-    let pairs = |same: &dyn Fn(&Entry, &Entry) -> bool| {
+    let pairs = |same: &dyn Fn(&Endpoint, &Endpoint) -> bool| {
         let pairs = (0..entries.len()).flat_map(|a| (a + 1..entries.len()).map(move |b| (a, b)));
         pairs
             .filter(|(a, b)| same(&entries[*a], &entries[*b]))
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -27,7 +27,7 @@
 use crate::upstream_group::UpstreamGroup;
 use attempts::Wanted;
 use polling::Events;
-use routing::{Action, Brain, Discovery, Event, Nanos, Outcome, Token, Withheld};
+use routing::{Action, AttemptOutcome, Deferral, DiscoveryMode, Engine, Event, Nanos, TimerToken};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -120,7 +120,7 @@
         let poll = what(Poll::new(), "poller")?;
         let (for_peers, for_clients) = split_sockets(config.sockets, config.management.is_some());
         let brain =
-            Brain::new(config.settings.clone(), config.seed, now).map_err(|e| e.to_string())?;
+            Engine::new(config.settings.clone(), config.seed, now).map_err(|e| e.to_string())?;
         let transport = config.transport;
         let known = config.known.take();
         let deadlines = config.settings.classes.iter().map(|class| class.deadline);
@@ -129,7 +129,7 @@
             deadlines.max().unwrap_or_default(),
         );
         let grace = config.settings.rules.drain_grace;
-        let pace = (config.settings.discovery == Discovery::Pushed).then(|| Pace::new(grace));
+        let pace = (config.settings.discovery == DiscoveryMode::Push).then(|| Pace::new(grace));
         let management = |address| {
             let key = "configuration: management (GW_MANAGEMENT)";
             Management::listen(&poll, address, config.fleet.is_some()).map_err(|e| {
@@ -157,7 +157,7 @@
                 &poll,
                 for_peers,
                 transport.connect_timeout,
-                transport.conn_idle,
+                transport.idle_timeout,
             ),
             decide: Decide::new(brain, config.names.clone()),
             tries: Tries::default(),
@@ -172,7 +172,7 @@
             looks_to_catch_up: 0,
             // By `split`.
             memory: 0,
-            max_open: transport.max_open,
+            max_open: transport.max_open_requests,
             management: config.management.map(management).transpose()?,
             fleet: None,
             life,
@@ -188,7 +188,7 @@
             Some(list) => me.known_list(list),
             // The module begins with its first event. Without a list there would be none until a client comes, and
             // none is sent to who isn't ready.
-            None => me.news.push(Event::Timer(Token(0))),
+            None => me.news.push(Event::TimerFired(TimerToken(0))),
         }
         if me.group.is_pushed() {
             me.watch(now);
@@ -244,10 +244,10 @@
             let mut news = std::mem::take(&mut self.news);
             for event in &mut news {
                 // Since it was read its time has run on.
-                if let Event::Request(new) = event
+                if let Event::RequestArrived(new) = event
                     && let Some(left) = self.tries.left(now, new.id)
                 {
-                    new.patience = left;
+                    new.client_timeout = left;
                 }
             }
             for action in self.decide.decide(now, news) {
@@ -323,14 +323,14 @@
 
     fn due(&mut self, now: Nanos, due: Due) {
         match due {
-            Due::Module(token) => self.news.push(Event::Timer(token)),
+            Due::Module(token) => self.news.push(Event::TimerFired(token)),
             Due::Try(request, attempt) => {
                 // What was not sent whole never ran, and may be repeated.
                 let unsent = self.peers.is_unsent(Job::Try(request, attempt));
                 let outcome = if unsent {
-                    Outcome::ConnectFailed
+                    AttemptOutcome::ConnectFailed
                 } else {
-                    Outcome::Timeout
+                    AttemptOutcome::Timeout
                 };
                 if let Some(event) =
                     self.tries
@@ -395,9 +395,9 @@
             Action::Send {
                 request,
                 attempt,
-                server,
+                endpoint: server,
                 timeout,
-                begin_within,
+                write_within: begin_within,
             } => {
                 self.send(
                     now,
@@ -410,27 +410,30 @@
                     },
                 );
             }
-            Action::Fail { request, why } => {
+            Action::Fail {
+                request,
+                explanation: why,
+            } => {
                 self.explain(request, Step::Failed, &why);
                 if let Some(answer) = self.tries.answer(request, FinalAnswer::Failed) {
                     self.answer(now, answer);
                 }
             }
-            Action::Note {
+            Action::Defer {
                 request,
-                withheld,
-                why,
+                deferral: withheld,
+                explanation: why,
             } => {
                 let step = match withheld {
-                    Withheld::Held => Step::Held,
-                    Withheld::Copy => Step::NoCopy,
+                    Deferral::Queued => Step::Held,
+                    Deferral::HedgeSuppressed => Step::NoCopy,
                 };
                 self.explain(request, step, &why);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
-                why,
+                explanation: why,
             } => {
                 self.explain(request, Step::Refused, &why);
                 if let Some(answer) = self
@@ -441,10 +444,12 @@
                 }
             }
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
-            Action::Probe(server) => self.probe(now, server),
-            Action::Close(server) => self.peers.close_idle(server, &mut self.counters),
-            Action::Watch => self.watch(now),
-            Action::Timer { after, token } => self
+            Action::HealthCheck(server) => self.probe(now, server),
+            Action::CloseIdleConnections(server) => {
+                self.peers.close_idle(server, &mut self.counters)
+            }
+            Action::QueryDiscovery => self.watch(now),
+            Action::SetTimer { after, token } => self
                 .timers
                 .set(now.saturating_add(after), Due::Module(token)),
             Action::Log(text) => log::info!("{text}"),
@@ -459,7 +464,7 @@
             // The process may be killed then, with what was taken before and has longer.
             if let Some(by) = self.life.answer_by() {
                 self.tries.hurry(by);
-                self.news.push(Event::Ending(by));
+                self.news.push(Event::ShuttingDown(by));
             }
             // The platform may have asked as soon as the newcomer was ready.
             self.look(now);
@@ -493,7 +498,7 @@
             );
         }
         if new.discovery != self.config.discovery {
-            self.news.push(Event::DiscoveryAnew);
+            self.news.push(Event::DiscoveryAvailable);
         }
         let failed = self
             .group
--- a/crates/balancer/src/event_loop/attempts.rs
+++ b/crates/balancer/src/event_loop/attempts.rs
@@ -5,7 +5,7 @@
 use crate::peers::{Job, JobEnd, Outgoing, PeerEvent};
 use crate::resp::write_command;
 use crate::timers::{Due, MS};
-use routing::{AttemptNo, Nanos, Outcome, RequestId, ServerId};
+use routing::{AttemptNumber, AttemptOutcome, EndpointId, Nanos, RequestId};
 
 /// A probe is given up after this.
 const PROBE_TIMEOUT: Nanos = 500 * MS;
@@ -17,8 +17,8 @@
 /// An attempt as the module wants it sent.
 pub(super) struct Wanted {
     pub(super) request: RequestId,
-    pub(super) attempt: AttemptNo,
-    pub(super) server: ServerId,
+    pub(super) attempt: AttemptNumber,
+    pub(super) server: EndpointId,
     pub(super) timeout: Option<Nanos>,
     pub(super) begin_within: Option<Nanos>,
 }
@@ -71,7 +71,7 @@
             }
             Job::Probe(_) => {
                 // Where load is reported the probe asks for it.
-                let load = !self.decide.names().report.is_empty();
+                let load = !self.decide.names().report_columns.is_empty();
                 let words: &[&[u8]] = if load {
                     &[b"INFO", b"load"]
                 } else {
@@ -152,7 +152,7 @@
             // Another try has answered, or the client has left.
             None => {
                 self.peers.abandon(job, &mut self.counters);
-                let outcome = Outcome::Cancelled;
+                let outcome = AttemptOutcome::Cancelled;
                 self.news.extend(self.tries.give_up(
                     now,
                     request,
@@ -210,11 +210,11 @@
     }
 
     /// Gives an attempt up, as the module wants.
-    pub(super) fn cancel(&mut self, now: Nanos, request: RequestId, attempt: AttemptNo) {
+    pub(super) fn cancel(&mut self, now: Nanos, request: RequestId, attempt: AttemptNumber) {
         if self.peers.is_unsent(Job::Try(request, attempt)) {
             self.tries.count_unsent(now, request, &mut self.counters);
         }
-        let outcome = Outcome::Cancelled;
+        let outcome = AttemptOutcome::Cancelled;
         if let Some(event) = self
             .tries
             .give_up(now, request, attempt, outcome, &mut self.counters)
@@ -227,7 +227,7 @@
     }
 
     /// Probes a cache.
-    pub(super) fn probe(&mut self, now: Nanos, server: ServerId) {
+    pub(super) fn probe(&mut self, now: Nanos, server: EndpointId) {
         let job = self.tries.probe(server, &mut self.counters);
         if let Job::Probe(probe) = job {
             self.timers.set(now + PROBE_TIMEOUT, Due::Probe(probe));
--- a/crates/balancer/src/event_loop/fleet.rs
+++ b/crates/balancer/src/event_loop/fleet.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use crate::fleet::Fleet;
 use crate::timers::Due;
-use membership::{Phase, Soft};
+use membership::{MemberMetadata, ServingPhase};
 use routing::{Event, Nanos};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -16,17 +16,17 @@
         let door = self.front.address().unwrap_or(self.config.listen);
         // Balancers of one fleet differ in their names and addresses, and in nothing of the settings.
         let checksum = xxh3_64(format!("{:?}", self.config.settings).as_bytes());
-        let soft = Soft {
+        let soft = MemberMetadata {
             name: self.config.name.clone(),
-            door,
-            phase: Phase::Joining,
+            listen_address: door,
+            phase: ServingPhase::Joining,
             build: env!("CARGO_PKG_VERSION").into(),
-            config: checksum,
-            traffic: 0,
+            config_checksum: checksum,
+            request_rate_tenths: 0,
             places: 1,
-            extra: Vec::new(),
+            extension: Vec::new(),
         };
-        let routers = self.config.settings.routers;
+        let routers = self.config.settings.balancers;
         let beside = self.config.socket_fd.is_some();
         let tiers = self.config.settings.tiers();
         let mut fleet = Fleet::open(
@@ -51,9 +51,10 @@
         let Some(fleet) = &mut self.fleet else { return };
         fleet.count(self.decide.take_tally());
         if let Some(routers) = fleet.turn(now, &self.life, self.counters.taken) {
-            self.news.push(Event::Routers(routers));
+            self.news.push(Event::BalancerCount(routers));
         }
-        self.news.extend(fleet.allowance(now).map(Event::Allowance));
+        self.news
+            .extend(fleet.allowance(now).map(Event::FleetShedding));
         self.timers.set(fleet.due(), Due::Fleet);
     }
 
--- a/crates/balancer/src/event_loop/lists.rs
+++ b/crates/balancer/src/event_loop/lists.rs
@@ -6,7 +6,7 @@
 use crate::timers::Due;
 use crate::upstream_group::messages::ListPart;
 use crate::upstream_group::{GroupEvent, Host, HostList};
-use routing::{Event, ListScope, Nanos, Phase, ServerId};
+use routing::{EndpointId, EndpointState, Event, Nanos, UpdateKind};
 use std::collections::BTreeSet;
 
 /// Hosts of a list that are taken in one turn: at some microseconds each, they hold nothing else up.
@@ -19,15 +19,15 @@
     pub(super) fn group_events(&mut self, events: Vec<GroupEvent>) {
         for event in events {
             match event {
-                GroupEvent::Stands => self.news.push(Event::DiscoveryAnew),
+                GroupEvent::Stands => self.news.push(Event::DiscoveryAvailable),
                 GroupEvent::News(part) => self.list_part(part),
                 GroupEvent::Failed => match self.group.again(self.clock.now()) {
                     Some(at) => self.timers.set(at, Due::Watch),
                     None => {
                         let entries = Vec::new();
-                        self.news.push(Event::List {
-                            scope: ListScope::Failed,
-                            entries,
+                        self.news.push(Event::EndpointUpdate {
+                            kind: UpdateKind::Failed,
+                            endpoints: entries,
                         });
                     }
                 },
@@ -125,7 +125,7 @@
         host: &Host,
         level: log::Level,
         events: &mut Vec<PeerEvent>,
-    ) -> ServerId {
+    ) -> EndpointId {
         let server = server_id(&host.host);
         let phase = phase(&host.health);
         if known_phase(&host.health).is_none() {
@@ -158,10 +158,10 @@
                 )
             }
         }
-        if phase != Phase::Up {
+        if phase != EndpointState::Active {
             self.peers.withdraw(server, events, &mut self.counters);
         }
-        if phase == Phase::Removed {
+        if phase == EndpointState::Removed {
             self.peers.forget(server);
         }
         server
--- a/crates/balancer/src/event_loop/requests.rs
+++ b/crates/balancer/src/event_loop/requests.rs
@@ -6,7 +6,7 @@
 use crate::request::{FinalAnswer, Incoming};
 use crate::timers::MS;
 use crate::tries::Answer;
-use routing::{Event, Nanos, RequestId, Why};
+use routing::{Event, Explanation, Nanos, RequestId};
 use std::collections::VecDeque;
 
 impl EventLoop {
@@ -47,7 +47,7 @@
                         self.peers.abandon(job, &mut self.counters);
                     } else {
                         self.tries.gone(now, request);
-                        self.news.push(Event::Gone(request));
+                        self.news.push(Event::ClientDisconnected(request));
                     }
                 }
                 FrontEvent::Room(request) => {
@@ -86,11 +86,11 @@
     }
 
     /// Counts a step that the module took for a reason, and logs it with the figures that it was decided by.
-    pub(super) fn explain(&mut self, request: RequestId, step: Step, why: &Why) {
+    pub(super) fn explain(&mut self, request: RequestId, step: Step, why: &Explanation) {
         self.counters.steps.count(step, why.reason);
         log::debug!(
-            step = step.name(), reason = why.reason.name(), out = why.out, limit = why.limit, room = why.room,
-            base_us = why.base / 1_000, now_us = why.now / 1_000;
+            step = step.name(), reason = why.reason.name(), out = why.in_flight, limit = why.limit, room = why.origin_admitted_fraction,
+            base_us = why.baseline_latency / 1_000, now_us = why.recent_latency / 1_000;
             "request {}", request.0
         );
     }
--- a/crates/balancer/src/event_loop/tests.rs
+++ b/crates/balancer/src/event_loop/tests.rs
@@ -667,14 +667,14 @@
     watch.write_all(text.as_bytes()).unwrap();
     let ready = s.wait(Source::Discovery(0));
     s.the.gather(&mut vec![ready], true);
-    assert_eq!(s.the.news.contains(&Event::DiscoveryAnew), stands);
+    assert_eq!(s.the.news.contains(&Event::DiscoveryAvailable), stands);
     s.the.settle();
     // A second empty line is no news of it either.
     if stands {
         watch.write_all(b"\n").unwrap();
         let ready = s.wait(Source::Discovery(0));
         s.the.gather(&mut vec![ready], true);
-        assert!(!s.the.news.contains(&Event::DiscoveryAnew));
+        assert!(!s.the.news.contains(&Event::DiscoveryAvailable));
     }
 }
 
@@ -717,7 +717,7 @@
         let mut new = s.the.config.clone();
         new.discovery = address.parse().unwrap();
         s.the.run_by(new, now);
-        assert_eq!(s.the.news.contains(&Event::DiscoveryAnew), moves);
+        assert_eq!(s.the.news.contains(&Event::DiscoveryAvailable), moves);
         s.the.settle();
     }
 }
--- a/crates/balancer/src/event_loop/upgrade.rs
+++ b/crates/balancer/src/event_loop/upgrade.rs
@@ -6,7 +6,7 @@
 use crate::seats::Seats;
 use crate::timers::Due;
 use crate::upstream_group::HostList;
-use routing::{Learnt, Nanos};
+use routing::{Nanos, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::net::TcpListener;
 
@@ -14,7 +14,7 @@
 #[derive(Serialize, Deserialize)]
 struct Notes {
     list: HostList,
-    learnt: Learnt,
+    learnt: Snapshot,
 }
 
 /// The clients' socket: the one this process was started with, or one of its own.
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -7,8 +7,11 @@
 use crate::poll::{Poll, Source, Watched};
 use crate::timers::MS;
 use membership::envelope::DATAGRAM_MAX;
-use membership::{Change, Location, Member, Phase, RegionSeen, Seen, Soft, State};
-use routing::{Allowance, Nanos, Tally};
+use membership::{
+    Location, Member, MemberMetadata, MemberStatus, MemberView, MembershipEvent, RegionView,
+    ServingPhase,
+};
+use routing::{AdmissionCounts, Nanos, SheddingLevel};
 use serde::Serialize;
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -36,7 +39,7 @@
     /// Requests taken, and when they were last looked at.
     traffic: (u64, Nanos),
     /// What the module was last allowed.
-    allowed: Allowance,
+    allowed: SheddingLevel,
     /// Datagrams that the system did not take: its buffer was full, or there is no way.
     unsent: u64,
 }
@@ -48,7 +51,7 @@
     address: SocketAddr,
     generation: u64,
     incarnation: u16,
-    state: State,
+    state: MemberStatus,
     since_ms: u64,
     door: Option<SocketAddr>,
     build: Option<String>,
@@ -62,20 +65,20 @@
 }
 
 impl Shown {
-    fn of(seen: &Seen, now: Nanos) -> Self {
-        let soft = seen.soft.as_ref();
+    fn of(seen: &MemberView, now: Nanos) -> Self {
+        let soft = seen.metadata.as_ref();
         let (zone, site) = place_of(soft);
         Shown {
             name: seen.name(),
             address: seen.id.address,
             generation: seen.id.generation,
             incarnation: seen.incarnation,
-            state: seen.state,
+            state: seen.status,
             since_ms: now.saturating_sub(seen.since) / MS,
-            door: soft.map(|soft| soft.door),
+            door: soft.map(|soft| soft.listen_address),
             build: soft.map(|soft| soft.build.clone()),
-            config: soft.map(|soft| format!("{:016x}", soft.config)),
-            requests_per_s: soft.map(|soft| f64::from(soft.traffic) / 10.0),
+            config: soft.map(|soft| format!("{:016x}", soft.config_checksum)),
+            requests_per_s: soft.map(|soft| f64::from(soft.request_rate_tenths) / 10.0),
             places: soft.map(|soft| soft.places),
             zone,
             site,
@@ -100,8 +103,8 @@
 }
 
 impl ShownRegion {
-    fn of(seen: &RegionSeen, now: Nanos) -> Self {
-        let row = &seen.row;
+    fn of(seen: &RegionView, now: Nanos) -> Self {
+        let row = &seen.overview;
         ShownRegion {
             region: row.region.clone(),
             living: row.living,
@@ -120,9 +123,9 @@
 }
 
 /// The zone and the site that a record tells of.
-fn place_of(soft: Option<&Soft>) -> (Option<String>, Option<String>) {
+fn place_of(soft: Option<&MemberMetadata>) -> (Option<String>, Option<String>) {
     let location = soft
-        .and_then(|soft| Location::decode(&soft.extra))
+        .and_then(|soft| Location::decode(&soft.extension))
         .unwrap_or_default();
     let named = |name: String| Some(name).filter(|name| !name.is_empty());
     (named(location.zone), named(location.site))
@@ -134,7 +137,7 @@
     pub fn open(
         poll: &Poll,
         config: &FleetConfig,
-        soft: Soft,
+        soft: MemberMetadata,
         configured: usize,
         seed: u64,
         now: Nanos,
@@ -153,7 +156,7 @@
                 now,
             ),
             told: configured,
-            allowed: Allowance::default(),
+            allowed: SheddingLevel::default(),
             traffic: (0, now),
             unsent: 0,
         };
@@ -175,7 +178,7 @@
         socket.set_nonblocking(true)?;
         log::info!(
             "fleet: {} talks at {}",
-            self.member.fleet(),
+            self.member.fleet_name(),
             socket.local_addr()?
         );
         self.socket = Some(self.poll.watch(socket, Source::Fleet, true, false)?);
@@ -189,7 +192,7 @@
         let mut bytes = [0; DATAGRAM_MAX + 1];
         for _ in 0..READ_MAX {
             match socket.socket().recv_from(&mut bytes) {
-                Ok((length, from)) => self.member.datagram(now, from, &bytes[..length]),
+                Ok((length, from)) => self.member.receive(now, from, &bytes[..length]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => {
@@ -209,9 +212,9 @@
             let _ = self.bind(now);
         }
         let phase = match life.name() {
-            "starting" => Phase::Joining,
-            "serving" => Phase::Serving,
-            _ => Phase::Draining,
+            "starting" => ServingPhase::Joining,
+            "serving" => ServingPhase::Serving,
+            _ => ServingPhase::Draining,
         };
         let span = now.saturating_sub(self.traffic.1);
         let tenths = (span >= TRAFFIC_SPAN).then(|| {
@@ -219,15 +222,15 @@
             self.traffic = (taken, now);
             rounded(requests * 10_000 * MS / span)
         });
-        self.member.tell(|soft| {
+        self.member.update_metadata(|soft| {
             soft.phase = phase;
-            soft.traffic = tenths.unwrap_or(soft.traffic);
+            soft.request_rate_tenths = tenths.unwrap_or(soft.request_rate_tenths);
         });
         if self.socket.is_some() {
-            self.member.turn(now);
+            self.member.tick(now);
         }
         self.after();
-        let shared_by = self.member.shared_by();
+        let shared_by = self.member.share_count();
         (shared_by != self.told).then(|| {
             self.told = shared_by;
             shared_by
@@ -236,25 +239,25 @@
 
     /// From now on load is shed by a level that all agree on; the module has so many tiers.
     pub fn share_overload(&mut self, tiers: usize) {
-        self.member.share_overload(tiers);
+        self.member.enable_shared_shedding(tiers);
     }
 
     /// Counts what the module let in and what of it found no room.
-    pub fn count(&mut self, tally: Tally) {
-        self.member.count(tally);
+    pub fn count(&mut self, tally: AdmissionCounts) {
+        self.member.add_admission_counts(tally);
     }
 
     /// What the module is to let in, if that is something new. Turns are those of the clock, the same everywhere.
-    pub fn allowance(&mut self, now: Nanos) -> Option<Allowance> {
-        let level = self.member.level();
+    pub fn allowance(&mut self, now: Nanos) -> Option<SheddingLevel> {
+        let level = self.member.shedding_level();
         if level == 0.0 && self.allowed.level == 0.0 {
             return None;
         }
         let turn = now / SHED_TURN;
-        let allowed = Allowance {
+        let allowed = SheddingLevel {
             level,
-            turn,
-            turn_ends: (turn + 1) * SHED_TURN,
+            rotation: turn,
+            rotation_ends: (turn + 1) * SHED_TURN,
         };
         let (rose, fell) = (level > 0.0 && self.allowed.level == 0.0, level == 0.0);
         if rose {
@@ -271,7 +274,7 @@
     /// When the next turn is due.
     pub fn due(&self) -> Nanos {
         if self.socket.is_some() {
-            self.member.due()
+            self.member.next_tick()
         } else {
             self.bind_again
         }
@@ -285,7 +288,7 @@
 
     /// Sends and logs what the member hands out.
     fn after(&mut self) {
-        for (to, datagram) in self.member.take_outputs() {
+        for (to, datagram) in self.member.take_datagrams() {
             let sent = self
                 .socket
                 .as_ref()
@@ -293,7 +296,7 @@
             // What does not go is as good as lost on the way: the talk is made for that.
             self.unsent += u64::from(!matches!(sent, Some(Ok(_))));
         }
-        for change in self.member.take_changes() {
+        for change in self.member.take_events() {
             report(&change);
         }
     }
@@ -306,21 +309,21 @@
             .iter()
             .map(|seen| Shown::of(seen, now))
             .collect();
-        let (id, soft) = (self.member.id(), self.member.soft());
+        let (id, soft) = (self.member.id(), self.member.metadata());
         let mut shown = serde_json::json!({
-            "fleet": self.member.fleet(),
+            "fleet": self.member.fleet_name(),
             "name": soft.name,
             "address": id.address,
             "generation": id.generation,
-            "door": soft.door,
-            "config": format!("{:016x}", soft.config),
+            "door": soft.listen_address,
+            "config": format!("{:016x}", soft.config_checksum),
             "shared_by": self.told,
-            "living": view.living,
+            "living": view.alive,
             "places": view.places,
-            "cut_off": view.cut_off,
-            "level": self.member.level(),
+            "cut_off": view.isolated,
+            "level": self.member.shedding_level(),
             "members": members,
-            "datagrams": self.member.traffic(),
+            "datagrams": self.member.statistics(),
             "unsent": self.unsent,
         });
         if !self.member.location().is_none() {
@@ -367,11 +370,11 @@
 }
 
 /// One line a change.
-fn report(change: &Change) {
+fn report(change: &MembershipEvent) {
     match change {
-        Change::Became { name, id, was, is } => {
-            let was = was.map_or("unknown", State::name);
-            let level = if *is == State::Dead {
+        MembershipEvent::StatusChanged { name, id, was, is } => {
+            let was = was.map_or("unknown", MemberStatus::name);
+            let level = if *is == MemberStatus::Dead {
                 log::Level::Warn
             } else {
                 log::Level::Info
@@ -382,33 +385,37 @@
                 "fleet: {name} is {}", is.name()
             );
         }
-        Change::Count { was, is, living } => {
+        MembershipEvent::ShareCountChanged {
+            was,
+            is,
+            alive: living,
+        } => {
             log::info!(was = *was, is = *is, living = *living; "fleet: shares are divided by {is}");
         }
-        Change::NameTwice {
+        MembershipEvent::DuplicateName {
             name,
             addresses: [one, other],
         } => {
             log::warn!(member = name.as_str(); "fleet: {one} and {other} are both called {name}; both count");
         }
-        Change::Returned { generation } => {
+        MembershipEvent::Rejoined { generation } => {
             log::warn!(generation = *generation; "fleet: given up by others, and back");
         }
-        Change::Region {
+        MembershipEvent::RegionReachability {
             region,
-            heard: true,
-            living,
+            reachable: true,
+            alive: living,
         } => {
             log::info!(region = region.as_str(), living = *living; "fleet: region {region} is heard");
         }
-        Change::Region {
+        MembershipEvent::RegionReachability {
             region,
-            heard: false,
-            living,
+            reachable: false,
+            alive: living,
         } => {
             log::warn!(region = region.as_str(), living = *living; "fleet: region {region} is silent");
         }
-        Change::StoodStill => {
+        MembershipEvent::Stalled => {
             log::warn!("fleet: this process stood still; what it waited for begins anew");
         }
     }
@@ -418,28 +425,28 @@
 impl fmt::Display for Fleet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let view = self.member.view();
-        let count = |state: State| {
+        let count = |state: MemberStatus| {
             view.members
                 .iter()
-                .filter(|seen| seen.state == state)
+                .filter(|seen| seen.status == state)
                 .count()
         };
         write!(
             f,
             "fleet: shared_by={} living={} places={}",
-            self.told, view.living, view.places
+            self.told, view.alive, view.places
         )?;
         for state in [
-            State::Joining,
-            State::Serving,
-            State::Stalled,
-            State::Draining,
-            State::Left,
-            State::Dead,
+            MemberStatus::Joining,
+            MemberStatus::Serving,
+            MemberStatus::Stalled,
+            MemberStatus::Draining,
+            MemberStatus::Left,
+            MemberStatus::Dead,
         ] {
             write!(f, " {}={}", state.name(), count(state))?;
         }
-        let t = self.member.traffic();
+        let t = self.member.statistics();
         write!(
             f,
             " sent={} sent_bytes={} heard={} heard_bytes={} unsent={} torn={} foreign={} version={} malformed={} \
@@ -462,7 +469,7 @@
             t.gaps,
             t.compared,
             t.load,
-            self.member.level()
+            self.member.shedding_level()
         )?;
         if self.member.location().is_none() {
             return Ok(());
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/peers.rs
@@ -6,7 +6,7 @@
 use crate::poll::{Poll, Ready, Source, Watched, connect, is_silent};
 use crate::resp::{Answer, Reply, RespError, read_answer, read_reply};
 use crate::timers::{Due, MS, Timers};
-use routing::{AttemptNo, Nanos, RequestId, ServerId};
+use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Job {
     /// A try of a request.
-    Try(RequestId, AttemptNo),
+    Try(RequestId, AttemptNumber),
     /// A probe, by its number.
     Probe(u64),
 }
@@ -44,7 +44,7 @@
     /// Which.
     pub job: Job,
     /// Where to.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// When it has had its time.
     pub until: Nanos,
 }
@@ -108,7 +108,7 @@
 }
 
 struct PeerConnection {
-    server: ServerId,
+    server: EndpointId,
     /// Where it leads: the peer may have moved since.
     address: SocketAddr,
     stream: Watched<TcpStream>,
@@ -178,7 +178,7 @@
 /// All peers and the connections to them.
 pub struct Peers {
     poll: Poll,
-    peers: HashMap<ServerId, Peer>,
+    peers: HashMap<EndpointId, Peer>,
     connections: BTreeMap<u64, PeerConnection>,
     jobs: HashMap<Job, u64>,
     next_connection: u64,
@@ -228,7 +228,7 @@
     /// them included. Tells whether that is news. Something new is sent there until it is withdrawn.
     pub fn set_address(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         address: SocketAddr,
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
@@ -247,7 +247,7 @@
     /// that comes up only after the grace of the drain rule must not carry its job there.
     pub fn withdraw(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
     ) {
@@ -259,7 +259,7 @@
 
     fn drop_unwritten(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         events: &mut Vec<PeerEvent>,
         counters: &mut Counters,
     ) {
@@ -381,7 +381,7 @@
 
     /// The idle connection used last among those that have rested. One that the peer may be closing for its idle time is
     /// none, though the sweep has not come by.
-    fn take_idle(&mut self, now: Nanos, server: ServerId) -> Option<u64> {
+    fn take_idle(&mut self, now: Nanos, server: EndpointId) -> Option<u64> {
         let idle = &mut self.peers.get_mut(&server)?.idle;
         let times = REST..self.idle_time;
         let rested = |n: &u64| {
@@ -395,7 +395,7 @@
     /// Begins a connection, or says how the job that needed it ends.
     fn open(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         counters: &mut Counters,
     ) -> Result<(TcpStream, SocketAddr), JobEnd> {
         let peer = self
@@ -426,7 +426,7 @@
     }
 
     /// Closes the connection that has been idle longest, to this peer or to any, if one is. It may be one that rests.
-    fn make_room(&mut self, server: Option<ServerId>, counters: &mut Counters) -> bool {
+    fn make_room(&mut self, server: Option<EndpointId>, counters: &mut Counters) -> bool {
         let eligible = self
             .connections
             .iter()
@@ -699,7 +699,7 @@
     }
 
     /// The peer is gone: nothing new can be sent to it.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn forget(&mut self, server: EndpointId) {
         if let Some(peer) = self.peers.get_mut(&server) {
             peer.address = None;
             if peer.connections == 0 {
@@ -709,7 +709,7 @@
     }
 
     /// The peers with an address.
-    pub fn listed(&self) -> Vec<ServerId> {
+    pub fn listed(&self) -> Vec<EndpointId> {
         self.peers
             .iter()
             .filter(|(_, p)| p.address.is_some())
@@ -718,7 +718,7 @@
     }
 
     /// Closes the idle connections to a peer.
-    pub fn close_idle(&mut self, server: ServerId, counters: &mut Counters) {
+    pub fn close_idle(&mut self, server: EndpointId, counters: &mut Counters) {
         let idle = self
             .peers
             .get_mut(&server)
--- a/crates/balancer/src/peers/tests.rs
+++ b/crates/balancer/src/peers/tests.rs
@@ -8,7 +8,7 @@
 
 /// After this a step has failed.
 const PATIENCE: Duration = Duration::from_secs(20);
-const SERVER: ServerId = ServerId(7);
+const SERVER: EndpointId = EndpointId(7);
 
 struct Stage {
     peers: Peers,
@@ -317,7 +317,7 @@
 #[test]
 fn a_long_value_is_passed_on_as_it_comes_and_stands_still_only_while_it_is_read() {
     let mut s = stage();
-    let job = Job::Try(RequestId(1), AttemptNo(0));
+    let job = Job::Try(RequestId(1), AttemptNumber(0));
     s.send(job, b"one".to_vec());
     let mut peer = s.peer.accept().unwrap().0;
     s.ready(0);
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,7 +1,7 @@
 //! The neutral request context: what every front's requests have in common, whatever protocol they came by.
 
 use crate::resp::write_command;
-use routing::{AttemptNo, Nanos, RequestId, ServerId};
+use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::BTreeMap;
 
 /// The right to answer one request, and the duty. It can't be copied, and answering uses it up: so nothing is
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 pub struct Try {
     /// Where it went.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// When.
     pub sent: Nanos,
     /// For how long the process had been held up by then, in all.
@@ -118,7 +118,7 @@
     /// When the client gives up.
     pub deadline: Nanos,
     /// Tries that are out.
-    pub out: BTreeMap<AttemptNo, Try>,
+    pub out: BTreeMap<AttemptNumber, Try>,
 }
 
 impl RequestContext {
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,7 +1,7 @@
 //! What is due when. Who gets a timer that is out of date ignores it; those that could stand for long are taken
 //! back, or a day of many short requests with long deadlines would heap them up.
 
-use routing::{AttemptNo, Nanos, RequestId, Token};
+use routing::{AttemptNumber, Nanos, RequestId, TimerToken};
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Due {
     /// The module wants to be woken.
-    Module(Token),
+    Module(TimerToken),
     /// A try has had its time.
-    Try(RequestId, AttemptNo),
+    Try(RequestId, AttemptNumber),
     /// A probe has had its time, by its number.
     Probe(u64),
     /// A connection to a peer must be up by now, by its number.
--- a/crates/balancer/src/tries.rs
+++ b/crates/balancer/src/tries.rs
@@ -6,7 +6,10 @@
 use crate::request::{FinalAnswer, Incoming, RequestContext, Ticket, Try};
 use crate::resp::{Answer as PeerAnswer, Reply};
 use crate::timers::MS;
-use routing::{AttemptNo, CacheNote, Ended, Event, Load, Nanos, Outcome, RequestId, ServerId};
+use routing::{
+    AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, EndpointId, Event, LoadReport,
+    Nanos, RequestId,
+};
 use std::collections::{HashMap, HashSet};
 
 /// A final answer that is due now.
@@ -18,10 +21,10 @@
     contexts: HashMap<RequestId, RequestContext>,
     /// The clients' ids of all contexts.
     ids: HashSet<Vec<u8>>,
-    probes: HashMap<u64, ServerId>,
+    probes: HashMap<u64, EndpointId>,
     next_probe: u64,
     /// Long values on their way to clients, the answer to which client connection, and from which try.
-    passing: HashMap<RequestId, (u64, AttemptNo)>,
+    passing: HashMap<RequestId, (u64, AttemptNumber)>,
     /// Bytes of all contexts.
     held: usize,
     /// For how long the process was held up so far, in all: no cache is to be blamed for that.
@@ -66,19 +69,19 @@
     pub fn begun(
         &mut self,
         now: Nanos,
-        (request, attempt): (RequestId, AttemptNo),
+        (request, attempt): (RequestId, AttemptNumber),
         length: usize,
         counters: &mut Counters,
     ) -> Option<(Event, Answer)> {
         let ticket = self.contexts.get_mut(&request)?.owed.take()?;
-        let event = self.give_up(now, request, attempt, Outcome::Ok, counters)?;
+        let event = self.give_up(now, request, attempt, AttemptOutcome::Ok, counters)?;
         counters.passed_on += 1;
         self.passing.insert(request, (ticket.connection, attempt));
         Some((event, (ticket, FinalAnswer::Coming(length))))
     }
 
     /// The client connection to which this try's value is on its way.
-    pub fn passing(&self, (request, attempt): (RequestId, AttemptNo)) -> Option<u64> {
+    pub fn passing(&self, (request, attempt): (RequestId, AttemptNumber)) -> Option<u64> {
         self.passing
             .get(&request)
             .filter(|(_, passing)| *passing == attempt)
@@ -149,13 +152,22 @@
     pub fn start(
         &mut self,
         now: Nanos,
-        (request, attempt): (RequestId, AttemptNo),
-        server: ServerId,
+        (request, attempt): (RequestId, AttemptNumber),
+        server: EndpointId,
         (timeout, begin_within): (Option<Nanos>, Option<Nanos>),
         counters: &mut Counters,
     ) -> Result<Outgoing, Box<Event>> {
         // The attempt is the module's own number: with a wrong one it would wait for its end for good.
-        let moot = |finished| Box::new(ended(request, attempt, server, 0, Outcome::Moot, finished));
+        let moot = |finished| {
+            Box::new(ended(
+                request,
+                attempt,
+                server,
+                0,
+                AttemptOutcome::NotSent,
+                finished,
+            ))
+        };
         let Some(context) = self.contexts.get_mut(&request) else {
             return Err(moot(true));
         };
@@ -194,7 +206,7 @@
         &mut self,
         now: Nanos,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         counters: &mut Counters,
     ) -> Result<Vec<u8>, Option<Box<Event>>> {
         let wanted = self.contexts.get(&request).and_then(|context| {
@@ -206,7 +218,7 @@
         });
         wanted.ok_or_else(|| {
             self.count_unsent(now, request, counters);
-            self.give_up(now, request, attempt, Outcome::Moot, counters)
+            self.give_up(now, request, attempt, AttemptOutcome::NotSent, counters)
                 .map(Box::new)
         })
     }
@@ -226,8 +238,8 @@
         &mut self,
         now: Nanos,
         request: RequestId,
-        attempt: AttemptNo,
-        outcome: Outcome,
+        attempt: AttemptNumber,
+        outcome: AttemptOutcome,
         counters: &mut Counters,
     ) -> Option<Event> {
         let context = self.contexts.get_mut(&request)?;
@@ -249,7 +261,7 @@
     }
 
     /// Begins a probe.
-    pub fn probe(&mut self, server: ServerId, counters: &mut Counters) -> Job {
+    pub fn probe(&mut self, server: EndpointId, counters: &mut Counters) -> Job {
         self.next_probe += 1;
         self.probes.insert(self.next_probe, server);
         counters.probes += 1;
@@ -259,10 +271,10 @@
     /// A probe has had its time.
     pub fn probe_due(&mut self, probe: u64) -> Option<Event> {
         let server = self.probes.remove(&probe)?;
-        Some(Event::Probed {
-            server,
-            outcome: Outcome::Timeout,
-            load: None,
+        Some(Event::HealthCheckEnded {
+            endpoint: server,
+            outcome: AttemptOutcome::Timeout,
+            load_report: None,
         })
     }
 
@@ -283,10 +295,10 @@
         };
         let (outcome, served) = match end {
             JobEnd::Answer(answer) => read_outcome(answer),
-            JobEnd::Spoilt | JobEnd::Reply(_) => (Outcome::Unknown, None),
-            JobEnd::NeverSent => (Outcome::ConnectFailed, None),
-            JobEnd::Broken => (Outcome::Reset, None),
-            JobEnd::NoPlace => (Outcome::Moot, None),
+            JobEnd::Spoilt | JobEnd::Reply(_) => (AttemptOutcome::Unreadable, None),
+            JobEnd::NeverSent => (AttemptOutcome::ConnectFailed, None),
+            JobEnd::Broken => (AttemptOutcome::Reset, None),
+            JobEnd::NoPlace => (AttemptOutcome::NotSent, None),
         };
         let Some(Served { value, note, load }) = served else {
             return (self.give_up(now, request, attempt, outcome, counters), None);
@@ -296,7 +308,11 @@
         let event =
             self.give_up(now, request, attempt, outcome, counters)
                 .map(|event| match event {
-                    Event::Ended(end) => Event::Ended(Ended { note, load, ..end }),
+                    Event::AttemptEnded(end) => Event::AttemptEnded(AttemptResult {
+                        cache_status: note,
+                        load_report: load,
+                        ..end
+                    }),
                     other => other,
                 });
         (
@@ -306,101 +322,103 @@
     }
 }
 
-fn count(outcome: Outcome, counters: &mut Counters) {
+fn count(outcome: AttemptOutcome, counters: &mut Counters) {
     *match outcome {
-        Outcome::Ok => &mut counters.try_ok,
-        Outcome::Error | Outcome::Miss => &mut counters.try_error,
-        Outcome::Unknown => &mut counters.try_spoilt,
-        Outcome::Unfit => &mut counters.try_unfit,
-        Outcome::Full => &mut counters.try_full,
-        Outcome::Timeout => &mut counters.try_timeout,
-        Outcome::ConnectFailed => &mut counters.try_connect_failed,
-        Outcome::Reset => &mut counters.try_reset,
-        Outcome::Cancelled => &mut counters.try_cancelled,
-        Outcome::Moot => &mut counters.try_moot,
+        AttemptOutcome::Ok => &mut counters.try_ok,
+        AttemptOutcome::Error | AttemptOutcome::CacheMiss => &mut counters.try_error,
+        AttemptOutcome::Unreadable => &mut counters.try_spoilt,
+        AttemptOutcome::InvalidRequest => &mut counters.try_unfit,
+        AttemptOutcome::Rejected => &mut counters.try_full,
+        AttemptOutcome::Timeout => &mut counters.try_timeout,
+        AttemptOutcome::ConnectFailed => &mut counters.try_connect_failed,
+        AttemptOutcome::Reset => &mut counters.try_reset,
+        AttemptOutcome::Cancelled => &mut counters.try_cancelled,
+        AttemptOutcome::NotSent => &mut counters.try_moot,
     } += 1;
 }
 
 fn ended(
     request: RequestId,
-    attempt: AttemptNo,
-    server: ServerId,
+    attempt: AttemptNumber,
+    server: EndpointId,
     latency: Nanos,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     finished: bool,
 ) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptResult {
         request,
         attempt,
-        server,
+        endpoint: server,
         outcome,
         latency,
-        finished,
-        note: None,
-        load: None,
+        request_finished: finished,
+        cache_status: None,
+        load_report: None,
     })
 }
 
 /// What a peer made for a request.
 struct Served {
     value: Vec<u8>,
-    note: Option<CacheNote>,
-    load: Option<Load>,
+    note: Option<CacheStatus>,
+    load: Option<LoadReport>,
 }
 
 /// The protocol's table of what comes back.
-fn read_outcome(answer: PeerAnswer) -> (Outcome, Option<Served>) {
+fn read_outcome(answer: PeerAnswer) -> (AttemptOutcome, Option<Served>) {
     let (value, note, load) = match answer {
         PeerAnswer::Made { value, note, load } => (value, note, load),
         PeerAnswer::Error(text) => {
             let word = text.split(' ').next().unwrap_or_default();
             let outcome = match (word, text.as_str()) {
-                ("BUSY", _) => Outcome::Full,
-                (_, "ERR failed") => Outcome::Error,
+                ("BUSY", _) => AttemptOutcome::Rejected,
+                (_, "ERR failed") => AttemptOutcome::Error,
                 // Another complaint is of the command; no peer takes it, and this one is as well as before.
-                _ => Outcome::Unfit,
+                _ => AttemptOutcome::InvalidRequest,
             };
-            if outcome == Outcome::Unfit {
+            if outcome == AttemptOutcome::InvalidRequest {
                 log::debug!("a peer answers: {text}");
             }
             return (outcome, None);
         }
     };
     let note = match note.as_deref() {
-        Some(b"hit") => Some(CacheNote::Hit),
-        Some(b"miss") => Some(CacheNote::Miss),
-        Some(b"pending") => Some(CacheNote::MissPending),
+        Some(b"hit") => Some(CacheStatus::Hit),
+        Some(b"miss") => Some(CacheStatus::Miss),
+        Some(b"pending") => Some(CacheStatus::MissPending),
         _ => None,
     };
     let load = load.map(|text| read_load(&String::from_utf8_lossy(&text)));
-    (Outcome::Ok, Some(Served { value, note, load }))
+    (AttemptOutcome::Ok, Some(Served { value, note, load }))
 }
 
 /// A load report: names and values, parted by commas.
-fn read_load(text: &str) -> Load {
+fn read_load(text: &str) -> LoadReport {
     let pairs = text
         .split([',', ' '])
         .filter_map(|pair| pair.split_once('='));
-    routing_config::load(pairs.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
+    routing_config::parse_load_report(
+        pairs.filter_map(|(name, value)| Some((name, value.parse().ok()?))),
+    )
 }
 
-fn probed(server: ServerId, end: JobEnd) -> Event {
+fn probed(server: EndpointId, end: JobEnd) -> Event {
     let (outcome, load) = match end {
-        JobEnd::Reply(Reply::Status(_)) => (Outcome::Ok, None),
+        JobEnd::Reply(Reply::Status(_)) => (AttemptOutcome::Ok, None),
         JobEnd::Reply(Reply::Bulk(Some(report))) => (
-            Outcome::Ok,
+            AttemptOutcome::Ok,
             Some(read_load(&String::from_utf8_lossy(&report))),
         ),
-        JobEnd::Reply(_) => (Outcome::Error, None),
-        JobEnd::NeverSent => (Outcome::ConnectFailed, None),
-        JobEnd::Broken => (Outcome::Reset, None),
-        JobEnd::Spoilt | JobEnd::Answer(_) => (Outcome::Unknown, None),
-        JobEnd::NoPlace => (Outcome::Moot, None),
+        JobEnd::Reply(_) => (AttemptOutcome::Error, None),
+        JobEnd::NeverSent => (AttemptOutcome::ConnectFailed, None),
+        JobEnd::Broken => (AttemptOutcome::Reset, None),
+        JobEnd::Spoilt | JobEnd::Answer(_) => (AttemptOutcome::Unreadable, None),
+        JobEnd::NoPlace => (AttemptOutcome::NotSent, None),
     };
-    Event::Probed {
-        server,
+    Event::HealthCheckEnded {
+        endpoint: server,
         outcome,
-        load,
+        load_report: load,
     }
 }
 
--- a/crates/balancer/src/tries/tests.rs
+++ b/crates/balancer/src/tries/tests.rs
@@ -6,11 +6,11 @@
 #[test]
 fn answers_map_to_outcomes() {
     let cases = [
-        ("BUSY", Outcome::Full),
-        ("BUSY 20", Outcome::Full),
-        ("BUSYBODY", Outcome::Unfit),
-        ("ERR failed", Outcome::Error),
-        ("ERR bad request", Outcome::Unfit),
+        ("BUSY", AttemptOutcome::Rejected),
+        ("BUSY 20", AttemptOutcome::Rejected),
+        ("BUSYBODY", AttemptOutcome::InvalidRequest),
+        ("ERR failed", AttemptOutcome::Error),
+        ("ERR bad request", AttemptOutcome::InvalidRequest),
     ];
     for (text, outcome) in cases {
         assert_eq!(
@@ -29,13 +29,13 @@
     let served = read_outcome(answer).1.expect("it is served");
     assert_eq!(
         (served.value.as_slice(), served.note),
-        (&b"v"[..], Some(CacheNote::MissPending))
+        (&b"v"[..], Some(CacheStatus::MissPending))
     );
     assert_eq!(
         served.load,
-        Some(Load {
-            queue: Some(3.0),
-            ..Load::default()
+        Some(LoadReport {
+            queue_depth: Some(3.0),
+            ..LoadReport::default()
         })
     );
     let (note, load) = (None, text("\u{fffd}!"));
@@ -47,7 +47,7 @@
     .1;
     assert_eq!(
         served.expect("without a report that can be read too").load,
-        Some(Load::default())
+        Some(LoadReport::default())
     );
 }
 
@@ -81,16 +81,22 @@
         order,
     ));
     tries.set_lost(40 * MS);
-    let first = (RequestId(1), AttemptNo(0));
+    let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tries
-            .start(0, first, ServerId(1), (None, None), &mut counters)
+            .start(0, first, EndpointId(1), (None, None), &mut counters)
             .is_ok()
     );
     tries.set_lost(690 * MS);
-    let end = tries.give_up(660 * MS, first.0, first.1, Outcome::Timeout, &mut counters);
+    let end = tries.give_up(
+        660 * MS,
+        first.0,
+        first.1,
+        AttemptOutcome::Timeout,
+        &mut counters,
+    );
     assert!(
-        matches!(end, Some(Event::Ended(Ended { latency, .. })) if latency == 10 * MS),
+        matches!(end, Some(Event::AttemptEnded(AttemptResult { latency, .. })) if latency == 10 * MS),
         "{end:?}"
     );
 }
@@ -110,13 +116,13 @@
     };
     tries.take(incoming(ticket, 100 * MS, order));
     assert!(tries.is_open(b"i") && !tries.is_open(b"j"));
-    let first = (RequestId(1), AttemptNo(0));
+    let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tries
-            .start(0, first, ServerId(1), (None, None), &mut counters)
+            .start(0, first, EndpointId(1), (None, None), &mut counters)
             .is_ok()
     );
-    let outcome = Outcome::Reset;
+    let outcome = AttemptOutcome::Reset;
     assert!(
         tries
             .give_up(1, first.0, first.1, outcome, &mut counters)
@@ -124,16 +130,16 @@
     );
     tries.gone(1, RequestId(1));
     assert!(!tries.is_open(b"i"), "nothing is left of it");
-    let second = (RequestId(1), AttemptNo(1));
-    let Err(end) = tries.start(1, second, ServerId(2), (None, None), &mut counters) else {
+    let second = (RequestId(1), AttemptNumber(1));
+    let Err(end) = tries.start(1, second, EndpointId(2), (None, None), &mut counters) else {
         panic!("sent")
     };
     assert!(
         matches!(
             *end,
-            Event::Ended(Ended {
-                attempt: AttemptNo(1),
-                finished: true,
+            Event::AttemptEnded(AttemptResult {
+                attempt: AttemptNumber(1),
+                request_finished: true,
                 ..
             })
         ),
@@ -157,8 +163,8 @@
         };
         tries.take(incoming(ticket, patience, order));
         // Peers that answer within 0.1 ms have the module give a try up after a fraction of one.
-        let first = (RequestId(1), AttemptNo(0));
-        let started = tries.start(0, first, ServerId(1), (Some(MS / 4), None), &mut counters);
+        let first = (RequestId(1), AttemptNumber(0));
+        let started = tries.start(0, first, EndpointId(1), (Some(MS / 4), None), &mut counters);
         assert_eq!(
             started.ok().map(|o| o.until),
             sent.then_some(MS),
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -28,7 +28,7 @@
 pub enum Kind {
     /// Membership, read by `foca`.
     Swim = 1,
-    /// Records of soft state.
+    /// Metadata records.
     Records = 2,
     /// The members whose records are missing.
     Want = 3,
@@ -180,7 +180,7 @@
         .and_then(|kind| numbers.of(kind))
         .unwrap_or(numbers.members);
     let foreign = whole[4..HEAD] != number.to_le_bytes();
-    if foreign && !crate::planted::is(crate::planted::Fault::ReadsForeignFleets) {
+    if foreign && !crate::planted::is_injected(crate::planted::InjectedFault::ReadsForeignFleets) {
         return Err(Refusal::Foreign);
     }
     let kind = kind
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,7 +1,7 @@
 //! A member's doubt of itself. One that stood still, or hears nobody, sees others as silent though the silence is its
 //! own; it accuses nobody until it has had time to hear them (the local health of the Lifeguard paper).
 
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::{MS, Nanos};
 
 /// A turn that comes this much later than it was due shows that the member itself stood still. Scheduling on a busy
@@ -44,7 +44,7 @@
     /// it counts for nothing.
     pub fn turn(&mut self, now: Nanos) -> bool {
         let late = self.due.is_some_and(|due| now > due.saturating_add(GAP));
-        let stood = late && !planted::is(Fault::TrustsItselfAfterAStall);
+        let stood = late && !planted::is_injected(InjectedFault::TrustsItselfAfterAStall);
         if stood {
             self.gaps += 1;
             self.doubt(now);
@@ -93,7 +93,7 @@
 
     /// Whether an accusation by it counts now.
     pub fn may_accuse(&self, now: Nanos) -> bool {
-        !self.is_cut_off(now) || planted::is(Fault::AccusesWhileCutOff)
+        !self.is_cut_off(now) || planted::is_injected(InjectedFault::AccusesWhileCutOff)
     }
 }
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,6 +1,6 @@
 //! Who a member is, and how its older selves are told from it.
 
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        if planted::is(Fault::BelievesOldGeneration) {
+        if planted::is_injected(InjectedFault::BelievesOldGeneration) {
             return self.generation < adversary.generation;
         }
         self.generation > adversary.generation
@@ -150,7 +150,9 @@
         let id = *member.id();
         self.note(&id);
         if id.address == self.own {
-            if member.state() == foca::State::Suspect && planted::is(Fault::ForgetsRefutation) {
+            if member.state() == foca::State::Suspect
+                && planted::is_injected(InjectedFault::ForgetsRefutation)
+            {
                 return Ok(foca::Member::alive(id));
             }
             return Ok(member);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -37,10 +37,10 @@
 
 pub use identity::Identity;
 pub use location::{LOCATION_NAME_MAX, Location};
-pub use member::{Member, Traffic};
-pub use records::{Phase, Record, Soft};
-pub use settings::{FleetSettings, Timing};
-pub use view::{Change, RegionSeen, Seen, State, View};
+pub use member::{Member, MemberStatistics};
+pub use records::{MemberMetadata, MetadataRecord, ServingPhase};
+pub use settings::{MembershipSettings, Timing};
+pub use view::{MemberStatus, MemberView, MembershipEvent, RegionView, View};
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/membership/src/location.rs
+++ b/crates/membership/src/location.rs
@@ -1,4 +1,4 @@
-//! Where a balancer runs: its region, zone and site. Told in the extension of its record, so that members of versions
+//! Where a balancer runs: its region, zone and site. Encoded in the extension of its record, so that members of versions
 //! without regions pass it on unread.
 
 use crate::records::EXTRA_MAX;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -17,11 +17,11 @@
 use crate::envelope::{self, Kind, Numbers, Refusal};
 use crate::health::Health;
 use crate::identity::{Held, Named, Wire};
-use crate::overload::Overload;
-use crate::records::{Record, Records, Soft};
+use crate::overload::SharedShedding;
+use crate::records::{MemberMetadata, MetadataRecord, MetadataStore};
 use crate::suspicion::Suspicions;
 use crate::watch::Watch;
-use crate::{Change, FleetSettings, Identity, MS, Nanos, Seen, View};
+use crate::{Identity, MS, MemberView, MembershipEvent, MembershipSettings, Nanos, View};
 use budget::Budget;
 use foca::{Foca, Timer};
 use rand::{RngExt, SeedableRng};
@@ -32,7 +32,7 @@
 use std::net::SocketAddr;
 use swim::Swim;
 use table::{Sources, Table};
-pub use traffic::Traffic;
+pub use traffic::MemberStatistics;
 
 /// A member wakes at least this often.
 const TURN: Nanos = 50 * MS;
@@ -41,7 +41,7 @@
 
 /// One member of a fleet.
 pub struct Member {
-    settings: FleetSettings,
+    settings: MembershipSettings,
     numbers: Numbers,
     swim: Swim,
     roster: Roster,
@@ -53,8 +53,8 @@
     suspicions: Suspicions,
     watch: Watch,
     health: Health,
-    records: Records,
-    own: Record,
+    records: MetadataStore,
+    own: MetadataRecord,
     count: Count,
     table: Table,
     /// When each member was last heard itself.
@@ -66,7 +66,7 @@
     sums: Sums,
     pace: Pace,
     /// The level that all shed load by, where it is agreed on, and when it is told again.
-    overload: Option<Overload>,
+    overload: Option<SharedShedding>,
     tell_load: Nanos,
     /// A death came in: it is passed on at once, from then on.
     pass_on: Option<Nanos>,
@@ -74,14 +74,14 @@
     join: (Nanos, Nanos),
     leapt: Nanos,
     ask_dead_due: Nanos,
-    due: Nanos,
+    next_tick: Nanos,
     now: Nanos,
     started: Nanos,
     met: bool,
     gone: bool,
     outputs: Vec<(SocketAddr, Vec<u8>)>,
-    changes: Vec<Change>,
-    traffic: Traffic,
+    changes: Vec<MembershipEvent>,
+    statistics: MemberStatistics,
     /// The other regions, where the fleet has regions.
     regional: Option<Regional>,
     /// What it sends at most, where the fleet has regions.
@@ -93,7 +93,13 @@
 impl Member {
     /// A member that starts at `now`, which is also its first generation if the clock is Unix time: `unix_ms` is that in
     /// milliseconds. `soft` is what it tells of itself; names that are too long are cut.
-    pub fn new(settings: FleetSettings, soft: Soft, unix_ms: u64, seed: u64, now: Nanos) -> Self {
+    pub fn new(
+        settings: MembershipSettings,
+        soft: MemberMetadata,
+        unix_ms: u64,
+        seed: u64,
+        now: Nanos,
+    ) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let id = Identity {
             address: settings.address,
@@ -107,16 +113,16 @@
             settings.members_max,
         );
         let swim_rng = Xoshiro256PlusPlus::seed_from_u64(rng.random());
-        let mut own = Record {
-            of: id,
+        let mut own = MetadataRecord {
+            member: id,
             version: 1,
-            soft: spread::bounded(soft),
+            metadata: spread::bounded(soft),
         };
         if !settings.location.is_none() {
-            own.soft.extra = settings.location.encode();
+            own.metadata.extension = settings.location.encode();
         }
         let timing = settings.timing;
-        let mut records = Records::new(own.clone());
+        let mut records = MetadataStore::new(own.clone());
         if !settings.location.is_none() {
             records.bound_rumours(swim::RUMOURS_IN_REGIONS);
         }
@@ -130,12 +136,12 @@
             held,
             timers: BTreeMap::new(),
             set: 0,
-            suspicions: Suspicions::new(timing.suspect),
+            suspicions: Suspicions::new(timing.suspicion_timeout),
             watch: Watch::new(settings.address),
             health: Health::new(now),
             records,
             own,
-            count: Count::new(timing.hold, timing.forget),
+            count: Count::new(timing.share_retention, timing.tombstone_retention),
             table: Table::default(),
             heard: BTreeMap::new(),
             rng,
@@ -151,14 +157,14 @@
             join: (now + join_delay, swim::JOIN_FIRST),
             leapt: 0,
             ask_dead_due: now + join_delay,
-            due: now,
+            next_tick: now,
             now,
             started: now,
             met: false,
             gone: false,
             outputs: Vec::new(),
             changes: Vec::new(),
-            traffic: Traffic::default(),
+            statistics: MemberStatistics::default(),
             budget: (!settings.location.is_none()).then(|| Budget::new(now)),
             total: 0,
             settings,
@@ -171,42 +177,42 @@
     }
 
     /// What it tells of itself.
-    pub fn soft(&self) -> &Soft {
-        &self.own.soft
+    pub fn metadata(&self) -> &MemberMetadata {
+        &self.own.metadata
     }
 
     /// The fleet's name.
-    pub fn fleet(&self) -> &str {
+    pub fn fleet_name(&self) -> &str {
         &self.settings.fleet
     }
 
     /// Datagrams since the start.
-    pub fn traffic(&self) -> Traffic {
-        Traffic {
+    pub fn statistics(&self) -> MemberStatistics {
+        MemberStatistics {
             suspicions: self.suspicions.begun,
             given_up: self.suspicions.given_up,
             gaps: self.health.gaps,
-            ..self.traffic
+            ..self.statistics
         }
     }
 
     /// When it wants its next [`Member::turn`].
-    pub fn due(&self) -> Nanos {
-        self.due
+    pub fn next_tick(&self) -> Nanos {
+        self.next_tick
     }
 
     /// Datagrams that are to be sent, since the last call.
-    pub fn take_outputs(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outputs)
     }
 
     /// Changes of the view, since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.changes)
     }
 
     /// The others as it sees them, by address.
-    pub fn seen(&self) -> impl Iterator<Item = &Seen> {
+    pub fn members(&self) -> impl Iterator<Item = &MemberView> {
         self.table.members()
     }
 
@@ -216,10 +222,10 @@
             members: self.table.members().cloned().collect(),
             regions: self.regions_seen(),
             delegates: self.delegates().to_vec(),
-            count: self.total,
-            living: self.count.living() + self.living_elsewhere(),
+            share_count: self.total,
+            alive: self.count.living() + self.living_elsewhere(),
             places: self.count.places() + self.places_elsewhere(),
-            cut_off: self.is_cut_off(),
+            isolated: self.is_cut_off(),
         }
     }
 
@@ -230,13 +236,13 @@
     /// By how many shares are divided: the count while somebody was heard lately; before the first meeting the settings'
     /// figure; the greater of both in a member's first seconds (as long as a place is held), when it has not met all, and
     /// once nobody is heard for 10 s, since either may be far too small for a fleet that goes on elsewhere.
-    pub fn shared_by(&self) -> usize {
-        let configured = self.settings.configured.max(1);
+    pub fn share_count(&self) -> usize {
+        let configured = self.settings.configured_balancers.max(1);
         if !self.met {
             return configured;
         }
         let count = self.total;
-        let new = self.now.saturating_sub(self.started) < self.settings.timing.hold;
+        let new = self.now.saturating_sub(self.started) < self.settings.timing.share_retention;
         let stale = self.now.saturating_sub(self.health.last_heard()) > STALE;
         if new || stale {
             count.max(configured)
@@ -246,15 +252,15 @@
     }
 
     /// Takes a datagram in. Whatever is in it, it is counted and never ends the member.
-    pub fn datagram(&mut self, now: Nanos, from: SocketAddr, datagram: &[u8]) {
+    pub fn receive(&mut self, now: Nanos, from: SocketAddr, datagram: &[u8]) {
         self.now = self.now.max(now);
-        self.traffic.heard += 1;
-        self.traffic.heard_bytes += datagram.len() as u64;
+        self.statistics.heard += 1;
+        self.statistics.heard_bytes += datagram.len() as u64;
         let (kind, payload) = match envelope::open(self.numbers, datagram) {
             Ok(opened) => opened,
-            Err(Refusal::Torn) => return self.traffic.torn += 1,
-            Err(Refusal::Foreign) => return self.traffic.foreign += 1,
-            Err(Refusal::Version) => return self.traffic.version += 1,
+            Err(Refusal::Torn) => return self.statistics.torn += 1,
+            Err(Refusal::Foreign) => return self.statistics.foreign += 1,
+            Err(Refusal::Version) => return self.statistics.version += 1,
         };
         if self.gone {
             return;
@@ -277,7 +283,7 @@
             Kind::OverviewQuestion => self.take_overview_question(from, payload),
         };
         if !taken {
-            return self.traffic.malformed += 1;
+            return self.statistics.malformed += 1;
         }
         if self.is_cut_off() {
             // The silence was its own.
@@ -291,14 +297,14 @@
     }
 
     /// A turn of the member's own clock: what is due is done.
-    pub fn turn(&mut self, now: Nanos) {
+    pub fn tick(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         if self.gone {
-            self.due = self.now + TURN;
+            self.next_tick = self.now + TURN;
             return;
         }
         if self.health.turn(self.now) {
-            self.changes.push(Change::StoodStill);
+            self.changes.push(MembershipEvent::Stalled);
             self.begin_anew();
         }
         self.swim_timers();
@@ -317,8 +323,8 @@
             .first_key_value()
             .map_or(Nanos::MAX, |((at, _), _)| *at);
         let pass_on = self.pass_on.unwrap_or(Nanos::MAX);
-        self.due = next.min(pass_on).clamp(self.now + MS, self.now + TURN);
-        self.health.expect(self.due);
+        self.next_tick = next.min(pass_on).clamp(self.now + MS, self.now + TURN);
+        self.health.expect(self.next_tick);
     }
 
     /// Compares what `foca` and the records say with what was seen before.
@@ -343,8 +349,8 @@
         self.table
             .look(self.roster.mark(), sources, &mut self.changes);
         let places = self.count.places().min(usize::from(u16::MAX)) as u16;
-        if places != self.own.soft.places {
-            self.tell(|soft| soft.places = places);
+        if places != self.own.metadata.places {
+            self.update_metadata(|soft| soft.places = places);
         }
         if self.table.turned() {
             self.held
@@ -368,10 +374,10 @@
         self.total = self.total_count();
         if self.total != was {
             let living = self.count.living() + self.living_elsewhere();
-            self.changes.push(Change::Count {
+            self.changes.push(MembershipEvent::ShareCountChanged {
                 was,
                 is: self.total,
-                living,
+                alive: living,
             });
         }
     }
@@ -382,14 +388,14 @@
             .budget
             .as_mut()
             .is_none_or(|budget| budget.allows(self.now));
-        self.traffic.put_off += u64::from(!allowed);
+        self.statistics.put_off += u64::from(!allowed);
         allowed
     }
 
     fn send(&mut self, to: SocketAddr, kind: Kind, payload: &[u8]) {
         let datagram = envelope::seal(self.numbers, kind, payload);
-        self.traffic.sent += 1;
-        self.traffic.sent_bytes += datagram.len() as u64;
+        self.statistics.sent += 1;
+        self.statistics.sent_bytes += datagram.len() as u64;
         if let Some(budget) = &mut self.budget {
             budget.spend(datagram.len());
         }
--- a/crates/membership/src/member/agree.rs
+++ b/crates/membership/src/member/agree.rs
@@ -5,8 +5,8 @@
 use super::swim::{GOSSIP, GOSSIP_TO, Runtime};
 use crate::compare::{self, Entry};
 use crate::envelope::Kind;
-use crate::overload::{Overload, Tally, Word};
-use crate::planted::{self, Fault};
+use crate::overload::{AdmissionCounts, LevelReport, SharedShedding};
+use crate::planted::{self, InjectedFault};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -39,8 +39,8 @@
 
     /// Asks one of the others whether it holds the same, if it is time.
     pub(super) fn compare(&mut self) {
-        if planted::is(Fault::TellsRecordsOnce)
-            || planted::is(Fault::NeverCompares)
+        if planted::is_injected(InjectedFault::TellsRecordsOnce)
+            || planted::is_injected(InjectedFault::NeverCompares)
             || !self.pace.due(self.now)
         {
             return;
@@ -49,7 +49,7 @@
             return;
         }
         let Some(to) = self.somebody() else { return };
-        self.traffic.compared += 1;
+        self.statistics.compared += 1;
         let question = compare::question(self.id(), &self.sums);
         self.send(to, Kind::Compare, &question);
     }
@@ -139,21 +139,26 @@
 /// The level that all shed load by together ([`crate::overload`]).
 impl Member {
     /// Begins to agree on a level with the others; `tiers` is how many the module has.
-    pub fn share_overload(&mut self, tiers: usize) {
+    pub fn enable_shared_shedding(&mut self, tiers: usize) {
         let id = self.id();
-        self.overload = Some(Overload::new(tiers, id.address, id.generation, self.now));
+        self.overload = Some(SharedShedding::new(
+            tiers,
+            id.address,
+            id.generation,
+            self.now,
+        ));
     }
 
     /// Counts what the module let in and what of it found no room.
-    pub fn count(&mut self, tally: Tally) {
+    pub fn add_admission_counts(&mut self, tally: AdmissionCounts) {
         if let Some(overload) = &mut self.overload {
             overload.count(tally);
         }
     }
 
     /// The level, 0 where nothing is shed or none is agreed on.
-    pub fn level(&self) -> f64 {
-        self.overload.as_ref().map_or(0.0, Overload::level)
+    pub fn shedding_level(&self) -> f64 {
+        self.overload.as_ref().map_or(0.0, SharedShedding::level)
     }
 
     /// Moves the level, and tells some of the others while there is something to tell.
@@ -168,7 +173,7 @@
         }
         if self.now < self.tell_load
             || !overload.is_loud()
-            || planted::is(Fault::KeepsItsLevelToItself)
+            || planted::is_injected(InjectedFault::KeepsItsLevelToItself)
         {
             return;
         }
@@ -176,7 +181,7 @@
         let words = postcard::to_stdvec(&overload.words(self.now)).unwrap_or_default();
         for _ in 0..GOSSIP_TO.min(self.swim.num_members()) {
             let Some(to) = self.somebody() else { return };
-            self.traffic.load += 1;
+            self.statistics.load += 1;
             self.send(to, Kind::Load, &words);
         }
     }
@@ -186,7 +191,7 @@
         let Some(overload) = &mut self.overload else {
             return true;
         };
-        let Ok(words) = postcard::from_bytes::<Vec<Word>>(payload) else {
+        let Ok(words) = postcard::from_bytes::<Vec<LevelReport>>(payload) else {
             return false;
         };
         let table = &self.table;
--- a/crates/membership/src/member/delegate.rs
+++ b/crates/membership/src/member/delegate.rs
@@ -3,9 +3,9 @@
 use super::Member;
 use super::swim::Runtime;
 use crate::envelope::{Kind, PAYLOAD_MAX};
-use crate::planted::{self, Fault};
-use crate::records::Phase;
-use crate::regions::exchange::{Answer, Exchange, Question, Told};
+use crate::planted::{self, InjectedFault};
+use crate::records::ServingPhase;
+use crate::regions::exchange::{AgedAnnouncement, Answer, Exchange, Question};
 use crate::regions::{DELEGATES, Summary};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
@@ -95,16 +95,16 @@
     /// What the own region tells of itself.
     fn summary(&self) -> Summary {
         let own = self.own_figures();
-        let there = self.table.members().filter(|seen| seen.state.is_there());
-        let others = there.filter_map(|seen| seen.soft.as_ref());
+        let there = self.table.members().filter(|seen| seen.status.is_present());
+        let others = there.filter_map(|seen| seen.metadata.as_ref());
         let mut configs: BTreeMap<u64, u32> = BTreeMap::new();
         let mut requests = 0u32;
         for soft in others
-            .chain([&self.own.soft])
-            .filter(|soft| soft.phase != Phase::Leaving)
+            .chain([&self.own.metadata])
+            .filter(|soft| soft.phase != ServingPhase::Leaving)
         {
-            *configs.entry(soft.config).or_default() += 1;
-            requests = requests.saturating_add(soft.traffic);
+            *configs.entry(soft.config_checksum).or_default() += 1;
+            requests = requests.saturating_add(soft.request_rate_tenths);
         }
         let most = configs
             .iter()
@@ -126,7 +126,7 @@
     }
 
     /// Tells one delegate of each other region, and the other delegates of the own one.
-    fn tell_regions(&mut self, told: &[Told]) {
+    fn tell_regions(&mut self, told: &[AgedAnnouncement]) {
         let Some(regional) = &self.regional else {
             return;
         };
@@ -157,7 +157,7 @@
                 .iter()
                 .filter(|delegate| **delegate != regional.own),
         );
-        let payload = Told::write(told);
+        let payload = AgedAnnouncement::encode(told);
         for target in targets {
             self.send(target, Kind::RegionNews, &payload);
         }
@@ -218,7 +218,7 @@
             None => Exchange::new(regional.own, &regional.location.region, 0)
                 .question(self.now, false, 0),
         };
-        self.traffic.regions_asked += 1;
+        self.statistics.regions_asked += 1;
         let payload = postcard::to_stdvec(&question).unwrap_or_default();
         self.send(to, Kind::RegionQuestion, &payload);
     }
@@ -275,7 +275,7 @@
         let (wanted, new) = exchange.take_answer(self.now, unix_ms, &answer);
         regional.referred.clear();
         if !wanted.is_empty() {
-            let payload = Told::write(&wanted);
+            let payload = AgedAnnouncement::encode(&wanted);
             self.send(from, Kind::RegionNews, &payload);
         }
         self.heard_of(&new);
@@ -283,7 +283,7 @@
     }
 
     pub(super) fn take_region_news(&mut self, payload: &[u8]) -> bool {
-        let Ok(told) = postcard::from_bytes::<Vec<Told>>(payload) else {
+        let Ok(told) = postcard::from_bytes::<Vec<AgedAnnouncement>>(payload) else {
             return false;
         };
         let Some(regional) = &mut self.regional else {
@@ -302,7 +302,7 @@
 
     /// News of other regions is written into the overview at the leader's next turn; other delegates of the region that
     /// have not heard of it are told by it.
-    fn heard_of(&mut self, new: &[Told]) {
+    fn heard_of(&mut self, new: &[AgedAnnouncement]) {
         let Some(regional) = &mut self.regional else {
             return;
         };
@@ -318,7 +318,7 @@
             .first()
             .copied()
             .filter(|leader| *leader != regional.own);
-        let payload = Told::write(new);
+        let payload = AgedAnnouncement::encode(new);
         if let Some(leader) = leader
             && payload.len() <= PAYLOAD_MAX
         {
@@ -371,7 +371,7 @@
         let Some(regional) = &mut self.regional else {
             return;
         };
-        if planted::is(Fault::IgnoresReferrals) || self.now < regional.due.rejoin {
+        if planted::is_injected(InjectedFault::IgnoresReferrals) || self.now < regional.due.rejoin {
             return;
         }
         let known =
@@ -400,7 +400,7 @@
 }
 
 /// Who speaks for this region, by these announcements.
-fn own_delegates(region: &str, told: &[Told]) -> Vec<SocketAddr> {
+fn own_delegates(region: &str, told: &[AgedAnnouncement]) -> Vec<SocketAddr> {
     let own = told
         .iter()
         .map(|told| &told.announcement)
--- a/crates/membership/src/member/listen.rs
+++ b/crates/membership/src/member/listen.rs
@@ -3,7 +3,7 @@
 use super::Member;
 use super::swim::Runtime;
 use crate::envelope::Kind;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::{Identity, suspicion, watch};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
             self.beat(ask.by.address);
             return true;
         };
-        if suspect != self.id() || planted::is(Fault::ForgetsRefutation) {
+        if suspect != self.id() || planted::is_injected(InjectedFault::ForgetsRefutation) {
             return true;
         }
         let mut runtime = Runtime::default();
@@ -38,7 +38,7 @@
             .swim
             .apply_many(std::iter::once(said), true, &mut runtime);
         self.roster.touch();
-        self.traffic.refuted += 1;
+        self.statistics.refuted += 1;
         // Its header carries the new incarnation; the gossip that goes on tells the others.
         let _ = self.swim.announce(ask.by, &mut runtime);
         self.carry_out(runtime);
@@ -89,7 +89,7 @@
             suspect,
         })
         .unwrap_or_default();
-        self.traffic.asked += 1;
+        self.statistics.asked += 1;
         self.send(of, Kind::Ask, &payload);
     }
 
--- a/crates/membership/src/member/overview.rs
+++ b/crates/membership/src/member/overview.rs
@@ -3,7 +3,7 @@
 use super::Member;
 use super::swim::GOSSIP;
 use crate::envelope::Kind;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::regions::overview::{PARTS, Part, Taken};
 use crate::{MS, Nanos};
 use rand::RngExt;
@@ -49,7 +49,9 @@
         let Some(regional) = &mut self.regional else {
             return;
         };
-        if self.now < regional.due.compare || planted::is(Fault::KeepsOverviewToItself) {
+        if self.now < regional.due.compare
+            || planted::is_injected(InjectedFault::KeepsOverviewToItself)
+        {
             return;
         }
         let unsure = self.now < regional.unsure_until;
--- a/crates/membership/src/member/regional.rs
+++ b/crates/membership/src/member/regional.rs
@@ -2,12 +2,12 @@
 //! members of the region hold of the others ([`crate::regions`]).
 
 use super::Member;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::regions::count::{Figures, RegionCount};
 use crate::regions::exchange::{Dropped, Exchange};
 use crate::regions::overview::{Overview, RegionRow};
 use crate::regions::{SILENT_AFTER, delegates};
-use crate::{Change, FleetSettings, Location, MS, Nanos, RegionSeen};
+use crate::{Location, MS, MembershipEvent, MembershipSettings, Nanos, RegionView};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -64,7 +64,7 @@
 
 impl Regional {
     /// The upper level, where the fleet has regions.
-    pub(super) fn new(settings: &FleetSettings, unix_ms: u64, now: Nanos) -> Option<Self> {
+    pub(super) fn new(settings: &MembershipSettings, unix_ms: u64, now: Nanos) -> Option<Self> {
         if settings.location.is_none() {
             return None;
         }
@@ -80,7 +80,7 @@
         Some(Regional {
             own: settings.address,
             location: settings.location.clone(),
-            forget: settings.timing.forget,
+            forget: settings.timing.tombstone_retention,
             epoch_ms: unix_ms.saturating_sub(now / MS),
             started: now,
             delegates: Vec::new(),
@@ -92,7 +92,10 @@
             written: 0,
             overview: Overview::default(),
             unsure_until: now + NEW,
-            count: RegionCount::new(settings.timing.hold, settings.timing.forget),
+            count: RegionCount::new(
+                settings.timing.share_retention,
+                settings.timing.tombstone_retention,
+            ),
             heard: BTreeMap::new(),
             foreign: BTreeSet::new(),
             referred: Vec::new(),
@@ -113,7 +116,7 @@
         }
         let first = self.drawn_of.is_none() || living.is_empty();
         self.drawn_of = Some(members);
-        if planted::is(Fault::NeverReplacesDelegates)
+        if planted::is_injected(InjectedFault::NeverReplacesDelegates)
             && !first
             && now - self.started > 2 * LEAD_AFTER
         {
@@ -233,7 +236,7 @@
     }
 
     /// Takes the overview into the count, and reports regions that fell silent or are heard again.
-    fn recount(&mut self, now: Nanos, changes: &mut Vec<Change>) {
+    fn recount(&mut self, now: Nanos, changes: &mut Vec<MembershipEvent>) {
         let mut heard = BTreeMap::new();
         for (row, silent_since) in self
             .overview
@@ -247,10 +250,10 @@
             self.count.set(now, &row.region, figures, silent_since);
             let is_heard = silent_since.is_none();
             if self.heard.get(&row.region) != Some(&is_heard) {
-                changes.push(Change::Region {
+                changes.push(MembershipEvent::RegionReachability {
                     region: row.region.clone(),
-                    heard: is_heard,
-                    living: row.living,
+                    reachable: is_heard,
+                    alive: row.living,
                 });
             }
             heard.insert(row.region.clone(), is_heard);
@@ -300,9 +303,9 @@
         exchange.map_or(0, Exchange::len)
     }
 
-    pub(super) fn regions_seen(&self) -> Vec<RegionSeen> {
-        let seen = |(row, silent_since): (&RegionRow, Option<Nanos>)| RegionSeen {
-            row: row.clone(),
+    pub(super) fn regions_seen(&self) -> Vec<RegionView> {
+        let seen = |(row, silent_since): (&RegionRow, Option<Nanos>)| RegionView {
+            overview: row.clone(),
             silent_since,
         };
         self.region_rows().map(seen).collect()
--- a/crates/membership/src/member/spread.rs
+++ b/crates/membership/src/member/spread.rs
@@ -1,10 +1,10 @@
-//! Records of soft state: told, passed on and asked for.
+//! Metadata records of members: told, passed on and asked for.
 
 use super::Member;
 use super::swim::{GOSSIP, GOSSIP_TO, Runtime};
 use crate::envelope::Kind;
-use crate::planted::{self, Fault};
-use crate::records::{BUILD_MAX, EXTRA_MAX, NAME_MAX, Phase, Soft, cut};
+use crate::planted::{self, InjectedFault};
+use crate::records::{BUILD_MAX, EXTRA_MAX, MemberMetadata, NAME_MAX, ServingPhase, cut};
 use crate::{MS, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -16,19 +16,19 @@
 
 impl Member {
     /// Tells something new of itself, if it is new.
-    pub fn tell(&mut self, change: impl FnOnce(&mut Soft)) {
-        let mut soft = self.own.soft.clone();
+    pub fn update_metadata(&mut self, change: impl FnOnce(&mut MemberMetadata)) {
+        let mut soft = self.own.metadata.clone();
         change(&mut soft);
         let soft = bounded(soft);
-        if soft != self.own.soft {
-            self.own.soft = soft;
+        if soft != self.own.metadata {
+            self.own.metadata = soft;
             self.put_own();
         }
     }
 
     pub(super) fn put_own(&mut self) {
         self.own.version += 1;
-        self.own.of = self.id();
+        self.own.member = self.id();
         self.records.put(self.own.clone(), self.swim.num_members());
     }
 
@@ -85,7 +85,7 @@
                 }
             }
         }
-        if self.now >= self.round && !planted::is(Fault::TellsRecordsOnce) {
+        if self.now >= self.round && !planted::is_injected(InjectedFault::TellsRecordsOnce) {
             self.round = self.now + ROUND;
             if let Some(to) = self.somebody() {
                 self.tell_records(to, true);
@@ -113,11 +113,11 @@
             return;
         }
         self.gone = true;
-        if planted::is(Fault::LeavesSilently) {
+        if planted::is_injected(InjectedFault::LeavesSilently) {
             return;
         }
-        self.tell(|soft| soft.phase = Phase::Leaving);
-        let own = self.own.of.address;
+        self.update_metadata(|soft| soft.phase = ServingPhase::Leaving);
+        let own = self.own.member.address;
         let mut others: Vec<SocketAddr> =
             self.swim.iter_members().map(|m| m.id().address).collect();
         for _ in 0..LEAVE_TOLD.min(others.len()) {
@@ -134,9 +134,9 @@
 }
 
 /// Cuts what is too long.
-pub(super) fn bounded(mut soft: Soft) -> Soft {
+pub(super) fn bounded(mut soft: MemberMetadata) -> MemberMetadata {
     soft.name = cut(&soft.name, NAME_MAX);
     soft.build = cut(&soft.build, BUILD_MAX);
-    soft.extra.truncate(EXTRA_MAX);
+    soft.extension.truncate(EXTRA_MAX);
     soft
 }
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -3,8 +3,10 @@
 use super::Member;
 use crate::envelope::{self, Kind};
 use crate::identity::Wire;
-use crate::planted::{self, Fault};
-use crate::{Change, FleetSettings, Identity, MS, Nanos, Seen, State, watch};
+use crate::planted::{self, InjectedFault};
+use crate::{
+    Identity, MS, MemberStatus, MemberView, MembershipEvent, MembershipSettings, Nanos, watch,
+};
 use foca::{Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, Timer};
 use rand::RngExt;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -61,7 +63,7 @@
 
 /// How often `foca` spreads each update. Where the fleet has regions bytes are bounded, and a rumour that dies out is found
 /// by comparing lists.
-fn transmissions(settings: &FleetSettings) -> u8 {
+fn transmissions(settings: &MembershipSettings) -> u8 {
     let spread = SPREAD + settings.members_max.max(2).ilog2();
     if settings.location.is_none() {
         spread as u8
@@ -71,7 +73,7 @@
 }
 
 /// What `foca` is told of the times and bounds.
-pub(super) fn config(settings: &FleetSettings) -> foca::Config {
+pub(super) fn config(settings: &MembershipSettings) -> foca::Config {
     let span = Duration::from_nanos;
     let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let every = |nanos, num| {
@@ -81,13 +83,13 @@
         })
     };
     foca::Config {
-        probe_period: span(settings.timing.probe),
-        probe_rtt: span(settings.timing.answer),
+        probe_period: span(settings.timing.probe_interval),
+        probe_rtt: span(settings.timing.ack_timeout),
         num_indirect_probes: some(3),
         max_transmissions: NonZeroU8::new(transmissions(settings)).unwrap_or(NonZeroU8::MIN),
         // Not heeded: see `suspicion`.
-        suspect_to_down_after: span(settings.timing.suspect),
-        remove_down_after: Some(span(settings.timing.forget)),
+        suspect_to_down_after: span(settings.timing.suspicion_timeout),
+        remove_down_after: Some(span(settings.timing.tombstone_retention)),
         max_packet_size: some(envelope::PAYLOAD_MAX),
         notify_down_members: true,
         periodic_announce: every(5_000 * MS, 1),
@@ -103,7 +105,7 @@
         let held = self.swim.iter_membership_state().len();
         if held >= self.settings.members_max && !self.knows(from) {
             let Some(dead) = self.oldest_dead() else {
-                self.traffic.full += 1;
+                self.statistics.full += 1;
                 return true;
             };
             self.swim_timer(Timer::RemoveDown(dead));
@@ -126,7 +128,7 @@
 
     pub(super) fn oldest_dead(&self) -> Option<Identity> {
         // The table may still show one that was let go of since the last look.
-        let down = |seen: &&Seen| {
+        let down = |seen: &&MemberView| {
             let mut all = self.swim.iter_membership_state();
             all.any(|m| *m.id() == seen.id && m.state() == foca::State::Down)
         };
@@ -154,8 +156,8 @@
     }
 
     pub(super) fn returned(&mut self) {
-        self.traffic.returned += 1;
-        self.changes.push(Change::Returned {
+        self.statistics.returned += 1;
+        self.changes.push(MembershipEvent::Rejoined {
             generation: self.id().generation,
         });
         self.put_own();
@@ -165,7 +167,7 @@
     fn dead(&self) -> Vec<Identity> {
         self.table
             .members()
-            .filter(|seen| seen.state == State::Dead)
+            .filter(|seen| seen.status == MemberStatus::Dead)
             .map(|seen| seen.id)
             .collect()
     }
@@ -173,7 +175,7 @@
     /// Asks those believed dead whom this member is drawn to ask. If all members asked each of the dead, who returns would
     /// have to answer as many as there are members, each with a datagram of the longest.
     pub(super) fn ask_drawn_dead(&mut self) {
-        if self.now < self.ask_dead_due || planted::is(Fault::NeverAsksTheDead) {
+        if self.now < self.ask_dead_due || planted::is_injected(InjectedFault::NeverAsksTheDead) {
             return;
         }
         self.ask_dead_due = self.now + ASK_DEAD;
@@ -196,7 +198,7 @@
 
     /// Asks some of those believed dead: who was given up was cut off from more than one, most likely.
     pub(super) fn ask_dead(&mut self, most: usize) {
-        if planted::is(Fault::NeverAsksTheDead) {
+        if planted::is_injected(InjectedFault::NeverAsksTheDead) {
             return;
         }
         let mut dead = self.dead();
@@ -223,7 +225,7 @@
             };
             let after = match timer {
                 // The answer may have come meanwhile, and is read before this.
-                Timer::ProbeRandomMember(_) => self.settings.timing.probe,
+                Timer::ProbeRandomMember(_) => self.settings.timing.probe_interval,
                 Timer::SendIndirectProbe { .. } => MS,
                 _ => 0,
             };
@@ -278,7 +280,7 @@
             .copied()
             .filter(|a| *a != own && !there(a) && !self.is_foreign(a))
             .collect();
-        if self.met && planted::is(Fault::NeverAsksTheDead) {
+        if self.met && planted::is_injected(InjectedFault::NeverAsksTheDead) {
             return;
         }
         let mut runtime = Runtime::default();
@@ -342,7 +344,7 @@
                 OwnedNotification::MemberDown(_) => {
                     let at = self.now.max(self.passed_on + PASS_ON);
                     self.pass_on.get_or_insert(at);
-                    self.due = self.due.min(at + MS);
+                    self.next_tick = self.next_tick.min(at + MS);
                 }
                 _ => {}
             }
--- a/crates/membership/src/member/table.rs
+++ b/crates/membership/src/member/table.rs
@@ -2,15 +2,15 @@
 
 use super::swim::Swim;
 use crate::count::Count;
-use crate::records::{Phase, Records};
-use crate::{Change, Identity, Nanos, Seen, State};
+use crate::records::{MetadataStore, ServingPhase};
+use crate::{Identity, MemberStatus, MemberView, MembershipEvent, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// The view's members, by address; as many as `foca` holds.
 #[derive(Default)]
 pub(super) struct Table {
-    seen: BTreeMap<SocketAddr, Seen>,
+    seen: BTreeMap<SocketAddr, MemberView>,
     /// Names of which two members were told of.
     twice: BTreeSet<String>,
     count: usize,
@@ -26,24 +26,26 @@
     pub(super) now: Nanos,
     pub(super) own: Identity,
     pub(super) swim: &'a Swim,
-    pub(super) records: &'a mut Records,
+    pub(super) records: &'a mut MetadataStore,
     pub(super) count: &'a mut Count,
 }
 
 /// What a member is, by what `foca` and its own record say.
-fn state(swim: foca::State, phase: Option<Phase>) -> State {
+fn state(swim: foca::State, phase: Option<ServingPhase>) -> MemberStatus {
     match (swim, phase) {
-        (foca::State::Down, Some(Phase::Leaving)) => State::Left,
-        (foca::State::Down, _) => State::Dead,
-        (foca::State::Suspect, _) => State::Stalled,
-        (foca::State::Alive, None | Some(Phase::Joining)) => State::Joining,
-        (foca::State::Alive, Some(Phase::Serving)) => State::Serving,
-        (foca::State::Alive, Some(Phase::Draining | Phase::Leaving)) => State::Draining,
+        (foca::State::Down, Some(ServingPhase::Leaving)) => MemberStatus::Left,
+        (foca::State::Down, _) => MemberStatus::Dead,
+        (foca::State::Suspect, _) => MemberStatus::Stalled,
+        (foca::State::Alive, None | Some(ServingPhase::Joining)) => MemberStatus::Joining,
+        (foca::State::Alive, Some(ServingPhase::Serving)) => MemberStatus::Serving,
+        (foca::State::Alive, Some(ServingPhase::Draining | ServingPhase::Leaving)) => {
+            MemberStatus::Draining
+        }
     }
 }
 
 impl Table {
-    pub(super) fn members(&self) -> impl Iterator<Item = &Seen> {
+    pub(super) fn members(&self) -> impl Iterator<Item = &MemberView> {
         self.seen.values()
     }
 
@@ -62,7 +64,12 @@
     }
 
     /// Takes over what is known now, and says what changed. `mark` is the membership's checksum.
-    pub(super) fn look(&mut self, mark: u64, sources: Sources<'_>, changes: &mut Vec<Change>) {
+    pub(super) fn look(
+        &mut self,
+        mark: u64,
+        sources: Sources<'_>,
+        changes: &mut Vec<MembershipEvent>,
+    ) {
         let Sources {
             now,
             own,
@@ -92,23 +99,23 @@
     }
 
     /// Takes over what these members said last; nothing of it changes what they are.
-    fn take_over_soft(&mut self, told_anew: &BTreeSet<SocketAddr>, records: &Records) {
+    fn take_over_soft(&mut self, told_anew: &BTreeSet<SocketAddr>, records: &MetadataStore) {
         for address in told_anew {
             let Some(seen) = self.seen.get_mut(address) else {
                 continue;
             };
             if let Some(record) = records.of(&seen.id) {
-                seen.soft = Some(record.soft.clone());
+                seen.metadata = Some(record.metadata.clone());
             }
         }
-        let there = self.seen.values().filter(|seen| seen.state.is_there());
+        let there = self.seen.values().filter(|seen| seen.status.is_present());
         let places = there
-            .filter_map(|seen| seen.soft.as_ref())
+            .filter_map(|seen| seen.metadata.as_ref())
             .map(|soft| usize::from(soft.places));
         self.told = places.max().unwrap_or(0);
     }
 
-    fn look_closely(&mut self, sources: Sources<'_>, changes: &mut Vec<Change>) {
+    fn look_closely(&mut self, sources: Sources<'_>, changes: &mut Vec<MembershipEvent>) {
         let Sources {
             now,
             own,
@@ -124,48 +131,48 @@
         {
             let id = *member.id();
             here.insert(id.address);
-            let soft = records.of(&id).map(|record| &record.soft);
+            let soft = records.of(&id).map(|record| &record.metadata);
             let is = state(member.state(), soft.map(|soft| soft.phase));
-            if is.is_there() {
+            if is.is_present() {
                 told = told.max(soft.map_or(0, |soft| usize::from(soft.places)));
             }
             let former = self.seen.get_mut(&id.address);
-            let was = former.as_ref().map(|seen| seen.state);
+            let was = former.as_ref().map(|seen| seen.status);
             let since = former
                 .as_ref()
-                .filter(|seen| seen.state == is)
+                .filter(|seen| seen.status == is)
                 .map_or(now, |seen| seen.since);
             match former {
                 Some(seen) => {
                     seen.id = id;
                     seen.incarnation = member.incarnation();
-                    (seen.state, seen.since) = (is, since);
-                    if let Some(soft) = soft.filter(|soft| seen.soft.as_ref() != Some(*soft)) {
-                        seen.soft = Some(soft.clone());
+                    (seen.status, seen.since) = (is, since);
+                    if let Some(soft) = soft.filter(|soft| seen.metadata.as_ref() != Some(*soft)) {
+                        seen.metadata = Some(soft.clone());
                     }
                 }
                 None => {
                     let (incarnation, soft) = (member.incarnation(), soft.cloned());
                     self.seen.insert(
                         id.address,
-                        Seen {
+                        MemberView {
                             id,
                             incarnation,
-                            state: is,
+                            status: is,
                             since,
-                            soft,
+                            metadata: soft,
                         },
                     );
                 }
             }
             match is {
-                State::Left => count.left(id.address),
-                State::Dead => count.vanished(now, id.address),
+                MemberStatus::Left => count.left(id.address),
+                MemberStatus::Dead => count.vanished(now, id.address),
                 _ => count.appeared(id.address),
             }
             if was != Some(is) {
                 let name = self.seen[&id.address].name();
-                changes.push(Change::Became { name, id, was, is });
+                changes.push(MembershipEvent::StatusChanged { name, id, was, is });
             }
         }
         self.seen.retain(|address, _| here.contains(address));
@@ -173,16 +180,16 @@
         self.names(changes);
     }
 
-    fn names(&mut self, changes: &mut Vec<Change>) {
+    fn names(&mut self, changes: &mut Vec<MembershipEvent>) {
         let mut names: BTreeMap<&str, SocketAddr> = BTreeMap::new();
-        for seen in self.seen.values().filter(|seen| seen.state.is_there()) {
-            let Some(soft) = &seen.soft else { continue };
+        for seen in self.seen.values().filter(|seen| seen.status.is_present()) {
+            let Some(soft) = &seen.metadata else { continue };
             if let Some(other) = names.insert(&soft.name, seen.id.address)
                 && !self.twice.contains(&soft.name)
                 && self.twice.len() < self.seen.len()
             {
                 self.twice.insert(soft.name.clone());
-                changes.push(Change::NameTwice {
+                changes.push(MembershipEvent::DuplicateName {
                     name: soft.name.clone(),
                     addresses: [other, seen.id.address],
                 });
--- a/crates/membership/src/member/traffic.rs
+++ b/crates/membership/src/member/traffic.rs
@@ -5,7 +5,7 @@
 /// Datagrams, as counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[allow(missing_docs)]
-pub struct Traffic {
+pub struct MemberStatistics {
     /// Sent, and their bytes.
     pub sent: u64,
     pub sent_bytes: u64,
--- a/crates/membership/src/overload.rs
+++ b/crates/membership/src/overload.rs
@@ -10,17 +10,17 @@
 //! one that it stands in by the level's fraction. Which requests of that tier is the same at all members.
 
 use crate::envelope::PAYLOAD_MAX;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::{MS, Nanos};
-pub use routing::{SHED_MOST, TIERS_COUNTED, Tally};
+pub use routing::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Counts are taken, and the level moved, over steps of this length.
-pub const STEP: Nanos = 400 * MS;
+pub const ROUND_INTERVAL: Nanos = 400 * MS;
 /// What another told counts for so long.
-pub const FRESH: Nanos = 1_500 * MS;
+pub const REPORT_TTL: Nanos = 1_500 * MS;
 /// With more than this share of what was let in left without room the level rises ...
 const HIGH: f64 = 0.15;
 /// ... to leave this share: some excess has to try the caches' room, or the members' own limits at them would never be
@@ -48,7 +48,7 @@
 
 /// A member's word of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct LevelReport {
     /// Whose.
     pub of: SocketAddr,
     /// Which of its lives.
@@ -58,21 +58,21 @@
     /// How old it is, in milliseconds, as far as who passes it on can tell.
     pub age_ms: u16,
     /// What it counted in its last step.
-    pub tally: Tally,
+    pub tally: AdmissionCounts,
     /// The level that it goes by.
     pub level: f32,
 }
 
 #[derive(Debug)]
 struct Heard {
-    word: Word,
+    word: LevelReport,
     /// When it was said, on the own clock.
     said: Nanos,
 }
 
 /// The level, as one member goes by it.
 #[derive(Debug)]
-pub struct Overload {
+pub struct SharedShedding {
     tiers: usize,
     level: f64,
     /// Steps down on end.
@@ -81,32 +81,32 @@
     rests: u32,
     /// What found room in the best step lately, over the fleet.
     best: f64,
-    own: Word,
-    open: Tally,
+    own: LevelReport,
+    open: AdmissionCounts,
     step_ends: Nanos,
     heard: BTreeMap<SocketAddr, Heard>,
 }
 
-impl Overload {
+impl SharedShedding {
     /// None is shed yet. `tiers` is how many the module has; `of` and `generation` tell who speaks.
     pub fn new(tiers: usize, of: SocketAddr, generation: u64, now: Nanos) -> Self {
-        let own = Word {
+        let own = LevelReport {
             of,
             generation,
             step: 0,
             age_ms: 0,
-            tally: Tally::default(),
+            tally: AdmissionCounts::default(),
             level: 0.0,
         };
-        Overload {
+        SharedShedding {
             tiers,
             level: 0.0,
             downs: 0,
             rests: 0,
             best: 0.0,
             own,
-            open: Tally::default(),
-            step_ends: now + STEP,
+            open: AdmissionCounts::default(),
+            step_ends: now + ROUND_INTERVAL,
             heard: BTreeMap::new(),
         }
     }
@@ -125,12 +125,12 @@
     }
 
     /// Counts what ended since the last call.
-    pub fn count(&mut self, tally: Tally) {
+    pub fn count(&mut self, tally: AdmissionCounts) {
         self.open.add(&tally);
     }
 
     /// Takes another's word, if it is newer than what was heard of that member; false for one that makes no sense.
-    pub fn hear(&mut self, now: Nanos, word: Word) -> bool {
+    pub fn hear(&mut self, now: Nanos, word: LevelReport) -> bool {
         let level = f64::from(word.level);
         // Also what is no number.
         if !(0.0..=self.tiers as f64).contains(&level) {
@@ -141,7 +141,8 @@
                 || !is_fresh(heard, now)
         };
         let age = u64::from(word.age_ms) * MS;
-        if word.of != self.own.of && age < FRESH && self.heard.get(&word.of).is_none_or(newer) {
+        if word.of != self.own.of && age < REPORT_TTL && self.heard.get(&word.of).is_none_or(newer)
+        {
             let said = now.saturating_sub(age);
             self.heard.insert(word.of, Heard { word, said });
         }
@@ -155,11 +156,11 @@
 
     /// Whether there is something to tell the others: a level, or a step with requests that found no room.
     pub fn is_loud(&self) -> bool {
-        self.level > 0.0 || self.own.tally.short > 0
+        self.level > 0.0 || self.own.tally.capacity_rejections > 0
     }
 
     /// What it tells: its own word, and the freshest of what it heard.
-    pub fn words(&self, now: Nanos) -> Vec<Word> {
+    pub fn words(&self, now: Nanos) -> Vec<LevelReport> {
         let mut fresh: Vec<&Heard> = self
             .heard
             .values()
@@ -168,12 +169,12 @@
         fresh.sort_by_key(|heard| std::cmp::Reverse(heard.said));
         let mut words = vec![self.own];
         let length =
-            |word: &Word| postcard::to_stdvec(word).map_or(PAYLOAD_MAX, |bytes| bytes.len());
+            |word: &LevelReport| postcard::to_stdvec(word).map_or(PAYLOAD_MAX, |bytes| bytes.len());
         // The count of words stands before them, in at most two bytes.
         let mut room = PAYLOAD_MAX - 2 - length(&words[0]);
         for heard in fresh {
             let age = now.saturating_sub(heard.said) / MS;
-            let word = Word {
+            let word = LevelReport {
                 age_ms: u16::try_from(age).unwrap_or(u16::MAX),
                 ..heard.word
             };
@@ -192,7 +193,7 @@
         if now < self.step_ends {
             return false;
         }
-        self.step_ends = now + STEP;
+        self.step_ends = now + ROUND_INTERVAL;
         self.own.step += 1;
         self.own.tally = std::mem::take(&mut self.open);
         self.heard.retain(|_, heard| is_fresh(heard, now));
@@ -204,19 +205,19 @@
         }
         self.level = levels / (self.heard.len() + 1) as f64;
         // What is held for a while may be turned away in another step than it came in.
-        let short = f64::from(sum.short.min(sum.all()));
-        let share = short / f64::from(sum.all().max(1));
-        let let_in = f64::from(sum.all());
+        let short = f64::from(sum.capacity_rejections.min(sum.total_admitted()));
+        let share = short / f64::from(sum.total_admitted().max(1));
+        let let_in = f64::from(sum.total_admitted());
         self.best = (self.best * BEST_FADES).max(let_in - short);
         let rests = self.rests > 0;
         self.rests = self.rests.saturating_sub(1);
         if share >= LOW {
             self.downs = 0;
-            if share > HIGH && sum.all() >= TELLING && !rests {
+            if share > HIGH && sum.total_admitted() >= TELLING && !rests {
                 self.rests = RESTS;
-                self.raise(short - MEANT * let_in, &sum.let_in);
+                self.raise(short - MEANT * let_in, &sum.admitted);
             }
-        } else if !planted::is(Fault::NeverLowersItsLevel) {
+        } else if !planted::is_injected(InjectedFault::NeverLowersItsLevel) {
             self.downs += 1;
             let grown = DOWN_GROWS.powi(self.downs.saturating_sub(DOWN_SLOW).min(9) as i32);
             let more = let_in * (DOWN_FIRST * grown).min(DOWN_MOST);
@@ -233,19 +234,19 @@
     }
 
     /// So many found no room: they are not let in next time, those of the least worth first.
-    fn raise(&mut self, short: f64, let_in: &[u32; TIERS_COUNTED]) {
+    fn raise(&mut self, short: f64, let_in: &[u32; COUNTED_TIERS]) {
         let mut tier = self.level.floor();
         let mut passes = 1.0 - (self.level - tier);
         let mut drop = short;
         let mut most = self.level;
-        if planted::is(Fault::ShedsTheDearestToo) {
+        if planted::is_injected(InjectedFault::ShedsTheDearestToo) {
             self.level = self.tiers as f64 - 0.5;
             return;
         }
         while (tier as usize) < self.tiers {
-            let let_in = f64::from(let_in[(tier as usize).min(TIERS_COUNTED - 1)]);
+            let let_in = f64::from(let_in[(tier as usize).min(COUNTED_TIERS - 1)]);
             // Nearly all of it is shed already, or there is none of it.
-            let can = let_in * (1.0 - (1.0 - SHED_MOST) / passes);
+            let can = let_in * (1.0 - (1.0 - MAX_SHED_FRACTION) / passes);
             if drop < can {
                 self.level = tier + 1.0 - passes * (1.0 - drop / let_in);
                 return;
@@ -259,12 +260,12 @@
     }
 
     /// Lets so much more in, those of the most worth first.
-    fn lower(&mut self, mut more: f64, sum: &Tally) {
+    fn lower(&mut self, mut more: f64, sum: &AdmissionCounts) {
         while self.level > 0.0 {
             let tier = (self.level.ceil() - 1.0).max(0.0);
-            let shed = (self.level - tier).min(SHED_MOST);
+            let shed = (self.level - tier).min(MAX_SHED_FRACTION);
             let asked =
-                f64::from(sum.let_in[(tier as usize).min(TIERS_COUNTED - 1)]) / (1.0 - shed);
+                f64::from(sum.admitted[(tier as usize).min(COUNTED_TIERS - 1)]) / (1.0 - shed);
             if more < asked * shed {
                 self.level = tier + shed - more / asked;
                 break;
@@ -279,7 +280,8 @@
 }
 
 fn is_fresh(heard: &Heard, now: Nanos) -> bool {
-    planted::is(Fault::BelievesStaleWords) || now.saturating_sub(heard.said) < FRESH
+    planted::is_injected(InjectedFault::BelievesStaleWords)
+        || now.saturating_sub(heard.said) < REPORT_TTL
 }
 
 #[cfg(test)]
--- a/crates/membership/src/planted.rs
+++ b/crates/membership/src/planted.rs
@@ -4,7 +4,7 @@
 /// A planted mistake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Fault {
+pub enum InjectedFault {
     /// A suspect that hears of it does not refute.
     ForgetsRefutation,
     /// A restarted member is taken for its older self.
@@ -51,50 +51,68 @@
     IgnoresReferrals,
 }
 
-impl Fault {
+impl InjectedFault {
     /// Every one, with the name by which a trial plants it.
-    pub const ALL: [(Fault, &'static str); 22] = [
-        (Fault::ForgetsRefutation, "forgets-refutation"),
-        (Fault::BelievesOldGeneration, "believes-old-generation"),
-        (Fault::CountsOwnSideAtOnce, "counts-own-side-at-once"),
-        (Fault::NeverAsksTheDead, "never-asks-the-dead"),
+    pub const ALL: [(InjectedFault, &'static str); 22] = [
+        (InjectedFault::ForgetsRefutation, "forgets-refutation"),
         (
-            Fault::TrustsItselfAfterAStall,
+            InjectedFault::BelievesOldGeneration,
+            "believes-old-generation",
+        ),
+        (
+            InjectedFault::CountsOwnSideAtOnce,
+            "counts-own-side-at-once",
+        ),
+        (InjectedFault::NeverAsksTheDead, "never-asks-the-dead"),
+        (
+            InjectedFault::TrustsItselfAfterAStall,
             "trusts-itself-after-a-stall",
         ),
-        (Fault::AccusesWhileCutOff, "accuses-while-cut-off"),
-        (Fault::NoLastQuestion, "no-last-question"),
-        (Fault::ReadsForeignFleets, "reads-foreign-fleets"),
-        (Fault::LeavesSilently, "leaves-silently"),
-        (Fault::TellsRecordsOnce, "tells-records-once"),
-        (Fault::NeverCompares, "never-compares"),
-        (Fault::KeepsItsLevelToItself, "keeps-its-level-to-itself"),
-        (Fault::NeverLowersItsLevel, "never-lowers-its-level"),
-        (Fault::BelievesStaleWords, "believes-stale-words"),
-        (Fault::ShedsTheDearestToo, "sheds-the-dearest-too"),
+        (InjectedFault::AccusesWhileCutOff, "accuses-while-cut-off"),
+        (InjectedFault::NoLastQuestion, "no-last-question"),
+        (InjectedFault::ReadsForeignFleets, "reads-foreign-fleets"),
+        (InjectedFault::LeavesSilently, "leaves-silently"),
+        (InjectedFault::TellsRecordsOnce, "tells-records-once"),
+        (InjectedFault::NeverCompares, "never-compares"),
+        (
+            InjectedFault::KeepsItsLevelToItself,
+            "keeps-its-level-to-itself",
+        ),
+        (InjectedFault::NeverLowersItsLevel, "never-lowers-its-level"),
+        (InjectedFault::BelievesStaleWords, "believes-stale-words"),
+        (InjectedFault::ShedsTheDearestToo, "sheds-the-dearest-too"),
         (
-            Fault::DropsSilentRegionsAtOnce,
+            InjectedFault::DropsSilentRegionsAtOnce,
             "drops-silent-regions-at-once",
         ),
-        (Fault::NeverReplacesDelegates, "never-replaces-delegates"),
-        (Fault::NeverComparesRegions, "never-compares-regions"),
         (
-            Fault::BelievesOldAnnouncements,
+            InjectedFault::NeverReplacesDelegates,
+            "never-replaces-delegates",
+        ),
+        (
+            InjectedFault::NeverComparesRegions,
+            "never-compares-regions",
+        ),
+        (
+            InjectedFault::BelievesOldAnnouncements,
             "believes-old-announcements",
         ),
-        (Fault::BelievesAnyFigures, "believes-any-figures"),
-        (Fault::KeepsOverviewToItself, "keeps-overview-to-itself"),
-        (Fault::IgnoresReferrals, "ignores-referrals"),
+        (InjectedFault::BelievesAnyFigures, "believes-any-figures"),
+        (
+            InjectedFault::KeepsOverviewToItself,
+            "keeps-overview-to-itself",
+        ),
+        (InjectedFault::IgnoresReferrals, "ignores-referrals"),
     ];
 }
 
 /// Whether this mistake is planted in this process (`PIPITRUN_PLANTED` names it).
 #[cfg(feature = "planted")]
-pub fn is(fault: Fault) -> bool {
-    static PLANTED: std::sync::OnceLock<Option<Fault>> = std::sync::OnceLock::new();
+pub fn is_injected(fault: InjectedFault) -> bool {
+    static PLANTED: std::sync::OnceLock<Option<InjectedFault>> = std::sync::OnceLock::new();
     let read = || {
         let name = std::env::var("PIPITRUN_PLANTED").ok()?;
-        Fault::ALL
+        InjectedFault::ALL
             .into_iter()
             .find(|(_, n)| *n == name)
             .map(|(fault, _)| fault)
@@ -105,6 +123,6 @@
 /// No mistake is planted.
 #[cfg(not(feature = "planted"))]
 #[inline(always)]
-pub fn is(_: Fault) -> bool {
+pub fn is_injected(_: InjectedFault) -> bool {
     false
 }
--- a/crates/membership/src/records.rs
+++ b/crates/membership/src/records.rs
@@ -1,6 +1,6 @@
-//! Soft state: a small record of each member, told by itself, spread by rumour and, where one is missing, asked for.
+//! Metadata: a small record of each member, told by itself, spread by rumour and, where one is missing, asked for.
 
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::{Identity, MS, Nanos, envelope::PAYLOAD_MAX};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
 
 /// What a member says that it does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum ServingPhase {
     /// It has started and is not ready yet.
     #[default]
     Joining,
@@ -39,62 +39,64 @@
 
 /// What a member tells of itself beyond that it is there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Soft {
+pub struct MemberMetadata {
     /// Its name.
     pub name: String,
     /// Where its clients connect.
-    pub door: SocketAddr,
+    pub listen_address: SocketAddr,
     /// What it does.
-    pub phase: Phase,
+    pub phase: ServingPhase,
     /// Its build.
     pub build: String,
     /// A checksum of its configuration.
-    pub config: u64,
+    pub config_checksum: u64,
     /// Requests that it took a second lately, in tenths.
-    pub traffic: u32,
+    pub request_rate_tenths: u32,
     /// How many places it counts ([`crate::count`]).
     pub places: u16,
     /// For what later versions tell.
-    pub extra: Vec<u8>,
+    pub extension: Vec<u8>,
 }
 
 /// A member's word of itself; of one member the later generation, then the higher version goes before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MetadataRecord {
     /// Whose.
-    pub of: Identity,
+    pub member: Identity,
     /// Counts up with each change.
     pub version: u32,
     /// What it says.
-    pub soft: Soft,
+    pub metadata: MemberMetadata,
 }
 
-impl Record {
-    fn is_newer(&self, than: &Record) -> bool {
-        (self.of.generation, self.version) > (than.of.generation, than.version)
+impl MetadataRecord {
+    fn is_newer(&self, than: &MetadataRecord) -> bool {
+        (self.member.generation, self.version) > (than.member.generation, than.version)
     }
 
     /// Whether it says something that all should know soon. Traffic and places change all the time: rumours of them would
     /// grow with the fleet; they are told in turn only.
-    fn is_urgent(&self, after: Option<&Record>) -> bool {
+    fn is_urgent(&self, after: Option<&MetadataRecord>) -> bool {
         after.is_none_or(|after| {
-            let (new, old) = (&self.soft, &after.soft);
-            self.of != after.of
-                || (new.phase, new.door, new.config) != (old.phase, old.door, old.config)
-                || (&new.name, &new.build, &new.extra) != (&old.name, &old.build, &old.extra)
+            let (new, old) = (&self.metadata, &after.metadata);
+            self.member != after.member
+                || (new.phase, new.listen_address, new.config_checksum)
+                    != (old.phase, old.listen_address, old.config_checksum)
+                || (&new.name, &new.build, &new.extension)
+                    != (&old.name, &old.build, &old.extension)
         })
     }
 
     fn is_bounded(&self) -> bool {
-        let soft = &self.soft;
+        let soft = &self.metadata;
         soft.name.len() <= NAME_MAX
             && soft.build.len() <= BUILD_MAX
-            && soft.extra.len() <= EXTRA_MAX
+            && soft.extension.len() <= EXTRA_MAX
     }
 }
 
 struct Held {
-    record: Record,
+    record: MetadataRecord,
     rumours: u32,
     /// Of what all should know soon; never 0.
     sum: u32,
@@ -103,15 +105,15 @@
 }
 
 impl Held {
-    fn new(record: Record, rumours: u32) -> Self {
-        let soft = &record.soft;
+    fn new(record: MetadataRecord, rumours: u32) -> Self {
+        let soft = &record.metadata;
         let told = (
             soft.phase,
-            soft.door,
-            soft.config,
+            soft.listen_address,
+            soft.config_checksum,
             &soft.name,
             &soft.build,
-            &soft.extra,
+            &soft.extension,
         );
         let sum = postcard::to_stdvec(&told).map_or(0, |bytes| xxh3_64(&bytes) as u32);
         let length = postcard::to_stdvec(&record).map_or(PAYLOAD_MAX, |bytes| bytes.len());
@@ -125,7 +127,7 @@
 }
 
 /// The records that one member holds, its own included.
-pub struct Records {
+pub struct MetadataStore {
     held: BTreeMap<SocketAddr, Held>,
     /// Where the round of records that are told once more goes on.
     round: Option<SocketAddr>,
@@ -149,11 +151,11 @@
     text[..end].to_string()
 }
 
-impl Records {
+impl MetadataStore {
     /// The member's own record alone.
-    pub fn new(own: Record) -> Self {
-        let address = own.of.address;
-        let mut records = Records {
+    pub fn new(own: MetadataRecord) -> Self {
+        let address = own.member.address;
+        let mut records = MetadataStore {
             held: BTreeMap::new(),
             round: None,
             wanted: 0,
@@ -172,9 +174,9 @@
     }
 
     /// What a member said last, of this life of its or a later one.
-    pub fn of(&self, id: &Identity) -> Option<&Record> {
+    pub fn of(&self, id: &Identity) -> Option<&MetadataRecord> {
         let record = &self.held.get(&id.address)?.record;
-        (record.of.generation >= id.generation).then_some(record)
+        (record.member.generation >= id.generation).then_some(record)
     }
 
     /// A checksum of what a member said last of what all should know soon, of this life of its; 0 if nothing is known.
@@ -182,17 +184,17 @@
         let held = self
             .held
             .get(&id.address)
-            .filter(|held| held.record.of.generation >= id.generation);
+            .filter(|held| held.record.member.generation >= id.generation);
         held.map_or(0, |held| held.sum)
     }
 
     /// Puts the member's own record; it is news.
-    pub fn put(&mut self, record: Record, members: usize) {
+    pub fn put(&mut self, record: MetadataRecord, members: usize) {
         self.insert(record, members);
     }
 
-    fn insert(&mut self, record: Record, members: usize) {
-        let address = record.of.address;
+    fn insert(&mut self, record: MetadataRecord, members: usize) {
+        let address = record.member.address;
         let former = self.held.get(&address);
         let urgent = record.is_urgent(former.map(|held| &held.record));
         // A rumour that still runs goes on with the newer word.
@@ -224,20 +226,20 @@
         known: impl Fn(SocketAddr) -> Option<u64>,
         members: usize,
     ) -> Option<usize> {
-        let records: Vec<Record> = postcard::from_bytes(payload).ok()?;
-        if !records.iter().all(Record::is_bounded) {
+        let records: Vec<MetadataRecord> = postcard::from_bytes(payload).ok()?;
+        if !records.iter().all(MetadataRecord::is_bounded) {
             return None;
         }
         let mut unknown = 0;
         for record in records {
-            let address = record.of.address;
+            let address = record.member.address;
             // Of oneself one knows best.
             if address == own {
                 continue;
             }
             let generation = known(address);
-            if generation.is_none_or(|generation| generation < record.of.generation)
-                && record.soft.phase != Phase::Leaving
+            if generation.is_none_or(|generation| generation < record.member.generation)
+                && record.metadata.phase != ServingPhase::Leaving
             {
                 unknown += 1;
             }
@@ -335,7 +337,10 @@
         living: impl Iterator<Item = &'a Identity>,
     ) -> Option<Vec<u8>> {
         let early = now.saturating_sub(self.wanted) < WANT_EVERY;
-        if early || self.complete == Some(members) || planted::is(Fault::TellsRecordsOnce) {
+        if early
+            || self.complete == Some(members)
+            || planted::is_injected(InjectedFault::TellsRecordsOnce)
+        {
             return None;
         }
         let missing: Vec<SocketAddr> = living
@@ -352,7 +357,7 @@
     }
 
     fn pack(&self, order: Vec<SocketAddr>) -> (Vec<u8>, Vec<SocketAddr>) {
-        let mut records: Vec<&Record> = Vec::new();
+        let mut records: Vec<&MetadataRecord> = Vec::new();
         let mut told = Vec::new();
         // The count of records stands before them, in at most two bytes.
         let mut size = 2;
--- a/crates/membership/src/records/tests.rs
+++ b/crates/membership/src/records/tests.rs
@@ -2,32 +2,36 @@
 
 use super::*;
 
-fn record(n: u16, generation: u64, version: u32) -> Record {
+fn record(n: u16, generation: u64, version: u32) -> MetadataRecord {
     let of = Identity {
         address: SocketAddr::from(([127, 0, 0, 1], n)),
         generation,
     };
-    let soft = Soft {
+    let soft = MemberMetadata {
         name: format!("n{n}"),
-        door: of.address,
-        phase: Phase::Serving,
+        listen_address: of.address,
+        phase: ServingPhase::Serving,
         build: "x".repeat(BUILD_MAX),
-        config: u64::MAX,
-        traffic: 9,
+        config_checksum: u64::MAX,
+        request_rate_tenths: 9,
         places: 1_000,
-        extra: vec![7; EXTRA_MAX],
+        extension: vec![7; EXTRA_MAX],
     };
-    Record { of, version, soft }
+    MetadataRecord {
+        member: of,
+        version,
+        metadata: soft,
+    }
 }
 
 fn own() -> SocketAddr {
-    record(1, 1, 1).of.address
+    record(1, 1, 1).member.address
 }
 
 #[test]
 fn an_older_word_never_goes_before_a_newer_one_and_unknown_members_leave_none() {
-    let mut records = Records::new(record(1, 1, 1));
-    let take = |records: &mut Records, r: Record| {
+    let mut records = MetadataStore::new(record(1, 1, 1));
+    let take = |records: &mut MetadataStore, r: MetadataRecord| {
         let payload = postcard::to_stdvec(&vec![r]).unwrap();
         records.take_touched();
         let known = |a: SocketAddr| (a.port() < 9).then_some(5);
@@ -49,7 +53,7 @@
         "unknown, to be asked"
     );
     let mut gone = record(9, 1, 2);
-    gone.soft.phase = Phase::Leaving;
+    gone.metadata.phase = ServingPhase::Leaving;
     assert_eq!(take(&mut records, gone), Some((0, 0)), "it went");
     assert_eq!(
         take(&mut records, record(1, 9, 9)),
@@ -57,14 +61,14 @@
         "of itself it knows best"
     );
     let mut long = record(3, 1, 1);
-    long.soft.extra.push(0);
+    long.metadata.extension.push(0);
     assert_eq!(take(&mut records, long), None, "beyond the bound");
     assert_eq!(
         records.take(own(), b"\xff\xff\xff\xff\x0f", |_| Some(1), 3),
         None
     );
     let id = |generation| Identity {
-        address: record(2, 0, 0).of.address,
+        address: record(2, 0, 0).member.address,
         generation,
     };
     assert!(records.of(&id(6)).is_some() && records.of(&id(7)).is_none());
@@ -72,8 +76,8 @@
 
 #[test]
 fn news_is_told_a_bounded_number_of_times_and_all_else_in_turn() {
-    let mut records = Records::new(record(1, 1, 1));
-    let all: Vec<Record> = (2..=60).map(|n| record(n, 1, 1)).collect();
+    let mut records = MetadataStore::new(record(1, 1, 1));
+    let all: Vec<MetadataRecord> = (2..=60).map(|n| record(n, 1, 1)).collect();
     for chunk in all.chunks(5) {
         records.take(
             own(),
@@ -92,23 +96,23 @@
     assert!(datagrams <= 59 * (RUMOURS + 5), "{datagrams}");
     assert_eq!(records.tell(own(), false), [0], "no news");
     let mut busier = record(1, 1, 3);
-    busier.soft.traffic += 1;
+    busier.metadata.request_rate_tenths += 1;
     records.put(busier, 60);
     assert!(!records.has_news(), "told in its turn only");
     let mut heard = std::collections::BTreeSet::new();
     for _ in 0..30 {
-        let told: Vec<Record> = postcard::from_bytes(&records.tell(own(), true)).unwrap();
-        assert_eq!(told[0].of.address, own());
-        heard.extend(told.into_iter().map(|r| r.of.address));
+        let told: Vec<MetadataRecord> = postcard::from_bytes(&records.tell(own(), true)).unwrap();
+        assert_eq!(told[0].member.address, own());
+        heard.extend(told.into_iter().map(|r| r.member.address));
     }
     assert_eq!(heard.len(), 60, "each in its turn");
 }
 
 #[test]
 fn who_is_missing_is_asked_for_and_answered() {
-    let mut mine = Records::new(record(1, 1, 1));
-    let mut theirs = Records::new(record(2, 1, 1));
-    let living: Vec<Identity> = (2..=80).map(|n| record(n, 1, 1).of).collect();
+    let mut mine = MetadataStore::new(record(1, 1, 1));
+    let mut theirs = MetadataStore::new(record(2, 1, 1));
+    let living: Vec<Identity> = (2..=80).map(|n| record(n, 1, 1).member).collect();
     let want = mine.want(WANT_EVERY, 1, living.iter()).unwrap();
     assert_eq!(
         mine.want(WANT_EVERY + 1, 1, living.iter()),
@@ -120,7 +124,7 @@
     assert!(mine.of(&living[0]).is_some());
     theirs.put(record(2, 1, 2), 2);
     let many: Vec<SocketAddr> = (0..=WANT_MAX as u16)
-        .map(|n| record(n, 1, 1).of.address)
+        .map(|n| record(n, 1, 1).member.address)
         .collect();
     assert_eq!(
         theirs.answer(&postcard::to_stdvec(&many).unwrap()),
--- a/crates/membership/src/regions/count.rs
+++ b/crates/membership/src/regions/count.rs
@@ -12,7 +12,7 @@
 //! is then under 2 through splits shorter than `forget`: 1 on the side with the majority, under 1 on all others.
 
 use crate::Nanos;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use std::collections::BTreeMap;
 
 /// What a region last told of itself.
@@ -116,13 +116,14 @@
                     counted += region.figures.places;
                 }
                 Some(since) if now.saturating_sub(since) < hold => {
-                    let at_once = planted::is(Fault::DropsSilentRegionsAtOnce);
+                    let at_once = planted::is_injected(InjectedFault::DropsSilentRegionsAtOnce);
                     counted += if at_once { 0 } else { region.figures.places };
                 }
                 Some(_) => {}
             }
         }
-        let majority = 2 * living > all || planted::is(Fault::DropsSilentRegionsAtOnce);
+        let majority =
+            2 * living > all || planted::is_injected(InjectedFault::DropsSilentRegionsAtOnce);
         self.last = if majority {
             counted
         } else {
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -7,7 +7,7 @@
 use super::{Announcement, Payload, Summary, add};
 use super::{AnnouncementKey, REGIONS_MAX, SILENT_AFTER};
 use crate::envelope::PAYLOAD_MAX;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::{MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,17 +37,17 @@
 
 /// An announcement with what is known of its author's life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct AgedAnnouncement {
     /// The announcement.
     pub announcement: Announcement,
     beats: u32,
     age_s: u32,
 }
 
-impl Told {
+impl AgedAnnouncement {
     /// An announcement that its author has just made.
     pub fn new(announcement: Announcement) -> Self {
-        Told {
+        AgedAnnouncement {
             announcement,
             beats: 0,
             age_s: 0,
@@ -55,7 +55,7 @@
     }
 
     /// Announcements as they stand in a datagram.
-    pub fn write(told: &[Told]) -> Vec<u8> {
+    pub fn encode(told: &[AgedAnnouncement]) -> Vec<u8> {
         postcard::to_stdvec(told).unwrap_or_default()
     }
 }
@@ -79,7 +79,7 @@
     pub region: String,
     rows: Vec<Row>,
     /// Announcements that are newer than the asker's.
-    pub told: Vec<Told>,
+    pub told: Vec<AgedAnnouncement>,
     wanted: Vec<u32>,
 }
 
@@ -117,8 +117,8 @@
         u32::try_from(now.saturating_sub(self.heard) / SECOND).unwrap_or(u32::MAX)
     }
 
-    fn told(&self, now: Nanos) -> Told {
-        Told {
+    fn told(&self, now: Nanos) -> AgedAnnouncement {
+        AgedAnnouncement {
             announcement: self.announcement.clone(),
             beats: self.beats,
             age_s: self.age_s(now),
@@ -212,7 +212,7 @@
     }
 
     /// Announces the own region, by a version above any that is known of this author.
-    pub fn publish(&mut self, now: Nanos, unix_ms: u64, summary: Summary) -> Told {
+    pub fn publish(&mut self, now: Nanos, unix_ms: u64, summary: Summary) -> AgedAnnouncement {
         let former = self
             .held
             .get(&self.own_key())
@@ -349,7 +349,7 @@
             told: Vec::new(),
             wanted: Vec::new(),
         };
-        if planted::is(Fault::NeverComparesRegions) {
+        if planted::is_injected(InjectedFault::NeverComparesRegions) {
             return answer;
         }
         let mut room = PAYLOAD_MAX - LENGTHS_MAX;
@@ -392,7 +392,7 @@
         now: Nanos,
         unix_ms: u64,
         answer: &Answer,
-    ) -> (Vec<Told>, Vec<Told>) {
+    ) -> (Vec<AgedAnnouncement>, Vec<AgedAnnouncement>) {
         let places = self.by_key();
         for row in &answer.rows {
             if let Some(held) = places
@@ -414,14 +414,21 @@
     }
 
     /// Takes announcements over; returns those that are new here.
-    pub fn take(&mut self, now: Nanos, unix_ms: u64, told: &[Told]) -> Vec<Told> {
-        let is_new = |told: &&Told| self.take_one(now, unix_ms, told);
+    pub fn take(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        told: &[AgedAnnouncement],
+    ) -> Vec<AgedAnnouncement> {
+        let is_new = |told: &&AgedAnnouncement| self.take_one(now, unix_ms, told);
         told.iter().filter(is_new).cloned().collect()
     }
 
-    fn take_one(&mut self, now: Nanos, unix_ms: u64, told: &Told) -> bool {
+    fn take_one(&mut self, now: Nanos, unix_ms: u64, told: &AgedAnnouncement) -> bool {
         let announcement = &told.announcement;
-        if !announcement.is_sound(unix_ms) && !planted::is(Fault::BelievesAnyFigures) {
+        if !announcement.is_sound(unix_ms)
+            && !planted::is_injected(InjectedFault::BelievesAnyFigures)
+        {
             self.dropped.unsound += 1;
             return false;
         }
@@ -440,7 +447,7 @@
         }
         if let Some(held) = self.held.get_mut(&place) {
             let older = announcement.version < held.announcement.version;
-            if older && !planted::is(Fault::BelievesOldAnnouncements) {
+            if older && !planted::is_injected(InjectedFault::BelievesOldAnnouncements) {
                 self.dropped.older += 1;
                 return false;
             }
@@ -476,7 +483,7 @@
     }
 
     /// Whether this is no later word of an author than the last one before it was forgotten.
-    fn is_forgotten(&self, place: &(String, SocketAddr), told: &Told) -> bool {
+    fn is_forgotten(&self, place: &(String, SocketAddr), told: &AgedAnnouncement) -> bool {
         let last = self
             .forgotten
             .get(place)
@@ -486,7 +493,12 @@
 
     /// Whether one more author is taken in, for which one that says less may have to go. One that is silent is none that
     /// others have replaced.
-    fn has_room(&mut self, place: &(String, SocketAddr), told: &Told, now: Nanos) -> bool {
+    fn has_room(
+        &mut self,
+        place: &(String, SocketAddr),
+        told: &AgedAnnouncement,
+        now: Nanos,
+    ) -> bool {
         let heard = now.saturating_sub(Nanos::from(told.age_s) * SECOND);
         let silent = now.saturating_sub(heard) >= SILENT_AFTER;
         let authors = self
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -7,7 +7,7 @@
 use super::{CLOCK_SKEW_MAX_MS, REGIONS_MAX, add};
 use crate::envelope::PAYLOAD_MAX;
 use crate::location::LOCATION_NAME_MAX;
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::{MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -230,7 +230,7 @@
         if rank(&part) < rank(&held.part) {
             return Taken::Older(held.told(now));
         }
-        let rumours = if planted::is(Fault::KeepsOverviewToItself) {
+        let rumours = if planted::is_injected(InjectedFault::KeepsOverviewToItself) {
             0
         } else {
             RUMOURS
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -5,7 +5,7 @@
 
 /// What one member is told at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FleetSettings {
+pub struct MembershipSettings {
     /// The fleet's name; datagrams of another are dropped.
     pub fleet: String,
     /// This balancer's name; at most [`crate::records::NAME_MAX`] bytes are told.
@@ -17,7 +17,7 @@
     /// The most members that are held, dead ones included.
     pub members_max: usize,
     /// The number of balancers by the operators' settings, told while the view is none or stale.
-    pub configured: usize,
+    pub configured_balancers: usize,
     /// The times.
     pub timing: Timing,
     /// Where this balancer runs; without a region the whole fleet is one.
@@ -28,25 +28,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Each member asks another once in this span.
-    pub probe: Nanos,
+    pub probe_interval: Nanos,
     /// A direct answer takes at most this long; then others are asked to ask.
-    pub answer: Nanos,
+    pub ack_timeout: Nanos,
     /// A suspect that says nothing to those who watch it for this long is dead.
-    pub suspect: Nanos,
+    pub suspicion_timeout: Nanos,
     /// Who vanished untold keeps its place in the count for this long.
-    pub hold: Nanos,
+    pub share_retention: Nanos,
     /// What is dead this long is forgotten, whatever its side of a split.
-    pub forget: Nanos,
+    pub tombstone_retention: Nanos,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            probe: 1_000 * MS,
-            answer: 300 * MS,
-            suspect: 1_000 * MS,
-            hold: 15_000 * MS,
-            forget: 600_000 * MS,
+            probe_interval: 1_000 * MS,
+            ack_timeout: 300 * MS,
+            suspicion_timeout: 1_000 * MS,
+            share_retention: 15_000 * MS,
+            tombstone_retention: 600_000 * MS,
         }
     }
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -5,7 +5,7 @@
 //! longer, in case its watchers are gone. So a death rests on several members' own ears, not on a probe that was lost,
 //! and a suspect hears of its suspicion at once, and from several sides.
 
-use crate::planted::{self, Fault};
+use crate::planted::{self, InjectedFault};
 use crate::watch::ASK_EVERY;
 use crate::{Identity, Nanos};
 use std::collections::BTreeMap;
@@ -91,7 +91,7 @@
     ) -> Vec<Step> {
         let mut steps = Vec::new();
         let mut over = Vec::new();
-        let last_question = !planted::is(Fault::NoLastQuestion);
+        let last_question = !planted::is_injected(InjectedFault::NoLastQuestion);
         for (address, r) in &mut self.running {
             let watched = watches(*address);
             // A word of its own proves that it lives, whatever others say; it is asked on until it refutes.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,14 +1,14 @@
 //! What a member sees of the others.
 
 use crate::regions::overview::RegionRow;
-use crate::{Identity, Nanos, Soft};
+use crate::{Identity, MemberMetadata, Nanos};
 use serde::Serialize;
 use std::net::SocketAddr;
 
 /// What a member is, as another sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum MemberStatus {
     /// It is there and not ready yet, or has not said what it does.
     Joining,
     /// It serves clients.
@@ -23,44 +23,44 @@
     Dead,
 }
 
-impl State {
+impl MemberStatus {
     /// The name by which logs and the operators' door call it.
     pub fn name(self) -> &'static str {
         match self {
-            State::Joining => "joining",
-            State::Serving => "serving",
-            State::Stalled => "stalled",
-            State::Draining => "draining",
-            State::Left => "left",
-            State::Dead => "dead",
+            MemberStatus::Joining => "joining",
+            MemberStatus::Serving => "serving",
+            MemberStatus::Stalled => "stalled",
+            MemberStatus::Draining => "draining",
+            MemberStatus::Left => "left",
+            MemberStatus::Dead => "dead",
         }
     }
 
     /// Whether it is there.
-    pub fn is_there(self) -> bool {
-        !matches!(self, State::Left | State::Dead)
+    pub fn is_present(self) -> bool {
+        !matches!(self, MemberStatus::Left | MemberStatus::Dead)
     }
 }
 
 /// One member as another sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct MemberView {
     /// Who it is.
     pub id: Identity,
     /// Raised by the member itself each time it refutes a suspicion.
     pub incarnation: u16,
     /// What it is.
-    pub state: State,
+    pub status: MemberStatus,
     /// Since when.
     pub since: Nanos,
     /// What it last said of itself, if anything was heard.
-    pub soft: Option<Soft>,
+    pub metadata: Option<MemberMetadata>,
 }
 
-impl Seen {
+impl MemberView {
     /// Its name, or its address where it has not told one.
     pub fn name(&self) -> String {
-        self.soft
+        self.metadata
             .as_ref()
             .map_or_else(|| self.id.address.to_string(), |soft| soft.name.clone())
     }
@@ -68,57 +68,57 @@
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipEvent {
     /// A member is something else than before; `None`: it was not known.
-    Became {
+    StatusChanged {
         /// Its name.
         name: String,
         /// Who it is.
         id: Identity,
         /// What it was.
-        was: Option<State>,
+        was: Option<MemberStatus>,
         /// What it is.
-        is: State,
+        is: MemberStatus,
     },
     /// The count that shares are divided by.
-    Count {
+    ShareCountChanged {
         /// What it was.
         was: usize,
         /// What it is.
         is: usize,
         /// Those who are there, this one included.
-        living: usize,
+        alive: usize,
     },
     /// Two living members have one name; said once for each pair.
-    NameTwice {
+    DuplicateName {
         /// The name.
         name: String,
         /// Where the two are.
         addresses: [SocketAddr; 2],
     },
     /// This member was given up by others, or stood behind an older self, and returns under this generation.
-    Returned {
+    Rejoined {
         /// Its new generation.
         generation: u64,
     },
     /// This member stood still, and begins its suspicions anew.
-    StoodStill,
+    Stalled,
     /// Another region is heard, or can't be heard any more.
-    Region {
+    RegionReachability {
         /// Its name.
         region: String,
         /// Whether it is heard.
-        heard: bool,
+        reachable: bool,
         /// Members that are there, by its last word.
-        living: u32,
+        alive: u32,
     },
 }
 
 /// Another region as a member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RegionSeen {
+pub struct RegionView {
     /// What its delegates told of it.
-    pub row: RegionRow,
+    pub overview: RegionRow,
     /// Since when nothing was heard of it.
     pub silent_since: Option<Nanos>,
 }
@@ -127,17 +127,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The others of its region, or of the whole fleet where there are no regions, by address.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberView>,
     /// The other regions.
-    pub regions: Vec<RegionSeen>,
+    pub regions: Vec<RegionView>,
     /// Who speaks for the own region, first the leader; empty where there are no regions.
     pub delegates: Vec<SocketAddr>,
     /// By how many shares are divided.
-    pub count: usize,
+    pub share_count: usize,
     /// Those who are there, this one included, in all regions that are heard.
-    pub living: usize,
+    pub alive: usize,
     /// Places counted in all, those of the vanished included.
     pub places: usize,
     /// Nobody is heard though there are others: this member may be the one that is cut off.
-    pub cut_off: bool,
+    pub isolated: bool,
 }
--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -3,15 +3,15 @@
 #![forbid(unsafe_code)]
 
 use routing::{
-    Class, Discovery, Effect, Group, Limits, Load, Nanos, Origin, Rules, Settings, SettingsError,
-    Tenant,
+    Capabilities, DeduplicationScope, DiscoveryMode, Idempotency, LoadReport, Nanos, OriginMode,
+    RequestClass, ServiceRules, Settings, SettingsError, Tenant,
 };
 use serde::Deserialize;
 
 /// The settings object; keys that are not named here are skipped, missing ones take a cautious default.
 #[derive(Deserialize, Default)]
 #[serde(default)]
-pub struct Setup {
+pub struct OperatorSettings {
     accounts: Vec<Account>,
     areas: Vec<String>,
     caps: Caps,
@@ -88,7 +88,7 @@
 
 /// The names by which events of one instance speak of classes, tenants, zones and kinds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Names {
+pub struct NameTables {
     /// Request classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
     /// Tenants, in the order of [`Settings::tenants`].
@@ -98,18 +98,18 @@
     /// Kinds of machine.
     pub kinds: Vec<String>,
     /// The columns of a load report.
-    pub report: Vec<String>,
+    pub report_columns: Vec<String>,
 }
 
 /// What only the network side needs of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Transport {
+pub struct TransportSettings {
     /// A peer closes a connection that has stood idle this long.
-    pub conn_idle: Nanos,
+    pub idle_timeout: Nanos,
     /// A connection that is not up within this has failed.
     pub connect_timeout: Nanos,
     /// The most requests that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
 }
 
 const PUSHED: &str = "automatic";
@@ -119,19 +119,19 @@
 const OPEN_DEFAULT: usize = 10_000;
 
 /// A load report from its named values; unknown names are skipped, as are values that are no number.
-pub fn load<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Load {
-    let mut load = Load::default();
+pub fn parse_load_report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
+    let mut load = LoadReport::default();
     for (column, value) in values {
         let value = Some(value).filter(|v| v.is_finite());
         match column {
             "concurrent" => load.in_flight = value,
-            "depth" => load.queue = value,
-            "load_share" => load.busy = value,
-            "mean_ms" => load.latency_ms = value,
-            "tps" => load.per_s = value,
-            "err_ps" => load.errors_per_s = value,
-            "x0" => load.hit_share = value,
-            "x1" => load.fetches = value,
+            "depth" => load.queue_depth = value,
+            "load_share" => load.utilization = value,
+            "mean_ms" => load.service_time_ms = value,
+            "tps" => load.requests_per_second = value,
+            "err_ps" => load.errors_per_second = value,
+            "x0" => load.hit_ratio = value,
+            "x1" => load.origin_fetches = value,
             _ => {}
         }
     }
@@ -139,7 +139,7 @@
 }
 
 /// The module's complaint about a setting, under the name that the key has in JSON.
-pub fn key_of(error: &SettingsError) -> String {
+pub fn operator_key(error: &SettingsError) -> String {
     let renamed = [
         ("classes", "profiles"),
         ("deadline", "give_up_ns"),
@@ -153,9 +153,9 @@
         })
 }
 
-impl Setup {
+impl OperatorSettings {
     /// What stands in the settings that is borne and yet should be known: the key, what it says, and what follows.
-    pub fn remarks(&self) -> Vec<String> {
+    pub fn warnings(&self) -> Vec<String> {
         let mut remarks = Vec::new();
         let mode = self.membership_mode.as_str();
         if ![PUSHED, ASKED].contains(&mode) {
@@ -176,18 +176,18 @@
     }
 
     /// What the brain is told, the names that only messages use, and what only the network side needs.
-    pub fn translate(self) -> Result<(Settings, Names, Transport), String> {
-        let transport = Transport {
-            conn_idle: self.caps.conn_idle_ns.unwrap_or(IDLE_DEFAULT),
+    pub fn translate(self) -> Result<(Settings, NameTables, TransportSettings), String> {
+        let transport = TransportSettings {
+            idle_timeout: self.caps.conn_idle_ns.unwrap_or(IDLE_DEFAULT),
             connect_timeout: self.caps.connect_timeout_ns.unwrap_or(CONNECT_DEFAULT),
-            max_open: self.caps.max_open.unwrap_or(OPEN_DEFAULT),
+            max_open_requests: self.caps.max_open.unwrap_or(OPEN_DEFAULT),
         };
-        let names = Names {
+        let names = NameTables {
             classes: self.profiles.iter().map(|p| p.name.clone()).collect(),
             tenants: self.accounts.iter().map(|a| a.name.clone()).collect(),
             zones: self.areas,
             kinds: self.machine_types,
-            report: self.feedback.columns,
+            report_columns: self.feedback.columns,
         };
         let origin_kind = self
             .specifics
@@ -199,38 +199,38 @@
                 .accounts
                 .iter()
                 .map(|a| Tenant {
-                    allowance_per_s: a.allowance_per_s,
+                    quota_per_second: a.allowance_per_s,
                 })
                 .collect(),
-            over_share_worth: self.over_share_worth,
-            routers: self.group_size.max(1),
+            over_quota_weight: self.over_share_worth,
+            balancers: self.group_size.max(1),
             origin: match (self.specifics.mode.as_str(), origin_kind) {
-                ("aside", Some(kind)) => Origin::Aside { kind },
-                _ => Origin::Through,
+                ("aside", Some(kind)) => OriginMode::CacheAside { kind },
+                _ => OriginMode::ReadThrough,
             },
             // Whatever else it says: to ask, with its back-off, suits both an agent and a service that all share.
             discovery: match self.membership_mode.as_str() {
-                PUSHED => Discovery::Pushed,
-                _ => Discovery::Asked {
-                    within: self.obligations.must_ask_in_ns,
+                PUSHED => DiscoveryMode::Push,
+                _ => DiscoveryMode::Poll {
+                    staleness_limit: self.obligations.must_ask_in_ns,
                 },
             },
-            live_weights: self.weights == "live",
-            limits: Limits {
+            dynamic_weights: self.weights == "live",
+            capabilities: Capabilities {
                 max_attempts: self.caps.max_attempts.unwrap_or(1),
-                second_copies: self.caps.second_copies,
-                cancel: self.caps.may_cancel,
-                probes: self.caps.may_probe,
+                hedging: self.caps.second_copies,
+                cancellation: self.caps.may_cancel,
+                health_checks: self.caps.may_probe,
                 retry_after: self.caps.retry_after,
                 max_retry_after: self.caps.max_retry_after_ns,
             },
-            rules: Rules {
-                answer_slack: self.obligations.grace_to_answer_ns,
+            rules: ServiceRules {
+                final_answer_grace: self.obligations.grace_to_answer_ns,
                 drain_grace: self.obligations.drain_grace_ns,
-                cold_from: self.obligations.cold_from.unwrap_or(1.0),
-                warm_after: self.obligations.warm_after_ns,
+                slow_start_fraction: self.obligations.cold_from.unwrap_or(1.0),
+                slow_start_duration: self.obligations.warm_after_ns,
                 overload_factor: self.obligations.overload_factor.unwrap_or(1.0),
-                tip_after: self.obligations.tip_after_ns,
+                overload_window: self.obligations.tip_after_ns,
             },
             tick: self.step_ns,
         };
@@ -238,26 +238,26 @@
     }
 }
 
-fn class(p: &Profile) -> Result<Class, String> {
+fn class(p: &Profile) -> Result<RequestClass, String> {
     let group = match p.group.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
         _ if p.repeat == "keyed" => return Err(format!("profiles: {}: unknown group", p.name)),
-        _ => Group::Cell,
+        _ => DeduplicationScope::Cell,
     };
-    Ok(Class {
-        effect: match p.repeat.as_str() {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed {
-                group,
+    Ok(RequestClass {
+        idempotency: match p.repeat.as_str() {
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::Keyed {
+                scope: group,
                 window: p.memory_span_ns,
             },
-            _ => Effect::Unsafe,
+            _ => Idempotency::NotIdempotent,
         },
-        aim: p.goal_time_ns,
+        latency_objective: p.goal_time_ns,
         deadline: p.give_up_ns,
-        worth: p.worth,
-        late_value: p.late_value,
+        priority_weight: p.worth,
+        late_value_fraction: p.late_value,
     })
 }
