--- a/crates/routing/src/brain.rs
+++ b/crates/routing/src/brain.rs
@@ -82,7 +82,7 @@
 const LEAST_SHARE: f64 = 0.3; // Clients repeat a few times, no more; some failures are not of our making.
 const UNSEEN: f64 = 1.0; // Let through besides, in the memory of a rate, to see whether it works again.
 /// The most of a tier that is shed: what is shut out whole is never seen to have room again.
-pub const SHED_MOST: f64 = 0.95;
+pub const MAX_SHED_FRACTION: f64 = 0.95;
 const SHED_TURN: f64 = 0.55; // Of the circle: over half, or turns would shed the same halves for ever.
 const HOLD_PART: Nanos = 2; // A request waits for room at most this part of its aim ...
 const HOLD_PART_OVER: Nanos = 8; // ... or this, beyond its tenant's share; later it would come late anyway.
@@ -92,7 +92,7 @@
 // that hangs is given up after 1.6 s: all within the 6 s after which a change counts as told.
 const CALL_SPREAD: Nanos = 300 * MS; // Routers restarted together spread their first list call over it.
 
-fn unknown_server(entry: Entry, is_news: bool, now: Nanos, fill: f64) -> Server {
+fn unknown_server(entry: Endpoint, is_news: bool, now: Nanos, fill: f64) -> Server {
     let told = Server {
         entry,
         listed: now,
@@ -108,48 +108,53 @@
     }
 }
 
-impl Brain {
+impl Engine {
     /// Takes one event and appends what is to be done, in order.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.next_token == 0 {
             self.timer(HOUSEKEEPING, Timer::Housekeeping);
-            if matches!(self.settings.discovery, Discovery::Asked { .. }) {
+            if matches!(self.settings.discovery, DiscoveryMode::Poll { .. }) {
                 let spread = self.random_below(CALL_SPREAD);
                 self.timer(spread, Timer::Call);
             }
         }
         match event {
-            Event::List { scope, entries } => self.on_list(scope, entries),
-            Event::Request(new) => self.on_request(new),
-            Event::Ended(end) => {
+            Event::EndpointUpdate {
+                kind: scope,
+                endpoints: entries,
+            } => self.on_list(scope, entries),
+            Event::RequestArrived(new) => self.on_request(new),
+            Event::AttemptEnded(end) => {
                 self.judge(&end);
                 self.with(end.request, |me, r| me.on_ended(r, &end));
                 self.release_held();
             }
-            Event::Begun { request, attempt } => {
+            Event::ResponseStarted { request, attempt } => {
                 self.with(request, |me, r| me.on_begun(r, attempt))
             }
-            Event::Gone(id) => self.with(id, |me, r| me.close(r, None)),
-            Event::Probed {
-                server, outcome, ..
+            Event::ClientDisconnected(id) => self.with(id, |me, r| me.close(r, None)),
+            Event::HealthCheckEnded {
+                endpoint: server,
+                outcome,
+                ..
             } => self.on_probed(server, outcome),
-            Event::Ending(by) => {
+            Event::ShuttingDown(by) => {
                 for id in self.requests.keys().copied().collect::<Vec<_>>() {
                     self.with(id, |me, r| me.hurry(r, by));
                 }
             }
-            Event::DiscoveryAnew => self.call_backoff = CALL_BACKOFF,
-            Event::Routers(routers) => {
-                self.settings.routers = routers.max(1);
-                self.routers_root = (self.settings.routers as f64).sqrt();
+            Event::DiscoveryAvailable => self.call_backoff = CALL_BACKOFF,
+            Event::BalancerCount(routers) => {
+                self.settings.balancers = routers.max(1);
+                self.routers_root = (self.settings.balancers as f64).sqrt();
             }
-            Event::Allowance(allowance) => self.allowance = allowance,
-            Event::Timer(Token(token)) => match self.timers.remove(&token) {
+            Event::FleetShedding(allowance) => self.allowance = allowance,
+            Event::TimerFired(TimerToken(token)) => match self.timers.remove(&token) {
                 Some(Timer::Deadline(id)) => self.with(id, |me, r| me.on_deadline(r)),
                 Some(Timer::Copy(id)) => self.with(id, |me, r| me.on_late(r)),
                 Some(Timer::Housekeeping) => self.housekeeping(),
-                Some(Timer::Call) => self.actions.push(Action::Watch),
+                Some(Timer::Call) => self.actions.push(Action::QueryDiscovery),
                 None => {}
             },
         }
@@ -162,44 +167,52 @@
         if r.done || r.streaming {
             return false;
         }
-        let effect = self.settings.classes[r.new.class.0].effect;
+        let effect = self.settings.classes[r.new.class.0].idempotency;
         let server = match step {
             // A refusal says that a retry is harmless: not so once an unsafe attempt may have run.
             Step::Refuse => {
                 return match effect {
-                    Effect::Safe
-                    | Effect::Keyed {
-                        group: Group::All, ..
+                    Idempotency::Idempotent
+                    | Idempotency::Keyed {
+                        scope: DeduplicationScope::All,
+                        ..
                     } => true,
                     _ => !r.attempts.iter().any(Attempt::may_have_run),
                 };
             }
             Step::Send(id) | Step::Copy(id) => match self.servers.get(&id) {
                 // A draining or removed server gets nothing from the moment the router is told.
-                Some(s) if s.entry.phase == Phase::Up => s,
+                Some(s) if s.entry.state == EndpointState::Active => s,
                 _ => return false,
             },
         };
-        if self.now >= r.deadline || r.attempts.len() >= self.settings.limits.max_attempts as usize
+        if self.now >= r.deadline
+            || r.attempts.len() >= self.settings.capabilities.max_attempts as usize
         {
             return false;
         }
-        let two_out = effect == Effect::Safe && self.settings.limits.second_copies && r.out() < 2;
-        if r.out() > 0 && !two_out || matches!(step, Step::Copy(_)) && effect != Effect::Safe {
+        let two_out =
+            effect == Idempotency::Idempotent && self.settings.capabilities.hedging && r.out() < 2;
+        if r.out() > 0 && !two_out
+            || matches!(step, Step::Copy(_)) && effect != Idempotency::Idempotent
+        {
             return false;
         }
         let mut ran = r.attempts.iter().filter(|a| a.may_have_run());
         match effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => ran.next().is_none(),
             // The servers forget a repeat `window` after the first send that may have run.
-            Effect::Keyed { group, window } => {
+            Idempotency::Keyed {
+                scope: group,
+                window,
+            } => {
                 r.first_run()
                     .is_none_or(|first| self.now < first.sent.saturating_add(window))
                     && ran.all(|a| match group {
-                        Group::All => true,
-                        Group::Zone => a.zone == server.entry.zone,
-                        Group::Cell => a.cell == server.entry.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => a.zone == server.entry.zone,
+                        DeduplicationScope::Cell => a.cell == server.entry.cell,
                     })
             }
         }
@@ -207,8 +220,8 @@
 
     // ---- placement ----
 
-    fn is_origin(&self, entry: &Entry) -> bool {
-        matches!(self.settings.origin, Origin::Aside { kind } if kind == entry.kind)
+    fn is_origin(&self, entry: &Endpoint) -> bool {
+        matches!(self.settings.origin, OriginMode::CacheAside { kind } if kind == entry.kind)
     }
 
     /// The slot's servers in rank order: by a hash of slot and server id, stretched by the stated weight so
@@ -217,8 +230,8 @@
         self.slots.ranking(slot)
     }
 
-    fn weight(&self, entry: &Entry) -> f64 {
-        let stated = if self.settings.live_weights {
+    fn weight(&self, entry: &Endpoint) -> f64 {
+        let stated = if self.settings.dynamic_weights {
             1.0
         } else {
             entry.weight
@@ -252,17 +265,17 @@
     fn ramp(&self, s: &Server) -> f64 {
         let rules = &self.settings.rules;
         let age = self.age(s);
-        if s.entry.started == 0 || age >= rules.warm_after {
+        if s.entry.started == 0 || age >= rules.slow_start_duration {
             return 1.0;
         }
-        let cold = rules.cold_from.clamp(0.01, 1.0);
-        cold + (1.0 - cold) * age as f64 / rules.warm_after as f64
+        let cold = rules.slow_start_fraction.clamp(0.01, 1.0);
+        cold + (1.0 - cold) * age as f64 / rules.slow_start_duration as f64
     }
 
     /// Tops up and tells a cold server's hard budget: what ready ones of its size get, by its ramp (what
     /// is asked may be many times that). Each router keeps to its part, so together they stay far under what
     /// tips it, and starts at a random fill, so that hundreds do not send their first at once.
-    fn cold_room(&mut self, id: ServerId) -> bool {
+    fn cold_room(&mut self, id: EndpointId) -> bool {
         let Some(s) = self.servers.get(&id) else {
             return false;
         };
@@ -273,7 +286,7 @@
         let served = COLD_PART * self.served.per_s(self.now) / self.ready_weight.max(0.01);
         let asked = ASKED_SHARE * self.asked.per_s(self.now) / self.total_weight.max(0.01);
         let due = served.max(asked) * self.weight(&s.entry) * ramp;
-        let most = (due * self.settings.rules.tip_after as f64 / SEC / 2.0).max(1.0);
+        let most = (due * self.settings.rules.overload_window as f64 / SEC / 2.0).max(1.0);
         let Some(s) = self.servers.get_mut(&id) else {
             return false;
         };
@@ -283,8 +296,8 @@
         s.cold_budget >= 1.0
     }
 
-    fn fitness(&mut self, r: &Request, id: ServerId, owner: bool) -> Fitness {
-        let safe = self.settings.classes[r.new.class.0].effect == Effect::Safe;
+    fn fitness(&mut self, r: &Request, id: EndpointId, owner: bool) -> Fitness {
+        let safe = self.settings.classes[r.new.class.0].idempotency == Idempotency::Idempotent;
         let cold_room = self.cold_room(id);
         let Some(s) = self.servers.get(&id) else {
             return Fitness::Suspect;
@@ -297,7 +310,7 @@
         if suspect && !self.suspicion_void {
             Fitness::Suspect
         } else if !cold_room {
-            Fitness::Crowded(Reason::Cold)
+            Fitness::Crowded(DecisionReason::SlowStart)
         } else {
             match self.room(s, if owner { OWNER_ROOM } else { self.spill_room() }) {
                 None => Fitness::Open,
@@ -312,7 +325,7 @@
     }
 
     /// Why this part of the in-flight limit leaves no room for one more; none if it does.
-    fn room(&self, s: &Server, part: f64) -> Option<Reason> {
+    fn room(&self, s: &Server, part: f64) -> Option<DecisionReason> {
         let limit = s.limit * part;
         let spacing = if limit < 1.0 {
             s.latency.now * (1.0 / limit - 1.0)
@@ -322,9 +335,9 @@
         let spaced = (self.now as f64) < s.last_answer as f64 + spacing;
         let full = s.out.len() as f64 >= limit.max(1.0);
         if full {
-            Some(Reason::Limit)
+            Some(DecisionReason::ConcurrencyLimit)
         } else {
-            spaced.then_some(Reason::Spacing)
+            spaced.then_some(DecisionReason::Pacing)
         }
     }
 
@@ -342,11 +355,11 @@
     /// flight. For a key that nobody answered here, the first rank is where other routers ask for it.
     fn draw(
         &mut self,
-        fit: &[(usize, ServerId)],
+        fit: &[(usize, EndpointId)],
         key: Option<Key>,
         work: Option<Nanos>,
-    ) -> Option<ServerId> {
-        let weigh = |(rank, id): &(usize, ServerId)| {
+    ) -> Option<EndpointId> {
+        let weigh = |(rank, id): &(usize, EndpointId)| {
             let told = self.draw_weight(&self.servers[id], *rank, work);
             (
                 *rank,
@@ -370,7 +383,8 @@
         }
         let nobody = !fit.iter().any(|(_, id)| self.known.held(key, *id));
         let fetch = |rank: usize, id| !(self.known.held(key, id) || nobody && rank == 0);
-        let load = |rank, id: ServerId| self.servers[&id].out.len() + usize::from(fetch(rank, id));
+        let load =
+            |rank, id: EndpointId| self.servers[&id].out.len() + usize::from(fetch(rank, id));
         drawn
             .into_iter()
             .min_by_key(|(rank, id, _)| (load(*rank, *id), *rank))
@@ -380,10 +394,10 @@
     /// Where the next attempt goes: a fit candidate; beyond the three only when none of them is usable.
     fn pick(&mut self, r: &Request, copy: bool) -> Pick {
         let step = |id| if copy { Step::Copy(id) } else { Step::Send(id) };
-        let mut three: Vec<(usize, ServerId)> =
+        let mut three: Vec<(usize, EndpointId)> =
             self.candidates(r.slot).into_iter().enumerate().collect();
         three.retain(|(_, id)| self.legal(r, step(*id)));
-        let untried: Vec<(usize, ServerId)> = three
+        let untried: Vec<(usize, EndpointId)> = three
             .iter()
             .copied()
             .filter(|(_, id)| !r.tried(*id))
@@ -405,11 +419,11 @@
         if !self.suspicion_void && open.iter().any(|(_, id)| self.is_calm(*id)) {
             open.retain(|(_, id)| self.is_calm(*id));
         }
-        if let Some(id) = self.draw(&open, r.new.key, r.new.work) {
+        if let Some(id) = self.draw(&open, r.new.key, r.new.estimated_work) {
             return Pick::To(id);
         }
         // Room comes within milliseconds, a cold one's due within seconds: if the first lacks that, go on.
-        if let Some(why) = crowded.filter(|why| *why != Reason::Cold) {
+        if let Some(why) = crowded.filter(|why| *why != DecisionReason::SlowStart) {
             return Pick::Wait(why);
         } else if copy {
             return Pick::Nowhere;
@@ -427,7 +441,7 @@
         // Nobody is usable: fail open rather than turn everything away.
         match first_legal {
             Some(id) if self.cold_room(id) => Pick::To(id),
-            Some(_) => Pick::Wait(Reason::Cold),
+            Some(_) => Pick::Wait(DecisionReason::SlowStart),
             None => Pick::Nowhere,
         }
     }
@@ -439,13 +453,13 @@
             return;
         }
         if new.class.0 >= self.settings.classes.len() {
-            let why = Why {
-                reason: Reason::UnknownClass,
-                ..Why::default()
+            let why = Explanation {
+                reason: DecisionReason::UnknownClass,
+                ..Explanation::default()
             };
             return self.actions.push(Action::Fail {
                 request: new.id,
-                why,
+                explanation: why,
             });
         }
         self.asked.add(self.now);
@@ -453,7 +467,7 @@
         if let Some(TenantId(t)) = new.tenant.filter(|t| t.0 < self.tenants.len()) {
             self.tenants[t].add(self.now);
             let mine =
-                self.settings.tenants[t].allowance_per_s / self.settings.routers.max(1) as f64;
+                self.settings.tenants[t].quota_per_second / self.settings.balancers.max(1) as f64;
             over_share = self.tenants[t].per_s(self.now) > mine;
         }
         let most = |burst: f64| (burst / self.routers_root).max(BURST_LEAST);
@@ -465,17 +479,20 @@
         };
         let r = Request::new(new, self.now, slot, over_share);
         // With slack enough, a last answer may still come in at the deadline itself.
-        let tight = self.settings.rules.answer_slack < 2 * self.settings.tick;
+        let tight = self.settings.rules.final_answer_grace < 2 * self.settings.tick;
         let early = if tight { 2 * self.settings.tick } else { 0 };
-        self.timer(new.patience.saturating_sub(early), Timer::Deadline(new.id));
+        self.timer(
+            new.client_timeout.saturating_sub(early),
+            Timer::Deadline(new.id),
+        );
         let shed = self.sheds(&r);
-        self.tally.let_in[self.tier(&r).min(TIERS_COUNTED - 1)] += u32::from(!shed);
+        self.tally.admitted[self.tier(&r).min(COUNTED_TIERS - 1)] += u32::from(!shed);
         let spared = if shed {
-            Some(Reason::Level)
+            Some(DecisionReason::FleetShedding)
         } else if !self.fleet_bears() {
-            Some(Reason::Fleet)
+            Some(DecisionReason::FleetOverload)
         } else {
-            (!self.origin_bears(&r)).then_some(Reason::Origin)
+            (!self.origin_bears(&r)).then_some(DecisionReason::OriginProtection)
         };
         self.requests.insert(new.id, r);
         self.with(new.id, |me, r| match spared {
@@ -488,7 +505,7 @@
     /// key is in the part of the circle that is shed at this turn, so it fares alike wherever it is asked.
     /// The part moves by about half: who comes back at the next turn is let in, as long as half is enough.
     fn sheds(&self, r: &Request) -> bool {
-        let part = (self.allowance.level - self.tier(r) as f64).clamp(0.0, SHED_MOST);
+        let part = (self.allowance.level - self.tier(r) as f64).clamp(0.0, MAX_SHED_FRACTION);
         if part == 0.0 {
             return false;
         }
@@ -498,7 +515,7 @@
             .map_or(r.new.id.0, |key| u128::from(key.0))
             .to_le_bytes();
         let place = xxh3_64_with_seed(&of, r.new.class.0 as u64) as f64 / u64::MAX as f64;
-        (place + SHED_TURN * (self.allowance.turn % 1_000) as f64).fract() < part
+        (place + SHED_TURN * (self.allowance.rotation % 1_000) as f64).fract() < part
     }
 
     /// Whether the fleet, as far as this router saw, has room for one more request. Where routers are so many
@@ -507,7 +524,7 @@
         let [taken, served] =
             [&self.taken, &self.served].map(|rate| rate.per_s(self.now) * RATE_TAU / SEC);
         let share = ((USEFUL * served + UNSEEN) / taken.max(0.1)).max(LEAST_SHARE);
-        let few = self.settings.routers as f64 * LIMIT_MIN <= LIMIT_START;
+        let few = self.settings.balancers as f64 * LIMIT_MIN <= LIMIT_START;
         let bears = few || (self.random_below(1000) as f64) < share * 1000.0;
         (!bears).then(|| self.taken.add(self.now));
         bears
@@ -520,9 +537,9 @@
             .candidates(r.slot)
             .into_iter()
             .any(|id| self.known.held(r.new.key, id));
-        let safe = self.settings.classes[r.new.class.0].effect == Effect::Safe;
+        let safe = self.settings.classes[r.new.class.0].idempotency == Idempotency::Idempotent;
         let let_through = self.origin_room / BORNE;
-        known || !safe || r.new.write || (self.random_below(1000) as f64) < let_through * 1000.0
+        known || !safe || r.new.is_write || (self.random_below(1000) as f64) < let_through * 1000.0
     }
 
     fn move_origin_room(&mut self, factor: f64) {
@@ -530,21 +547,21 @@
         self.origin_room = (self.origin_room * step).clamp(ORIGIN_LEAST, 1.0);
     }
 
-    fn judge_origin(&mut self, r: &Request, end: &Ended) {
+    fn judge_origin(&mut self, r: &Request, end: &AttemptResult) {
         self.known.age(self.now);
         let sent = r.attempts[end.attempt.0 as usize].sent;
         let alive = self
             .servers
-            .get(&end.server)
+            .get(&end.endpoint)
             .is_some_and(|s| s.last_answer > sent);
-        match (end.outcome, end.note, r.new.key) {
+        match (end.outcome, end.cache_status, r.new.key) {
             // The server answered others meanwhile: no silence, but fetches that take too long.
-            (Outcome::Timeout, _, key)
-                if alive && self.tells(&r.new) && !self.known.held(key, end.server) =>
+            (AttemptOutcome::Timeout, _, key)
+                if alive && self.tells(&r.new) && !self.known.held(key, end.endpoint) =>
             {
                 self.move_origin_room(ORIGIN_CUT);
             }
-            (Outcome::Error, _, key) => {
+            (AttemptOutcome::Error, _, key) => {
                 // What fails at one server and not at others is not the origin's doing.
                 if self.trouble_is_spread() {
                     self.move_origin_room(ORIGIN_CUT);
@@ -553,8 +570,8 @@
                     .into_iter()
                     .for_each(|id| self.known.remove(key, id));
             }
-            (Outcome::Ok, note, key) => {
-                if note != Some(CacheNote::Hit) {
+            (AttemptOutcome::Ok, note, key) => {
+                if note != Some(CacheStatus::Hit) {
                     // Where answers do not tell, a slow one says nothing of fetches.
                     if note.is_some() {
                         self.fetch.add(end.latency as f64, LATENCY_GAIN, BASE_CREEP);
@@ -562,7 +579,8 @@
                     let slow = self.fetch.now > ORIGIN_CROWDED * self.fetch.base;
                     self.move_origin_room(if slow { ORIGIN_SLOW } else { 1.0 + ORIGIN_RISE });
                 }
-                self.known.insert(key.filter(|_| !r.new.write), end.server);
+                self.known
+                    .insert(key.filter(|_| !r.new.is_write), end.endpoint);
             }
             _ => {}
         }
@@ -571,17 +589,22 @@
     /// Sends the next attempt, holds the request for room, or ends it.
     fn advance(&mut self, r: &mut Request) {
         self.held.remove(&r.new.id);
-        let aside = matches!(self.settings.origin, Origin::Aside { .. });
-        if aside && (r.new.write || r.attempts.iter().any(|a| a.ended == Some(Outcome::Miss))) {
+        let aside = matches!(self.settings.origin, OriginMode::CacheAside { .. });
+        if aside
+            && (r.new.is_write
+                || r.attempts
+                    .iter()
+                    .any(|a| a.ended == Some(AttemptOutcome::CacheMiss)))
+        {
             return self.ask_origin(r);
         }
         match self.pick(r, false) {
             Pick::To(id) => self.send(r, id, false),
             Pick::Wait(reason) => self.hold(r, reason),
             Pick::Nowhere if self.total_weight == 0.0 && r.attempts.is_empty() => {
-                self.hold(r, Reason::NoList)
+                self.hold(r, DecisionReason::NoEndpoints)
             }
-            Pick::Nowhere => self.finish(r, Reason::Nowhere),
+            Pick::Nowhere => self.finish(r, DecisionReason::NoEligibleEndpoint),
         }
     }
 
@@ -590,49 +613,51 @@
         let asked = r
             .attempts
             .iter()
-            .any(|a| a.origin && a.ended != Some(Outcome::Full));
+            .any(|a| a.origin && a.ended != Some(AttemptOutcome::Rejected));
         let usable =
-            |id: ServerId, s: &Server| self.is_origin(&s.entry) && self.legal(r, Step::Send(id));
+            |id: EndpointId, s: &Server| self.is_origin(&s.entry) && self.legal(r, Step::Send(id));
         let origins = self.servers.iter().filter(|(id, s)| usable(**id, s));
         let origin = origins.min_by_key(|(id, s)| (s.out.len(), **id));
         let origin = origin.map(|(id, s)| (*id, self.room(s, 1.0)));
         match origin {
-            Some((id, None)) if !asked || r.new.write => self.send(r, id, true),
-            Some((_, Some(reason))) if !asked || r.new.write => self.hold(r, reason),
+            Some((id, None)) if !asked || r.new.is_write => self.send(r, id, true),
+            Some((_, Some(reason))) if !asked || r.new.is_write => self.hold(r, reason),
             _ if r.out() > 0 => {}
-            _ => self.finish(r, Reason::Nowhere),
+            _ => self.finish(r, DecisionReason::NoEligibleEndpoint),
         }
     }
 
-    fn hold(&mut self, r: &mut Request, reason: Reason) {
+    fn hold(&mut self, r: &mut Request, reason: DecisionReason) {
         let since = r.held_since.map_or(self.now, |(since, _)| since);
         if r.held_since
             .replace((since, reason))
             .is_none_or(|before| before.1 != reason)
         {
-            self.note(r, Withheld::Held, reason);
+            self.note(r, Deferral::Queued, reason);
         }
         self.held.insert(r.new.id);
     }
 
-    fn send(&mut self, r: &mut Request, id: ServerId, origin: bool) {
-        let number = AttemptNo(r.attempts.len() as u32);
+    fn send(&mut self, r: &mut Request, id: EndpointId, origin: bool) {
+        let number = AttemptNumber(r.attempts.len() as u32);
         let class = &self.settings.classes[r.new.class.0];
         let left = r.deadline.saturating_sub(self.now);
         // Far beyond T it will most likely never be answered: given up in time for another, if lawful.
         let hopeless = (self.overdue() as f64 * HOPELESS) as Nanos;
-        let timeout = match class.effect {
-            Effect::Keyed { window, .. } if r.attempts.is_empty() => {
+        let timeout = match class.idempotency {
+            Idempotency::Keyed { window, .. } if r.attempts.is_empty() => {
                 Some((left.min(window) / 4 * 3).min(hopeless).max(1))
             }
-            Effect::Safe if r.attempts.len() + 1 < self.settings.limits.max_attempts as usize => {
+            Idempotency::Idempotent
+                if r.attempts.len() + 1 < self.settings.capabilities.max_attempts as usize =>
+            {
                 Some(hopeless).filter(|t| *t < left)
             }
             _ => None,
         };
-        let safe = class.effect == Effect::Safe;
-        let begin_within = match class.effect {
-            Effect::Keyed { window, .. } => r
+        let safe = class.idempotency == Idempotency::Idempotent;
+        let begin_within = match class.idempotency {
+            Idempotency::Keyed { window, .. } => r
                 .first_run()
                 .map(|first| first.sent.saturating_add(window).saturating_sub(self.now)),
             _ => None,
@@ -657,11 +682,11 @@
         self.actions.push(Action::Send {
             request,
             attempt,
-            server,
+            endpoint: server,
             timeout,
-            begin_within,
+            write_within: begin_within,
         });
-        if safe && !origin && !r.copied && self.settings.limits.second_copies {
+        if safe && !origin && !r.copied && self.settings.capabilities.hedging {
             self.timer(self.late_after(left), Timer::Copy(r.new.id));
         }
     }
@@ -678,8 +703,8 @@
             return;
         }
         let reason = match self.pick(r, true) {
-            _ if self.copy_budget < 1.0 => Reason::Budget,
-            _ if self.origin_room < DISTRESS => Reason::Distress,
+            _ if self.copy_budget < 1.0 => DecisionReason::BudgetExhausted,
+            _ if self.origin_room < DISTRESS => DecisionReason::OriginOverload,
             Pick::To(server)
                 if self.bad <= CALM || self.is_calm(server) && !self.trouble_is_spread() =>
             {
@@ -687,7 +712,7 @@
                 r.copied = true;
                 return self.send(r, server, false);
             }
-            Pick::To(_) => Reason::Vain,
+            Pick::To(_) => DecisionReason::RetryFutile,
             Pick::Wait(reason) => {
                 // No room is no reason to give a late read up: the same copy is asked for again.
                 let left = r.deadline.saturating_sub(self.now);
@@ -697,12 +722,12 @@
                 }
                 reason
             }
-            Pick::Nowhere => Reason::Nowhere,
+            Pick::Nowhere => DecisionReason::NoEligibleEndpoint,
         };
-        self.note(r, Withheld::Copy, reason);
+        self.note(r, Deferral::HedgeSuppressed, reason);
     }
 
-    fn on_ended(&mut self, r: &mut Request, end: &Ended) {
+    fn on_ended(&mut self, r: &mut Request, end: &AttemptResult) {
         let Some(a) = r
             .attempts
             .get_mut(end.attempt.0 as usize)
@@ -713,46 +738,58 @@
         a.ended = Some(end.outcome);
         let origin = a.origin;
         self.judge_origin(r, end);
-        let used = end.outcome == Outcome::Ok && end.finished && !r.done;
+        let used = end.outcome == AttemptOutcome::Ok && end.request_finished && !r.done;
         let class = &self.settings.classes[r.new.class.0];
-        if used && (class.late_value > 0.0 || self.now.saturating_sub(r.arrived) <= class.aim) {
+        if used
+            && (class.late_value_fraction > 0.0
+                || self.now.saturating_sub(r.arrived) <= class.latency_objective)
+        {
             self.served.add(self.now);
         }
-        if used && !origin && !r.new.write {
+        if used && !origin && !r.new.is_write {
             self.record.add(end.latency);
         }
-        if end.finished || r.done {
+        if end.request_finished || r.done {
             self.close(r, None);
-        } else if end.outcome == Outcome::Unfit {
-            let why = self.why(r, Reason::Unfit);
+        } else if end.outcome == AttemptOutcome::InvalidRequest {
+            let why = self.why(r, DecisionReason::InvalidRequest);
             self.close(
                 r,
                 Some(Action::Fail {
                     request: r.new.id,
-                    why,
+                    explanation: why,
                 }),
             );
-        } else if end.outcome == Outcome::Miss && self.settings.origin != Origin::Through {
+        } else if end.outcome == AttemptOutcome::CacheMiss
+            && self.settings.origin != OriginMode::ReadThrough
+        {
             self.advance(r);
         } else if r.out() == 0 {
             // Nothing is out: another attempt, within the budget that keeps retries from feeding overload.
-            let crowded = matches!(end.outcome, Outcome::Full | Outcome::Timeout);
+            let crowded = matches!(
+                end.outcome,
+                AttemptOutcome::Rejected | AttemptOutcome::Timeout
+            );
             let calm = self.calm_place(r);
             // No charge for what took no server's time: no connection, or rejected with a calm place next.
-            let free = end.outcome == Outcome::ConnectFailed
-                || end.outcome == Outcome::Full && calm.is_some();
+            let free = end.outcome == AttemptOutcome::ConnectFailed
+                || end.outcome == AttemptOutcome::Rejected && calm.is_some();
             let no_retry = match end.outcome {
-                _ if self.now >= r.deadline => Some(Reason::Late),
-                _ if crowded && calm.is_none() && self.bad > CALM => Some(Reason::Vain),
-                Outcome::Error if self.origin_room < DISTRESS => Some(Reason::Distress),
-                _ => (!free && self.retry_budget < 1.0).then_some(Reason::Budget),
+                _ if self.now >= r.deadline => Some(DecisionReason::DeadlineExceeded),
+                _ if crowded && calm.is_none() && self.bad > CALM => {
+                    Some(DecisionReason::RetryFutile)
+                }
+                AttemptOutcome::Error if self.origin_room < DISTRESS => {
+                    Some(DecisionReason::OriginOverload)
+                }
+                _ => (!free && self.retry_budget < 1.0).then_some(DecisionReason::BudgetExhausted),
             };
             if let Some(reason) = no_retry {
                 return self.finish(r, reason);
             }
             self.retry_budget -= if free { 0.0 } else { 1.0 };
             // Who refused a connection refuses the next at once: all attempts go within a millisecond.
-            let elsewhere = crowded || end.outcome == Outcome::ConnectFailed;
+            let elsewhere = crowded || end.outcome == AttemptOutcome::ConnectFailed;
             match calm {
                 Some(id) if elsewhere => self.send(r, id, false),
                 _ => self.advance(r),
@@ -762,12 +799,12 @@
 
     /// Where a request that was turned away most likely is not again: a candidate, or if they turn much away,
     /// the next in rank.
-    fn calm_place(&mut self, r: &Request) -> Option<ServerId> {
+    fn calm_place(&mut self, r: &Request) -> Option<EndpointId> {
         // With most of the fleet in trouble the few that seem well are not given all the load.
         if self.suspicion_void {
             return None;
         }
-        let fresh = |me: &Self, id: &ServerId| me.is_calm(*id) && !r.tried(*id);
+        let fresh = |me: &Self, id: &EndpointId| me.is_calm(*id) && !r.tried(*id);
         if let Pick::To(id) = self.pick(r, false)
             && fresh(self, &id)
         {
@@ -777,7 +814,7 @@
     }
 
     /// The first in rank, beyond the candidates too, not tried yet, that turns little away and has room.
-    fn elsewhere(&mut self, r: &Request) -> Option<ServerId> {
+    fn elsewhere(&mut self, r: &Request) -> Option<EndpointId> {
         self.ranking(r.slot).find(|id| {
             self.legal(r, Step::Send(*id))
                 && self.is_calm(*id)
@@ -786,7 +823,7 @@
         })
     }
 
-    fn on_begun(&mut self, r: &mut Request, number: AttemptNo) {
+    fn on_begun(&mut self, r: &mut Request, number: AttemptNumber) {
         if !r.done
             && r.attempts
                 .get(number.0 as usize)
@@ -803,7 +840,7 @@
             // The caller's timers have an upper limit; a longer patience is waited out in parts.
             self.timer(left, Timer::Deadline(r.new.id));
         } else if !r.done && !r.streaming {
-            self.finish(r, Reason::Late);
+            self.finish(r, DecisionReason::DeadlineExceeded);
         }
     }
 
@@ -815,29 +852,32 @@
     }
 
     /// The router's own final answer: a refusal where that is legal, else a failure.
-    fn finish(&mut self, r: &mut Request, reason: Reason) {
+    fn finish(&mut self, r: &mut Request, reason: DecisionReason) {
         let short = matches!(
             reason,
-            Reason::Fleet | Reason::Limit | Reason::Spacing | Reason::Vain
+            DecisionReason::FleetOverload
+                | DecisionReason::ConcurrencyLimit
+                | DecisionReason::Pacing
+                | DecisionReason::RetryFutile
         );
-        self.tally.short += u32::from(short);
+        self.tally.capacity_rejections += u32::from(short);
         let why = self.why(r, reason);
         let answer = if self.legal(r, Step::Refuse) {
-            let wait = if self.settings.limits.retry_after {
+            let wait = if self.settings.capabilities.retry_after {
                 self.advice(r, reason)
             } else {
                 0
             };
-            let retry_after = wait.min(self.settings.limits.max_retry_after);
-            Action::Refuse {
+            let retry_after = wait.min(self.settings.capabilities.max_retry_after);
+            Action::Reject {
                 request: r.new.id,
                 retry_after,
-                why,
+                explanation: why,
             }
         } else {
             Action::Fail {
                 request: r.new.id,
-                why,
+                explanation: why,
             }
         };
         self.close(r, Some(answer));
@@ -845,16 +885,23 @@
 
     /// When a client may come back, spread so that not all do at once: within its aim if room may appear by
     /// then, beyond it if the fleet or the origin is overloaded, which an answer in time would only prolong.
-    fn advice(&mut self, r: &Request, reason: Reason) -> Nanos {
-        let aim = self.settings.classes[r.new.class.0].aim;
+    fn advice(&mut self, r: &Request, reason: DecisionReason) -> Nanos {
+        let aim = self.settings.classes[r.new.class.0].latency_objective;
         let left = aim.saturating_sub(self.now.saturating_sub(r.arrived));
         match reason {
-            Reason::Late | Reason::Nowhere | Reason::Unfit | Reason::UnknownClass => 0,
-            Reason::Level => {
-                let turn_ends = self.allowance.turn_ends.saturating_sub(self.now);
+            DecisionReason::DeadlineExceeded
+            | DecisionReason::NoEligibleEndpoint
+            | DecisionReason::InvalidRequest
+            | DecisionReason::UnknownClass => 0,
+            DecisionReason::FleetShedding => {
+                let turn_ends = self.allowance.rotation_ends.saturating_sub(self.now);
                 turn_ends + self.random_below(aim)
             }
-            Reason::Limit | Reason::Spacing | Reason::Cold | Reason::NoList | Reason::Budget
+            DecisionReason::ConcurrencyLimit
+            | DecisionReason::Pacing
+            | DecisionReason::SlowStart
+            | DecisionReason::NoEndpoints
+            | DecisionReason::BudgetExhausted
                 if left > 0 =>
             {
                 left / 4 + self.random_below(left / 2)
@@ -870,20 +917,25 @@
             self.actions.extend(answer);
             r.done = true;
             // Only what took a server's time: rejections and errors are answered elsewhere.
-            if r.attempts
-                .iter()
-                .any(|a| matches!(a.ended, None | Some(Outcome::Ok | Outcome::Timeout)))
-            {
+            if r.attempts.iter().any(|a| {
+                matches!(
+                    a.ended,
+                    None | Some(AttemptOutcome::Ok | AttemptOutcome::Timeout)
+                )
+            }) {
                 self.taken.add(self.now);
             }
             self.cancel_others(r, None);
         }
     }
 
-    fn cancel_others(&mut self, r: &Request, except: Option<AttemptNo>) {
+    fn cancel_others(&mut self, r: &Request, except: Option<AttemptNumber>) {
         for (i, a) in r.attempts.iter().enumerate() {
-            let attempt = AttemptNo(i as u32);
-            if self.settings.limits.cancel && a.ended.is_none() && Some(attempt) != except {
+            let attempt = AttemptNumber(i as u32);
+            if self.settings.capabilities.cancellation
+                && a.ended.is_none()
+                && Some(attempt) != except
+            {
                 self.actions.push(Action::Cancel {
                     request: r.new.id,
                     attempt,
@@ -894,7 +946,7 @@
 
     /// Held requests go on as room appears, the most worth first; who waited too long is turned away.
     fn release_held(&mut self) {
-        let worth = |r: &Request| self.settings.classes[r.new.class.0].worth;
+        let worth = |r: &Request| self.settings.classes[r.new.class.0].priority_weight;
         let held = self.held.iter().filter_map(|id| self.requests.get(id));
         let mut order: Vec<_> = held
             .map(|r| (r.over_share, -worth(r), r.arrived, r.new.id))
@@ -908,8 +960,8 @@
             self.with(id, |me, r| {
                 me.advance(r);
                 let part = if over { HOLD_PART_OVER } else { HOLD_PART };
-                let patience =
-                    (me.settings.classes[r.new.class.0].aim / part).min(r.new.patience / 5 * 2);
+                let patience = (me.settings.classes[r.new.class.0].latency_objective / part)
+                    .min(r.new.client_timeout / 5 * 2);
                 let late = r
                     .held_since
                     .filter(|(since, _)| me.now.saturating_sub(*since) >= patience);
@@ -926,26 +978,28 @@
 
     /// Other routers are taken to send likewise, so each starts with its part of what a server can hold.
     fn start_limit(&self, size: f64) -> f64 {
-        (LIMIT_START / self.settings.routers as f64 * size).max(LIMIT_MIN)
+        (LIMIT_START / self.settings.balancers as f64 * size).max(LIMIT_MIN)
     }
 
     /// What an attempt's end says of its server.
-    fn judge(&mut self, end: &Ended) {
+    fn judge(&mut self, end: &AttemptResult) {
         let overdue = self.overdue();
         let ended = self.requests.get(&end.request).map(|r| (r.new, r.slot));
-        let rank = ended.filter(|(new, _)| !new.write).and_then(|(_, slot)| {
-            self.candidates(slot)
-                .iter()
-                .position(|id| *id == end.server)
-        });
+        let rank = ended
+            .filter(|(new, _)| !new.is_write)
+            .and_then(|(_, slot)| {
+                self.candidates(slot)
+                    .iter()
+                    .position(|id| *id == end.endpoint)
+            });
         let new = ended.map(|(new, _)| new);
-        let size = self.size(end.server);
+        let size = self.size(end.endpoint);
         let knee = LIMIT_START / self.routers_root * size;
         let telling = new.is_none_or(|new| self.tells(&new));
         // With no place for another fetch a server still serves hits: that says nothing of its room.
-        let holds = new.is_some_and(|new| !new.write && self.known.held(new.key, end.server));
-        let fetches = self.settings.origin == Origin::Through && !holds;
-        let Some(s) = self.servers.get_mut(&end.server) else {
+        let holds = new.is_some_and(|new| !new.is_write && self.known.held(new.key, end.endpoint));
+        let fetches = self.settings.origin == OriginMode::ReadThrough && !holds;
+        let Some(s) = self.servers.get_mut(&end.endpoint) else {
             return;
         };
         let before = s.strikes;
@@ -957,32 +1011,32 @@
             return;
         };
         let (sent, ..) = s.out.remove(at);
-        s.idle_since =
-            Some(self.now).filter(|_| s.out.is_empty() && end.outcome != Outcome::ConnectFailed);
+        s.idle_since = Some(self.now)
+            .filter(|_| s.out.is_empty() && end.outcome != AttemptOutcome::ConnectFailed);
         let told = end
-            .load
-            .and_then(|l| l.hit_share)
+            .load_report
+            .and_then(|l| l.hit_ratio)
             .filter(|h| (0.0..=1.0).contains(h));
         s.hits = told.unwrap_or(s.hits);
-        if let (Some(rank), Some(note)) = (rank, end.note) {
-            self.hits[rank] += HITS_GAIN * (f64::from(note == CacheNote::Hit) - self.hits[rank]);
+        if let (Some(rank), Some(note)) = (rank, end.cache_status) {
+            self.hits[rank] += HITS_GAIN * (f64::from(note == CacheStatus::Hit) - self.hits[rank]);
         }
         match end.outcome {
-            Outcome::Ok | Outcome::Miss => {
+            AttemptOutcome::Ok | AttemptOutcome::CacheMiss => {
                 s.last_answer = self.now;
                 s.strikes = 0.0;
                 s.backoff = BACKOFF;
                 if s.suspect_until.take().is_some() {
                     self.actions.push(Action::Log(format!(
                         "server {} answers again",
-                        end.server.0
+                        end.endpoint.0
                     )));
                 }
                 // A miss is as slow as the origin: it cannot say that the cache is crowded.
-                let hit = end.note.is_none_or(|n| n == CacheNote::Hit);
+                let hit = end.cache_status.is_none_or(|n| n == CacheStatus::Hit);
                 if hit {
                     s.latency.add(end.latency as f64, LATENCY_GAIN, BASE_CREEP);
-                    if let Some(work) = new.and_then(|new| new.work) {
+                    if let Some(work) = new.and_then(|new| new.estimated_work) {
                         s.pace.add(end.latency as f64, work as f64, PACE_GAIN);
                     }
                 }
@@ -999,41 +1053,47 @@
                     s.limit = (s.limit + step / s.limit.max(1.0)).min((LIMIT_MAX * size).max(1.0));
                 }
             }
-            Outcome::Error => s.strikes += ERROR_STRIKE,
-            Outcome::ConnectFailed | Outcome::Reset => s.strikes += 1.0,
-            Outcome::Timeout => s.strikes += f64::from(telling && s.last_answer <= sent),
+            AttemptOutcome::Error => s.strikes += ERROR_STRIKE,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => s.strikes += 1.0,
+            AttemptOutcome::Timeout => s.strikes += f64::from(telling && s.last_answer <= sent),
             // Cancelled when overdue and nothing heard since: silence, though nobody waited for its end.
-            Outcome::Cancelled if end.latency >= overdue && s.last_answer <= sent => {
+            AttemptOutcome::Cancelled if end.latency >= overdue && s.last_answer <= sent => {
                 s.strikes += 1.0
             }
             // What can't be read, or suits no server, speaks against none.
-            Outcome::Full
-            | Outcome::Cancelled
-            | Outcome::Moot
-            | Outcome::Unknown
-            | Outcome::Unfit => {}
+            AttemptOutcome::Rejected
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Unreadable
+            | AttemptOutcome::InvalidRequest => {}
         }
-        if end.outcome == Outcome::Full && !fetches || end.outcome == Outcome::Timeout && telling {
+        if end.outcome == AttemptOutcome::Rejected && !fetches
+            || end.outcome == AttemptOutcome::Timeout && telling
+        {
             s.limit = (s.limit * REJECT_CUT).max(LIMIT_MIN);
         }
-        let full = f64::from(end.outcome == Outcome::Full);
+        let full = f64::from(end.outcome == AttemptOutcome::Rejected);
         let failed = (full + s.strikes - before).clamp(0.0, 1.0);
-        if failed > 0.0 || matches!(end.outcome, Outcome::Ok | Outcome::Miss) {
+        if failed > 0.0 || matches!(end.outcome, AttemptOutcome::Ok | AttemptOutcome::CacheMiss) {
             self.bad += BAD_GAIN * (failed - self.bad);
             s.turned += BAD_GAIN * (f64::from(failed > 0.0) - s.turned);
         }
-        self.with_server(end.server, |me, s| me.suspect(end.server, s, 0.0));
+        self.with_server(end.endpoint, |me, s| me.suspect(end.endpoint, s, 0.0));
     }
 
     /// Whether its time-outs speak against servers: those of a client that waits less long than answers take
     /// do not.
     fn tells(&self, new: &NewRequest) -> bool {
         self.record.samples < FIRST_SAMPLES
-            || new.patience >= self.record.t.min(self.settings.classes[new.class.0].aim)
+            || new.client_timeout
+                >= self
+                    .record
+                    .t
+                    .min(self.settings.classes[new.class.0].latency_objective)
     }
 
     /// Whether a server turns little away and is not far slower than the others.
-    fn is_calm(&self, id: ServerId) -> bool {
+    fn is_calm(&self, id: EndpointId) -> bool {
         self.servers
             .get(&id)
             .is_some_and(|s| s.turned <= CALM && s.latency.now <= SLOW * self.usual)
@@ -1059,7 +1119,7 @@
     }
 
     /// Suspicion once strikes suffice: no draw until a trial after a growing, jittered wait.
-    fn suspect(&mut self, id: ServerId, s: &mut Server, silent: f64) {
+    fn suspect(&mut self, id: EndpointId, s: &mut Server, silent: f64) {
         self.suspect_beyond(self.strikes_enough(), id, s, silent);
     }
 
@@ -1068,7 +1128,7 @@
         STRIKES.max(CHANCE.ln() / self.bad.clamp(0.01, 0.99).ln())
     }
 
-    fn suspect_beyond(&mut self, enough: f64, id: ServerId, s: &mut Server, silent: f64) {
+    fn suspect_beyond(&mut self, enough: f64, id: EndpointId, s: &mut Server, silent: f64) {
         let jitter = self.random_below(1000) as f64 / 1000.0;
         let waiting = s.suspect_until.is_some_and(|until| self.now < until);
         if s.strikes + silent < enough || waiting {
@@ -1080,14 +1140,14 @@
                 id.0
             )));
         }
-        s.proven = !self.settings.limits.probes;
+        s.proven = !self.settings.capabilities.health_checks;
         s.suspect_until = Some(self.now + (s.backoff as f64 * (0.75 + 0.5 * jitter)) as Nanos);
         s.backoff = (s.backoff * 2).min(BACKOFF_MAX);
         s.strikes = STRIKES - 1.0;
     }
 
     /// A suspected server is probed first, so that no client pays for finding out that it is still gone.
-    fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
+    fn on_probed(&mut self, id: EndpointId, outcome: AttemptOutcome) {
         let Some(s) = self
             .servers
             .get_mut(&id)
@@ -1096,20 +1156,20 @@
             return;
         };
         s.suspect_until = Some(self.now);
-        if outcome == Outcome::Ok {
+        if outcome == AttemptOutcome::Ok {
             s.proven = true;
         } else {
             self.with_server(id, |me, s| me.suspect(id, s, f64::INFINITY));
         }
     }
 
-    fn on_list(&mut self, scope: ListScope, entries: Vec<Entry>) {
+    fn on_list(&mut self, scope: UpdateKind, entries: Vec<Endpoint>) {
         match scope {
-            ListScope::Failed => {
+            UpdateKind::Failed => {
                 let wait = self.call_backoff / 2 + self.random_below(self.call_backoff);
                 let most = match self.settings.discovery {
-                    Discovery::Asked {
-                        within: within @ 1..,
+                    DiscoveryMode::Poll {
+                        staleness_limit: within @ 1..,
                     } => CALL_BACKOFF_MAX.min(within.saturating_mul(2)),
                     _ => CALL_BACKOFF_MAX,
                 };
@@ -1118,26 +1178,26 @@
                 self.timers.retain(|_, timer| !matches!(timer, Timer::Call));
                 return self.timer(wait, Timer::Call);
             }
-            ListScope::Patch => {}
-            ListScope::Whole | ListScope::Stale => {
-                let listed: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            UpdateKind::Delta => {}
+            UpdateKind::Full | UpdateKind::Stale => {
+                let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
                 self.servers.retain(|id, _| listed.contains(id));
             }
         }
-        if scope != ListScope::Stale {
+        if scope != UpdateKind::Stale {
             self.call_backoff = CALL_BACKOFF;
         }
         // What the first list names may have run for as long as it says.
         let is_news = !self.servers.is_empty();
         for entry in entries {
-            if entry.phase == Phase::Removed {
-                self.servers.remove(&entry.server);
+            if entry.state == EndpointState::Removed {
+                self.servers.remove(&entry.id);
                 continue;
             }
             let fill = self.random_below(1000) as f64 / 1000.0;
             let known = self
                 .servers
-                .entry(entry.server)
+                .entry(entry.id)
                 .or_insert_with(|| unknown_server(entry, is_news, self.now, fill));
             // Same id, new start: another process, of which nothing is known.
             if known.entry.started != entry.started {
@@ -1149,7 +1209,7 @@
             }
             known.entry = entry;
         }
-        let caches: Vec<(ServerId, f64)> = self
+        let caches: Vec<(EndpointId, f64)> = self
             .caches()
             .map(|(id, s)| (*id, self.weight(&s.entry)))
             .collect();
@@ -1176,8 +1236,8 @@
 mod slots;
 mod tables;
 mod why;
-pub use learnt::Learnt;
-pub use tables::Brain;
+pub use learnt::Snapshot;
+pub use tables::Engine;
 
 #[cfg(test)]
 mod tests;
--- a/crates/routing/src/brain/housekeeping.rs
+++ b/crates/routing/src/brain/housekeeping.rs
@@ -13,10 +13,10 @@
     /// Caches that take requests, origins included, and are suspected or turn much away.
     suspects: usize,
     /// Caches with nothing out and perhaps a connection, and since when.
-    idle: Vec<(Nanos, ServerId)>,
+    idle: Vec<(Nanos, EndpointId)>,
 }
 
-impl Brain {
+impl Engine {
     pub(super) fn housekeeping(&mut self) {
         self.timer(HOUSEKEEPING, Timer::Housekeeping);
         // Out of the table meanwhile: a look-up for each step would cost more than the steps.
@@ -31,7 +31,7 @@
         self.release_held();
     }
 
-    fn pass_over(&mut self, servers: &mut BTreeMap<ServerId, Server>) -> Gathered {
+    fn pass_over(&mut self, servers: &mut BTreeMap<EndpointId, Server>) -> Gathered {
         let mut gathered = Gathered::default();
         let overdue = self.overdue();
         let least = self.start_limit(1.0);
@@ -41,8 +41,11 @@
                 |sent: Nanos| sent >= s.last_answer && self.now.saturating_sub(sent) > overdue;
             let silent = s.out.iter().filter(|o| unheard(o.0)).count();
             let due = s.suspect_until.is_some_and(|until| self.now >= until) && !s.proven;
-            if due && self.settings.limits.probes && s.entry.phase == Phase::Up {
-                self.actions.push(Action::Probe(*id));
+            if due
+                && self.settings.capabilities.health_checks
+                && s.entry.state == EndpointState::Active
+            {
+                self.actions.push(Action::HealthCheck(*id));
                 s.suspect_until = Some(self.now + BACKOFF_MAX);
             }
             // Unused room must not let a surge in before latency tells; a limit cut low gets its start back.
@@ -58,9 +61,9 @@
         gathered
     }
 
-    fn gather(&self, gathered: &mut Gathered, id: ServerId, s: &Server) {
+    fn gather(&self, gathered: &mut Gathered, id: EndpointId, s: &Server) {
         gathered.idle.extend(s.idle_since.map(|since| (since, id)));
-        if s.entry.phase != Phase::Up {
+        if s.entry.state != EndpointState::Active {
             return;
         }
         gathered.suspects += usize::from(s.suspect_until.is_some() || s.turned > CALM);
@@ -73,9 +76,9 @@
     }
 
     /// Hundreds of routers would fill a server's table with connections that they hardly ever use again.
-    pub(super) fn close_idle(&mut self, mut idle: Vec<(Nanos, ServerId)>) {
+    pub(super) fn close_idle(&mut self, mut idle: Vec<(Nanos, EndpointId)>) {
         let keep =
-            (IDLE_CONNECTIONS * self.servers.len() / self.settings.routers.max(1)).min(IDLE_MOST);
+            (IDLE_CONNECTIONS * self.servers.len() / self.settings.balancers.max(1)).min(IDLE_MOST);
         let beyond = idle.len().saturating_sub(keep);
         if beyond == 0 {
             return;
@@ -83,7 +86,7 @@
         idle.retain(|(since, _)| self.now.saturating_sub(*since) >= IDLE_LEAST);
         idle.sort_unstable();
         for (_, id) in idle.into_iter().take(beyond) {
-            self.actions.push(Action::Close(id));
+            self.actions.push(Action::CloseIdleConnections(id));
             self.servers.entry(id).and_modify(|s| s.idle_since = None);
         }
     }
--- a/crates/routing/src/brain/learnt.rs
+++ b/crates/routing/src/brain/learnt.rs
@@ -1,13 +1,13 @@
 //! What a router has learnt, as it hands it over to the one that takes its place. Nothing is decided here.
 
-use super::{BACKOFF, BACKOFF_MAX, Brain};
+use super::{BACKOFF, BACKOFF_MAX, Engine};
 use crate::api::*;
 use crate::stats::{Mean, MeanParts};
 use serde::{Deserialize, Serialize};
 
 /// What a router has learnt of its servers, of latencies and of load. Of requests and keys it tells nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learnt {
+pub struct Snapshot {
     servers: Vec<LearntServer>,
     /// The record behind T: its buckets, and how many samples it has had.
     record: (Vec<f64>, u64),
@@ -53,10 +53,10 @@
     }
 }
 
-impl Brain {
+impl Engine {
     /// What this router has learnt. What it has saved up of budgets it shares evenly with the one it is told to: the
     /// two together send no more than one.
-    pub fn learnt(&mut self) -> Learnt {
+    pub fn take_snapshot(&mut self) -> Snapshot {
         self.copy_budget /= 2.0;
         self.retry_budget /= 2.0;
         for server in self.servers.values_mut() {
@@ -76,7 +76,7 @@
             cold_budget: s.cold_budget,
             cold_budget_at: s.cold_budget_at,
         });
-        Learnt {
+        Snapshot {
             servers: servers.collect(),
             record: (self.record.buckets.clone(), self.record.samples),
             fetch: self.fetch.parts(),
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// Says which part makes no sense: a figure that is negative or no number, or a record of another form.
-    pub fn recall(&mut self, learnt: &Learnt) -> Result<(), &'static str> {
+    pub fn restore(&mut self, learnt: &Snapshot) -> Result<(), &'static str> {
         let sound = |f: f64| f.is_finite() && f >= 0.0;
         if !learnt
             .servers
@@ -136,7 +136,7 @@
             rate.set_per_s(self.now, per_s);
         }
         for told in &learnt.servers {
-            let Some(s) = self.servers.get_mut(&ServerId(told.id)) else {
+            let Some(s) = self.servers.get_mut(&EndpointId(told.id)) else {
                 continue;
             };
             if s.entry.started == told.started {
--- a/crates/routing/src/brain/plumbing.rs
+++ b/crates/routing/src/brain/plumbing.rs
@@ -1,12 +1,12 @@
 //! What the decisions are written with: the tables of open requests and caches, timers and random numbers.
 //! Nothing is decided here.
 
-use super::Brain;
+use super::Engine;
 use crate::api::*;
 use crate::state::{Request, Server, Timer};
 use rand_core::RngCore;
 
-impl Brain {
+impl Engine {
     /// Runs `f` on an open request; it stays in the table while anything is owed or expected.
     pub(super) fn with(&mut self, id: RequestId, f: impl FnOnce(&mut Self, &mut Request)) {
         let Some(mut r) = self.requests.remove(&id) else {
@@ -19,7 +19,7 @@
     }
 
     /// Runs `f` on a listed cache, out of the table meanwhile.
-    pub(super) fn with_server(&mut self, id: ServerId, f: impl FnOnce(&mut Self, &mut Server)) {
+    pub(super) fn with_server(&mut self, id: EndpointId, f: impl FnOnce(&mut Self, &mut Server)) {
         let Some(mut server) = self.servers.get_mut(&id).map(std::mem::take) else {
             return;
         };
@@ -30,9 +30,9 @@
     pub(super) fn timer(&mut self, after: Nanos, timer: Timer) {
         self.next_token += 1;
         self.timers.insert(self.next_token, timer);
-        self.actions.push(Action::Timer {
+        self.actions.push(Action::SetTimer {
             after,
-            token: Token(self.next_token),
+            token: TimerToken(self.next_token),
         });
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// What was let in and found no room since the last call.
-    pub fn take_tally(&mut self) -> Tally {
+    pub fn take_admission_counts(&mut self) -> AdmissionCounts {
         std::mem::take(&mut self.tally)
     }
 
@@ -51,14 +51,14 @@
     }
 
     /// The caches that take requests.
-    pub(super) fn caches(&self) -> impl Iterator<Item = (&ServerId, &Server)> {
+    pub(super) fn caches(&self) -> impl Iterator<Item = (&EndpointId, &Server)> {
         self.servers
             .iter()
-            .filter(|(_, s)| s.entry.phase == Phase::Up && !self.is_origin(&s.entry))
+            .filter(|(_, s)| s.entry.state == EndpointState::Active && !self.is_origin(&s.entry))
     }
 
     /// A server's size over the mean one's.
-    pub(super) fn size(&self, id: ServerId) -> f64 {
+    pub(super) fn size(&self, id: EndpointId) -> f64 {
         self.servers
             .get(&id)
             .map_or(1.0, |s| self.weight(&s.entry) / self.mean_weight.max(0.01))
--- a/crates/routing/src/brain/slots.rs
+++ b/crates/routing/src/brain/slots.rs
@@ -9,7 +9,7 @@
 //!
 //! The table holds [`SLOTS`] rows of fourteen bytes, all of them from the start, so that its memory does not grow.
 
-use crate::api::ServerId;
+use crate::api::EndpointId;
 use crate::state::CANDIDATES;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -36,7 +36,7 @@
 const ROUNDED_DOWN: f64 = 1.0 - 1e-9;
 
 /// Where a cache stands at a slot, in (0, 1]: a hash of both.
-fn position(slot: usize, cache: ServerId) -> f64 {
+fn position(slot: usize, cache: EndpointId) -> f64 {
     #[cfg(test)]
     tests::count_hash();
     let hash = xxh3_64_with_seed(&cache.0.to_le_bytes(), slot as u64);
@@ -52,28 +52,28 @@
 /// The candidates of one slot, best first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Candidates {
-    caches: [ServerId; CANDIDATES],
+    caches: [EndpointId; CANDIDATES],
     count: usize,
 }
 
 impl Candidates {
-    fn push(&mut self, cache: ServerId) {
+    fn push(&mut self, cache: EndpointId) {
         self.caches[self.count] = cache;
         self.count += 1;
     }
 }
 
 impl Deref for Candidates {
-    type Target = [ServerId];
+    type Target = [EndpointId];
 
-    fn deref(&self) -> &[ServerId] {
+    fn deref(&self) -> &[EndpointId] {
         &self.caches[..self.count]
     }
 }
 
 impl IntoIterator for Candidates {
-    type Item = ServerId;
-    type IntoIter = std::iter::Take<std::array::IntoIter<ServerId, CANDIDATES>>;
+    type Item = EndpointId;
+    type IntoIter = std::iter::Take<std::array::IntoIter<EndpointId, CANDIDATES>>;
 
     fn into_iter(self) -> Self::IntoIter {
         self.caches.into_iter().take(self.count)
@@ -83,14 +83,14 @@
 /// One cache as the table knows it.
 #[derive(Clone, Copy, Debug)]
 struct Place {
-    cache: ServerId,
+    cache: EndpointId,
     weight: f64,
     /// Turns 1 - position into a lower bound of the score.
     bound: f64,
 }
 
 impl Place {
-    fn new(cache: ServerId, weight: f64) -> Self {
+    fn new(cache: EndpointId, weight: f64) -> Self {
         Place {
             cache,
             weight,
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Scored {
     score: f64,
-    cache: ServerId,
+    cache: EndpointId,
     number: usize,
 }
 
@@ -132,9 +132,9 @@
 pub(crate) struct Ranking(BinaryHeap<Reverse<Scored>>);
 
 impl Iterator for Ranking {
-    type Item = ServerId;
+    type Item = EndpointId;
 
-    fn next(&mut self) -> Option<ServerId> {
+    fn next(&mut self) -> Option<EndpointId> {
         self.0.pop().map(|Reverse(scored)| scored.cache)
     }
 }
@@ -184,7 +184,7 @@
 pub(crate) struct SlotTable {
     /// By number; the numbers of caches that have gone are used again.
     places: Vec<Option<Place>>,
-    numbers: BTreeMap<ServerId, usize>,
+    numbers: BTreeMap<EndpointId, usize>,
     free: Vec<usize>,
     rows: Vec<Row>,
     /// Of the list as it is now.
@@ -207,7 +207,7 @@
     }
 
     /// Takes over the caches that may be candidates now, with their weights, in the order of their ids.
-    pub(crate) fn set_caches(&mut self, now: &[(ServerId, f64)]) {
+    pub(crate) fn set_caches(&mut self, now: &[(EndpointId, f64)]) {
         let (mut gone, mut come) = (Vec::new(), Vec::new());
         let mut former = self.numbers.iter().peekable();
         for (cache, weight) in now {
--- a/crates/routing/src/brain/slots/tests.rs
+++ b/crates/routing/src/brain/slots/tests.rs
@@ -2,8 +2,8 @@
 
 use super::super::tests::settings;
 use super::*;
-use crate::api::{Entry, ListScope, Phase};
-use crate::brain::Brain;
+use crate::api::{Endpoint, EndpointState, UpdateKind};
+use crate::brain::Engine;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::Cell;
@@ -25,14 +25,14 @@
 }
 
 /// All caches at a slot, best first, by a sort of all scores.
-fn sorted(caches: &BTreeMap<u64, Entry>, slot: usize) -> Vec<ServerId> {
-    let mut ranked: Vec<(f64, ServerId)> = caches
+fn sorted(caches: &BTreeMap<u64, Endpoint>, slot: usize) -> Vec<EndpointId> {
+    let mut ranked: Vec<(f64, EndpointId)> = caches
         .iter()
-        .filter(|(_, entry)| entry.phase == Phase::Up)
+        .filter(|(_, entry)| entry.state == EndpointState::Active)
         .map(|(id, entry)| {
             let hash = xxh3_64_with_seed(&id.to_le_bytes(), slot as u64);
             let u = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
-            (-u.ln() / entry.weight, ServerId(*id))
+            (-u.ln() / entry.weight, EndpointId(*id))
         })
         .collect();
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -42,13 +42,13 @@
 /// A list that changes at random, and the module that is told of it.
 struct Course {
     rng: Xoshiro256PlusPlus,
-    caches: BTreeMap<u64, Entry>,
-    brain: Brain,
+    caches: BTreeMap<u64, Endpoint>,
+    brain: Engine,
 }
 
 impl Course {
     fn new(seed: u64, count: u64) -> Self {
-        let brain = Brain::new(settings(), 1, 0).expect("settings make sense");
+        let brain = Engine::new(settings(), 1, 0).expect("settings make sense");
         let mut course = Course {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             caches: BTreeMap::new(),
@@ -62,17 +62,17 @@
         (self.rng.next_u64() % n as u64) as usize
     }
 
-    fn tell(&mut self, entry: Entry) {
-        self.caches.insert(entry.server.0, entry);
-        self.brain.on_list(ListScope::Patch, vec![entry]);
+    fn tell(&mut self, entry: Endpoint) {
+        self.caches.insert(entry.id.0, entry);
+        self.brain.on_list(UpdateKind::Delta, vec![entry]);
     }
 
     fn join(&mut self, id: u64) {
         let weight = [1.0, 1.0, 1.0, 0.25, 2.0, 7.5][self.below(6)];
-        self.tell(Entry {
-            server: ServerId(id),
+        self.tell(Endpoint {
+            id: EndpointId(id),
             weight,
-            ..Entry::default()
+            ..Endpoint::default()
         });
     }
 
@@ -87,35 +87,35 @@
         let entry = self.caches[&chosen];
         match self.below(6) {
             0 => self.join(next_id),
-            1 => self.tell(Entry {
-                phase: Phase::Draining,
+            1 => self.tell(Endpoint {
+                state: EndpointState::Draining,
                 ..entry
             }),
-            2 => self.tell(Entry {
-                phase: Phase::Up,
+            2 => self.tell(Endpoint {
+                state: EndpointState::Active,
                 started: entry.started + 1,
                 ..entry
             }),
             3 => self.join(chosen),
             4 => {
                 self.caches.remove(&chosen);
-                let gone = Entry {
-                    phase: Phase::Removed,
+                let gone = Endpoint {
+                    state: EndpointState::Removed,
                     ..entry
                 };
-                self.brain.on_list(ListScope::Patch, vec![gone]);
+                self.brain.on_list(UpdateKind::Delta, vec![gone]);
             }
             _ => {
                 self.caches.remove(&chosen);
                 self.caches.insert(
                     next_id,
-                    Entry {
-                        server: ServerId(next_id),
+                    Endpoint {
+                        id: EndpointId(next_id),
                         ..entry
                     },
                 );
                 self.brain
-                    .on_list(ListScope::Whole, self.caches.values().copied().collect());
+                    .on_list(UpdateKind::Full, self.caches.values().copied().collect());
             }
         }
     }
@@ -124,7 +124,7 @@
         let sorted = sorted(&self.caches, slot);
         let first = &sorted[..sorted.len().min(CANDIDATES)];
         assert_eq!(*self.brain.slots.candidates(slot), *first, "slot {slot}");
-        let beyond: Vec<ServerId> = self.brain.slots.ranking(slot).collect();
+        let beyond: Vec<EndpointId> = self.brain.slots.ranking(slot).collect();
         assert_eq!(beyond, sorted, "slot {slot}");
     }
 }
@@ -153,13 +153,13 @@
 fn a_change_of_one_cache_has_the_rows_that_it_touches_worked_out_anew_and_few_others() {
     let mut course = Course::new(4, 0);
     let count = 400;
-    let all = (0..count).map(|id| Entry {
-        server: ServerId(id),
+    let all = (0..count).map(|id| Endpoint {
+        id: EndpointId(id),
         weight: 1.0,
-        ..Entry::default()
+        ..Endpoint::default()
     });
     all.for_each(|entry| course.tell(entry));
-    let worked_out = |course: &mut Course, entry: Entry| {
+    let worked_out = |course: &mut Course, entry: Endpoint| {
         (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot));
         course.tell(entry);
         let slots = 0..SLOTS;
@@ -177,8 +177,8 @@
     let entry = course.caches[&77];
     let drained = worked_out(
         &mut course,
-        Entry {
-            phase: Phase::Draining,
+        Endpoint {
+            state: EndpointState::Draining,
             ..entry
         },
     );
@@ -188,7 +188,7 @@
     assert_eq!(
         worked_out(
             &mut course,
-            Entry {
+            Endpoint {
                 started: 5,
                 ..entry
             }
@@ -232,19 +232,19 @@
 fn caches_beyond_the_numbers_of_a_row_are_ranked_all_the_same() {
     let caches = u64::from(NO_CACHE) + 40;
     let mut table = SlotTable::new();
-    let listed: Vec<(ServerId, f64)> = (0..caches).map(|id| (ServerId(id), 1.0)).collect();
+    let listed: Vec<(EndpointId, f64)> = (0..caches).map(|id| (EndpointId(id), 1.0)).collect();
     table.set_caches(&listed);
     let entry = |id| {
         (
             id,
-            Entry {
-                server: ServerId(id),
+            Endpoint {
+                id: EndpointId(id),
                 weight: 1.0,
-                ..Entry::default()
+                ..Endpoint::default()
             },
         )
     };
-    let all: BTreeMap<u64, Entry> = (0..caches).map(entry).collect();
+    let all: BTreeMap<u64, Endpoint> = (0..caches).map(entry).collect();
     // Only those slots are interesting that one of the last caches is a candidate of; some have none.
     let late = |slot: &usize| {
         sorted(&all, *slot)[..CANDIDATES]
@@ -264,13 +264,13 @@
     let mut table = SlotTable::new();
     assert!(table.candidates(3).is_empty());
     assert_eq!(table.ranking(3).count(), 0);
-    table.set_caches(&[(ServerId(8), 1.0)]);
-    assert_eq!(*table.candidates(3), [ServerId(8)]);
+    table.set_caches(&[(EndpointId(8), 1.0)]);
+    assert_eq!(*table.candidates(3), [EndpointId(8)]);
 }
 
 /// Caches of the same weight with these ids.
-fn listed(ids: std::ops::Range<u64>) -> Vec<(ServerId, f64)> {
-    ids.map(|id| (ServerId(id), 1.0)).collect()
+fn listed(ids: std::ops::Range<u64>) -> Vec<(EndpointId, f64)> {
+    ids.map(|id| (EndpointId(id), 1.0)).collect()
 }
 
 #[test]
--- a/crates/routing/src/brain/tables.rs
+++ b/crates/routing/src/brain/tables.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// The decisions of one router.
-pub struct Brain {
+pub struct Engine {
     pub(super) settings: Settings,
     pub(super) now: Nanos,
     /// Root of the number of routers: each may at times use more than its even part.
@@ -14,7 +14,7 @@
     /// What the event at hand has led to so far.
     pub(super) actions: Vec<Action>,
     pub(super) rng: Xoshiro256PlusPlus,
-    pub(super) servers: BTreeMap<ServerId, Server>,
+    pub(super) servers: BTreeMap<EndpointId, Server>,
     pub(super) slots: SlotTable,
     pub(super) total_weight: f64,
     /// The same with cold servers at their present share.
@@ -44,18 +44,18 @@
     pub(super) tenants: Vec<Rate>,
     pub(super) call_backoff: Nanos,
     /// What all routers let in together.
-    pub(super) allowance: Allowance,
-    pub(super) tally: Tally,
+    pub(super) allowance: SheddingLevel,
+    pub(super) tally: AdmissionCounts,
     /// The tier of each class, within and beyond its tenant's share: how many are worth less.
     pub(super) tiers: Vec<usize>,
 }
 
 /// Two for each class; of two of equal worth the earlier class goes first, and what is within a share last.
 fn tiers(settings: &Settings) -> Vec<usize> {
-    let worth = |class: &Class| {
+    let worth = |class: &RequestClass| {
         [
-            class.worth,
-            class.worth * settings.over_share_worth.clamp(0.0, 1.0),
+            class.priority_weight,
+            class.priority_weight * settings.over_quota_weight.clamp(0.0, 1.0),
         ]
     };
     let worths: Vec<f64> = settings.classes.iter().flat_map(worth).collect();
@@ -71,7 +71,7 @@
         .collect()
 }
 
-impl Brain {
+impl Engine {
     /// A router's decisions from its start at `now`; the error names the setting that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
@@ -80,9 +80,14 @@
             .iter()
             .map(|_| Rate::new(RATE_TAU, now))
             .collect();
-        let routers_root = (settings.routers as f64).sqrt();
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
-        Ok(Brain {
+        let routers_root = (settings.balancers as f64).sqrt();
+        let aim = settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .min()
+            .unwrap_or(0) as f64;
+        Ok(Engine {
             now,
             routers_root,
             aim,
@@ -112,8 +117,8 @@
             served: Rate::new(RATE_TAU, now),
             tenants,
             call_backoff: CALL_BACKOFF,
-            allowance: Allowance::default(),
-            tally: Tally::default(),
+            allowance: SheddingLevel::default(),
+            tally: AdmissionCounts::default(),
             tiers: tiers(&settings),
             settings,
         })
--- a/crates/routing/src/brain/tests.rs
+++ b/crates/routing/src/brain/tests.rs
@@ -4,47 +4,47 @@
 
 pub(super) fn settings() -> Settings {
     Settings {
-        classes: vec![Class {
-            effect: Effect::Safe,
-            aim: 200 * MS,
+        classes: vec![RequestClass {
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 200 * MS,
             deadline: 1_000 * MS,
-            worth: 1.0,
-            late_value: 0.0,
+            priority_weight: 1.0,
+            late_value_fraction: 0.0,
         }],
         tenants: Vec::new(),
-        over_share_worth: 0.0,
-        routers: 2,
-        origin: Origin::Through,
-        discovery: Discovery::Pushed,
-        live_weights: false,
-        limits: Limits {
+        over_quota_weight: 0.0,
+        balancers: 2,
+        origin: OriginMode::ReadThrough,
+        discovery: DiscoveryMode::Push,
+        dynamic_weights: false,
+        capabilities: Capabilities {
             max_attempts: 4,
-            second_copies: true,
-            cancel: true,
-            probes: false,
+            hedging: true,
+            cancellation: true,
+            health_checks: false,
             retry_after: false,
             max_retry_after: 0,
         },
-        rules: Rules {
-            answer_slack: 20 * MS,
+        rules: ServiceRules {
+            final_answer_grace: 20 * MS,
             drain_grace: 250 * MS,
-            cold_from: 0.2,
-            warm_after: 10_000 * MS,
+            slow_start_fraction: 0.2,
+            slow_start_duration: 10_000 * MS,
             overload_factor: 2.5,
-            tip_after: 3_000 * MS,
+            overload_window: 3_000 * MS,
         },
         tick: 5 * MS,
     }
 }
 
-pub(super) fn brain(servers: u64) -> Brain {
-    let mut brain = Brain::new(settings(), 1, 0).expect("settings make sense");
-    let entries = (1..=servers).map(|i| Entry {
-        server: ServerId(i),
+pub(super) fn brain(servers: u64) -> Engine {
+    let mut brain = Engine::new(settings(), 1, 0).expect("settings make sense");
+    let entries = (1..=servers).map(|i| Endpoint {
+        id: EndpointId(i),
         weight: 1.0,
-        ..Entry::default()
+        ..Endpoint::default()
     });
-    brain.on_list(ListScope::Whole, entries.collect());
+    brain.on_list(UpdateKind::Full, entries.collect());
     brain
 }
 
@@ -55,14 +55,14 @@
         class: ClassId(0),
         tenant: None,
         key: Some(Key(key)),
-        patience,
-        work: None,
-        write: false,
+        client_timeout: patience,
+        estimated_work: None,
+        is_write: false,
     }
 }
 
 /// The candidates for key 9.
-fn candidates_of_9(brain: &mut Brain) -> Vec<ServerId> {
+fn candidates_of_9(brain: &mut Engine) -> Vec<EndpointId> {
     brain.candidates(slot_of_9()).to_vec()
 }
 
@@ -71,37 +71,39 @@
 }
 
 /// A read with key 9, and what its arrival leads to.
-fn read(brain: &mut Brain, id: u128) -> Vec<Action> {
+fn read(brain: &mut Engine, id: u128) -> Vec<Action> {
     let new = new_read(id, 9, 1_000 * MS);
     let mut actions = Vec::new();
-    brain.handle(brain.now, Event::Request(new), &mut actions);
+    brain.handle(brain.now, Event::RequestArrived(new), &mut actions);
     actions
 }
 
 /// The end of its first attempt.
-fn end(brain: &mut Brain, id: u128, outcome: Outcome) -> Vec<Action> {
+fn end(brain: &mut Engine, id: u128, outcome: AttemptOutcome) -> Vec<Action> {
     let server = brain.requests[&RequestId(id)].attempts[0].server;
-    let (request, attempt, latency) = (RequestId(id), AttemptNo(0), 10 * MS);
-    let finished = outcome == Outcome::Ok;
+    let (request, attempt, latency) = (RequestId(id), AttemptNumber(0), 10 * MS);
+    let finished = outcome == AttemptOutcome::Ok;
     let mut actions = Vec::new();
-    let end = Ended {
+    let end = AttemptResult {
         request,
         attempt,
-        server,
+        endpoint: server,
         outcome,
         latency,
-        finished,
-        note: None,
-        load: None,
+        request_finished: finished,
+        cache_status: None,
+        load_report: None,
     };
-    brain.handle(brain.now, Event::Ended(end), &mut actions);
+    brain.handle(brain.now, Event::AttemptEnded(end), &mut actions);
     actions
 }
 
 /// Where the first attempt that these send goes.
-fn sent_to(actions: &[Action]) -> Option<ServerId> {
+fn sent_to(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { server, .. } => Some(*server),
+        Action::Send {
+            endpoint: server, ..
+        } => Some(*server),
         _ => None,
     })
 }
@@ -160,14 +162,14 @@
     let before: Vec<_> = (0..SLOTS)
         .map(|s| brain.ranking(s).collect::<Vec<_>>())
         .collect();
-    let gone = Entry {
-        server: ServerId(4),
-        phase: Phase::Removed,
-        ..Entry::default()
+    let gone = Endpoint {
+        id: EndpointId(4),
+        state: EndpointState::Removed,
+        ..Endpoint::default()
     };
-    brain.on_list(ListScope::Patch, vec![gone]);
+    brain.on_list(UpdateKind::Delta, vec![gone]);
     for (slot, mut ranked) in before.into_iter().enumerate() {
-        ranked.retain(|id| *id != ServerId(4));
+        ranked.retain(|id| *id != EndpointId(4));
         assert!(brain.ranking(slot).eq(ranked.iter().copied()));
         assert_eq!(*brain.candidates(slot), ranked[..3]);
     }
@@ -176,14 +178,14 @@
 #[test]
 fn a_servers_share_of_first_ranks_follows_its_weight() {
     let mut brain = brain(3);
-    let big = Entry {
-        server: ServerId(3),
+    let big = Endpoint {
+        id: EndpointId(3),
         weight: 2.0,
-        ..Entry::default()
+        ..Endpoint::default()
     };
-    brain.on_list(ListScope::Patch, vec![big]);
+    brain.on_list(UpdateKind::Delta, vec![big]);
     let first = (0..SLOTS)
-        .filter(|s| brain.ranking(*s).next() == Some(ServerId(3)))
+        .filter(|s| brain.ranking(*s).next() == Some(EndpointId(3)))
         .count();
     assert!(
         (SLOTS * 45 / 100..SLOTS * 55 / 100).contains(&first),
@@ -194,12 +196,12 @@
 #[test]
 fn of_two_draws_fewer_in_flight_wins_and_rank_breaks_ties() {
     let mut brain = brain(3);
-    let two = [(0, ServerId(2)), (1, ServerId(1))];
-    assert_eq!(brain.draw(&two, None, None), Some(ServerId(2)));
+    let two = [(0, EndpointId(2)), (1, EndpointId(1))];
+    assert_eq!(brain.draw(&two, None, None), Some(EndpointId(2)));
     // One in flight at the first rank is what a fetch elsewhere counts for; the second decides.
-    for expected in [ServerId(2), ServerId(1)] {
-        let first = brain.servers.get_mut(&ServerId(2)).expect("listed");
-        first.out.push((0, RequestId(1), AttemptNo(0)));
+    for expected in [EndpointId(2), EndpointId(1)] {
+        let first = brain.servers.get_mut(&EndpointId(2)).expect("listed");
+        first.out.push((0, RequestId(1), AttemptNumber(0)));
         assert_eq!(brain.draw(&two, None, None), Some(expected));
     }
     assert_eq!(brain.draw(&[], None, None), None);
@@ -209,10 +211,10 @@
 fn draws_follow_the_reported_hit_share() {
     let mut brain = brain(3);
     brain.hits = [0.5; CANDIDATES]; // Told alike of all ranks.
-    brain.servers.get_mut(&ServerId(3)).expect("listed").hits = 0.25;
-    let three = [(0, ServerId(3)), (1, ServerId(1)), (2, ServerId(2))];
+    brain.servers.get_mut(&EndpointId(3)).expect("listed").hits = 0.25;
+    let three = [(0, EndpointId(3)), (1, EndpointId(1)), (2, EndpointId(2))];
     let won = (0..4_000)
-        .filter(|_| brain.draw(&three, None, None) == Some(ServerId(3)))
+        .filter(|_| brain.draw(&three, None, None) == Some(EndpointId(3)))
         .count();
     // Weights 1, 2, 2: drawn first 1/5, or second 2 x 2/5 x 1/3; best rank, so it wins when drawn: 46.7 %.
     assert!((1_800..1_940).contains(&won), "{won}");
@@ -221,9 +223,9 @@
 #[test]
 fn the_ramp_rises_evenly_from_the_cold_share() {
     let mut brain = brain(3);
-    let entry = Entry {
+    let entry = Endpoint {
         started: 50_000 * MS,
-        ..Entry::default()
+        ..Endpoint::default()
     };
     let server = Server {
         entry,
@@ -240,27 +242,27 @@
 #[test]
 fn a_second_attempt_at_once_is_legal_only_as_a_safe_copy_where_allowed() {
     for (effect, allowed, legal) in [
-        (Effect::Safe, true, true),
-        (Effect::Safe, false, false),
+        (Idempotency::Idempotent, true, true),
+        (Idempotency::Idempotent, false, false),
         (
-            Effect::Keyed {
-                group: Group::All,
+            Idempotency::Keyed {
+                scope: DeduplicationScope::All,
                 window: 500 * MS,
             },
             true,
             false,
         ),
-        (Effect::Unsafe, true, false),
+        (Idempotency::NotIdempotent, true, false),
     ] {
         let mut brain = brain(3);
-        brain.settings.classes[0].effect = effect;
-        brain.settings.limits.second_copies = allowed;
+        brain.settings.classes[0].idempotency = effect;
+        brain.settings.capabilities.hedging = allowed;
         brain.on_request(new_read(1, 1, 1_000 * MS));
         let r = &brain.requests[&RequestId(1)];
         assert_eq!(r.out(), 1);
         for id in 1..=3 {
-            assert_eq!(brain.legal(r, Step::Copy(ServerId(id))), legal);
-            assert_eq!(brain.legal(r, Step::Send(ServerId(id))), legal);
+            assert_eq!(brain.legal(r, Step::Copy(EndpointId(id))), legal);
+            assert_eq!(brain.legal(r, Step::Send(EndpointId(id))), legal);
         }
     }
 }
@@ -269,36 +271,44 @@
 fn unused_limits_fade_to_the_start_and_used_ones_stay() {
     let mut brain = brain(2);
     for id in 1..=2 {
-        brain.servers.get_mut(&ServerId(id)).expect("listed").limit = 12.0;
+        brain
+            .servers
+            .get_mut(&EndpointId(id))
+            .expect("listed")
+            .limit = 12.0;
     }
-    let busy = brain.servers.get_mut(&ServerId(2)).expect("listed");
-    busy.out = (0..8).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
+    let busy = brain.servers.get_mut(&EndpointId(2)).expect("listed");
+    busy.out = (0..8)
+        .map(|n| (0, RequestId(n), AttemptNumber(0)))
+        .collect();
     for _ in 0..30 {
         brain.housekeeping();
     }
-    let limit = |n| brain.servers[&ServerId(n)].limit;
+    let limit = |n| brain.servers[&EndpointId(n)].limit;
     assert!((limit(1) - 12.0 * 0.98f64.powi(30)).abs() < 1e-9);
     assert_eq!(limit(2), 12.0);
     for _ in 0..300 {
         brain.housekeeping();
     }
-    assert_eq!(brain.servers[&ServerId(1)].limit, LIMIT_START / 2.0);
+    assert_eq!(brain.servers[&EndpointId(1)].limit, LIMIT_START / 2.0);
 }
 
 #[test]
 fn a_key_goes_back_to_who_answered_it_lately() {
     let mut brain = brain(3);
-    let three = [(0, ServerId(2)), (1, ServerId(1)), (2, ServerId(3))];
-    brain.known.insert(Some(Key(5)), ServerId(3));
+    let three = [(0, EndpointId(2)), (1, EndpointId(1)), (2, EndpointId(3))];
+    brain.known.insert(Some(Key(5)), EndpointId(3));
     let stayed = (0..1_000)
-        .filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(ServerId(3)))
+        .filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(EndpointId(3)))
         .count();
     assert!(stayed > 990, "{stayed}");
     // Far busier than the others, it is passed over.
-    let holder = brain.servers.get_mut(&ServerId(3)).expect("listed");
-    holder.out = (0..3).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
+    let holder = brain.servers.get_mut(&EndpointId(3)).expect("listed");
+    holder.out = (0..3)
+        .map(|n| (0, RequestId(n), AttemptNumber(0)))
+        .collect();
     let stayed = (0..1_000)
-        .filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(ServerId(3)))
+        .filter(|_| brain.draw(&three, Some(Key(5)), None) == Some(EndpointId(3)))
         .count();
     assert!(stayed < 10, "{stayed}");
 }
@@ -313,17 +323,17 @@
         let Some(out) = brain.requests.get(&RequestId(id)) else {
             continue;
         };
-        let end = Ended {
+        let end = AttemptResult {
             request: RequestId(id),
-            attempt: AttemptNo(0),
-            server: out.attempts[0].server,
-            outcome: Outcome::Ok,
+            attempt: AttemptNumber(0),
+            endpoint: out.attempts[0].server,
+            outcome: AttemptOutcome::Ok,
             latency,
-            finished: true,
-            note: Some(CacheNote::Miss),
-            load: None,
+            request_finished: true,
+            cache_status: Some(CacheStatus::Miss),
+            load_report: None,
         };
-        brain.handle(id as u64 * 100 * MS, Event::Ended(end), &mut r);
+        brain.handle(id as u64 * 100 * MS, Event::AttemptEnded(end), &mut r);
     }
     assert_eq!(brain.origin_room, 1.0);
 }
@@ -334,7 +344,7 @@
     let mut r = Vec::new();
     for id in 1..=300u128 {
         let new = new_read(id, id as u64, 100 * MS);
-        brain.handle(id as u64 * MS, Event::Request(new), &mut r);
+        brain.handle(id as u64 * MS, Event::RequestArrived(new), &mut r);
         let sent: Vec<_> = brain
             .requests
             .get(&RequestId(id))
@@ -344,26 +354,26 @@
         let Some(server) = sent.first().map(|a| a.server) else {
             continue;
         };
-        let end = Ended {
+        let end = AttemptResult {
             request: RequestId(id),
-            attempt: AttemptNo(0),
-            server,
-            outcome: Outcome::Ok,
+            attempt: AttemptNumber(0),
+            endpoint: server,
+            outcome: AttemptOutcome::Ok,
             latency: MS,
-            finished: true,
-            note: None,
-            load: None,
+            request_finished: true,
+            cache_status: None,
+            load_report: None,
         };
-        brain.handle(id as u64 * MS, Event::Ended(end), &mut r);
+        brain.handle(id as u64 * MS, Event::AttemptEnded(end), &mut r);
     }
     for token in 1..=brain.next_token {
-        brain.handle(60_000 * MS, Event::Timer(Token(token)), &mut r);
+        brain.handle(60_000 * MS, Event::TimerFired(TimerToken(token)), &mut r);
     }
     brain.handle(
         60_000 * MS,
-        Event::List {
-            scope: ListScope::Whole,
-            entries: Vec::new(),
+        Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints: Vec::new(),
         },
         &mut r,
     );
@@ -375,10 +385,12 @@
 fn a_limit_leaves_more_room_to_reads_that_hit_than_to_those_that_spill() {
     let mut brain = brain(3);
     let mut open = |limit: f64, out: u128, owner: bool| {
-        let s = brain.servers.get_mut(&ServerId(1)).expect("listed");
+        let s = brain.servers.get_mut(&EndpointId(1)).expect("listed");
         s.limit = limit;
-        s.out = (0..out).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
-        let s = &brain.servers[&ServerId(1)];
+        s.out = (0..out)
+            .map(|n| (0, RequestId(n), AttemptNumber(0)))
+            .collect();
+        let s = &brain.servers[&EndpointId(1)];
         brain
             .room(
                 s,
@@ -398,13 +410,15 @@
         let s = brain.servers.get_mut(id).expect("listed");
         s.limit = 4.0;
         s.out = (0..3)
-            .map(|n| (0, RequestId(100 + n), AttemptNo(0)))
+            .map(|n| (0, RequestId(100 + n), AttemptNumber(0)))
             .collect();
     }
-    let to: Vec<ServerId> = (0..3)
+    let to: Vec<EndpointId> = (0..3)
         .flat_map(|id| read(&mut brain, id))
         .filter_map(|a| match a {
-            Action::Send { server, .. } => Some(server),
+            Action::Send {
+                endpoint: server, ..
+            } => Some(server),
             _ => None,
         })
         .collect();
@@ -437,22 +451,24 @@
     let knee = LIMIT_START / 2f64.sqrt();
     let mut grown = Vec::new();
     for limit in [knee - 0.1, knee + 0.1] {
-        let s = brain.servers.get_mut(&ServerId(1)).expect("listed");
+        let s = brain.servers.get_mut(&EndpointId(1)).expect("listed");
         s.limit = limit;
         s.latency = Mean::default();
         s.latency.add(10e6, LATENCY_GAIN, 0.0);
-        s.out = (0..4).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
-        brain.judge(&Ended {
+        s.out = (0..4)
+            .map(|n| (0, RequestId(n), AttemptNumber(0)))
+            .collect();
+        brain.judge(&AttemptResult {
             request: RequestId(0),
-            attempt: AttemptNo(0),
-            server: ServerId(1),
-            outcome: Outcome::Ok,
+            attempt: AttemptNumber(0),
+            endpoint: EndpointId(1),
+            outcome: AttemptOutcome::Ok,
             latency: 10 * MS,
-            finished: true,
-            note: Some(CacheNote::Hit),
-            load: None,
+            request_finished: true,
+            cache_status: Some(CacheStatus::Hit),
+            load_report: None,
         });
-        grown.push((brain.servers[&ServerId(1)].limit - limit) * limit);
+        grown.push((brain.servers[&EndpointId(1)].limit - limit) * limit);
     }
     assert!(
         (grown[0] - LIMIT_STEP).abs() < 1e-6 && (grown[1] - LIMIT_STEP_HIGH).abs() < 1e-6,
@@ -463,35 +479,40 @@
 /// What an answered read that hits, after this long, makes of a limit of 2 that is reached; alone it takes 10 ms.
 fn limit_after(latency: Nanos, aim: Nanos) -> f64 {
     let mut settings = settings();
-    settings.classes.iter_mut().for_each(|c| c.aim = aim);
-    let mut brain = Brain::new(settings, 1, 0).expect("settings make sense");
+    settings
+        .classes
+        .iter_mut()
+        .for_each(|c| c.latency_objective = aim);
+    let mut brain = Engine::new(settings, 1, 0).expect("settings make sense");
     brain.on_list(
-        ListScope::Whole,
-        vec![Entry {
-            server: ServerId(1),
+        UpdateKind::Full,
+        vec![Endpoint {
+            id: EndpointId(1),
             weight: 1.0,
-            ..Entry::default()
+            ..Endpoint::default()
         }],
     );
-    let s = brain.servers.get_mut(&ServerId(1)).expect("listed");
+    let s = brain.servers.get_mut(&EndpointId(1)).expect("listed");
     s.limit = 2.0;
     s.latency = Mean::of([10e6, 10e6, 1000.0]);
-    s.out = (0..2).map(|n| (0, RequestId(n), AttemptNo(0))).collect();
+    s.out = (0..2)
+        .map(|n| (0, RequestId(n), AttemptNumber(0)))
+        .collect();
     for n in 0..2 {
-        let (request, attempt, server) = (RequestId(n), AttemptNo(0), ServerId(1));
-        let (outcome, finished, note) = (Outcome::Ok, true, Some(CacheNote::Hit));
-        brain.judge(&Ended {
+        let (request, attempt, server) = (RequestId(n), AttemptNumber(0), EndpointId(1));
+        let (outcome, finished, note) = (AttemptOutcome::Ok, true, Some(CacheStatus::Hit));
+        brain.judge(&AttemptResult {
             request,
             attempt,
-            server,
+            endpoint: server,
             outcome,
             latency,
-            finished,
-            note,
-            load: None,
+            request_finished: finished,
+            cache_status: note,
+            load_report: None,
         });
     }
-    brain.servers[&ServerId(1)].limit
+    brain.servers[&EndpointId(1)].limit
 }
 
 #[test]
@@ -518,16 +539,16 @@
     ] {
         let mut brain = brain(1);
         if holds {
-            brain.known.insert(Some(Key(9)), ServerId(1));
+            brain.known.insert(Some(Key(9)), EndpointId(1));
         }
         let new = NewRequest {
-            write,
+            is_write: write,
             ..new_read(1, 9, 1_000 * MS)
         };
-        brain.handle(0, Event::Request(new), &mut Vec::new());
-        let before = brain.servers[&ServerId(1)].limit;
-        end(&mut brain, 1, Outcome::Full);
-        let after = brain.servers[&ServerId(1)].limit;
+        brain.handle(0, Event::RequestArrived(new), &mut Vec::new());
+        let before = brain.servers[&EndpointId(1)].limit;
+        end(&mut brain, 1, AttemptOutcome::Rejected);
+        let after = brain.servers[&EndpointId(1)].limit;
         assert_eq!(after < before, cut, "holds {holds}, write {write}");
     }
 }
@@ -535,11 +556,11 @@
 #[test]
 fn heavy_work_is_drawn_to_the_quick_and_light_work_hardly() {
     let mut brain = brain(3);
-    let three = [(1, ServerId(1)), (1, ServerId(2)), (1, ServerId(3))];
+    let three = [(1, EndpointId(1)), (1, EndpointId(2)), (1, EndpointId(3))];
     for (id, took) in [(1, 100e6), (2, 50e6), (3, 50e6)] {
         brain
             .servers
-            .get_mut(&ServerId(id))
+            .get_mut(&EndpointId(id))
             .expect("listed")
             .pace
             .add(took, 50e6, PACE_GAIN);
@@ -547,7 +568,7 @@
     brain.aim = 1_000e6;
     let mut slow = |work| {
         (0..3_000)
-            .filter(|_| brain.draw(&three, None, work) == Some(ServerId(1)))
+            .filter(|_| brain.draw(&three, None, work) == Some(EndpointId(1)))
             .count()
     };
     let [unknown, light, heavy] = [None, Some(MS), Some(500 * MS)].map(&mut slow);
@@ -561,25 +582,25 @@
 #[test]
 fn where_all_three_refuse_connections_a_read_goes_on_to_others() {
     let mut brain = brain(9);
-    brain.settings.limits.max_attempts = 6;
+    brain.settings.capabilities.max_attempts = 6;
     let three = candidates_of_9(&mut brain);
     let mut sent = vec![sent_to(&read(&mut brain, 1)).expect("sent")];
     while three.contains(&sent[sent.len() - 1]) {
-        let (request, attempt) = (RequestId(1), AttemptNo(sent.len() as u32 - 1));
-        let (server, outcome) = (sent[sent.len() - 1], Outcome::ConnectFailed);
+        let (request, attempt) = (RequestId(1), AttemptNumber(sent.len() as u32 - 1));
+        let (server, outcome) = (sent[sent.len() - 1], AttemptOutcome::ConnectFailed);
         let (latency, finished, note, load) = (0, false, None, None);
-        let end = Ended {
+        let end = AttemptResult {
             request,
             attempt,
-            server,
+            endpoint: server,
             outcome,
             latency,
-            finished,
-            note,
-            load,
+            request_finished: finished,
+            cache_status: note,
+            load_report: load,
         };
         let mut actions = Vec::new();
-        brain.handle(brain.now, Event::Ended(end), &mut actions);
+        brain.handle(brain.now, Event::AttemptEnded(end), &mut actions);
         sent.push(sent_to(&actions).expect("not given up"));
         assert!(sent.len() <= 4, "{sent:?}");
     }
@@ -594,7 +615,7 @@
         brain.known.insert(Some(Key(9)), holder);
         brain.origin_room = room;
         read(&mut brain, 1);
-        let sends = end(&mut brain, 1, Outcome::Error)
+        let sends = end(&mut brain, 1, AttemptOutcome::Error)
             .iter()
             .any(|a| matches!(a, Action::Send { .. }));
         assert_eq!(sends, retried);
@@ -608,23 +629,23 @@
     read(&mut brain, 1);
     read(&mut brain, 2);
     brain.now += 20 * MS;
-    end(&mut brain, 2, Outcome::Ok);
+    end(&mut brain, 2, AttemptOutcome::Ok);
     assert_eq!(brain.origin_room, 1.0);
-    end(&mut brain, 1, Outcome::Timeout);
+    end(&mut brain, 1, AttemptOutcome::Timeout);
     // The server answered this key just now: it did not have to fetch it.
     assert_eq!(brain.origin_room, 1.0);
-    brain.known.remove(Some(Key(9)), ServerId(1));
+    brain.known.remove(Some(Key(9)), EndpointId(1));
     read(&mut brain, 3);
     read(&mut brain, 4);
     brain.now += 20 * MS;
     brain
         .servers
-        .get_mut(&ServerId(1))
+        .get_mut(&EndpointId(1))
         .expect("listed")
         .last_answer = brain.now;
-    end(&mut brain, 3, Outcome::Timeout);
+    end(&mut brain, 3, AttemptOutcome::Timeout);
     assert_eq!(brain.origin_room, ORIGIN_CUT);
-    assert_eq!(brain.servers[&ServerId(1)].strikes, 0.0);
+    assert_eq!(brain.servers[&EndpointId(1)].strikes, 0.0);
 }
 
 #[test]
@@ -639,7 +660,7 @@
         for id in 1..=40u128 {
             brain.handle(
                 brain.now,
-                Event::Request(new_read(id, 9, patience)),
+                Event::RequestArrived(new_read(id, 9, patience)),
                 &mut actions,
             );
             let Some(r) = brain.requests.get(&RequestId(id)) else {
@@ -654,7 +675,7 @@
             if id <= 20 {
                 brain.servers.get_mut(&server).expect("listed").last_answer = brain.now;
             }
-            end(&mut brain, id, Outcome::Timeout);
+            end(&mut brain, id, AttemptOutcome::Timeout);
         }
         let limits: Vec<f64> = to.iter().map(|id| brain.servers[id].limit).collect();
         assert_eq!(
@@ -677,7 +698,7 @@
 fn a_few_time_outs_spare_the_origin_nothing_and_many_do() {
     let mut brain = brain(3);
     let r = Request::new(new_read(1, 9, 1_000 * MS), 0, slot_of_9(), false);
-    let borne = |brain: &mut Brain| (0..1_000).filter(|_| brain.origin_bears(&r)).count();
+    let borne = |brain: &mut Engine| (0..1_000).filter(|_| brain.origin_bears(&r)).count();
     for (cuts, least, most) in [(2, 1_000, 1_000), (5, 690, 780), (10, 400, 470)] {
         brain.origin_room = ORIGIN_CUT.powi(cuts);
         let let_through = borne(&mut brain);
@@ -697,16 +718,16 @@
     let three = candidates_of_9(&mut brain);
     read(&mut brain, 1);
     let first = brain.requests[&RequestId(1)].attempts[0].server;
-    let routers_root = |brain: &mut Brain, n: u128| {
+    let routers_root = |brain: &mut Engine, n: u128| {
         for id in three.iter().filter(|id| **id != first) {
             let s = brain.servers.get_mut(id).expect("listed");
             s.out = (0..n)
-                .map(|n| (brain.now, RequestId(100 + n), AttemptNo(0)))
+                .map(|n| (brain.now, RequestId(100 + n), AttemptNumber(0)))
                 .collect();
         }
     };
     routers_root(&mut brain, 20);
-    let late = |brain: &mut Brain| {
+    let late = |brain: &mut Engine| {
         brain.now += 11 * MS;
         let due: Vec<u64> = brain
             .timers
@@ -716,7 +737,7 @@
             .collect();
         let mut actions = Vec::new();
         due.into_iter()
-            .for_each(|t| brain.handle(brain.now, Event::Timer(Token(t)), &mut actions));
+            .for_each(|t| brain.handle(brain.now, Event::TimerFired(TimerToken(t)), &mut actions));
         actions
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
@@ -754,10 +775,10 @@
     let hopeless = (Record::edge(10.0) as f64 * HOPELESS) as Nanos;
     assert_eq!(timeout(read(&mut brain, 2)), Some(Some(hopeless)));
     assert_eq!(
-        timeout(end(&mut brain, 2, Outcome::Timeout)),
+        timeout(end(&mut brain, 2, AttemptOutcome::Timeout)),
         Some(Some(hopeless))
     );
-    brain.settings.limits.max_attempts = 1;
+    brain.settings.capabilities.max_attempts = 1;
     assert_eq!(
         timeout(read(&mut brain, 3)),
         Some(None),
@@ -778,7 +799,7 @@
             };
             let s = brain.servers.get_mut(&id).expect("listed");
             s.out = (0..out)
-                .map(|n| (0, RequestId(100 + n), AttemptNo(0)))
+                .map(|n| (0, RequestId(100 + n), AttemptNumber(0)))
                 .collect();
         }
         assert!(
@@ -799,7 +820,7 @@
         let refused = brain
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count();
         assert_eq!(refused, 1);
     }
@@ -808,13 +829,17 @@
 #[test]
 fn advice_is_within_the_aim_for_want_of_room_and_beyond_it_in_overload() {
     let mut brain = brain(3);
-    brain.settings.limits.retry_after = true;
+    brain.settings.capabilities.retry_after = true;
     let r = Request::new(new_read(1, 9, 1_000 * MS), 0, slot_of_9(), false);
     brain.now = 100 * MS;
     for _ in 0..200 {
-        assert!((25 * MS..75 * MS).contains(&brain.advice(&r, Reason::Limit)));
-        assert!((100 * MS..300 * MS).contains(&brain.advice(&r, Reason::Origin)));
-        assert_eq!(brain.advice(&r, Reason::Late), 0, "nobody waits any more");
+        assert!((25 * MS..75 * MS).contains(&brain.advice(&r, DecisionReason::ConcurrencyLimit)));
+        assert!((100 * MS..300 * MS).contains(&brain.advice(&r, DecisionReason::OriginProtection)));
+        assert_eq!(
+            brain.advice(&r, DecisionReason::DeadlineExceeded),
+            0,
+            "nobody waits any more"
+        );
     }
 }
 
@@ -823,16 +848,16 @@
     let mut brain = brain(1);
     read(&mut brain, 1);
     let r = brain.requests.remove(&RequestId(1)).expect("open");
-    let s = brain.servers.get_mut(&ServerId(1)).expect("listed");
+    let s = brain.servers.get_mut(&EndpointId(1)).expect("listed");
     (s.suspect_until, s.proven) = (Some(0), true);
-    assert!(brain.fitness(&r, ServerId(1), true) == Fitness::Suspect);
+    assert!(brain.fitness(&r, EndpointId(1), true) == Fitness::Suspect);
     brain
         .servers
-        .get_mut(&ServerId(1))
+        .get_mut(&EndpointId(1))
         .expect("listed")
         .out
         .clear();
-    assert!(brain.fitness(&r, ServerId(1), true) == Fitness::Open);
+    assert!(brain.fitness(&r, EndpointId(1), true) == Fitness::Open);
 }
 
 #[test]
@@ -841,9 +866,13 @@
         let mut brain = brain(3);
         brain.bad = bad;
         let mut n = 0;
-        while brain.servers[&ServerId(1)].suspect_until.is_none() {
-            brain.servers.get_mut(&ServerId(1)).expect("listed").strikes += 1.0;
-            brain.with_server(ServerId(1), |me, s| me.suspect(ServerId(1), s, 0.0));
+        while brain.servers[&EndpointId(1)].suspect_until.is_none() {
+            brain
+                .servers
+                .get_mut(&EndpointId(1))
+                .expect("listed")
+                .strikes += 1.0;
+            brain.with_server(EndpointId(1), |me, s| me.suspect(EndpointId(1), s, 0.0));
             n += 1;
         }
         n
@@ -864,7 +893,7 @@
         };
         read(&mut brain, 1);
         assert_eq!(
-            sent(&end(&mut brain, 1, Outcome::Full)),
+            sent(&end(&mut brain, 1, AttemptOutcome::Rejected)),
             sends,
             "after a rejection"
         );
@@ -884,12 +913,12 @@
     }
     brain.retry_budget = 0.0;
     read(&mut brain, 1);
-    let sent = sent_to(&end(&mut brain, 1, Outcome::Full));
+    let sent = sent_to(&end(&mut brain, 1, AttemptOutcome::Rejected));
     assert!(sent.is_some_and(|id| !three.contains(&id)), "{sent:?}");
     // With one calm candidate reads go there in the first place, and back to the others as that is long ago.
     brain.servers.get_mut(&three[2]).expect("listed").turned = 0.0;
     let r = Request::new(new_read(2, 9, 1_000 * MS), 0, slot_of_9(), false);
-    let picked = |brain: &mut Brain| match brain.pick(&r, false) {
+    let picked = |brain: &mut Engine| match brain.pick(&r, false) {
         Pick::To(id) => Some(id),
         _ => None,
     };
@@ -900,7 +929,10 @@
 
 #[test]
 fn a_refused_connection_is_no_charge_on_the_budget_for_retries() {
-    for (outcome, goes_on) in [(Outcome::ConnectFailed, true), (Outcome::Reset, false)] {
+    for (outcome, goes_on) in [
+        (AttemptOutcome::ConnectFailed, true),
+        (AttemptOutcome::Reset, false),
+    ] {
         let mut brain = brain(9);
         brain.retry_budget = 0.0;
         read(&mut brain, 1);
@@ -933,8 +965,8 @@
     assert!(
         matches!(
             brain.actions[..],
-            [Action::Note {
-                withheld: Withheld::Copy,
+            [Action::Defer {
+                deferral: Deferral::HedgeSuppressed,
                 ..
             }]
         ),
@@ -949,9 +981,9 @@
         (4, (COPY_BURST / 2.0, RETRY_BURST / 2.0)),
         (100, (3.0, 3.0)),
     ] {
-        let mut brain = Brain::new(
+        let mut brain = Engine::new(
             Settings {
-                routers,
+                balancers: routers,
                 ..settings()
             },
             1,
@@ -959,11 +991,11 @@
         )
         .expect("settings make sense");
         brain.on_list(
-            ListScope::Whole,
+            UpdateKind::Full,
             (1..=9)
-                .map(|n| Entry {
-                    server: ServerId(n),
-                    ..Entry::default()
+                .map(|n| Endpoint {
+                    id: EndpointId(n),
+                    ..Endpoint::default()
                 })
                 .collect(),
         );
@@ -983,12 +1015,12 @@
     for (servers, room) in [(1, 1.0), (4, 1.0), (5, ORIGIN_CUT)] {
         let mut brain = brain(9);
         for id in 1..=servers {
-            let s = brain.servers.get_mut(&ServerId(id)).expect("listed");
-            (s.turned, s.entry.phase) = (0.5, Phase::Up);
+            let s = brain.servers.get_mut(&EndpointId(id)).expect("listed");
+            (s.turned, s.entry.state) = (0.5, EndpointState::Active);
         }
         let r = Request::new(new_read(1, 9, 1_000 * MS), 0, 0, false);
         let attempt = Attempt {
-            server: ServerId(1),
+            server: EndpointId(1),
             zone: 0,
             cell: 0,
             sent: 0,
@@ -999,17 +1031,17 @@
             attempts: vec![attempt],
             ..r
         };
-        let (request, outcome) = (RequestId(1), Outcome::Error);
-        let (attempt, server, latency) = (AttemptNo(0), ServerId(1), MS);
-        let end = Ended {
+        let (request, outcome) = (RequestId(1), AttemptOutcome::Error);
+        let (attempt, server, latency) = (AttemptNumber(0), EndpointId(1), MS);
+        let end = AttemptResult {
             request,
             attempt,
-            server,
+            endpoint: server,
             outcome,
             latency,
-            finished: false,
-            note: None,
-            load: None,
+            request_finished: false,
+            cache_status: None,
+            load_report: None,
         };
         brain.judge_origin(&r, &end);
         assert_eq!(brain.origin_room, room, "errors at {servers} of 9");
@@ -1018,9 +1050,9 @@
 
 #[test]
 fn a_server_that_comes_while_lists_are_told_is_cold_whatever_the_wall_clock_said() {
-    let rules = || Rules {
-        warm_after: 20_000 * MS,
-        cold_from: 0.1,
+    let rules = || ServiceRules {
+        slow_start_duration: 20_000 * MS,
+        slow_start_fraction: 0.1,
         ..settings().rules
     };
     let begin = 10_000_000 * MS;
@@ -1036,28 +1068,28 @@
             rules: rules(),
             ..settings()
         };
-        let mut brain = Brain::new(settings, 1, 0).expect("settings make sense");
+        let mut brain = Engine::new(settings, 1, 0).expect("settings make sense");
         let own = |time: Nanos| time + ahead * MS - behind * MS;
         brain.now = own(begin);
         brain.on_list(
-            ListScope::Whole,
-            vec![Entry {
-                server: ServerId(1),
-                ..Entry::default()
+            UpdateKind::Full,
+            vec![Endpoint {
+                id: EndpointId(1),
+                ..Endpoint::default()
             }],
         );
         let started = begin + 1_000 * MS;
         // It is listed a second after its start.
         brain.now = own(begin + 2_000 * MS);
         brain.on_list(
-            ListScope::Patch,
-            vec![Entry {
-                server: ServerId(2),
+            UpdateKind::Delta,
+            vec![Endpoint {
+                id: EndpointId(2),
                 started,
-                ..Entry::default()
+                ..Endpoint::default()
             }],
         );
-        let part = |brain: &Brain| brain.ramp(&brain.servers[&ServerId(2)]);
+        let part = |brain: &Engine| brain.ramp(&brain.servers[&EndpointId(2)]);
         let at = |age: f64| 0.1 + 0.9 * age / 20.0 + 1e-9;
         assert!(
             part(&brain) <= at(6.0),
@@ -1087,9 +1119,9 @@
         (2, 400, IDLE_MOST),
         (300, 3_200, IDLE_MOST),
     ] {
-        let mut brain = Brain::new(
+        let mut brain = Engine::new(
             Settings {
-                routers,
+                balancers: routers,
                 ..settings()
             },
             1,
@@ -1097,17 +1129,17 @@
         )
         .expect("settings make sense");
         let entries = (0..servers)
-            .map(|n| Entry {
-                server: ServerId(n),
-                ..Entry::default()
+            .map(|n| Endpoint {
+                id: EndpointId(n),
+                ..Endpoint::default()
             })
             .collect();
-        brain.on_list(ListScope::Whole, entries);
+        brain.on_list(UpdateKind::Full, entries);
         brain.now = 1_000 * MS;
         brain
             .servers
             .values_mut()
-            .for_each(|s| s.idle_since = Some(400 * MS + s.entry.server.0));
+            .for_each(|s| s.idle_since = Some(400 * MS + s.entry.id.0));
         brain.actions.clear();
         let idle = brain
             .servers
@@ -1118,12 +1150,12 @@
         let closed: Vec<&Action> = brain
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Close(_)))
+            .filter(|a| matches!(a, Action::CloseIdleConnections(_)))
             .collect();
         let beyond = servers as usize - left;
         assert_eq!((closed.len(), brain.actions.len()), (beyond, beyond));
         assert!(
-            !closed.contains(&&Action::Close(ServerId(servers - 1))),
+            !closed.contains(&&Action::CloseIdleConnections(EndpointId(servers - 1))),
             "the last used stay"
         );
     }
@@ -1132,9 +1164,9 @@
 #[test]
 fn the_told_number_of_routers_goes_before_the_settings_and_stands_from_then_on() {
     let at = |routers| {
-        Brain::new(
+        Engine::new(
             Settings {
-                routers,
+                balancers: routers,
                 ..settings()
             },
             1,
@@ -1144,30 +1176,30 @@
     };
     let mut told = at(2);
     let mut actions = Vec::new();
-    told.handle(0, Event::Routers(100), &mut actions);
+    told.handle(0, Event::BalancerCount(100), &mut actions);
     let many = at(100);
     assert_eq!(
-        (told.settings.routers, told.routers_root),
-        (many.settings.routers, many.routers_root)
+        (told.settings.balancers, told.routers_root),
+        (many.settings.balancers, many.routers_root)
     );
-    told.handle(0, Event::Routers(0), &mut actions);
-    assert_eq!(told.settings.routers, 1, "this one counts");
+    told.handle(0, Event::BalancerCount(0), &mut actions);
+    assert_eq!(told.settings.balancers, 1, "this one counts");
 }
 
 #[test]
 fn an_unused_limit_stays_above_the_least_among_hundreds_of_routers() {
-    let mut brain = Brain::new(
+    let mut brain = Engine::new(
         Settings {
-            routers: 900,
+            balancers: 900,
             ..settings()
         },
         1,
         0,
     )
     .expect("settings make sense");
-    brain.on_list(ListScope::Whole, vec![Entry::default()]);
+    brain.on_list(UpdateKind::Full, vec![Endpoint::default()]);
     (0..1_000).for_each(|_| brain.housekeeping());
-    assert_eq!(brain.servers[&ServerId(0)].limit, LIMIT_MIN);
+    assert_eq!(brain.servers[&EndpointId(0)].limit, LIMIT_MIN);
 }
 
 #[test]
@@ -1186,17 +1218,17 @@
 
 #[test]
 fn a_share_is_turned_away_at_once_while_too_little_is_served_in_time() {
-    let mut brain = Brain::new(
+    let mut brain = Engine::new(
         Settings {
-            routers: 300,
+            balancers: 300,
             ..settings()
         },
         1,
         0,
     )
     .expect("settings make sense");
-    brain.on_list(ListScope::Whole, vec![Entry::default()]);
-    let bears = |brain: &mut Brain| (0..1_000).filter(|_| brain.fleet_bears()).count();
+    brain.on_list(UpdateKind::Full, vec![Endpoint::default()]);
+    let bears = |brain: &mut Engine| (0..1_000).filter(|_| brain.fleet_bears()).count();
     assert_eq!(bears(&mut brain), 1_000, "nothing is known yet");
     for (served, least, most) in [(48, 1_000, 1_000), (10, 240, 400), (0, 240, 360)] {
         brain.now += 100_000 * MS;
@@ -1212,7 +1244,7 @@
     brain.now += 100_000 * MS;
     read(&mut brain, 1);
     brain.retry_budget = 0.0;
-    end(&mut brain, 1, Outcome::Full);
+    end(&mut brain, 1, AttemptOutcome::Rejected);
     assert!(brain.requests.is_empty() && brain.taken.per_s(brain.now) < 1e-6);
 }
 
@@ -1222,10 +1254,10 @@
     let mut let_through = 0;
     for seed in 0..20 {
         let settings = Settings {
-            routers: 100,
+            balancers: 100,
             ..settings()
         };
-        let mut brain = Brain::new(settings, seed, 0).expect("settings make sense");
+        let mut brain = Engine::new(settings, seed, 0).expect("settings make sense");
         (0..60).for_each(|_| brain.taken.add(0));
         for n in 1..=160u64 {
             brain.now = n * 50 * MS;
@@ -1244,16 +1276,16 @@
 #[test]
 fn the_share_for_the_origin_moves_faster_at_one_of_many_routers() {
     for (routers, errors, back) in [(2, 5, 80), (100, 1, 11)] {
-        let mut brain = Brain::new(
+        let mut brain = Engine::new(
             Settings {
-                routers,
+                balancers: routers,
                 ..settings()
             },
             1,
             0,
         )
         .expect("settings make sense");
-        let steps = |brain: &mut Brain, factor: f64, until: fn(f64) -> bool| {
+        let steps = |brain: &mut Engine, factor: f64, until: fn(f64) -> bool| {
             (1..).find(|_| {
                 brain.move_origin_room(factor);
                 until(brain.origin_room)
@@ -1272,13 +1304,13 @@
 fn a_server_far_slower_than_the_others_is_drawn_last_until_that_is_forgotten() {
     let mut brain = brain(9);
     let three = candidates_of_9(&mut brain);
-    let set = |brain: &mut Brain, id: ServerId, ms: f64| {
+    let set = |brain: &mut Engine, id: EndpointId, ms: f64| {
         let s = brain.servers.get_mut(&id).expect("listed");
         s.latency = Mean::default();
         s.latency.add(10e6, LATENCY_GAIN, 0.0);
         s.latency.now = ms * 1e6;
     };
-    let picked = |brain: &mut Brain| {
+    let picked = |brain: &mut Engine| {
         let r = Request::new(new_read(2, 9, 1_000 * MS), 0, slot_of_9(), false);
         match brain.pick(&r, false) {
             Pick::To(id) => Some(id),
@@ -1288,7 +1320,7 @@
     brain.known.insert(Some(Key(9)), three[0]);
     // All alike slow is the load, not the server.
     for (others, to_slow) in [(100.0, true), (10.0, false)] {
-        (1..=9).for_each(|id| set(&mut brain, ServerId(id), others));
+        (1..=9).for_each(|id| set(&mut brain, EndpointId(id), others));
         set(&mut brain, three[0], 100.0);
         brain.housekeeping();
         let to = (0..100)
@@ -1305,40 +1337,43 @@
 /// Two classes, of which the first is worth less, and a tenant that may ask for little.
 fn two_classes() -> Settings {
     let mut settings = settings();
-    settings.classes.push(Class {
-        worth: 10.0,
+    settings.classes.push(RequestClass {
+        priority_weight: 10.0,
         ..settings.classes[0].clone()
     });
     settings.tenants.push(Tenant {
-        allowance_per_s: 0.001,
+        quota_per_second: 0.001,
     });
-    (settings.over_share_worth, settings.limits.retry_after) = (0.2, true);
-    settings.limits.max_retry_after = 5_000 * MS;
+    (
+        settings.over_quota_weight,
+        settings.capabilities.retry_after,
+    ) = (0.2, true);
+    settings.capabilities.max_retry_after = 5_000 * MS;
     settings
 }
 
-fn listed(settings: Settings, seed: u64) -> Brain {
-    let mut brain = Brain::new(settings, seed, 0).expect("settings make sense");
-    let entries = (1..=9).map(|i| Entry {
-        server: ServerId(i),
+fn listed(settings: Settings, seed: u64) -> Engine {
+    let mut brain = Engine::new(settings, seed, 0).expect("settings make sense");
+    let entries = (1..=9).map(|i| Endpoint {
+        id: EndpointId(i),
         weight: 1.0,
-        ..Entry::default()
+        ..Endpoint::default()
     });
-    brain.on_list(ListScope::Whole, entries.collect());
+    brain.on_list(UpdateKind::Full, entries.collect());
     brain.servers.values_mut().for_each(|s| s.limit = 1e6);
     brain
 }
 
 fn allow(level: f64, turn: u64) -> Event {
-    Event::Allowance(Allowance {
+    Event::FleetShedding(SheddingLevel {
         level,
-        turn,
-        turn_ends: (turn + 1) * 1_000 * MS,
+        rotation: turn,
+        rotation_ends: (turn + 1) * 1_000 * MS,
     })
 }
 
 /// Which of the keys 0 to 999 are shed of a class.
-fn shed(brain: &mut Brain, class: usize, tenant: Option<TenantId>) -> Vec<u64> {
+fn shed(brain: &mut Engine, class: usize, tenant: Option<TenantId>) -> Vec<u64> {
     let mut shed = Vec::new();
     for key in 0..1_000 {
         let id = (brain.next_token as u128) << 32 | u128::from(key);
@@ -1348,9 +1383,8 @@
             ..new_read(id, key, 1_000 * MS)
         };
         let mut actions = Vec::new();
-        brain.handle(brain.now, Event::Request(new), &mut actions);
-        let level =
-            |a: &Action| matches!(a, Action::Refuse { why, .. } if why.reason == Reason::Level);
+        brain.handle(brain.now, Event::RequestArrived(new), &mut actions);
+        let level = |a: &Action| matches!(a, Action::Reject { explanation: why, .. } if why.reason == DecisionReason::FleetShedding);
         shed.extend(actions.iter().any(level).then_some(key));
     }
     shed
@@ -1394,12 +1428,12 @@
     for id in 0..200 {
         brain.handle(
             300 * MS,
-            Event::Request(new_read(id, id as u64, 500 * MS)),
+            Event::RequestArrived(new_read(id, id as u64, 500 * MS)),
             &mut actions,
         );
     }
     for action in &actions {
-        if let Action::Refuse { retry_after, .. } = action {
+        if let Action::Reject { retry_after, .. } = action {
             waits.push(*retry_after);
         }
     }
@@ -1408,11 +1442,14 @@
         waits.iter().all(|w| (700 * MS..900 * MS).contains(w)),
         "0.7 s are left, and the aim is spread over"
     );
-    let tally = brain.take_tally();
-    assert_eq!(tally.let_in.iter().sum::<u32>() as usize + waits.len(), 200);
+    let tally = brain.take_admission_counts();
+    assert_eq!(
+        tally.admitted.iter().sum::<u32>() as usize + waits.len(),
+        200
+    );
     assert_eq!(
-        (tally.short, brain.take_tally()),
-        (0, Tally::default()),
+        (tally.capacity_rejections, brain.take_admission_counts()),
+        (0, AdmissionCounts::default()),
         "shed is not short"
     );
 }
@@ -1428,8 +1465,8 @@
             class: ClassId(id as usize % 2),
             ..new_read(id.into(), id % 40, 300 * MS)
         };
-        without.handle(now, Event::Request(new), &mut a);
-        with.handle(now, Event::Request(new), &mut b);
+        without.handle(now, Event::RequestArrived(new), &mut a);
+        with.handle(now, Event::RequestArrived(new), &mut b);
         if id % 100 == 99 {
             with.handle(now, allow(0.0, id), &mut b);
         }
@@ -1441,17 +1478,21 @@
 #[test]
 fn a_keyed_repeat_begins_within_its_window_and_what_never_ran_does_not_bound_it() {
     for (outcome, bound) in [
-        (Outcome::Reset, Some(250 * MS)),
-        (Outcome::ConnectFailed, None),
+        (AttemptOutcome::Reset, Some(250 * MS)),
+        (AttemptOutcome::ConnectFailed, None),
     ] {
         let mut brain = brain(3);
-        brain.settings.classes[0].effect = Effect::Keyed {
-            group: Group::All,
+        brain.settings.classes[0].idempotency = Idempotency::Keyed {
+            scope: DeduplicationScope::All,
             window: 300 * MS,
         };
         let within = |actions: Vec<Action>| {
             let send = |a| {
-                if let Action::Send { begin_within, .. } = a {
+                if let Action::Send {
+                    write_within: begin_within,
+                    ..
+                } = a
+                {
                     Some(begin_within)
                 } else {
                     None
@@ -1478,19 +1519,19 @@
     // 3.75 s, and 1.6 s for a call that hangs: under the 6 s after which a change counts as told whatever failed.
     for (within, longest) in [(10_000, 3_750), (1_000, 3_000), (0, 3_750)] {
         let mut brain = brain(1);
-        brain.settings.discovery = Discovery::Asked {
-            within: within * MS,
+        brain.settings.discovery = DiscoveryMode::Poll {
+            staleness_limit: within * MS,
         };
         let mut most = 0;
         for _ in 0..200 {
             let mut actions = Vec::new();
-            let failed = Event::List {
-                scope: ListScope::Failed,
-                entries: Vec::new(),
+            let failed = Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: Vec::new(),
             };
             brain.handle(brain.now, failed, &mut actions);
             let call = |a| {
-                if let Action::Timer { after, token } = a {
+                if let Action::SetTimer { after, token } = a {
                     Some((after, token))
                 } else {
                     None
@@ -1518,27 +1559,29 @@
             let mut actions = Vec::new();
             brain.handle(
                 0,
-                Event::Request(new_read(1, 9, patience * MS)),
+                Event::RequestArrived(new_read(1, 9, patience * MS)),
                 &mut actions,
             );
-            brain.handle(100 * MS, Event::Ending(by), &mut actions);
+            brain.handle(100 * MS, Event::ShuttingDown(by), &mut actions);
             let timer = |a: &Action| {
-                if let Action::Timer { token, .. } = a {
+                if let Action::SetTimer { token, .. } = a {
                     Some(*token)
                 } else {
                     None
                 }
             };
-            let deadline = |t: &Token| matches!(brain.timers.get(&t.0), Some(Timer::Deadline(_)));
-            let tokens: Vec<Token> = actions.iter().filter_map(timer).filter(deadline).collect();
+            let deadline =
+                |t: &TimerToken| matches!(brain.timers.get(&t.0), Some(Timer::Deadline(_)));
+            let tokens: Vec<TimerToken> =
+                actions.iter().filter_map(timer).filter(deadline).collect();
             let answers = |actions: &[Action]| {
-                let is_one = |a: &&Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
+                let is_one = |a: &&Action| matches!(a, Action::Reject { .. } | Action::Fail { .. });
                 actions.iter().filter(is_one).count()
             };
             assert_eq!(answers(&actions), 0, "{patience} {servers}: not before");
             let mut all = Vec::new();
             for token in tokens {
-                brain.handle(answered * MS, Event::Timer(token), &mut all);
+                brain.handle(answered * MS, Event::TimerFired(token), &mut all);
             }
             assert_eq!(answers(&all), 1, "{patience} {servers}: {all:?}");
         }
@@ -1548,23 +1591,23 @@
 #[test]
 fn what_failed_before_discovery_moved_or_answered_delays_no_call_from_then_on() {
     let mut brain = brain(1);
-    brain.settings.discovery = Discovery::Asked {
-        within: 10_000 * MS,
+    brain.settings.discovery = DiscoveryMode::Poll {
+        staleness_limit: 10_000 * MS,
     };
-    let failed = || Event::List {
-        scope: ListScope::Failed,
-        entries: Vec::new(),
+    let failed = || Event::EndpointUpdate {
+        kind: UpdateKind::Failed,
+        endpoints: Vec::new(),
     };
     let mut actions = Vec::new();
     for _ in 0..9 {
         brain.handle(0, failed(), &mut actions);
     }
     assert_eq!(brain.call_backoff, CALL_BACKOFF_MAX);
-    brain.handle(0, Event::DiscoveryAnew, &mut actions);
+    brain.handle(0, Event::DiscoveryAvailable, &mut actions);
     actions.clear();
     brain.handle(0, failed(), &mut actions);
     let after = |a: &Action| {
-        if let Action::Timer { after, .. } = a {
+        if let Action::SetTimer { after, .. } = a {
             Some(*after)
         } else {
             None
@@ -1580,32 +1623,38 @@
 #[test]
 fn of_several_failed_calls_one_is_made_again() {
     let mut brain = brain(1);
-    brain.settings.discovery = Discovery::Asked {
-        within: 10_000 * MS,
+    brain.settings.discovery = DiscoveryMode::Poll {
+        staleness_limit: 10_000 * MS,
     };
     let mut actions = Vec::new();
     // A call failed, and the one at the new address that a reload began meanwhile.
     for _ in 0..2 {
         brain.handle(
             0,
-            Event::List {
-                scope: ListScope::Failed,
-                entries: Vec::new(),
+            Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: Vec::new(),
             },
             &mut actions,
         );
     }
     let token = |a: &Action| {
-        if let Action::Timer { token, .. } = a {
+        if let Action::SetTimer { token, .. } = a {
             Some(*token)
         } else {
             None
         }
     };
-    let tokens: Vec<Token> = actions.iter().filter_map(token).collect();
+    let tokens: Vec<TimerToken> = actions.iter().filter_map(token).collect();
     actions.clear();
     for token in tokens {
-        brain.handle(10_000 * MS, Event::Timer(token), &mut actions);
+        brain.handle(10_000 * MS, Event::TimerFired(token), &mut actions);
     }
-    assert_eq!(actions.iter().filter(|a| **a == Action::Watch).count(), 1);
+    assert_eq!(
+        actions
+            .iter()
+            .filter(|a| **a == Action::QueryDiscovery)
+            .count(),
+        1
+    );
 }
--- a/crates/routing/src/brain/why.rs
+++ b/crates/routing/src/brain/why.rs
@@ -1,37 +1,40 @@
 //! What the module says of its refusals, holds and attempts not made. Nothing is decided here.
 
-use super::Brain;
+use super::Engine;
 use crate::api::*;
 use crate::state::Request;
 
-impl Brain {
+impl Engine {
     /// The reason with the figures it was decided by: those of the request's first candidate, or, where the origin is
     /// the reason, those of fetches.
-    pub(super) fn why(&mut self, r: &Request, reason: Reason) -> Why {
+    pub(super) fn why(&mut self, r: &Request, reason: DecisionReason) -> Explanation {
         let first = self
             .candidates(r.slot)
             .first()
             .and_then(|id| self.servers.get(id));
-        let fetches = matches!(reason, Reason::Origin | Reason::Distress);
+        let fetches = matches!(
+            reason,
+            DecisionReason::OriginProtection | DecisionReason::OriginOverload
+        );
         let mean = first
             .filter(|_| !fetches)
             .map_or(&self.fetch, |s| &s.latency);
-        Why {
+        Explanation {
             reason,
-            out: first.map_or(0, |s| s.out.len()),
+            in_flight: first.map_or(0, |s| s.out.len()),
             limit: first.map_or(0.0, |s| s.limit),
-            room: self.origin_room,
-            base: mean.base as Nanos,
-            now: mean.now as Nanos,
+            origin_admitted_fraction: self.origin_room,
+            baseline_latency: mean.base as Nanos,
+            recent_latency: mean.now as Nanos,
         }
     }
 
-    pub(super) fn note(&mut self, r: &Request, withheld: Withheld, reason: Reason) {
+    pub(super) fn note(&mut self, r: &Request, withheld: Deferral, reason: DecisionReason) {
         let why = self.why(r, reason);
-        self.actions.push(Action::Note {
+        self.actions.push(Action::Defer {
             request: r.new.id,
-            withheld,
-            why,
+            deferral: withheld,
+            explanation: why,
         });
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -9,12 +9,12 @@
 /// What this router knows of one listed server.
 #[derive(Default)]
 pub(crate) struct Server {
-    pub(crate) entry: Entry,
+    pub(crate) entry: Endpoint,
     /// When it was first listed with its present start, and whether others were listed before it.
     pub(crate) listed: Nanos,
     pub(crate) is_news: bool,
     /// Attempts out: when sent, which.
-    pub(crate) out: Vec<(Nanos, RequestId, AttemptNo)>,
+    pub(crate) out: Vec<(Nanos, RequestId, AttemptNumber)>,
     pub(crate) last_answer: Nanos,
     /// Nothing is out since then, but a connection may stand.
     pub(crate) idle_since: Option<Nanos>,
@@ -37,18 +37,18 @@
 
 /// One attempt of a request; zone and cell are kept, for its server may leave the list.
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) zone: usize,
     pub(crate) cell: u64,
     pub(crate) sent: Nanos,
-    pub(crate) ended: Option<Outcome>,
+    pub(crate) ended: Option<AttemptOutcome>,
     pub(crate) origin: bool,
 }
 
 impl Attempt {
     /// Anything not proven otherwise may have had its effect.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.ended.is_none_or(|o| !o.never_ran())
+        self.ended.is_none_or(|o| !o.proves_no_effect())
     }
 }
 
@@ -60,7 +60,7 @@
     pub(crate) slot: usize,
     pub(crate) attempts: Vec<Attempt>,
     /// Since when it waits for room, and what it lacks now.
-    pub(crate) held_since: Option<(Nanos, Reason)>,
+    pub(crate) held_since: Option<(Nanos, DecisionReason)>,
     pub(crate) over_share: bool,
     pub(crate) copied: bool,
     pub(crate) streaming: bool,
@@ -70,7 +70,7 @@
 impl Request {
     pub(crate) fn new(new: NewRequest, now: Nanos, slot: usize, over_share: bool) -> Self {
         Request {
-            deadline: now.saturating_add(new.patience),
+            deadline: now.saturating_add(new.client_timeout),
             new,
             arrived: now,
             slot,
@@ -83,7 +83,7 @@
         }
     }
     /// Whether an attempt went to this server already.
-    pub(crate) fn tried(&self, id: ServerId) -> bool {
+    pub(crate) fn tried(&self, id: EndpointId) -> bool {
         self.attempts.iter().any(|a| a.server == id)
     }
     /// The first attempt that may have had its effect.
@@ -108,16 +108,16 @@
 /// What the legality check is asked about.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Step {
-    Send(ServerId),
-    Copy(ServerId),
+    Send(EndpointId),
+    Copy(EndpointId),
     Refuse,
 }
 
 /// Where the next attempt may go.
 pub(crate) enum Pick {
-    To(ServerId),
+    To(EndpointId),
     /// Some candidate is fit but has no room now, for this reason.
-    Wait(Reason),
+    Wait(DecisionReason),
     Nowhere,
 }
 
@@ -125,6 +125,6 @@
 #[derive(PartialEq)]
 pub(crate) enum Fitness {
     Open,
-    Crowded(Reason),
+    Crowded(DecisionReason),
     Suspect,
 }
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -154,7 +154,7 @@
 
 /// Which server answered which key in this period and in the last, so that memory stays bounded.
 pub(crate) struct Known {
-    pairs: [BTreeSet<(Key, ServerId)>; 2],
+    pairs: [BTreeSet<(Key, EndpointId)>; 2],
     period: Nanos,
     since: Nanos,
 }
@@ -176,13 +176,13 @@
         }
     }
     /// Whether the server answered this key lately, so that it most likely still holds it.
-    pub(crate) fn held(&self, key: Option<Key>, id: ServerId) -> bool {
+    pub(crate) fn held(&self, key: Option<Key>, id: EndpointId) -> bool {
         key.is_some_and(|k| self.pairs.iter().any(|pairs| pairs.contains(&(k, id))))
     }
-    pub(crate) fn insert(&mut self, key: Option<Key>, id: ServerId) {
+    pub(crate) fn insert(&mut self, key: Option<Key>, id: EndpointId) {
         self.pairs[0].extend(key.map(|k| (k, id)));
     }
-    pub(crate) fn remove(&mut self, key: Option<Key>, id: ServerId) {
+    pub(crate) fn remove(&mut self, key: Option<Key>, id: EndpointId) {
         let Some(key) = key else { return };
         self.pairs
             .iter_mut()
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -5,7 +5,7 @@
 use routing::*;
 
 /// Plays `count` reads of ever new keys, 10 ms apart, and ends each attempt at once as told.
-fn play(b: &mut Bench, from: u128, count: u128, outcome: Outcome) -> (usize, usize) {
+fn play(b: &mut Bench, from: u128, count: u128, outcome: AttemptOutcome) -> (usize, usize) {
     let (mut sent, mut refused) = (0, 0);
     for id in from..from + count {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
@@ -16,8 +16,8 @@
                 id,
                 attempt as u32,
                 outcome,
-                outcome == Outcome::Ok,
-                Some(CacheNote::Miss),
+                outcome == AttemptOutcome::Ok,
+                Some(CacheStatus::Miss),
             );
             attempt += 1;
         }
@@ -31,10 +31,10 @@
 fn an_origin_in_distress_is_spared_what_it_would_have_to_fetch() {
     let mut b = bench(settings());
     b.list(&[1, 2, 3, 4]);
-    play(&mut b, 1, 200, Outcome::Ok);
-    play(&mut b, 1_000, 100, Outcome::Error);
+    play(&mut b, 1, 200, AttemptOutcome::Ok);
+    play(&mut b, 1_000, 100, AttemptOutcome::Error);
     // All fetches fail: of the next hundred unknown keys few go out, none of them twice.
-    let (sent, refused) = play(&mut b, 2_000, 100, Outcome::Error);
+    let (sent, refused) = play(&mut b, 2_000, 100, AttemptOutcome::Error);
     assert!(sent < 25, "{sent}");
     assert_eq!(refused, 100);
     // A key that was answered lately is let through all the same.
@@ -46,16 +46,16 @@
 fn an_origin_that_works_again_is_used_again() {
     let mut b = bench(settings());
     b.list(&[1, 2, 3, 4]);
-    play(&mut b, 1, 100, Outcome::Error);
-    play(&mut b, 1_000, 1_000, Outcome::Ok);
-    let (sent, refused) = play(&mut b, 5_000, 100, Outcome::Ok);
+    play(&mut b, 1, 100, AttemptOutcome::Error);
+    play(&mut b, 1_000, 1_000, AttemptOutcome::Ok);
+    let (sent, refused) = play(&mut b, 5_000, 100, AttemptOutcome::Ok);
     assert_eq!((sent, refused), (100, 0));
 }
 
 #[test]
 fn a_server_that_refuses_connections_is_left_out_and_tried_again() {
     let mut s = settings();
-    s.limits.probes = false;
+    s.capabilities.health_checks = false;
     let mut b = bench(s);
     b.list(&[1, 2, 3, 4]);
     let mut tried = Vec::new();
@@ -65,11 +65,11 @@
             let Some(server) = b.sends(id).get(attempt).copied() else {
                 break;
             };
-            if server == ServerId(1) {
+            if server == EndpointId(1) {
                 tried.push(b.now);
-                b.end(id, attempt as u32, Outcome::ConnectFailed, false);
+                b.end(id, attempt as u32, AttemptOutcome::ConnectFailed, false);
             } else {
-                b.end(id, attempt as u32, Outcome::Ok, true);
+                b.end(id, attempt as u32, AttemptOutcome::Ok, true);
             }
         }
         assert_eq!(b.finals(id), 0, "another server was there for {id}");
@@ -95,15 +95,15 @@
             let Some(server) = b.sends(id).get(attempt).copied() else {
                 break;
             };
-            let down = server == ServerId(1) && dead;
+            let down = server == EndpointId(1) && dead;
             to_dead += usize::from(down);
             b.end(
                 id,
                 attempt as u32,
                 if down {
-                    Outcome::ConnectFailed
+                    AttemptOutcome::ConnectFailed
                 } else {
-                    Outcome::Ok
+                    AttemptOutcome::Ok
                 },
                 !down,
             );
@@ -112,21 +112,25 @@
         b.run_to(b.now + 10 * MS);
         if b.at[before..]
             .iter()
-            .any(|(_, a)| *a == Action::Probe(ServerId(1)))
+            .any(|(_, a)| *a == Action::HealthCheck(EndpointId(1)))
         {
             probes += 1;
-            let outcome = if dead { Outcome::Timeout } else { Outcome::Ok };
-            b.event(Event::Probed {
-                server: ServerId(1),
+            let outcome = if dead {
+                AttemptOutcome::Timeout
+            } else {
+                AttemptOutcome::Ok
+            };
+            b.event(Event::HealthCheckEnded {
+                endpoint: EndpointId(1),
                 outcome,
-                load: None,
+                load_report: None,
             });
         }
     }
     assert_eq!(to_dead, 2, "two failures, then probes alone");
     assert!((3..=8).contains(&probes), "{probes}");
     let back = (1_900..2_000)
-        .filter(|id| b.sends(*id).contains(&ServerId(1)))
+        .filter(|id| b.sends(*id).contains(&EndpointId(1)))
         .count();
     assert!(back > 5, "{back}");
 }
@@ -134,7 +138,7 @@
 #[test]
 fn a_zone_cut_off_stays_suspected_though_it_is_more_than_half_the_fleet() {
     let mut s = settings();
-    s.limits.probes = false;
+    s.capabilities.health_checks = false;
     let mut b = bench(s);
     b.list(&[1, 2, 3, 4, 5, 7, 9]);
     let mut to_cut = 0;
@@ -150,9 +154,9 @@
                 id,
                 attempt as u32,
                 if cut {
-                    Outcome::ConnectFailed
+                    AttemptOutcome::ConnectFailed
                 } else {
-                    Outcome::Ok
+                    AttemptOutcome::Ok
                 },
                 !cut,
             );
@@ -170,7 +174,7 @@
     for id in 1..=100u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         for attempt in 0..b.sends(id).len() {
-            b.end(id, attempt as u32, Outcome::Reset, false);
+            b.end(id, attempt as u32, AttemptOutcome::Reset, false);
         }
         b.run_to(b.now + 100 * MS);
     }
@@ -178,7 +182,7 @@
     for id in 1_000..1_100u128 {
         b.request(id, SAFE, Some(3), 1_000 * MS);
         for attempt in 0..b.sends(id).len() {
-            b.end(id, attempt as u32, Outcome::Reset, false);
+            b.end(id, attempt as u32, AttemptOutcome::Reset, false);
         }
         b.run_to(b.now + 100 * MS);
     }
@@ -193,14 +197,14 @@
     for id in 1..=400u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         b.run_to(b.now + 5 * MS);
-        if b.sends(id)[0] == ServerId(1) && id > 200 {
+        if b.sends(id)[0] == EndpointId(1) && id > 200 {
             to_silent += 1;
             b.run_to(b.now + 600 * MS);
             assert_eq!(b.sends(id).len(), 2, "a late read gets its copy");
-            b.end(id, 1, Outcome::Ok, true);
-            b.end(id, 0, Outcome::Cancelled, true);
+            b.end(id, 1, AttemptOutcome::Ok, true);
+            b.end(id, 0, AttemptOutcome::Cancelled, true);
         } else {
-            b.end(id, 0, Outcome::Ok, true);
+            b.end(id, 0, AttemptOutcome::Ok, true);
         }
     }
     assert!((1..=6).contains(&to_silent), "{to_silent}");
@@ -212,7 +216,7 @@
     b.list(&[1, 2, 3, 4, 5, 6]);
     for id in 1..=100u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.end(id, 0, Outcome::Ok, true);
+        b.end(id, 0, AttemptOutcome::Ok, true);
     }
     let mut copies = 0;
     for id in 1_000..1_100u128 {
@@ -220,7 +224,7 @@
         b.run_to(b.now + 1_000 * MS);
         copies += b.sends(id).len().saturating_sub(1);
         for attempt in 0..b.sends(id).len() {
-            b.end(id, attempt as u32, Outcome::Timeout, false);
+            b.end(id, attempt as u32, AttemptOutcome::Timeout, false);
         }
     }
     assert!((1..=6).contains(&copies), "{copies}");
@@ -235,8 +239,8 @@
     for id in 1..=600u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         b.run_to(b.now + 10 * MS);
-        if b.sends(id)[0] != ServerId(2) || id < 100 {
-            b.end(id, 0, Outcome::Ok, true);
+        if b.sends(id)[0] != EndpointId(2) || id < 100 {
+            b.end(id, 0, AttemptOutcome::Ok, true);
             continue;
         }
         let start = b.now - 10 * MS;
@@ -248,8 +252,8 @@
         assert_eq!(b.sends(id).len(), 2);
         waits.push(b.now - start);
         b.run_to(b.now + 10 * MS);
-        b.end(id, 1, Outcome::Ok, true);
-        b.end(id, 0, Outcome::Cancelled, true);
+        b.end(id, 1, AttemptOutcome::Ok, true);
+        b.end(id, 0, AttemptOutcome::Cancelled, true);
     }
     assert!(waits.len() >= 2);
     assert!(waits.iter().all(|w| *w <= 15 * MS), "{waits:?}");
@@ -269,7 +273,7 @@
     assert_eq!(refused, 45);
     assert!(
         b.at.iter()
-            .all(|(t, a)| !matches!(a, Action::Refuse { .. }) || *t <= 200 * MS)
+            .all(|(t, a)| !matches!(a, Action::Reject { .. }) || *t <= 200 * MS)
     );
 }
 
@@ -285,7 +289,7 @@
             1_000 * MS,
         );
     }
-    let actions = b.end(1, 0, Outcome::Ok, true);
+    let actions = b.end(1, 0, AttemptOutcome::Ok, true);
     let sent = actions.iter().find_map(|a| match a {
         Action::Send { request, .. } => Some(*request),
         _ => None,
@@ -297,23 +301,26 @@
 #[test]
 fn a_failed_list_call_is_repeated_with_growing_pauses() {
     let mut s = settings();
-    s.discovery = Discovery::Asked {
-        within: 10_000 * MS,
+    s.discovery = DiscoveryMode::Poll {
+        staleness_limit: 10_000 * MS,
     };
     let mut b = bench(s);
-    b.event(Event::List {
-        scope: ListScope::Stale,
-        entries: vec![entry(1, Phase::Up, 0)],
+    b.event(Event::EndpointUpdate {
+        kind: UpdateKind::Stale,
+        endpoints: vec![entry(1, EndpointState::Active, 0)],
     });
     let mut calls = Vec::new();
     for _ in 0..600 {
         let before = b.at.len();
         b.run_to(b.now + 100 * MS);
-        if b.at[before..].iter().any(|(_, a)| *a == Action::Watch) {
+        if b.at[before..]
+            .iter()
+            .any(|(_, a)| *a == Action::QueryDiscovery)
+        {
             calls.push(b.now);
-            b.event(Event::List {
-                scope: ListScope::Failed,
-                entries: Vec::new(),
+            b.event(Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: Vec::new(),
             });
         }
     }
@@ -324,14 +331,16 @@
     );
     assert!(calls[calls.len() - 1] - calls[calls.len() - 2] >= 1_200 * MS);
     b.run_to(b.now + 10_000 * MS);
-    b.event(Event::List {
-        scope: ListScope::Whole,
-        entries: vec![entry(1, Phase::Up, 0)],
+    b.event(Event::EndpointUpdate {
+        kind: UpdateKind::Full,
+        endpoints: vec![entry(1, EndpointState::Active, 0)],
     });
     let before = b.at.len();
     b.run_to(b.now + 60_000 * MS);
     assert!(
-        b.at[before..].iter().all(|(_, a)| *a != Action::Watch),
+        b.at[before..]
+            .iter()
+            .all(|(_, a)| *a != Action::QueryDiscovery),
         "no call while watching"
     );
 }
@@ -339,35 +348,41 @@
 #[test]
 fn aside_reads_go_once_to_the_origin_uncopied() {
     let mut s = settings();
-    s.origin = Origin::Aside { kind: 9 };
+    s.origin = OriginMode::CacheAside { kind: 9 };
     let mut b = bench(s);
-    let mut entries: Vec<Entry> = (1..=4).map(|i| entry(i, Phase::Up, 0)).collect();
-    entries.push(Entry {
+    let mut entries: Vec<Endpoint> = (1..=4)
+        .map(|i| entry(i, EndpointState::Active, 0))
+        .collect();
+    entries.push(Endpoint {
         kind: 9,
-        ..entry(99, Phase::Up, 0)
+        ..entry(99, EndpointState::Active, 0)
     });
-    b.event(Event::List {
-        scope: ListScope::Whole,
-        entries,
+    b.event(Event::EndpointUpdate {
+        kind: UpdateKind::Full,
+        endpoints: entries,
     });
     for id in 1..=200u128 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        assert_ne!(b.sends(id)[0], ServerId(99));
-        b.end(id, 0, Outcome::Miss, false);
-        assert_eq!(b.sends(id)[1], ServerId(99));
+        assert_ne!(b.sends(id)[0], EndpointId(99));
+        b.end(id, 0, AttemptOutcome::CacheMiss, false);
+        assert_eq!(b.sends(id)[1], EndpointId(99));
         b.run_to(b.now + 600 * MS);
         assert_eq!(b.sends(id).len(), 2, "no copy beside the origin");
         let failed = id == 200;
         b.end(
             id,
             1,
-            if failed { Outcome::Error } else { Outcome::Ok },
+            if failed {
+                AttemptOutcome::Error
+            } else {
+                AttemptOutcome::Ok
+            },
             !failed,
         );
         assert_eq!(b.finals(id), usize::from(failed), "not asked again");
     }
     b.request(1_000, UNSAFE, Some(5), 1_000 * MS);
-    assert_eq!(b.sends(1_000), [ServerId(99)]);
+    assert_eq!(b.sends(1_000), [EndpointId(99)]);
 }
 
 #[test]
@@ -380,18 +395,22 @@
             let Some(server) = b.sends(id).get(attempt).copied() else {
                 break;
             };
-            let well = server == ServerId(5);
+            let well = server == EndpointId(5);
             b.end(
                 id,
                 attempt as u32,
-                if well { Outcome::Ok } else { Outcome::Reset },
+                if well {
+                    AttemptOutcome::Ok
+                } else {
+                    AttemptOutcome::Reset
+                },
                 well,
             );
         }
         b.run_to(b.now + 20 * MS);
     }
     let firsts = (80..=100)
-        .filter(|id| b.sends(*id).first().is_some_and(|s| *s != ServerId(5)))
+        .filter(|id| b.sends(*id).first().is_some_and(|s| *s != EndpointId(5)))
         .count();
     assert!(firsts > 10, "{firsts}");
 }
@@ -399,21 +418,21 @@
 #[test]
 fn absurd_but_legal_values_are_borne() {
     let mut s = settings();
-    s.rules.warm_after = 0;
-    s.rules.cold_from = f64::NAN;
-    s.rules.tip_after = 0;
-    s.tenants[0].allowance_per_s = f64::NAN;
+    s.rules.slow_start_duration = 0;
+    s.rules.slow_start_fraction = f64::NAN;
+    s.rules.overload_window = 0;
+    s.tenants[0].quota_per_second = f64::NAN;
     let mut b = bench(s);
     let weights = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300];
-    let entries = (1..=3_000u64).map(|n| Entry {
+    let entries = (1..=3_000u64).map(|n| Endpoint {
         weight: weights[n as usize % 5],
         zone: usize::MAX,
         started: u64::MAX * (n % 2),
-        ..entry(n, Phase::Up, 0)
+        ..entry(n, EndpointState::Active, 0)
     });
-    b.event(Event::List {
-        scope: ListScope::Whole,
-        entries: entries.collect(),
+    b.event(Event::EndpointUpdate {
+        kind: UpdateKind::Full,
+        endpoints: entries.collect(),
     });
     for id in 1..=6u128 {
         b.request(id, ClassId(id as usize % 3), Some(7), 1_000 * MS);
@@ -426,14 +445,14 @@
     b.request(100, ClassId(9), None, 1_000 * MS);
     assert_eq!(b.finals(100), 1);
     b.request(101, SAFE, None, u64::MAX / 2);
-    b.event(Event::Gone(RequestId(101)));
+    b.event(Event::ClientDisconnected(RequestId(101)));
 }
 
 #[test]
 fn retries_stay_a_small_share_when_all_fails() {
     let mut b = bench(settings());
     b.list(&[1, 2, 3, 4, 5, 6]);
-    play(&mut b, 1, 100, Outcome::Unknown);
+    play(&mut b, 1, 100, AttemptOutcome::Unreadable);
     let retries: usize = (1..=100)
         .map(|id| b.sends(id).len().saturating_sub(1))
         .sum();
@@ -449,9 +468,9 @@
     assert_eq!(b.sends(1).len(), 2);
     let loser = Action::Cancel {
         request: RequestId(1),
-        attempt: AttemptNo(0),
+        attempt: AttemptNumber(0),
     };
-    assert!(b.end(1, 1, Outcome::Ok, true).contains(&loser));
+    assert!(b.end(1, 1, AttemptOutcome::Ok, true).contains(&loser));
 }
 
 #[test]
@@ -463,7 +482,7 @@
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         b.run_to(b.now + 10 * MS);
         logs += b
-            .end(id, 0, Outcome::Timeout, true)
+            .end(id, 0, AttemptOutcome::Timeout, true)
             .iter()
             .filter(|a| matches!(a, Action::Log(_)))
             .count();
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -65,7 +65,7 @@
 struct Sent {
     server: u64,
     at: Nanos,
-    ended: Option<Outcome>,
+    ended: Option<AttemptOutcome>,
 }
 
 struct Seen {
@@ -79,31 +79,31 @@
 
 struct World {
     settings: Settings,
-    brain: Brain,
+    brain: Engine,
     now: Nanos,
     next: u128,
     requests: BTreeMap<u128, Seen>,
-    timers: Vec<(Nanos, Token)>,
+    timers: Vec<(Nanos, TimerToken)>,
     up: BTreeMap<u64, bool>,
     log: Vec<Action>,
 }
 
-const OUTCOMES: [Outcome; 10] = [
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Full,
-    Outcome::Timeout,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Cancelled,
-    Outcome::Moot,
-    Outcome::Miss,
-    Outcome::Unknown,
+const OUTCOMES: [AttemptOutcome; 10] = [
+    AttemptOutcome::Ok,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::Timeout,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
+    AttemptOutcome::CacheMiss,
+    AttemptOutcome::Unreadable,
 ];
 
 impl World {
     fn new(settings: Settings) -> Self {
-        let brain = Brain::new(settings.clone(), 9, 0).expect("settings make sense");
+        let brain = Engine::new(settings.clone(), 9, 0).expect("settings make sense");
         World {
             settings,
             brain,
@@ -123,36 +123,42 @@
         for action in &actions {
             match action {
                 Action::Send {
-                    request, server, ..
+                    request,
+                    endpoint: server,
+                    ..
                 } => self.check_send(request.0, server.0),
                 Action::Fail { request, .. } => self.final_answer(request.0),
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                     ..
                 } => {
-                    assert!(*retry_after <= self.settings.limits.max_retry_after);
+                    assert!(*retry_after <= self.settings.capabilities.max_retry_after);
                     let r = &self.requests[&request.0];
                     let ran = r
                         .sent
                         .iter()
-                        .any(|s| s.ended.is_none_or(|o| !o.never_ran()));
-                    match self.settings.classes[r.class].effect {
-                        Effect::Safe
-                        | Effect::Keyed {
-                            group: Group::All, ..
+                        .any(|s| s.ended.is_none_or(|o| !o.proves_no_effect()));
+                    match self.settings.classes[r.class].idempotency {
+                        Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DeduplicationScope::All,
+                            ..
                         } => {}
                         _ => assert!(!ran, "refused what may have run"),
                     }
                     self.final_answer(request.0);
                 }
                 Action::Cancel { request, attempt } => {
-                    assert!(self.settings.limits.cancel);
+                    assert!(self.settings.capabilities.cancellation);
                     assert!((attempt.0 as usize) < self.requests[&request.0].sent.len());
                 }
-                Action::Timer { after, token } => self.timers.push((self.now + after, *token)),
-                Action::Probe(server) => assert!(self.up.contains_key(&server.0)),
-                Action::Close(_) | Action::Watch | Action::Note { .. } | Action::Log(_) => {}
+                Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
+                Action::HealthCheck(server) => assert!(self.up.contains_key(&server.0)),
+                Action::CloseIdleConnections(_)
+                | Action::QueryDiscovery
+                | Action::Defer { .. }
+                | Action::Log(_) => {}
             }
         }
         self.log.extend(actions);
@@ -164,7 +170,7 @@
             Some(&true),
             "sent to a server that drains or is gone"
         );
-        let limits = &self.settings.limits;
+        let limits = &self.settings.capabilities;
         let r = self.requests.get_mut(&id).expect("known");
         assert!(
             !r.over && r.finals == 0 && !r.streaming,
@@ -176,23 +182,26 @@
             "too many attempts"
         );
         let out = r.sent.iter().filter(|s| s.ended.is_none()).count();
-        let effect = self.settings.classes[r.class].effect;
+        let effect = self.settings.classes[r.class].idempotency;
         assert!(
-            out == 0 || out == 1 && limits.second_copies && effect == Effect::Safe,
+            out == 0 || out == 1 && limits.hedging && effect == Idempotency::Idempotent,
             "two at once"
         );
         let mut ran = r
             .sent
             .iter()
-            .filter(|s| s.ended.is_none_or(|o| !o.never_ran()));
+            .filter(|s| s.ended.is_none_or(|o| !o.proves_no_effect()));
         match effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(ran.next().is_none(), "an unsafe request twice"),
-            Effect::Keyed { group, window } => {
+            Idempotency::Idempotent => {}
+            Idempotency::NotIdempotent => assert!(ran.next().is_none(), "an unsafe request twice"),
+            Idempotency::Keyed {
+                scope: group,
+                window,
+            } => {
                 for earlier in ran {
                     assert!(self.now < earlier.at + window, "after the window");
                     assert!(
-                        group == Group::All || earlier.server % 2 == server % 2,
+                        group == DeduplicationScope::All || earlier.server % 2 == server % 2,
                         "outside the group"
                     );
                 }
@@ -211,7 +220,7 @@
         r.finals += 1;
         assert_eq!(r.finals, 1, "two final answers");
         assert!(
-            self.now <= r.deadline + self.settings.rules.answer_slack,
+            self.now <= r.deadline + self.settings.rules.final_answer_grace,
             "answered too late"
         );
     }
@@ -228,30 +237,30 @@
         .collect()
     }
 
-    fn end(&mut self, (id, number): (u128, usize), outcome: Outcome, note: bool) {
+    fn end(&mut self, (id, number): (u128, usize), outcome: AttemptOutcome, note: bool) {
         let r = self.requests.get_mut(&id).expect("known");
         let own = r.streaming;
         r.sent[number].ended = Some(outcome);
-        let finishes = outcome == Outcome::Ok || own;
+        let finishes = outcome == AttemptOutcome::Ok || own;
         r.over = r.over || finishes || r.finals > 0;
         let (server, latency) = (
-            ServerId(r.sent[number].server),
+            EndpointId(r.sent[number].server),
             self.now - r.sent[number].at,
         );
-        let end = Ended {
+        let end = AttemptResult {
             request: RequestId(id),
-            attempt: AttemptNo(number as u32),
-            server,
+            attempt: AttemptNumber(number as u32),
+            endpoint: server,
             outcome,
             latency,
-            finished: r.over,
-            note: note.then_some(CacheNote::Hit),
-            load: Some(Load {
-                hit_share: Some(f64::NAN),
-                ..Load::default()
+            request_finished: r.over,
+            cache_status: note.then_some(CacheStatus::Hit),
+            load_report: Some(LoadReport {
+                hit_ratio: Some(f64::NAN),
+                ..LoadReport::default()
             }),
         };
-        self.event(Event::Ended(end));
+        self.event(Event::AttemptEnded(end));
     }
 
     fn wait(&mut self, until: Nanos) {
@@ -262,11 +271,11 @@
             };
             self.timers.remove(0);
             self.now = self.now.max(at);
-            self.event(Event::Timer(token));
+            self.event(Event::TimerFired(token));
         }
         self.now = self.now.max(until);
         for (id, r) in &self.requests {
-            let late = self.now > r.deadline + self.settings.rules.answer_slack;
+            let late = self.now > r.deadline + self.settings.rules.final_answer_grace;
             assert!(
                 !late || r.over || r.finals == 1 || r.streaming,
                 "request {id} has no answer"
@@ -291,14 +300,14 @@
                     streaming: false,
                 };
                 self.requests.insert(self.next, seen);
-                self.event(Event::Request(NewRequest {
+                self.event(Event::RequestArrived(NewRequest {
                     id: RequestId(self.next),
                     class: ClassId(*class),
                     tenant: Some(TenantId((self.next % 3) as usize)),
                     key: key.map(Key),
-                    patience: patience * MS,
-                    work: None,
-                    write: *class > 0,
+                    client_timeout: patience * MS,
+                    estimated_work: None,
+                    is_write: *class > 0,
                 }));
             }
             Step::End {
@@ -322,14 +331,14 @@
                     return;
                 }
                 r.streaming = true;
-                self.event(Event::Begun {
+                self.event(Event::ResponseStarted {
                     request: RequestId(id),
-                    attempt: AttemptNo(number as u32),
+                    attempt: AttemptNumber(number as u32),
                 });
                 for other in 0..self.requests[&id].sent.len() {
                     if other != number && self.requests[&id].sent[other].ended.is_none() {
                         self.requests.get_mut(&id).expect("known").sent[other].ended =
-                            Some(Outcome::Cancelled);
+                            Some(AttemptOutcome::Cancelled);
                     }
                 }
             }
@@ -343,7 +352,7 @@
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
                     self.requests.get_mut(&id).expect("known").over = true;
-                    self.event(Event::Gone(RequestId(id)));
+                    self.event(Event::ClientDisconnected(RequestId(id)));
                 }
             }
             Step::List {
@@ -351,52 +360,59 @@
                 phase,
                 fresh,
             } => {
-                let phase = [Phase::Up, Phase::Draining, Phase::Removed][*phase];
+                let phase = [
+                    EndpointState::Active,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][*phase];
                 match phase {
-                    Phase::Removed => drop(self.up.remove(server)),
-                    _ => drop(self.up.insert(*server, phase == Phase::Up)),
+                    EndpointState::Removed => drop(self.up.remove(server)),
+                    _ => drop(self.up.insert(*server, phase == EndpointState::Active)),
                 }
                 let started = if *fresh { self.now } else { 0 };
                 let entries = vec![entry(*server, phase, started)];
-                self.event(Event::List {
-                    scope: ListScope::Patch,
-                    entries,
+                self.event(Event::EndpointUpdate {
+                    kind: UpdateKind::Delta,
+                    endpoints: entries,
                 });
             }
             Step::Whole { servers } => {
                 self.up = servers.iter().map(|s| (*s, true)).collect();
-                let entries = servers.iter().map(|s| entry(*s, Phase::Up, 0)).collect();
-                self.event(Event::List {
-                    scope: ListScope::Whole,
-                    entries,
+                let entries = servers
+                    .iter()
+                    .map(|s| entry(*s, EndpointState::Active, 0))
+                    .collect();
+                self.event(Event::EndpointUpdate {
+                    kind: UpdateKind::Full,
+                    endpoints: entries,
                 });
             }
-            Step::Failed => self.event(Event::List {
-                scope: ListScope::Failed,
-                entries: Vec::new(),
+            Step::Failed => self.event(Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: Vec::new(),
             }),
             Step::Stray { id, token } => {
                 let strange = RequestId(id.saturating_add(1 << 100));
-                self.event(Event::Timer(Token(token.saturating_add(1 << 40))));
-                self.event(Event::Gone(strange));
-                self.event(Event::Begun {
+                self.event(Event::TimerFired(TimerToken(token.saturating_add(1 << 40))));
+                self.event(Event::ClientDisconnected(strange));
+                self.event(Event::ResponseStarted {
                     request: strange,
-                    attempt: AttemptNo(3),
+                    attempt: AttemptNumber(3),
                 });
-                self.event(Event::Probed {
-                    server: ServerId(77),
-                    outcome: Outcome::Ok,
-                    load: None,
+                self.event(Event::HealthCheckEnded {
+                    endpoint: EndpointId(77),
+                    outcome: AttemptOutcome::Ok,
+                    load_report: None,
                 });
-                self.event(Event::Ended(Ended {
+                self.event(Event::AttemptEnded(AttemptResult {
                     request: strange,
-                    attempt: AttemptNo(0),
-                    server: ServerId(1),
-                    outcome: Outcome::Ok,
+                    attempt: AttemptNumber(0),
+                    endpoint: EndpointId(1),
+                    outcome: AttemptOutcome::Ok,
                     latency: 1,
-                    finished: false,
-                    note: None,
-                    load: None,
+                    request_finished: false,
+                    cache_status: None,
+                    load_report: None,
                 }));
             }
             Step::Wait { ms } => self.wait(self.now + ms * MS),
@@ -406,21 +422,25 @@
 
 fn variant(n: usize) -> Settings {
     let mut s = settings();
-    let group = [Group::All, Group::Zone, Group::Cell][n % 3];
-    s.classes[1].effect = Effect::Keyed {
-        group,
+    let group = [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ][n % 3];
+    s.classes[1].idempotency = Idempotency::Keyed {
+        scope: group,
         window: 500 * MS,
     };
-    s.limits.second_copies = n % 4 != 3;
-    s.limits.probes = n.is_multiple_of(2);
-    s.limits.max_attempts = 1 + (n % 5) as u32;
+    s.capabilities.hedging = n % 4 != 3;
+    s.capabilities.health_checks = n.is_multiple_of(2);
+    s.capabilities.max_attempts = 1 + (n % 5) as u32;
     if n % 5 == 4 {
-        s.discovery = Discovery::Asked {
-            within: 10_000 * MS,
+        s.discovery = DiscoveryMode::Poll {
+            staleness_limit: 10_000 * MS,
         };
     }
     if n % 7 == 6 {
-        s.origin = Origin::Aside { kind: 0 };
+        s.origin = OriginMode::CacheAside { kind: 0 };
     }
     s
 }
@@ -458,7 +478,7 @@
             }
             // Late ends of what is over lead to nothing that breaks a rule.
             for out in world.out() {
-                world.end(out, Outcome::Timeout, false);
+                world.end(out, AttemptOutcome::Timeout, false);
             }
             Ok(())
         })
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -12,7 +12,7 @@
     assert_eq!(b.finals(1), 1);
     assert!(
         b.at.iter()
-            .any(|(t, a)| matches!(a, Action::Refuse { .. }) && *t <= 1_000 * MS)
+            .any(|(t, a)| matches!(a, Action::Reject { .. }) && *t <= 1_000 * MS)
     );
 }
 
@@ -52,14 +52,14 @@
 #[test]
 fn unsafe_goes_on_only_after_proof_that_it_never_ran() {
     for (outcome, again) in [
-        (Outcome::Full, true),
-        (Outcome::ConnectFailed, true),
-        (Outcome::Moot, true),
-        (Outcome::Error, false),
-        (Outcome::Timeout, false),
-        (Outcome::Reset, false),
-        (Outcome::Cancelled, false),
-        (Outcome::Unknown, false),
+        (AttemptOutcome::Rejected, true),
+        (AttemptOutcome::ConnectFailed, true),
+        (AttemptOutcome::NotSent, true),
+        (AttemptOutcome::Error, false),
+        (AttemptOutcome::Timeout, false),
+        (AttemptOutcome::Reset, false),
+        (AttemptOutcome::Cancelled, false),
+        (AttemptOutcome::Unreadable, false),
     ] {
         let mut b = bench(settings());
         b.list(&[1, 2, 3]);
@@ -100,7 +100,7 @@
         b.list(&[1, 2, 3]);
         b.request(1, KEYED, Some(7), 4_000 * MS);
         b.run_to(wait * MS);
-        b.end(1, 0, Outcome::Error, false);
+        b.end(1, 0, AttemptOutcome::Error, false);
         assert_eq!(
             b.sends(1).len(),
             if again { 2 } else { 1 },
@@ -111,10 +111,10 @@
 
 #[test]
 fn keyed_stays_in_its_group() {
-    for group in [Group::Zone, Group::Cell] {
+    for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let mut s = settings();
-        s.classes[KEYED.0].effect = Effect::Keyed {
-            group,
+        s.classes[KEYED.0].idempotency = Idempotency::Keyed {
+            scope: group,
             window: 500 * MS,
         };
         let mut b = bench(s);
@@ -122,7 +122,7 @@
         b.list(&[1, 2, 3, 4, 5, 6]);
         for id in 1..200 {
             b.request(id, KEYED, Some(id as u64), 2_000 * MS);
-            b.end(id, 0, Outcome::Reset, false);
+            b.end(id, 0, AttemptOutcome::Reset, false);
             let to = b.sends(id);
             assert!(to.iter().all(|s| s.0 % 2 == to[0].0 % 2), "{to:?}");
             b.finish_all(id);
@@ -133,23 +133,23 @@
 #[test]
 fn keyed_that_may_have_run_is_refused_only_where_all_servers_discard_repeats() {
     for (group, refused) in [
-        (Group::All, true),
-        (Group::Zone, false),
-        (Group::Cell, false),
+        (DeduplicationScope::All, true),
+        (DeduplicationScope::Zone, false),
+        (DeduplicationScope::Cell, false),
     ] {
         let mut s = settings();
-        s.classes[KEYED.0].effect = Effect::Keyed {
-            group,
+        s.classes[KEYED.0].idempotency = Idempotency::Keyed {
+            scope: group,
             window: 500 * MS,
         };
         let mut b = bench(s);
         b.list(&[1, 2, 3]);
         b.request(1, KEYED, Some(7), 2_000 * MS);
         b.run_to(600 * MS);
-        b.end(1, 0, Outcome::Timeout, false);
+        b.end(1, 0, AttemptOutcome::Timeout, false);
         assert_eq!(b.finals(1), 1);
         assert_eq!(
-            b.at.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })),
+            b.at.iter().any(|(_, a)| matches!(a, Action::Reject { .. })),
             refused
         );
     }
@@ -159,16 +159,16 @@
 fn draining_and_gone_servers_get_nothing_new() {
     let mut b = bench(settings());
     b.list(&[1, 2, 3, 4]);
-    b.patch(1, Phase::Draining, 0);
-    b.patch(2, Phase::Removed, 0);
+    b.patch(1, EndpointState::Draining, 0);
+    b.patch(2, EndpointState::Removed, 0);
     for id in 1..300 {
         b.request(id, SAFE, Some(id as u64), 1_000 * MS);
         let to = b.sends(id);
         assert!(to.iter().all(|s| s.0 > 2), "{to:?}");
-        b.end(id, 0, Outcome::Ok, true);
+        b.end(id, 0, AttemptOutcome::Ok, true);
     }
-    b.patch(3, Phase::Draining, 0);
-    b.patch(4, Phase::Draining, 0);
+    b.patch(3, EndpointState::Draining, 0);
+    b.patch(4, EndpointState::Draining, 0);
     b.request(999, SAFE, Some(1), 1_000 * MS);
     b.run_to(b.now + 2_000 * MS);
     assert!(b.sends(999).is_empty());
@@ -191,13 +191,13 @@
             }
             b.run_to(b.now + 10 * MS);
             if !b.sends(id).is_empty() {
-                b.end(id, 0, Outcome::Ok, true);
+                b.end(id, 0, AttemptOutcome::Ok, true);
             }
         }
     };
     go(&mut b, 1_000, &mut cold);
     let started = b.now;
-    b.patch(4, Phase::Up, started);
+    b.patch(4, EndpointState::Active, started);
     go(&mut b, 300, &mut cold);
     // 100 a second over 3.2 to 3.44 ready servers for 3 s at a ramp from 0.2 to 0.44, and a fifth more: 35 are due.
     assert!((5..=37).contains(&cold), "{cold}");
@@ -210,12 +210,12 @@
     let mut cold = 0;
     for router in 0..300u64 {
         let mut b = bench(Settings {
-            routers: 300,
+            balancers: 300,
             ..settings()
         });
-        b.brain = Brain::new(
+        b.brain = Engine::new(
             Settings {
-                routers: 300,
+                balancers: 300,
                 ..settings()
             },
             router,
@@ -227,7 +227,7 @@
         for n in 0..13u64 {
             if n == 10 {
                 let started = b.now;
-                b.patch(10, Phase::Up, started);
+                b.patch(10, EndpointState::Active, started);
             }
             let id = u128::from(n + 1);
             b.request(id, SAFE, Some(router * 100 + n), 1_000 * MS);
@@ -238,9 +238,9 @@
                     id,
                     0,
                     if n % 2 == 0 {
-                        Outcome::Ok
+                        AttemptOutcome::Ok
                     } else {
-                        Outcome::Full
+                        AttemptOutcome::Rejected
                     },
                     n % 2 == 0,
                 );
@@ -262,17 +262,17 @@
         let mut sent_at = Vec::new();
         for router in 0..routers {
             let settings = Settings {
-                routers: routers as usize,
+                balancers: routers as usize,
                 ..settings()
             };
             let mut b = bench(settings.clone());
-            b.brain = Brain::new(settings, router, 0).expect("settings make sense");
+            b.brain = Engine::new(settings, router, 0).expect("settings make sense");
             b.now = 100_000 * MS;
             b.list(&[1, 2, 3]);
             for n in 0..8 * EACH_PER_S {
                 if n == 2 * EACH_PER_S {
                     let started = b.now;
-                    b.patch(10, Phase::Up, started);
+                    b.patch(10, EndpointState::Active, started);
                 }
                 let id = u128::from(n + 1);
                 b.request(id, SAFE, Some(router * 1_000 + n), 1_000 * MS);
@@ -284,16 +284,16 @@
             }
         }
         let rules = settings().rules;
-        let tip_s = rules.tip_after as f64 / 1e9;
+        let tip_s = rules.overload_window as f64 / 1e9;
         let started = 102_000 * MS;
         for from in (0..4_000).step_by(100).map(|ms| started + ms * MS) {
             let sent = sent_at
                 .iter()
-                .filter(|at| (from..from + rules.tip_after).contains(*at))
+                .filter(|at| (from..from + rules.overload_window).contains(*at))
                 .count() as f64;
-            let age = (from - started) as f64 / rules.warm_after as f64;
+            let age = (from - started) as f64 / rules.slow_start_duration as f64;
             // The least that it can bear, at the beginning of the span.
-            let ramp = rules.cold_from + (1.0 - rules.cold_from) * age;
+            let ramp = rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * age;
             let ready_per_s = (routers * EACH_PER_S) as f64 / (3.0 + ramp);
             let bears = rules.overload_factor * ready_per_s * ramp * tip_s;
             let most = bears + 2.0 * bears.sqrt() + 2.0;
@@ -311,7 +311,7 @@
     let mut b = bench(settings());
     b.now = 100_000 * MS;
     for server in 1..=4 {
-        b.patch(server, Phase::Up, 100_000 * MS);
+        b.patch(server, EndpointState::Active, 100_000 * MS);
     }
     let mut served = [0; 2];
     for id in 1..=1_000u128 {
@@ -330,7 +330,7 @@
     b.request(1, SAFE, Some(7), 1_000 * MS);
     for attempt in 0..6 {
         if b.finals(1) == 0 {
-            b.end(1, attempt, Outcome::ConnectFailed, false);
+            b.end(1, attempt, AttemptOutcome::ConnectFailed, false);
         }
     }
     assert_eq!(b.sends(1).len(), 4);
@@ -344,19 +344,19 @@
     b.request(1, SAFE, Some(7), 400 * MS);
     b.run_to(250 * MS);
     assert_eq!(b.sends(1).len(), 2);
-    b.event(Event::Begun {
+    b.event(Event::ResponseStarted {
         request: RequestId(1),
-        attempt: AttemptNo(1),
+        attempt: AttemptNumber(1),
     });
     assert!(b.at.iter().any(|(_, a)| *a
         == Action::Cancel {
             request: RequestId(1),
-            attempt: AttemptNo(0)
+            attempt: AttemptNumber(0)
         }));
-    b.end(1, 0, Outcome::Cancelled, false);
+    b.end(1, 0, AttemptOutcome::Cancelled, false);
     b.run_to(5_000 * MS);
     assert_eq!(b.finals(1), 0);
-    b.end(1, 1, Outcome::Reset, true);
+    b.end(1, 1, AttemptOutcome::Reset, true);
     assert_eq!((b.sends(1).len(), b.finals(1)), (2, 0));
 }
 
@@ -365,7 +365,7 @@
     let mut b = bench(settings());
     b.list(&[1, 2, 3]);
     b.request(1, SAFE, Some(7), 400 * MS);
-    b.event(Event::Gone(RequestId(1)));
+    b.event(Event::ClientDisconnected(RequestId(1)));
     b.run_to(5_000 * MS);
     assert_eq!((b.sends(1).len(), b.finals(1)), (1, 0));
 }
@@ -376,12 +376,12 @@
     let wrong: [(&str, Spoil); 4] = [
         ("classes", |s| s.classes.clear()),
         ("classes[1].deadline", |s| s.classes[1].deadline = 0),
-        ("limits.max_attempts", |s| s.limits.max_attempts = 0),
-        ("routers", |s| s.routers = 0),
+        ("limits.max_attempts", |s| s.capabilities.max_attempts = 0),
+        ("routers", |s| s.balancers = 0),
     ];
     for (field, spoil) in wrong {
         let mut s = settings();
         spoil(&mut s);
-        assert_eq!(Brain::new(s, 1, 0).err().expect("refused").field, field);
+        assert_eq!(Engine::new(s, 1, 0).err().expect("refused").field, field);
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,10 +1,11 @@
 //! Translation between lines of the wire and the events and actions of one brain for each instance.
 
 use routing::{
-    Action, AttemptNo, Brain, CacheNote, ClassId, Ended, Entry, Event, Key, ListScope, Load, Nanos,
-    NewRequest, Outcome, Phase, RequestId, ServerId, TenantId, Token,
+    Action, AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, ClassId, Endpoint,
+    EndpointId, EndpointState, Engine, Event, Key, LoadReport, Nanos, NewRequest, RequestId,
+    TenantId, TimerToken, UpdateKind,
 };
-use routing_config::{Names, Setup, load};
+use routing_config::{NameTables, OperatorSettings, parse_load_report};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -20,8 +21,8 @@
 }
 
 struct Instance {
-    brain: Brain,
-    names: Names,
+    brain: Engine,
+    names: NameTables,
 }
 
 /// All instances that this process hosts; they share nothing.
@@ -62,13 +63,15 @@
         let text = self.text(at, "rid")?;
         parse_id(text).map_or_else(|| self.wrong("rid", "not a request id"), Ok)
     }
-    fn server(&self, at: usize) -> Result<ServerId, String> {
-        self.whole(at, "server").map(ServerId)
+    fn server(&self, at: usize) -> Result<EndpointId, String> {
+        self.whole(at, "server").map(EndpointId)
     }
-    fn attempt(&self, at: usize) -> Result<AttemptNo, String> {
+    fn attempt(&self, at: usize) -> Result<AttemptNumber, String> {
         let number = self.whole(at, "trial")?;
-        u32::try_from(number)
-            .map_or_else(|_| self.wrong("trial", "too large"), |n| Ok(AttemptNo(n)))
+        u32::try_from(number).map_or_else(
+            |_| self.wrong("trial", "too large"),
+            |n| Ok(AttemptNumber(n)),
+        )
     }
     fn named(&self, at: usize, field: &str, names: &[String]) -> Result<usize, String> {
         let name = self.text(at, field)?;
@@ -77,12 +80,16 @@
             .position(|n| n == name)
             .map_or_else(|| self.wrong(field, "not in the settings"), Ok)
     }
-    fn load(&self, at: usize, names: &Names) -> Result<Option<Load>, String> {
+    fn parse_load_report(
+        &self,
+        at: usize,
+        names: &NameTables,
+    ) -> Result<Option<LoadReport>, String> {
         match self.get(at) {
             Value::Null => Ok(None),
-            Value::Array(values) => Ok(Some(load(
+            Value::Array(values) => Ok(Some(parse_load_report(
                 names
-                    .report
+                    .report_columns
                     .iter()
                     .zip(values)
                     .filter_map(|(c, v)| Some((c.as_str(), v.as_f64()?))),
@@ -121,22 +128,22 @@
     .join("-")
 }
 
-fn outcome(name: &str) -> Outcome {
+fn outcome(name: &str) -> AttemptOutcome {
     match name {
-        "delivered" => Outcome::Ok,
-        "app_error" => Outcome::Error,
-        "shed" => Outcome::Full,
-        "expired" => Outcome::Timeout,
-        "dial_failed" => Outcome::ConnectFailed,
-        "dropped" => Outcome::Reset,
-        "revoked" => Outcome::Cancelled,
-        "unused" => Outcome::Moot,
-        "empty" => Outcome::Miss,
-        _ => Outcome::Unknown,
+        "delivered" => AttemptOutcome::Ok,
+        "app_error" => AttemptOutcome::Error,
+        "shed" => AttemptOutcome::Rejected,
+        "expired" => AttemptOutcome::Timeout,
+        "dial_failed" => AttemptOutcome::ConnectFailed,
+        "dropped" => AttemptOutcome::Reset,
+        "revoked" => AttemptOutcome::Cancelled,
+        "unused" => AttemptOutcome::NotSent,
+        "empty" => AttemptOutcome::CacheMiss,
+        _ => AttemptOutcome::Unreadable,
     }
 }
 
-fn entry(value: &Value, names: &Names) -> Result<Entry, String> {
+fn entry(value: &Value, names: &NameTables) -> Result<Endpoint, String> {
     let Value::Array(values) = value else {
         return Err("peers_known.nodes_list: a line is not a row".into());
     };
@@ -152,33 +159,33 @@
             .unwrap_or(usize::MAX)
     };
     let phase = match f.text(4, "phase")? {
-        "up" => Phase::Up,
-        "draining" => Phase::Draining,
-        "removed" => Phase::Removed,
+        "up" => EndpointState::Active,
+        "draining" => EndpointState::Draining,
+        "removed" => EndpointState::Removed,
         _ => return f.wrong("phase", "unknown"),
     };
-    Ok(Entry {
-        server: f.server(0)?,
+    Ok(Endpoint {
+        id: f.server(0)?,
         zone: index(1, &names.zones),
         kind: index(2, &names.kinds),
         cell: f.optional(3, "bay")?.unwrap_or(0),
-        phase,
+        state: phase,
         weight: f.get(5).as_f64().unwrap_or(1.0),
         started: f.optional(6, "up_since_ns")?.unwrap_or(0),
     })
 }
 
-fn event(f: &Fields, names: &Names) -> Result<Event, String> {
+fn event(f: &Fields, names: &NameTables) -> Result<Event, String> {
     Ok(match f.event {
-        "peers_known" => Event::List {
-            scope: match f.text(1, "scope")? {
-                "patch" => ListScope::Patch,
-                "whole" => ListScope::Whole,
-                "stale_copy" => ListScope::Stale,
-                "broken" => ListScope::Failed,
+        "peers_known" => Event::EndpointUpdate {
+            kind: match f.text(1, "scope")? {
+                "patch" => UpdateKind::Delta,
+                "whole" => UpdateKind::Full,
+                "stale_copy" => UpdateKind::Stale,
+                "broken" => UpdateKind::Failed,
                 _ => return f.wrong("scope", "unknown"),
             },
-            entries: match f.get(3) {
+            endpoints: match f.get(3) {
                 Value::Array(lines) => lines
                     .iter()
                     .map(|l| entry(l, names))
@@ -196,7 +203,7 @@
                     Err(_) => return f.wrong("target_key", "not hex digits"),
                 },
             };
-            Event::Request(NewRequest {
+            Event::RequestArrived(NewRequest {
                 id: f.request(1)?,
                 class: ClassId(f.named(2, "profile", &names.classes)?),
                 tenant: match f.get(3) {
@@ -205,38 +212,38 @@
                     _ => return f.wrong("customer", "not a name"),
                 },
                 key,
-                patience: f.whole(5, "grace_ns")?,
-                work: f.optional(6, "predicted_ns")?.filter(|_| flags & 1 != 0),
-                write: flags & 4 != 0,
+                client_timeout: f.whole(5, "grace_ns")?,
+                estimated_work: f.optional(6, "predicted_ns")?.filter(|_| flags & 1 != 0),
+                is_write: flags & 4 != 0,
             })
         }
-        "attempt_end" => Event::Ended(Ended {
+        "attempt_end" => Event::AttemptEnded(AttemptResult {
             request: f.request(1)?,
             attempt: f.attempt(2)?,
-            server: f.server(3)?,
+            endpoint: f.server(3)?,
             outcome: outcome(f.text(4, "disposition")?),
             latency: f.whole(5, "delay_seen_ns")?,
-            finished: match f.get(6) {
+            request_finished: match f.get(6) {
                 Value::Bool(b) => *b,
                 Value::Null => false,
                 _ => return f.wrong("settled", "not true or false"),
             },
-            note: match f.optional(7, "remark")? {
-                Some(1) => Some(CacheNote::Hit),
-                Some(2) => Some(CacheNote::Miss),
-                Some(3) => Some(CacheNote::MissPending),
+            cache_status: match f.optional(7, "remark")? {
+                Some(1) => Some(CacheStatus::Hit),
+                Some(2) => Some(CacheStatus::Miss),
+                Some(3) => Some(CacheStatus::MissPending),
                 _ => None,
             },
-            load: f.load(8, names)?,
+            load_report: f.parse_load_report(8, names)?,
         }),
-        "aborted" => Event::Gone(f.request(1)?),
-        "pong" => Event::Probed {
+        "aborted" => Event::ClientDisconnected(f.request(1)?),
+        "pong" => Event::HealthCheckEnded {
             outcome: outcome(f.text(2, "disposition")?),
-            server: f.server(3)?,
-            load: f.load(4, names)?,
+            endpoint: f.server(3)?,
+            load_report: f.parse_load_report(4, names)?,
         },
-        "deadline_hit" => Event::Timer(Token(f.whole(1, "cookie")?)),
-        "begun" => Event::Begun {
+        "deadline_hit" => Event::TimerFired(TimerToken(f.whole(1, "cookie")?)),
+        "begun" => Event::ResponseStarted {
             request: f.request(1)?,
             attempt: f.attempt(2)?,
         },
@@ -247,10 +254,10 @@
 /// An action in the wire's words; it has none for what was merely withheld.
 fn action(router: &str, action: Action) -> Option<Value> {
     Some(match action {
-        Action::Note { .. } => return None,
+        Action::Defer { .. } => return None,
         Action::Send {
             request,
-            server,
+            endpoint: server,
             timeout,
             ..
         } => {
@@ -263,7 +270,7 @@
             ])
         }
         Action::Fail { request, .. } => json!(["report_failure", router, write_id(request)]),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
             ..
@@ -273,10 +280,10 @@
         Action::Cancel { request, attempt } => {
             json!(["withdraw", router, write_id(request), attempt.0])
         }
-        Action::Probe(server) => json!(["ping", router, server.0]),
-        Action::Close(server) => json!(["let_go", router, server.0]),
-        Action::Watch => json!(["observe", router, true]),
-        Action::Timer { after, token } => {
+        Action::HealthCheck(server) => json!(["ping", router, server.0]),
+        Action::CloseIdleConnections(server) => json!(["let_go", router, server.0]),
+        Action::QueryDiscovery => json!(["observe", router, true]),
+        Action::SetTimer { after, token } => {
             json!(["notify_me", router, after.min(LONGEST_TIMER), token.0])
         }
         Action::Log(text) => json!(["emit", router, text]),
@@ -321,12 +328,13 @@
             let Some(seed) = seed else {
                 return f.wrong("prng", "not a number");
             };
-            let setup = Setup::deserialize(f.get(2)).map_err(|e| format!("enlist.setup: {e}"))?;
+            let setup = OperatorSettings::deserialize(f.get(2))
+                .map_err(|e| format!("enlist.setup: {e}"))?;
             let (settings, names, _) = setup
                 .translate()
                 .map_err(|e| format!("enlist.setup: {e}"))?;
             let brain =
-                Brain::new(settings, seed, now).map_err(|e| format!("enlist.setup: {e}"))?;
+                Engine::new(settings, seed, now).map_err(|e| format!("enlist.setup: {e}"))?;
             self.instances
                 .insert(router.into(), Instance { brain, names });
             return Ok(());
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What the decision module costs, by the number of caches: a [`Brain`] driven by hand, without sockets.
+//! What the decision module costs, by the number of caches: a [`Engine`] driven by hand, without sockets.
 //!
 //! Reads of random keys arrive at a steady rate, each is answered after the same time, and each second one cache
 //! goes or another comes. Time is taken on the machine's clock round each event. The rows of the table of candidates
@@ -65,13 +65,13 @@
 /// What is due in the driven module.
 enum Due {
     Arrival,
-    Answer(RequestId, AttemptNo, ServerId, Nanos),
+    Answer(RequestId, AttemptNumber, EndpointId, Nanos),
     Change,
-    Timer(Token),
+    Timer(TimerToken),
 }
 
 struct Driver {
-    brain: Brain,
+    brain: Engine,
     rng: Xoshiro256PlusPlus,
     due: BTreeMap<(Nanos, u64), Due>,
     set: u64,
@@ -86,52 +86,52 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![Class {
-            effect: Effect::Safe,
-            aim: 200 * MS,
+        classes: vec![RequestClass {
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 200 * MS,
             deadline: PATIENCE,
-            worth: 1.0,
-            late_value: 0.0,
+            priority_weight: 1.0,
+            late_value_fraction: 0.0,
         }],
         tenants: Vec::new(),
-        over_share_worth: 0.0,
+        over_quota_weight: 0.0,
         // So few that no request waits for room: that would be counted too.
-        routers: 3,
-        origin: Origin::Through,
-        discovery: Discovery::Pushed,
-        live_weights: false,
-        limits: Limits {
+        balancers: 3,
+        origin: OriginMode::ReadThrough,
+        discovery: DiscoveryMode::Push,
+        dynamic_weights: false,
+        capabilities: Capabilities {
             max_attempts: 3,
-            second_copies: true,
-            cancel: true,
-            probes: false,
+            hedging: true,
+            cancellation: true,
+            health_checks: false,
             retry_after: false,
             max_retry_after: 0,
         },
-        rules: Rules {
-            answer_slack: 20 * MS,
+        rules: ServiceRules {
+            final_answer_grace: 20 * MS,
             drain_grace: 250 * MS,
-            cold_from: 0.2,
-            warm_after: 10 * S,
+            slow_start_fraction: 0.2,
+            slow_start_duration: 10 * S,
             overload_factor: 2.5,
-            tip_after: 3 * S,
+            overload_window: 3 * S,
         },
         tick: MS,
     }
 }
 
-fn entry(cache: u64, phase: Phase) -> Entry {
-    Entry {
-        server: ServerId(cache),
+fn entry(cache: u64, phase: EndpointState) -> Endpoint {
+    Endpoint {
+        id: EndpointId(cache),
         weight: 1.0,
-        phase,
-        ..Entry::default()
+        state: phase,
+        ..Endpoint::default()
     }
 }
 
 impl Driver {
     fn new(caches: usize, seed: u64) -> Result<Self, String> {
-        let brain = Brain::new(settings(), seed, 0).map_err(|e| e.to_string())?;
+        let brain = Engine::new(settings(), seed, 0).map_err(|e| e.to_string())?;
         let mut driver = Driver {
             brain,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -146,13 +146,13 @@
         let entries = driver
             .caches
             .iter()
-            .map(|cache| entry(*cache, Phase::Up))
+            .map(|cache| entry(*cache, EndpointState::Active))
             .collect();
         driver.tell(
             0,
-            Event::List {
-                scope: ListScope::Whole,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Full,
+                endpoints: entries,
             },
             Account::Change,
         );
@@ -179,7 +179,7 @@
                 Action::Send {
                     request,
                     attempt,
-                    server,
+                    endpoint: server,
                     ..
                 } => {
                     self.push(
@@ -187,7 +187,7 @@
                         Due::Answer(request, attempt, server, now),
                     );
                 }
-                Action::Timer { after, token } => self.push(now + after, Due::Timer(token)),
+                Action::SetTimer { after, token } => self.push(now + after, Due::Timer(token)),
                 _ => {}
             }
         }
@@ -200,48 +200,48 @@
             class: ClassId(0),
             tenant: None,
             key: Some(Key(self.rng.random())),
-            patience: PATIENCE,
-            work: None,
-            write: false,
+            client_timeout: PATIENCE,
+            estimated_work: None,
+            is_write: false,
         };
         self.push(now + S / REQUESTS_PER_S, Due::Arrival);
-        self.tell(now, Event::Request(read), Account::Request);
+        self.tell(now, Event::RequestArrived(read), Account::Request);
     }
 
     fn answer(
         &mut self,
         now: Nanos,
-        (request, attempt, server, sent): (RequestId, AttemptNo, ServerId, Nanos),
+        (request, attempt, server, sent): (RequestId, AttemptNumber, EndpointId, Nanos),
     ) {
-        let end = Ended {
+        let end = AttemptResult {
             request,
             attempt,
-            server,
-            outcome: Outcome::Ok,
+            endpoint: server,
+            outcome: AttemptOutcome::Ok,
             latency: now - sent,
-            finished: true,
-            note: Some(CacheNote::Hit),
-            load: None,
+            request_finished: true,
+            cache_status: Some(CacheStatus::Hit),
+            load_report: None,
         };
-        self.tell(now, Event::Ended(end), Account::Request);
+        self.tell(now, Event::AttemptEnded(end), Account::Request);
     }
 
     /// One cache goes, or another comes in the place of the one that went before.
     fn change(&mut self, now: Nanos) {
         let entry = if self.caches.len() == self.listed {
             let chosen = self.rng.random_range(0..self.caches.len());
-            entry(self.caches.swap_remove(chosen), Phase::Removed)
+            entry(self.caches.swap_remove(chosen), EndpointState::Removed)
         } else {
             self.caches.push(self.next_cache);
             self.next_cache += 1;
-            entry(self.next_cache - 1, Phase::Up)
+            entry(self.next_cache - 1, EndpointState::Active)
         };
         self.push(now + CHANGE_EVERY, Due::Change);
         self.tell(
             now,
-            Event::List {
-                scope: ListScope::Patch,
-                entries: vec![entry],
+            Event::EndpointUpdate {
+                kind: UpdateKind::Delta,
+                endpoints: vec![entry],
             },
             Account::Change,
         );
@@ -252,13 +252,13 @@
         let entries = self
             .caches
             .iter()
-            .map(|cache| entry(*cache, Phase::Up))
+            .map(|cache| entry(*cache, EndpointState::Active))
             .collect();
         self.tell(
             now,
-            Event::List {
-                scope: ListScope::Whole,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Full,
+                endpoints: entries,
             },
             Account::WholeList,
         );
@@ -280,7 +280,7 @@
                     } else {
                         Account::Request
                     };
-                    self.tell(now, Event::Timer(token), account);
+                    self.tell(now, Event::TimerFired(token), account);
                 }
             }
         }
