--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -5,7 +5,10 @@
 use crate::virtual_time::region_name;
 use crate::virtual_trials::resident_kb;
 use membership::envelope::DATAGRAM_MAX;
-use membership::{Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing};
+use membership::{
+    Location, MS, Member, MemberMetadata, MemberStatus, MembershipEvent, MembershipSettings, Nanos,
+    ServingPhase, Timing,
+};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -156,7 +159,7 @@
                 for n in who {
                     self.killed[n] = true;
                     if let Some(hollow) = self.members.remove(&n) {
-                        let traffic = hollow.member.traffic();
+                        let traffic = hollow.member.statistics();
                         self.gone.0 += traffic.sent;
                         self.gone.1 += traffic.sent_bytes;
                         let _ = self.epoll.delete(&hollow.socket);
@@ -196,25 +199,25 @@
             .filter(|other| other.region == place.region);
         let mut join: Vec<SocketAddr> = of_region.take(2).map(|other| other.address).collect();
         join.push(self.places[0].address);
-        let settings = FleetSettings {
+        let settings = MembershipSettings {
             fleet: "hollow".into(),
             name: name.clone(),
             address: place.address,
             join,
             members_max: MEMBERS_MAX,
-            configured: self.plan.members,
+            configured_balancers: self.plan.members,
             timing: Timing::default(),
             location,
         };
-        let soft = Soft {
+        let soft = MemberMetadata {
             name,
-            door: place.address,
-            phase: Phase::Serving,
+            listen_address: place.address,
+            phase: ServingPhase::Serving,
             build: env!("CARGO_PKG_VERSION").into(),
-            config: 7,
-            traffic: 0,
+            config_checksum: 7,
+            request_rate_tenths: 0,
             places: 1,
-            extra: Vec::new(),
+            extension: Vec::new(),
         };
         let seed = self
             .plan
@@ -243,7 +246,7 @@
         let mut bytes = [0; DATAGRAM_MAX + 1];
         for _ in 0..READ_MAX {
             match hollow.socket.recv_from(&mut bytes) {
-                Ok((length, from)) => hollow.member.datagram(now, from, &bytes[..length]),
+                Ok((length, from)) => hollow.member.receive(now, from, &bytes[..length]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => break,
             }
@@ -263,10 +266,10 @@
             let Some(hollow) = self.members.get_mut(&n) else {
                 continue;
             };
-            if hollow.member.due() <= now {
-                hollow.member.turn(now);
+            if hollow.member.next_tick() <= now {
+                hollow.member.tick(now);
             }
-            let due = hollow.member.due();
+            let due = hollow.member.next_tick();
             self.due.push(Reverse((due, n)));
             self.after(n);
         }
@@ -278,7 +281,7 @@
             return;
         };
         let region = self.places[hollow.place].region;
-        for (to, datagram) in hollow.member.take_outputs() {
+        for (to, datagram) in hollow.member.take_datagrams() {
             let to_region = self
                 .by_address
                 .get(&to)
@@ -291,10 +294,10 @@
                 let _ = hollow.socket.send_to(&datagram, to);
             }
         }
-        for change in hollow.member.take_changes() {
-            if let Change::Became {
+        for change in hollow.member.take_events() {
+            if let MembershipEvent::StatusChanged {
                 id,
-                is: State::Dead,
+                is: MemberStatus::Dead,
                 ..
             } = change
                 && let Some(other) = self.by_address.get(&id.address)
@@ -310,9 +313,9 @@
         let region = self.places[hollow.place].region;
         let living = |region: usize| self.living.get(&region).copied().unwrap_or(0);
         let (mut there, mut serving) = (0, 0);
-        for seen in hollow.member.seen() {
-            there += usize::from(seen.state.is_there());
-            serving += usize::from(seen.state == State::Serving);
+        for seen in hollow.member.members() {
+            there += usize::from(seen.status.is_present());
+            serving += usize::from(seen.status == MemberStatus::Serving);
         }
         if there != serving || there + 1 != living(region) {
             return false;
@@ -351,7 +354,10 @@
         self.next_report = now + REPORT;
         let before = busy_ns();
         self.report.settled = self.is_settled();
-        let traffic = self.members.values().map(|hollow| hollow.member.traffic());
+        let traffic = self
+            .members
+            .values()
+            .map(|hollow| hollow.member.statistics());
         let (sent, bytes) =
             traffic.fold(self.gone, |sum, t| (sum.0 + t.sent, sum.1 + t.sent_bytes));
         (self.report.datagrams, self.report.bytes) = (sent, bytes);
@@ -359,7 +365,7 @@
             self.second = now;
             self.report.worst = 0;
             for hollow in self.members.values_mut() {
-                let sent = hollow.member.traffic().sent_bytes;
+                let sent = hollow.member.statistics().sent_bytes;
                 self.report.worst = self.report.worst.max(sent - hollow.bytes);
                 hollow.bytes = sent;
             }
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -1,35 +1,35 @@
 //! The mutation check: each mistake that can be planted has to be found by a trial that passes without it.
 
 use crate::virtual_trials;
-use membership::planted::Fault;
+use membership::planted::InjectedFault;
 use serde::Serialize;
 use std::path::Path;
 use std::process::Command;
 
 /// Which trial finds which mistake.
-const FINDS: [(Fault, &str); 22] = [
-    (Fault::ForgetsRefutation, "lossy"),
-    (Fault::BelievesOldGeneration, "rolling"),
-    (Fault::CountsOwnSideAtOnce, "split"),
-    (Fault::NeverAsksTheDead, "split"),
-    (Fault::TrustsItselfAfterAStall, "virtual-asleep"),
-    (Fault::AccusesWhileCutOff, "virtual-deaf"),
-    (Fault::NoLastQuestion, "virtual-lossy"),
-    (Fault::ReadsForeignFleets, "strangers"),
-    (Fault::LeavesSilently, "leave"),
-    (Fault::TellsRecordsOnce, "virtual-newcomer"),
-    (Fault::NeverCompares, "virtual-return"),
-    (Fault::KeepsItsLevelToItself, "virtual-overload"),
-    (Fault::NeverLowersItsLevel, "virtual-overload"),
-    (Fault::BelievesStaleWords, "virtual-overload"),
-    (Fault::ShedsTheDearestToo, "virtual-overload"),
-    (Fault::DropsSilentRegionsAtOnce, "regions-split"),
-    (Fault::NeverReplacesDelegates, "regions-delegates"),
-    (Fault::NeverComparesRegions, "regions-lossy"),
-    (Fault::BelievesOldAnnouncements, "regions-lies"),
-    (Fault::BelievesAnyFigures, "regions-lies"),
-    (Fault::KeepsOverviewToItself, "regions-overview"),
-    (Fault::IgnoresReferrals, "regions-referral"),
+const FINDS: [(InjectedFault, &str); 22] = [
+    (InjectedFault::ForgetsRefutation, "lossy"),
+    (InjectedFault::BelievesOldGeneration, "rolling"),
+    (InjectedFault::CountsOwnSideAtOnce, "split"),
+    (InjectedFault::NeverAsksTheDead, "split"),
+    (InjectedFault::TrustsItselfAfterAStall, "virtual-asleep"),
+    (InjectedFault::AccusesWhileCutOff, "virtual-deaf"),
+    (InjectedFault::NoLastQuestion, "virtual-lossy"),
+    (InjectedFault::ReadsForeignFleets, "strangers"),
+    (InjectedFault::LeavesSilently, "leave"),
+    (InjectedFault::TellsRecordsOnce, "virtual-newcomer"),
+    (InjectedFault::NeverCompares, "virtual-return"),
+    (InjectedFault::KeepsItsLevelToItself, "virtual-overload"),
+    (InjectedFault::NeverLowersItsLevel, "virtual-overload"),
+    (InjectedFault::BelievesStaleWords, "virtual-overload"),
+    (InjectedFault::ShedsTheDearestToo, "virtual-overload"),
+    (InjectedFault::DropsSilentRegionsAtOnce, "regions-split"),
+    (InjectedFault::NeverReplacesDelegates, "regions-delegates"),
+    (InjectedFault::NeverComparesRegions, "regions-lossy"),
+    (InjectedFault::BelievesOldAnnouncements, "regions-lies"),
+    (InjectedFault::BelievesAnyFigures, "regions-lies"),
+    (InjectedFault::KeepsOverviewToItself, "regions-overview"),
+    (InjectedFault::IgnoresReferrals, "regions-referral"),
 ];
 
 /// One row of the table.
@@ -74,7 +74,7 @@
     FINDS
         .iter()
         .map(|(fault, trial)| {
-            let name = Fault::ALL
+            let name = InjectedFault::ALL
                 .iter()
                 .find(|(f, _)| f == fault)
                 .map_or("", |(_, name)| name);
--- a/crates/testbed/src/mutations/tests.rs
+++ b/crates/testbed/src/mutations/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn each_mistake_has_its_trial_and_each_trial_exists() {
-    for (fault, name) in Fault::ALL {
+    for (fault, name) in InjectedFault::ALL {
         let trial = FINDS
             .iter()
             .find(|(f, _)| *f == fault)
--- a/crates/testbed/src/virtual_overload.rs
+++ b/crates/testbed/src/virtual_overload.rs
@@ -3,7 +3,7 @@
 //! worth 3 and, a tenth, writes worth 10.
 
 use crate::virtual_time::Fleet;
-use membership::overload::{FRESH, SHED_MOST, TIERS_COUNTED, Tally};
+use membership::overload::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION, REPORT_TTL};
 use membership::{MS, Nanos};
 use serde::Serialize;
 
@@ -84,7 +84,7 @@
 
 /// The part of a tier that is shed.
 fn shed(level: f64, tier: usize) -> f64 {
-    (level - tier as f64).clamp(0.0, SHED_MOST)
+    (level - tier as f64).clamp(0.0, MAX_SHED_FRACTION)
 }
 
 /// One tick of the model over the members that run: each asks for `asked` times its weight.
@@ -115,11 +115,11 @@
             *whole = carried.floor() as u32;
             *carried -= carried.floor();
         }
-        let mut tally = Tally {
-            short: whole[2],
-            ..Tally::default()
+        let mut tally = AdmissionCounts {
+            capacity_rejections: whole[2],
+            ..AdmissionCounts::default()
         };
-        (tally.let_in[READS], tally.let_in[WRITES]) = (whole[0], whole[1]);
+        (tally.admitted[READS], tally.admitted[WRITES]) = (whole[0], whole[1]);
         fleet.count(n, tally);
     }
     let writes = (total * WRITE_PART).min(room);
@@ -275,12 +275,12 @@
     }
     (1..6).for_each(|n| fleet.kill(n));
     let gone = fleet.now;
-    while fleet.level(0) > 0.0 && fleet.now - gone < FRESH + 15 * S {
+    while fleet.level(0) > 0.0 && fleet.now - gone < REPORT_TTL + 15 * S {
         fleet.count(
             0,
-            Tally {
-                let_in: [4; TIERS_COUNTED],
-                short: 0,
+            AdmissionCounts {
+                admitted: [4; COUNTED_TIERS],
+                capacity_rejections: 0,
             },
         );
         fleet.play(fleet.now + TICK);
--- a/crates/testbed/src/virtual_region_trials.rs
+++ b/crates/testbed/src/virtual_region_trials.rs
@@ -2,7 +2,7 @@
 
 use crate::virtual_time::{Fleet, Network, address, region_name};
 use membership::envelope::{Kind, Numbers, seal};
-use membership::regions::exchange::Told;
+use membership::regions::exchange::AgedAnnouncement;
 use membership::regions::{Announcement, Payload, Summary};
 use membership::{MS, Nanos};
 use rand::{RngExt, SeedableRng};
@@ -56,7 +56,7 @@
             let sum: f64 = fleet
                 .running()
                 .iter()
-                .map(|n| 1.0 / fleet.view(*n).count.max(1) as f64)
+                .map(|n| 1.0 / fleet.view(*n).share_count.max(1) as f64)
                 .sum();
             if sum >= BOUND {
                 return Err(format!("the shares sum to {sum:.2}"));
@@ -116,7 +116,7 @@
         .view(delegate)
         .regions
         .first()
-        .map(|seen| seen.row.clone())
+        .map(|seen| seen.overview.clone())
         .ok_or("one region only")?;
     let author = row.delegates[0];
     let announcement = |version: u64, places: u32| Announcement {
@@ -137,7 +137,7 @@
         announcement(row.version + 1, u32::MAX / 2),
         announcement(row.version - 1, 500),
     ] {
-        let payload = Told::write(&[Told::new(lie)]);
+        let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(lie)]);
         fleet.inject(
             delegate,
             author,
@@ -149,7 +149,7 @@
         let count = fleet
             .running()
             .into_iter()
-            .map(|n| fleet.view(n).count)
+            .map(|n| fleet.view(n).share_count)
             .max()
             .unwrap_or(0);
         if count > 18 {
--- a/crates/testbed/src/virtual_regions.rs
+++ b/crates/testbed/src/virtual_regions.rs
@@ -405,7 +405,7 @@
     let false_deaths = fleet.false_deaths() - false_before;
     let entries = (0..fleet.len()).filter_map(|n| fleet.member(n));
     let entries = entries
-        .map(|m| m.seen().count() + m.region_rows().count() + m.announcements())
+        .map(|m| m.members().count() + m.region_rows().count() + m.announcements())
         .max();
     Measured {
         members: plan.members,
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -1,7 +1,8 @@
 //! Members of the `fleet` crate side by side in virtual time: the same seed plays the same course on every machine.
 
 use membership::{
-    Change, FleetSettings, Location, MS, Member, Nanos, Phase, Soft, State, Timing, Traffic, View,
+    Location, MS, Member, MemberMetadata, MemberStatistics, MemberStatus, MembershipEvent,
+    MembershipSettings, Nanos, ServingPhase, Timing, View,
 };
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -43,7 +44,7 @@
     stalled: Nanos,
     /// Datagrams that wait while it stands still; the oldest ones beyond the bound are lost.
     inbox: Vec<(SocketAddr, Vec<u8>)>,
-    traffic: Traffic,
+    traffic: MemberStatistics,
     sent_max: u64,
     false_deaths: u64,
     /// Its region, by number; 0 where there is one only.
@@ -113,7 +114,7 @@
             member: None,
             stalled: 0,
             inbox: Vec::new(),
-            traffic: Traffic::default(),
+            traffic: MemberStatistics::default(),
             sent_max: 0,
             false_deaths: 0,
             region: 0,
@@ -201,15 +202,15 @@
     }
 
     /// Counts what a member's module let in and what of it found no room.
-    pub fn count(&mut self, n: usize, tally: membership::overload::Tally) {
+    pub fn count(&mut self, n: usize, tally: membership::overload::AdmissionCounts) {
         if let Some(member) = &mut self.places[n].member {
-            member.count(tally);
+            member.add_admission_counts(tally);
         }
     }
 
     /// The level that a member sheds by; 0 if none runs at this place.
     pub fn level(&self, n: usize) -> f64 {
-        self.member(n).map_or(0.0, Member::level)
+        self.member(n).map_or(0.0, Member::shedding_level)
     }
 
     /// How many places there are.
@@ -243,30 +244,30 @@
         if self.in_regions && self.joins > 0 {
             join.push(address(0));
         }
-        let settings = FleetSettings {
+        let settings = MembershipSettings {
             fleet: "trial".into(),
             name: format!("n{n}"),
             address: address(n),
             join,
             members_max: self.members_max,
-            configured: 10,
+            configured_balancers: 10,
             timing: self.timing,
             location,
         };
-        let soft = Soft {
+        let soft = MemberMetadata {
             name: format!("n{n}"),
-            door: address(n),
-            phase: Phase::Serving,
+            listen_address: address(n),
+            phase: ServingPhase::Serving,
             build: "0.1.0".into(),
-            config: 7,
-            traffic: 0,
+            config_checksum: 7,
+            request_rate_tenths: 0,
             places: 1,
-            extra: Vec::new(),
+            extension: Vec::new(),
         };
         let unix = (EPOCH_MS + self.now / MS).saturating_add_signed(clock_ms);
         let mut member = Member::new(settings, soft, unix, self.rng.random(), self.now);
         if let Some(tiers) = self.tiers {
-            member.share_overload(tiers);
+            member.enable_shared_shedding(tiers);
         }
         let place = &mut self.places[n];
         (place.member, place.stalled) = (Some(member), 0);
@@ -288,7 +289,7 @@
     pub fn leave(&mut self, n: usize) {
         if let Some(mut member) = self.places[n].member.take() {
             member.leave(self.now);
-            self.send(n, member.take_outputs());
+            self.send(n, member.take_datagrams());
         }
     }
 
@@ -340,11 +341,11 @@
     }
 
     /// The sum of all counts of datagrams, of those that run.
-    pub fn traffic(&self, n: usize) -> Traffic {
+    pub fn traffic(&self, n: usize) -> MemberStatistics {
         self.places[n]
             .member
             .as_ref()
-            .map(Member::traffic)
+            .map(Member::statistics)
             .unwrap_or(self.places[n].traffic)
     }
 
@@ -392,7 +393,7 @@
     /// A datagram from nowhere, as it is.
     pub fn inject(&mut self, to: usize, from: SocketAddr, datagram: &[u8]) {
         if let Some(member) = &mut self.places[to].member {
-            member.datagram(self.now, from, datagram);
+            member.receive(self.now, from, datagram);
         }
     }
 
@@ -425,15 +426,15 @@
         }
         let begun = Instant::now();
         for (from, datagram) in std::mem::take(&mut place.inbox) {
-            member.datagram(now, from, &datagram);
+            member.receive(now, from, &datagram);
         }
         if self.busy_members && (now / MS / 50 + n as u64).is_multiple_of(40) {
             let requests = (now / (2_000 * MS) * 7_919 + n as u64 * 104_729) % 400;
-            member.tell(|soft| soft.traffic = 9_000 + 10 * requests as u32);
+            member.update_metadata(|soft| soft.request_rate_tenths = 9_000 + 10 * requests as u32);
         }
-        let due = (member.due() <= now).then(|| {
-            member.turn(now);
-            member.due()
+        let due = (member.next_tick() <= now).then(|| {
+            member.tick(now);
+            member.next_tick()
         });
         place.busy += begun.elapsed();
         if let Some(due) = due {
@@ -455,7 +456,7 @@
             return;
         }
         let begun = Instant::now();
-        member.datagram(now, from, &datagram);
+        member.receive(now, from, &datagram);
         place.busy += begun.elapsed();
         self.after(n);
     }
@@ -464,14 +465,14 @@
         let Some(member) = &mut self.places[n].member else {
             return;
         };
-        let outputs = member.take_outputs();
-        let changes = member.take_changes();
+        let outputs = member.take_datagrams();
+        let changes = member.take_events();
         let sent = outputs.len() as u64;
         self.places[n].sent_max = self.places[n].sent_max.max(sent);
         for change in changes {
-            if let Change::Became {
+            if let MembershipEvent::StatusChanged {
                 id,
-                is: State::Dead,
+                is: MemberStatus::Dead,
                 ..
             } = change
                 && let Some(&other) = self.numbers.get(&id.address)
@@ -553,14 +554,15 @@
         let region = self.places[n].region;
         let with_it = living[&(region, side(n))] - 1;
         let mut there = 0;
-        let true_ones = member.seen().filter(|seen| {
-            there += usize::from(seen.state.is_there());
+        let true_ones = member.members().filter(|seen| {
+            there += usize::from(seen.status.is_present());
             // Where datagrams get lost a suspicion that is refuted at once is no error.
             let serves = seen
-                .soft
+                .metadata
                 .as_ref()
-                .is_some_and(|soft| soft.phase == Phase::Serving);
-            let right = seen.state == State::Serving || seen.state == State::Stalled && serves;
+                .is_some_and(|soft| soft.phase == ServingPhase::Serving);
+            let right = seen.status == MemberStatus::Serving
+                || seen.status == MemberStatus::Stalled && serves;
             let of = self
                 .numbers
                 .get(&seen.id.address)
@@ -607,22 +609,24 @@
             let Some(member) = &self.places[n].member else {
                 continue;
             };
-            let seen: HashMap<SocketAddr, &membership::Seen> =
-                member.seen().map(|seen| (seen.id.address, seen)).collect();
+            let seen: HashMap<SocketAddr, &membership::MemberView> = member
+                .members()
+                .map(|seen| (seen.id.address, seen))
+                .collect();
             for (m, place) in self.places.iter().enumerate().filter(|(m, _)| *m != n) {
                 let what = match (&place.member, seen.get(&address(m))) {
                     (Some(_), None) => "not known",
-                    (None, Some(seen)) if seen.state.is_there() => "death not known",
+                    (None, Some(seen)) if seen.status.is_present() => "death not known",
                     (Some(member), Some(seen))
-                        if seen.id != member.id() && seen.state.is_there() =>
+                        if seen.id != member.id() && seen.status.is_present() =>
                     {
                         "older life taken for there"
                     }
                     (Some(member), Some(seen)) if seen.id != member.id() => "older life known dead",
-                    (Some(_), Some(seen)) if seen.soft.is_none() => "record not known",
-                    (Some(_), Some(seen)) if seen.state == State::Serving => continue,
-                    (Some(_), Some(seen)) if seen.state == State::Stalled => "suspect",
-                    (Some(_), Some(seen)) if seen.state.is_there() => "record too old",
+                    (Some(_), Some(seen)) if seen.metadata.is_none() => "record not known",
+                    (Some(_), Some(seen)) if seen.status == MemberStatus::Serving => continue,
+                    (Some(_), Some(seen)) if seen.status == MemberStatus::Stalled => "suspect",
+                    (Some(_), Some(seen)) if seen.status.is_present() => "record too old",
                     (Some(_), Some(_)) => "taken for dead",
                     (None, _) => continue,
                 };
--- a/crates/testbed/src/virtual_trials.rs
+++ b/crates/testbed/src/virtual_trials.rs
@@ -72,7 +72,7 @@
         .view(0)
         .members
         .iter()
-        .find(|seen| !seen.state.is_there())
+        .find(|seen| !seen.status.is_present())
     {
         return Err(format!("the deaf one gave {} up", seen.id.address));
     }
@@ -109,7 +109,7 @@
     let heard = view
         .members
         .iter()
-        .filter(|seen| seen.soft.is_some())
+        .filter(|seen| seen.metadata.is_some())
         .count();
     if heard == 11 {
         Ok(())
@@ -161,8 +161,13 @@
     let (mut by_rule, mut at_once) = (0f64, 0f64);
     let mut look = |fleet: &Fleet| {
         let views: Vec<_> = fleet.running().into_iter().map(|m| fleet.view(m)).collect();
-        by_rule = by_rule.max(views.iter().map(|v| 1.0 / v.count.max(1) as f64).sum());
-        at_once = at_once.max(views.iter().map(|v| 1.0 / v.living.max(1) as f64).sum());
+        by_rule = by_rule.max(
+            views
+                .iter()
+                .map(|v| 1.0 / v.share_count.max(1) as f64)
+                .sum(),
+        );
+        at_once = at_once.max(views.iter().map(|v| 1.0 / v.alive.max(1) as f64).sum());
     };
     fleet.split(side, true);
     for _ in 0..300 {
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -1,7 +1,7 @@
 //! A fleet in regions, in virtual time: the same seed plays the same course everywhere.
 
 use membership::envelope::{Kind, Numbers, seal};
-use membership::regions::exchange::Told;
+use membership::regions::exchange::AgedAnnouncement;
 use membership::regions::{Announcement, Payload, Summary};
 use membership::{MS, Nanos};
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
     fleet
         .running()
         .iter()
-        .map(|n| 1.0 / fleet.view(*n).count.max(1) as f64)
+        .map(|n| 1.0 / fleet.view(*n).share_count.max(1) as f64)
         .sum()
 }
 
@@ -65,7 +65,10 @@
     }
     for n in fleet.running() {
         let view = fleet.view(n);
-        assert_eq!((view.count, view.living, view.regions.len()), (37, 37, 2));
+        assert_eq!(
+            (view.share_count, view.alive, view.regions.len()),
+            (37, 37, 2)
+        );
         assert_eq!(
             view.members.len() + 1,
             fleet.of_region(fleet.region(n)).len(),
@@ -102,7 +105,7 @@
             let sum = sum_of_shares(&fleet);
             assert!(sum <= 1.5, "seed {seed}: {sum}");
         }
-        let count = |n: usize| fleet.view(n).count;
+        let count = |n: usize| fleet.view(n).share_count;
         // The larger part holds more than half of all places and counts the others out; they go on dividing by all.
         assert_eq!((count(0), count(31), count(45)), (30, 54, 54));
         assert!(
@@ -118,7 +121,12 @@
             .expect("they hear each other");
         assert!(healed <= 5 * S, "seed {seed}: {healed}");
         fleet.play(fleet.now + S);
-        assert!(fleet.running().iter().all(|n| fleet.view(*n).count == 54));
+        assert!(
+            fleet
+                .running()
+                .iter()
+                .all(|n| fleet.view(*n).share_count == 54)
+        );
     }
 }
 
@@ -148,9 +156,9 @@
                     .view(30)
                     .regions
                     .iter()
-                    .find(|seen| seen.row.region == region_name(0))
+                    .find(|seen| seen.overview.region == region_name(0))
                     .cloned();
-                let row = row.expect("it is told of").row;
+                let row = row.expect("it is told of").overview;
                 told.insert((row.living, row.places, row.authors));
             }
         }
@@ -198,7 +206,10 @@
     );
     fleet.play(fleet.now + 30 * S);
     assert!(
-        fleet.running().iter().all(|n| fleet.view(*n).count == 32),
+        fleet
+            .running()
+            .iter()
+            .all(|n| fleet.view(*n).share_count == 32),
         "its former place is given up"
     );
 }
@@ -260,7 +271,7 @@
 
 /// An announcement as it stands on the wire, with a sign of life.
 fn news(fleet: &str, announcement: &Announcement) -> Vec<u8> {
-    let payload = Told::write(&[Told::new(announcement.clone())]);
+    let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(announcement.clone())]);
     seal(Numbers::new(fleet, "any"), Kind::RegionNews, &payload)
 }
 
@@ -281,7 +292,7 @@
     let mut fleet = settled_regions(&[12, 6], 7);
     fleet.play(fleet.now + 20 * S);
     let delegate = delegates(&fleet, 0)[0];
-    let leader = fleet.view(delegate).regions[0].row.clone();
+    let leader = fleet.view(delegate).regions[0].overview.clone();
     let author = leader.delegates[0];
     let sound = Announcement {
         region: region_name(1),
@@ -333,7 +344,10 @@
     fleet.play(fleet.now + 10 * S);
     assert!(fleet.settled());
     assert!(
-        fleet.running().iter().all(|n| fleet.view(*n).count == 18),
+        fleet
+            .running()
+            .iter()
+            .all(|n| fleet.view(*n).share_count == 18),
         "nobody divides by what was made up"
     );
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,6 +1,6 @@
 //! The fleet crate alone, in virtual time: the same seed plays the same course everywhere.
 
-use membership::{MS, State};
+use membership::{MS, MemberStatus};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use testbed::virtual_time::{Fleet, Network, address};
@@ -84,7 +84,7 @@
             fleet
                 .running()
                 .iter()
-                .map(|n| 1.0 / fleet.view(*n).count as f64)
+                .map(|n| 1.0 / fleet.view(*n).share_count as f64)
                 .sum()
         };
         fleet
@@ -130,9 +130,9 @@
     // It is heard by all and hears nobody.
     (1..8).for_each(|n| fleet.cut(n, 0, true));
     fleet.play(fleet.now + 8 * S);
-    assert!(fleet.view(0).cut_off);
+    assert!(fleet.view(0).isolated);
     assert!(
-        fleet.view(0).members.iter().all(|m| m.state.is_there()),
+        fleet.view(0).members.iter().all(|m| m.status.is_present()),
         "it blames itself"
     );
     assert_eq!(
@@ -155,7 +155,7 @@
                 .view(0)
                 .members
                 .iter()
-                .any(|m| m.id.address == address(4) && m.state == State::Serving)
+                .any(|m| m.id.address == address(4) && m.status == MemberStatus::Serving)
         );
         fleet.until(10 * S, Fleet::settled).expect("taken back");
         fleet.play(fleet.now + 5 * S);
@@ -195,11 +195,11 @@
     fleet.play(fleet.now + S);
     for n in 0..9 {
         let view = fleet.view(n);
-        assert_eq!(view.count, 9);
+        assert_eq!(view.share_count, 9);
         assert!(
             view.members
                 .iter()
-                .any(|m| m.id.address == address(9) && m.state == State::Left)
+                .any(|m| m.id.address == address(9) && m.status == MemberStatus::Left)
         );
     }
 }
@@ -296,6 +296,6 @@
             .view(0)
             .members
             .iter()
-            .any(|m| m.id.address == address(4) && m.state == State::Left)
+            .any(|m| m.id.address == address(4) && m.status == MemberStatus::Left)
     );
 }
