--- a/crates/balancer/src/tries.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -2,10 +2,10 @@
 //! the module's outcomes. Nothing is sent again from here; tries are the module's.
 
 use crate::counters::Counters;
-use crate::peers::{Job, JobEnd, Outgoing};
-use crate::request::{FinalAnswer, Incoming, RequestContext, Ticket, Try};
+use crate::request::{AttemptRecord, FinalAnswer, IncomingRequest, RequestContext, Ticket};
 use crate::resp::{Answer as PeerAnswer, Reply};
 use crate::timers::MS;
+use crate::upstream_pool::{ExchangeResult, OutboundCommand, UpstreamJob};
 use routing::{
     AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, EndpointId, Event, LoadReport,
     Nanos, RequestId,
@@ -17,7 +17,7 @@
 
 /// All requests that are owed an answer or have tries out, and the probes that are out.
 #[derive(Default)]
-pub struct Tries {
+pub struct AttemptTracker {
     contexts: HashMap<RequestId, RequestContext>,
     /// The clients' ids of all contexts.
     ids: HashSet<Vec<u8>>,
@@ -31,7 +31,7 @@
     lost: Nanos,
 }
 
-impl Tries {
+impl AttemptTracker {
     /// How many requests are open.
     pub fn open(&self) -> usize {
         self.contexts.len()
@@ -53,7 +53,7 @@
     }
 
     /// Takes a request. Its time counts from when it can have come.
-    pub fn take(&mut self, incoming: Incoming) {
+    pub fn take(&mut self, incoming: IncomingRequest) {
         let deadline = incoming.arrived.saturating_add(incoming.patience);
         self.held += incoming.order.size();
         self.ids.insert(incoming.order.id.clone());
@@ -89,10 +89,10 @@
     }
 
     /// The try whose value is on its way for this request.
-    pub fn passing_try(&self, request: RequestId) -> Option<Job> {
+    pub fn passing_try(&self, request: RequestId) -> Option<UpstreamJob> {
         self.passing
             .get(&request)
-            .map(|(_, attempt)| Job::Try(request, *attempt))
+            .map(|(_, attempt)| UpstreamJob::Attempt(request, *attempt))
     }
 
     /// The value is through, broken off or not wanted any more.
@@ -156,7 +156,7 @@
         server: EndpointId,
         (timeout, begin_within): (Option<Nanos>, Option<Nanos>),
         counters: &mut Counters,
-    ) -> Result<Outgoing, Box<Event>> {
+    ) -> Result<OutboundCommand, Box<Event>> {
         // The attempt is the module's own number: with a wrong one it would wait for its end for good.
         let moot = |finished| {
             Box::new(ended(
@@ -184,7 +184,7 @@
         let lost = self.lost;
         context.out.insert(
             attempt,
-            Try {
+            AttemptRecord {
                 server,
                 sent: now,
                 lost,
@@ -192,8 +192,8 @@
                 begin_by,
             },
         );
-        Ok(Outgoing {
-            job: Job::Try(request, attempt),
+        Ok(OutboundCommand {
+            job: UpstreamJob::Attempt(request, attempt),
             server,
             until,
         })
@@ -243,7 +243,7 @@
         counters: &mut Counters,
     ) -> Option<Event> {
         let context = self.contexts.get_mut(&request)?;
-        let Try {
+        let AttemptRecord {
             server, sent, lost, ..
         } = context.out.remove(&attempt)?;
         let finished = context.owed.is_none();
@@ -261,11 +261,11 @@
     }
 
     /// Begins a probe.
-    pub fn probe(&mut self, server: EndpointId, counters: &mut Counters) -> Job {
+    pub fn probe(&mut self, server: EndpointId, counters: &mut Counters) -> UpstreamJob {
         self.next_probe += 1;
         self.probes.insert(self.next_probe, server);
         counters.probes += 1;
-        Job::Probe(self.next_probe)
+        UpstreamJob::Probe(self.next_probe)
     }
 
     /// A probe has had its time.
@@ -282,23 +282,23 @@
     pub fn finished(
         &mut self,
         now: Nanos,
-        job: Job,
-        end: JobEnd,
+        job: UpstreamJob,
+        end: ExchangeResult,
         counters: &mut Counters,
     ) -> (Option<Event>, Option<Answer>) {
         let (request, attempt) = match job {
-            Job::Try(request, attempt) => (request, attempt),
-            Job::Probe(probe) => {
+            UpstreamJob::Attempt(request, attempt) => (request, attempt),
+            UpstreamJob::Probe(probe) => {
                 let told = self.probes.remove(&probe).map(|server| probed(server, end));
                 return (told, None);
             }
         };
         let (outcome, served) = match end {
-            JobEnd::Answer(answer) => read_outcome(answer),
-            JobEnd::Spoilt | JobEnd::Reply(_) => (AttemptOutcome::Unreadable, None),
-            JobEnd::NeverSent => (AttemptOutcome::ConnectFailed, None),
-            JobEnd::Broken => (AttemptOutcome::Reset, None),
-            JobEnd::NoPlace => (AttemptOutcome::NotSent, None),
+            ExchangeResult::Answer(answer) => read_outcome(answer),
+            ExchangeResult::Spoilt | ExchangeResult::Reply(_) => (AttemptOutcome::Unreadable, None),
+            ExchangeResult::NeverSent => (AttemptOutcome::ConnectFailed, None),
+            ExchangeResult::Broken => (AttemptOutcome::Reset, None),
+            ExchangeResult::NoPlace => (AttemptOutcome::NotSent, None),
         };
         let Some(Served { value, note, load }) = served else {
             return (self.give_up(now, request, attempt, outcome, counters), None);
@@ -402,18 +402,18 @@
     )
 }
 
-fn probed(server: EndpointId, end: JobEnd) -> Event {
+fn probed(server: EndpointId, end: ExchangeResult) -> Event {
     let (outcome, load) = match end {
-        JobEnd::Reply(Reply::Status(_)) => (AttemptOutcome::Ok, None),
-        JobEnd::Reply(Reply::Bulk(Some(report))) => (
+        ExchangeResult::Reply(Reply::Status(_)) => (AttemptOutcome::Ok, None),
+        ExchangeResult::Reply(Reply::Bulk(Some(report))) => (
             AttemptOutcome::Ok,
             Some(read_load(&String::from_utf8_lossy(&report))),
         ),
-        JobEnd::Reply(_) => (AttemptOutcome::Error, None),
-        JobEnd::NeverSent => (AttemptOutcome::ConnectFailed, None),
-        JobEnd::Broken => (AttemptOutcome::Reset, None),
-        JobEnd::Spoilt | JobEnd::Answer(_) => (AttemptOutcome::Unreadable, None),
-        JobEnd::NoPlace => (AttemptOutcome::NotSent, None),
+        ExchangeResult::Reply(_) => (AttemptOutcome::Error, None),
+        ExchangeResult::NeverSent => (AttemptOutcome::ConnectFailed, None),
+        ExchangeResult::Broken => (AttemptOutcome::Reset, None),
+        ExchangeResult::Spoilt | ExchangeResult::Answer(_) => (AttemptOutcome::Unreadable, None),
+        ExchangeResult::NoPlace => (AttemptOutcome::NotSent, None),
     };
     Event::HealthCheckEnded {
         endpoint: server,
--- a/crates/balancer/src/tries/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `tries`.
 
 use super::*;
-use crate::request::Order;
+use crate::request::CacheCommand;
 
 #[test]
 fn answers_map_to_outcomes() {
@@ -51,8 +51,8 @@
     );
 }
 
-fn incoming(ticket: Ticket, patience: Nanos, order: Order) -> Incoming {
-    Incoming {
+fn incoming(ticket: Ticket, patience: Nanos, order: CacheCommand) -> IncomingRequest {
+    IncomingRequest {
         ticket,
         class: String::new(),
         tenant: None,
@@ -65,8 +65,8 @@
 
 #[test]
 fn no_cache_is_blamed_for_what_the_process_was_held_up() {
-    let (mut tries, mut counters) = (Tries::default(), Counters::default());
-    let order = Order {
+    let (mut tries, mut counters) = (AttemptTracker::default(), Counters::default());
+    let order = CacheCommand {
         value: None,
         key: b"k".to_vec(),
         id: b"i".to_vec(),
@@ -103,8 +103,8 @@
 
 #[test]
 fn a_try_that_comes_too_late_ends_under_its_own_number() {
-    let (mut tries, mut counters) = (Tries::default(), Counters::default());
-    let order = Order {
+    let (mut tries, mut counters) = (AttemptTracker::default(), Counters::default());
+    let order = CacheCommand {
         value: None,
         key: b"k".to_vec(),
         id: b"i".to_vec(),
@@ -150,8 +150,8 @@
 #[test]
 fn a_try_has_a_millisecond_at_least_unless_its_request_has_less() {
     for (patience, sent) in [(100 * MS, true), (MS, true), (MS - 1, false)] {
-        let (mut tries, mut counters) = (Tries::default(), Counters::default());
-        let order = Order {
+        let (mut tries, mut counters) = (AttemptTracker::default(), Counters::default());
+        let order = CacheCommand {
             value: None,
             key: b"k".to_vec(),
             id: b"i".to_vec(),
@@ -162,7 +162,7 @@
             connection: 0,
         };
         tries.take(incoming(ticket, patience, order));
-        // Peers that answer within 0.1 ms have the module give a try up after a fraction of one.
+        // Caches that answer within 0.1 ms have the module give a try up after a fraction of one.
         let first = (RequestId(1), AttemptNumber(0));
         let started = tries.start(0, first, EndpointId(1), (Some(MS / 4), None), &mut counters);
         assert_eq!(
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -4,7 +4,7 @@
 
 pub use fleet::FleetConfig;
 
-use crate::upstream_group::HostList;
+use crate::discovery::EndpointList;
 use fleet::FileFleet;
 use routing::Settings;
 use routing_config::{NameTables, OperatorSettings, TransportSettings, operator_key};
@@ -48,7 +48,7 @@
     /// Memory the process may use, in bytes.
     pub memory: usize,
     /// The list as this balancer last had it.
-    pub known: Option<HostList>,
+    pub known: Option<EndpointList>,
     /// What the module is told.
     pub settings: Settings,
     /// The names in messages.
@@ -92,7 +92,7 @@
     seed: Value,
     #[serde(default)]
     limits: FileLimits,
-    known: Option<HostList>,
+    known: Option<EndpointList>,
     settings: OperatorSettings,
 }
 
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -5,7 +5,7 @@
 
 /// A step that the module took, or left out, for a reason.
 #[derive(Clone, Copy)]
-pub enum Step {
+pub enum DecisionStep {
     /// The request was turned away.
     Refused,
     /// The request was given up.
@@ -16,35 +16,40 @@
     NoCopy,
 }
 
-impl Step {
-    const ALL: [Step; 4] = [Step::Refused, Step::Failed, Step::Held, Step::NoCopy];
+impl DecisionStep {
+    const ALL: [DecisionStep; 4] = [
+        DecisionStep::Refused,
+        DecisionStep::Failed,
+        DecisionStep::Held,
+        DecisionStep::NoCopy,
+    ];
 
     /// The name by which logs and counters call it.
     pub fn name(self) -> &'static str {
         match self {
-            Step::Refused => "refused",
-            Step::Failed => "failed",
-            Step::Held => "held",
-            Step::NoCopy => "no_copy",
+            DecisionStep::Refused => "refused",
+            DecisionStep::Failed => "failed",
+            DecisionStep::Held => "held",
+            DecisionStep::NoCopy => "no_copy",
         }
     }
 }
 
 /// How often each step was taken for each reason.
 #[derive(Default)]
-pub struct Steps([[u64; DecisionReason::ALL.len()]; Step::ALL.len()]);
+pub struct DecisionCounts([[u64; DecisionReason::ALL.len()]; DecisionStep::ALL.len()]);
 
-impl Steps {
+impl DecisionCounts {
     /// Counts one.
-    pub fn count(&mut self, step: Step, reason: DecisionReason) {
+    pub fn count(&mut self, step: DecisionStep, reason: DecisionReason) {
         self.0[step as usize][reason as usize] += 1;
     }
 }
 
 /// Those that happened, as `refused.origin=3`.
-impl fmt::Display for Steps {
+impl fmt::Display for DecisionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for step in Step::ALL {
+        for step in DecisionStep::ALL {
             for reason in DecisionReason::ALL {
                 let count = self.0[step as usize][reason as usize];
                 if count > 0 {
@@ -63,7 +68,7 @@
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
             /// Why requests were refused, failed or held, and copies not sent.
-            pub steps: Steps,
+            pub steps: DecisionCounts,
         }
 
         impl fmt::Display for Counters {
@@ -103,31 +108,31 @@
     turns_long,
     /// The longest turn, in microseconds.
     turn_longest_us,
-    /// Tries sent, the first of each request included.
+    /// Attempts sent, the first of each request included.
     tries,
-    /// Tries sent while another of the request was out.
+    /// Attempts sent while another of the request was out.
     copies,
     /// Probes sent.
     probes,
-    /// Tries that were answered.
+    /// Attempts that were answered.
     try_ok,
-    /// Tries that the peer answered with an error.
+    /// Attempts that the peer answered with an error.
     try_error,
-    /// Tries that the peer turned away.
+    /// Attempts that the peer turned away.
     try_full,
-    /// Tries that ran out of time.
+    /// Attempts that ran out of time.
     try_timeout,
-    /// Tries whose connection never came up or broke before all was written.
+    /// Attempts whose connection never came up or broke before all was written.
     try_connect_failed,
-    /// Tries whose connection broke after that.
+    /// Attempts whose connection broke after that.
     try_reset,
-    /// Tries whose answer can't be read.
+    /// Attempts whose answer can't be read.
     try_spoilt,
-    /// Tries that the peer answered with an error that speaks against the request itself.
+    /// Attempts that the peer answered with an error that speaks against the request itself.
     try_unfit,
-    /// Tries called back by the module.
+    /// Attempts called back by the module.
     try_cancelled,
-    /// Tries never sent, for want of time or of a connection.
+    /// Attempts never sent, for want of time or of a connection.
     try_moot,
     /// Requests answered with a value or receipt.
     served,
@@ -137,7 +142,7 @@
     failed,
     /// Requests whose client left before the answer.
     gone,
-    /// Tries that were never sent because the client had left before.
+    /// Attempts that were never sent because the client had left before.
     left_unsent,
     /// The longest time between the two, in milliseconds, rounded up.
     left_unsent_ms,
@@ -155,7 +160,7 @@
     passed_on,
     /// Of these, broken off by the cache: the client's connection was ended.
     broken_off,
-    /// Tries and probes without a place for another connection.
+    /// Attempts and probes without a place for another connection.
     no_place,
     /// Of these, for saying nothing, or half a command, for too long.
     clients_unfinished,
--- a/crates/balancer/src/upstream_group.rs
+++ b/crates/balancer/src/discovery.rs
@@ -2,10 +2,10 @@
 
 pub mod messages;
 
-use crate::agent::Pace;
 use crate::counters::Counters;
-use crate::poll::{Poll, Ready, Source, Watched, connect};
-use crate::timers::{Due, MS, Timers};
+use crate::poll::{EventSource, Poll, Readiness, Registered, connect};
+use crate::timers::{MS, TimerKind, Timers};
+use crate::watch_backoff::WatchBackoff;
 use messages::{ListPart, Message, MessageScanner};
 use routing::Nanos;
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 
 /// The list, or a change of it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct HostList {
+pub struct EndpointList {
     /// Its version.
     pub seq: u64,
     /// Whether these are all hosts.
@@ -39,12 +39,12 @@
     pub whole: bool,
     /// The hosts, or those that changed.
     #[serde(default)]
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListedEndpoint>,
 }
 
 /// A peer as discovery knows it. Only its name must be there.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     /// Its name, the same at every balancer.
     pub host: String,
     /// Its address, this balancer's own.
@@ -80,7 +80,7 @@
 
 /// What became of a watch.
 #[derive(Debug)]
-pub enum GroupEvent {
+pub enum DiscoveryEvent {
     /// A watch stands: the first of what it tells has come, though it be an empty line.
     Stands,
     /// News of the list.
@@ -96,9 +96,9 @@
     UntilClose,
 }
 
-struct Call {
+struct AdminCommand {
     number: u64,
-    stream: Watched<TcpStream>,
+    stream: Registered<TcpStream>,
     request: Vec<u8>,
     written: usize,
     input: Vec<u8>,
@@ -116,15 +116,15 @@
 }
 
 /// Discovery, and what it last said.
-pub struct UpstreamGroup {
+pub struct DiscoveryClient {
     poll: Poll,
     address: SocketAddr,
-    call: Option<Call>,
+    call: Option<AdminCommand>,
     next_call: u64,
     /// The version up to which all changes are known.
     seq: Option<u64>,
     /// All that are listed, as of that version and what was taken of `pending`, by name.
-    hosts: BTreeMap<String, Host>,
+    hosts: BTreeMap<String, ListedEndpoint>,
     /// Messages that have come and are not all taken. While there is one nothing more is read.
     pending: VecDeque<Message>,
     /// A watch was begun at some time, and is wanted from then on.
@@ -134,14 +134,14 @@
     /// Watches that failed since the last line of the list.
     failures: u32,
     /// Where lists are pushed: the pace of watches. Elsewhere the module says when.
-    pace: Option<Pace>,
+    pace: Option<WatchBackoff>,
 }
 
-impl UpstreamGroup {
+impl DiscoveryClient {
     /// Nothing is asked yet. With a pace the address is an agent's, to which lists are pushed.
-    pub fn new(poll: &Poll, address: SocketAddr, pace: Option<Pace>) -> Self {
+    pub fn new(poll: &Poll, address: SocketAddr, pace: Option<WatchBackoff>) -> Self {
         let hosts = BTreeMap::new();
-        UpstreamGroup {
+        DiscoveryClient {
             poll: poll.clone(),
             address,
             call: None,
@@ -168,7 +168,7 @@
     }
 
     /// Takes over a list from before.
-    pub fn learn(&mut self, list: &HostList) {
+    pub fn learn(&mut self, list: &EndpointList) {
         if list.whole {
             self.hosts.clear();
         }
@@ -176,7 +176,7 @@
         self.seq = Some(list.seq);
     }
 
-    fn learn_hosts(&mut self, hosts: &[Host]) {
+    fn learn_hosts(&mut self, hosts: &[ListedEndpoint]) {
         for host in hosts {
             if host.health == "terminated" {
                 self.hosts.remove(&host.host);
@@ -191,14 +191,14 @@
         self.has_pending() || self.call.as_ref().is_some_and(|call| call.is_behind)
     }
 
-    /// Whether [`UpstreamGroup::take`] has something to give.
+    /// Whether [`DiscoveryClient::take`] has something to give.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// The next hosts that discovery has told of, at most `most`. The first list is given whole: nobody is served before it.
     /// Its version counts as known once a message is over.
-    pub fn take(&mut self, most: usize, counters: &mut Counters) -> Option<GroupEvent> {
+    pub fn take(&mut self, most: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
         let most = if self.seq.is_none() { usize::MAX } else { most };
         let part = match self.pending.front_mut()?.take(most, &self.hosts) {
             Ok(part) => part,
@@ -212,7 +212,7 @@
             self.seq = Some(part.seq);
             self.pending.pop_front();
         }
-        Some(GroupEvent::News(part))
+        Some(DiscoveryEvent::News(part))
     }
 
     /// Whether any host is listed.
@@ -226,8 +226,8 @@
     }
 
     /// The whole list as it is known, if one is.
-    pub fn list(&self) -> Option<HostList> {
-        Some(HostList {
+    pub fn list(&self) -> Option<EndpointList> {
+        Some(EndpointList {
             seq: self.seq?,
             whole: true,
             hosts: self.hosts.values().cloned().collect(),
@@ -240,7 +240,7 @@
         now: Nanos,
         timers: &mut Timers,
         counters: &mut Counters,
-    ) -> Option<GroupEvent> {
+    ) -> Option<DiscoveryEvent> {
         self.wanted = true;
         if self.call.is_some() {
             return None;
@@ -258,7 +258,7 @@
                     "GET /registry/instances?follow=1{since} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
                     self.address
                 );
-                self.call = Some(Call {
+                self.call = Some(AdminCommand {
                     number,
                     stream,
                     request: request.into_bytes(),
@@ -272,7 +272,7 @@
                     seq: None,
                     stands: false,
                 });
-                timers.set(now + CONNECT, Due::Discovery(number));
+                timers.set(now + CONNECT, TimerKind::Discovery(number));
                 None
             }
             Err(e) => Some(self.fail(&e.to_string(), counters)),
@@ -288,7 +288,7 @@
         now: Nanos,
         timers: &mut Timers,
         counters: &mut Counters,
-    ) -> Option<GroupEvent> {
+    ) -> Option<DiscoveryEvent> {
         if address == self.address {
             return None;
         }
@@ -302,10 +302,10 @@
         }
     }
 
-    fn connect(&self, number: u64) -> std::io::Result<Watched<TcpStream>> {
+    fn connect(&self, number: u64) -> std::io::Result<Registered<TcpStream>> {
         self.poll.watch(
             connect(self.address)?,
-            Source::Discovery(number),
+            EventSource::Discovery(number),
             false,
             true,
         )
@@ -315,14 +315,14 @@
     pub fn ready(
         &mut self,
         now: Nanos,
-        ready: Ready,
-        events: &mut Vec<GroupEvent>,
+        ready: Readiness,
+        events: &mut Vec<DiscoveryEvent>,
         counters: &mut Counters,
     ) {
         let Some(call) = self
             .call
             .as_mut()
-            .filter(|c| Source::Discovery(c.number) == ready.source)
+            .filter(|c| EventSource::Discovery(c.number) == ready.source)
         else {
             return;
         };
@@ -339,7 +339,7 @@
             other => other,
         };
         if !call.text.is_empty() && !std::mem::replace(&mut call.stands, true) {
-            events.push(GroupEvent::Stands);
+            events.push(DiscoveryEvent::Stands);
         }
         // Whole lines that came before an end or an error still count.
         let result = self.lines(counters).and(result);
@@ -350,7 +350,7 @@
 
     /// Ends a watch that failed. Why is logged the first time after a line of the list, the second, the fourth and so on:
     /// an agent that is gone for hours is called several times a second.
-    fn fail(&mut self, problem: &str, counters: &mut Counters) -> GroupEvent {
+    fn fail(&mut self, problem: &str, counters: &mut Counters) -> DiscoveryEvent {
         self.call = None;
         counters.list_failed += 1;
         self.failures = self.failures.saturating_add(1);
@@ -365,7 +365,7 @@
             self.address,
             self.failures
         );
-        GroupEvent::Failed
+        DiscoveryEvent::Failed
     }
 
     /// Gives up a watch that has been silent for long: a machine that is cut off ends no connection.
@@ -374,7 +374,7 @@
         now: Nanos,
         number: u64,
         timers: &mut Timers,
-        events: &mut Vec<GroupEvent>,
+        events: &mut Vec<DiscoveryEvent>,
         counters: &mut Counters,
     ) {
         let Some(call) = self.call.as_ref().filter(|c| c.number == number) else {
@@ -387,7 +387,7 @@
                 (None, _) => SILENCE_BEFORE,
             };
         if now < due {
-            return timers.set(due, Due::Discovery(number));
+            return timers.set(due, TimerKind::Discovery(number));
         }
         let (silent, stage) = (now.saturating_sub(call.heard) / MS, call.stage());
         counters.list_silent += 1;
@@ -437,7 +437,7 @@
     }
 }
 
-impl Call {
+impl AdminCommand {
     fn write(&mut self) -> Result<(), String> {
         if let Ok(Some(e)) = self.stream.socket().take_error() {
             return Err(format!("connecting: {e}"));
--- a/crates/balancer/src/upstream_group/messages.rs
+++ b/crates/balancer/src/discovery/messages.rs
@@ -1,7 +1,7 @@
 //! Messages of discovery: where one ends in a text that comes in pieces, and its hosts taken a few at a time, so that a
 //! list of thousands holds nothing else up. No I/O.
 
-use super::Host;
+use super::ListedEndpoint;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
@@ -104,7 +104,7 @@
     /// The message names all hosts.
     pub whole: bool,
     /// The hosts. At the end of a message that names all hosts those follow, as `terminated`, that it does not name.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListedEndpoint>,
     /// The message is over.
     pub is_last: bool,
 }
@@ -122,7 +122,7 @@
     /// Their names, where these are all hosts.
     named: BTreeSet<String>,
     /// Hosts that are listed and not named; known once all that are named were taken.
-    missing: Option<std::vec::IntoIter<Host>>,
+    missing: Option<std::vec::IntoIter<ListedEndpoint>>,
 }
 
 impl Message {
@@ -161,19 +161,20 @@
     pub(super) fn take(
         &mut self,
         most: usize,
-        listed: &BTreeMap<String, Host>,
+        listed: &BTreeMap<String, ListedEndpoint>,
     ) -> Result<ListPart, String> {
         let mut hosts = Vec::new();
         for place in self.hosts.by_ref().take(most) {
             let mut json = serde_json::Deserializer::from_slice(&self.text[place]);
-            let host: Host = serde_path_to_error::deserialize(&mut json).map_err(|e| {
-                format!(
-                    "line of the list: hosts[{}].{}: {}",
-                    self.taken,
-                    e.path(),
-                    e.inner()
-                )
-            })?;
+            let host: ListedEndpoint =
+                serde_path_to_error::deserialize(&mut json).map_err(|e| {
+                    format!(
+                        "line of the list: hosts[{}].{}: {}",
+                        self.taken,
+                        e.path(),
+                        e.inner()
+                    )
+                })?;
             self.taken += 1;
             if self.whole {
                 self.named.insert(host.host.clone());
@@ -198,8 +199,11 @@
 }
 
 /// The listed hosts that are not named, as gone.
-fn unnamed(listed: &BTreeMap<String, Host>, named: &BTreeSet<String>) -> Vec<Host> {
-    let gone = |host: &Host| Host {
+fn unnamed(
+    listed: &BTreeMap<String, ListedEndpoint>,
+    named: &BTreeSet<String>,
+) -> Vec<ListedEndpoint> {
+    let gone = |host: &ListedEndpoint| ListedEndpoint {
         health: "terminated".into(),
         ..host.clone()
     };
--- a/crates/balancer/src/upstream_group/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -12,14 +12,14 @@
         (true, "", SILENCE_BEFORE),
         (true, "x", SILENCE),
     ] {
-        let mut group = UpstreamGroup::new(&poll, listener.local_addr().unwrap(), None);
+        let mut group = DiscoveryClient::new(&poll, listener.local_addr().unwrap(), None);
         let (mut timers, mut counters, mut events) =
             (Timers::default(), Counters::default(), Vec::new());
         assert!(group.watch(0, &mut timers, &mut counters).is_none());
         let mut discovery = listener.accept().unwrap().0;
         if up {
-            let ready = Ready {
-                source: Source::Discovery(0),
+            let ready = Readiness {
+                source: EventSource::Discovery(0),
                 readable: false,
                 writable: true,
             };
@@ -27,8 +27,8 @@
         }
         if !answer.is_empty() {
             discovery.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
-            let ready = Ready {
-                source: Source::Discovery(0),
+            let ready = Readiness {
+                source: EventSource::Discovery(0),
                 readable: true,
                 writable: false,
             };
@@ -44,8 +44,9 @@
 #[test]
 fn failures_are_counted_from_one_line_of_the_list_to_the_next() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let pace = Some(Pace::new(500 * MS));
-    let mut group = UpstreamGroup::new(&Poll::new().unwrap(), listener.local_addr().unwrap(), pace);
+    let pace = Some(WatchBackoff::new(500 * MS));
+    let mut group =
+        DiscoveryClient::new(&Poll::new().unwrap(), listener.local_addr().unwrap(), pace);
     let (mut timers, mut counters, mut events) =
         (Timers::default(), Counters::default(), Vec::new());
     // Nothing but its version: a line all the same.
@@ -57,12 +58,12 @@
         let mut agent = listener.accept().unwrap().0;
         write!(agent, "HTTP/1.1 200 OK\r\n\r\n{line}").unwrap();
         drop(agent);
-        let ready = |readable| Ready {
-            source: Source::Discovery(number as u64),
+        let ready = |readable| Readiness {
+            source: EventSource::Discovery(number as u64),
             readable,
             writable: !readable,
         };
-        while !matches!(events.last(), Some(GroupEvent::Failed)) {
+        while !matches!(events.last(), Some(DiscoveryEvent::Failed)) {
             group.ready(0, ready(true), &mut events, &mut counters);
             group.take(usize::MAX, &mut counters);
         }
@@ -74,8 +75,9 @@
 
 #[test]
 fn the_list_that_is_handed_over_is_the_last_whole_one_with_its_changes() {
-    let list = |text: &str| serde_json::from_str::<HostList>(text).unwrap();
-    let mut group = UpstreamGroup::new(&Poll::new().unwrap(), "127.0.0.1:1".parse().unwrap(), None);
+    let list = |text: &str| serde_json::from_str::<EndpointList>(text).unwrap();
+    let mut group =
+        DiscoveryClient::new(&Poll::new().unwrap(), "127.0.0.1:1".parse().unwrap(), None);
     assert!(group.list().is_none());
     group.learn(&list(r#"{"seq":3,"whole":true,"hosts":[{"host":"z"}]}"#));
     group.learn(&list(
@@ -97,9 +99,9 @@
 
 /// A group with a watch open, the other end of that, and what has become of it.
 struct Watch {
-    group: UpstreamGroup,
+    group: DiscoveryClient,
     discovery: TcpStream,
-    events: Vec<GroupEvent>,
+    events: Vec<DiscoveryEvent>,
     timers: Timers,
     counters: Counters,
 }
@@ -108,7 +110,7 @@
     fn open(known: Option<&str>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut group =
-            UpstreamGroup::new(&Poll::new().unwrap(), listener.local_addr().unwrap(), None);
+            DiscoveryClient::new(&Poll::new().unwrap(), listener.local_addr().unwrap(), None);
         if let Some(known) = known {
             group.learn(&serde_json::from_str(known).unwrap());
         }
@@ -127,8 +129,8 @@
     }
 
     fn ready(&mut self, now: Nanos, readable: bool) {
-        let ready = Ready {
-            source: Source::Discovery(0),
+        let ready = Readiness {
+            source: EventSource::Discovery(0),
             readable,
             writable: !readable,
         };
@@ -142,7 +144,7 @@
         let end = self
             .events
             .iter()
-            .position(|event| matches!(event, GroupEvent::Failed));
+            .position(|event| matches!(event, DiscoveryEvent::Failed));
         let place = end.unwrap_or(self.events.len());
         self.events.splice(place..place, news);
     }
@@ -155,8 +157,8 @@
 
     fn told(&mut self) -> Vec<(u64, bool)> {
         let told = |event| match event {
-            GroupEvent::News(part) => part.is_last.then_some((part.seq, part.whole)),
-            GroupEvent::Stands | GroupEvent::Failed => None,
+            DiscoveryEvent::News(part) => part.is_last.then_some((part.seq, part.whole)),
+            DiscoveryEvent::Stands | DiscoveryEvent::Failed => None,
         };
         self.events.drain(..).filter_map(told).collect()
     }
@@ -194,12 +196,15 @@
         watch.says(0, "HTTP/1.1 200 OK\r\n\r\n");
         watch.says(0, text);
         assert!(
-            matches!(watch.events[..], [GroupEvent::Stands]),
+            matches!(watch.events[..], [DiscoveryEvent::Stands]),
             "more may come"
         );
         watch.events.clear();
         watch.says(0, "\n");
-        assert!(matches!(watch.events[..], [GroupEvent::Failed]), "{text}");
+        assert!(
+            matches!(watch.events[..], [DiscoveryEvent::Failed]),
+            "{text}"
+        );
     }
 }
 
@@ -279,10 +284,11 @@
     let whole = |seq: u64, hosts| {
         serde_json::json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
     };
-    let mut group = UpstreamGroup::new(&Poll::new().unwrap(), "127.0.0.1:1".parse().unwrap(), None);
+    let mut group =
+        DiscoveryClient::new(&Poll::new().unwrap(), "127.0.0.1:1".parse().unwrap(), None);
     let mut counters = Counters::default();
-    let mut take = |group: &mut UpstreamGroup, most| match group.take(most, &mut counters) {
-        Some(GroupEvent::News(part)) => (part.hosts.len(), part.is_last),
+    let mut take = |group: &mut DiscoveryClient, most| match group.take(most, &mut counters) {
+        Some(DiscoveryEvent::News(part)) => (part.hosts.len(), part.is_last),
         other => panic!("{other:?}"),
     };
     group
--- a/crates/balancer/src/decide.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -1,7 +1,7 @@
 //! The seam to the decision module: names become its numbers, events go in in one go, actions come out.
 
-use crate::request::Incoming;
-use crate::upstream_group::{Host, HostList};
+use crate::discovery::{EndpointList, ListedEndpoint};
+use crate::request::IncomingRequest;
 use routing::{
     Action, AdmissionCounts, ClassId, Endpoint, EndpointId, EndpointState, Engine, Event, Key,
     Nanos, NewRequest, Snapshot, TenantId, UpdateKind,
@@ -10,15 +10,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The module with the names by which messages speak of its classes, tenants, zones and kinds.
-pub struct Decide {
+pub struct EngineAdapter {
     brain: Engine,
     names: NameTables,
 }
 
-impl Decide {
+impl EngineAdapter {
     /// Puts the names to a module.
     pub fn new(brain: Engine, names: NameTables) -> Self {
-        Decide { brain, names }
+        EngineAdapter { brain, names }
     }
 
     /// The names of a load report's values.
@@ -51,7 +51,7 @@
     }
 
     /// A client's request in the module's terms; none if the settings don't name its class.
-    pub fn request(&self, incoming: &Incoming) -> Option<Event> {
+    pub fn request(&self, incoming: &IncomingRequest) -> Option<Event> {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         Some(Event::RequestArrived(NewRequest {
             id: incoming.ticket.request,
@@ -69,7 +69,7 @@
     }
 
     /// A list in the module's terms.
-    pub fn list(&self, list: &HostList, stale: bool) -> Event {
+    pub fn list(&self, list: &EndpointList, stale: bool) -> Event {
         let scope = match (stale, list.whole) {
             (true, _) => UpdateKind::Stale,
             (false, true) => UpdateKind::Full,
@@ -81,7 +81,7 @@
         }
     }
 
-    fn entry(&self, host: &Host) -> Endpoint {
+    fn entry(&self, host: &ListedEndpoint) -> Endpoint {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         // A zone that the settings don't name is one of its own, and where none is told each host is; so it is with cells. Taken for one,
         // the caches of two would be trusted to discard each other's repeats.
--- a/crates/balancer/src/decide/tests.rs
+++ b/crates/balancer/src/engine_adapter/tests.rs
@@ -8,7 +8,7 @@
     let config = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"areas":["a"],
         "profiles":[{"name":"put","repeat":"keyed","group":"zone","give_up_ns":1}]}}"#;
     let config = Config::read(config).unwrap();
-    let decide = Decide::new(Engine::new(config.settings, 1, 0).unwrap(), config.names);
+    let decide = EngineAdapter::new(Engine::new(config.settings, 1, 0).unwrap(), config.names);
     let list = r#"{"seq":1,"whole":true,"hosts":[
         {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3}, {"host":"h2","site":"c","block":"x"},
         {"host":"h3","site":"b","block":"x"}, {"host":"h4"}, {"host":"h5"}]}"#;
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -1,31 +1,32 @@
 //! The loop: gather what is ready, hand it to the module in one go, carry out what came back.
 
+mod admin;
 mod attempts;
-mod fleet;
-mod lists;
-mod operators;
+mod discovery;
+mod gossip;
+mod hot_restart;
 mod requests;
 mod turns;
-mod upgrade;
 
-use crate::agent::Pace;
+use crate::attempt_tracker::AttemptTracker;
 use crate::config::Config;
-use crate::counters::{Counters, Step};
-use crate::decide::Decide;
-use crate::fleet::Fleet;
-use crate::front::management::{CALLERS_MAX, Management};
-use crate::front::resp::RespFront;
-use crate::hand_over::HandOver;
-use crate::life_cycle::LifeCycle;
-use crate::looks::{Looks, WAIT_MOST};
-use crate::peers::{Job, Peers};
-use crate::poll::{Poll, Ready, Source, Watched};
+use crate::counters::{Counters, DecisionStep};
+use crate::discovery::DiscoveryClient;
+use crate::engine_adapter::EngineAdapter;
+use crate::gossip::GossipTransport;
+use crate::hot_restart::HotRestart;
+use crate::lifecycle::Lifecycle;
+use crate::listener::admin::{AdminListener, CALLERS_MAX};
+use crate::listener::resp::RespListener;
+use crate::poll::{EventSource, Poll, Readiness, Registered};
+use crate::poll_timestamps::{PollTimestamps, WAIT_MOST};
+use crate::process_slots::ProcessSlots;
 use crate::request::FinalAnswer;
-use crate::seats::Seats;
-use crate::timers::{Clock, Due, MS, Timers};
-use crate::tries::Tries;
-use crate::upstream_group::UpstreamGroup;
+use crate::timers::{Clock, MS, TimerKind, Timers};
+use crate::upstream_pool::{UpstreamJob, UpstreamPool};
+use crate::watch_backoff::WatchBackoff;
 use attempts::Wanted;
+use hot_restart::{clients_socket, take_seat};
 use polling::Events;
 use routing::{Action, AttemptOutcome, Deferral, DiscoveryMode, Engine, Event, Nanos, TimerToken};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -34,7 +35,6 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 use turns::{TurnMeter, TurnStep};
-use upgrade::{clients_socket, take_seat};
 
 /// Descriptors kept for the listener, the poller, discovery, signals and the standard streams.
 const SOCKETS_KEPT: usize = 32;
@@ -55,22 +55,22 @@
     poll: Poll,
     timers: Timers,
     counters: Counters,
-    decide: Decide,
-    front: RespFront,
-    group: UpstreamGroup,
-    peers: Peers,
-    tries: Tries,
-    stop: Watched<UnixStream>,
-    report: Watched<UnixStream>,
-    reload: Watched<UnixStream>,
+    decide: EngineAdapter,
+    front: RespListener,
+    group: DiscoveryClient,
+    peers: UpstreamPool,
+    tries: AttemptTracker,
+    stop: Registered<UnixStream>,
+    report: Registered<UnixStream>,
+    reload: Registered<UnixStream>,
     /// What has happened and isn't told to the module yet.
     news: Vec<Event>,
     /// When the sockets were last looked at.
-    looks: Looks,
+    looks: PollTimestamps,
     /// How long turns take.
     turns: TurnMeter,
     /// Jobs whose connections are up and of which nothing is written.
-    up: VecDeque<Job>,
+    up: VecDeque<UpstreamJob>,
     /// For how many turns some of these have waited for a look that is recent enough.
     postponed_turns: u32,
     /// The process was held up, and not all that came meanwhile is taken in.
@@ -79,13 +79,13 @@
     looks_to_catch_up: u32,
     memory: usize,
     max_open: usize,
-    life: LifeCycle,
-    management: Option<Management>,
+    life: Lifecycle,
+    management: Option<AdminListener>,
     /// The talk with the other balancers, if it is set.
-    fleet: Option<Fleet>,
+    fleet: Option<GossipTransport>,
     /// The other process of an upgrade, where there can be one.
-    seats: Option<Seats>,
-    hand_over: HandOver,
+    seats: Option<ProcessSlots>,
+    hand_over: HotRestart,
 }
 
 /// How many descriptors peers and clients get, after the door for operators if there is one.
@@ -98,7 +98,11 @@
 }
 
 /// A pipe that becomes readable with each of these signals.
-fn signals(poll: &Poll, numbers: &[i32], source: Source) -> io::Result<Watched<UnixStream>> {
+fn signals(
+    poll: &Poll,
+    numbers: &[i32],
+    source: EventSource,
+) -> io::Result<Registered<UnixStream>> {
     let (read, write) = UnixStream::pair()?;
     read.set_nonblocking(true)?;
     for number in numbers {
@@ -116,7 +120,7 @@
     pub fn new(mut config: Config) -> Result<Self, String> {
         let clock = Clock::start();
         let now = clock.now();
-        let looks = Looks::start(now);
+        let looks = PollTimestamps::start(now);
         let poll = what(Poll::new(), "poller")?;
         let (for_peers, for_clients) = split_sockets(config.sockets, config.management.is_some());
         let brain =
@@ -124,24 +128,28 @@
         let transport = config.transport;
         let known = config.known.take();
         let deadlines = config.settings.classes.iter().map(|class| class.deadline);
-        let life = LifeCycle::new(
+        let life = Lifecycle::new(
             config.socket_fd.is_some(),
             deadlines.max().unwrap_or_default(),
         );
         let grace = config.settings.rules.drain_grace;
-        let pace = (config.settings.discovery == DiscoveryMode::Push).then(|| Pace::new(grace));
+        let pace =
+            (config.settings.discovery == DiscoveryMode::Push).then(|| WatchBackoff::new(grace));
         let management = |address| {
             let key = "configuration: management (GW_MANAGEMENT)";
-            Management::listen(&poll, address, config.fleet.is_some()).map_err(|e| {
+            AdminListener::listen(&poll, address, config.fleet.is_some()).map_err(|e| {
                 format!("{key}: {address}: {e}; a free address of this machine is expected")
             })
         };
         let mut me = EventLoop {
-            stop: what(signals(&poll, &[SIGTERM, SIGINT], Source::Stop), "signals")?,
-            report: what(signals(&poll, &[SIGUSR1], Source::Report), "signals")?,
-            reload: what(signals(&poll, &[SIGHUP], Source::Reload), "signals")?,
+            stop: what(
+                signals(&poll, &[SIGTERM, SIGINT], EventSource::Stop),
+                "signals",
+            )?,
+            report: what(signals(&poll, &[SIGUSR1], EventSource::Report), "signals")?,
+            reload: what(signals(&poll, &[SIGHUP], EventSource::Reload), "signals")?,
             front: what(
-                RespFront::listen(
+                RespListener::listen(
                     &poll,
                     clients_socket(&config)?,
                     for_clients,
@@ -151,16 +159,16 @@
                 &format!("listening on {}", config.listen),
             )?,
             seats: take_seat(&config, now),
-            hand_over: HandOver::new(),
-            group: UpstreamGroup::new(&poll, config.discovery, pace),
-            peers: Peers::new(
+            hand_over: HotRestart::new(),
+            group: DiscoveryClient::new(&poll, config.discovery, pace),
+            peers: UpstreamPool::new(
                 &poll,
                 for_peers,
                 transport.connect_timeout,
                 transport.idle_timeout,
             ),
-            decide: Decide::new(brain, config.names.clone()),
-            tries: Tries::default(),
+            decide: EngineAdapter::new(brain, config.names.clone()),
+            tries: AttemptTracker::default(),
             timers: Timers::default(),
             counters: Counters::default(),
             news: Vec::new(),
@@ -181,7 +189,7 @@
             config,
         };
         me.split();
-        me.timers.set(now + SWEEP, Due::Sweep);
+        me.timers.set(now + SWEEP, TimerKind::Sweep);
         me.look(now);
         me.join_fleet(now)?;
         match known {
@@ -223,7 +231,11 @@
     }
 
     /// Waits for ready sockets. False if a signal cut the wait short.
-    fn look_at_sockets(&mut self, events: &mut Events, ready: &mut Vec<Ready>) -> io::Result<bool> {
+    fn look_at_sockets(
+        &mut self,
+        events: &mut Events,
+        ready: &mut Vec<Readiness>,
+    ) -> io::Result<bool> {
         let wait = self.wait();
         let began = self.clock.now();
         let looked = self.poll.wait(events, Some(wait), ready)?;
@@ -258,50 +270,53 @@
 
     /// Takes in all that is ready. Lists go first. Outcomes go before new requests, so that the module decides by the latest.
     /// What waits to be written goes last, behind the closes of clients and the lists that were found with it.
-    fn gather(&mut self, ready: &mut Vec<Ready>, looked: bool) {
+    fn gather(&mut self, ready: &mut Vec<Readiness>, looked: bool) {
         let now = self.clock.now();
         if looked {
-            let somebody_waits = ready.iter().any(|one| one.source == Source::Listener);
+            let somebody_waits = ready.iter().any(|one| one.source == EventSource::Listener);
             self.front.set_looks(self.looks, somebody_waits);
         }
         self.tries.set_lost(self.looks.lost());
         // The operators' calls go first: whatever the load, an answer waits for one turn at most.
-        for one in ready
-            .iter()
-            .filter(|one| matches!(one.source, Source::Management | Source::Caller(_)))
-        {
+        for one in ready.iter().filter(|one| {
+            matches!(
+                one.source,
+                EventSource::AdminListener | EventSource::Caller(_)
+            )
+        }) {
             self.management(now, *one);
         }
         self.turns.step(TurnStep::Lists, now);
         for one in ready
             .iter()
-            .filter(|one| matches!(one.source, Source::Discovery(_)))
+            .filter(|one| matches!(one.source, EventSource::Discovery(_)))
         {
             let mut events = Vec::new();
             self.group.ready(now, *one, &mut events, &mut self.counters);
             self.group_events(events);
         }
         self.take_list();
-        self.turns.step(TurnStep::Peers, self.clock.now());
+        self.turns.step(TurnStep::UpstreamPool, self.clock.now());
         let mut clients = Vec::new();
         for one in ready.drain(..) {
             match one.source {
-                Source::Management | Source::Caller(_) | Source::Discovery(_) => {}
-                Source::Peer(_) => {
+                EventSource::AdminListener | EventSource::Caller(_) | EventSource::Discovery(_) => {
+                }
+                EventSource::Peer(_) => {
                     let mut events = Vec::new();
                     self.peers
                         .ready(now, one, &mut self.timers, &mut events, &mut self.counters);
                     self.peer_events(now, events);
                 }
-                Source::Stop => self.stop(now),
-                Source::Report => {
+                EventSource::Stop => self.stop(now),
+                EventSource::Report => {
                     drain(&self.report);
                     self.print_counters();
                 }
-                Source::Reload => self.reload(now),
-                Source::Fleet => self.fleet_ready(now),
-                Source::Listener => self.front.accept(now, &mut self.counters),
-                Source::Client(_) => clients.push(one),
+                EventSource::Reload => self.reload(now),
+                EventSource::Gossip => self.fleet_ready(now),
+                EventSource::Listener => self.front.accept(now, &mut self.counters),
+                EventSource::Client(_) => clients.push(one),
             }
         }
         self.turns.step(TurnStep::Timers, self.clock.now());
@@ -321,12 +336,12 @@
         }
     }
 
-    fn due(&mut self, now: Nanos, due: Due) {
+    fn due(&mut self, now: Nanos, due: TimerKind) {
         match due {
-            Due::Module(token) => self.news.push(Event::TimerFired(token)),
-            Due::Try(request, attempt) => {
+            TimerKind::Module(token) => self.news.push(Event::TimerFired(token)),
+            TimerKind::Attempt(request, attempt) => {
                 // What was not sent whole never ran, and may be repeated.
-                let unsent = self.peers.is_unsent(Job::Try(request, attempt));
+                let unsent = self.peers.is_unsent(UpstreamJob::Attempt(request, attempt));
                 let outcome = if unsent {
                     AttemptOutcome::ConnectFailed
                 } else {
@@ -337,23 +352,24 @@
                         .give_up(now, request, attempt, outcome, &mut self.counters)
                 {
                     self.peers
-                        .abandon(Job::Try(request, attempt), &mut self.counters);
+                        .abandon(UpstreamJob::Attempt(request, attempt), &mut self.counters);
                     self.news.push(event);
                 }
             }
-            Due::Probe(probe) => {
+            TimerKind::Probe(probe) => {
                 if let Some(event) = self.tries.probe_due(probe) {
-                    self.peers.abandon(Job::Probe(probe), &mut self.counters);
+                    self.peers
+                        .abandon(UpstreamJob::Probe(probe), &mut self.counters);
                     self.news.push(event);
                 }
             }
-            Due::Connect(number) => {
+            TimerKind::Connect(number) => {
                 let mut events = Vec::new();
                 self.peers
                     .connect_due(number, &mut events, &mut self.counters);
                 self.peer_events(now, events);
             }
-            Due::Stall(number) => {
+            TimerKind::Stall(number) => {
                 let mut events = Vec::new();
                 // What came since the last look is not read yet.
                 let seen = self.looks.quiet();
@@ -361,7 +377,7 @@
                     .stall_due(seen, number, &mut events, &mut self.counters);
                 self.peer_events(now, events);
             }
-            Due::Discovery(number) => {
+            TimerKind::Discovery(number) => {
                 let mut events = Vec::new();
                 let seen = self.looks.quiet();
                 self.group.due(
@@ -373,8 +389,8 @@
                 );
                 self.group_events(events);
             }
-            Due::Watch => self.watch(now),
-            Due::Sweep => {
+            TimerKind::Watch => self.watch(now),
+            TimerKind::Sweep => {
                 let mut events = Vec::new();
                 self.front.sweep(now, &mut events, &mut self.counters);
                 self.peers.sweep(now, &mut self.counters);
@@ -382,11 +398,11 @@
                     management.sweep(now, &mut self.counters);
                 }
                 self.front_events(now, events);
-                self.timers.set(now + SWEEP, Due::Sweep);
+                self.timers.set(now + SWEEP, TimerKind::Sweep);
             }
-            Due::LifeCycle => self.follow(now),
-            Due::Look => self.look(now),
-            Due::Fleet => self.fleet_turn(now),
+            TimerKind::Lifecycle => self.follow(now),
+            TimerKind::Look => self.look(now),
+            TimerKind::Gossip => self.fleet_turn(now),
         }
     }
 
@@ -414,7 +430,7 @@
                 request,
                 explanation: why,
             } => {
-                self.explain(request, Step::Failed, &why);
+                self.explain(request, DecisionStep::Failed, &why);
                 if let Some(answer) = self.tries.answer(request, FinalAnswer::Failed) {
                     self.answer(now, answer);
                 }
@@ -425,8 +441,8 @@
                 explanation: why,
             } => {
                 let step = match withheld {
-                    Deferral::Queued => Step::Held,
-                    Deferral::HedgeSuppressed => Step::NoCopy,
+                    Deferral::Queued => DecisionStep::Held,
+                    Deferral::HedgeSuppressed => DecisionStep::NoCopy,
                 };
                 self.explain(request, step, &why);
             }
@@ -435,7 +451,7 @@
                 retry_after,
                 explanation: why,
             } => {
-                self.explain(request, Step::Refused, &why);
+                self.explain(request, DecisionStep::Refused, &why);
                 if let Some(answer) = self
                     .tries
                     .answer(request, FinalAnswer::Refused { retry_after })
@@ -451,7 +467,7 @@
             Action::QueryDiscovery => self.watch(now),
             Action::SetTimer { after, token } => self
                 .timers
-                .set(now.saturating_add(after), Due::Module(token)),
+                .set(now.saturating_add(after), TimerKind::Module(token)),
             Action::Log(text) => log::info!("{text}"),
         }
     }
@@ -519,7 +535,7 @@
 }
 
 /// Empties a signal pipe: several signals may have come.
-fn drain(pipe: &Watched<UnixStream>) {
+fn drain(pipe: &Registered<UnixStream>) {
     let mut bytes = [0; 64];
     while matches!(pipe.socket().read(&mut bytes), Ok(n) if n > 0) {}
 }
--- a/crates/balancer/src/event_loop/operators.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -1,9 +1,9 @@
 //! The loop's part in the life cycle and in the operators' calls.
 
 use super::EventLoop;
-use crate::front::management::{Asked, Call};
-use crate::poll::{Ready, Source};
-use crate::timers::Due;
+use crate::listener::admin::{AdminCommand, AdminRequest};
+use crate::poll::{EventSource, Readiness};
+use crate::timers::TimerKind;
 use routing::Nanos;
 
 impl EventLoop {
@@ -17,25 +17,26 @@
             .follow(self.life.stance(now), now, &mut events, &mut self.counters);
         self.front_events(now, events);
         if let Some(due) = self.life.due(now) {
-            self.timers.set(due, Due::LifeCycle);
+            self.timers.set(due, TimerKind::Lifecycle);
         }
     }
 
     /// The operators' door.
-    pub(super) fn management(&mut self, now: Nanos, ready: Ready) {
+    pub(super) fn management(&mut self, now: Nanos, ready: Readiness) {
         let Some(management) = &mut self.management else {
             return;
         };
-        if ready.source == Source::Management {
+        if ready.source == EventSource::AdminListener {
             return management.accept(now, &mut self.counters);
         }
-        let Some(Asked { caller, call }) = management.ready(ready, &mut self.counters) else {
+        let Some(AdminRequest { caller, call }) = management.ready(ready, &mut self.counters)
+        else {
             return;
         };
         let former = self.life.name();
         let done = match call {
-            Call::Health => Ok(()),
-            Call::Fleet => {
+            AdminCommand::Health => Ok(()),
+            AdminCommand::Fleet => {
                 let json = self
                     .fleet
                     .as_ref()
@@ -43,15 +44,15 @@
                     .unwrap_or_default();
                 return management.answer_json(caller, &json);
             }
-            Call::Quiesce => {
+            AdminCommand::Quiesce => {
                 self.life.quiesce(now);
                 Ok(())
             }
-            Call::Resume => self.life.resume(),
+            AdminCommand::Resume => self.life.resume(),
         };
         let status = match (call, done) {
             (_, Err(_)) => 409,
-            (Call::Health, _) if !self.life.is_ready() => 503,
+            (AdminCommand::Health, _) if !self.life.is_ready() => 503,
             _ => 200,
         };
         management.answer(caller, status, self.life.name());
--- a/crates/balancer/src/event_loop/attempts.rs
+++ b/crates/balancer/src/event_loop/attempts.rs
@@ -1,10 +1,10 @@
 //! The loop's part in attempts: they get a connection, begin by what is true at their first byte, and end.
 
 use super::EventLoop;
-use crate::looks::Looks;
-use crate::peers::{Job, JobEnd, Outgoing, PeerEvent};
+use crate::poll_timestamps::PollTimestamps;
 use crate::resp::write_command;
-use crate::timers::{Due, MS};
+use crate::timers::{MS, TimerKind};
+use crate::upstream_pool::{ExchangeResult, OutboundCommand, UpstreamEvent, UpstreamJob};
 use routing::{AttemptNumber, AttemptOutcome, EndpointId, Nanos, RequestId};
 
 /// A probe is given up after this.
@@ -24,15 +24,15 @@
 }
 
 impl EventLoop {
-    pub(super) fn peer_events(&mut self, now: Nanos, events: Vec<PeerEvent>) {
+    pub(super) fn peer_events(&mut self, now: Nanos, events: Vec<UpstreamEvent>) {
         for event in events {
             match event {
                 // One that waits for a look is reported again by each.
-                PeerEvent::Up { job } if self.up.contains(&job) => {}
-                PeerEvent::Up { job } => self.up.push_back(job),
-                PeerEvent::Begun { job, length } => self.begun(now, job, length),
-                PeerEvent::Part { job, bytes } => self.part(now, job, &bytes),
-                PeerEvent::End { job, end } => self.job_ended(now, job, end),
+                UpstreamEvent::Up { job } if self.up.contains(&job) => {}
+                UpstreamEvent::Up { job } => self.up.push_back(job),
+                UpstreamEvent::Begun { job, length } => self.begun(now, job, length),
+                UpstreamEvent::Part { job, bytes } => self.part(now, job, &bytes),
+                UpstreamEvent::End { job, end } => self.job_ended(now, job, end),
             }
         }
     }
@@ -57,19 +57,20 @@
     fn is_current(&self, now: Nanos, gathered: bool) -> bool {
         let age = now.saturating_sub(self.looks.quiet());
         let waited_long = gathered && self.postponed_turns >= POSTPONED_MOST;
-        let looked = Looks::is_fresh(self.looks.quiet(), now) || gathered && age <= GATHERED;
+        let looked =
+            PollTimestamps::is_fresh(self.looks.quiet(), now) || gathered && age <= GATHERED;
         !self.catching_up && (looked || waited_long)
     }
 
     /// The connection of a job is up: the job begins, unless it is not wanted any more.
-    fn first_byte(&mut self, now: Nanos, job: Job) {
+    fn first_byte(&mut self, now: Nanos, job: UpstreamJob) {
         let command = match job {
-            Job::Try(request, attempt) => {
+            UpstreamJob::Attempt(request, attempt) => {
                 self.look_for_client(now, request);
                 self.tries
                     .first_byte(now, request, attempt, &mut self.counters)
             }
-            Job::Probe(_) => {
+            UpstreamJob::Probe(_) => {
                 // Where load is reported the probe asks for it.
                 let load = !self.decide.names().report_columns.is_empty();
                 let words: &[&[u8]] = if load {
@@ -88,8 +89,8 @@
                 self.peer_events(now, events);
             }
             Err(never_sent) => {
-                if let Job::Try(request, attempt) = job {
-                    self.timers.cancel(Due::Try(request, attempt));
+                if let UpstreamJob::Attempt(request, attempt) = job {
+                    self.timers.cancel(TimerKind::Attempt(request, attempt));
                 }
                 self.peers.abandon(job, &mut self.counters);
                 self.news.extend(never_sent.map(|event| *event));
@@ -108,12 +109,12 @@
         self.front_events(now, events);
     }
 
-    fn job_ended(&mut self, now: Nanos, job: Job, end: JobEnd) {
-        if let Job::Try(request, attempt) = job {
-            self.timers.cancel(Due::Try(request, attempt));
+    fn job_ended(&mut self, now: Nanos, job: UpstreamJob, end: ExchangeResult) {
+        if let UpstreamJob::Attempt(request, attempt) = job {
+            self.timers.cancel(TimerKind::Attempt(request, attempt));
             if let Some(connection) = self.tries.passing((request, attempt)) {
                 self.tries.passed(request);
-                let whole = matches!(end, JobEnd::Answer(_));
+                let whole = matches!(end, ExchangeResult::Answer(_));
                 self.counters.broken_off += u64::from(!whole);
                 let mut events = Vec::new();
                 self.front.finish(
@@ -127,7 +128,7 @@
                 return self.front_events(now, events);
             }
         }
-        self.counters.no_place += u64::from(end == JobEnd::NoPlace);
+        self.counters.no_place += u64::from(end == ExchangeResult::NoPlace);
         let (event, answer) = self.tries.finished(now, job, end, &mut self.counters);
         self.news.extend(event);
         if let Some(answer) = answer {
@@ -136,11 +137,11 @@
     }
 
     /// A long value has begun to come.
-    fn begun(&mut self, now: Nanos, job: Job, length: usize) {
-        let Job::Try(request, attempt) = job else {
+    fn begun(&mut self, now: Nanos, job: UpstreamJob, length: usize) {
+        let UpstreamJob::Attempt(request, attempt) = job else {
             return;
         };
-        self.timers.cancel(Due::Try(request, attempt));
+        self.timers.cancel(TimerKind::Attempt(request, attempt));
         match self
             .tries
             .begun(now, (request, attempt), length, &mut self.counters)
@@ -165,8 +166,8 @@
     }
 
     /// Passes on the next bytes of a long value, and stops reading its cache while the client can't take more.
-    fn part(&mut self, now: Nanos, job: Job, bytes: &[u8]) {
-        let Job::Try(request, attempt) = job else {
+    fn part(&mut self, now: Nanos, job: UpstreamJob, bytes: &[u8]) {
+        let UpstreamJob::Attempt(request, attempt) = job else {
             return;
         };
         let Some(connection) = self.tries.passing((request, attempt)) else {
@@ -200,8 +201,9 @@
             .start(now, (request, attempt), server, bounds, &mut self.counters)
         {
             Ok(outgoing) => {
-                if let Job::Try(request, attempt) = outgoing.job {
-                    self.timers.set(outgoing.until, Due::Try(request, attempt));
+                if let UpstreamJob::Attempt(request, attempt) = outgoing.job {
+                    self.timers
+                        .set(outgoing.until, TimerKind::Attempt(request, attempt));
                 }
                 self.dispatch(now, outgoing);
             }
@@ -211,7 +213,7 @@
 
     /// Gives an attempt up, as the module wants.
     pub(super) fn cancel(&mut self, now: Nanos, request: RequestId, attempt: AttemptNumber) {
-        if self.peers.is_unsent(Job::Try(request, attempt)) {
+        if self.peers.is_unsent(UpstreamJob::Attempt(request, attempt)) {
             self.tries.count_unsent(now, request, &mut self.counters);
         }
         let outcome = AttemptOutcome::Cancelled;
@@ -219,9 +221,9 @@
             .tries
             .give_up(now, request, attempt, outcome, &mut self.counters)
         {
-            self.timers.cancel(Due::Try(request, attempt));
+            self.timers.cancel(TimerKind::Attempt(request, attempt));
             self.peers
-                .abandon(Job::Try(request, attempt), &mut self.counters);
+                .abandon(UpstreamJob::Attempt(request, attempt), &mut self.counters);
             self.news.push(event);
         }
     }
@@ -229,12 +231,13 @@
     /// Probes a cache.
     pub(super) fn probe(&mut self, now: Nanos, server: EndpointId) {
         let job = self.tries.probe(server, &mut self.counters);
-        if let Job::Probe(probe) = job {
-            self.timers.set(now + PROBE_TIMEOUT, Due::Probe(probe));
+        if let UpstreamJob::Probe(probe) = job {
+            self.timers
+                .set(now + PROBE_TIMEOUT, TimerKind::Probe(probe));
         }
         self.dispatch(
             now,
-            Outgoing {
+            OutboundCommand {
                 job,
                 server,
                 until: now + PROBE_TIMEOUT,
@@ -242,7 +245,7 @@
         );
     }
 
-    fn dispatch(&mut self, now: Nanos, outgoing: Outgoing) {
+    fn dispatch(&mut self, now: Nanos, outgoing: OutboundCommand) {
         let mut events = Vec::new();
         self.peers.dispatch(
             now,
--- a/crates/balancer/src/event_loop/lists.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -1,11 +1,11 @@
 //! The loop's part in lists of caches: what discovery tells goes to the module and to the pools, a part at a time.
 
 use super::EventLoop;
-use crate::decide::{known_phase, phase, server_id};
-use crate::peers::PeerEvent;
-use crate::timers::Due;
-use crate::upstream_group::messages::ListPart;
-use crate::upstream_group::{GroupEvent, Host, HostList};
+use crate::discovery::messages::ListPart;
+use crate::discovery::{DiscoveryEvent, EndpointList, ListedEndpoint};
+use crate::engine_adapter::{known_phase, phase, server_id};
+use crate::timers::TimerKind;
+use crate::upstream_pool::UpstreamEvent;
 use routing::{EndpointId, EndpointState, Event, Nanos, UpdateKind};
 use std::collections::BTreeSet;
 
@@ -16,13 +16,13 @@
 const HOSTS_LOGGED: usize = 32;
 
 impl EventLoop {
-    pub(super) fn group_events(&mut self, events: Vec<GroupEvent>) {
+    pub(super) fn group_events(&mut self, events: Vec<DiscoveryEvent>) {
         for event in events {
             match event {
-                GroupEvent::Stands => self.news.push(Event::DiscoveryAvailable),
-                GroupEvent::News(part) => self.list_part(part),
-                GroupEvent::Failed => match self.group.again(self.clock.now()) {
-                    Some(at) => self.timers.set(at, Due::Watch),
+                DiscoveryEvent::Stands => self.news.push(Event::DiscoveryAvailable),
+                DiscoveryEvent::News(part) => self.list_part(part),
+                DiscoveryEvent::Failed => match self.group.again(self.clock.now()) {
+                    Some(at) => self.timers.set(at, TimerKind::Watch),
                     None => {
                         let entries = Vec::new();
                         self.news.push(Event::EndpointUpdate {
@@ -56,7 +56,7 @@
         } = part;
         log::debug!(seq, whole, hosts = hosts.len(), is_last; "upstream group: a part of a message");
         self.list(
-            &HostList {
+            &EndpointList {
                 seq,
                 whole: false,
                 hosts,
@@ -69,7 +69,7 @@
     }
 
     /// Takes in a list that is known from before, in one go: nobody is served before it.
-    pub(super) fn known_list(&mut self, list: HostList) {
+    pub(super) fn known_list(&mut self, list: EndpointList) {
         self.group.learn(&list);
         self.list(&list, true);
         if !list.hosts.is_empty() {
@@ -85,7 +85,7 @@
     }
 
     /// Tells the module of hosts, and the pools what is said of them.
-    fn list(&mut self, list: &HostList, stale: bool) {
+    fn list(&mut self, list: &EndpointList, stale: bool) {
         let mut events = Vec::new();
         let mut listed = BTreeSet::new();
         // A line for each of thousands would hold the process up, and push what matters out of the log.
@@ -122,9 +122,9 @@
     /// Tells the pools what is said of one host.
     fn listed_host(
         &mut self,
-        host: &Host,
+        host: &ListedEndpoint,
         level: log::Level,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
     ) -> EndpointId {
         let server = server_id(&host.host);
         let phase = phase(&host.health);
--- a/crates/balancer/src/event_loop/fleet.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -1,8 +1,8 @@
 //! The loop's part in the fleet's talk: it feeds it, hears it, and tells the module by how many shares are divided.
 
 use super::EventLoop;
-use crate::fleet::Fleet;
-use crate::timers::Due;
+use crate::gossip::GossipTransport;
+use crate::timers::TimerKind;
 use membership::{MemberMetadata, ServingPhase};
 use routing::{Event, Nanos};
 use xxhash_rust::xxh3::xxh3_64;
@@ -29,7 +29,7 @@
         let routers = self.config.settings.balancers;
         let beside = self.config.socket_fd.is_some();
         let tiers = self.config.settings.tiers();
-        let mut fleet = Fleet::open(
+        let mut fleet = GossipTransport::open(
             &self.poll,
             config,
             soft,
@@ -43,7 +43,7 @@
             fleet.share_overload(tiers);
         }
         self.fleet = Some(fleet);
-        self.timers.set(now, Due::Fleet);
+        self.timers.set(now, TimerKind::Gossip);
         Ok(())
     }
 
@@ -55,7 +55,7 @@
         }
         self.news
             .extend(fleet.allowance(now).map(Event::FleetShedding));
-        self.timers.set(fleet.due(), Due::Fleet);
+        self.timers.set(fleet.due(), TimerKind::Gossip);
     }
 
     pub(super) fn fleet_ready(&mut self, now: Nanos) {
--- a/crates/balancer/src/event_loop/upgrade.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -2,10 +2,10 @@
 
 use super::{EventLoop, MEMORY_PART, split_sockets, what};
 use crate::config::Config;
+use crate::discovery::EndpointList;
 use crate::poll::inherited;
-use crate::seats::Seats;
-use crate::timers::Due;
-use crate::upstream_group::HostList;
+use crate::process_slots::ProcessSlots;
+use crate::timers::TimerKind;
 use routing::{Nanos, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
 /// What one process of a balancer leaves for the next.
 #[derive(Serialize, Deserialize)]
 struct Notes {
-    list: HostList,
+    list: EndpointList,
     learnt: Snapshot,
 }
 
@@ -39,17 +39,17 @@
 }
 
 /// A seat beside the other process of an upgrade; without one this process serves as if it were alone.
-pub(super) fn take_seat(config: &Config, now: Nanos) -> Option<Seats> {
+pub(super) fn take_seat(config: &Config, now: Nanos) -> Option<ProcessSlots> {
     config.socket_fd?;
     let folder = config.folder.as_ref()?;
     let process = format!("{}-{now}", std::process::id());
-    Seats::take(folder, process)
+    ProcessSlots::take(folder, process)
         .map_err(|e| log::warn!("seat in $TMPDIR {}: {e}", folder.display()))
         .ok()
 }
 
 impl EventLoop {
-    /// Looks for the other process of an upgrade.
+    /// Looks for the other process of a hot restart.
     pub(super) fn look(&mut self, now: Nanos) {
         let Some(seats) = &mut self.seats else { return };
         let todo = self.hand_over.look(
@@ -88,7 +88,8 @@
         self.life.set_waits(self.hand_over.waits());
         self.life.set_other_serves(self.hand_over.other_serves());
         self.follow(now);
-        self.timers.set(now + self.hand_over.next_look(), Due::Look);
+        self.timers
+            .set(now + self.hand_over.next_look(), TimerKind::Look);
     }
 
     /// Takes over what the other process of this balancer knew. The list only if discovery has told no newer one.
--- a/crates/balancer/src/event_loop/requests.rs
+++ b/crates/balancer/src/event_loop/requests.rs
@@ -1,20 +1,20 @@
 //! The loop's part in requests: what the front tells of clients goes to the module, and final answers to the front.
 
 use super::EventLoop;
-use crate::counters::Step;
-use crate::front::resp::FrontEvent;
-use crate::request::{FinalAnswer, Incoming};
+use crate::attempt_tracker::Answer;
+use crate::counters::DecisionStep;
+use crate::listener::resp::ListenerEvent;
+use crate::request::{FinalAnswer, IncomingRequest};
 use crate::timers::MS;
-use crate::tries::Answer;
 use routing::{Event, Explanation, Nanos, RequestId};
 use std::collections::VecDeque;
 
 impl EventLoop {
-    pub(super) fn front_events(&mut self, now: Nanos, events: Vec<FrontEvent>) {
+    pub(super) fn front_events(&mut self, now: Nanos, events: Vec<ListenerEvent>) {
         let mut events = VecDeque::from(events);
         while let Some(event) = events.pop_front() {
             match event {
-                FrontEvent::Request(mut incoming) => {
+                ListenerEvent::Request(mut incoming) => {
                     if let Some(by) = self.life.answer_by() {
                         incoming.patience =
                             incoming.patience.min(by.saturating_sub(incoming.arrived));
@@ -41,7 +41,7 @@
                     self.news.extend(event);
                     self.tries.take(incoming);
                 }
-                FrontEvent::Gone(request) => {
+                ListenerEvent::Gone(request) => {
                     if let Some(job) = self.tries.passing_try(request) {
                         self.tries.passed(request);
                         self.peers.abandon(job, &mut self.counters);
@@ -50,7 +50,7 @@
                         self.news.push(Event::ClientDisconnected(request));
                     }
                 }
-                FrontEvent::Room(request) => {
+                ListenerEvent::Room(request) => {
                     if let Some(job) = self.tries.passing_try(request) {
                         self.peers.pause(now, job, false, &mut self.timers);
                     }
@@ -63,7 +63,7 @@
     /// reach no peer: that would take it for the other, or complain, and the module would think ill of the peer.
     fn turn_away(
         &mut self,
-        incoming: &Incoming,
+        incoming: &IncomingRequest,
         class_known: bool,
         full: bool,
     ) -> Option<FinalAnswer> {
@@ -86,7 +86,7 @@
     }
 
     /// Counts a step that the module took for a reason, and logs it with the figures that it was decided by.
-    pub(super) fn explain(&mut self, request: RequestId, step: Step, why: &Explanation) {
+    pub(super) fn explain(&mut self, request: RequestId, step: DecisionStep, why: &Explanation) {
         self.counters.steps.count(step, why.reason);
         log::debug!(
             step = step.name(), reason = why.reason.name(), out = why.in_flight, limit = why.limit, room = why.origin_admitted_fraction,
--- a/crates/balancer/src/event_loop/tests.rs
+++ b/crates/balancer/src/event_loop/tests.rs
@@ -89,7 +89,7 @@
             TcpStream::connect(self.the.front.address().expect("the door is open")).unwrap();
         client.set_read_timeout(Some(PATIENCE)).unwrap();
         self.clients.push(client);
-        self.turn(&[Source::Listener]);
+        self.turn(&[EventSource::Listener]);
         self.clients.len() - 1
     }
 
@@ -105,7 +105,7 @@
         self.clients[number]
             .write_all(&write_command(&words))
             .unwrap();
-        self.turn(&[Source::Client(number as u64)]);
+        self.turn(&[EventSource::Client(number as u64)]);
     }
 
     /// A new client asks, and which cache has got the command, with its connection.
@@ -118,21 +118,21 @@
     }
 
     /// One turn that comes no sooner than this, in which just this is ready.
-    fn turn_at(&mut self, at: Nanos, ready: Ready) {
+    fn turn_at(&mut self, at: Nanos, ready: Readiness) {
         while self.the.clock.now() < at {}
         self.gather(vec![ready]);
     }
 
     /// One turn in which just these are ready, in this order. Each is waited for, however long the kernel takes.
-    fn turn(&mut self, sources: &[Source]) {
+    fn turn(&mut self, sources: &[EventSource]) {
         self.the.settle();
-        let ready: Vec<Ready> = sources.iter().map(|source| self.wait(*source)).collect();
+        let ready: Vec<Readiness> = sources.iter().map(|source| self.wait(*source)).collect();
         self.gather(ready);
     }
 
     /// A turn behind a look that reports just these, and as many more without any as attempts wait for, however slow the
     /// machine is.
-    fn gather(&mut self, mut ready: Vec<Ready>) {
+    fn gather(&mut self, mut ready: Vec<Readiness>) {
         loop {
             let now = self.the.clock.now();
             // For the loop these turns follow each other without a pause.
@@ -145,7 +145,7 @@
         }
     }
 
-    fn wait(&mut self, source: Source) -> Ready {
+    fn wait(&mut self, source: EventSource) -> Readiness {
         let asked = Instant::now();
         while asked.elapsed() < PATIENCE {
             let mut ready = Vec::new();
@@ -249,13 +249,13 @@
         .unwrap()
 }
 
-const FIRST: Source = Source::Peer(0);
-const SECOND: Source = Source::Peer(1);
-const CLIENT: Source = Source::Client(0);
+const FIRST: EventSource = EventSource::Peer(0);
+const SECOND: EventSource = EventSource::Peer(1);
+const CLIENT: EventSource = EventSource::Client(0);
 
 #[rstest]
 fn who_leaves_in_the_turn_in_which_the_connection_comes_up_is_not_sent_on(
-    #[values([FIRST, CLIENT], [CLIENT, FIRST])] order: [Source; 2],
+    #[values([FIRST, CLIENT], [CLIENT, FIRST])] order: [EventSource; 2],
     #[values("read", "put", "once")] class: &str,
 ) {
     let mut s = Stage::set(GIVEN);
@@ -274,7 +274,7 @@
     s.ask(class, 50_000);
     let up = s.wait(FIRST);
     for _ in 0..3 {
-        s.the.looks = Looks::start(s.the.clock.now().saturating_sub(1_000 * MS));
+        s.the.looks = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
         s.the.postponed_turns = 0;
         s.the.gather(&mut vec![up], true);
     }
@@ -300,24 +300,24 @@
     cache.write_all(VALUE).unwrap();
     s.turn(&[FIRST]);
     s.until(|the| the.counters.list_calls == 1);
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     // The connection rests until then.
     std::thread::sleep(Duration::from_millis(12));
     let client = s.client();
     s.clients[client]
         .write_all(&write_command(&[b"C.GET", b"a", b"2", b"c=read,d=50000"]))
         .unwrap();
-    let asks = s.wait(Source::Client(client as u64));
+    let asks = s.wait(EventSource::Client(client as u64));
     s.the.looks.prompt(s.the.clock.now());
     s.the.gather(&mut vec![asks], true);
     // Held up between the look and the decision; discovery tells of a drain meanwhile.
-    s.the.looks = Looks::start(s.the.clock.now().saturating_sub(1_000 * MS));
+    s.the.looks = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
     s.the.settle();
     assert_eq!((s.the.counters.postponed, s.the.up.len()), (1, 1));
     let dial = local(&s.caches[0]);
     let hosts = json!([{"host": "s-0", "dial": dial, "health": "terminating"}]);
     s.news(&json!({"seq": 8, "hosts": hosts}).to_string());
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     assert_eq!(
         rest(&mut cache),
         "",
@@ -420,7 +420,7 @@
         };
         let asks: Vec<u8> = (0..125).flat_map(ask).collect();
         s.clients[client].write_all(&asks).unwrap();
-        s.turn(&[Source::Client(client as u64)]);
+        s.turn(&[EventSource::Client(client as u64)]);
     }
     assert_eq!(s.the.tries.open(), 1_000);
     assert!(
@@ -429,7 +429,7 @@
         s.the.counters.tries
     );
     s.clients.clear();
-    let all: Vec<Source> = (0..8).map(Source::Client).collect();
+    let all: Vec<EventSource> = (0..8).map(EventSource::Client).collect();
     s.turn(&all);
     let tries = s.the.counters.tries;
     assert_eq!(
@@ -544,12 +544,12 @@
     let (first, mut cache) = s.passed_on("read", 50_000);
     cache.write_all(b"-BUSY\r\n").unwrap();
     let other = 1 - first;
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     let drains = json!({"seq": 8, "hosts": [
         {"host": format!("s-{other}"), "dial": local(&s.caches[other]), "health": "terminating"}]});
     s.news(&drains.to_string());
     // The outcome, by which the other is asked next, and behind it the news that it drains.
-    s.turn(&[FIRST, Source::Discovery(0)]);
+    s.turn(&[FIRST, EventSource::Discovery(0)]);
     assert_eq!((s.the.counters.try_full, s.the.counters.list_news), (1, 1));
     s.caches[other].set_nonblocking(true).unwrap();
     assert!(
@@ -568,10 +568,10 @@
         command(&mut former);
     }
     s.caches.push(TcpListener::bind("127.0.0.1:0").unwrap());
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     let moved = json!({"seq": 8, "hosts": [{"host": "s-0", "dial": local(&s.caches[1])}]});
     s.news(&moved.to_string());
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     if up {
         // What has begun there may end there, but the connection carries nothing more.
         former.write_all(VALUE).unwrap();
@@ -662,17 +662,17 @@
 ) {
     let mut s = Stage::set(GIVEN);
     s.until(|the| the.counters.list_calls == 1);
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     let (mut watch, _) = s.discovery.accept().unwrap();
     watch.write_all(text.as_bytes()).unwrap();
-    let ready = s.wait(Source::Discovery(0));
+    let ready = s.wait(EventSource::Discovery(0));
     s.the.gather(&mut vec![ready], true);
     assert_eq!(s.the.news.contains(&Event::DiscoveryAvailable), stands);
     s.the.settle();
     // A second empty line is no news of it either.
     if stands {
         watch.write_all(b"\n").unwrap();
-        let ready = s.wait(Source::Discovery(0));
+        let ready = s.wait(EventSource::Discovery(0));
         s.the.gather(&mut vec![ready], true);
         assert!(!s.the.news.contains(&Event::DiscoveryAvailable));
     }
@@ -685,16 +685,16 @@
     let mut s = Stage::with(GIVEN, |config| config.sockets = SOCKETS);
     let (_, places) = split_sockets(SOCKETS, false);
     s.until(|the| the.counters.list_calls == 1);
-    s.turn(&[Source::Discovery(0)]);
+    s.turn(&[EventSource::Discovery(0)]);
     let (down, _) = s.discovery.accept().unwrap();
     let address = s.the.front.address().expect("the door is open");
     let _idle: Vec<TcpStream> = (0..2 * places)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
-    s.turn(&[Source::Listener]);
+    s.turn(&[EventSource::Listener]);
     s.until(|the| the.counters.clients_accepted >= places as u64);
     drop(down);
-    let ended = s.wait(Source::Discovery(0));
+    let ended = s.wait(EventSource::Discovery(0));
     s.the.gather(&mut vec![ended], true);
     s.the.settle();
     assert_eq!(s.the.counters.list_failed, 1);
@@ -705,7 +705,7 @@
         places + 8 < SOCKETS,
         "{places}: the rest is for caches, discovery and the door"
     );
-    s.turn(&[Source::Discovery(1)]);
+    s.turn(&[EventSource::Discovery(1)]);
     s.discovery.accept().expect("it is called again");
 }
 
@@ -789,8 +789,8 @@
     /// Takes the next client and answers it.
     fn takes(&mut self, mut client: TcpStream, want: &str) {
         let number = self.the.counters.clients_accepted;
-        self.turn(&[Source::Listener]);
-        self.turn(&[Source::Client(number)]);
+        self.turn(&[EventSource::Listener]);
+        self.turn(&[EventSource::Client(number)]);
         let mut got = vec![0; want.len()];
         client.read_exact(&mut got).unwrap();
         assert_eq!(String::from_utf8_lossy(&got), want);
@@ -922,7 +922,7 @@
 
 #[rstest]
 fn the_answers_of_a_read_and_its_copy_in_one_turn_are_one_answer(
-    #[values([FIRST, SECOND], [SECOND, FIRST])] order: [Source; 2],
+    #[values([FIRST, SECOND], [SECOND, FIRST])] order: [EventSource; 2],
     #[values(VALUE, b"-ERR failed\r\n", b"*3\r\n$x")] other: &[u8],
 ) {
     let mut s = Stage::set(Given {
--- a/crates/balancer/src/event_loop/turns.rs
+++ b/crates/balancer/src/event_loop/turns.rs
@@ -18,7 +18,7 @@
     /// What discovery tells.
     Lists,
     /// Answers of caches, connections that come up, signals and new clients.
-    Peers,
+    UpstreamPool,
     /// What is due.
     Timers,
     /// Commands and ends of clients, and attempts that begin.
--- a/crates/balancer/src/event_loop/turns/tests.rs
+++ b/crates/balancer/src/event_loop/turns/tests.rs
@@ -7,7 +7,7 @@
     let mut turn = TurnMeter::start(5 * MS);
     for (step, ms) in [
         (TurnStep::Lists, 6),
-        (TurnStep::Peers, 30),
+        (TurnStep::UpstreamPool, 30),
         (TurnStep::Clients, 31),
         (TurnStep::Decisions, 40),
     ] {
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/gossip.rs
@@ -3,8 +3,8 @@
 //! configuration there is none of this.
 
 use crate::config::FleetConfig;
-use crate::life_cycle::LifeCycle;
-use crate::poll::{Poll, Source, Watched};
+use crate::lifecycle::Lifecycle;
+use crate::poll::{EventSource, Poll, Registered};
 use crate::timers::MS;
 use membership::envelope::DATAGRAM_MAX;
 use membership::{
@@ -27,11 +27,11 @@
 const SHED_TURN: Nanos = 1_000 * MS;
 
 /// The talk of this balancer with the others of its fleet.
-pub struct Fleet {
+pub struct GossipTransport {
     poll: Poll,
     bind: SocketAddr,
     /// None while another process of this balancer holds the address.
-    socket: Option<Watched<UdpSocket>>,
+    socket: Option<Registered<UdpSocket>>,
     bind_again: Nanos,
     member: Member,
     /// What the module was last told.
@@ -131,7 +131,7 @@
     (named(location.zone), named(location.site))
 }
 
-impl Fleet {
+impl GossipTransport {
     /// Opens the socket and begins to look for the others. `soft` is what is told of this balancer; `configured` is the
     /// settings' number of balancers. `beside` tells that another process of this balancer may still hold the address.
     pub fn open(
@@ -143,7 +143,7 @@
         now: Nanos,
         beside: bool,
     ) -> io::Result<Self> {
-        let mut me = Fleet {
+        let mut me = GossipTransport {
             poll: poll.clone(),
             bind: config.bind,
             socket: None,
@@ -181,7 +181,7 @@
             self.member.fleet_name(),
             socket.local_addr()?
         );
-        self.socket = Some(self.poll.watch(socket, Source::Fleet, true, false)?);
+        self.socket = Some(self.poll.watch(socket, EventSource::Gossip, true, false)?);
         Ok(())
     }
 
@@ -206,7 +206,7 @@
 
     /// The member's own turn. `taken` is the count of requests taken since the start. Returns what the module is to be
     /// told, if it is something new.
-    pub fn turn(&mut self, now: Nanos, life: &LifeCycle, taken: u64) -> Option<usize> {
+    pub fn turn(&mut self, now: Nanos, life: &Lifecycle, taken: u64) -> Option<usize> {
         if self.socket.is_none() && now >= self.bind_again {
             // Whoever holds it is about to end; it is tried for as long as this process runs.
             let _ = self.bind(now);
@@ -333,7 +333,7 @@
     }
 }
 
-impl Fleet {
+impl GossipTransport {
     /// Adds what is known of the regions.
     fn show_regions(&self, shown: &mut serde_json::Value, now: Nanos) {
         let view = self.member.view();
@@ -422,7 +422,7 @@
 }
 
 /// The counts, as `name=value` pairs.
-impl fmt::Display for Fleet {
+impl fmt::Display for GossipTransport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let view = self.member.view();
         let count = |state: MemberStatus| {
--- a/crates/balancer/src/hand_over.rs
+++ b/crates/balancer/src/hot_restart.rs
@@ -13,7 +13,7 @@
 
 /// The other process, as its seat tells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Other {
+pub struct OtherProcess {
     /// A name of its own for each start; empty as long as its seat can't be read.
     pub process: String,
     /// It is ready to serve.
@@ -22,7 +22,7 @@
 
 /// What is to be done after a look.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Todo {
+pub struct HotRestartActions {
     /// Limits are to be split anew.
     pub split: bool,
     /// Notes are to be written for this process.
@@ -33,8 +33,8 @@
 
 /// What one process knows of the other.
 #[derive(Debug)]
-pub struct HandOver {
-    other: Option<Other>,
+pub struct HotRestart {
+    other: Option<OtherProcess>,
     /// Until when notes are waited for: only by who found another at its start.
     notes_until: Option<Nanos>,
     first: bool,
@@ -42,10 +42,10 @@
     served: Option<String>,
 }
 
-impl HandOver {
+impl HotRestart {
     /// Nothing is seen yet.
     pub fn new() -> Self {
-        HandOver {
+        HotRestart {
             other: None,
             notes_until: None,
             first: true,
@@ -58,13 +58,13 @@
     pub fn look(
         &mut self,
         now: Nanos,
-        other: Option<Other>,
+        other: Option<OtherProcess>,
         notes_there: bool,
         serves: bool,
-    ) -> Todo {
-        let mut todo = Todo {
+    ) -> HotRestartActions {
+        let mut todo = HotRestartActions {
             split: other.is_some() != self.other.is_some(),
-            ..Todo::default()
+            ..HotRestartActions::default()
         };
         // One whose seat can't be read yet may serve, or may be the newcomer: what it is to be told waits until it can.
         let unknown = other.as_ref().is_some_and(|o| o.process.is_empty());
--- a/crates/balancer/src/life_cycle.rs
+++ b/crates/balancer/src/lifecycle.rs
@@ -22,7 +22,7 @@
 
 /// What becomes of those who connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum ListenerMode {
     /// They are let in.
     Open,
     /// They wait, or go to the other process that shares the socket.
@@ -33,22 +33,22 @@
     Left,
 }
 
-impl Door {
+impl ListenerMode {
     /// Nobody is let in here: who comes waits, or is the other process's.
     pub fn is_others(self) -> bool {
-        matches!(self, Door::Waits | Door::Left)
+        matches!(self, ListenerMode::Waits | ListenerMode::Left)
     }
 }
 
 /// What follows for client connections at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stance {
+pub struct LifecyclePolicy {
     /// The state's name, as logs, operators and clients read it.
     pub state: &'static str,
     /// `PING` is answered with a yes.
     pub ready: bool,
     /// New connections are taken, or not now, or never again.
-    pub door: Door,
+    pub door: ListenerMode,
     /// A connection is closed once nothing is owed on it.
     pub closes_idle: bool,
     /// Commands are taken from open connections.
@@ -75,7 +75,7 @@
 
 /// Where a process stands between its start and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LifeCycle {
+pub struct Lifecycle {
     state: State,
     /// The clients' socket is the platform's, and other processes may take from it.
     shared: bool,
@@ -89,15 +89,15 @@
 
 /// Why a call of the operators changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Conflict;
+pub struct ResumeConflict;
 
-impl LifeCycle {
+impl Lifecycle {
     /// A process that has just started, on a socket that is its own or shared; the longest time that a client waits for
     /// an answer.
     pub fn new(shared: bool, longest_deadline: Nanos) -> Self {
         let last_answer = longest_deadline.min(DEADLINE_MOST) + ACCEPT_ON - KILL_MARGIN;
         let state = State::Starting { listed: false };
-        LifeCycle {
+        Lifecycle {
             state,
             shared,
             other_serves: false,
@@ -158,11 +158,11 @@
     }
 
     /// The operators end the drain. An end can't be taken back: clients have been sent away for good.
-    pub fn resume(&mut self) -> Result<(), Conflict> {
+    pub fn resume(&mut self) -> Result<(), ResumeConflict> {
         match self.state {
             State::Quiesced { listed, .. } => self.state = State::Starting { listed },
             State::Starting { .. } | State::Serving => {}
-            State::Ending { .. } => return Err(Conflict),
+            State::Ending { .. } => return Err(ResumeConflict),
         }
         self.settle();
         Ok(())
@@ -193,24 +193,28 @@
     }
 
     /// What follows for client connections. In a drain new ones are taken, for the front goes on asking.
-    pub fn stance(&self, now: Nanos) -> Stance {
+    pub fn stance(&self, now: Nanos) -> LifecyclePolicy {
         let theirs = self.shared && self.other_serves;
         let (door, closes_idle) = match self.state {
             // On a shared socket a client that isn't answered yet is better off with the other, or in the queue.
-            State::Starting { .. } if self.shared => (Door::Waits, false),
-            State::Starting { .. } | State::Serving => (Door::Open, false),
+            State::Starting { .. } if self.shared => (ListenerMode::Waits, false),
+            State::Starting { .. } | State::Serving => (ListenerMode::Open, false),
             State::Quiesced { since, .. } => (
-                if theirs { Door::Waits } else { Door::Open },
+                if theirs {
+                    ListenerMode::Waits
+                } else {
+                    ListenerMode::Open
+                },
                 now >= since + TURN_AWAY,
             ),
-            State::Ending { .. } if theirs => (Door::Left, true),
-            State::Ending { since } if now < since + ACCEPT_ON => (Door::Open, true),
-            State::Ending { .. } => (Door::Closed, true),
+            State::Ending { .. } if theirs => (ListenerMode::Left, true),
+            State::Ending { since } if now < since + ACCEPT_ON => (ListenerMode::Open, true),
+            State::Ending { .. } => (ListenerMode::Closed, true),
         };
         let takes = self
             .since()
             .is_none_or(|since| now < since + self.take_on());
-        Stance {
+        LifecyclePolicy {
             state: self.name(),
             ready: self.is_ready(),
             door,
@@ -241,7 +245,10 @@
     /// Whether the process may end, with or without clients connected.
     pub fn is_over(&self, now: Nanos, clients: bool) -> bool {
         matches!(self.state, State::Ending { .. })
-            && matches!(self.stance(now).door, Door::Closed | Door::Left)
+            && matches!(
+                self.stance(now).door,
+                ListenerMode::Closed | ListenerMode::Left
+            )
             && !clients
     }
 }
--- a/crates/balancer/src/front/management.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -3,7 +3,7 @@
 
 use super::LEAVE;
 use crate::counters::Counters;
-use crate::poll::{Poll, Ready, Source, Watched, discard};
+use crate::poll::{EventSource, Poll, Readiness, Registered, discard};
 use crate::timers::MS;
 use routing::Nanos;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 
 /// What the operators ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCommand {
     /// Whether this process is ready to serve.
     Health,
     /// Drain.
@@ -38,15 +38,15 @@
 
 /// A call that waits for its answer, by its connection.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct AdminRequest {
     /// Which connection.
     pub caller: u64,
     /// What is asked.
-    pub call: Call,
+    pub call: AdminCommand,
 }
 
 struct Caller {
-    stream: Watched<TcpStream>,
+    stream: Registered<TcpStream>,
     since: Nanos,
     input: Vec<u8>,
     /// The answer, and how much of it is written; empty until there is one.
@@ -55,9 +55,9 @@
 }
 
 /// The door and the callers at it.
-pub struct Management {
+pub struct AdminListener {
     poll: Poll,
-    listener: Watched<TcpListener>,
+    listener: Registered<TcpListener>,
     callers: BTreeMap<u64, Caller>,
     next_caller: u64,
     fleet: bool,
@@ -67,7 +67,7 @@
 #[derive(Debug, PartialEq, Eq)]
 enum Head {
     More,
-    Call(Call),
+    Command(AdminCommand),
     /// A status, and the methods that are allowed where the method is what is wrong.
     Wrong(u16, &'static str),
 }
@@ -87,14 +87,14 @@
     }
     let path = request.path.unwrap_or_default();
     let (call, method) = match path.split_once('?').map_or(path, |(path, _)| path) {
-        "/admin/health" => (Call::Health, "GET"),
-        "/admin/quiesce" => (Call::Quiesce, "POST"),
-        "/admin/resume" => (Call::Resume, "POST"),
-        "/admin/fleet" if fleet => (Call::Fleet, "GET"),
+        "/admin/health" => (AdminCommand::Health, "GET"),
+        "/admin/quiesce" => (AdminCommand::Quiesce, "POST"),
+        "/admin/resume" => (AdminCommand::Resume, "POST"),
+        "/admin/fleet" if fleet => (AdminCommand::Fleet, "GET"),
         _ => return Head::Wrong(404, ""),
     };
     if request.method == Some(method) {
-        Head::Call(call)
+        Head::Command(call)
     } else {
         Head::Wrong(405, method)
     }
@@ -107,20 +107,20 @@
         404 => "Not Found",
         405 => "Method Not Allowed",
         408 => "Request Timeout",
-        409 => "Conflict",
+        409 => "ResumeConflict",
         431 => "Request Header Fields Too Large",
         _ => "Service Unavailable",
     }
 }
 
-impl Management {
+impl AdminListener {
     /// Listens for calls; with a `fleet` also for those that ask for it.
     pub fn listen(poll: &Poll, address: SocketAddr, fleet: bool) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         log::info!("management listens on {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, Source::Management, true, false)?;
-        Ok(Management {
+        let listener = poll.watch(listener, EventSource::AdminListener, true, false)?;
+        Ok(AdminListener {
             poll: poll.clone(),
             listener,
             callers: BTreeMap::new(),
@@ -154,9 +154,10 @@
                 }
             }
             let number = self.next_caller;
-            let watched = stream
-                .set_nonblocking(true)
-                .and_then(|()| self.poll.watch(stream, Source::Caller(number), true, false));
+            let watched = stream.set_nonblocking(true).and_then(|()| {
+                self.poll
+                    .watch(stream, EventSource::Caller(number), true, false)
+            });
             match watched {
                 Ok(stream) => {
                     self.next_caller += 1;
@@ -176,8 +177,8 @@
     }
 
     /// Reads and writes what a caller is ready for. Tells of a call that waits for its answer.
-    pub fn ready(&mut self, ready: Ready, counters: &mut Counters) -> Option<Asked> {
-        let Source::Caller(number) = ready.source else {
+    pub fn ready(&mut self, ready: Readiness, counters: &mut Counters) -> Option<AdminRequest> {
+        let EventSource::Caller(number) = ready.source else {
             return None;
         };
         let c = self.callers.get_mut(&number)?;
@@ -205,9 +206,9 @@
         }
         match read_head(&c.input, self.fleet) {
             Head::More => None,
-            Head::Call(call) => {
+            Head::Command(call) => {
                 counters.calls += 1;
-                Some(Asked {
+                Some(AdminRequest {
                     caller: number,
                     call,
                 })
--- a/crates/balancer/src/front/management/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn door() -> (Management, impl Fn() -> TcpStream) {
-    let door =
-        Management::listen(&Poll::new().unwrap(), "127.0.0.1:0".parse().unwrap(), false).unwrap();
+fn door() -> (AdminListener, impl Fn() -> TcpStream) {
+    let door = AdminListener::listen(&Poll::new().unwrap(), "127.0.0.1:0".parse().unwrap(), false)
+        .unwrap();
     let address = door.listener.socket().local_addr().unwrap();
     let connect = move || {
         let caller = TcpStream::connect(address).unwrap();
@@ -17,9 +17,9 @@
     (door, connect)
 }
 
-fn readable(number: u64) -> Ready {
-    Ready {
-        source: Source::Caller(number),
+fn readable(number: u64) -> Readiness {
+    Readiness {
+        source: EventSource::Caller(number),
         readable: true,
         writable: false,
     }
@@ -35,7 +35,10 @@
             "after {cut} bytes"
         );
     }
-    assert_eq!(read_head(whole, false), Head::Call(Call::Quiesce));
+    assert_eq!(
+        read_head(whole, false),
+        Head::Command(AdminCommand::Quiesce)
+    );
     let long = format!(
         "GET /admin/health HTTP/1.1\r\nA: {}\r\n\r\n",
         "x".repeat(HEAD_MAX)
@@ -47,11 +50,11 @@
     let cases = [
         (
             "GET /admin/health HTTP/1.1\r\n\r\n",
-            Head::Call(Call::Health),
+            Head::Command(AdminCommand::Health),
         ),
         (
             "POST /admin/resume HTTP/1.0\r\nContent-Length: 2\r\n\r\n{}",
-            Head::Call(Call::Resume),
+            Head::Command(AdminCommand::Resume),
         ),
         (
             "GET /admin/resume HTTP/1.1\r\n\r\n",
@@ -67,7 +70,7 @@
         (&many, Head::Wrong(431, "")),
     ];
     let fleet = b"GET /admin/fleet HTTP/1.1\r\n\r\n";
-    assert_eq!(read_head(fleet, true), Head::Call(Call::Fleet));
+    assert_eq!(read_head(fleet, true), Head::Command(AdminCommand::Fleet));
     assert_eq!(
         read_head(fleet, false),
         Head::Wrong(404, ""),
@@ -107,9 +110,9 @@
     let number = CALLERS_MAX as u64;
     assert_eq!(
         door.ready(readable(number), &mut counters),
-        Some(Asked {
+        Some(AdminRequest {
             caller: number,
-            call: Call::Health
+            call: AdminCommand::Health
         })
     );
     door.answer(number, 200, "serving");
--- a/crates/balancer/src/front/mod.rs
+++ b/crates/balancer/src/listener/mod.rs
@@ -1,6 +1,6 @@
 //! The doors: RESP for clients, HTTP for the operators' calls.
 
-pub mod management;
+pub mod admin;
 pub mod resp;
 
 use crate::timers::MS;
--- a/crates/balancer/src/front/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -1,15 +1,17 @@
 //! The RESP front: client connections, commands in, answers out in the order of the commands.
 
 mod commands;
-mod door;
-mod sweep;
+mod connection_admission;
+mod idle_reaper;
 
 use super::LEAVE;
 use crate::counters::Counters;
-use crate::life_cycle::{Door, Stance};
-use crate::looks::{Looks, Presence};
-use crate::poll::{Poll, Ready, Source, Watched, discard, has_ended, has_unsent, is_silent};
-use crate::request::{FinalAnswer, Incoming, Ticket};
+use crate::lifecycle::{LifecyclePolicy, ListenerMode};
+use crate::poll::{
+    EventSource, Poll, Readiness, Registered, discard, has_ended, has_unsent, is_silent,
+};
+use crate::poll_timestamps::{ClientPresence, PollTimestamps};
+use crate::request::{FinalAnswer, IncomingRequest, Ticket};
 use crate::resp::{self, VALUE_MAX, read_command};
 use crate::timers::MS;
 use commands::{Taken, command, encode, error};
@@ -60,9 +62,9 @@
 
 /// What a front tells the core.
 #[derive(Debug)]
-pub enum FrontEvent {
+pub enum ListenerEvent {
     /// A request has come.
-    Request(Incoming),
+    Request(IncomingRequest),
     /// The client of this request has left.
     Gone(RequestId),
     /// More of this request's value can be taken.
@@ -84,7 +86,7 @@
 }
 
 struct ClientConnection {
-    stream: Watched<TcpStream>,
+    stream: Registered<TcpStream>,
     input: Vec<u8>,
     /// Answers in the order of the commands.
     places: VecDeque<Place>,
@@ -101,7 +103,7 @@
     /// Nothing more is sent on it: it is closed when the client has closed, or by this time.
     leaves: Option<Nanos>,
     /// What the looks at its socket tell of the client.
-    presence: Presence,
+    presence: ClientPresence,
 }
 
 impl ClientConnection {
@@ -134,41 +136,41 @@
 }
 
 /// All client connections.
-pub struct RespFront {
+pub struct RespListener {
     poll: Poll,
-    listener: Option<Watched<TcpListener>>,
+    listener: Option<Registered<TcpListener>>,
     connections: BTreeMap<u64, ClientConnection>,
     most: usize,
     next_connection: u64,
     /// The module's request ids: our own count, never the client's.
     next_request: u128,
     /// What follows from the life cycle; set by `follow` alone.
-    stance: Stance,
+    stance: LifecyclePolicy,
     accepting: bool,
     /// When the sockets were last looked at.
-    looks: Looks,
+    looks: PollTimestamps,
     /// Since when clients may have waited at the listener, if not all were taken.
     door_waits: Option<Nanos>,
     /// What one read takes: kept by all together, since most connections stand idle.
     scratch: Vec<u8>,
 }
 
-impl RespFront {
+impl RespListener {
     /// Takes clients from this socket; at most `most` connections are held at once.
     pub fn listen(
         poll: &Poll,
         listener: TcpListener,
         most: usize,
-        stance: Stance,
-        looks: Looks,
+        stance: LifecyclePolicy,
+        looks: PollTimestamps,
     ) -> io::Result<Self> {
         log::info!(
             "listening on {}, for at most {most} client connections",
             listener.local_addr()?
         );
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, Source::Listener, true, false)?;
-        let mut front = RespFront {
+        let listener = poll.watch(listener, EventSource::Listener, true, false)?;
+        let mut front = RespListener {
             poll: poll.clone(),
             listener: Some(listener),
             connections: BTreeMap::new(),
@@ -191,7 +193,7 @@
     }
 
     /// The sockets were looked at, and somebody waits at the listener or not; to be told before what was found is taken in.
-    pub fn set_looks(&mut self, looks: Looks, somebody_waits: bool) {
+    pub fn set_looks(&mut self, looks: PollTimestamps, somebody_waits: bool) {
         self.looks = looks;
         if self.accepting && !somebody_waits {
             self.door_waits = None;
@@ -204,13 +206,13 @@
         &mut self,
         number: u64,
         now: Nanos,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) -> bool {
         let Some(c) = self.connections.get_mut(&number) else {
             return false;
         };
-        if Looks::is_fresh(c.presence.seen(&self.looks, c.is_read()), now) {
+        if PollTimestamps::is_fresh(c.presence.seen(&self.looks, c.is_read()), now) {
             return true;
         }
         counters.clients_asked += 1;
@@ -249,11 +251,11 @@
     pub fn ready(
         &mut self,
         now: Nanos,
-        ready: Ready,
-        events: &mut Vec<FrontEvent>,
+        ready: Readiness,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        let Source::Client(number) = ready.source else {
+        let EventSource::Client(number) = ready.source else {
             return;
         };
         if ready.writable {
@@ -268,7 +270,7 @@
         &mut self,
         number: u64,
         now: Nanos,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
         let Some(c) = self.connections.get_mut(&number) else {
@@ -309,7 +311,7 @@
         &mut self,
         number: u64,
         (now, arrived): (Nanos, Nanos),
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
         let Some(c) = self.connections.get_mut(&number) else {
@@ -339,14 +341,14 @@
                                 })));
                         }
                         Taken::Request(incoming) => {
-                            let incoming = Incoming {
+                            let incoming = IncomingRequest {
                                 arrived,
                                 ..incoming
                             };
                             self.next_request += 1;
                             c.places.push_back(Place::Waiting(incoming.ticket.request));
                             counters.taken += 1;
-                            events.push(FrontEvent::Request(incoming));
+                            events.push(ListenerEvent::Request(incoming));
                         }
                         Taken::Answer(answer) => c.places.push_back(Place::Answered(answer)),
                         Taken::Malformed(problem) => {
@@ -431,7 +433,7 @@
     }
 
     /// Whether the cache of this value is not to be read until there is room: as soon as anything waits where memory is
-    /// `tight`. [`FrontEvent::Room`] tells when.
+    /// `tight`. [`ListenerEvent::Room`] tells when.
     pub fn holds_back(&mut self, connection: u64, request: RequestId, tight: bool) -> bool {
         let waits = self.waits(connection, request);
         let Some(Place::Coming { held_back, .. }) = self.coming(connection, request) else {
@@ -448,7 +450,7 @@
         request: RequestId,
         whole: bool,
         now: Nanos,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
         let Some(place) = self.coming(connection, request) else {
@@ -471,7 +473,7 @@
         &mut self,
         number: u64,
         now: Nanos,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
         loop {
@@ -512,14 +514,14 @@
                 && unsent == 0
             {
                 *held_back = false;
-                events.push(FrontEvent::Room(*request));
+                events.push(ListenerEvent::Room(*request));
             }
             if c.leaves.is_some() {
                 return;
             }
             // Who has just come is about to ask: as long as others come too, the sweep closes those that say nothing. Half a
             // command is no reason to stay once none is taken; until then what waits to be read is.
-            let has_asked = c.spoken || self.stance.door == Door::Closed;
+            let has_asked = c.spoken || self.stance.door == ListenerMode::Closed;
             let nothing_begun = c.input.is_empty() || c.spoken && !self.stance.takes;
             let done = c.last || self.stance.closes_idle && has_asked && nothing_begun;
             let stays = || {
@@ -560,7 +562,7 @@
         number: u64,
         now: Nanos,
         counters: &mut Counters,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
     ) {
         let Some(c) = self.connections.get_mut(&number) else {
             return;
@@ -581,7 +583,7 @@
 
     /// Takes what still comes on a connection that leaves, where its framing is lost. A command that can be read stays
     /// unread: whoever sent it is told by the reset, and sends it elsewhere.
-    fn leaving(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<FrontEvent>) {
+    fn leaving(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<ListenerEvent>) {
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
@@ -602,7 +604,7 @@
     }
 
     /// Closes a connection; whoever waited on it has gone.
-    fn remove(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<FrontEvent>) {
+    fn remove(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<ListenerEvent>) {
         let Some(c) = self.connections.remove(&number) else {
             return;
         };
@@ -610,7 +612,7 @@
         for place in c.places {
             if let Place::Waiting(request) | Place::Coming { request, .. } = place {
                 counters.gone += 1;
-                events.push(FrontEvent::Gone(request));
+                events.push(ListenerEvent::Gone(request));
             }
         }
         self.pause(false);
@@ -620,15 +622,15 @@
     /// and what has come is read before its connection is closed: otherwise it would be lost.
     pub fn follow(
         &mut self,
-        stance: Stance,
+        stance: LifecyclePolicy,
         now: Nanos,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
         if self.stance == stance {
             return;
         }
-        if stance.door == Door::Closed {
+        if stance.door == ListenerMode::Closed {
             // As many as wait, in several turns' worth; those that are taken are too new to make room, so `most` is the end.
             let mut before = None;
             while before.replace(counters.clients_accepted) != Some(counters.clients_accepted) {
@@ -636,7 +638,7 @@
             }
         }
         self.stance = stance;
-        if stance.door == Door::Closed {
+        if stance.door == ListenerMode::Closed {
             // Only this process's descriptor of it: the socket may be shared with another.
             self.listener = None;
         }
--- a/crates/balancer/src/front/resp/commands.rs
+++ b/crates/balancer/src/listener/resp/commands.rs
@@ -1,7 +1,7 @@
 //! Commands of clients as requests, and final answers as RESP.
 
-use crate::life_cycle::Stance;
-use crate::request::{FinalAnswer, Incoming, Order, Ticket};
+use crate::lifecycle::LifecyclePolicy;
+use crate::request::{CacheCommand, FinalAnswer, IncomingRequest, Ticket};
 use crate::resp;
 use crate::timers::MS;
 use routing::Nanos;
@@ -14,7 +14,7 @@
 
 /// What a command turns out to be.
 pub(super) enum Taken {
-    Request(Incoming),
+    Request(IncomingRequest),
     /// Something the balancer answers itself.
     Answer(Vec<u8>),
     Malformed(String),
@@ -27,7 +27,7 @@
     input: &[u8],
     words: &[Range<usize>],
     ticket: Ticket,
-    stance: Stance,
+    stance: LifecyclePolicy,
 ) -> Taken {
     let word = |i: usize| words.get(i).map_or(&[][..], |range| &input[range.clone()]);
     if words.is_empty() {
@@ -56,7 +56,7 @@
     [key, id, fields]: [&[u8]; 3],
     value: Option<Vec<u8>>,
     ticket: Ticket,
-) -> Result<Incoming, String> {
+) -> Result<IncomingRequest, String> {
     if key.is_empty() || id.is_empty() {
         return Err("key or id is empty".into());
     }
@@ -98,13 +98,13 @@
         return Err(format!("field 'd': '{patience}' is too long a time"));
     }
     let patience = (ms * MS as f64) as Nanos;
-    let order = Order {
+    let order = CacheCommand {
         value,
         key: key.to_vec(),
         id: id.to_vec(),
         fields: kept,
     };
-    Ok(Incoming {
+    Ok(IncomingRequest {
         ticket,
         class,
         tenant,
--- a/crates/balancer/src/front/resp/door.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl RespFront {
+impl RespListener {
     /// Takes the clients that wait at the door.
     pub fn accept(&mut self, now: Nanos, counters: &mut Counters) {
         if self.stance.door.is_others() {
@@ -30,7 +30,8 @@
                         .set_nonblocking(true)
                         .and_then(|()| stream.set_nodelay(true))
                         .and_then(|()| {
-                            self.poll.watch(stream, Source::Client(number), true, false)
+                            self.poll
+                                .watch(stream, EventSource::Client(number), true, false)
                         });
                     let stream = match watched {
                         Ok(stream) => stream,
@@ -54,7 +55,7 @@
                             since: now,
                             spoken: false,
                             leaves: None,
-                            presence: Presence::accepted(&self.looks, waited_since),
+                            presence: ClientPresence::accepted(&self.looks, waited_since),
                         },
                     );
                 }
--- a/crates/balancer/src/front/resp/sweep.rs
+++ b/crates/balancer/src/listener/resp/idle_reaper.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-impl RespFront {
+impl RespListener {
     /// Looks for clients that take nothing of what they are owed, say nothing or nothing whole, or are done, and tries
     /// the door again after an error.
-    pub fn sweep(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
+    pub fn sweep(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
         self.close_stuck(now, events, counters);
         self.close_gone(now, events, counters);
         self.close_unfinished(now, events, counters);
@@ -24,14 +24,19 @@
             .collect()
     }
 
-    fn close_stuck(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
+    fn close_stuck(
+        &mut self,
+        now: Nanos,
+        events: &mut Vec<ListenerEvent>,
+        counters: &mut Counters,
+    ) {
         for number in self.those(|c| c.unsent() > 0 && now.saturating_sub(c.active) > STUCK) {
             self.remove(number, counters, events);
         }
     }
 
     /// Where nothing is read, for too much is owed or too much has come, no read shows the end.
-    fn close_gone(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
+    fn close_gone(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
         let gone = self.those(|c| match c.leaves {
             Some(until) => now >= until || has_ended(c.stream.socket()),
             None => !c.is_read() && has_ended(c.stream.socket()),
@@ -47,7 +52,7 @@
     fn close_unfinished(
         &mut self,
         now: Nanos,
-        events: &mut Vec<FrontEvent>,
+        events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
         let unfinished = self.those(|c| {
@@ -77,7 +82,7 @@
         }
     }
 
-    fn close_idle(&mut self, now: Nanos, events: &mut Vec<FrontEvent>, counters: &mut Counters) {
+    fn close_idle(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
         let stay = self
             .connections
             .values()
--- a/crates/balancer/src/front/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -6,25 +6,25 @@
 use socket2::SockRef;
 use std::time::Duration;
 
-const SERVING: Stance = Stance {
+const SERVING: LifecyclePolicy = LifecyclePolicy {
     state: "serving",
     ready: true,
-    door: Door::Open,
+    door: ListenerMode::Open,
     closes_idle: false,
     takes: true,
 };
-const CLOSING: Stance = Stance {
+const CLOSING: LifecyclePolicy = LifecyclePolicy {
     ready: false,
     closes_idle: true,
     ..SERVING
 };
 
 /// A front for this many connections, and a way to connect to it.
-fn front(most: usize) -> (RespFront, impl Fn() -> TcpStream) {
+fn front(most: usize) -> (RespListener, impl Fn() -> TcpStream) {
     let poll = Poll::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let front =
-        RespFront::listen(&poll, listener, most, SERVING, Looks::start(0)).expect("it listens");
+    let front = RespListener::listen(&poll, listener, most, SERVING, PollTimestamps::start(0))
+        .expect("it listens");
     let address = front
         .listener
         .as_ref()
@@ -46,7 +46,7 @@
 }
 
 /// The connections that do not leave: to the others nothing more is sent, and they close once the client has.
-fn staying(front: &RespFront) -> Vec<u64> {
+fn staying(front: &RespListener) -> Vec<u64> {
     front
         .connections
         .iter()
@@ -78,8 +78,8 @@
         (1, 0),
         "something to read"
     );
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
@@ -107,8 +107,8 @@
     unread.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     clients[2].write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     for number in 0..3 {
-        let ready = Ready {
-            source: Source::Client(number),
+        let ready = Readiness {
+            source: EventSource::Client(number),
             readable: true,
             writable: false,
         };
@@ -152,8 +152,8 @@
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
     front.accept(0, &mut counters);
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
@@ -177,8 +177,8 @@
         front.accept(number, &mut counters);
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
         clients.push(client);
-        let ready = Ready {
-            source: Source::Client(number),
+        let ready = Readiness {
+            source: EventSource::Client(number),
             readable: true,
             writable: false,
         };
@@ -202,10 +202,10 @@
         .unwrap()
         .places
         .push_back(Place::Waiting(RequestId(8)));
-    let mut say = |front: &mut RespFront, number: u64, now: Nanos, text: &[u8]| {
+    let mut say = |front: &mut RespListener, number: u64, now: Nanos, text: &[u8]| {
         clients[number as usize].write_all(text).unwrap();
-        let ready = Ready {
-            source: Source::Client(number),
+        let ready = Readiness {
+            source: EventSource::Client(number),
             readable: true,
             writable: false,
         };
@@ -250,8 +250,8 @@
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
     client.write_all(&command.repeat(100)).unwrap();
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
@@ -266,8 +266,8 @@
     let mut usual = connect();
     front.accept(0, &mut counters);
     usual.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
@@ -290,8 +290,8 @@
     assert!(!front.is_empty());
     let _later = connect();
     front.follow(
-        Stance {
-            door: Door::Closed,
+        LifecyclePolicy {
+            door: ListenerMode::Closed,
             ..CLOSING
         },
         2,
@@ -321,15 +321,15 @@
         [1],
         "the idle one has gone"
     );
-    let ready = Ready {
-        source: Source::Client(1),
+    let ready = Readiness {
+        source: EventSource::Client(1),
         readable: true,
         writable: false,
     };
     front.ready(IDLE_CLOSING + 2, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2);
     front.follow(
-        Stance {
+        LifecyclePolicy {
             takes: false,
             ..CLOSING
         },
@@ -341,7 +341,7 @@
     front.ready(IDLE_CLOSING + 4, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2, "no further command is taken");
     for event in std::mem::take(&mut events) {
-        let FrontEvent::Request(incoming) = event else {
+        let ListenerEvent::Request(incoming) = event else {
             panic!("nobody has gone")
         };
         assert!(!front.is_empty(), "what was taken is answered first");
@@ -362,21 +362,21 @@
 }
 
 /// A front with two requests taken on one connection, and that connection.
-fn two_requests() -> (RespFront, TcpStream, Vec<Ticket>, Counters) {
+fn two_requests() -> (RespListener, TcpStream, Vec<Ticket>, Counters) {
     let (mut front, connect) = front(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
     client.write_all(&command.repeat(2)).unwrap();
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
     front.ready(0, ready, &mut events, &mut counters);
     let tickets = events.into_iter().map(|event| match event {
-        FrontEvent::Request(incoming) => incoming.ticket,
+        ListenerEvent::Request(incoming) => incoming.ticket,
         other => panic!("{other:?}"),
     });
     let tickets = tickets.collect();
@@ -434,8 +434,8 @@
         "what one long value holds"
     );
     client.set_nonblocking(true).unwrap();
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: false,
         writable: true,
     };
@@ -443,12 +443,12 @@
         while matches!(client.read(&mut [0; READ_SIZE]), Ok(n) if n > 0) {}
         front.ready(2, ready, &mut events, &mut counters);
     }
-    assert!(matches!(events[..], [FrontEvent::Room(r)] if r == request));
+    assert!(matches!(events[..], [ListenerEvent::Room(r)] if r == request));
     assert_eq!(front.buffered(), 0);
     // The cache breaks off: the client must be able to tell, and the request behind has nobody to wait for.
     events.clear();
     front.finish(0, request, false, 3, &mut events, &mut counters);
-    assert!(front.is_empty() && matches!(events[..], [FrontEvent::Gone(r)] if r != request));
+    assert!(front.is_empty() && matches!(events[..], [ListenerEvent::Gone(r)] if r != request));
 }
 
 #[test]
@@ -513,8 +513,8 @@
             1
         }
     };
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
@@ -542,7 +542,7 @@
     assert!(
         events
             .iter()
-            .all(|event| matches!(event, FrontEvent::Gone(_)))
+            .all(|event| matches!(event, ListenerEvent::Gone(_)))
     );
     assert_eq!(
         (events.len(), counters.left_unread, front.is_empty()),
@@ -575,13 +575,13 @@
         b""
     };
     client.write_all(&[&command[..], behind].concat()).unwrap();
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: true,
     };
     front.ready(0, ready, &mut events, &mut counters);
-    let Some(FrontEvent::Request(incoming)) = events.pop() else {
+    let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
     front.answer(incoming.ticket, FinalAnswer::Served(vec![b'v'; VALUE_MAX]));
@@ -590,7 +590,7 @@
         Close::Garbled => {}
         Close::Drain => front.follow(CLOSING, 1, &mut events, &mut counters),
         Close::NoLongerTaken => front.follow(
-            Stance {
+            LifecyclePolicy {
                 takes: false,
                 ..CLOSING
             },
@@ -639,8 +639,8 @@
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     }
     front.follow(
-        Stance {
-            door: Door::Closed,
+        LifecyclePolicy {
+            door: ListenerMode::Closed,
             ..CLOSING
         },
         0,
@@ -666,19 +666,19 @@
 #[rstest]
 fn a_request_that_crosses_the_beginning_of_an_end_is_taken(
     #[values(Crosses::FirstOnNew, Crosses::InTwoParts, Crosses::BehindAnAnswer)] crosses: Crosses,
-    #[values(Door::Open, Door::Left)] door: Door,
+    #[values(ListenerMode::Open, ListenerMode::Left)] door: ListenerMode,
 ) {
     let (mut front, connect) = front(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
     front.accept(0, &mut counters);
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]);
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: false,
     };
-    let ending = Stance { door, ..CLOSING };
+    let ending = LifecyclePolicy { door, ..CLOSING };
     match crosses {
         // The door was just passed, and nothing is read yet.
         Crosses::FirstOnNew => {
@@ -698,7 +698,7 @@
         Crosses::BehindAnAnswer => {
             client.write_all(&command).unwrap();
             front.ready(1, ready, &mut events, &mut counters);
-            let Some(FrontEvent::Request(incoming)) = events.pop() else {
+            let Some(ListenerEvent::Request(incoming)) = events.pop() else {
                 panic!("it is taken")
             };
             front.follow(ending, 1, &mut events, &mut counters);
@@ -708,7 +708,7 @@
         }
     }
     front.ready(2, ready, &mut events, &mut counters);
-    let Some(FrontEvent::Request(incoming)) = events.pop() else {
+    let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
     front.answer(incoming.ticket, FinalAnswer::Served(b"w".to_vec()));
@@ -744,13 +744,13 @@
     client
         .write_all(&resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=9"]))
         .unwrap();
-    let ready = Ready {
-        source: Source::Client(0),
+    let ready = Readiness {
+        source: EventSource::Client(0),
         readable: true,
         writable: true,
     };
     front.ready(0, ready, &mut events, &mut counters);
-    let Some(FrontEvent::Request(incoming)) = events.pop() else {
+    let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
     // More than the client's side takes unread: the kernel holds the rest for it.
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -3,25 +3,25 @@
 //! carry out what it says, and the front answers. No decision is taken here; they are all routing's.
 #![deny(unsafe_code)]
 
-mod agent;
+mod attempt_tracker;
 mod config;
 mod counters;
-mod decide;
+mod discovery;
+mod engine_adapter;
 mod event_loop;
-mod fleet;
-mod front;
-mod hand_over;
-mod life_cycle;
-mod looks;
-mod passing;
-mod peers;
+mod gossip;
+mod hot_restart;
+mod lifecycle;
+mod listener;
 mod poll;
+mod poll_timestamps;
+mod process_slots;
 mod request;
 mod resp;
-mod seats;
+mod response_stream;
 mod timers;
-mod tries;
-mod upstream_group;
+mod upstream_pool;
+mod watch_backoff;
 
 use std::process::ExitCode;
 
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -93,7 +93,7 @@
 
 /// Whose socket became ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum EventSource {
     /// The socket on which clients connect.
     Listener,
     /// A client connection, by its number.
@@ -109,28 +109,28 @@
     /// The request to read the configuration again.
     Reload,
     /// The socket on which the operators call.
-    Management,
+    AdminListener,
     /// A connection of an operator's call, by its number.
     Caller(u64),
     /// The socket of the fleet's talk.
-    Fleet,
+    Gossip,
 }
 
-impl Source {
+impl EventSource {
     const KINDS: u64 = 10;
 
     fn key(self) -> usize {
         let (number, kind) = match self {
-            Source::Listener => (0, 0),
-            Source::Client(n) => (n, 1),
-            Source::Peer(n) => (n, 2),
-            Source::Discovery(n) => (n, 3),
-            Source::Stop => (0, 4),
-            Source::Report => (0, 5),
-            Source::Reload => (0, 6),
-            Source::Management => (0, 7),
-            Source::Caller(n) => (n, 8),
-            Source::Fleet => (0, 9),
+            EventSource::Listener => (0, 0),
+            EventSource::Client(n) => (n, 1),
+            EventSource::Peer(n) => (n, 2),
+            EventSource::Discovery(n) => (n, 3),
+            EventSource::Stop => (0, 4),
+            EventSource::Report => (0, 5),
+            EventSource::Reload => (0, 6),
+            EventSource::AdminListener => (0, 7),
+            EventSource::Caller(n) => (n, 8),
+            EventSource::Gossip => (0, 9),
         };
         (number * Self::KINDS + kind) as usize
     }
@@ -138,25 +138,25 @@
     fn of(key: usize) -> Self {
         let number = key as u64 / Self::KINDS;
         match key as u64 % Self::KINDS {
-            0 => Source::Listener,
-            1 => Source::Client(number),
-            2 => Source::Peer(number),
-            3 => Source::Discovery(number),
-            4 => Source::Stop,
-            5 => Source::Report,
-            6 => Source::Reload,
-            7 => Source::Management,
-            8 => Source::Caller(number),
-            _ => Source::Fleet,
+            0 => EventSource::Listener,
+            1 => EventSource::Client(number),
+            2 => EventSource::Peer(number),
+            3 => EventSource::Discovery(number),
+            4 => EventSource::Stop,
+            5 => EventSource::Report,
+            6 => EventSource::Reload,
+            7 => EventSource::AdminListener,
+            8 => EventSource::Caller(number),
+            _ => EventSource::Gossip,
         }
     }
 }
 
 /// What one socket is ready for. A broken one is reported as ready for both.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct Readiness {
     /// Whose socket.
-    pub source: Source,
+    pub source: EventSource,
     /// It can be read, or has ended.
     pub readable: bool,
     /// It can be written, or has broken.
@@ -182,18 +182,18 @@
     pub fn watch<S: AsSource>(
         &self,
         socket: S,
-        source: Source,
+        source: EventSource,
         readable: bool,
         writable: bool,
-    ) -> io::Result<Watched<S>> {
+    ) -> io::Result<Registered<S>> {
         let interest = Event::new(source.key(), readable, writable);
-        // SAFETY: the socket must leave the poller before it is closed. It moves into `Watched`, which owns it,
+        // SAFETY: the socket must leave the poller before it is closed. It moves into `Registered`, which owns it,
         // never lets it out, and removes it from the poller when dropped, before the socket itself is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&socket.source(), interest, PollMode::Level)?;
         }
-        Ok(Watched {
+        Ok(Registered {
             socket,
             source,
             interest: (readable, writable),
@@ -207,7 +207,7 @@
         &self,
         events: &mut Events,
         timeout: Option<Duration>,
-        ready: &mut Vec<Ready>,
+        ready: &mut Vec<Readiness>,
     ) -> io::Result<bool> {
         events.clear();
         match self.poller.wait(events, timeout) {
@@ -216,8 +216,8 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(false),
             Err(e) => return Err(e),
         }
-        ready.extend(events.iter().map(|e| Ready {
-            source: Source::of(e.key),
+        ready.extend(events.iter().map(|e| Readiness {
+            source: EventSource::of(e.key),
             readable: e.readable,
             writable: e.writable,
         }));
@@ -226,14 +226,14 @@
 }
 
 /// A socket that is watched as long as this lives.
-pub struct Watched<S: AsSource> {
+pub struct Registered<S: AsSource> {
     socket: S,
-    source: Source,
+    source: EventSource,
     interest: (bool, bool),
     poller: Rc<Poller>,
 }
 
-impl<S: AsSource> Watched<S> {
+impl<S: AsSource> Registered<S> {
     /// The socket.
     pub fn socket(&self) -> &S {
         &self.socket
@@ -251,7 +251,7 @@
     }
 }
 
-impl<S: AsSource> Drop for Watched<S> {
+impl<S: AsSource> Drop for Registered<S> {
     fn drop(&mut self) {
         // It fails only for a socket that is not in the set; then there is nothing to take out.
         let _ = self.poller.delete(&self.socket);
--- a/crates/balancer/src/looks.rs
+++ b/crates/balancer/src/poll_timestamps.rs
@@ -19,7 +19,7 @@
 
 /// The looks of one process.
 #[derive(Clone, Copy, Debug)]
-pub struct Looks {
+pub struct PollTimestamps {
     /// How many there were.
     count: u64,
     /// What the last look did not report had not come by this time.
@@ -32,10 +32,10 @@
     lost: Nanos,
 }
 
-impl Looks {
+impl PollTimestamps {
     /// Nothing can have come before `now`.
     pub fn start(now: Nanos) -> Self {
-        Looks {
+        PollTimestamps {
             count: 0,
             quiet: now,
             arrived: now,
@@ -85,7 +85,7 @@
 
 /// What looks tell of one connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Presence {
+pub struct ClientPresence {
     /// The look in whose turn it was last read or taken from the listener.
     look: u64,
     /// What was found then did not come before this time.
@@ -96,10 +96,10 @@
     seen: Nanos,
 }
 
-impl Presence {
+impl ClientPresence {
     /// A connection that was just taken from the listener, where it may have waited since then.
-    pub fn accepted(looks: &Looks, waited_since: Nanos) -> Self {
-        Presence {
+    pub fn accepted(looks: &PollTimestamps, waited_since: Nanos) -> Self {
+        ClientPresence {
             look: looks.count,
             arrived: waited_since,
             unread: true,
@@ -108,14 +108,14 @@
     }
 
     /// Bytes were read from it; with `unread` more may wait. Returns the earliest time at which they can have come.
-    pub fn read(&mut self, looks: &Looks, unread: bool) -> Nanos {
+    pub fn read(&mut self, looks: &PollTimestamps, unread: bool) -> Nanos {
         let waited_before = self.unread && self.look + 1 >= looks.count;
         let arrived = if waited_before {
             self.arrived.min(looks.arrived)
         } else {
             looks.arrived
         };
-        *self = Presence {
+        *self = ClientPresence {
             look: looks.count,
             arrived,
             unread,
@@ -125,12 +125,12 @@
     }
 
     /// The earliest time at which what was read in the turn of this look can have come; none if nothing was.
-    pub fn read_in_turn(&self, looks: &Looks) -> Option<Nanos> {
+    pub fn read_in_turn(&self, looks: &PollTimestamps) -> Option<Nanos> {
         (self.look == looks.count).then_some(self.arrived)
     }
 
     /// When the other end was there for sure. A connection that is not watched for reading is not looked at.
-    pub fn seen(&self, looks: &Looks, watched: bool) -> Nanos {
+    pub fn seen(&self, looks: &PollTimestamps, watched: bool) -> Nanos {
         if watched && self.look < looks.count {
             self.seen.max(looks.quiet)
         } else {
--- a/crates/balancer/src/looks/tests.rs
+++ b/crates/balancer/src/poll_timestamps/tests.rs
@@ -1,13 +1,13 @@
-//! Looks that come in time, late and not at all.
+//! Polls that come in time, late and not at all.
 
 use super::*;
 
-impl Looks {
+impl PollTimestamps {
     /// As if a look had just been made, and none had been late.
     pub(crate) fn prompt(&mut self, now: Nanos) {
-        *self = Looks {
+        *self = PollTimestamps {
             count: self.count + 1,
-            ..Looks::start(now)
+            ..PollTimestamps::start(now)
         };
     }
 }
@@ -20,7 +20,7 @@
 
 #[test]
 fn what_a_prompt_look_reports_has_come_just_now() {
-    let mut looks = Looks::start(START);
+    let mut looks = PollTimestamps::start(START);
     assert_eq!(looks.waited(at(1), at(21), true), 0);
     assert_eq!((looks.quiet(), looks.arrived()), (at(21), at(21)));
     assert_eq!(looks.waited(at(22), at(52), true), 0);
@@ -28,12 +28,15 @@
         (looks.quiet(), looks.arrived(), looks.lost()),
         (at(52), at(52), 0)
     );
-    assert!(Looks::is_fresh(looks.quiet(), at(77)) && !Looks::is_fresh(looks.quiet(), at(78)));
+    assert!(
+        PollTimestamps::is_fresh(looks.quiet(), at(77))
+            && !PollTimestamps::is_fresh(looks.quiet(), at(78))
+    );
 }
 
 #[test]
 fn behind_a_long_turn_or_a_long_wait_it_may_have_come_right_after_the_look_before() {
-    let mut looks = Looks::start(START);
+    let mut looks = PollTimestamps::start(START);
     assert_eq!(
         looks.waited(at(650), at(650), true),
         650 * MS,
@@ -61,7 +64,7 @@
 
 #[test]
 fn a_wait_that_a_signal_cuts_short_is_no_look() {
-    let mut looks = Looks::start(START);
+    let mut looks = PollTimestamps::start(START);
     looks.waited(at(1), at(2), true);
     looks.waited(at(3), at(653), false);
     assert_eq!((looks.quiet(), looks.arrived()), (at(2), at(2)));
@@ -71,9 +74,9 @@
 
 #[test]
 fn a_connection_was_there_at_the_last_look_unless_it_is_not_looked_at() {
-    let mut looks = Looks::start(START);
+    let mut looks = PollTimestamps::start(START);
     looks.waited(at(10), at(10), true);
-    let mut presence = Presence::accepted(&looks, at(4));
+    let mut presence = ClientPresence::accepted(&looks, at(4));
     assert_eq!(presence.seen(&looks, true), at(4));
     looks.waited(at(20), at(20), true);
     assert_eq!(
--- a/crates/balancer/src/seats.rs
+++ b/crates/balancer/src/process_slots.rs
@@ -1,7 +1,7 @@
 //! The files in `$TMPDIR` by which the two processes of an upgrade know of each other: a seat each, locked as long as the
 //! process in it lives, and the notes that one leaves for the other. The kernel frees a lock however a process ends.
 
-use crate::hand_over::Other;
+use crate::hot_restart::OtherProcess;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
@@ -24,7 +24,7 @@
 }
 
 /// The two seats, of which this process has one.
-pub struct Seats {
+pub struct ProcessSlots {
     files: [File; 2],
     /// Which one is taken; none while both are others'.
     own: Option<usize>,
@@ -33,7 +33,7 @@
     notes: PathBuf,
 }
 
-impl Seats {
+impl ProcessSlots {
     /// Takes a free seat in this folder under this process's name.
     pub fn take(folder: &Path, process: String) -> io::Result<Self> {
         let open = |place: usize| {
@@ -48,7 +48,7 @@
         let notes = folder.join("pipitrun.notes");
         // What was left for a process that died before it read it. Nothing is left for this one before it sits.
         let _ = std::fs::remove_file(&notes);
-        let mut seats = Seats {
+        let mut seats = ProcessSlots {
             files: [open(0)?, open(1)?],
             own: None,
             process,
@@ -69,7 +69,7 @@
 
     fn write(&mut self) {
         let Some(own) = self.own else { return };
-        let seat = Other {
+        let seat = OtherProcess {
             process: self.process.clone(),
             ready: self.ready,
         };
@@ -93,9 +93,9 @@
     }
 
     /// The other process, if one lives. One whose seat can't be read yet is there, but not ready.
-    pub fn other(&mut self) -> Option<Other> {
+    pub fn other(&mut self) -> Option<OtherProcess> {
         self.sit();
-        let unknown = Other {
+        let unknown = OtherProcess {
             process: String::new(),
             ready: false,
         };
--- a/crates/balancer/src/seats/tests.rs
+++ b/crates/balancer/src/process_slots/tests.rs
@@ -13,8 +13,8 @@
         Folder(path)
     }
 
-    fn seat(&self, process: &str) -> Seats {
-        Seats::take(&self.0, process.into()).unwrap()
+    fn seat(&self, process: &str) -> ProcessSlots {
+        ProcessSlots::take(&self.0, process.into()).unwrap()
     }
 }
 
@@ -32,7 +32,7 @@
     let mut b = folder.seat("b");
     assert_eq!(
         a.other(),
-        Some(Other {
+        Some(OtherProcess {
             process: "b".into(),
             ready: false
         })
@@ -40,14 +40,14 @@
     b.set_ready(true);
     assert_eq!(
         a.other(),
-        Some(Other {
+        Some(OtherProcess {
             process: "b".into(),
             ready: true
         })
     );
     assert_eq!(
         b.other(),
-        Some(Other {
+        Some(OtherProcess {
             process: "a".into(),
             ready: false
         })
@@ -81,7 +81,7 @@
     next.lock().unwrap();
     assert_eq!(
         a.other(),
-        Some(Other {
+        Some(OtherProcess {
             process: String::new(),
             ready: false
         })
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -16,7 +16,7 @@
 
 /// A request as a front hands it in.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// The duty to answer it.
     pub ticket: Ticket,
     /// Its class, by name.
@@ -30,12 +30,12 @@
     /// The client's guess at the work on a standard core, if it gives one.
     pub work: Option<Nanos>,
     /// What is passed on.
-    pub order: Order,
+    pub order: CacheCommand,
 }
 
 /// What a peer is to do, in the client's words.
 #[derive(Debug)]
-pub struct Order {
+pub struct CacheCommand {
     /// The value of a write; a read has none.
     pub value: Option<Vec<u8>>,
     /// What it concerns.
@@ -46,7 +46,7 @@
     pub fields: Vec<(String, String)>,
 }
 
-impl Order {
+impl CacheCommand {
     /// The command for a peer that is waited for so many milliseconds.
     pub fn command(&self, ms: u64) -> Vec<u8> {
         let mut fields = String::new();
@@ -93,7 +93,7 @@
 
 /// One attempt at a peer.
 #[derive(Debug)]
-pub struct Try {
+pub struct AttemptRecord {
     /// Where it went.
     pub server: EndpointId,
     /// When.
@@ -114,16 +114,16 @@
     /// When its client left.
     pub left: Option<Nanos>,
     /// What is passed on.
-    pub order: Order,
+    pub order: CacheCommand,
     /// When the client gives up.
     pub deadline: Nanos,
-    /// Tries that are out.
-    pub out: BTreeMap<AttemptNumber, Try>,
+    /// Attempts that are out.
+    pub out: BTreeMap<AttemptNumber, AttemptRecord>,
 }
 
 impl RequestContext {
     /// The context of a request that has just come.
-    pub fn new(ticket: Ticket, order: Order, deadline: Nanos) -> Self {
+    pub fn new(ticket: Ticket, order: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
             owed: Some(ticket),
             left: None,
--- a/crates/balancer/src/passing.rs
+++ b/crates/balancer/src/response_stream.rs
@@ -8,7 +8,7 @@
 
 /// A value that is being passed on.
 #[derive(Debug)]
-pub struct Passing {
+pub struct ResponseStream {
     /// Bytes of the value that are still to come.
     left: usize,
 }
@@ -26,7 +26,7 @@
     long_start(input).is_some()
 }
 
-impl Passing {
+impl ResponseStream {
     /// Begins to pass a value on if it is a long one and enough of it is there. Returns its whole length too; the input is left with
     /// what has come of the value.
     pub fn begin(input: &mut Vec<u8>) -> Option<(Self, usize)> {
@@ -35,7 +35,7 @@
             return None;
         }
         input.drain(..start);
-        Some((Passing { left: length }, length))
+        Some((ResponseStream { left: length }, length))
     }
 
     /// Takes from the input what belongs to the value.
@@ -74,11 +74,11 @@
         pieces: impl Iterator<Item = &'a [u8]>,
     ) -> (Option<usize>, Vec<u8>, Result<Option<Tail>, RespError>) {
         let (mut input, mut passing, mut length, mut value) =
-            (Vec::new(), None::<Passing>, None, Vec::new());
+            (Vec::new(), None::<ResponseStream>, None, Vec::new());
         for piece in pieces {
             input.extend_from_slice(piece);
             if passing.is_none()
-                && let Some((begun, long)) = Passing::begin(&mut input)
+                && let Some((begun, long)) = ResponseStream::begin(&mut input)
             {
                 (passing, length) = (Some(begun), Some(long));
             }
@@ -141,7 +141,11 @@
                 is_long(&input),
                 (VALUE_MAX + 1..=ANSWER_VALUE_MAX).contains(&length)
             );
-            assert_eq!(Passing::begin(&mut input).is_some(), begins, "{length}");
+            assert_eq!(
+                ResponseStream::begin(&mut input).is_some(),
+                begins,
+                "{length}"
+            );
         }
         for text in [
             "-ERR failed\r\n",
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -34,11 +34,11 @@
 
 /// What a timer was set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Due {
+pub enum TimerKind {
     /// The module wants to be woken.
     Module(TimerToken),
     /// A try has had its time.
-    Try(RequestId, AttemptNumber),
+    Attempt(RequestId, AttemptNumber),
     /// A probe has had its time, by its number.
     Probe(u64),
     /// A connection to a peer must be up by now, by its number.
@@ -54,23 +54,23 @@
     /// Look for the other process of an upgrade.
     Look,
     /// The life cycle goes on by time alone.
-    LifeCycle,
+    Lifecycle,
     /// The fleet's talk has its turn.
-    Fleet,
+    Gossip,
 }
 
 /// All timers.
 #[derive(Default)]
 pub struct Timers {
     /// By time, then in the order in which they were set.
-    queue: BTreeMap<(Nanos, u64), Due>,
-    places: HashMap<Due, (Nanos, u64)>,
+    queue: BTreeMap<(Nanos, u64), TimerKind>,
+    places: HashMap<TimerKind, (Nanos, u64)>,
     set: u64,
 }
 
 impl Timers {
     /// Sets a timer, or sets it anew.
-    pub fn set(&mut self, at: Nanos, due: Due) {
+    pub fn set(&mut self, at: Nanos, due: TimerKind) {
         self.cancel(due);
         self.set += 1;
         self.queue.insert((at, self.set), due);
@@ -78,14 +78,14 @@
     }
 
     /// Takes a timer back, if it is still set.
-    pub fn cancel(&mut self, due: Due) {
+    pub fn cancel(&mut self, due: TimerKind) {
         if let Some(place) = self.places.remove(&due) {
             self.queue.remove(&place);
         }
     }
 
     /// The next one that is due at `now`; among equals the one set first.
-    pub fn pop(&mut self, now: Nanos) -> Option<Due> {
+    pub fn pop(&mut self, now: Nanos) -> Option<TimerKind> {
         let next = self
             .queue
             .first_entry()
@@ -109,23 +109,26 @@
     #[test]
     fn timers_come_when_due_and_in_order() {
         let mut timers = Timers::default();
-        timers.set(20, Due::Sweep);
-        timers.set(10, Due::Connect(1));
-        timers.set(10, Due::Connect(0));
+        timers.set(20, TimerKind::Sweep);
+        timers.set(10, TimerKind::Connect(1));
+        timers.set(10, TimerKind::Connect(0));
         assert_eq!(timers.pop(9), None);
         assert_eq!(timers.wait(4), Some(Duration::from_nanos(6)));
         assert_eq!(
             [timers.pop(10), timers.pop(10)],
-            [Some(Due::Connect(1)), Some(Due::Connect(0))]
+            [Some(TimerKind::Connect(1)), Some(TimerKind::Connect(0))]
         );
-        assert_eq!([timers.pop(19), timers.pop(30)], [None, Some(Due::Sweep)]);
-        timers.set(40, Due::Probe(1));
-        timers.set(50, Due::Probe(2));
-        timers.set(60, Due::Probe(1));
-        timers.cancel(Due::Probe(2));
+        assert_eq!(
+            [timers.pop(19), timers.pop(30)],
+            [None, Some(TimerKind::Sweep)]
+        );
+        timers.set(40, TimerKind::Probe(1));
+        timers.set(50, TimerKind::Probe(2));
+        timers.set(60, TimerKind::Probe(1));
+        timers.cancel(TimerKind::Probe(2));
         assert_eq!(
             [timers.pop(59), timers.pop(60), timers.pop(99)],
-            [None, Some(Due::Probe(1)), None]
+            [None, Some(TimerKind::Probe(1)), None]
         );
         assert!(timers.queue.is_empty() && timers.places.is_empty());
     }
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -1,11 +1,11 @@
-//! Peers, the tile caches, and the pools of connections to them. A connection carries one job at a time, so
+//! The tile caches, and the pools of connections to them. A connection carries one job at a time, so
 //! that giving a job up (by closing) takes no other with it and no answer waits for a slower one before it.
 
 use crate::counters::Counters;
-use crate::passing::{Passing, is_long};
-use crate::poll::{Poll, Ready, Source, Watched, connect, is_silent};
+use crate::poll::{EventSource, Poll, Readiness, Registered, connect, is_silent};
 use crate::resp::{Answer, Reply, RespError, read_answer, read_reply};
-use crate::timers::{Due, MS, Timers};
+use crate::response_stream::{ResponseStream, is_long};
+use crate::timers::{MS, TimerKind, Timers};
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{ErrorKind, Read, Write};
@@ -32,17 +32,17 @@
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Job {
+pub enum UpstreamJob {
     /// A try of a request.
-    Try(RequestId, AttemptNumber),
+    Attempt(RequestId, AttemptNumber),
     /// A probe, by its number.
     Probe(u64),
 }
 
 /// A job that is to go out.
-pub struct Outgoing {
+pub struct OutboundCommand {
     /// Which.
-    pub job: Job,
+    pub job: UpstreamJob,
     /// Where to.
     pub server: EndpointId,
     /// When it has had its time.
@@ -51,7 +51,7 @@
 
 /// How a job ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum JobEnd {
+pub enum ExchangeResult {
     /// The peer's reply to a probe.
     Reply(Reply),
     /// The peer's answer to a try.
@@ -68,30 +68,30 @@
 
 /// What becomes of a job.
 #[derive(Debug, PartialEq, Eq)]
-pub enum PeerEvent {
-    /// Its connection is up and nothing of it is written: it begins now with [`Peers::begin`] or is abandoned.
+pub enum UpstreamEvent {
+    /// Its connection is up and nothing of it is written: it begins now with [`UpstreamPool::begin`] or is abandoned.
     Up {
         /// Which job.
-        job: Job,
+        job: UpstreamJob,
     },
     /// It is over.
     End {
         /// Which job.
-        job: Job,
+        job: UpstreamJob,
         /// How it ended.
-        end: JobEnd,
+        end: ExchangeResult,
     },
     /// A long value has begun to come; its parts follow, and the end of the job.
     Begun {
         /// Which job.
-        job: Job,
+        job: UpstreamJob,
         /// The value's length in bytes.
         length: usize,
     },
     /// The next bytes of a long value.
     Part {
         /// Which job.
-        job: Job,
+        job: UpstreamJob,
         /// The bytes.
         bytes: Vec<u8>,
     },
@@ -99,9 +99,9 @@
 
 enum State {
     /// Nothing of the job is written: as a rule the connection is not up yet.
-    Unbegun(Job),
+    Unbegun(UpstreamJob),
     /// A job is being written or waited for.
-    Busy(Job),
+    Busy(UpstreamJob),
     Idle {
         since: Nanos,
     },
@@ -111,7 +111,7 @@
     server: EndpointId,
     /// Where it leads: the peer may have moved since.
     address: SocketAddr,
-    stream: Watched<TcpStream>,
+    stream: Registered<TcpStream>,
     state: State,
     /// The job's command, and how much of it is written.
     output: Vec<u8>,
@@ -124,13 +124,13 @@
     /// For how long an answer that has begun may stand still; by what was known of the peer when the job began.
     stall: Nanos,
     /// The long value that is passed on.
-    passing: Option<Passing>,
+    passing: Option<ResponseStream>,
     /// It is not read, for the client can't take more.
     paused: bool,
 }
 
 impl PeerConnection {
-    fn job(&self) -> Option<Job> {
+    fn job(&self) -> Option<UpstreamJob> {
         match self.state {
             State::Unbegun(job) | State::Busy(job) => Some(job),
             State::Idle { .. } => None,
@@ -154,11 +154,11 @@
     }
 
     /// How the job at hand ends when the connection breaks now.
-    fn broken(&self) -> JobEnd {
+    fn broken(&self) -> ExchangeResult {
         if self.written < self.output.len() {
-            JobEnd::NeverSent
+            ExchangeResult::NeverSent
         } else {
-            JobEnd::Broken
+            ExchangeResult::Broken
         }
     }
 }
@@ -176,11 +176,11 @@
 }
 
 /// All peers and the connections to them.
-pub struct Peers {
+pub struct UpstreamPool {
     poll: Poll,
     peers: HashMap<EndpointId, Peer>,
     connections: BTreeMap<u64, PeerConnection>,
-    jobs: HashMap<Job, u64>,
+    jobs: HashMap<UpstreamJob, u64>,
     next_connection: u64,
     most: usize,
     connect_timeout: Nanos,
@@ -193,10 +193,10 @@
     scratch: Vec<u8>,
 }
 
-impl Peers {
+impl UpstreamPool {
     /// No peers yet; at most `most` connections are held at once.
     pub fn new(poll: &Poll, most: usize, connect_timeout: Nanos, conn_idle: Nanos) -> Self {
-        Peers {
+        UpstreamPool {
             poll: poll.clone(),
             peers: HashMap::new(),
             connections: BTreeMap::new(),
@@ -230,7 +230,7 @@
         &mut self,
         server: EndpointId,
         address: SocketAddr,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) -> bool {
         let peer = self.peers.entry(server).or_default();
@@ -248,7 +248,7 @@
     pub fn withdraw(
         &mut self,
         server: EndpointId,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         if let Some(peer) = self.peers.get_mut(&server) {
@@ -260,7 +260,7 @@
     fn drop_unwritten(
         &mut self,
         server: EndpointId,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         let unwritten =
@@ -272,7 +272,7 @@
             .map(|(n, _)| *n)
             .collect();
         for number in unwritten {
-            self.end(number, JobEnd::NeverSent, events, counters);
+            self.end(number, ExchangeResult::NeverSent, events, counters);
         }
         self.close_idle(server, counters);
     }
@@ -281,9 +281,9 @@
     pub fn dispatch(
         &mut self,
         now: Nanos,
-        Outgoing { job, server, until }: Outgoing,
+        OutboundCommand { job, server, until }: OutboundCommand,
         timers: &mut Timers,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         while let Some(number) = self.take_idle(now, server) {
@@ -300,21 +300,23 @@
                 c.state = State::Unbegun(job);
                 c.jobs += 1;
                 self.jobs.insert(job, number);
-                events.push(PeerEvent::Up { job });
+                events.push(UpstreamEvent::Up { job });
             }
             return;
         }
         match self.open(server, counters) {
             Ok((stream, address)) => {
                 let number = self.next_connection;
-                let watched = self.poll.watch(stream, Source::Peer(number), false, true);
+                let watched = self
+                    .poll
+                    .watch(stream, EventSource::Peer(number), false, true);
                 let stream = match watched {
                     Ok(stream) => stream,
                     Err(e) => {
                         log::warn!("connection to a peer: {e}");
-                        return events.push(PeerEvent::End {
+                        return events.push(UpstreamEvent::End {
                             job,
-                            end: JobEnd::NoPlace,
+                            end: ExchangeResult::NoPlace,
                         });
                     }
                 };
@@ -337,18 +339,21 @@
                 self.connections.insert(number, c);
                 self.jobs.insert(job, number);
                 self.peers.entry(server).or_default().connections += 1;
-                timers.set(until.min(now + self.connect_timeout), Due::Connect(number));
+                timers.set(
+                    until.min(now + self.connect_timeout),
+                    TimerKind::Connect(number),
+                );
             }
-            Err(end) => events.push(PeerEvent::End { job, end }),
+            Err(end) => events.push(UpstreamEvent::End { job, end }),
         }
     }
 
     /// Writes a job's command; its connection is up.
     pub fn begin(
         &mut self,
-        job: Job,
+        job: UpstreamJob,
         command: Vec<u8>,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         let Some(number) = self.jobs.get(&job).copied() else {
@@ -371,7 +376,7 @@
     }
 
     /// Whether this job's last byte is not written: it never ran.
-    pub fn is_unsent(&self, job: Job) -> bool {
+    pub fn is_unsent(&self, job: UpstreamJob) -> bool {
         let c = self
             .jobs
             .get(&job)
@@ -397,30 +402,30 @@
         &mut self,
         server: EndpointId,
         counters: &mut Counters,
-    ) -> Result<(TcpStream, SocketAddr), JobEnd> {
+    ) -> Result<(TcpStream, SocketAddr), ExchangeResult> {
         let peer = self
             .peers
             .get(&server)
             .filter(|p| !p.withdrawn)
-            .ok_or(JobEnd::NeverSent)?;
-        let address = peer.address.ok_or(JobEnd::NeverSent)?;
+            .ok_or(ExchangeResult::NeverSent)?;
+        let address = peer.address.ok_or(ExchangeResult::NeverSent)?;
         let crowded = peer.connections >= (self.most / PEER_PART).max(1);
         if crowded && !self.make_room(Some(server), counters) {
-            return Err(JobEnd::NoPlace);
+            return Err(ExchangeResult::NoPlace);
         }
         if self.connections.len() >= self.most && !self.make_room(None, counters) {
-            return Err(JobEnd::NoPlace);
+            return Err(ExchangeResult::NoPlace);
         }
         connect(address)
             .map(|stream| (stream, address))
             .map_err(|e| match e.kind() {
                 ErrorKind::ConnectionRefused
                 | ErrorKind::NetworkUnreachable
-                | ErrorKind::HostUnreachable => JobEnd::NeverSent,
+                | ErrorKind::HostUnreachable => ExchangeResult::NeverSent,
                 // Out of descriptors or ports: ours to bear, not the peer's.
                 _ => {
                     log::warn!("socket for a peer at {address}: {e}");
-                    JobEnd::NoPlace
+                    ExchangeResult::NoPlace
                 }
             })
     }
@@ -440,7 +445,7 @@
     }
 
     /// Gives a job up by closing its connection. Nothing more is heard of it.
-    pub fn abandon(&mut self, job: Job, counters: &mut Counters) {
+    pub fn abandon(&mut self, job: UpstreamJob, counters: &mut Counters) {
         if let Some(number) = self.jobs.get(&job).copied() {
             if let Some(c) = self.connections.get(&number) {
                 log::trace!(
@@ -457,7 +462,7 @@
     pub fn connect_due(
         &mut self,
         number: u64,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         if self
@@ -465,7 +470,7 @@
             .get(&number)
             .is_some_and(|c| matches!(c.state, State::Unbegun(_)))
         {
-            self.end(number, JobEnd::NeverSent, events, counters);
+            self.end(number, ExchangeResult::NeverSent, events, counters);
         }
     }
 
@@ -474,7 +479,7 @@
         &mut self,
         now: Nanos,
         number: u64,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         let Some(c) = self
@@ -487,12 +492,12 @@
         let begun = c.passing.is_some() || !c.input.is_empty();
         if begun && now >= c.came + c.stall() {
             counters.stalled += 1;
-            self.end(number, JobEnd::Spoilt, events, counters);
+            self.end(number, ExchangeResult::Spoilt, events, counters);
         }
     }
 
     /// Whether the answer to this job is read on: not while the client can't take more of it.
-    pub fn pause(&mut self, now: Nanos, job: Job, pause: bool, timers: &mut Timers) {
+    pub fn pause(&mut self, now: Nanos, job: UpstreamJob, pause: bool, timers: &mut Timers) {
         let Some(number) = self.jobs.get(&job).copied() else {
             return;
         };
@@ -510,7 +515,7 @@
         c.paused = pause;
         c.came = now;
         if !pause {
-            timers.set(now + c.stall(), Due::Stall(number));
+            timers.set(now + c.stall(), TimerKind::Stall(number));
         }
     }
 
@@ -518,12 +523,12 @@
     pub fn ready(
         &mut self,
         now: Nanos,
-        ready: Ready,
+        ready: Readiness,
         timers: &mut Timers,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        let Source::Peer(number) = ready.source else {
+        let EventSource::Peer(number) = ready.source else {
             return;
         };
         let Some(c) = self.connections.get_mut(&number) else {
@@ -533,13 +538,13 @@
             let up = matches!(c.stream.socket().take_error(), Ok(None))
                 && c.stream.socket().peer_addr().is_ok();
             if !up {
-                return self.end(number, JobEnd::NeverSent, events, counters);
+                return self.end(number, ExchangeResult::NeverSent, events, counters);
             }
             if let Some(peer) = self.peers.get_mut(&c.server) {
                 let took = now.saturating_sub(c.came);
                 peer.round_trip = Some(peer.round_trip.map_or(took, |least| least.min(took)));
             }
-            return events.push(PeerEvent::Up { job });
+            return events.push(UpstreamEvent::Up { job });
         }
         if ready.readable {
             self.read(number, now, timers, events, counters);
@@ -549,17 +554,17 @@
         }
     }
 
-    fn write(&mut self, number: u64, events: &mut Vec<PeerEvent>, counters: &mut Counters) {
+    fn write(&mut self, number: u64, events: &mut Vec<UpstreamEvent>, counters: &mut Counters) {
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
         while c.written < c.output.len() {
             match c.stream.socket().write(&c.output[c.written..]) {
-                Ok(0) => return self.end(number, JobEnd::NeverSent, events, counters),
+                Ok(0) => return self.end(number, ExchangeResult::NeverSent, events, counters),
                 Ok(n) => c.written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.end(number, JobEnd::NeverSent, events, counters),
+                Err(_) => return self.end(number, ExchangeResult::NeverSent, events, counters),
             }
         }
         let unsent = c.written < c.output.len();
@@ -574,7 +579,7 @@
         number: u64,
         now: Nanos,
         timers: &mut Timers,
-        events: &mut Vec<PeerEvent>,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         let Some(c) = self.connections.get_mut(&number) else {
@@ -598,18 +603,18 @@
         }
         let Some(job) = c.job() else {
             // Something comes that nobody asked for: whose answer it would be taken for is unknown.
-            return self.end(number, JobEnd::Broken, events, counters);
+            return self.end(number, ExchangeResult::Broken, events, counters);
         };
         let unwritten = c.written < c.output.len();
         if c.passing.is_none()
             && !unwritten
-            && matches!(job, Job::Try(..))
+            && matches!(job, UpstreamJob::Attempt(..))
             && let held = c.input.len()
-            && let Some((passing, length)) = Passing::begin(&mut c.input)
+            && let Some((passing, length)) = ResponseStream::begin(&mut c.input)
         {
             self.coming -= held - c.input.len();
             c.passing = Some(passing);
-            events.push(PeerEvent::Begun { job, length });
+            events.push(UpstreamEvent::Begun { job, length });
         }
         let read = match &mut c.passing {
             None => read_end(job, &c.input),
@@ -617,18 +622,18 @@
                 let bytes = passing.part(&mut c.input);
                 self.coming -= bytes.len();
                 if !bytes.is_empty() {
-                    events.push(PeerEvent::Part { job, bytes });
+                    events.push(UpstreamEvent::Part { job, bytes });
                 }
                 passing
                     .tail(&c.input)
-                    .map(|t| t.map(|(answer, length)| (JobEnd::Answer(answer), length)))
+                    .map(|t| t.map(|(answer, length)| (ExchangeResult::Answer(answer), length)))
             }
         };
         let (end, length) = match read {
             // The reader bounds each message; all that have begun are bounded together.
             Ok(None) if self.coming <= self.coming_most => {
                 if !unwritten {
-                    timers.set(now + c.stall(), Due::Stall(number));
+                    timers.set(now + c.stall(), TimerKind::Stall(number));
                 }
                 return;
             }
@@ -640,9 +645,9 @@
                 // Before the last byte of the command nothing can have run.
                 (
                     if unwritten {
-                        JobEnd::NeverSent
+                        ExchangeResult::NeverSent
                     } else {
-                        JobEnd::Spoilt
+                        ExchangeResult::Spoilt
                     },
                     None,
                 )
@@ -664,24 +669,24 @@
         (c.input, c.output, c.written) = (Vec::new(), Vec::new(), 0);
         c.passing = None;
         self.jobs.remove(&job);
-        events.push(PeerEvent::End { job, end });
+        events.push(UpstreamEvent::End { job, end });
     }
 
     /// Closes a connection and says how its job ended.
     fn end(
         &mut self,
         number: u64,
-        end: JobEnd,
-        events: &mut Vec<PeerEvent>,
+        end: ExchangeResult,
+        events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         if let Some(job) = self.remove(number, counters) {
-            events.push(PeerEvent::End { job, end });
+            events.push(UpstreamEvent::End { job, end });
         }
     }
 
     /// Closes a connection; its job, if it had one, is over.
-    fn remove(&mut self, number: u64, counters: &mut Counters) -> Option<Job> {
+    fn remove(&mut self, number: u64, counters: &mut Counters) -> Option<UpstreamJob> {
         let c = self.connections.remove(&number)?;
         self.coming -= c.input.len();
         counters.peers_closed += 1;
@@ -748,13 +753,16 @@
 }
 
 /// How a job ended by what has come for it, and the length of that unless the connection is of no further use.
-fn read_end(job: Job, input: &[u8]) -> Result<Option<(JobEnd, Option<usize>)>, RespError> {
+fn read_end(
+    job: UpstreamJob,
+    input: &[u8],
+) -> Result<Option<(ExchangeResult, Option<usize>)>, RespError> {
     Ok(match job {
-        Job::Try(..) => {
-            read_answer(input)?.map(|(answer, length)| (JobEnd::Answer(answer), length))
+        UpstreamJob::Attempt(..) => {
+            read_answer(input)?.map(|(answer, length)| (ExchangeResult::Answer(answer), length))
         }
-        Job::Probe(_) => {
-            read_reply(input)?.map(|(reply, length)| (JobEnd::Reply(reply), Some(length)))
+        UpstreamJob::Probe(_) => {
+            read_reply(input)?.map(|(reply, length)| (ExchangeResult::Reply(reply), Some(length)))
         }
     })
 }
--- a/crates/balancer/src/peers/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -11,14 +11,14 @@
 const SERVER: EndpointId = EndpointId(7);
 
 struct Stage {
-    peers: Peers,
+    peers: UpstreamPool,
     peer: TcpListener,
     timers: Timers,
     counters: Counters,
-    events: Vec<PeerEvent>,
+    events: Vec<UpstreamEvent>,
     now: Nanos,
     /// What the jobs say once they begin.
-    commands: HashMap<Job, Vec<u8>>,
+    commands: HashMap<UpstreamJob, Vec<u8>>,
 }
 
 fn stage() -> Stage {
@@ -28,7 +28,7 @@
         .set_read_timeout(Some(PATIENCE))
         .unwrap();
     let (poll, mut counters) = (Poll::new().unwrap(), Counters::default());
-    let mut peers = Peers::new(&poll, 8, MS, 1000 * MS);
+    let mut peers = UpstreamPool::new(&poll, 8, MS, 1000 * MS);
     let mut events = Vec::new();
     peers.set_address(
         SERVER,
@@ -49,12 +49,12 @@
 
 impl Stage {
     fn dispatch(&mut self, probe: u64, command: Vec<u8>) {
-        self.send(Job::Probe(probe), command);
+        self.send(UpstreamJob::Probe(probe), command);
     }
 
-    fn send(&mut self, job: Job, command: Vec<u8>) {
+    fn send(&mut self, job: UpstreamJob, command: Vec<u8>) {
         self.commands.insert(job, command);
-        let outgoing = Outgoing {
+        let outgoing = OutboundCommand {
             job,
             server: SERVER,
             until: MS,
@@ -72,7 +72,7 @@
     /// As the loop does: who is up begins.
     fn begin(&mut self) {
         for event in std::mem::take(&mut self.events) {
-            let PeerEvent::Up { job } = event else {
+            let UpstreamEvent::Up { job } = event else {
                 self.events.push(event);
                 continue;
             };
@@ -83,8 +83,8 @@
     }
 
     fn ready(&mut self, number: u64) {
-        let ready = Ready {
-            source: Source::Peer(number),
+        let ready = Readiness {
+            source: EventSource::Peer(number),
             readable: true,
             writable: true,
         };
@@ -112,17 +112,17 @@
         self.ready(number);
     }
 
-    fn ends(&mut self) -> Vec<JobEnd> {
+    fn ends(&mut self) -> Vec<ExchangeResult> {
         let end = |event| match event {
-            PeerEvent::End { end, .. } => Some(end),
+            UpstreamEvent::End { end, .. } => Some(end),
             _ => None,
         };
         self.events.drain(..).filter_map(end).collect()
     }
 }
 
-fn pong() -> JobEnd {
-    JobEnd::Reply(Reply::Status("PONG".into()))
+fn pong() -> ExchangeResult {
+    ExchangeResult::Reply(Reply::Status("PONG".into()))
 }
 
 #[test]
@@ -197,7 +197,7 @@
     s.dispatch(2, b"two".to_vec());
     assert_eq!(
         s.ends(),
-        [JobEnd::NoPlace],
+        [ExchangeResult::NoPlace],
         "a peer has one of four, and that is at work"
     );
     s.pongs(&mut first, 0);
@@ -217,10 +217,10 @@
         |s| s.peers.connect_due(0, &mut s.events, &mut s.counters),
         // Given up: whoever gave it up needs no telling.
         |s| {
-            s.peers.abandon(Job::Probe(1), &mut s.counters);
-            s.events.push(PeerEvent::End {
-                job: Job::Probe(1),
-                end: JobEnd::NeverSent,
+            s.peers.abandon(UpstreamJob::Probe(1), &mut s.counters);
+            s.events.push(UpstreamEvent::End {
+                job: UpstreamJob::Probe(1),
+                end: ExchangeResult::NeverSent,
             });
         },
     ];
@@ -235,7 +235,7 @@
             0,
             "ended without a byte"
         );
-        assert_eq!(s.ends(), [JobEnd::NeverSent]);
+        assert_eq!(s.ends(), [ExchangeResult::NeverSent]);
     }
 }
 
@@ -258,7 +258,10 @@
     assert_eq!(s.ends(), []);
     s.peers
         .stall_due(s.now + STALL, 0, &mut s.events, &mut s.counters);
-    assert_eq!((s.ends(), s.counters.stalled), (vec![JobEnd::Spoilt], 1));
+    assert_eq!(
+        (s.ends(), s.counters.stalled),
+        (vec![ExchangeResult::Spoilt], 1)
+    );
     assert!(
         s.peers.connections.is_empty(),
         "where the next answer would begin is unknown"
@@ -276,10 +279,10 @@
             .write_all(&[b"$60000\r\n".as_slice(), &[b'x'; 600]].concat())
             .unwrap();
         s.ready(number);
-        assert_eq!(s.ends() == [JobEnd::Spoilt], spoilt);
+        assert_eq!(s.ends() == [ExchangeResult::Spoilt], spoilt);
     }
     assert_eq!(s.peers.coming, 608, "what was given up is let go of");
-    s.peers.abandon(Job::Probe(1), &mut s.counters);
+    s.peers.abandon(UpstreamJob::Probe(1), &mut s.counters);
     assert_eq!(s.peers.coming, 0);
 }
 
@@ -296,10 +299,13 @@
     if withdrawn {
         s.peers.withdraw(SERVER, &mut s.events, &mut s.counters);
     }
-    assert_eq!((s.ends(), s.peers.is_unsent(Job::Probe(1))), (vec![], true));
+    assert_eq!(
+        (s.ends(), s.peers.is_unsent(UpstreamJob::Probe(1))),
+        (vec![], true)
+    );
     drop(connection);
     s.ready(0);
-    assert_eq!(s.ends(), [JobEnd::NeverSent]);
+    assert_eq!(s.ends(), [ExchangeResult::NeverSent]);
 }
 
 #[test]
@@ -310,14 +316,14 @@
     }
     assert_eq!(
         (s.ends(), s.counters.peers_opened),
-        (vec![JobEnd::NoPlace], 2)
+        (vec![ExchangeResult::NoPlace], 2)
     );
 }
 
 #[test]
 fn a_long_value_is_passed_on_as_it_comes_and_stands_still_only_while_it_is_read() {
     let mut s = stage();
-    let job = Job::Try(RequestId(1), AttemptNumber(0));
+    let job = UpstreamJob::Attempt(RequestId(1), AttemptNumber(0));
     s.send(job, b"one".to_vec());
     let mut peer = s.peer.accept().unwrap().0;
     s.ready(0);
@@ -328,14 +334,14 @@
     assert_eq!(s.events, [], "a long one may come slowly");
     peer.write_all(&[b'x'; 5_000]).unwrap();
     s.ready(0);
-    let part = PeerEvent::Part {
+    let part = UpstreamEvent::Part {
         job,
         bytes: vec![b'x'; 5_000],
     };
     assert_eq!(
         s.events,
         [
-            PeerEvent::Begun {
+            UpstreamEvent::Begun {
                 job,
                 length: 70_000
             },
@@ -354,7 +360,10 @@
     assert_eq!(s.events, []);
     s.peers
         .stall_due(2 * STALL_PASSING, 0, &mut s.events, &mut s.counters);
-    assert_eq!((s.ends(), s.counters.stalled), (vec![JobEnd::Spoilt], 1));
+    assert_eq!(
+        (s.ends(), s.counters.stalled),
+        (vec![ExchangeResult::Spoilt], 1)
+    );
 }
 
 #[test]
@@ -365,7 +374,7 @@
         (0, REST, false),
     ] {
         let mut s = stage();
-        s.peers.idle_time = Peers::new(&s.peers.poll, 8, MS, conn_idle).idle_time;
+        s.peers.idle_time = UpstreamPool::new(&s.peers.poll, 8, MS, conn_idle).idle_time;
         let mut first = s.connects(1, 0);
         s.pongs(&mut first, 0);
         s.ends();
@@ -388,7 +397,7 @@
     s.pongs(&mut first, 0);
     assert_eq!(s.ends(), [pong()], "what has begun ends there");
     s.dispatch(2, b"two".to_vec());
-    assert_eq!(s.ends(), [JobEnd::NeverSent]);
+    assert_eq!(s.ends(), [ExchangeResult::NeverSent]);
     s.peers.set_address(
         SERVER,
         s.peer.local_addr().unwrap(),
@@ -436,7 +445,7 @@
         assert_eq!(s.ends(), []);
         s.peers
             .stall_due(s.now + 3 * FAR, 0, &mut s.events, &mut s.counters);
-        assert_eq!(s.ends(), [JobEnd::Spoilt], "no longer than that");
+        assert_eq!(s.ends(), [ExchangeResult::Spoilt], "no longer than that");
     }
 }
 
@@ -450,12 +459,12 @@
     s.ready(0);
     s.peers.withdraw(SERVER, &mut s.events, &mut s.counters);
     assert_eq!(s.ends(), [], "for drains a send counts from its first byte");
-    assert!(s.peers.is_unsent(Job::Probe(1)));
+    assert!(s.peers.is_unsent(UpstreamJob::Probe(1)));
     let (mut read, mut some) = (0, vec![0; READ_SIZE]);
     while read < LENGTH {
         read += peer.read(&mut some).unwrap();
-        let ready = Ready {
-            source: Source::Peer(0),
+        let ready = Readiness {
+            source: EventSource::Peer(0),
             readable: false,
             writable: true,
         };
@@ -467,7 +476,7 @@
     s.dispatch(2, b"two".to_vec());
     assert_eq!(
         (s.ends(), s.counters.peers_closed),
-        (vec![JobEnd::NeverSent], 1),
+        (vec![ExchangeResult::NeverSent], 1),
         "nothing new"
     );
 }
--- a/crates/balancer/src/agent.rs
+++ b/crates/balancer/src/watch_backoff.rs
@@ -12,17 +12,17 @@
 const GRACE_PART: Nanos = 4;
 
 /// The pace of watches at an agent.
-pub struct Pace {
+pub struct WatchBackoff {
     /// The longest wait between two watches.
     most: Nanos,
     /// The next wait.
     wait: Nanos,
 }
 
-impl Pace {
+impl WatchBackoff {
     /// A pace that suits this grace for caches that drain, in nanoseconds; one of 0 is paced like the shortest.
     pub fn new(grace: Nanos) -> Self {
-        Pace {
+        WatchBackoff {
             most: (grace / GRACE_PART).clamp(FIRST, MOST),
             wait: FIRST,
         }
@@ -47,7 +47,7 @@
 
     #[test]
     fn a_watch_that_stood_is_followed_at_once_and_ones_that_end_soon_ever_more_slowly() {
-        let mut pace = Pace::new(500 * MS);
+        let mut pace = WatchBackoff::new(500 * MS);
         assert_eq!(pace.ended(126 * MS), 0);
         let waits: Vec<_> = (0..6).map(|_| pace.ended(0) / MS).collect();
         assert_eq!(waits, [10, 20, 40, 80, 125, 125]);
@@ -61,7 +61,7 @@
     #[test]
     fn the_grace_bounds_the_wait_and_never_takes_it_away() {
         for (grace, longest) in [(0, 10), (20, 10), (500, 125), (2_500, 250)] {
-            let mut pace = Pace::new(grace * MS);
+            let mut pace = WatchBackoff::new(grace * MS);
             let waits = (0..9).map(|_| pace.ended(0) / MS);
             assert_eq!(waits.max(), Some(longest), "{grace}");
         }
