--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -2,21 +2,13 @@
 
 use super::{EventLoop, MEMORY_PART, split_sockets, what};
 use crate::config::Config;
-use crate::discovery::EndpointList;
 use crate::poll::inherited;
 use crate::process_slots::ProcessSlots;
+use crate::state_transfer::StateTransfer;
 use crate::timers::TimerKind;
-use routing::{Nanos, Snapshot};
-use serde::{Deserialize, Serialize};
+use routing::Nanos;
 use std::net::TcpListener;
 
-/// What one process of a balancer leaves for the next.
-#[derive(Serialize, Deserialize)]
-struct Notes {
-    list: EndpointList,
-    learnt: Snapshot,
-}
-
 /// The clients' socket: the one this process was started with, or one of its own.
 pub(super) fn clients_socket(config: &Config) -> Result<TcpListener, String> {
     let Some(number) = config.socket_fd else {
@@ -64,13 +56,13 @@
                 self.hand_over.is_beside()
             );
         }
-        let notes = todo.go_on.then(|| seats.read_notes::<Notes>());
+        let notes = todo.go_on.then(|| seats.read_notes::<StateTransfer>());
         if let Some(to) = todo.write_notes_for
             && let Some(list) = self.group.list()
         {
-            let notes = Notes {
-                list,
-                learnt: self.decide.learnt(),
+            let notes = StateTransfer {
+                endpoint_list: list,
+                snapshot: self.decide.learnt(),
             };
             match seats.write_notes(&to, notes) {
                 Ok(bytes) => log::info!("{bytes} bytes of notes left for process {to}"),
@@ -93,19 +85,19 @@
     }
 
     /// Takes over what the other process of this balancer knew. The list only if discovery has told no newer one.
-    fn recall(&mut self, notes: Notes) {
+    fn recall(&mut self, notes: StateTransfer) {
         let known = self.group.seq().unwrap_or(0);
         log::info!(
             "notes of the other process: list {}, {} is known",
-            notes.list.seq,
+            notes.endpoint_list.seq,
             known
         );
-        if notes.list.seq > known {
-            self.known_list(notes.list);
+        if notes.endpoint_list.seq > known {
+            self.known_list(notes.endpoint_list);
         }
         // The list goes first: what was learnt is of caches that are listed.
         self.settle();
-        if let Err(e) = self.decide.recall(&notes.learnt) {
+        if let Err(e) = self.decide.recall(&notes.snapshot) {
             log::warn!("notes of the other process: {e}; going on without");
         }
     }
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -19,6 +19,7 @@
 mod request;
 mod resp;
 mod response_stream;
+mod state_transfer;
 mod timers;
 mod upstream_pool;
 mod watch_backoff;
--- /dev/null
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -0,0 +1,157 @@
+//! Tests with the files that commit cab609d wrote: they are read, and written again byte for byte.
+
+use super::*;
+use crate::config::Config;
+use crate::engine_adapter::EngineAdapter;
+use crate::hot_restart::OtherProcess;
+use crate::process_slots::ProcessSlots;
+use routing::{Engine, Nanos};
+use serde_json::Value;
+use std::fs::File;
+use std::path::PathBuf;
+
+const OLD_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-0");
+const NEW_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-1");
+const TRANSFER: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.notes");
+/// What commit cab609d writes after it has read `TRANSFER`: two figures change in their last digits.
+const REWRITTEN: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.notes.rewritten");
+const OLD_PROCESS: &str = "517-1796285826037045501";
+const NEW_PROCESS: &str = "1226-1796285832640383780";
+/// Shortly after the files were written.
+const NOW: Nanos = 1_796_285_833_000_000_000;
+
+/// A folder of its own that goes with the test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let name = format!("pipitrun-fixtures-{}-{name}", std::process::id());
+        let path = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&path).unwrap();
+        Folder(path)
+    }
+
+    fn slot(&self, process: &str) -> ProcessSlots {
+        ProcessSlots::take(&self.0, process.into()).unwrap()
+    }
+
+    fn write(&self, file: &str, bytes: &[u8]) -> PathBuf {
+        let path = self.0.join(file);
+        std::fs::write(&path, bytes).unwrap();
+        path
+    }
+
+    fn read(&self, file: &str) -> Vec<u8> {
+        std::fs::read(self.0.join(file)).unwrap()
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn slot_files_of_the_former_version_are_read() {
+    let cases = [
+        ("pipitrun.seat-0", OLD_SLOT, OLD_PROCESS, true),
+        ("pipitrun.seat-1", NEW_SLOT, NEW_PROCESS, false),
+    ];
+    for (file, bytes, process, ready) in cases {
+        let folder = Folder::new(file);
+        let path = folder.write(file, bytes);
+        let holder = File::open(path).unwrap();
+        holder.lock().unwrap();
+        let mut slots = folder.slot("own");
+        let expected = OtherProcess {
+            process: process.into(),
+            ready,
+        };
+        assert_eq!(slots.other(), Some(expected));
+        assert_eq!(folder.read(file), bytes, "nobody writes another's slot");
+    }
+}
+
+#[test]
+fn slot_files_are_written_byte_for_byte_as_by_the_former_version() {
+    let folder = Folder::new("write-slots");
+    let mut old = folder.slot(OLD_PROCESS);
+    old.set_ready(true);
+    let _new = folder.slot(NEW_PROCESS);
+    assert_eq!(folder.read("pipitrun.seat-0"), OLD_SLOT);
+    assert_eq!(folder.read("pipitrun.seat-1"), NEW_SLOT);
+}
+
+#[test]
+fn a_state_transfer_of_the_former_version_is_read() {
+    let folder = Folder::new("transfer");
+    let slots = folder.slot(NEW_PROCESS);
+    folder.write("pipitrun.notes", TRANSFER);
+    assert!(slots.notes_there());
+    let transfer: StateTransfer = slots.read_notes().unwrap();
+    assert!(!slots.notes_there());
+    let list = &transfer.endpoint_list;
+    assert_eq!((list.seq, list.whole), (8, true));
+    let hosts = list.hosts.iter();
+    let hosts = hosts.map(|h| (h.host.as_str(), h.health.as_str(), h.share, h.born_ms));
+    assert_eq!(
+        hosts.collect::<Vec<_>>(),
+        [
+            ("toy-1", "in_service", 1.0, 0.0),
+            ("toy-2", "terminating", 0.5, 1_796_285_822_997.0),
+            ("toy-3", "in_service", 1.25, 1_700_000_000_123.5),
+            ("toy-4", "in_service", 1.0, 0.0),
+        ]
+    );
+}
+
+#[test]
+fn a_state_transfer_is_written_byte_for_byte_as_by_the_former_version() {
+    let folder = Folder::new("write-transfer");
+    let slots = folder.slot(NEW_PROCESS);
+    for stored in [TRANSFER, REWRITTEN] {
+        folder.write("pipitrun.notes", stored);
+        let transfer: StateTransfer = slots.read_notes().unwrap();
+        let length = slots.write_notes(NEW_PROCESS, transfer).unwrap();
+        assert_eq!(length, REWRITTEN.len());
+        let written = String::from_utf8(folder.read("pipitrun.notes")).unwrap();
+        assert_eq!(written, String::from_utf8_lossy(REWRITTEN));
+    }
+}
+
+#[test]
+fn an_engine_takes_over_the_snapshot_of_the_former_version() {
+    let folder = Folder::new("snapshot");
+    let slots = folder.slot(NEW_PROCESS);
+    folder.write("pipitrun.notes", TRANSFER);
+    let transfer: StateTransfer = slots.read_notes().unwrap();
+    let config = Config::read(include_str!("../../../../examples/config.json")).unwrap();
+    let engine = Engine::new(config.settings, config.seed, NOW).unwrap();
+    let mut adapter = EngineAdapter::new(engine, config.names);
+    let update = adapter.list(&transfer.endpoint_list, false);
+    adapter.decide(NOW, [update]);
+    adapter.recall(&transfer.snapshot).unwrap();
+    let stored = serde_json::to_value(&transfer.snapshot).unwrap();
+    let taken = serde_json::to_value(adapter.learnt()).unwrap();
+    for key in ["record", "fetch", "hits", "origin_room", "bad", "usual"] {
+        assert_eq!(taken[key], stored[key], "{key}");
+    }
+    // A process hands on half of the budgets that it has.
+    let half = |value: &Value| value.as_f64().unwrap() / 2.0;
+    for (taken, stored) in pairs(&taken["budgets"], &stored["budgets"]) {
+        assert_eq!(taken.as_f64(), Some(half(stored)));
+    }
+    assert_eq!(taken["servers"].as_array().map(Vec::len), Some(4));
+    for (taken, stored) in pairs(&taken["servers"], &stored["servers"]) {
+        let mut expected = stored.clone();
+        expected["cold_budget"] = half(&stored["cold_budget"]).into();
+        assert_eq!(*taken, expected);
+    }
+}
+
+fn pairs<'a>(a: &'a Value, b: &'a Value) -> impl Iterator<Item = (&'a Value, &'a Value)> {
+    let (a, b) = (a.as_array().unwrap(), b.as_array().unwrap());
+    assert_eq!(a.len(), b.len());
+    a.iter().zip(b)
+}
