--- a/crates/membership/src/compare.rs
+++ b/crates/membership/src/compare.rs
@@ -94,9 +94,9 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Question {
-    by: Identity,
-    sums: Vec<u8>,
+pub(crate) struct Question {
+    pub(crate) by: Identity,
+    pub(crate) sums: Vec<u8>,
 }
 
 /// What one holds in the parts that differ, as far as a datagram bears it.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,6 +28,8 @@
 mod member;
 pub mod overload;
 pub mod planted;
+#[cfg(test)]
+mod recorded_gossip_tests;
 pub mod records;
 pub mod regions;
 mod settings;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -23,7 +23,11 @@
 use crate::watch::Watch;
 use crate::{Identity, MS, MemberView, MembershipEvent, MembershipSettings, Nanos, View};
 use budget::Budget;
+#[cfg(test)]
+pub(crate) use delegate::Referral;
 use foca::{Foca, Timer};
+#[cfg(test)]
+pub(crate) use listen::Ask;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use regional::Regional;
--- a/crates/membership/src/member/delegate.rs
+++ b/crates/membership/src/member/delegate.rs
@@ -32,13 +32,13 @@
 
 /// Who speaks for the regions, by a member that does not.
 #[derive(Debug, Serialize, Deserialize)]
-struct Referral {
+pub(crate) struct Referral {
     /// The region of who answers.
-    region: String,
+    pub(crate) region: String,
     /// Who speaks for it.
-    delegates: Vec<SocketAddr>,
+    pub(crate) delegates: Vec<SocketAddr>,
     /// Who speaks for the asker's region, as far as it is known.
-    yours: Vec<SocketAddr>,
+    pub(crate) yours: Vec<SocketAddr>,
 }
 
 impl Member {
--- a/crates/membership/src/member/listen.rs
+++ b/crates/membership/src/member/listen.rs
@@ -10,10 +10,10 @@
 
 /// A question of a watcher.
 #[derive(Serialize, Deserialize)]
-struct Ask {
-    by: Identity,
+pub(crate) struct Ask {
+    pub(crate) by: Identity,
     /// Who is suspect, and by which incarnation; without it only a word is wanted.
-    suspect: Option<(Identity, u16)>,
+    pub(crate) suspect: Option<(Identity, u16)>,
 }
 
 impl Member {
--- /dev/null
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -0,0 +1,263 @@
+//! Datagrams that version cab609d sent are read with today's types, and written again byte for byte.
+
+use crate::compare;
+use crate::envelope::{Kind, Numbers, open, seal};
+use crate::member::{Ask, Referral};
+use crate::overload::LevelReport;
+use crate::regions::Payload;
+use crate::regions::exchange::{AgedAnnouncement, Answer, Question};
+use crate::regions::overview::Part;
+use crate::{Identity, Location, MetadataRecord, ServingPhase};
+use bytes::Buf;
+use foca::Codec;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::net::SocketAddr;
+
+const WITHOUT_REGIONS: &str = include_str!("../tests/fixtures/cab609d/without-regions.txt");
+const WITH_REGIONS: &str = include_str!("../tests/fixtures/cab609d/with-regions.txt");
+/// The generation of the members that start at once.
+const GENERATION: u64 = 1_700_000_000_000;
+
+/// One recorded datagram.
+struct Recorded {
+    kind: u8,
+    which: String,
+    from: SocketAddr,
+    bytes: Vec<u8>,
+}
+
+fn recorded(file: &str) -> Vec<Recorded> {
+    let parse = |line: &str| {
+        let fields: Vec<&str> = line.split(' ').collect();
+        let hex = fields[4];
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+        Recorded {
+            kind: fields[0].parse().unwrap(),
+            which: fields[1].into(),
+            from: fields[2].parse().unwrap(),
+            bytes: (0..hex.len()).step_by(2).map(byte).collect(),
+        }
+    };
+    file.lines().skip(1).map(parse).collect()
+}
+
+fn address(number: u16) -> SocketAddr {
+    format!("10.1.2.{number}:{}", 7_000 + number)
+        .parse()
+        .unwrap()
+}
+
+/// The region's envelope numbers; members 1 to 5 are in the north, the others in the south.
+fn numbers(file: &str, of: SocketAddr) -> Numbers {
+    match (file == WITH_REGIONS, of.port() <= 7_005) {
+        (false, _) => Numbers::new("tiles", ""),
+        (true, true) => Numbers::new("tiles", "north"),
+        (true, false) => Numbers::new("tiles", "south"),
+    }
+}
+
+/// The payload of the datagram of a kind; the envelope is written again as it was.
+fn payload(file: &str, kind: Kind, which: &str) -> (SocketAddr, Vec<u8>) {
+    let recorded = recorded(file);
+    let found = recorded
+        .iter()
+        .find(|recorded| recorded.kind == kind as u8 && recorded.which == which)
+        .unwrap();
+    let numbers = numbers(file, found.from);
+    let (opened, payload) = open(numbers, &found.bytes).unwrap();
+    assert_eq!(opened, kind);
+    assert_eq!(seal(numbers, kind, payload), found.bytes);
+    (found.from, payload.to_vec())
+}
+
+/// Reads a message that is serialized as a whole, and checks that it is written as it was.
+fn message<T: Serialize + DeserializeOwned>(file: &str, kind: Kind, which: &str) -> T {
+    let (_, payload) = payload(file, kind, which);
+    let message: T = postcard::from_bytes(&payload).unwrap();
+    assert_eq!(postcard::to_stdvec(&message).unwrap(), payload, "{kind:?}");
+    message
+}
+
+fn identity(number: u16) -> Identity {
+    Identity {
+        address: address(number),
+        generation: GENERATION,
+    }
+}
+
+#[test]
+fn every_kind_has_a_shortest_and_a_longest_recording() {
+    let kinds = |file| -> Vec<u8> {
+        recorded(file)
+            .iter()
+            .map(|recorded| recorded.kind)
+            .collect()
+    };
+    let twice = |last: u8| -> Vec<u8> { (1..=last).flat_map(|kind| [kind, kind]).collect() };
+    assert_eq!(kinds(WITHOUT_REGIONS), twice(8));
+    assert_eq!(kinds(WITH_REGIONS), twice(14));
+}
+
+#[test]
+fn swim_messages_are_read_and_written_as_recorded() {
+    for file in [WITHOUT_REGIONS, WITH_REGIONS] {
+        for which in ["shortest", "longest"] {
+            let (from, payload) = payload(file, Kind::Swim, which);
+            let mut codec = foca::PostcardCodec;
+            let mut rest = payload.as_slice();
+            let header: foca::Header<Identity> = codec.decode_header(&mut rest).unwrap();
+            assert_eq!(header.src.address, from);
+            let mut written = Vec::new();
+            codec.encode_header(&header, &mut written).unwrap();
+            if rest.has_remaining() {
+                let count = rest.get_u16();
+                written.extend(count.to_be_bytes());
+                for _ in 0..count {
+                    let member: foca::Member<Identity> = codec.decode_member(&mut rest).unwrap();
+                    assert!(member.id().generation >= GENERATION);
+                    codec.encode_member(&member, &mut written).unwrap();
+                }
+            }
+            assert!(!rest.has_remaining());
+            assert_eq!(written, payload);
+        }
+    }
+}
+
+#[test]
+fn metadata_records_are_read_and_written_as_recorded() {
+    let plain: Vec<MetadataRecord> = message(WITHOUT_REGIONS, Kind::Records, "longest");
+    assert_eq!(plain.len(), 7);
+    let own = plain
+        .iter()
+        .find(|record| record.member == identity(1))
+        .unwrap();
+    assert_eq!(own.metadata.name, "balancer-1");
+    assert_eq!(
+        own.metadata.listen_address,
+        "10.1.2.1:6379".parse().unwrap()
+    );
+    assert_eq!(own.metadata.phase, ServingPhase::Serving);
+    assert_eq!(own.metadata.build, "cab609d");
+    assert_eq!(own.metadata.config_checksum, 0x1234_5678_9abc_def0);
+    assert_eq!(own.metadata.request_rate_tenths, 70_010);
+    assert_eq!(own.metadata.places, 7);
+    assert!(own.metadata.extension.is_empty());
+    let located: Vec<MetadataRecord> = message(WITH_REGIONS, Kind::Records, "longest");
+    for record in &located {
+        let location = Location::decode(&record.metadata.extension).unwrap();
+        assert_eq!(location.region, "north");
+        assert_eq!(location.zone, "zone-1");
+        assert_eq!(location.site, "");
+        assert_eq!(location.encode(), record.metadata.extension);
+    }
+    message::<Vec<MetadataRecord>>(WITHOUT_REGIONS, Kind::Records, "shortest");
+    message::<Vec<MetadataRecord>>(WITH_REGIONS, Kind::Records, "shortest");
+}
+
+#[test]
+fn record_requests_are_read_and_written_as_recorded() {
+    let wanted: Vec<SocketAddr> = message(WITHOUT_REGIONS, Kind::Want, "shortest");
+    assert_eq!(wanted, [address(3)]);
+    let wanted: Vec<SocketAddr> = message(WITH_REGIONS, Kind::Want, "longest");
+    assert_eq!(wanted, [1, 4, 3, 2].map(address));
+}
+
+#[test]
+fn watchers_questions_are_read_and_written_as_recorded() {
+    for file in [WITHOUT_REGIONS, WITH_REGIONS] {
+        let ask: Ask = message(file, Kind::Ask, "shortest");
+        assert_eq!(ask.by.generation, GENERATION);
+        assert_eq!(ask.suspect, None);
+        let ask: Ask = message(file, Kind::Ask, "longest");
+        assert_eq!(ask.suspect, Some((identity(2), 0)));
+    }
+}
+
+#[test]
+fn heartbeats_are_read_and_written_as_recorded() {
+    for file in [WITHOUT_REGIONS, WITH_REGIONS] {
+        let by: Identity = message(file, Kind::Beat, "shortest");
+        assert_eq!(by, identity(1));
+    }
+}
+
+#[test]
+fn anti_entropy_messages_are_read_and_written_as_recorded() {
+    for file in [WITHOUT_REGIONS, WITH_REGIONS] {
+        let question: compare::Question = message(file, Kind::Compare, "longest");
+        assert_eq!(question.by, identity(1));
+        assert_eq!(question.sums.len(), 4 * compare::BUCKETS);
+        let equal: compare::Answer = message(file, Kind::Told, "shortest");
+        assert!(equal.agrees() && !equal.last);
+        let differing: compare::Answer = message(file, Kind::Told, "longest");
+        assert!(!differing.agrees());
+        assert!(differing.entries.iter().any(|entry| entry.record != 0));
+        assert_ne!(differing.parts, 0);
+    }
+}
+
+#[test]
+fn level_reports_are_read_and_written_as_recorded() {
+    let own: Vec<LevelReport> = message(WITHOUT_REGIONS, Kind::Load, "shortest");
+    assert_eq!(own.len(), 1);
+    assert_eq!((own[0].of, own[0].generation), (address(1), GENERATION));
+    assert_eq!(own[0].tally.admitted[..5], [40, 30, 20, 10, 0]);
+    assert_eq!(own[0].tally.capacity_rejections, 35);
+    let many: Vec<LevelReport> = message(WITHOUT_REGIONS, Kind::Load, "longest");
+    assert_eq!(many.len(), 6);
+    assert!(many.iter().any(|report| report.level > 0.0));
+    assert!(many.iter().any(|report| report.age_ms > 0));
+    message::<Vec<LevelReport>>(WITH_REGIONS, Kind::Load, "shortest");
+    message::<Vec<LevelReport>>(WITH_REGIONS, Kind::Load, "longest");
+}
+
+#[test]
+fn region_exchanges_are_read_and_written_as_recorded() {
+    let empty: Question = message(WITH_REGIONS, Kind::RegionQuestion, "shortest");
+    assert_eq!(empty.region, "north");
+    assert!(empty.delegate);
+    let full: Question = message(WITH_REGIONS, Kind::RegionQuestion, "longest");
+    assert_eq!(full.region, "north");
+    let equal: Answer = message(WITH_REGIONS, Kind::RegionAnswer, "shortest");
+    assert_eq!(equal.region, "south");
+    assert!(equal.told.is_empty());
+    let differing: Answer = message(WITH_REGIONS, Kind::RegionAnswer, "longest");
+    assert_eq!(differing.region, "north");
+    assert!(!differing.told.is_empty());
+}
+
+#[test]
+fn region_announcements_are_read_and_written_as_recorded() {
+    let told: Vec<AgedAnnouncement> = message(WITH_REGIONS, Kind::RegionNews, "shortest");
+    assert_eq!(told.len(), 1);
+    let announcement = &told[0].announcement;
+    assert_eq!(announcement.region, "south");
+    assert_eq!(announcement.author, address(7));
+    let Payload::Summary(summary) = &announcement.payload;
+    assert_eq!((summary.living, summary.places), (4, 4));
+    assert_eq!(summary.config, 0x1234_5678_9abc_def0);
+    assert_eq!(summary.delegates.len(), 3);
+    message::<Vec<AgedAnnouncement>>(WITH_REGIONS, Kind::RegionNews, "longest");
+}
+
+#[test]
+fn referrals_are_read_and_written_as_recorded() {
+    let south: Referral = message(WITH_REGIONS, Kind::RegionReferral, "shortest");
+    assert_eq!(south.region, "south");
+    assert_eq!(south.delegates, [7, 8, 9].map(address));
+    let north: Referral = message(WITH_REGIONS, Kind::RegionReferral, "longest");
+    assert_eq!(north.region, "north");
+    assert!(!north.yours.is_empty());
+}
+
+#[test]
+fn overviews_are_read_and_written_as_recorded() {
+    let one: Vec<Part> = message(WITH_REGIONS, Kind::Overview, "shortest");
+    assert_eq!(one.len(), 1);
+    assert_eq!(one[0].author, Some(address(4)));
+    message::<Vec<Part>>(WITH_REGIONS, Kind::Overview, "longest");
+    let (_, sums) = payload(WITH_REGIONS, Kind::OverviewQuestion, "longest");
+    assert_eq!(sums.len(), 4 * crate::regions::overview::PARTS);
+}
