--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -7,7 +7,9 @@
 use crate::discovery::EndpointList;
 use fleet::FileFleet;
 use routing::Settings;
-use routing_config::{NameTables, OperatorSettings, TransportSettings, operator_key};
+use routing_config::{
+    NameTables, OperatorSettings, TranslatedSettings, TransportSettings, operator_key,
+};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -193,7 +195,11 @@
         };
         let socket_fd = variable("GW_SOCKET_FD").map(descriptor).transpose()?;
         let remarks = file.settings.warnings();
-        let (settings, names, transport) = file
+        let TranslatedSettings {
+            settings,
+            names,
+            transport,
+        } = file
             .settings
             .translate()
             .map_err(|e| wrong("settings", e))?;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,11 +1,27 @@
-//! Hosts routing's decision module on the operators' wire: batches of events on standard input, one reply
-//! each on standard output. No decision is taken here.
+//! Hosts routing's decision module on the simulator's wire: batches of events on standard input,
+//! one reply each on standard output. It takes no decisions.
 #![forbid(unsafe_code)]
 
 mod host;
+mod wire;
 
-use std::io::{BufRead, Write};
+use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
+use std::str::Utf8Error;
+use thiserror::Error;
+
+/// Why the adapter ends before its input does.
+#[derive(Debug, Error)]
+enum AdapterError {
+    #[error("reading: {0}")]
+    Read(#[source] io::Error),
+    #[error("batch: not UTF-8: {0}")]
+    NotUtf8(#[from] Utf8Error),
+    #[error(transparent)]
+    Batch(#[from] host::BatchError),
+    #[error("writing: {0}")]
+    Write(#[source] io::Error),
+}
 
 fn main() -> ExitCode {
     match run() {
@@ -17,27 +33,27 @@
     }
 }
 
-fn run() -> Result<(), String> {
+/// Answers batches until the input ends.
+fn run() -> Result<(), AdapterError> {
     let mut host = host::Host::default();
-    let mut input = std::io::stdin().lock();
-    let mut output = std::io::stdout().lock();
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
     let mut line = Vec::new();
     loop {
         line.clear();
-        if input
+        let length = input
             .read_until(b'\n', &mut line)
-            .map_err(|e| format!("reading: {e}"))?
-            == 0
-        {
+            .map_err(AdapterError::Read)?;
+        if length == 0 {
             return Ok(());
         }
-        let text = std::str::from_utf8(&line).map_err(|e| format!("batch: not UTF-8: {e}"))?;
+        let text = std::str::from_utf8(&line)?;
         if text.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(text)?;
+        let reply = host.handle_batch(text)?;
         writeln!(output, "{reply}")
             .and_then(|()| output.flush())
-            .map_err(|e| format!("writing: {e}"))?;
+            .map_err(AdapterError::Write)?;
     }
 }
