--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -54,13 +54,13 @@
 
     /// Takes a request. Its time counts from when it can have come.
     pub fn take(&mut self, incoming: IncomingRequest) {
-        let deadline = incoming.arrived.saturating_add(incoming.patience);
-        self.held += incoming.order.size();
-        self.ids.insert(incoming.order.id.clone());
+        let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
+        self.held += incoming.command.byte_size();
+        self.ids.insert(incoming.command.request_id.clone());
         let id = incoming.ticket.request;
         self.contexts.insert(
             id,
-            RequestContext::new(incoming.ticket, incoming.order, deadline),
+            RequestContext::new(incoming.ticket, incoming.command, deadline),
         );
     }
 
@@ -73,11 +73,11 @@
         length: usize,
         counters: &mut Counters,
     ) -> Option<(Event, Answer)> {
-        let ticket = self.contexts.get_mut(&request)?.owed.take()?;
+        let ticket = self.contexts.get_mut(&request)?.ticket.take()?;
         let event = self.give_up(now, request, attempt, AttemptOutcome::Ok, counters)?;
         counters.passed_on += 1;
         self.passing.insert(request, (ticket.connection, attempt));
-        Some((event, (ticket, FinalAnswer::Coming(length))))
+        Some((event, (ticket, FinalAnswer::Streaming(length))))
     }
 
     /// The client connection to which this try's value is on its way.
@@ -103,14 +103,14 @@
     /// The client has left: nothing is owed any more.
     pub fn gone(&mut self, now: Nanos, request: RequestId) {
         if let Some(context) = self.contexts.get_mut(&request) {
-            (context.owed, context.left) = (None, Some(now));
+            (context.ticket, context.client_left_at) = (None, Some(now));
         }
         self.clear(request);
     }
 
     /// The module's own final answer.
     pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<Answer> {
-        let ticket = self.contexts.get_mut(&request)?.owed.take()?;
+        let ticket = self.contexts.get_mut(&request)?.ticket.take()?;
         self.clear(request);
         Some((ticket, answer))
     }
@@ -122,18 +122,18 @@
 
     /// The client connection to which an answer is owed.
     pub fn owed_to(&self, request: RequestId) -> Option<u64> {
-        Some(self.contexts.get(&request)?.owed.as_ref()?.connection)
+        Some(self.contexts.get(&request)?.ticket.as_ref()?.connection)
     }
 
     fn clear(&mut self, request: RequestId) {
         if self
             .contexts
             .get(&request)
-            .is_some_and(RequestContext::is_over)
+            .is_some_and(RequestContext::is_finished)
             && let Some(context) = self.contexts.remove(&request)
         {
-            self.held -= context.order.size();
-            self.ids.remove(&context.order.id);
+            self.held -= context.command.byte_size();
+            self.ids.remove(&context.command.request_id);
         }
     }
 
@@ -141,8 +141,8 @@
     pub fn hurry(&mut self, by: Nanos) {
         for context in self.contexts.values_mut() {
             context.deadline = context.deadline.min(by);
-            for one in context.out.values_mut() {
-                one.until = one.until.min(by);
+            for one in context.attempts.values_mut() {
+                one.deadline = one.deadline.min(by);
             }
         }
     }
@@ -174,22 +174,22 @@
         // A peer is told whole milliseconds, and one that answers within microseconds may well need one once.
         let time = timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let until = now.saturating_add(time).min(context.deadline);
-        if context.owed.is_none() || until < now + MS {
+        if context.ticket.is_none() || until < now + MS {
             counters.try_moot += 1;
-            return Err(moot(context.owed.is_none()));
+            return Err(moot(context.ticket.is_none()));
         }
         counters.tries += 1;
-        counters.copies += u64::from(!context.out.is_empty());
+        counters.copies += u64::from(!context.attempts.is_empty());
         let begin_by = begin_within.map_or(Nanos::MAX, |within| now.saturating_add(within));
         let lost = self.lost;
-        context.out.insert(
+        context.attempts.insert(
             attempt,
             AttemptRecord {
-                server,
-                sent: now,
-                lost,
-                until,
-                begin_by,
+                endpoint: server,
+                sent_at: now,
+                stalled_before: lost,
+                deadline: until,
+                write_deadline: begin_by,
             },
         );
         Ok(OutboundCommand {
@@ -210,11 +210,11 @@
         counters: &mut Counters,
     ) -> Result<Vec<u8>, Option<Box<Event>>> {
         let wanted = self.contexts.get(&request).and_then(|context| {
-            let one = context.out.get(&attempt)?;
+            let one = context.attempts.get(&attempt)?;
             // A peer is told whole milliseconds.
-            let in_time = one.until >= now + MS && now < one.begin_by;
-            (context.owed.is_some() && in_time)
-                .then(|| context.order.command((one.until - now) / MS))
+            let in_time = one.deadline >= now + MS && now < one.write_deadline;
+            (context.ticket.is_some() && in_time)
+                .then(|| context.command.encode((one.deadline - now) / MS))
         });
         wanted.ok_or_else(|| {
             self.count_unsent(now, request, counters);
@@ -225,7 +225,11 @@
 
     /// A try of this request ends unsent: counts it if its client had left.
     pub fn count_unsent(&self, now: Nanos, request: RequestId, counters: &mut Counters) {
-        if let Some(left) = self.contexts.get(&request).and_then(|context| context.left) {
+        if let Some(left) = self
+            .contexts
+            .get(&request)
+            .and_then(|context| context.client_left_at)
+        {
             counters.left_unsent += 1;
             counters.left_unsent_ms = counters
                 .left_unsent_ms
@@ -244,9 +248,12 @@
     ) -> Option<Event> {
         let context = self.contexts.get_mut(&request)?;
         let AttemptRecord {
-            server, sent, lost, ..
-        } = context.out.remove(&attempt)?;
-        let finished = context.owed.is_none();
+            endpoint: server,
+            sent_at: sent,
+            stalled_before: lost,
+            ..
+        } = context.attempts.remove(&attempt)?;
+        let finished = context.ticket.is_none();
         self.clear(request);
         let latency = now.saturating_sub(sent).saturating_sub(self.lost - lost);
         let ms = latency / MS;
@@ -304,7 +311,10 @@
             return (self.give_up(now, request, attempt, outcome, counters), None);
         };
         // The first answer is the request's; of a copy that was served too only the outcome is told.
-        let ticket = self.contexts.get_mut(&request).and_then(|c| c.owed.take());
+        let ticket = self
+            .contexts
+            .get_mut(&request)
+            .and_then(|c| c.ticket.take());
         let event =
             self.give_up(now, request, attempt, outcome, counters)
                 .map(|event| match event {
@@ -367,7 +377,7 @@
 /// The protocol's table of what comes back.
 fn read_outcome(answer: PeerAnswer) -> (AttemptOutcome, Option<Served>) {
     let (value, note, load) = match answer {
-        PeerAnswer::Made { value, note, load } => (value, note, load),
+        PeerAnswer::Served { value, note, load } => (value, note, load),
         PeerAnswer::Error(text) => {
             let word = text.split(' ').next().unwrap_or_default();
             let outcome = match (word, text.as_str()) {
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -21,7 +21,7 @@
     }
     let text = |text: &str| Some(text.as_bytes().to_vec());
     let (note, load) = (text("pending"), text("depth=3,new=1,x0=oops"));
-    let answer = PeerAnswer::Made {
+    let answer = PeerAnswer::Served {
         value: b"v".to_vec(),
         note,
         load,
@@ -39,7 +39,7 @@
         })
     );
     let (note, load) = (None, text("\u{fffd}!"));
-    let served = read_outcome(PeerAnswer::Made {
+    let served = read_outcome(PeerAnswer::Served {
         value: b"v".to_vec(),
         note,
         load,
@@ -56,10 +56,10 @@
         ticket,
         class: String::new(),
         tenant: None,
-        arrived: 0,
-        patience,
-        work: None,
-        order,
+        arrived_at: 0,
+        client_timeout: patience,
+        estimated_work: None,
+        command: order,
     }
 }
 
@@ -69,7 +69,7 @@
     let order = CacheCommand {
         value: None,
         key: b"k".to_vec(),
-        id: b"i".to_vec(),
+        request_id: b"i".to_vec(),
         fields: Vec::new(),
     };
     tries.take(incoming(
@@ -107,7 +107,7 @@
     let order = CacheCommand {
         value: None,
         key: b"k".to_vec(),
-        id: b"i".to_vec(),
+        request_id: b"i".to_vec(),
         fields: Vec::new(),
     };
     let ticket = Ticket {
@@ -154,7 +154,7 @@
         let order = CacheCommand {
             value: None,
             key: b"k".to_vec(),
-            id: b"i".to_vec(),
+            request_id: b"i".to_vec(),
             fields: Vec::new(),
         };
         let ticket = Ticket {
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -7,30 +7,30 @@
 #[derive(Clone, Copy)]
 pub enum DecisionStep {
     /// The request was turned away.
-    Refused,
+    Rejected,
     /// The request was given up.
     Failed,
     /// The request waits for room.
-    Held,
+    Queued,
     /// The request was late and got no copy.
-    NoCopy,
+    HedgeSuppressed,
 }
 
 impl DecisionStep {
     const ALL: [DecisionStep; 4] = [
-        DecisionStep::Refused,
+        DecisionStep::Rejected,
         DecisionStep::Failed,
-        DecisionStep::Held,
-        DecisionStep::NoCopy,
+        DecisionStep::Queued,
+        DecisionStep::HedgeSuppressed,
     ];
 
     /// The name by which logs and counters call it.
     pub fn name(self) -> &'static str {
         match self {
-            DecisionStep::Refused => "refused",
+            DecisionStep::Rejected => "refused",
             DecisionStep::Failed => "failed",
-            DecisionStep::Held => "held",
-            DecisionStep::NoCopy => "no_copy",
+            DecisionStep::Queued => "held",
+            DecisionStep::HedgeSuppressed => "no_copy",
         }
     }
 }
--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -61,10 +61,10 @@
                 .as_ref()
                 .and_then(|t| place(&self.names.tenants, t))
                 .map(TenantId),
-            key: Some(key(&incoming.order.key)),
-            client_timeout: incoming.patience,
-            estimated_work: incoming.work,
-            is_write: incoming.order.value.is_some(),
+            key: Some(key(&incoming.command.key)),
+            client_timeout: incoming.client_timeout,
+            estimated_work: incoming.estimated_work,
+            is_write: incoming.command.value.is_some(),
         }))
     }
 
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -16,7 +16,7 @@
 use crate::gossip::GossipTransport;
 use crate::hot_restart::HotRestart;
 use crate::lifecycle::Lifecycle;
-use crate::listener::admin::{AdminListener, CALLERS_MAX};
+use crate::listener::admin::{AdminListener, CONNECTIONS_MAX};
 use crate::listener::resp::RespListener;
 use crate::poll::{EventSource, Poll, Readiness, Registered};
 use crate::poll_timestamps::{PollTimestamps, WAIT_MOST};
@@ -25,8 +25,8 @@
 use crate::timers::{Clock, MS, TimerKind, Timers};
 use crate::upstream_pool::{UpstreamJob, UpstreamPool};
 use crate::watch_backoff::WatchBackoff;
-use attempts::Wanted;
-use hot_restart::{clients_socket, take_seat};
+use attempts::AttemptOrder;
+use hot_restart::{client_listener, take_process_slot};
 use polling::Events;
 use routing::{Action, AttemptOutcome, Deferral, DiscoveryMode, Engine, Event, Nanos, TimerToken};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -55,43 +55,43 @@
     poll: Poll,
     timers: Timers,
     counters: Counters,
-    decide: EngineAdapter,
-    front: RespListener,
-    group: DiscoveryClient,
-    peers: UpstreamPool,
-    tries: AttemptTracker,
-    stop: Registered<UnixStream>,
-    report: Registered<UnixStream>,
-    reload: Registered<UnixStream>,
+    engine: EngineAdapter,
+    listener: RespListener,
+    discovery: DiscoveryClient,
+    upstream_pool: UpstreamPool,
+    attempt_tracker: AttemptTracker,
+    stop_signal: Registered<UnixStream>,
+    counters_signal: Registered<UnixStream>,
+    reload_signal: Registered<UnixStream>,
     /// What has happened and isn't told to the module yet.
-    news: Vec<Event>,
+    pending_events: Vec<Event>,
     /// When the sockets were last looked at.
-    looks: PollTimestamps,
+    poll_timestamps: PollTimestamps,
     /// How long turns take.
-    turns: TurnMeter,
+    turn_meter: TurnMeter,
     /// Jobs whose connections are up and of which nothing is written.
-    up: VecDeque<UpstreamJob>,
+    connected_jobs: VecDeque<UpstreamJob>,
     /// For how many turns some of these have waited for a look that is recent enough.
     postponed_turns: u32,
     /// The process was held up, and not all that came meanwhile is taken in.
     catching_up: bool,
     /// For how many more looks that may last.
-    looks_to_catch_up: u32,
-    memory: usize,
-    max_open: usize,
-    life: Lifecycle,
-    management: Option<AdminListener>,
+    catch_up_polls_left: u32,
+    memory_limit: usize,
+    open_requests_max: usize,
+    lifecycle: Lifecycle,
+    admin_listener: Option<AdminListener>,
     /// The talk with the other balancers, if it is set.
-    fleet: Option<GossipTransport>,
+    gossip: Option<GossipTransport>,
     /// The other process of an upgrade, where there can be one.
-    seats: Option<ProcessSlots>,
-    hand_over: HotRestart,
+    process_slots: Option<ProcessSlots>,
+    hot_restart: HotRestart,
 }
 
 /// How many descriptors peers and clients get, after the door for operators if there is one.
 fn split_sockets(sockets: usize, management: bool) -> (usize, usize) {
     // The listener and the callers.
-    let kept = SOCKETS_KEPT + if management { 1 + CALLERS_MAX } else { 0 };
+    let kept = SOCKETS_KEPT + if management { 1 + CONNECTIONS_MAX } else { 0 };
     let left = sockets.saturating_sub(kept).max(SOCKETS_LEAST);
     let for_peers = left / PEERS_PART;
     (for_peers, left - for_peers)
@@ -142,64 +142,67 @@
             })
         };
         let mut me = EventLoop {
-            stop: what(
+            stop_signal: what(
                 signals(&poll, &[SIGTERM, SIGINT], EventSource::Stop),
                 "signals",
             )?,
-            report: what(signals(&poll, &[SIGUSR1], EventSource::Report), "signals")?,
-            reload: what(signals(&poll, &[SIGHUP], EventSource::Reload), "signals")?,
-            front: what(
+            counters_signal: what(
+                signals(&poll, &[SIGUSR1], EventSource::PrintCounters),
+                "signals",
+            )?,
+            reload_signal: what(signals(&poll, &[SIGHUP], EventSource::Reload), "signals")?,
+            listener: what(
                 RespListener::listen(
                     &poll,
-                    clients_socket(&config)?,
+                    client_listener(&config)?,
                     for_clients,
-                    life.stance(now),
+                    life.policy(now),
                     looks,
                 ),
                 &format!("listening on {}", config.listen),
             )?,
-            seats: take_seat(&config, now),
-            hand_over: HotRestart::new(),
-            group: DiscoveryClient::new(&poll, config.discovery, pace),
-            peers: UpstreamPool::new(
+            process_slots: take_process_slot(&config, now),
+            hot_restart: HotRestart::new(),
+            discovery: DiscoveryClient::new(&poll, config.discovery, pace),
+            upstream_pool: UpstreamPool::new(
                 &poll,
                 for_peers,
                 transport.connect_timeout,
                 transport.idle_timeout,
             ),
-            decide: EngineAdapter::new(brain, config.names.clone()),
-            tries: AttemptTracker::default(),
+            engine: EngineAdapter::new(brain, config.names.clone()),
+            attempt_tracker: AttemptTracker::default(),
             timers: Timers::default(),
             counters: Counters::default(),
-            news: Vec::new(),
-            looks,
-            turns: TurnMeter::start(now),
-            up: VecDeque::new(),
+            pending_events: Vec::new(),
+            poll_timestamps: looks,
+            turn_meter: TurnMeter::start(now),
+            connected_jobs: VecDeque::new(),
             postponed_turns: 0,
             catching_up: false,
-            looks_to_catch_up: 0,
+            catch_up_polls_left: 0,
             // By `split`.
-            memory: 0,
-            max_open: transport.max_open_requests,
-            management: config.management.map(management).transpose()?,
-            fleet: None,
-            life,
+            memory_limit: 0,
+            open_requests_max: transport.max_open_requests,
+            admin_listener: config.management.map(management).transpose()?,
+            gossip: None,
+            lifecycle: life,
             clock,
             poll,
             config,
         };
-        me.split();
-        me.timers.set(now + SWEEP, TimerKind::Sweep);
-        me.look(now);
+        me.apply_limits();
+        me.timers.set(now + SWEEP, TimerKind::ReapIdle);
+        me.check_other_process(now);
         me.join_fleet(now)?;
         match known {
-            Some(list) => me.known_list(list),
+            Some(list) => me.load_known_list(list),
             // The module begins with its first event. Without a list there would be none until a client comes, and
             // none is sent to who isn't ready.
-            None => me.news.push(Event::TimerFired(TimerToken(0))),
+            None => me.pending_events.push(Event::TimerFired(TimerToken(0))),
         }
-        if me.group.is_pushed() {
-            me.watch(now);
+        if me.discovery.is_pushed() {
+            me.start_watch(now);
         }
         Ok(me)
     }
@@ -208,11 +211,11 @@
     pub fn run(mut self) -> Result<(), String> {
         let mut events = Events::new();
         let mut ready = Vec::new();
-        while !self.is_over() {
-            self.settle();
+        while !self.is_finished() {
+            self.run_decisions();
             self.end_turn();
-            let looked = what(self.look_at_sockets(&mut events, &mut ready), "waiting")?;
-            self.gather(&mut ready, looked);
+            let looked = what(self.poll_sockets(&mut events, &mut ready), "waiting")?;
+            self.process_ready(&mut ready, looked);
         }
         self.leave_fleet();
         self.print_counters();
@@ -220,193 +223,205 @@
     }
 
     /// How long to wait for sockets: not at all while something is left to do.
-    fn wait(&self) -> Duration {
-        if self.catching_up || !self.up.is_empty() || self.group.has_pending() {
+    fn poll_timeout(&self) -> Duration {
+        if self.catching_up || !self.connected_jobs.is_empty() || self.discovery.has_pending() {
             return Duration::ZERO;
         }
         let most = Duration::from_nanos(WAIT_MOST);
         self.timers
-            .wait(self.clock.now())
+            .time_to_next(self.clock.now())
             .map_or(most, |wait| wait.min(most))
     }
 
     /// Waits for ready sockets. False if a signal cut the wait short.
-    fn look_at_sockets(
+    fn poll_sockets(
         &mut self,
         events: &mut Events,
         ready: &mut Vec<Readiness>,
     ) -> io::Result<bool> {
-        let wait = self.wait();
+        let wait = self.poll_timeout();
         let began = self.clock.now();
         let looked = self.poll.wait(events, Some(wait), ready)?;
-        self.note_look(began, self.clock.now(), looked);
+        self.record_poll(began, self.clock.now(), looked);
         Ok(looked)
     }
 
     /// After a request to stop: no new clients, all that was taken is answered, and every answer is out.
-    fn is_over(&self) -> bool {
-        self.life.is_over(self.clock.now(), !self.front.is_empty())
+    fn is_finished(&self) -> bool {
+        self.lifecycle
+            .is_finished(self.clock.now(), !self.listener.is_empty())
     }
 
     /// Tells the module what happened and does what it says, until nothing is left to tell.
-    fn settle(&mut self) {
-        self.turns.step(TurnStep::Decisions, self.clock.now());
-        while !self.news.is_empty() {
+    fn run_decisions(&mut self) {
+        self.turn_meter.step(TurnStep::Decisions, self.clock.now());
+        while !self.pending_events.is_empty() {
             let now = self.clock.now();
-            let mut news = std::mem::take(&mut self.news);
+            let mut news = std::mem::take(&mut self.pending_events);
             for event in &mut news {
                 // Since it was read its time has run on.
                 if let Event::RequestArrived(new) = event
-                    && let Some(left) = self.tries.left(now, new.id)
+                    && let Some(left) = self.attempt_tracker.left(now, new.id)
                 {
                     new.client_timeout = left;
                 }
             }
-            for action in self.decide.decide(now, news) {
-                self.carry_out(now, action);
+            for action in self.engine.decide(now, news) {
+                self.execute(now, action);
             }
         }
     }
 
     /// Takes in all that is ready. Lists go first. Outcomes go before new requests, so that the module decides by the latest.
     /// What waits to be written goes last, behind the closes of clients and the lists that were found with it.
-    fn gather(&mut self, ready: &mut Vec<Readiness>, looked: bool) {
+    fn process_ready(&mut self, ready: &mut Vec<Readiness>, looked: bool) {
         let now = self.clock.now();
         if looked {
             let somebody_waits = ready.iter().any(|one| one.source == EventSource::Listener);
-            self.front.set_looks(self.looks, somebody_waits);
+            self.listener
+                .set_poll_timestamps(self.poll_timestamps, somebody_waits);
         }
-        self.tries.set_lost(self.looks.lost());
+        self.attempt_tracker.set_lost(self.poll_timestamps.lost());
         // The operators' calls go first: whatever the load, an answer waits for one turn at most.
         for one in ready.iter().filter(|one| {
             matches!(
                 one.source,
-                EventSource::AdminListener | EventSource::Caller(_)
+                EventSource::AdminListener | EventSource::AdminConnection(_)
             )
         }) {
-            self.management(now, *one);
+            self.handle_admin(now, *one);
         }
-        self.turns.step(TurnStep::Lists, now);
+        self.turn_meter.step(TurnStep::DiscoveryUpdates, now);
         for one in ready
             .iter()
             .filter(|one| matches!(one.source, EventSource::Discovery(_)))
         {
             let mut events = Vec::new();
-            self.group.ready(now, *one, &mut events, &mut self.counters);
-            self.group_events(events);
+            self.discovery
+                .ready(now, *one, &mut events, &mut self.counters);
+            self.handle_discovery_events(events);
         }
-        self.take_list();
-        self.turns.step(TurnStep::UpstreamPool, self.clock.now());
+        self.apply_next_list_part();
+        self.turn_meter.step(TurnStep::Upstreams, self.clock.now());
         let mut clients = Vec::new();
         for one in ready.drain(..) {
             match one.source {
-                EventSource::AdminListener | EventSource::Caller(_) | EventSource::Discovery(_) => {
-                }
-                EventSource::Peer(_) => {
+                EventSource::AdminListener
+                | EventSource::AdminConnection(_)
+                | EventSource::Discovery(_) => {}
+                EventSource::Upstream(_) => {
                     let mut events = Vec::new();
-                    self.peers
-                        .ready(now, one, &mut self.timers, &mut events, &mut self.counters);
-                    self.peer_events(now, events);
+                    self.upstream_pool.ready(
+                        now,
+                        one,
+                        &mut self.timers,
+                        &mut events,
+                        &mut self.counters,
+                    );
+                    self.handle_upstream_events(now, events);
                 }
-                EventSource::Stop => self.stop(now),
-                EventSource::Report => {
-                    drain(&self.report);
+                EventSource::Stop => self.begin_shutdown(now),
+                EventSource::PrintCounters => {
+                    drain(&self.counters_signal);
                     self.print_counters();
                 }
-                EventSource::Reload => self.reload(now),
-                EventSource::Gossip => self.fleet_ready(now),
-                EventSource::Listener => self.front.accept(now, &mut self.counters),
+                EventSource::Reload => self.reload_config(now),
+                EventSource::Gossip => self.receive_gossip(now),
+                EventSource::Listener => self.listener.accept(now, &mut self.counters),
                 EventSource::Client(_) => clients.push(one),
             }
         }
-        self.turns.step(TurnStep::Timers, self.clock.now());
+        self.turn_meter.step(TurnStep::Timers, self.clock.now());
         // Who waits for something to come has waited until the last look that did not report it, no longer.
-        while let Some(due) = self.timers.pop(self.looks.quiet()) {
-            self.due(now, due);
+        while let Some(due) = self.timers.pop_expired(self.poll_timestamps.quiet()) {
+            self.timer_expired(now, due);
         }
-        self.turns.step(TurnStep::Clients, self.clock.now());
+        self.turn_meter.step(TurnStep::Clients, self.clock.now());
         for one in clients {
             let mut events = Vec::new();
-            self.front.ready(now, one, &mut events, &mut self.counters);
-            self.front_events(now, events);
+            self.listener
+                .ready(now, one, &mut events, &mut self.counters);
+            self.handle_listener_events(now, events);
         }
         if looked {
-            self.has_caught_up();
-            self.begin_jobs(true);
+            self.update_catch_up();
+            self.start_connected_jobs(true);
         }
     }
 
-    fn due(&mut self, now: Nanos, due: TimerKind) {
+    fn timer_expired(&mut self, now: Nanos, due: TimerKind) {
         match due {
-            TimerKind::Module(token) => self.news.push(Event::TimerFired(token)),
+            TimerKind::Engine(token) => self.pending_events.push(Event::TimerFired(token)),
             TimerKind::Attempt(request, attempt) => {
                 // What was not sent whole never ran, and may be repeated.
-                let unsent = self.peers.is_unsent(UpstreamJob::Attempt(request, attempt));
+                let unsent = self
+                    .upstream_pool
+                    .is_unsent(UpstreamJob::Attempt(request, attempt));
                 let outcome = if unsent {
                     AttemptOutcome::ConnectFailed
                 } else {
                     AttemptOutcome::Timeout
                 };
                 if let Some(event) =
-                    self.tries
+                    self.attempt_tracker
                         .give_up(now, request, attempt, outcome, &mut self.counters)
                 {
-                    self.peers
+                    self.upstream_pool
                         .abandon(UpstreamJob::Attempt(request, attempt), &mut self.counters);
-                    self.news.push(event);
+                    self.pending_events.push(event);
                 }
             }
-            TimerKind::Probe(probe) => {
-                if let Some(event) = self.tries.probe_due(probe) {
-                    self.peers
+            TimerKind::HealthCheck(probe) => {
+                if let Some(event) = self.attempt_tracker.probe_due(probe) {
+                    self.upstream_pool
                         .abandon(UpstreamJob::Probe(probe), &mut self.counters);
-                    self.news.push(event);
+                    self.pending_events.push(event);
                 }
             }
             TimerKind::Connect(number) => {
                 let mut events = Vec::new();
-                self.peers
+                self.upstream_pool
                     .connect_due(number, &mut events, &mut self.counters);
-                self.peer_events(now, events);
+                self.handle_upstream_events(now, events);
             }
-            TimerKind::Stall(number) => {
+            TimerKind::ResponseStall(number) => {
                 let mut events = Vec::new();
                 // What came since the last look is not read yet.
-                let seen = self.looks.quiet();
-                self.peers
+                let seen = self.poll_timestamps.quiet();
+                self.upstream_pool
                     .stall_due(seen, number, &mut events, &mut self.counters);
-                self.peer_events(now, events);
+                self.handle_upstream_events(now, events);
             }
             TimerKind::Discovery(number) => {
                 let mut events = Vec::new();
-                let seen = self.looks.quiet();
-                self.group.due(
+                let seen = self.poll_timestamps.quiet();
+                self.discovery.due(
                     seen,
                     number,
                     &mut self.timers,
                     &mut events,
                     &mut self.counters,
                 );
-                self.group_events(events);
+                self.handle_discovery_events(events);
             }
-            TimerKind::Watch => self.watch(now),
-            TimerKind::Sweep => {
+            TimerKind::Watch => self.start_watch(now),
+            TimerKind::ReapIdle => {
                 let mut events = Vec::new();
-                self.front.sweep(now, &mut events, &mut self.counters);
-                self.peers.sweep(now, &mut self.counters);
-                if let Some(management) = &mut self.management {
+                self.listener.reap(now, &mut events, &mut self.counters);
+                self.upstream_pool.sweep(now, &mut self.counters);
+                if let Some(management) = &mut self.admin_listener {
                     management.sweep(now, &mut self.counters);
                 }
-                self.front_events(now, events);
-                self.timers.set(now + SWEEP, TimerKind::Sweep);
+                self.handle_listener_events(now, events);
+                self.timers.set(now + SWEEP, TimerKind::ReapIdle);
             }
-            TimerKind::Lifecycle => self.follow(now),
-            TimerKind::Look => self.look(now),
-            TimerKind::Gossip => self.fleet_turn(now),
+            TimerKind::Lifecycle => self.apply_lifecycle(now),
+            TimerKind::CheckOtherProcess => self.check_other_process(now),
+            TimerKind::Gossip => self.run_gossip_turn(now),
         }
     }
 
-    fn carry_out(&mut self, now: Nanos, action: Action) {
+    fn execute(&mut self, now: Nanos, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -415,14 +430,14 @@
                 timeout,
                 write_within: begin_within,
             } => {
-                self.send(
+                self.start_attempt(
                     now,
-                    Wanted {
+                    AttemptOrder {
                         request,
                         attempt,
-                        server,
+                        endpoint: server,
                         timeout,
-                        begin_within,
+                        write_within: begin_within,
                     },
                 );
             }
@@ -430,9 +445,9 @@
                 request,
                 explanation: why,
             } => {
-                self.explain(request, DecisionStep::Failed, &why);
-                if let Some(answer) = self.tries.answer(request, FinalAnswer::Failed) {
-                    self.answer(now, answer);
+                self.record_decision(request, DecisionStep::Failed, &why);
+                if let Some(answer) = self.attempt_tracker.answer(request, FinalAnswer::Failed) {
+                    self.send_answer(now, answer);
                 }
             }
             Action::Defer {
@@ -441,59 +456,59 @@
                 explanation: why,
             } => {
                 let step = match withheld {
-                    Deferral::Queued => DecisionStep::Held,
-                    Deferral::HedgeSuppressed => DecisionStep::NoCopy,
+                    Deferral::Queued => DecisionStep::Queued,
+                    Deferral::HedgeSuppressed => DecisionStep::HedgeSuppressed,
                 };
-                self.explain(request, step, &why);
+                self.record_decision(request, step, &why);
             }
             Action::Reject {
                 request,
                 retry_after,
                 explanation: why,
             } => {
-                self.explain(request, DecisionStep::Refused, &why);
+                self.record_decision(request, DecisionStep::Rejected, &why);
                 if let Some(answer) = self
-                    .tries
-                    .answer(request, FinalAnswer::Refused { retry_after })
+                    .attempt_tracker
+                    .answer(request, FinalAnswer::Rejected { retry_after })
                 {
-                    self.answer(now, answer);
+                    self.send_answer(now, answer);
                 }
             }
-            Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
-            Action::HealthCheck(server) => self.probe(now, server),
+            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt),
+            Action::HealthCheck(server) => self.start_health_check(now, server),
             Action::CloseIdleConnections(server) => {
-                self.peers.close_idle(server, &mut self.counters)
+                self.upstream_pool.close_idle(server, &mut self.counters)
             }
-            Action::QueryDiscovery => self.watch(now),
+            Action::QueryDiscovery => self.start_watch(now),
             Action::SetTimer { after, token } => self
                 .timers
-                .set(now.saturating_add(after), TimerKind::Module(token)),
+                .set(now.saturating_add(after), TimerKind::Engine(token)),
             Action::Log(text) => log::info!("{text}"),
         }
     }
 
-    fn stop(&mut self, now: Nanos) {
-        drain(&self.stop);
+    fn begin_shutdown(&mut self, now: Nanos) {
+        drain(&self.stop_signal);
         // The platform may have asked at any time since the look before.
-        if self.life.stop(self.looks.arrived()) {
+        if self.lifecycle.stop(self.poll_timestamps.arrived()) {
             log::info!("asked to stop: answering what was taken");
             // The process may be killed then, with what was taken before and has longer.
-            if let Some(by) = self.life.answer_by() {
-                self.tries.hurry(by);
-                self.news.push(Event::ShuttingDown(by));
+            if let Some(by) = self.lifecycle.answer_deadline() {
+                self.attempt_tracker.hurry(by);
+                self.pending_events.push(Event::ShuttingDown(by));
             }
             // The platform may have asked as soon as the newcomer was ready.
-            self.look(now);
-            self.follow(now);
+            self.check_other_process(now);
+            self.apply_lifecycle(now);
         }
     }
 
     /// Reads the configuration again and takes over what applies live. Client connections, the list and all tries
     /// stay; so does everything if the file is faulty.
-    fn reload(&mut self, now: Nanos) {
-        drain(&self.reload);
+    fn reload_config(&mut self, now: Nanos) {
+        drain(&self.reload_signal);
         match self.config.reload(|name| std::env::var(name).ok()) {
-            Ok(new) => self.run_by(new, now),
+            Ok(new) => self.apply_config(new, now),
             Err(e) => {
                 self.counters.reloads_failed += 1;
                 log::error!("{e}; the old configuration stays");
@@ -501,7 +516,7 @@
         }
     }
 
-    fn run_by(&mut self, mut new: Config, now: Nanos) {
+    fn apply_config(&mut self, mut new: Config, now: Nanos) {
         self.counters.reloads += 1;
         log::info!("the configuration was read again");
         // What the watch has told since is newer.
@@ -514,21 +529,21 @@
             );
         }
         if new.discovery != self.config.discovery {
-            self.news.push(Event::DiscoveryAvailable);
+            self.pending_events.push(Event::DiscoveryAvailable);
         }
-        let failed = self
-            .group
-            .move_to(new.discovery, now, &mut self.timers, &mut self.counters);
-        self.group_events(failed.into_iter().collect());
+        let failed =
+            self.discovery
+                .move_to(new.discovery, now, &mut self.timers, &mut self.counters);
+        self.handle_discovery_events(failed.into_iter().collect());
         self.config = new;
-        self.split();
+        self.apply_limits();
     }
 
     /// On standard output, so that no choice of log level hides them.
     fn print_counters(&self) {
         // Nobody may be reading any more; that is no reason to fail.
         let _ = writeln!(io::stdout(), "{}", self.counters);
-        if let Some(fleet) = &self.fleet {
+        if let Some(fleet) = &self.gossip {
             let _ = writeln!(io::stdout(), "{fleet}");
         }
     }
--- a/crates/balancer/src/event_loop/attempts.rs
+++ b/crates/balancer/src/event_loop/attempts.rs
@@ -15,64 +15,64 @@
 const POSTPONED_MOST: u32 = 3;
 
 /// An attempt as the module wants it sent.
-pub(super) struct Wanted {
+pub(super) struct AttemptOrder {
     pub(super) request: RequestId,
     pub(super) attempt: AttemptNumber,
-    pub(super) server: EndpointId,
+    pub(super) endpoint: EndpointId,
     pub(super) timeout: Option<Nanos>,
-    pub(super) begin_within: Option<Nanos>,
+    pub(super) write_within: Option<Nanos>,
 }
 
 impl EventLoop {
-    pub(super) fn peer_events(&mut self, now: Nanos, events: Vec<UpstreamEvent>) {
+    pub(super) fn handle_upstream_events(&mut self, now: Nanos, events: Vec<UpstreamEvent>) {
         for event in events {
             match event {
                 // One that waits for a look is reported again by each.
-                UpstreamEvent::Up { job } if self.up.contains(&job) => {}
-                UpstreamEvent::Up { job } => self.up.push_back(job),
-                UpstreamEvent::Begun { job, length } => self.begun(now, job, length),
-                UpstreamEvent::Part { job, bytes } => self.part(now, job, &bytes),
-                UpstreamEvent::End { job, end } => self.job_ended(now, job, end),
+                UpstreamEvent::Up { job } if self.connected_jobs.contains(&job) => {}
+                UpstreamEvent::Up { job } => self.connected_jobs.push_back(job),
+                UpstreamEvent::Begun { job, length } => self.start_streaming(now, job, length),
+                UpstreamEvent::Part { job, bytes } => self.stream_chunk(now, job, &bytes),
+                UpstreamEvent::End { job, end } => self.finish_job(now, job, end),
             }
         }
     }
 
     /// Begins the jobs whose connections are up, as far as what is known is recent enough: nothing is sent by what was
     /// true before the process was held up. `gathered`: all that the last look reported has just been taken in.
-    pub(super) fn begin_jobs(&mut self, gathered: bool) {
-        while let Some(job) = self.up.pop_front() {
+    pub(super) fn start_connected_jobs(&mut self, gathered: bool) {
+        while let Some(job) = self.connected_jobs.pop_front() {
             let now = self.clock.now();
-            if !self.is_current(now, gathered) {
-                self.up.push_front(job);
+            if !self.may_send_now(now, gathered) {
+                self.connected_jobs.push_front(job);
                 self.counters.postponed += 1;
                 self.postponed_turns += u32::from(gathered);
                 return;
             }
-            self.first_byte(now, job);
+            self.start_job(now, job);
         }
         self.postponed_turns = 0;
     }
 
     /// Whether closes and lists were looked for recently enough to send something.
-    fn is_current(&self, now: Nanos, gathered: bool) -> bool {
-        let age = now.saturating_sub(self.looks.quiet());
+    fn may_send_now(&self, now: Nanos, gathered: bool) -> bool {
+        let age = now.saturating_sub(self.poll_timestamps.quiet());
         let waited_long = gathered && self.postponed_turns >= POSTPONED_MOST;
-        let looked =
-            PollTimestamps::is_fresh(self.looks.quiet(), now) || gathered && age <= GATHERED;
+        let looked = PollTimestamps::is_fresh(self.poll_timestamps.quiet(), now)
+            || gathered && age <= GATHERED;
         !self.catching_up && (looked || waited_long)
     }
 
     /// The connection of a job is up: the job begins, unless it is not wanted any more.
-    fn first_byte(&mut self, now: Nanos, job: UpstreamJob) {
+    fn start_job(&mut self, now: Nanos, job: UpstreamJob) {
         let command = match job {
             UpstreamJob::Attempt(request, attempt) => {
-                self.look_for_client(now, request);
-                self.tries
+                self.check_client_connection(now, request);
+                self.attempt_tracker
                     .first_byte(now, request, attempt, &mut self.counters)
             }
             UpstreamJob::Probe(_) => {
                 // Where load is reported the probe asks for it.
-                let load = !self.decide.names().report_columns.is_empty();
+                let load = !self.engine.names().report_columns.is_empty();
                 let words: &[&[u8]] = if load {
                     &[b"INFO", b"load"]
                 } else {
@@ -84,40 +84,40 @@
         match command {
             Ok(command) => {
                 let mut events = Vec::new();
-                self.peers
+                self.upstream_pool
                     .begin(job, command, &mut events, &mut self.counters);
-                self.peer_events(now, events);
+                self.handle_upstream_events(now, events);
             }
             Err(never_sent) => {
                 if let UpstreamJob::Attempt(request, attempt) = job {
                     self.timers.cancel(TimerKind::Attempt(request, attempt));
                 }
-                self.peers.abandon(job, &mut self.counters);
-                self.news.extend(never_sent.map(|event| *event));
+                self.upstream_pool.abandon(job, &mut self.counters);
+                self.pending_events.extend(never_sent.map(|event| *event));
             }
         }
     }
 
     /// Nothing is owed to a client that has left, though its end has not been read yet.
-    fn look_for_client(&mut self, now: Nanos, request: RequestId) {
-        let Some(connection) = self.tries.owed_to(request) else {
+    fn check_client_connection(&mut self, now: Nanos, request: RequestId) {
+        let Some(connection) = self.attempt_tracker.owed_to(request) else {
             return;
         };
         let mut events = Vec::new();
-        self.front
-            .is_there(connection, now, &mut events, &mut self.counters);
-        self.front_events(now, events);
+        self.listener
+            .is_client_connected(connection, now, &mut events, &mut self.counters);
+        self.handle_listener_events(now, events);
     }
 
-    fn job_ended(&mut self, now: Nanos, job: UpstreamJob, end: ExchangeResult) {
+    fn finish_job(&mut self, now: Nanos, job: UpstreamJob, end: ExchangeResult) {
         if let UpstreamJob::Attempt(request, attempt) = job {
             self.timers.cancel(TimerKind::Attempt(request, attempt));
-            if let Some(connection) = self.tries.passing((request, attempt)) {
-                self.tries.passed(request);
+            if let Some(connection) = self.attempt_tracker.passing((request, attempt)) {
+                self.attempt_tracker.passed(request);
                 let whole = matches!(end, ExchangeResult::Answer(_));
                 self.counters.broken_off += u64::from(!whole);
                 let mut events = Vec::new();
-                self.front.finish(
+                self.listener.finish_streaming(
                     connection,
                     request,
                     whole,
@@ -125,36 +125,38 @@
                     &mut events,
                     &mut self.counters,
                 );
-                return self.front_events(now, events);
+                return self.handle_listener_events(now, events);
             }
         }
         self.counters.no_place += u64::from(end == ExchangeResult::NoPlace);
-        let (event, answer) = self.tries.finished(now, job, end, &mut self.counters);
-        self.news.extend(event);
+        let (event, answer) = self
+            .attempt_tracker
+            .finished(now, job, end, &mut self.counters);
+        self.pending_events.extend(event);
         if let Some(answer) = answer {
-            self.answer(now, answer);
+            self.send_answer(now, answer);
         }
     }
 
     /// A long value has begun to come.
-    fn begun(&mut self, now: Nanos, job: UpstreamJob, length: usize) {
+    fn start_streaming(&mut self, now: Nanos, job: UpstreamJob, length: usize) {
         let UpstreamJob::Attempt(request, attempt) = job else {
             return;
         };
         self.timers.cancel(TimerKind::Attempt(request, attempt));
         match self
-            .tries
+            .attempt_tracker
             .begun(now, (request, attempt), length, &mut self.counters)
         {
             Some((event, answer)) => {
-                self.news.push(event);
-                self.answer(now, answer);
+                self.pending_events.push(event);
+                self.send_answer(now, answer);
             }
             // Another try has answered, or the client has left.
             None => {
-                self.peers.abandon(job, &mut self.counters);
+                self.upstream_pool.abandon(job, &mut self.counters);
                 let outcome = AttemptOutcome::Cancelled;
-                self.news.extend(self.tries.give_up(
+                self.pending_events.extend(self.attempt_tracker.give_up(
                     now,
                     request,
                     attempt,
@@ -166,40 +168,47 @@
     }
 
     /// Passes on the next bytes of a long value, and stops reading its cache while the client can't take more.
-    fn part(&mut self, now: Nanos, job: UpstreamJob, bytes: &[u8]) {
+    fn stream_chunk(&mut self, now: Nanos, job: UpstreamJob, bytes: &[u8]) {
         let UpstreamJob::Attempt(request, attempt) = job else {
             return;
         };
-        let Some(connection) = self.tries.passing((request, attempt)) else {
+        let Some(connection) = self.attempt_tracker.passing((request, attempt)) else {
             return;
         };
-        self.front.part(connection, request, bytes);
+        self.listener.append_chunk(connection, request, bytes);
         let mut events = Vec::new();
-        self.front
+        self.listener
             .flush(connection, now, &mut events, &mut self.counters);
         // At half of what would have requests refused: long values must not cause that.
-        let waits = self.front.waits(connection, request) > 0;
-        let tight = waits && self.tries.held() + self.front.buffered() > self.memory / 2;
-        if self.front.holds_back(connection, request, tight) {
-            self.peers.pause(now, job, true, &mut self.timers);
+        let waits = self.listener.pending_bytes(connection, request) > 0;
+        let tight =
+            waits && self.attempt_tracker.held() + self.listener.buffered() > self.memory_limit / 2;
+        if self
+            .listener
+            .apply_back_pressure(connection, request, tight)
+        {
+            self.upstream_pool.pause(now, job, true, &mut self.timers);
         }
-        self.front_events(now, events);
+        self.handle_listener_events(now, events);
     }
 
     /// Begins an attempt, unless its request has no time any more.
-    pub(super) fn send(&mut self, now: Nanos, wanted: Wanted) {
-        let Wanted {
+    pub(super) fn start_attempt(&mut self, now: Nanos, wanted: AttemptOrder) {
+        let AttemptOrder {
             request,
             attempt,
-            server,
+            endpoint: server,
             timeout,
-            begin_within,
+            write_within: begin_within,
         } = wanted;
         let bounds = (timeout, begin_within);
-        match self
-            .tries
-            .start(now, (request, attempt), server, bounds, &mut self.counters)
-        {
+        match self.attempt_tracker.start(
+            now,
+            (request, attempt),
+            server,
+            bounds,
+            &mut self.counters,
+        ) {
             Ok(outgoing) => {
                 if let UpstreamJob::Attempt(request, attempt) = outgoing.job {
                     self.timers
@@ -207,33 +216,42 @@
                 }
                 self.dispatch(now, outgoing);
             }
-            Err(never_sent) => self.news.push(*never_sent),
+            Err(never_sent) => self.pending_events.push(*never_sent),
         }
     }
 
     /// Gives an attempt up, as the module wants.
-    pub(super) fn cancel(&mut self, now: Nanos, request: RequestId, attempt: AttemptNumber) {
-        if self.peers.is_unsent(UpstreamJob::Attempt(request, attempt)) {
-            self.tries.count_unsent(now, request, &mut self.counters);
+    pub(super) fn cancel_attempt(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        attempt: AttemptNumber,
+    ) {
+        if self
+            .upstream_pool
+            .is_unsent(UpstreamJob::Attempt(request, attempt))
+        {
+            self.attempt_tracker
+                .count_unsent(now, request, &mut self.counters);
         }
         let outcome = AttemptOutcome::Cancelled;
-        if let Some(event) = self
-            .tries
-            .give_up(now, request, attempt, outcome, &mut self.counters)
+        if let Some(event) =
+            self.attempt_tracker
+                .give_up(now, request, attempt, outcome, &mut self.counters)
         {
             self.timers.cancel(TimerKind::Attempt(request, attempt));
-            self.peers
+            self.upstream_pool
                 .abandon(UpstreamJob::Attempt(request, attempt), &mut self.counters);
-            self.news.push(event);
+            self.pending_events.push(event);
         }
     }
 
     /// Probes a cache.
-    pub(super) fn probe(&mut self, now: Nanos, server: EndpointId) {
-        let job = self.tries.probe(server, &mut self.counters);
+    pub(super) fn start_health_check(&mut self, now: Nanos, server: EndpointId) {
+        let job = self.attempt_tracker.probe(server, &mut self.counters);
         if let UpstreamJob::Probe(probe) = job {
             self.timers
-                .set(now + PROBE_TIMEOUT, TimerKind::Probe(probe));
+                .set(now + PROBE_TIMEOUT, TimerKind::HealthCheck(probe));
         }
         self.dispatch(
             now,
@@ -247,14 +265,14 @@
 
     fn dispatch(&mut self, now: Nanos, outgoing: OutboundCommand) {
         let mut events = Vec::new();
-        self.peers.dispatch(
+        self.upstream_pool.dispatch(
             now,
             outgoing,
             &mut self.timers,
             &mut events,
             &mut self.counters,
         );
-        self.peer_events(now, events);
-        self.begin_jobs(false);
+        self.handle_upstream_events(now, events);
+        self.start_connected_jobs(false);
     }
 }
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -16,16 +16,16 @@
 const HOSTS_LOGGED: usize = 32;
 
 impl EventLoop {
-    pub(super) fn group_events(&mut self, events: Vec<DiscoveryEvent>) {
+    pub(super) fn handle_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
         for event in events {
             match event {
-                DiscoveryEvent::Stands => self.news.push(Event::DiscoveryAvailable),
-                DiscoveryEvent::News(part) => self.list_part(part),
-                DiscoveryEvent::Failed => match self.group.again(self.clock.now()) {
+                DiscoveryEvent::Stands => self.pending_events.push(Event::DiscoveryAvailable),
+                DiscoveryEvent::News(part) => self.apply_list_part(part),
+                DiscoveryEvent::Failed => match self.discovery.again(self.clock.now()) {
                     Some(at) => self.timers.set(at, TimerKind::Watch),
                     None => {
                         let entries = Vec::new();
-                        self.news.push(Event::EndpointUpdate {
+                        self.pending_events.push(Event::EndpointUpdate {
                             kind: UpdateKind::Failed,
                             endpoints: entries,
                         });
@@ -36,18 +36,20 @@
     }
 
     /// Begins a watch, unless one is open.
-    pub(super) fn watch(&mut self, now: Nanos) {
-        let failed = self.group.watch(now, &mut self.timers, &mut self.counters);
-        self.group_events(failed.into_iter().collect());
+    pub(super) fn start_watch(&mut self, now: Nanos) {
+        let failed = self
+            .discovery
+            .watch(now, &mut self.timers, &mut self.counters);
+        self.handle_discovery_events(failed.into_iter().collect());
     }
 
     /// Takes the next part of what discovery has told, if something is left.
-    pub(super) fn take_list(&mut self) {
-        let event = self.group.take(HOSTS_A_TURN, &mut self.counters);
-        self.group_events(event.into_iter().collect());
+    pub(super) fn apply_next_list_part(&mut self) {
+        let event = self.discovery.take(HOSTS_A_TURN, &mut self.counters);
+        self.handle_discovery_events(event.into_iter().collect());
     }
 
-    fn list_part(&mut self, part: ListPart) {
+    fn apply_list_part(&mut self, part: ListPart) {
         let ListPart {
             seq,
             whole,
@@ -55,7 +57,7 @@
             is_last,
         } = part;
         log::debug!(seq, whole, hosts = hosts.len(), is_last; "upstream group: a part of a message");
-        self.list(
+        self.apply_list(
             &EndpointList {
                 seq,
                 whole: false,
@@ -63,29 +65,29 @@
             },
             false,
         );
-        if is_last && self.group.is_listed() {
-            self.serve();
+        if is_last && self.discovery.is_listed() {
+            self.endpoints_listed();
         }
     }
 
     /// Takes in a list that is known from before, in one go: nobody is served before it.
-    pub(super) fn known_list(&mut self, list: EndpointList) {
-        self.group.learn(&list);
-        self.list(&list, true);
+    pub(super) fn load_known_list(&mut self, list: EndpointList) {
+        self.discovery.learn(&list);
+        self.apply_list(&list, true);
         if !list.hosts.is_empty() {
-            self.serve();
+            self.endpoints_listed();
         }
     }
 
     /// There is a list of caches.
-    fn serve(&mut self) {
+    fn endpoints_listed(&mut self) {
         let now = self.clock.now();
-        self.life.listed();
-        self.follow(now);
+        self.lifecycle.endpoints_listed();
+        self.apply_lifecycle(now);
     }
 
     /// Tells the module of hosts, and the pools what is said of them.
-    fn list(&mut self, list: &EndpointList, stale: bool) {
+    fn apply_list(&mut self, list: &EndpointList, stale: bool) {
         let mut events = Vec::new();
         let mut listed = BTreeSet::new();
         // A line for each of thousands would hold the process up, and push what matters out of the log.
@@ -102,25 +104,26 @@
             );
         }
         for host in &list.hosts {
-            listed.insert(self.listed_host(host, level, &mut events));
+            listed.insert(self.apply_endpoint(host, level, &mut events));
         }
         if list.whole {
             for server in self
-                .peers
+                .upstream_pool
                 .listed()
                 .into_iter()
                 .filter(|s| !listed.contains(s))
             {
-                self.peers.withdraw(server, &mut events, &mut self.counters);
-                self.peers.forget(server);
+                self.upstream_pool
+                    .withdraw(server, &mut events, &mut self.counters);
+                self.upstream_pool.forget(server);
             }
         }
-        self.news.push(self.decide.list(list, stale));
-        self.peer_events(self.clock.now(), events);
+        self.pending_events.push(self.engine.list(list, stale));
+        self.handle_upstream_events(self.clock.now(), events);
     }
 
     /// Tells the pools what is said of one host.
-    fn listed_host(
+    fn apply_endpoint(
         &mut self,
         host: &ListedEndpoint,
         level: log::Level,
@@ -138,7 +141,7 @@
         match host.dial.parse() {
             Ok(address) => {
                 if self
-                    .peers
+                    .upstream_pool
                     .set_address(server, address, events, &mut self.counters)
                 {
                     // The module's log lines name servers by their numbers only.
@@ -159,10 +162,11 @@
             }
         }
         if phase != EndpointState::Active {
-            self.peers.withdraw(server, events, &mut self.counters);
+            self.upstream_pool
+                .withdraw(server, events, &mut self.counters);
         }
         if phase == EndpointState::Removed {
-            self.peers.forget(server);
+            self.upstream_pool.forget(server);
         }
         server
     }
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -13,7 +13,7 @@
         let Some(config) = &self.config.fleet else {
             return Ok(());
         };
-        let door = self.front.address().unwrap_or(self.config.listen);
+        let door = self.listener.address().unwrap_or(self.config.listen);
         // Balancers of one fleet differ in their names and addresses, and in nothing of the settings.
         let checksum = xxh3_64(format!("{:?}", self.config.settings).as_bytes());
         let soft = MemberMetadata {
@@ -42,31 +42,33 @@
         if config.shed_together {
             fleet.share_overload(tiers);
         }
-        self.fleet = Some(fleet);
+        self.gossip = Some(fleet);
         self.timers.set(now, TimerKind::Gossip);
         Ok(())
     }
 
-    pub(super) fn fleet_turn(&mut self, now: Nanos) {
-        let Some(fleet) = &mut self.fleet else { return };
-        fleet.count(self.decide.take_tally());
-        if let Some(routers) = fleet.turn(now, &self.life, self.counters.taken) {
-            self.news.push(Event::BalancerCount(routers));
+    pub(super) fn run_gossip_turn(&mut self, now: Nanos) {
+        let Some(fleet) = &mut self.gossip else {
+            return;
+        };
+        fleet.count(self.engine.take_tally());
+        if let Some(routers) = fleet.turn(now, &self.lifecycle, self.counters.taken) {
+            self.pending_events.push(Event::BalancerCount(routers));
         }
-        self.news
+        self.pending_events
             .extend(fleet.allowance(now).map(Event::FleetShedding));
         self.timers.set(fleet.due(), TimerKind::Gossip);
     }
 
-    pub(super) fn fleet_ready(&mut self, now: Nanos) {
-        if let Some(fleet) = &mut self.fleet {
+    pub(super) fn receive_gossip(&mut self, now: Nanos) {
+        if let Some(fleet) = &mut self.gossip {
             fleet.ready(now);
         }
     }
 
     pub(super) fn leave_fleet(&mut self) {
         let now = self.clock.now();
-        if let Some(fleet) = &mut self.fleet {
+        if let Some(fleet) = &mut self.gossip {
             fleet.leave(now);
         }
     }
--- a/crates/balancer/src/event_loop/requests.rs
+++ b/crates/balancer/src/event_loop/requests.rs
@@ -10,49 +10,51 @@
 use std::collections::VecDeque;
 
 impl EventLoop {
-    pub(super) fn front_events(&mut self, now: Nanos, events: Vec<ListenerEvent>) {
+    pub(super) fn handle_listener_events(&mut self, now: Nanos, events: Vec<ListenerEvent>) {
         let mut events = VecDeque::from(events);
         while let Some(event) = events.pop_front() {
             match event {
                 ListenerEvent::Request(mut incoming) => {
-                    if let Some(by) = self.life.answer_by() {
-                        incoming.patience =
-                            incoming.patience.min(by.saturating_sub(incoming.arrived));
+                    if let Some(by) = self.lifecycle.answer_deadline() {
+                        incoming.client_timeout = incoming
+                            .client_timeout
+                            .min(by.saturating_sub(incoming.arrived_at));
                     }
                     // More would end the process for its memory, and with it all that was taken.
-                    let full = self.tries.held() + self.front.buffered() > self.memory;
-                    let full = full || self.tries.open() >= self.max_open;
-                    let event = self.decide.request(&incoming);
-                    if let Some(answer) = self.turn_away(&incoming, event.is_some(), full) {
+                    let full =
+                        self.attempt_tracker.held() + self.listener.buffered() > self.memory_limit;
+                    let full = full || self.attempt_tracker.open() >= self.open_requests_max;
+                    let event = self.engine.request(&incoming);
+                    if let Some(answer) = self.rejection(&incoming, event.is_some(), full) {
                         // Not by `answer`: a long pipeline would have it call itself for each command.
                         let mut more = Vec::new();
                         let connection = incoming.ticket.connection;
-                        self.front.answer(incoming.ticket, answer);
-                        self.front
+                        self.listener.answer(incoming.ticket, answer);
+                        self.listener
                             .flush(connection, now, &mut more, &mut self.counters);
                         events.extend(more);
                         continue;
                     }
                     log::trace!(
                         class = incoming.class.as_str(), tenant = incoming.tenant.as_deref(),
-                        patience_ms = incoming.patience / MS;
+                        patience_ms = incoming.client_timeout / MS;
                         "request {} taken", incoming.ticket.request.0
                     );
-                    self.news.extend(event);
-                    self.tries.take(incoming);
+                    self.pending_events.extend(event);
+                    self.attempt_tracker.take(incoming);
                 }
-                ListenerEvent::Gone(request) => {
-                    if let Some(job) = self.tries.passing_try(request) {
-                        self.tries.passed(request);
-                        self.peers.abandon(job, &mut self.counters);
+                ListenerEvent::ClientDisconnected(request) => {
+                    if let Some(job) = self.attempt_tracker.passing_try(request) {
+                        self.attempt_tracker.passed(request);
+                        self.upstream_pool.abandon(job, &mut self.counters);
                     } else {
-                        self.tries.gone(now, request);
-                        self.news.push(Event::ClientDisconnected(request));
+                        self.attempt_tracker.gone(now, request);
+                        self.pending_events.push(Event::ClientDisconnected(request));
                     }
                 }
-                ListenerEvent::Room(request) => {
-                    if let Some(job) = self.tries.passing_try(request) {
-                        self.peers.pause(now, job, false, &mut self.timers);
+                ListenerEvent::CapacityAvailable(request) => {
+                    if let Some(job) = self.attempt_tracker.passing_try(request) {
+                        self.upstream_pool.pause(now, job, false, &mut self.timers);
                     }
                 }
             }
@@ -61,7 +63,7 @@
 
     /// The answer to a request that isn't taken. One without a known class, or with the id of an open one, must
     /// reach no peer: that would take it for the other, or complain, and the module would think ill of the peer.
-    fn turn_away(
+    fn rejection(
         &mut self,
         incoming: &IncomingRequest,
         class_known: bool,
@@ -70,23 +72,28 @@
         if !class_known {
             self.counters.class_unknown += 1;
             Some(FinalAnswer::Invalid("unknown class"))
-        } else if self.tries.is_open(&incoming.order.id) {
+        } else if self.attempt_tracker.is_open(&incoming.command.request_id) {
             self.counters.id_open += 1;
             Some(FinalAnswer::Invalid("a request with this id is open"))
         } else if full {
             self.counters.overfull += 1;
-            Some(FinalAnswer::Refused { retry_after: 0 })
-        } else if incoming.arrived.saturating_add(incoming.patience) <= self.clock.now() {
+            Some(FinalAnswer::Rejected { retry_after: 0 })
+        } else if incoming.arrived_at.saturating_add(incoming.client_timeout) <= self.clock.now() {
             // It waited to be read while the process was held up.
             self.counters.over_when_read += 1;
-            Some(FinalAnswer::Refused { retry_after: 0 })
+            Some(FinalAnswer::Rejected { retry_after: 0 })
         } else {
             None
         }
     }
 
     /// Counts a step that the module took for a reason, and logs it with the figures that it was decided by.
-    pub(super) fn explain(&mut self, request: RequestId, step: DecisionStep, why: &Explanation) {
+    pub(super) fn record_decision(
+        &mut self,
+        request: RequestId,
+        step: DecisionStep,
+        why: &Explanation,
+    ) {
         self.counters.steps.count(step, why.reason);
         log::debug!(
             step = step.name(), reason = why.reason.name(), out = why.in_flight, limit = why.limit, room = why.origin_admitted_fraction,
@@ -95,17 +102,17 @@
         );
     }
 
-    pub(super) fn answer(&mut self, now: Nanos, (ticket, answer): Answer) {
+    pub(super) fn send_answer(&mut self, now: Nanos, (ticket, answer): Answer) {
         match answer {
-            FinalAnswer::Served(_) | FinalAnswer::Coming(_) => self.counters.served += 1,
-            FinalAnswer::Refused { .. } => self.counters.refused += 1,
+            FinalAnswer::Served(_) | FinalAnswer::Streaming(_) => self.counters.served += 1,
+            FinalAnswer::Rejected { .. } => self.counters.refused += 1,
             FinalAnswer::Failed | FinalAnswer::Invalid(_) => self.counters.failed += 1,
         }
         let connection = ticket.connection;
-        self.front.answer(ticket, answer);
+        self.listener.answer(ticket, answer);
         let mut events = Vec::new();
-        self.front
+        self.listener
             .flush(connection, now, &mut events, &mut self.counters);
-        self.front_events(now, events);
+        self.handle_listener_events(now, events);
     }
 }
--- a/crates/balancer/src/event_loop/tests.rs
+++ b/crates/balancer/src/event_loop/tests.rs
@@ -2,7 +2,7 @@
 //! order, whatever the kernel and the clock make of it. A connection is late for as long as the loop isn't told that it is up.
 
 use super::*;
-use crate::poll::is_silent;
+use crate::poll::is_open_without_input;
 use crate::resp::write_command;
 use rstest::rstest;
 use serde_json::json;
@@ -86,7 +86,7 @@
 
     fn client(&mut self) -> usize {
         let client =
-            TcpStream::connect(self.the.front.address().expect("the door is open")).unwrap();
+            TcpStream::connect(self.the.listener.address().expect("the door is open")).unwrap();
         client.set_read_timeout(Some(PATIENCE)).unwrap();
         self.clients.push(client);
         self.turn(&[EventSource::Listener]);
@@ -125,7 +125,7 @@
 
     /// One turn in which just these are ready, in this order. Each is waited for, however long the kernel takes.
     fn turn(&mut self, sources: &[EventSource]) {
-        self.the.settle();
+        self.the.run_decisions();
         let ready: Vec<Readiness> = sources.iter().map(|source| self.wait(*source)).collect();
         self.gather(ready);
     }
@@ -136,10 +136,10 @@
         loop {
             let now = self.the.clock.now();
             // For the loop these turns follow each other without a pause.
-            self.the.looks.prompt(now);
-            self.the.gather(&mut ready, true);
-            self.the.settle();
-            if self.the.up.is_empty() {
+            self.the.poll_timestamps.prompt(now);
+            self.the.process_ready(&mut ready, true);
+            self.the.run_decisions();
+            if self.the.connected_jobs.is_empty() {
                 return;
             }
         }
@@ -222,7 +222,7 @@
 /// A whole command, as it comes to a cache.
 fn command(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
-    while crate::resp::read_command(&text).unwrap().is_none() {
+    while crate::resp::parse_command(&text).unwrap().is_none() {
         let mut byte = [0];
         assert_eq!(
             stream.read(&mut byte).unwrap(),
@@ -249,8 +249,8 @@
         .unwrap()
 }
 
-const FIRST: EventSource = EventSource::Peer(0);
-const SECOND: EventSource = EventSource::Peer(1);
+const FIRST: EventSource = EventSource::Upstream(0);
+const SECOND: EventSource = EventSource::Upstream(1);
 const CLIENT: EventSource = EventSource::Client(0);
 
 #[rstest]
@@ -274,12 +274,12 @@
     s.ask(class, 50_000);
     let up = s.wait(FIRST);
     for _ in 0..3 {
-        s.the.looks = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
+        s.the.poll_timestamps = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
         s.the.postponed_turns = 0;
-        s.the.gather(&mut vec![up], true);
+        s.the.process_ready(&mut vec![up], true);
     }
     assert_eq!(
-        s.the.up.len(),
+        s.the.connected_jobs.len(),
         1,
         "it waits once, however often it is reported"
     );
@@ -287,7 +287,10 @@
     let mut cache = s.accept(0);
     command(&mut cache);
     cache.set_nonblocking(true).unwrap();
-    assert!(is_silent(&cache), "nothing comes behind the command");
+    assert!(
+        is_open_without_input(&cache),
+        "nothing comes behind the command"
+    );
 }
 
 #[test]
@@ -308,12 +311,15 @@
         .write_all(&write_command(&[b"C.GET", b"a", b"2", b"c=read,d=50000"]))
         .unwrap();
     let asks = s.wait(EventSource::Client(client as u64));
-    s.the.looks.prompt(s.the.clock.now());
-    s.the.gather(&mut vec![asks], true);
+    s.the.poll_timestamps.prompt(s.the.clock.now());
+    s.the.process_ready(&mut vec![asks], true);
     // Held up between the look and the decision; discovery tells of a drain meanwhile.
-    s.the.looks = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
-    s.the.settle();
-    assert_eq!((s.the.counters.postponed, s.the.up.len()), (1, 1));
+    s.the.poll_timestamps = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
+    s.the.run_decisions();
+    assert_eq!(
+        (s.the.counters.postponed, s.the.connected_jobs.len()),
+        (1, 1)
+    );
     let dial = local(&s.caches[0]);
     let hosts = json!([{"host": "s-0", "dial": dial, "health": "terminating"}]);
     s.news(&json!({"seq": 8, "hosts": hosts}).to_string());
@@ -351,7 +357,7 @@
         s.the.counters.left_unsent_ms < 300,
         "as long as the connection took"
     );
-    assert_eq!(s.the.tries.open(), 0);
+    assert_eq!(s.the.attempt_tracker.open(), 0);
 }
 
 #[test]
@@ -365,7 +371,7 @@
         (
             s.the.counters.try_full,
             s.the.counters.peers_opened,
-            s.the.tries.open()
+            s.the.attempt_tracker.open()
         ),
         (1, 1, 0)
     );
@@ -422,7 +428,7 @@
         s.clients[client].write_all(&asks).unwrap();
         s.turn(&[EventSource::Client(client as u64)]);
     }
-    assert_eq!(s.the.tries.open(), 1_000);
+    assert_eq!(s.the.attempt_tracker.open(), 1_000);
     assert!(
         s.the.counters.tries < 100,
         "most are held: {}",
@@ -433,7 +439,11 @@
     s.turn(&all);
     let tries = s.the.counters.tries;
     assert_eq!(
-        (s.the.tries.open(), s.the.tries.held(), s.the.counters.gone),
+        (
+            s.the.attempt_tracker.open(),
+            s.the.attempt_tracker.held(),
+            s.the.counters.gone
+        ),
         (0, 0, 1_000)
     );
     let asked = s.the.clock.now();
@@ -458,7 +468,10 @@
     s.turn(&[FIRST, SECOND]);
     assert_eq!(rest(&mut second), "");
     s.answers(0, "$1\r\nv\r\n");
-    assert_eq!((s.the.counters.served, s.the.tries.open()), (1, 0));
+    assert_eq!(
+        (s.the.counters.served, s.the.attempt_tracker.open()),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -470,7 +483,7 @@
     let asked = s.the.clock.now();
     s.turn_at(asked + 1_020 * MS, up);
     assert_eq!(rest(&mut cache), "");
-    assert_eq!(s.the.tries.open(), 0, "answered as well");
+    assert_eq!(s.the.attempt_tracker.open(), 0, "answered as well");
     s.answers(0, "-");
 }
 
@@ -610,7 +623,7 @@
 fn what_an_end_takes_is_answered_before_the_process_is_killed() {
     let mut s = Stage::set(GIVEN);
     let now = s.the.clock.now();
-    s.the.stop(now);
+    s.the.begin_shutdown(now);
     s.ask("read", 80_000);
     s.turn(&[FIRST]);
     let mut cache = s.accept(0);
@@ -632,13 +645,13 @@
     let mut s = Stage::set(Given { cancel, ..GIVEN });
     let (_, _cache) = s.passed_on(class, 80_000);
     s.stop();
-    let by = s.the.life.answer_by().expect("it ends");
+    let by = s.the.lifecycle.answer_deadline().expect("it ends");
     while s.the.clock.now() <= by {
         s.turn(&[]);
     }
     s.turn(&[]);
     s.answers(0, answer);
-    s.until(EventLoop::is_over);
+    s.until(EventLoop::is_finished);
 }
 
 #[test]
@@ -666,15 +679,18 @@
     let (mut watch, _) = s.discovery.accept().unwrap();
     watch.write_all(text.as_bytes()).unwrap();
     let ready = s.wait(EventSource::Discovery(0));
-    s.the.gather(&mut vec![ready], true);
-    assert_eq!(s.the.news.contains(&Event::DiscoveryAvailable), stands);
-    s.the.settle();
+    s.the.process_ready(&mut vec![ready], true);
+    assert_eq!(
+        s.the.pending_events.contains(&Event::DiscoveryAvailable),
+        stands
+    );
+    s.the.run_decisions();
     // A second empty line is no news of it either.
     if stands {
         watch.write_all(b"\n").unwrap();
         let ready = s.wait(EventSource::Discovery(0));
-        s.the.gather(&mut vec![ready], true);
-        assert!(!s.the.news.contains(&Event::DiscoveryAvailable));
+        s.the.process_ready(&mut vec![ready], true);
+        assert!(!s.the.pending_events.contains(&Event::DiscoveryAvailable));
     }
 }
 
@@ -687,7 +703,7 @@
     s.until(|the| the.counters.list_calls == 1);
     s.turn(&[EventSource::Discovery(0)]);
     let (down, _) = s.discovery.accept().unwrap();
-    let address = s.the.front.address().expect("the door is open");
+    let address = s.the.listener.address().expect("the door is open");
     let _idle: Vec<TcpStream> = (0..2 * places)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
@@ -695,8 +711,8 @@
     s.until(|the| the.counters.clients_accepted >= places as u64);
     drop(down);
     let ended = s.wait(EventSource::Discovery(0));
-    s.the.gather(&mut vec![ended], true);
-    s.the.settle();
+    s.the.process_ready(&mut vec![ended], true);
+    s.the.run_decisions();
     assert_eq!(s.the.counters.list_failed, 1);
     s.until(|the| the.counters.list_calls == 2);
     let open = s.the.counters.clients_accepted - s.the.counters.clients_closed;
@@ -716,9 +732,12 @@
     for (moves, address) in [(false, local(&s.discovery)), (true, local(&s.caches[0]))] {
         let mut new = s.the.config.clone();
         new.discovery = address.parse().unwrap();
-        s.the.run_by(new, now);
-        assert_eq!(s.the.news.contains(&Event::DiscoveryAvailable), moves);
-        s.the.settle();
+        s.the.apply_config(new, now);
+        assert_eq!(
+            s.the.pending_events.contains(&Event::DiscoveryAvailable),
+            moves
+        );
+        s.the.run_decisions();
     }
 }
 
@@ -761,7 +780,7 @@
         old.look();
         new.look();
         assert!(
-            old.the.life.is_ready() && new.the.life.is_ready(),
+            old.the.lifecycle.is_ready() && new.the.lifecycle.is_ready(),
             "its notes lay there"
         );
         (old, new)
@@ -778,12 +797,12 @@
 impl Stage {
     fn look(&mut self) {
         let now = self.the.clock.now();
-        self.the.look(now);
+        self.the.check_other_process(now);
     }
 
     fn stop(&mut self) {
         let now = self.the.clock.now();
-        self.the.stop(now);
+        self.the.begin_shutdown(now);
     }
 
     /// Takes the next client and answers it.
@@ -802,7 +821,7 @@
     let pair = Pair::new("yes");
     let (mut old, mut new) = pair.both();
     old.stop();
-    assert!(old.the.is_over(), "nothing is owed here any more");
+    assert!(old.the.is_finished(), "nothing is owed here any more");
     new.takes(pair.ping(), "+PONG\r\n");
 }
 
@@ -817,7 +836,7 @@
     seat.lock().unwrap();
     old.look();
     assert!(
-        old.the.hand_over.is_beside() && !notes.exists(),
+        old.the.hot_restart.is_beside() && !notes.exists(),
         "nobody could tell that they are for him"
     );
     drop(seat);
@@ -828,12 +847,12 @@
     drop(new);
     let mut new = pair.start();
     assert!(
-        !notes.exists() && !new.the.life.is_ready(),
+        !notes.exists() && !new.the.lifecycle.is_ready(),
         "it waits for its own"
     );
     old.look();
     new.look();
-    assert!(new.the.life.is_ready() && !notes.exists());
+    assert!(new.the.lifecycle.is_ready() && !notes.exists());
 }
 
 #[test]
@@ -841,10 +860,10 @@
     let pair = Pair::new("died");
     let (mut old, new) = pair.both();
     old.look();
-    assert!(old.the.hand_over.other_serves());
+    assert!(old.the.hot_restart.other_serves());
     drop(new);
     old.stop();
-    assert!(!old.the.is_over());
+    assert!(!old.the.is_finished());
     old.takes(pair.ping(), "-LOADING ending\r\n");
 }
 
@@ -855,7 +874,7 @@
     old.ask("read", 50_000);
     old.turn(&[FIRST]);
     old.stop();
-    assert!(!old.the.is_over(), "an answer is owed");
+    assert!(!old.the.is_finished(), "an answer is owed");
     drop(new);
     let client = pair.ping();
     old.look();
@@ -871,7 +890,7 @@
     old.stop();
     new.look();
     for one in [&mut old, &mut new] {
-        assert!(!one.the.is_over());
+        assert!(!one.the.is_finished());
         one.takes(pair.ping(), "-LOADING ending\r\n");
     }
 }
@@ -880,21 +899,24 @@
 fn limits_are_halved_while_two_live_and_joined_again_whatever_the_operators_do_meanwhile() {
     let pair = Pair::new("split");
     let mut old = pair.start();
-    let alone = old.the.memory;
+    let alone = old.the.memory_limit;
     let new = pair.start();
     old.look();
     let now = old.the.clock.now();
-    old.the.life.quiesce(now);
-    old.the.follow(now);
-    assert_eq!((old.the.memory, new.the.memory), (alone / 2, alone / 2));
+    old.the.lifecycle.quiesce(now);
+    old.the.apply_lifecycle(now);
+    assert_eq!(
+        (old.the.memory_limit, new.the.memory_limit),
+        (alone / 2, alone / 2)
+    );
     let mut reloaded = old.the.config.clone();
     reloaded.memory *= 2;
-    old.the.run_by(reloaded, now);
-    assert_eq!(old.the.memory, alone, "half of what is twice as much");
+    old.the.apply_config(reloaded, now);
+    assert_eq!(old.the.memory_limit, alone, "half of what is twice as much");
     drop(new);
-    old.the.life.resume().unwrap();
+    old.the.lifecycle.resume().unwrap();
     old.look();
-    assert_eq!(old.the.memory, 2 * alone);
+    assert_eq!(old.the.memory_limit, 2 * alone);
     old.takes(pair.ping(), "+PONG\r\n");
 }
 
@@ -903,8 +925,8 @@
     let mut s = Stage::set(Given { caches: 0, ..GIVEN });
     s.ask("once", 1_000);
     s.stop();
-    assert_eq!(s.the.tries.open(), 1, "it waits for a list");
-    s.until(|the| the.tries.open() == 0);
+    assert_eq!(s.the.attempt_tracker.open(), 1, "it waits for a list");
+    s.until(|the| the.attempt_tracker.open() == 0);
     s.answers(0, "-BUSY\r\n");
 }
 
@@ -945,7 +967,7 @@
     assert_eq!(
         (
             s.the.counters.served,
-            s.the.tries.open(),
+            s.the.attempt_tracker.open(),
             s.the.counters.tries
         ),
         (1, 0, 2)
@@ -967,7 +989,7 @@
         (
             s.the.counters.served,
             s.the.counters.failed,
-            s.the.tries.open()
+            s.the.attempt_tracker.open()
         ),
         (1, 0, 0)
     );
--- a/crates/balancer/src/event_loop/turns.rs
+++ b/crates/balancer/src/event_loop/turns.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TurnStep {
     /// Calls of the operators.
-    Operators,
+    AdminCalls,
     /// What discovery tells.
-    Lists,
+    DiscoveryUpdates,
     /// Answers of caches, connections that come up, signals and new clients.
-    UpstreamPool,
+    Upstreams,
     /// What is due.
     Timers,
     /// Commands and ends of clients, and attempts that begin.
@@ -30,7 +30,7 @@
 /// Measures turns by their steps.
 #[derive(Debug)]
 pub(super) struct TurnMeter {
-    began: Nanos,
+    started_at: Nanos,
     /// The step at hand, and when it began.
     step: (TurnStep, Nanos),
     /// The longest step so far.
@@ -41,9 +41,9 @@
     /// A turn begins.
     pub(super) fn start(now: Nanos) -> Self {
         TurnMeter {
-            began: now,
-            step: (TurnStep::Operators, now),
-            longest: (TurnStep::Operators, 0),
+            started_at: now,
+            step: (TurnStep::AdminCalls, now),
+            longest: (TurnStep::AdminCalls, 0),
         }
     }
 
@@ -57,8 +57,8 @@
     }
 
     /// How long the turn has taken.
-    pub(super) fn took(&self, now: Nanos) -> Nanos {
-        now.saturating_sub(self.began)
+    pub(super) fn elapsed(&self, now: Nanos) -> Nanos {
+        now.saturating_sub(self.started_at)
     }
 
     /// Its longest step, and how long that took.
@@ -69,13 +69,13 @@
 
 impl EventLoop {
     /// A wait for ready sockets began and returned then.
-    pub(super) fn note_look(&mut self, began: Nanos, returned: Nanos, looked: bool) {
-        let held_up = self.looks.waited(began, returned, looked);
-        self.turns = TurnMeter::start(returned);
+    pub(super) fn record_poll(&mut self, began: Nanos, returned: Nanos, looked: bool) {
+        let held_up = self.poll_timestamps.waited(began, returned, looked);
+        self.turn_meter = TurnMeter::start(returned);
         if held_up == 0 {
             return;
         }
-        (self.catching_up, self.looks_to_catch_up) = (true, CATCH_UP_MOST);
+        (self.catching_up, self.catch_up_polls_left) = (true, CATCH_UP_MOST);
         let ms = held_up / MS;
         self.counters.held_up += 1;
         self.counters.held_up_ms = self.counters.held_up_ms.max(ms);
@@ -86,21 +86,21 @@
     }
 
     /// After a hold-up: whether all of the list that had come was taken in.
-    pub(super) fn has_caught_up(&mut self) {
-        self.looks_to_catch_up = self.looks_to_catch_up.saturating_sub(1);
-        self.catching_up &= self.group.is_behind() && self.looks_to_catch_up > 0;
+    pub(super) fn update_catch_up(&mut self) {
+        self.catch_up_polls_left = self.catch_up_polls_left.saturating_sub(1);
+        self.catching_up &= self.discovery.is_behind() && self.catch_up_polls_left > 0;
     }
 
     /// A turn is over.
     pub(super) fn end_turn(&mut self) {
         let now = self.clock.now();
         // Closes the last step.
-        self.turns.step(TurnStep::Operators, now);
-        let took = self.turns.took(now);
+        self.turn_meter.step(TurnStep::AdminCalls, now);
+        let took = self.turn_meter.elapsed(now);
         self.counters.turn_longest_us = self.counters.turn_longest_us.max(took / 1_000);
         if took > TURN_LONG {
             self.counters.turns_long += 1;
-            let (step, part) = self.turns.longest();
+            let (step, part) = self.turn_meter.longest();
             log::log!(
                 level(self.counters.turns_long),
                 "a turn took {} ms, {} of them for {step:?}",
--- a/crates/balancer/src/lifecycle/tests.rs
+++ b/crates/balancer/src/lifecycle/tests.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::RngSeed;
 
 /// Long enough to leave all other times as they are.
-const LONGEST: Nanos = DEADLINE_MOST;
+const LONGEST: Nanos = CLIENT_TIMEOUT_MAX;
 
 #[derive(Clone, Copy, Debug)]
 enum DecisionStep {
@@ -19,7 +19,7 @@
     let mut life = Lifecycle::new(false, LONGEST);
     for step in steps {
         match step {
-            DecisionStep::Listed => life.listed(),
+            DecisionStep::Listed => life.endpoints_listed(),
             DecisionStep::Quiesce => life.quiesce(now),
             DecisionStep::Resume => _ = life.resume(),
             DecisionStep::Stop => _ = life.stop(now),
@@ -58,34 +58,51 @@
     life.quiesce(1000);
     life.quiesce(2000);
     assert_eq!(
-        life.due(1000),
-        Some(1000 + TURN_AWAY),
+        life.next_change(1000),
+        Some(1000 + IDLE_CLOSE_DELAY),
         "said again it begins nothing anew"
     );
-    assert!(!life.stance(999 + TURN_AWAY).closes_idle && life.stance(1000 + TURN_AWAY).closes_idle);
-    assert!(life.stance(999 + TAKE_ON).takes && !life.stance(1000 + TAKE_ON).takes);
-    assert!(life.stance(u64::MAX).door == ListenerMode::Open && !life.is_over(u64::MAX, false));
-    assert_eq!(life.due(1000 + TAKE_ON), None);
+    assert!(
+        !life.policy(999 + IDLE_CLOSE_DELAY).closes_idle
+            && life.policy(1000 + IDLE_CLOSE_DELAY).closes_idle
+    );
+    assert!(
+        life.policy(999 + COMMAND_INTAKE_TIME).accepts_commands
+            && !life.policy(1000 + COMMAND_INTAKE_TIME).accepts_commands
+    );
+    assert!(
+        life.policy(u64::MAX).listener_mode == ListenerMode::Open
+            && !life.is_finished(u64::MAX, false)
+    );
+    assert_eq!(life.next_change(1000 + COMMAND_INTAKE_TIME), None);
     life.resume().unwrap();
     let serving = LifecyclePolicy {
         state: "serving",
         ready: true,
-        door: ListenerMode::Open,
+        listener_mode: ListenerMode::Open,
         closes_idle: false,
-        takes: true,
+        accepts_commands: true,
     };
-    assert_eq!(life.stance(u64::MAX), serving);
+    assert_eq!(life.policy(u64::MAX), serving);
 }
 
 #[test]
 fn an_end_takes_clients_for_a_while_and_waits_for_the_last() {
     let mut life = play(&[DecisionStep::Listed], 0);
     assert!(life.stop(1000) && !life.stop(2000));
-    assert!(life.stance(1000).closes_idle);
-    assert_eq!(life.stance(999 + ACCEPT_ON).door, ListenerMode::Open);
-    assert_eq!(life.stance(1000 + ACCEPT_ON).door, ListenerMode::Closed);
-    assert!(!life.is_over(1000, false) && !life.is_over(1000 + ACCEPT_ON, true));
-    assert!(life.is_over(1000 + ACCEPT_ON, false));
+    assert!(life.policy(1000).closes_idle);
+    assert_eq!(
+        life.policy(999 + ACCEPT_TIME_WHILE_ENDING).listener_mode,
+        ListenerMode::Open
+    );
+    assert_eq!(
+        life.policy(1000 + ACCEPT_TIME_WHILE_ENDING).listener_mode,
+        ListenerMode::Closed
+    );
+    assert!(
+        !life.is_finished(1000, false) && !life.is_finished(1000 + ACCEPT_TIME_WHILE_ENDING, true)
+    );
+    assert!(life.is_finished(1000 + ACCEPT_TIME_WHILE_ENDING, false));
 }
 
 #[test]
@@ -97,29 +114,32 @@
         (30_000, 3_600, 1_500),
     ] {
         let mut life = Lifecycle::new(false, deadline * MS);
-        life.listed();
-        assert_eq!(life.answer_by(), None);
+        life.endpoints_listed();
+        assert_eq!(life.answer_deadline(), None);
         life.stop(1_000 * MS);
         assert_eq!(
-            life.answer_by(),
+            life.answer_deadline(),
             Some((1_000 + answered) * MS),
             "{deadline}"
         );
         let takes = (1_000 + takes) * MS;
         assert!(
-            life.stance(takes - 1).takes && !life.stance(takes).takes,
+            life.policy(takes - 1).accepts_commands && !life.policy(takes).accepts_commands,
             "{deadline}"
         );
         assert!(
             (0..takes)
                 .step_by(50 * MS as usize)
-                .all(|now| life.due(now).is_some_and(|due| due <= takes))
+                .all(|now| life.next_change(now).is_some_and(|due| due <= takes))
         );
         let mut drained = Lifecycle::new(false, deadline * MS);
-        drained.listed();
+        drained.endpoints_listed();
         drained.quiesce(0);
         assert_eq!(
-            (drained.answer_by(), drained.stance(TAKE_ON - 1).takes),
+            (
+                drained.answer_deadline(),
+                drained.policy(COMMAND_INTAKE_TIME - 1).accepts_commands
+            ),
             (None, true),
             "nobody is killed"
         );
@@ -129,12 +149,12 @@
 #[test]
 fn it_is_ready_once_there_is_a_list_and_nothing_is_waited_for() {
     let mut life = Lifecycle::new(true, LONGEST);
-    life.set_waits(true);
-    life.listed();
+    life.set_awaiting_snapshot(true);
+    life.endpoints_listed();
     assert!(!life.is_ready());
-    life.set_waits(false);
+    life.set_awaiting_snapshot(false);
     assert!(life.is_ready());
-    life.set_waits(true);
+    life.set_awaiting_snapshot(true);
     assert!(life.is_ready(), "too late to wait");
 }
 
@@ -142,41 +162,47 @@
 fn on_a_shared_socket_the_door_is_left_to_the_one_that_serves() {
     let mut life = Lifecycle::new(true, LONGEST);
     assert_eq!(
-        life.stance(0).door,
-        ListenerMode::Waits,
+        life.policy(0).listener_mode,
+        ListenerMode::Paused,
         "not ready: the queue is the other's"
     );
-    life.listed();
-    assert_eq!(life.stance(0).door, ListenerMode::Open);
+    life.endpoints_listed();
+    assert_eq!(life.policy(0).listener_mode, ListenerMode::Open);
     life.set_other_serves(true);
     assert_eq!(
-        life.stance(0).door,
+        life.policy(0).listener_mode,
         ListenerMode::Open,
         "both serve until one is asked to stop"
     );
     let serving = life;
     life.quiesce(0);
     assert_eq!(
-        life.stance(0).door,
-        ListenerMode::Waits,
+        life.policy(0).listener_mode,
+        ListenerMode::Paused,
         "the other answers"
     );
     life = serving;
     life.stop(0);
     assert!(
-        life.stance(0).door == ListenerMode::Left
-            && life.is_over(0, false)
-            && !life.is_over(0, true)
+        life.policy(0).listener_mode == ListenerMode::HandedOver
+            && life.is_finished(0, false)
+            && !life.is_finished(0, true)
     );
     // Killed before it could take over: whoever comes is better off here.
     life.set_other_serves(false);
-    assert_eq!(life.stance(ACCEPT_ON - 1).door, ListenerMode::Open);
-    assert_eq!(life.stance(ACCEPT_ON).door, ListenerMode::Closed);
+    assert_eq!(
+        life.policy(ACCEPT_TIME_WHILE_ENDING - 1).listener_mode,
+        ListenerMode::Open
+    );
+    assert_eq!(
+        life.policy(ACCEPT_TIME_WHILE_ENDING).listener_mode,
+        ListenerMode::Closed
+    );
     let mut alone = Lifecycle::new(false, LONGEST);
     alone.set_other_serves(true);
     alone.stop(0);
     assert_eq!(
-        alone.stance(0).door,
+        alone.policy(0).listener_mode,
         ListenerMode::Open,
         "nobody shares the socket"
     );
@@ -191,18 +217,18 @@
     fn no_order_of_events_says_yes_while_sending_clients_away(
         steps in prop::collection::vec(
             prop::sample::select(vec![DecisionStep::Listed, DecisionStep::Quiesce, DecisionStep::Resume, DecisionStep::Stop]), 0..20),
-        now in 0..10 * TURN_AWAY,
+        now in 0..10 * IDLE_CLOSE_DELAY,
     ) {
         let mut life = play(&steps, 0);
-        let stance = life.stance(now);
-        prop_assert!(!stance.ready || !stance.closes_idle && stance.door == ListenerMode::Open && stance.takes);
-        prop_assert!(stance.closes_idle || stance.door == ListenerMode::Open, "who isn't taken is not kept either");
+        let stance = life.policy(now);
+        prop_assert!(!stance.ready || !stance.closes_idle && stance.listener_mode == ListenerMode::Open && stance.accepts_commands);
+        prop_assert!(stance.closes_idle || stance.listener_mode == ListenerMode::Open, "who isn't taken is not kept either");
         // From everywhere but an end a resume and a list lead back to work; from there nothing does.
         let ending = life.name() == "ending";
-        life.listed();
+        life.endpoints_listed();
         prop_assert_eq!(life.resume().is_err(), ending);
         prop_assert_eq!(life.is_ready(), !ending);
         life.stop(now);
-        prop_assert!(life.is_over(u64::MAX, false), "an end always comes");
+        prop_assert!(life.is_finished(u64::MAX, false), "an end always comes");
     }
 }
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 /// Callers that are held at once; one more closes the one that is unfinished longest.
-pub const CALLERS_MAX: usize = 12;
+pub const CONNECTIONS_MAX: usize = 12;
 /// At most this many are taken in one turn of the loop.
 const ACCEPT_MAX: usize = 64;
 /// The longest head of a call.
@@ -40,12 +40,12 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct AdminRequest {
     /// Which connection.
-    pub caller: u64,
+    pub connection: u64,
     /// What is asked.
-    pub call: AdminCommand,
+    pub command: AdminCommand,
 }
 
-struct Caller {
+struct AdminConnection {
     stream: Registered<TcpStream>,
     since: Nanos,
     input: Vec<u8>,
@@ -58,14 +58,14 @@
 pub struct AdminListener {
     poll: Poll,
     listener: Registered<TcpListener>,
-    callers: BTreeMap<u64, Caller>,
+    callers: BTreeMap<u64, AdminConnection>,
     next_caller: u64,
     fleet: bool,
 }
 
 /// What a head turns out to be.
 #[derive(Debug, PartialEq, Eq)]
-enum Head {
+enum ParsedHead {
     More,
     Command(AdminCommand),
     /// A status, and the methods that are allowed where the method is what is wrong.
@@ -73,17 +73,19 @@
 }
 
 /// `fleet`: there is a fleet to be asked for.
-fn read_head(input: &[u8], fleet: bool) -> Head {
+fn read_head(input: &[u8], fleet: bool) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length > HEAD_MAX => return Head::Wrong(431, ""),
+        Ok(httparse::Status::Complete(length)) if length > HEAD_MAX => {
+            return ParsedHead::Wrong(431, "");
+        }
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if input.len() < HEAD_MAX => return Head::More,
+        Ok(httparse::Status::Partial) if input.len() < HEAD_MAX => return ParsedHead::More,
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Head::Wrong(431, "");
+            return ParsedHead::Wrong(431, "");
         }
-        Err(_) => return Head::Wrong(400, ""),
+        Err(_) => return ParsedHead::Wrong(400, ""),
     }
     let path = request.path.unwrap_or_default();
     let (call, method) = match path.split_once('?').map_or(path, |(path, _)| path) {
@@ -91,12 +93,12 @@
         "/admin/quiesce" => (AdminCommand::Quiesce, "POST"),
         "/admin/resume" => (AdminCommand::Resume, "POST"),
         "/admin/fleet" if fleet => (AdminCommand::Fleet, "GET"),
-        _ => return Head::Wrong(404, ""),
+        _ => return ParsedHead::Wrong(404, ""),
     };
     if request.method == Some(method) {
-        Head::Command(call)
+        ParsedHead::Command(call)
     } else {
-        Head::Wrong(405, method)
+        ParsedHead::Wrong(405, method)
     }
 }
 
@@ -145,7 +147,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) => return log::warn!("accepting management calls: {e}"),
             };
-            if self.callers.len() >= CALLERS_MAX {
+            if self.callers.len() >= CONNECTIONS_MAX {
                 // They are numbered as they came.
                 let unfinished = self.callers.iter().find(|(_, c)| c.output.is_empty());
                 if let Some((&number, _)) = unfinished.or(self.callers.first_key_value()) {
@@ -156,13 +158,13 @@
             let number = self.next_caller;
             let watched = stream.set_nonblocking(true).and_then(|()| {
                 self.poll
-                    .watch(stream, EventSource::Caller(number), true, false)
+                    .watch(stream, EventSource::AdminConnection(number), true, false)
             });
             match watched {
                 Ok(stream) => {
                     self.next_caller += 1;
                     let (input, output) = (Vec::new(), Vec::new());
-                    let caller = Caller {
+                    let caller = AdminConnection {
                         stream,
                         since: now,
                         input,
@@ -178,7 +180,7 @@
 
     /// Reads and writes what a caller is ready for. Tells of a call that waits for its answer.
     pub fn ready(&mut self, ready: Readiness, counters: &mut Counters) -> Option<AdminRequest> {
-        let EventSource::Caller(number) = ready.source else {
+        let EventSource::AdminConnection(number) = ready.source else {
             return None;
         };
         let c = self.callers.get_mut(&number)?;
@@ -205,15 +207,15 @@
             }
         }
         match read_head(&c.input, self.fleet) {
-            Head::More => None,
-            Head::Command(call) => {
+            ParsedHead::More => None,
+            ParsedHead::Command(call) => {
                 counters.calls += 1;
                 Some(AdminRequest {
-                    caller: number,
-                    call,
+                    connection: number,
+                    command: call,
                 })
             }
-            Head::Wrong(status, allow) => {
+            ParsedHead::Wrong(status, allow) => {
                 counters.calls_wrong += 1;
                 self.put(number, status, reason(status), allow);
                 None
@@ -290,7 +292,8 @@
         // Closed at once, what still comes would reset the answer away.
         self.callers
             .retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + LEAVE);
-        let late = |c: &Caller| c.output.is_empty() && now.saturating_sub(c.since) >= UNFINISHED;
+        let late =
+            |c: &AdminConnection| c.output.is_empty() && now.saturating_sub(c.since) >= UNFINISHED;
         let late: Vec<u64> = self
             .callers
             .iter()
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -19,7 +19,7 @@
 
 fn readable(number: u64) -> Readiness {
     Readiness {
-        source: EventSource::Caller(number),
+        source: EventSource::AdminConnection(number),
         readable: true,
         writable: false,
     }
@@ -31,13 +31,13 @@
     for cut in 0..whole.len() {
         assert_eq!(
             read_head(&whole[..cut], false),
-            Head::More,
+            ParsedHead::More,
             "after {cut} bytes"
         );
     }
     assert_eq!(
         read_head(whole, false),
-        Head::Command(AdminCommand::Quiesce)
+        ParsedHead::Command(AdminCommand::Quiesce)
     );
     let long = format!(
         "GET /admin/health HTTP/1.1\r\nA: {}\r\n\r\n",
@@ -50,30 +50,33 @@
     let cases = [
         (
             "GET /admin/health HTTP/1.1\r\n\r\n",
-            Head::Command(AdminCommand::Health),
+            ParsedHead::Command(AdminCommand::Health),
         ),
         (
             "POST /admin/resume HTTP/1.0\r\nContent-Length: 2\r\n\r\n{}",
-            Head::Command(AdminCommand::Resume),
+            ParsedHead::Command(AdminCommand::Resume),
         ),
         (
             "GET /admin/resume HTTP/1.1\r\n\r\n",
-            Head::Wrong(405, "POST"),
+            ParsedHead::Wrong(405, "POST"),
         ),
         (
             "POST /admin/health HTTP/1.1\r\n\r\n",
-            Head::Wrong(405, "GET"),
+            ParsedHead::Wrong(405, "GET"),
         ),
-        ("GET /admin/ HTTP/1.1\r\n\r\n", Head::Wrong(404, "")),
-        ("*1\r\n$4\r\nPING\r\n", Head::Wrong(400, "")),
-        (&long, Head::Wrong(431, "")),
-        (&many, Head::Wrong(431, "")),
+        ("GET /admin/ HTTP/1.1\r\n\r\n", ParsedHead::Wrong(404, "")),
+        ("*1\r\n$4\r\nPING\r\n", ParsedHead::Wrong(400, "")),
+        (&long, ParsedHead::Wrong(431, "")),
+        (&many, ParsedHead::Wrong(431, "")),
     ];
     let fleet = b"GET /admin/fleet HTTP/1.1\r\n\r\n";
-    assert_eq!(read_head(fleet, true), Head::Command(AdminCommand::Fleet));
+    assert_eq!(
+        read_head(fleet, true),
+        ParsedHead::Command(AdminCommand::Fleet)
+    );
     assert_eq!(
         read_head(fleet, false),
-        Head::Wrong(404, ""),
+        ParsedHead::Wrong(404, ""),
         "without a fleet nothing differs"
     );
     for (text, head) in cases {
@@ -90,9 +93,9 @@
 fn silent_callers_hold_nobody_up_and_end_in_time() {
     let (mut door, connect) = door();
     let mut counters = Counters::default();
-    let mut silent: Vec<TcpStream> = (0..CALLERS_MAX).map(|_| connect()).collect();
+    let mut silent: Vec<TcpStream> = (0..CONNECTIONS_MAX).map(|_| connect()).collect();
     door.accept(0, &mut counters);
-    assert_eq!(door.callers.len(), CALLERS_MAX);
+    assert_eq!(door.callers.len(), CONNECTIONS_MAX);
     let mut caller = connect();
     caller
         .write_all(b"GET /admin/health HTTP/1.1\r\n\r\n")
@@ -100,19 +103,19 @@
     door.accept(1, &mut counters);
     assert_eq!(
         (door.callers.len(), counters.calls_pushed_out),
-        (CALLERS_MAX, 1)
+        (CONNECTIONS_MAX, 1)
     );
     assert_eq!(
         silent[0].read(&mut [0]).unwrap(),
         0,
         "the one that came first"
     );
-    let number = CALLERS_MAX as u64;
+    let number = CONNECTIONS_MAX as u64;
     assert_eq!(
         door.ready(readable(number), &mut counters),
         Some(AdminRequest {
-            caller: number,
-            call: AdminCommand::Health
+            connection: number,
+            command: AdminCommand::Health
         })
     );
     door.answer(number, 200, "serving");
@@ -127,11 +130,11 @@
     assert_eq!(door.ready(readable(number), &mut counters), None);
     assert_eq!(
         door.callers.len(),
-        CALLERS_MAX - 1,
+        CONNECTIONS_MAX - 1,
         "a caller that has gone is let go of"
     );
     door.sweep(UNFINISHED - 1, &mut counters);
-    assert_eq!(door.callers.len(), CALLERS_MAX - 1);
+    assert_eq!(door.callers.len(), CONNECTIONS_MAX - 1);
     silent[2].write_all(b"GET /admin/he").unwrap();
     door.sweep(UNFINISHED, &mut counters);
     // What crosses the answer does not reset it away: each gets its own, and the end behind it.
@@ -144,11 +147,11 @@
     door.sweep(UNFINISHED + LEAVE - 1, &mut counters);
     assert_eq!(
         door.callers.len(),
-        CALLERS_MAX - 1,
+        CONNECTIONS_MAX - 1,
         "they have the time to take it"
     );
     drop(silent);
-    for caller in 1..CALLERS_MAX as u64 {
+    for caller in 1..CONNECTIONS_MAX as u64 {
         assert_eq!(door.ready(readable(caller), &mut counters), None);
     }
     assert!(door.callers.is_empty(), "who closes is let go of");
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -8,13 +8,14 @@
 use crate::counters::Counters;
 use crate::lifecycle::{LifecyclePolicy, ListenerMode};
 use crate::poll::{
-    EventSource, Poll, Readiness, Registered, discard, has_ended, has_unsent, is_silent,
+    EventSource, Poll, Readiness, Registered, discard, has_peer_closed, has_unsent_output,
+    is_open_without_input,
 };
 use crate::poll_timestamps::{ClientPresence, PollTimestamps};
 use crate::request::{FinalAnswer, IncomingRequest, Ticket};
-use crate::resp::{self, VALUE_MAX, read_command};
+use crate::resp::{self, VALUE_MAX, parse_command};
 use crate::timers::MS;
-use commands::{Taken, command, encode, error};
+use commands::{ParsedCommand, command, encode, error};
 use routing::{Nanos, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -66,22 +67,22 @@
     /// A request has come.
     Request(IncomingRequest),
     /// The client of this request has left.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// More of this request's value can be taken.
-    Room(RequestId),
+    CapacityAvailable(RequestId),
 }
 
 /// An answer that is owed on a connection, or has come but waits for those before it.
-enum Place {
+enum PendingResponse {
     Waiting(RequestId),
     Answered(Vec<u8>),
     /// The value comes in parts.
-    Coming {
+    Streaming {
         request: RequestId,
         /// What has come and is not with the rest of the output yet.
         bytes: Vec<u8>,
         /// Its cache isn't read until there is room.
-        held_back: bool,
+        paused: bool,
     },
 }
 
@@ -89,49 +90,49 @@
     stream: Registered<TcpStream>,
     input: Vec<u8>,
     /// Answers in the order of the commands.
-    places: VecDeque<Place>,
+    responses: VecDeque<PendingResponse>,
     output: Vec<u8>,
     written: usize,
     /// Close once all is answered: the framing is lost.
-    last: bool,
+    closes_after_output: bool,
     /// When it last took or got something.
-    active: Nanos,
+    last_active: Nanos,
     /// Since when a command could have been coming.
-    since: Nanos,
+    command_since: Nanos,
     /// It has sent something whole.
-    spoken: bool,
+    has_sent_command: bool,
     /// Nothing more is sent on it: it is closed when the client has closed, or by this time.
-    leaves: Option<Nanos>,
+    close_by: Option<Nanos>,
     /// What the looks at its socket tell of the client.
     presence: ClientPresence,
 }
 
 impl ClientConnection {
-    fn unsent(&self) -> usize {
+    fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
     fn takes_commands(&self) -> bool {
-        !self.last
-            && self.leaves.is_none()
-            && self.places.len() < OWED_MAX
-            && self.unsent() < UNSENT_MAX
+        !self.closes_after_output
+            && self.close_by.is_none()
+            && self.responses.len() < OWED_MAX
+            && self.unsent_bytes() < UNSENT_MAX
     }
 
     /// Between requests: nothing owed, nothing begun, nothing unsent.
     fn is_idle(&self) -> bool {
-        self.leaves.is_none()
-            && self.places.is_empty()
-            && self.unsent() == 0
+        self.close_by.is_none()
+            && self.responses.is_empty()
+            && self.unsent_bytes() == 0
             && self.input.is_empty()
     }
 
     /// Whether it is watched for reading, which also shows its end.
     fn is_read(&self) -> bool {
-        self.leaves.is_none()
-            && !self.last
+        self.close_by.is_none()
+            && !self.closes_after_output
             && self.input.len() < INPUT_MAX
-            && self.unsent() < UNSENT_MAX
+            && self.unsent_bytes() < UNSENT_MAX
     }
 }
 
@@ -140,19 +141,19 @@
     poll: Poll,
     listener: Option<Registered<TcpListener>>,
     connections: BTreeMap<u64, ClientConnection>,
-    most: usize,
+    connections_max: usize,
     next_connection: u64,
     /// The module's request ids: our own count, never the client's.
     next_request: u128,
     /// What follows from the life cycle; set by `follow` alone.
-    stance: LifecyclePolicy,
+    policy: LifecyclePolicy,
     accepting: bool,
     /// When the sockets were last looked at.
-    looks: PollTimestamps,
+    poll_timestamps: PollTimestamps,
     /// Since when clients may have waited at the listener, if not all were taken.
-    door_waits: Option<Nanos>,
+    backlog_since: Option<Nanos>,
     /// What one read takes: kept by all together, since most connections stand idle.
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl RespListener {
@@ -174,35 +175,35 @@
             poll: poll.clone(),
             listener: Some(listener),
             connections: BTreeMap::new(),
-            most,
+            connections_max: most,
             next_connection: 0,
             next_request: 1,
-            stance,
+            policy: stance,
             accepting: true,
-            looks,
-            door_waits: None,
-            scratch: vec![0; READ_SIZE],
+            poll_timestamps: looks,
+            backlog_since: None,
+            read_buffer: vec![0; READ_SIZE],
         };
-        front.pause(false);
+        front.set_accept_paused(false);
         Ok(front)
     }
 
     /// From now on at most this many connections are held; those that are open stay.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most;
+    pub fn set_connections_max(&mut self, most: usize) {
+        self.connections_max = most;
     }
 
     /// The sockets were looked at, and somebody waits at the listener or not; to be told before what was found is taken in.
-    pub fn set_looks(&mut self, looks: PollTimestamps, somebody_waits: bool) {
-        self.looks = looks;
+    pub fn set_poll_timestamps(&mut self, looks: PollTimestamps, somebody_waits: bool) {
+        self.poll_timestamps = looks;
         if self.accepting && !somebody_waits {
-            self.door_waits = None;
+            self.backlog_since = None;
         }
     }
 
     /// Whether the client of this connection is there, by a look that is recent enough or else by asking the kernel. One that
     /// has left is removed.
-    pub fn is_there(
+    pub fn is_client_connected(
         &mut self,
         number: u64,
         now: Nanos,
@@ -212,13 +213,13 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return false;
         };
-        if PollTimestamps::is_fresh(c.presence.seen(&self.looks, c.is_read()), now) {
+        if PollTimestamps::is_fresh(c.presence.seen(&self.poll_timestamps, c.is_read()), now) {
             return true;
         }
         counters.clients_asked += 1;
-        if has_ended(c.stream.socket()) {
+        if has_peer_closed(c.stream.socket()) {
             counters.clients_found_gone += 1;
-            self.remove(number, counters, events);
+            self.close(number, counters, events);
             return false;
         }
         c.presence.is_there(now);
@@ -227,12 +228,14 @@
 
     /// Bytes held for clients, unread and unsent.
     pub fn buffered(&self) -> usize {
-        let answered = |p: &Place| match p {
-            Place::Answered(bytes) | Place::Coming { bytes, .. } => bytes.len(),
-            Place::Waiting(_) => 0,
+        let answered = |p: &PendingResponse| match p {
+            PendingResponse::Answered(bytes) | PendingResponse::Streaming { bytes, .. } => {
+                bytes.len()
+            }
+            PendingResponse::Waiting(_) => 0,
         };
         let of = |c: &ClientConnection| {
-            c.input.len() + c.unsent() + c.places.iter().map(answered).sum::<usize>()
+            c.input.len() + c.unsent_bytes() + c.responses.iter().map(answered).sum::<usize>()
         };
         self.connections.values().map(of).sum()
     }
@@ -276,33 +279,33 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
-        if c.leaves.is_some() {
-            return self.leaving(number, counters, events);
+        if c.close_by.is_some() {
+            return self.drain_closing(number, counters, events);
         }
         if !c.is_read() {
             // Not watched for reading: it is broken, and nothing more can be answered on it. Or it was watched when this
             // turn began.
-            if has_ended(c.stream.socket()) {
-                self.remove(number, counters, events);
+            if has_peer_closed(c.stream.socket()) {
+                self.close(number, counters, events);
             }
             return;
         }
         let most = READ_SIZE.min(INPUT_MAX - c.input.len());
-        match c.stream.socket().read(&mut self.scratch[..most]) {
-            Ok(0) => self.remove(number, counters, events),
+        match c.stream.socket().read(&mut self.read_buffer[..most]) {
+            Ok(0) => self.close(number, counters, events),
             Ok(n) => {
-                if c.spoken && c.input.is_empty() {
+                if c.has_sent_command && c.input.is_empty() {
                     // A connection may stand idle between commands; a command's time begins with its first byte.
-                    c.since = now;
+                    c.command_since = now;
                 }
-                c.input.extend_from_slice(&self.scratch[..n]);
-                c.active = now;
-                let arrived = c.presence.read(&self.looks, n == most);
+                c.input.extend_from_slice(&self.read_buffer[..n]);
+                c.last_active = now;
+                let arrived = c.presence.read(&self.poll_timestamps, n == most);
                 self.parse(number, (now, arrived), events, counters);
                 self.flush(number, now, events, counters);
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            Err(_) => self.remove(number, counters, events),
+            Err(_) => self.close(number, counters, events),
         }
     }
 
@@ -319,58 +322,62 @@
         };
         let mut at = 0;
         while c.takes_commands() {
-            match read_command(&c.input[at..]) {
+            match parse_command(&c.input[at..]) {
                 Ok(None) => break,
                 Ok(Some((words, length))) => {
                     let input = &c.input[at..at + length];
                     at += length;
                     // One that has taken nothing yet may still ask; one that never ends must not keep its place for good.
                     // What has come there all the same is answered, or it would be lost.
-                    let takes = self.stance.takes || !c.spoken;
-                    (c.spoken, c.since) = (true, now);
+                    let takes = self.policy.accepts_commands || !c.has_sent_command;
+                    (c.has_sent_command, c.command_since) = (true, now);
                     let ticket = Ticket {
                         request: RequestId(self.next_request),
                         connection: number,
                     };
-                    match command(input, &words, ticket, self.stance) {
-                        Taken::Request(_) if !takes => {
+                    match command(input, &words, ticket, self.policy) {
+                        ParsedCommand::Request(_) if !takes => {
                             counters.refused += 1;
-                            c.places
-                                .push_back(Place::Answered(encode(FinalAnswer::Refused {
-                                    retry_after: 0,
-                                })));
+                            c.responses.push_back(PendingResponse::Answered(encode(
+                                FinalAnswer::Rejected { retry_after: 0 },
+                            )));
                         }
-                        Taken::Request(incoming) => {
+                        ParsedCommand::Request(incoming) => {
                             let incoming = IncomingRequest {
-                                arrived,
+                                arrived_at: arrived,
                                 ..incoming
                             };
                             self.next_request += 1;
-                            c.places.push_back(Place::Waiting(incoming.ticket.request));
+                            c.responses
+                                .push_back(PendingResponse::Waiting(incoming.ticket.request));
                             counters.taken += 1;
                             events.push(ListenerEvent::Request(incoming));
                         }
-                        Taken::Answer(answer) => c.places.push_back(Place::Answered(answer)),
-                        Taken::Malformed(problem) => {
+                        ParsedCommand::Answer(answer) => {
+                            c.responses.push_back(PendingResponse::Answered(answer))
+                        }
+                        ParsedCommand::Malformed(problem) => {
                             counters.malformed += 1;
-                            c.places
-                                .push_back(Place::Answered(error(&format!("ERR {problem}"))));
+                            c.responses
+                                .push_back(PendingResponse::Answered(error(&format!(
+                                    "ERR {problem}"
+                                ))));
                         }
-                        Taken::Nothing => {}
+                        ParsedCommand::Nothing => {}
                     }
                 }
                 Err(e) => {
                     // Where the next command begins is not known: answer, then close.
                     log::debug!("client connection {number}: {e}");
                     counters.malformed += 1;
-                    c.places
-                        .push_back(Place::Answered(error(&format!("ERR {e}"))));
-                    c.last = true;
+                    c.responses
+                        .push_back(PendingResponse::Answered(error(&format!("ERR {e}"))));
+                    c.closes_after_output = true;
                 }
             }
         }
         c.input.drain(..at);
-        if c.last {
+        if c.closes_after_output {
             c.input.clear();
         }
         if c.input.is_empty() {
@@ -383,49 +390,49 @@
         let Some(c) = self.connections.get_mut(&ticket.connection) else {
             return;
         };
-        let waiting = |p: &&mut Place| matches!(p, Place::Waiting(id) if *id == ticket.request);
-        if let Some(place) = c.places.iter_mut().find(waiting) {
+        let waiting = |p: &&mut PendingResponse| matches!(p, PendingResponse::Waiting(id) if *id == ticket.request);
+        if let Some(place) = c.responses.iter_mut().find(waiting) {
             *place = match answer {
-                FinalAnswer::Coming(_) => Place::Coming {
+                FinalAnswer::Streaming(_) => PendingResponse::Streaming {
                     request: ticket.request,
                     bytes: encode(answer),
-                    held_back: false,
+                    paused: false,
                 },
-                answer => Place::Answered(encode(answer)),
+                answer => PendingResponse::Answered(encode(answer)),
             };
         }
     }
 
     /// The place of a value that comes in parts.
-    fn coming(&mut self, connection: u64, wanted: RequestId) -> Option<&mut Place> {
-        let is_it =
-            |p: &&mut Place| matches!(p, Place::Coming { request, .. } if *request == wanted);
+    fn streaming(&mut self, connection: u64, wanted: RequestId) -> Option<&mut PendingResponse> {
+        let is_it = |p: &&mut PendingResponse| matches!(p, PendingResponse::Streaming { request, .. } if *request == wanted);
         self.connections
             .get_mut(&connection)?
-            .places
+            .responses
             .iter_mut()
             .find(is_it)
     }
 
     /// The next bytes of a value that comes in parts.
-    pub fn part(&mut self, connection: u64, request: RequestId, part: &[u8]) {
-        if let Some(Place::Coming { bytes, .. }) = self.coming(connection, request) {
+    pub fn append_chunk(&mut self, connection: u64, request: RequestId, part: &[u8]) {
+        if let Some(PendingResponse::Streaming { bytes, .. }) = self.streaming(connection, request)
+        {
             bytes.extend_from_slice(part);
         }
     }
 
     /// How much of this value waits for its client.
-    pub fn waits(&self, connection: u64, wanted: RequestId) -> usize {
+    pub fn pending_bytes(&self, connection: u64, wanted: RequestId) -> usize {
         let Some(c) = self.connections.get(&connection) else {
             return 0;
         };
-        c.places
+        c.responses
             .iter()
             .enumerate()
             .find_map(|(place, p)| match p {
                 // Of the first place some may be on its way out already.
-                Place::Coming { request, bytes, .. } if *request == wanted => {
-                    Some(bytes.len() + if place == 0 { c.unsent() } else { 0 })
+                PendingResponse::Streaming { request, bytes, .. } if *request == wanted => {
+                    Some(bytes.len() + if place == 0 { c.unsent_bytes() } else { 0 })
                 }
                 _ => None,
             })
@@ -434,9 +441,17 @@
 
     /// Whether the cache of this value is not to be read until there is room: as soon as anything waits where memory is
     /// `tight`. [`ListenerEvent::Room`] tells when.
-    pub fn holds_back(&mut self, connection: u64, request: RequestId, tight: bool) -> bool {
-        let waits = self.waits(connection, request);
-        let Some(Place::Coming { held_back, .. }) = self.coming(connection, request) else {
+    pub fn apply_back_pressure(
+        &mut self,
+        connection: u64,
+        request: RequestId,
+        tight: bool,
+    ) -> bool {
+        let waits = self.pending_bytes(connection, request);
+        let Some(PendingResponse::Streaming {
+            paused: held_back, ..
+        }) = self.streaming(connection, request)
+        else {
             return false;
         };
         *held_back = waits >= WINDOW || tight && waits > 0;
@@ -444,7 +459,7 @@
     }
 
     /// A value that came in parts is through, or has broken off: then the connection ends, so that the client can tell.
-    pub fn finish(
+    pub fn finish_streaming(
         &mut self,
         connection: u64,
         request: RequestId,
@@ -453,18 +468,18 @@
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        let Some(place) = self.coming(connection, request) else {
+        let Some(place) = self.streaming(connection, request) else {
             return;
         };
-        if let Place::Coming { bytes, .. } = place {
+        if let PendingResponse::Streaming { bytes, .. } = place {
             let mut bytes = std::mem::take(bytes);
             bytes.extend_from_slice(if whole { b"\r\n" } else { b"" });
-            *place = Place::Answered(bytes);
+            *place = PendingResponse::Answered(bytes);
         }
         if whole {
             self.flush(connection, now, events, counters)
         } else {
-            self.remove(connection, counters, events)
+            self.close(connection, counters, events)
         }
     }
 
@@ -480,76 +495,87 @@
             let Some(c) = self.connections.get_mut(&number) else {
                 return;
             };
-            while let Some(Place::Answered(_)) = c.places.front()
-                && let Some(Place::Answered(bytes)) = c.places.pop_front()
+            while let Some(PendingResponse::Answered(_)) = c.responses.front()
+                && let Some(PendingResponse::Answered(bytes)) = c.responses.pop_front()
             {
                 c.output.extend_from_slice(&bytes);
                 // The client's next command is not late for what it had to wait.
-                c.since = now;
+                c.command_since = now;
             }
-            if let Some(Place::Coming { bytes, .. }) = c.places.front_mut() {
+            if let Some(PendingResponse::Streaming { bytes, .. }) = c.responses.front_mut() {
                 c.output.drain(..std::mem::take(&mut c.written));
                 c.output.append(bytes);
             }
-            while c.unsent() > 0 {
+            while c.unsent_bytes() > 0 {
                 match c.stream.socket().write(&c.output[c.written..]) {
-                    Ok(0) => return self.remove(number, counters, events),
+                    Ok(0) => return self.close(number, counters, events),
                     Ok(n) => {
                         c.written += n;
-                        c.active = now;
+                        c.last_active = now;
                     }
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(_) => return self.remove(number, counters, events),
+                    Err(_) => return self.close(number, counters, events),
                 }
             }
-            if c.unsent() == 0 {
+            if c.unsent_bytes() == 0 {
                 (c.output, c.written) = (Vec::new(), 0);
             }
-            let unsent = c.unsent();
-            if let Some(Place::Coming {
-                request, held_back, ..
-            }) = c.places.front_mut()
+            let unsent = c.unsent_bytes();
+            if let Some(PendingResponse::Streaming {
+                request,
+                paused: held_back,
+                ..
+            }) = c.responses.front_mut()
                 && *held_back
                 && unsent == 0
             {
                 *held_back = false;
-                events.push(ListenerEvent::Room(*request));
+                events.push(ListenerEvent::CapacityAvailable(*request));
             }
-            if c.leaves.is_some() {
+            if c.close_by.is_some() {
                 return;
             }
             // Who has just come is about to ask: as long as others come too, the sweep closes those that say nothing. Half a
             // command is no reason to stay once none is taken; until then what waits to be read is.
-            let has_asked = c.spoken || self.stance.door == ListenerMode::Closed;
-            let nothing_begun = c.input.is_empty() || c.spoken && !self.stance.takes;
-            let done = c.last || self.stance.closes_idle && has_asked && nothing_begun;
+            let has_asked = c.has_sent_command || self.policy.listener_mode == ListenerMode::Closed;
+            let nothing_begun =
+                c.input.is_empty() || c.has_sent_command && !self.policy.accepts_commands;
+            let done =
+                c.closes_after_output || self.policy.closes_idle && has_asked && nothing_begun;
             let stays = || {
-                let whole = matches!(read_command(&c.input), Ok(Some(_)) | Err(_));
-                whole || self.stance.takes && !is_silent(c.stream.socket())
+                let whole = matches!(parse_command(&c.input), Ok(Some(_)) | Err(_));
+                whole || self.policy.accepts_commands && !is_open_without_input(c.stream.socket())
             };
-            if done && c.places.is_empty() && c.unsent() == 0 && (c.last || !stays()) {
-                return self.leave(number, now, counters, events);
+            if done
+                && c.responses.is_empty()
+                && c.unsent_bytes() == 0
+                && (c.closes_after_output || !stays())
+            {
+                return self.close_gracefully(number, now, counters, events);
             }
             // Commands that were left unread because too much was owed may go on now.
-            let before = c.places.len();
+            let before = c.responses.len();
             if !c.input.is_empty() && c.takes_commands() {
                 // What waited behind others on its connection has its time from now on, unless it has just come.
-                let arrived = c.presence.read_in_turn(&self.looks).unwrap_or(now);
+                let arrived = c
+                    .presence
+                    .read_in_turn(&self.poll_timestamps)
+                    .unwrap_or(now);
                 self.parse(number, (now, arrived), events, counters);
             }
             let Some(c) = self.connections.get_mut(&number) else {
                 return;
             };
-            let more =
-                matches!(c.places.front(), Some(Place::Answered(_))) && c.places.len() > before;
-            if more && c.unsent() == 0 {
+            let more = matches!(c.responses.front(), Some(PendingResponse::Answered(_)))
+                && c.responses.len() > before;
+            if more && c.unsent_bytes() == 0 {
                 continue;
             }
             // While answers are owed the end of the connection is still of interest: the client has gone.
-            let (read, write) = (c.is_read(), c.unsent() > 0);
+            let (read, write) = (c.is_read(), c.unsent_bytes() > 0);
             if c.stream.interest(read, write).is_err() {
-                self.remove(number, counters, events);
+                self.close(number, counters, events);
             }
             return;
         }
@@ -557,7 +583,7 @@
 
     /// Ends a connection on which nothing is owed. Closing over bytes that are unread, or that still come, resets it, and
     /// what was just answered may be destroyed on its way. So at first only our sending ends.
-    fn leave(
+    fn close_gracefully(
         &mut self,
         number: u64,
         now: Nanos,
@@ -567,82 +593,89 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
-        if !c.spoken && !c.last {
+        if !c.has_sent_command && !c.closes_after_output {
             // Nothing was ever answered on it.
-            return self.remove(number, counters, events);
+            return self.close(number, counters, events);
         }
-        c.leaves = Some(now + LEAVE);
+        c.close_by = Some(now + LEAVE);
         c.input = Vec::new();
         if c.stream.socket().shutdown(Shutdown::Write).is_err()
             || c.stream.interest(true, false).is_err()
         {
-            return self.remove(number, counters, events);
+            return self.close(number, counters, events);
         }
-        self.leaving(number, counters, events);
+        self.drain_closing(number, counters, events);
     }
 
     /// Takes what still comes on a connection that leaves, where its framing is lost. A command that can be read stays
     /// unread: whoever sent it is told by the reset, and sends it elsewhere.
-    fn leaving(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<ListenerEvent>) {
+    fn drain_closing(
+        &mut self,
+        number: u64,
+        counters: &mut Counters,
+        events: &mut Vec<ListenerEvent>,
+    ) {
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
         let socket = c.stream.socket();
-        let stays = if c.last {
+        let stays = if c.closes_after_output {
             discard(socket, DISCARD_MAX)
         } else {
             match socket.peek(&mut [0]) {
                 Ok(0) => false,
                 // From now on its end is looked for in the sweep.
-                Ok(_) => !has_ended(socket) && c.stream.interest(false, false).is_ok(),
+                Ok(_) => !has_peer_closed(socket) && c.stream.interest(false, false).is_ok(),
                 Err(e) => e.kind() == ErrorKind::WouldBlock,
             }
         };
         if !stays {
-            self.remove(number, counters, events);
+            self.close(number, counters, events);
         }
     }
 
     /// Closes a connection; whoever waited on it has gone.
-    fn remove(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<ListenerEvent>) {
+    fn close(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<ListenerEvent>) {
         let Some(c) = self.connections.remove(&number) else {
             return;
         };
         counters.clients_closed += 1;
-        for place in c.places {
-            if let Place::Waiting(request) | Place::Coming { request, .. } = place {
+        for place in c.responses {
+            if let PendingResponse::Waiting(request) | PendingResponse::Streaming { request, .. } =
+                place
+            {
                 counters.gone += 1;
-                events.push(ListenerEvent::Gone(request));
+                events.push(ListenerEvent::ClientDisconnected(request));
             }
         }
-        self.pause(false);
+        self.set_accept_paused(false);
     }
 
     /// Takes over what follows from the life cycle now. Whoever waits at a door that is about to close is let in first,
     /// and what has come is read before its connection is closed: otherwise it would be lost.
-    pub fn follow(
+    pub fn apply_policy(
         &mut self,
         stance: LifecyclePolicy,
         now: Nanos,
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        if self.stance == stance {
+        if self.policy == stance {
             return;
         }
-        if stance.door == ListenerMode::Closed {
+        if stance.listener_mode == ListenerMode::Closed {
             // As many as wait, in several turns' worth; those that are taken are too new to make room, so `most` is the end.
             let mut before = None;
             while before.replace(counters.clients_accepted) != Some(counters.clients_accepted) {
                 self.accept(now, counters);
             }
         }
-        self.stance = stance;
-        if stance.door == ListenerMode::Closed {
+        self.policy = stance;
+        if stance.listener_mode == ListenerMode::Closed {
             // Only this process's descriptor of it: the socket may be shared with another.
             self.listener = None;
         }
-        self.pause(false);
+        self.set_accept_paused(false);
         if stance.closes_idle {
             for number in self.connections.keys().copied().collect::<Vec<_>>() {
                 self.read(number, now, events, counters);
--- a/crates/balancer/src/listener/resp/commands.rs
+++ b/crates/balancer/src/listener/resp/commands.rs
@@ -13,7 +13,7 @@
 const PATIENCE_MAX: f64 = 3_600_000.0;
 
 /// What a command turns out to be.
-pub(super) enum Taken {
+pub(super) enum ParsedCommand {
     Request(IncomingRequest),
     /// Something the balancer answers itself.
     Answer(Vec<u8>),
@@ -28,23 +28,23 @@
     words: &[Range<usize>],
     ticket: Ticket,
     stance: LifecyclePolicy,
-) -> Taken {
+) -> ParsedCommand {
     let word = |i: usize| words.get(i).map_or(&[][..], |range| &input[range.clone()]);
     if words.is_empty() {
-        return Taken::Nothing;
+        return ParsedCommand::Nothing;
     }
     let name = word(0).to_ascii_uppercase();
     match (name.as_slice(), words.len()) {
         (b"C.GET", 4) | (b"C.SET", 5) => {
             let value = (words.len() == 5).then(|| word(4).to_vec());
             request([word(1), word(2), word(3)], value, ticket)
-                .map_or_else(Taken::Malformed, Taken::Request)
+                .map_or_else(ParsedCommand::Malformed, ParsedCommand::Request)
         }
-        (b"C.GET" | b"C.SET", _) => Taken::Malformed("wrong number of arguments".into()),
-        (b"PING", _) if stance.ready => Taken::Answer(b"+PONG\r\n".to_vec()),
-        (b"PING", _) => Taken::Answer(error(&format!("LOADING {}", stance.state))),
-        (b"CLIENT" | b"SELECT", _) => Taken::Answer(b"+OK\r\n".to_vec()),
-        _ => Taken::Malformed(format!(
+        (b"C.GET" | b"C.SET", _) => ParsedCommand::Malformed("wrong number of arguments".into()),
+        (b"PING", _) if stance.ready => ParsedCommand::Answer(b"+PONG\r\n".to_vec()),
+        (b"PING", _) => ParsedCommand::Answer(error(&format!("LOADING {}", stance.state))),
+        (b"CLIENT" | b"SELECT", _) => ParsedCommand::Answer(b"+OK\r\n".to_vec()),
+        _ => ParsedCommand::Malformed(format!(
             "unknown command '{}'",
             word(0)[..word(0).len().min(32)].escape_ascii()
         )),
@@ -101,17 +101,17 @@
     let order = CacheCommand {
         value,
         key: key.to_vec(),
-        id: id.to_vec(),
+        request_id: id.to_vec(),
         fields: kept,
     };
     Ok(IncomingRequest {
         ticket,
         class,
         tenant,
-        arrived: 0,
-        patience,
-        work,
-        order,
+        arrived_at: 0,
+        client_timeout: patience,
+        estimated_work: work,
+        command: order,
     })
 }
 
@@ -131,9 +131,9 @@
             out
         }
         // The value itself comes in parts.
-        FinalAnswer::Coming(length) => format!("${length}\r\n").into_bytes(),
-        FinalAnswer::Refused { retry_after: 0 } => error("BUSY"),
-        FinalAnswer::Refused { retry_after } => {
+        FinalAnswer::Streaming(length) => format!("${length}\r\n").into_bytes(),
+        FinalAnswer::Rejected { retry_after: 0 } => error("BUSY"),
+        FinalAnswer::Rejected { retry_after } => {
             error(&format!("BUSY {}", retry_after.div_ceil(MS)))
         }
         FinalAnswer::Failed => error("ERR failed"),
--- a/crates/balancer/src/listener/resp/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/idle_reaper.rs
@@ -5,18 +5,18 @@
 impl RespListener {
     /// Looks for clients that take nothing of what they are owed, say nothing or nothing whole, or are done, and tries
     /// the door again after an error.
-    pub fn sweep(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
+    pub fn reap(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
         self.close_stuck(now, events, counters);
-        self.close_gone(now, events, counters);
+        self.close_disconnected(now, events, counters);
         self.close_unfinished(now, events, counters);
         self.close_idle(now, events, counters);
         // Also at the limit: connections that were at work when the door was shut may be idle by now, and a
         // newcomer would wait for good if only a client's leaving could open it again.
-        self.pause(false);
+        self.set_accept_paused(false);
     }
 
     /// The connections of which this is so.
-    fn those(&self, is_so: impl Fn(&ClientConnection) -> bool) -> Vec<u64> {
+    fn matching(&self, is_so: impl Fn(&ClientConnection) -> bool) -> Vec<u64> {
         self.connections
             .iter()
             .filter(|(_, c)| is_so(c))
@@ -30,21 +30,28 @@
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        for number in self.those(|c| c.unsent() > 0 && now.saturating_sub(c.active) > STUCK) {
-            self.remove(number, counters, events);
+        for number in
+            self.matching(|c| c.unsent_bytes() > 0 && now.saturating_sub(c.last_active) > STUCK)
+        {
+            self.close(number, counters, events);
         }
     }
 
     /// Where nothing is read, for too much is owed or too much has come, no read shows the end.
-    fn close_gone(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
-        let gone = self.those(|c| match c.leaves {
-            Some(until) => now >= until || has_ended(c.stream.socket()),
-            None => !c.is_read() && has_ended(c.stream.socket()),
+    fn close_disconnected(
+        &mut self,
+        now: Nanos,
+        events: &mut Vec<ListenerEvent>,
+        counters: &mut Counters,
+    ) {
+        let gone = self.matching(|c| match c.close_by {
+            Some(until) => now >= until || has_peer_closed(c.stream.socket()),
+            None => !c.is_read() && has_peer_closed(c.stream.socket()),
         });
         for number in gone {
-            let waits = |c: &ClientConnection| c.leaves.is_none() && !c.places.is_empty();
+            let waits = |c: &ClientConnection| c.close_by.is_none() && !c.responses.is_empty();
             counters.left_unread += u64::from(self.connections.get(&number).is_some_and(waits));
-            self.remove(number, counters, events);
+            self.close(number, counters, events);
         }
     }
 
@@ -55,13 +62,13 @@
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        let unfinished = self.those(|c| {
-            !(c.spoken && c.input.is_empty())
+        let unfinished = self.matching(|c| {
+            !(c.has_sent_command && c.input.is_empty())
                 && c.takes_commands()
-                && c.places.is_empty()
-                && now.saturating_sub(c.since) >= UNFINISHED
+                && c.responses.is_empty()
+                && now.saturating_sub(c.command_since) >= UNFINISHED
                 // What has come but is not read yet may end it.
-                && is_silent(c.stream.socket())
+                && is_open_without_input(c.stream.socket())
         });
         for number in unfinished {
             counters.clients_unfinished += 1;
@@ -70,14 +77,14 @@
                 .get_mut(&number)
                 .filter(|c| !c.input.is_empty())
             {
-                c.places.push_back(Place::Answered(error(
+                c.responses.push_back(PendingResponse::Answered(error(
                     "ERR the command did not end in time",
                 )));
                 c.input = Vec::new();
-                c.last = true;
+                c.closes_after_output = true;
                 self.flush(number, now, events, counters);
             } else {
-                self.leave(number, now, counters, events);
+                self.close_gracefully(number, now, counters, events);
             }
         }
     }
@@ -86,34 +93,36 @@
         let stay = self
             .connections
             .values()
-            .filter(|c| c.leaves.is_none())
+            .filter(|c| c.close_by.is_none())
             .count();
-        let crowded = stay > self.most / 2;
-        let most = match (self.stance.closes_idle, crowded) {
+        let crowded = stay > self.connections_max / 2;
+        let most = match (self.policy.closes_idle, crowded) {
             (true, _) => IDLE_CLOSING,
             (false, true) => IDLE_CROWDED,
             (false, false) => IDLE,
         };
         let is_idle_for = |c: &ClientConnection, least: Nanos| {
-            c.is_idle() && now.saturating_sub(c.active) >= least && is_silent(c.stream.socket())
+            c.is_idle()
+                && now.saturating_sub(c.last_active) >= least
+                && is_open_without_input(c.stream.socket())
         };
-        let mut done = self.those(|c| is_idle_for(c, most));
+        let mut done = self.matching(|c| is_idle_for(c, most));
         let beyond = stay
             .saturating_sub(done.len())
-            .saturating_sub(self.most * CROWD / 100);
+            .saturating_sub(self.connections_max * CROWD / 100);
         if beyond > 0 {
-            let idle = |c: &ClientConnection| c.spoken && is_idle_for(c, IDLE_LEAST);
+            let idle = |c: &ClientConnection| c.has_sent_command && is_idle_for(c, IDLE_LEAST);
             let idle = self
                 .connections
                 .iter()
                 .filter(|(n, c)| idle(c) && !done.contains(n));
-            let mut idle: Vec<(Nanos, u64)> = idle.map(|(n, c)| (c.active, *n)).collect();
+            let mut idle: Vec<(Nanos, u64)> = idle.map(|(n, c)| (c.last_active, *n)).collect();
             idle.sort_unstable();
             done.extend(idle.into_iter().take(beyond).map(|(_, number)| number));
         }
         for number in done {
             counters.clients_idle += 1;
-            self.leave(number, now, counters, events);
+            self.close_gracefully(number, now, counters, events);
         }
     }
 }
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -9,9 +9,9 @@
 const SERVING: LifecyclePolicy = LifecyclePolicy {
     state: "serving",
     ready: true,
-    door: ListenerMode::Open,
+    listener_mode: ListenerMode::Open,
     closes_idle: false,
-    takes: true,
+    accepts_commands: true,
 };
 const CLOSING: LifecyclePolicy = LifecyclePolicy {
     ready: false,
@@ -50,7 +50,7 @@
     front
         .connections
         .iter()
-        .filter(|(_, c)| c.leaves.is_none())
+        .filter(|(_, c)| c.close_by.is_none())
         .map(|(number, _)| *number)
         .collect()
 }
@@ -69,7 +69,7 @@
         "just taken"
     );
     assert!(!front.accepting, "the newcomer waits");
-    front.sweep(2, &mut Vec::new(), &mut counters);
+    front.reap(2, &mut Vec::new(), &mut counters);
     assert!(front.accepting, "but not for good");
     first.write_all(b"*1\r\n").unwrap();
     front.accept(IDLE_LEAST, &mut counters);
@@ -114,9 +114,9 @@
         };
         front.ready(1, ready, &mut events, &mut counters);
     }
-    front.sweep(UNFINISHED - 1, &mut events, &mut counters);
+    front.reap(UNFINISHED - 1, &mut events, &mut counters);
     assert_eq!(front.connections.len(), 4);
-    front.sweep(UNFINISHED, &mut events, &mut counters);
+    front.reap(UNFINISHED, &mut events, &mut counters);
     assert_eq!(
         (staying(&front), counters.clients_unfinished),
         (vec![2, 3], 2),
@@ -126,23 +126,23 @@
     let mut text = String::new();
     clients[1].read_to_string(&mut text).unwrap();
     assert_eq!(text, "-ERR the command did not end in time\r\n");
-    front.sweep(IDLE, &mut events, &mut counters);
+    front.reap(IDLE, &mut events, &mut counters);
     assert_eq!(
         (staying(&front), counters.clients_idle),
         (vec![2], 0),
         "not yet"
     );
-    front.set_most(1);
-    front.sweep(IDLE, &mut events, &mut counters);
+    front.set_connections_max(1);
+    front.reap(IDLE, &mut events, &mut counters);
     assert_eq!(
         (staying(&front), counters.clients_idle),
         (vec![], 1),
         "crowded"
     );
     // Their clients do not close: their time ends it.
-    front.sweep(IDLE + LEAVE - 1, &mut events, &mut counters);
+    front.reap(IDLE + LEAVE - 1, &mut events, &mut counters);
     assert_eq!(front.connections.keys().copied().collect::<Vec<_>>(), [2]);
-    front.sweep(IDLE + LEAVE, &mut events, &mut counters);
+    front.reap(IDLE + LEAVE, &mut events, &mut counters);
     assert!(front.is_empty());
 }
 
@@ -162,7 +162,7 @@
     client.write_all(b"*1\r\n$4").unwrap();
     front.ready(UNFINISHED - 1, ready, &mut events, &mut counters);
     for (now, open) in [(2 * UNFINISHED - 2, true), (2 * UNFINISHED - 1, false)] {
-        front.sweep(now, &mut events, &mut counters);
+        front.reap(now, &mut events, &mut counters);
         assert_eq!(staying(&front).len(), usize::from(open), "{now}");
     }
 }
@@ -184,9 +184,9 @@
         };
         front.ready(number, ready, &mut events, &mut counters);
     }
-    front.sweep(IDLE_LEAST - 1, &mut events, &mut counters);
+    front.reap(IDLE_LEAST - 1, &mut events, &mut counters);
     assert_eq!(front.connections.len(), 6, "not at once");
-    front.sweep(IDLE_LEAST + 9, &mut events, &mut counters);
+    front.reap(IDLE_LEAST + 9, &mut events, &mut counters);
     assert_eq!(staying(&front), [2, 3, 4, 5]);
 }
 
@@ -200,8 +200,8 @@
         .connections
         .get_mut(&3)
         .unwrap()
-        .places
-        .push_back(Place::Waiting(RequestId(8)));
+        .responses
+        .push_back(PendingResponse::Waiting(RequestId(8)));
     let mut say = |front: &mut RespListener, number: u64, now: Nanos, text: &[u8]| {
         clients[number as usize].write_all(text).unwrap();
         let ready = Readiness {
@@ -217,12 +217,12 @@
     let _more: Vec<TcpStream> = (0..3).map(|_| connect()).collect();
     front.accept(IDLE_FULL - 1, &mut counters);
     assert_eq!(counters.clients_closed, 0, "just answered");
-    front.pause(false);
+    front.set_accept_paused(false);
     front.accept(IDLE_FULL, &mut counters);
     assert!(counters.clients_closed == 1 && !front.connections.contains_key(&2));
     // The one goes on, if slowly; the other stands still, and so does the mute one that came.
     say(&mut front, 0, IDLE_FULL + 1, b"$4\r\n");
-    front.pause(false);
+    front.set_accept_paused(false);
     front.accept(IDLE_FULL + MUTE_LEAST, &mut counters);
     assert_eq!(
         front.connections.keys().copied().collect::<Vec<_>>(),
@@ -232,9 +232,9 @@
         .connections
         .get_mut(&5)
         .unwrap()
-        .places
-        .push_back(Place::Waiting(RequestId(9)));
-    front.pause(false);
+        .responses
+        .push_back(PendingResponse::Waiting(RequestId(9)));
+    front.set_accept_paused(false);
     front.accept(HALF_LEAST, &mut counters);
     assert_eq!(
         front.connections.keys().copied().collect::<Vec<_>>(),
@@ -275,7 +275,7 @@
     let _mute: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
     for turn in 1..9 {
         front.accept(turn * IDLE_LEAST, &mut counters);
-        front.pause(false);
+        front.set_accept_paused(false);
     }
     assert!(front.connections.contains_key(&0) && counters.clients_accepted == 5);
 }
@@ -284,14 +284,14 @@
 fn a_client_that_never_sends_does_not_keep_a_stopped_front_open() {
     let (mut front, connect) = front(9);
     let mut counters = Counters::default();
-    front.follow(CLOSING, 0, &mut Vec::new(), &mut counters);
+    front.apply_policy(CLOSING, 0, &mut Vec::new(), &mut counters);
     let _late = connect();
     front.accept(1, &mut counters);
     assert!(!front.is_empty());
     let _later = connect();
-    front.follow(
+    front.apply_policy(
         LifecyclePolicy {
-            door: ListenerMode::Closed,
+            listener_mode: ListenerMode::Closed,
             ..CLOSING
         },
         2,
@@ -306,16 +306,16 @@
 fn in_a_drain_who_comes_and_stays_idle_or_never_ends_is_closed() {
     let (mut front, connect) = front(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
-    front.follow(CLOSING, 0, &mut events, &mut counters);
+    front.apply_policy(CLOSING, 0, &mut events, &mut counters);
     let _idle = connect();
     let mut endless = connect();
     front.accept(1, &mut counters);
-    front.sweep(IDLE_CLOSING, &mut events, &mut counters);
+    front.reap(IDLE_CLOSING, &mut events, &mut counters);
     assert_eq!(front.connections.len(), 2, "it may be about to ask");
     // More comes whenever something is answered: a command is always open.
     let command = resp::write_command(&[b"C.GET", b"a", b"1", b"c=read,d=900000"]);
     endless.write_all(&command.repeat(2)).unwrap();
-    front.sweep(IDLE_CLOSING + 1, &mut events, &mut counters);
+    front.reap(IDLE_CLOSING + 1, &mut events, &mut counters);
     assert_eq!(
         front.connections.keys().copied().collect::<Vec<_>>(),
         [1],
@@ -328,9 +328,9 @@
     };
     front.ready(IDLE_CLOSING + 2, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2);
-    front.follow(
+    front.apply_policy(
         LifecyclePolicy {
-            takes: false,
+            accepts_commands: false,
             ..CLOSING
         },
         IDLE_CLOSING + 3,
@@ -390,19 +390,22 @@
     let (one, two) = (first.request, second.request);
     let mut events = Vec::new();
     // The second comes while the first is still out: what of it there is room for waits.
-    front.answer(second, FinalAnswer::Coming(WINDOW + 1));
-    front.part(0, two, &[b'y'; WINDOW - 20]);
-    assert!(!front.holds_back(0, two, false) && front.holds_back(0, two, true));
-    front.part(0, two, &[b'y'; 21]);
-    assert!(front.holds_back(0, two, false));
+    front.answer(second, FinalAnswer::Streaming(WINDOW + 1));
+    front.append_chunk(0, two, &[b'y'; WINDOW - 20]);
+    assert!(!front.apply_back_pressure(0, two, false) && front.apply_back_pressure(0, two, true));
+    front.append_chunk(0, two, &[b'y'; 21]);
+    assert!(front.apply_back_pressure(0, two, false));
     front.flush(0, 1, &mut events, &mut counters);
-    front.finish(0, two, true, 1, &mut events, &mut counters);
-    front.answer(first, FinalAnswer::Coming(3));
-    front.part(0, one, b"x");
+    front.finish_streaming(0, two, true, 1, &mut events, &mut counters);
+    front.answer(first, FinalAnswer::Streaming(3));
+    front.append_chunk(0, one, b"x");
     front.flush(0, 1, &mut events, &mut counters);
-    assert!(!front.holds_back(0, one, true), "nothing waits for it");
-    front.part(0, one, b"xx");
-    front.finish(0, one, true, 1, &mut events, &mut counters);
+    assert!(
+        !front.apply_back_pressure(0, one, true),
+        "nothing waits for it"
+    );
+    front.append_chunk(0, one, b"xx");
+    front.finish_streaming(0, one, true, 1, &mut events, &mut counters);
     let want = [
         b"$3\r\nxxx\r\n",
         format!("${}\r\n", WINDOW + 1).as_bytes(),
@@ -421,10 +424,10 @@
     let first = tickets.remove(0);
     let (request, mut events) = (first.request, Vec::new());
     const LENGTH: usize = 64 << 20;
-    front.answer(first, FinalAnswer::Coming(LENGTH));
+    front.answer(first, FinalAnswer::Streaming(LENGTH));
     let mut sent = 0;
-    while !front.holds_back(0, request, false) {
-        front.part(0, request, &[b'x'; READ_SIZE]);
+    while !front.apply_back_pressure(0, request, false) {
+        front.append_chunk(0, request, &[b'x'; READ_SIZE]);
         front.flush(0, 1, &mut events, &mut counters);
         sent += READ_SIZE;
         assert!(sent < LENGTH, "the sockets' buffers are smaller");
@@ -443,12 +446,15 @@
         while matches!(client.read(&mut [0; READ_SIZE]), Ok(n) if n > 0) {}
         front.ready(2, ready, &mut events, &mut counters);
     }
-    assert!(matches!(events[..], [ListenerEvent::Room(r)] if r == request));
+    assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
     assert_eq!(front.buffered(), 0);
     // The cache breaks off: the client must be able to tell, and the request behind has nobody to wait for.
     events.clear();
-    front.finish(0, request, false, 3, &mut events, &mut counters);
-    assert!(front.is_empty() && matches!(events[..], [ListenerEvent::Gone(r)] if r != request));
+    front.finish_streaming(0, request, false, 3, &mut events, &mut counters);
+    assert!(
+        front.is_empty()
+            && matches!(events[..], [ListenerEvent::ClientDisconnected(r)] if r != request)
+    );
 }
 
 #[test]
@@ -467,12 +473,12 @@
         ("1.5", Some(1_500)),
         ("3600000000", Some(3_600_000 * MS)),
     ] {
-        assert_eq!(read(h).work, work, "{h}");
+        assert_eq!(read(h).estimated_work, work, "{h}");
     }
     for h in ["", "0", "-5", "inf", "NaN", "3600000001", "soon"] {
         let incoming = read(h);
-        assert_eq!(incoming.work, None, "{h}");
-        assert_eq!(incoming.order.fields[1], ("h".to_string(), h.to_string()));
+        assert_eq!(incoming.estimated_work, None, "{h}");
+        assert_eq!(incoming.command.fields[1], ("h".to_string(), h.to_string()));
     }
 }
 
@@ -526,7 +532,7 @@
         }
     }
     assert_eq!(events.drain(..).count(), taken);
-    front.sweep(1, &mut events, &mut counters);
+    front.reap(1, &mut events, &mut counters);
     assert_eq!(
         (events.len(), counters.left_unread),
         (0, 0),
@@ -538,11 +544,11 @@
             .unwrap();
     }
     drop(client);
-    front.sweep(2, &mut events, &mut counters);
+    front.reap(2, &mut events, &mut counters);
     assert!(
         events
             .iter()
-            .all(|event| matches!(event, ListenerEvent::Gone(_)))
+            .all(|event| matches!(event, ListenerEvent::ClientDisconnected(_)))
     );
     assert_eq!(
         (events.len(), counters.left_unread, front.is_empty()),
@@ -588,10 +594,10 @@
     front.flush(0, 0, &mut events, &mut counters);
     match close {
         Close::Garbled => {}
-        Close::Drain => front.follow(CLOSING, 1, &mut events, &mut counters),
-        Close::NoLongerTaken => front.follow(
+        Close::Drain => front.apply_policy(CLOSING, 1, &mut events, &mut counters),
+        Close::NoLongerTaken => front.apply_policy(
             LifecyclePolicy {
-                takes: false,
+                accepts_commands: false,
                 ..CLOSING
             },
             1,
@@ -610,7 +616,7 @@
         // The kernel sends on as the client takes what has come; the loop has its turns meanwhile.
         front.ready(now, ready, &mut events, &mut counters);
         now += LEAVE / 100_000;
-        front.sweep(now, &mut events, &mut counters);
+        front.reap(now, &mut events, &mut counters);
         let mut some = [0; 2_048];
         match client.read(&mut some) {
             Ok(0) => break Ok(()),
@@ -638,9 +644,9 @@
     for client in &mut clients {
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     }
-    front.follow(
+    front.apply_policy(
         LifecyclePolicy {
-            door: ListenerMode::Closed,
+            listener_mode: ListenerMode::Closed,
             ..CLOSING
         },
         0,
@@ -666,7 +672,7 @@
 #[rstest]
 fn a_request_that_crosses_the_beginning_of_an_end_is_taken(
     #[values(Crosses::FirstOnNew, Crosses::InTwoParts, Crosses::BehindAnAnswer)] crosses: Crosses,
-    #[values(ListenerMode::Open, ListenerMode::Left)] door: ListenerMode,
+    #[values(ListenerMode::Open, ListenerMode::HandedOver)] door: ListenerMode,
 ) {
     let (mut front, connect) = front(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
@@ -678,11 +684,14 @@
         readable: true,
         writable: false,
     };
-    let ending = LifecyclePolicy { door, ..CLOSING };
+    let ending = LifecyclePolicy {
+        listener_mode: door,
+        ..CLOSING
+    };
     match crosses {
         // The door was just passed, and nothing is read yet.
         Crosses::FirstOnNew => {
-            front.follow(ending, 1, &mut events, &mut counters);
+            front.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
         }
         Crosses::InTwoParts => {
@@ -691,7 +700,7 @@
             front.ready(0, ready, &mut events, &mut counters);
             let (half, rest) = command.split_at(command.len() / 2);
             client.write_all(half).unwrap();
-            front.follow(ending, 1, &mut events, &mut counters);
+            front.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(rest).unwrap();
         }
         // It comes behind the look at what there is to read, and before the answer that would have the connection end.
@@ -701,7 +710,7 @@
             let Some(ListenerEvent::Request(incoming)) = events.pop() else {
                 panic!("it is taken")
             };
-            front.follow(ending, 1, &mut events, &mut counters);
+            front.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
             front.answer(incoming.ticket, FinalAnswer::Served(b"v".to_vec()));
             front.flush(0, 1, &mut events, &mut counters);
@@ -728,10 +737,10 @@
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let _client = connect();
     front.accept(0, &mut counters);
-    front.follow(CLOSING, 1, &mut events, &mut counters);
-    front.sweep(IDLE_CLOSING - 1, &mut events, &mut counters);
+    front.apply_policy(CLOSING, 1, &mut events, &mut counters);
+    front.reap(IDLE_CLOSING - 1, &mut events, &mut counters);
     assert!(!front.is_empty());
-    front.sweep(IDLE_CLOSING, &mut events, &mut counters);
+    front.reap(IDLE_CLOSING, &mut events, &mut counters);
     assert!(front.is_empty());
 }
 
@@ -759,15 +768,17 @@
         FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]),
     );
     front.flush(0, 0, &mut events, &mut counters);
-    while front.connections[&0].unsent() > 0 {
+    while front.connections[&0].unsent_bytes() > 0 {
         let _ = client.read(&mut [0; 4_096]).unwrap();
         front.flush(0, 0, &mut events, &mut counters);
     }
-    assert!(front.connections[&0].is_idle() && has_unsent(front.connections[&0].stream.socket()));
+    assert!(
+        front.connections[&0].is_idle() && has_unsent_output(front.connections[&0].stream.socket())
+    );
     let _newcomer = connect();
     front.accept(IDLE_LEAST, &mut counters);
     assert_eq!((counters.clients_accepted, counters.clients_closed), (1, 0));
-    while has_unsent(front.connections[&0].stream.socket()) {
+    while has_unsent_output(front.connections[&0].stream.socket()) {
         let _ = client.read(&mut [0; 4_096]).unwrap();
     }
     front.accept(2 * IDLE_LEAST, &mut counters);
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -31,7 +31,7 @@
 
 /// The listening TCP socket that this process was started with under that number, or why it is none.
 #[allow(unsafe_code)]
-pub fn inherited(number: RawFd) -> Result<TcpListener, String> {
+pub fn inherit_listener(number: RawFd) -> Result<TcpListener, String> {
     if number <= 2 {
         return Err("is a standard stream".into());
     }
@@ -55,12 +55,12 @@
 }
 
 /// Whether a connection stands and nothing waits to be read on it.
-pub fn is_silent(stream: &TcpStream) -> bool {
+pub fn is_open_without_input(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
 /// Whether the other end sends nothing more, or has closed. Unlike a read this sees it past bytes that wait to be read.
-pub fn has_ended(stream: &TcpStream) -> bool {
+pub fn has_peer_closed(stream: &TcpStream) -> bool {
     let mut one = [PollFd::new(stream, PollFlags::RDHUP)];
     matches!(rustix::event::poll(&mut one, Some(&Timespec::default())), Ok(ready) if ready > 0)
 }
@@ -68,7 +68,7 @@
 /// Whether something that was written still waits here because the other end takes no more for now. Closed then, a byte from there
 /// would destroy it. Where the kernel can't tell, nothing waits.
 #[allow(unsafe_code)]
-pub fn has_unsent(stream: &TcpStream) -> bool {
+pub fn has_unsent_output(stream: &TcpStream) -> bool {
     // Linux's SIOCOUTQNSD: bytes not sent yet. Those that were sent and not confirmed arrive before any reset.
     const UNSENT: Opcode = 0x894B;
     // SAFETY: the kernel writes one int for this request, and that is what the getter holds; it touches nothing else.
@@ -99,19 +99,19 @@
     /// A client connection, by its number.
     Client(u64),
     /// A connection to a peer, by its number.
-    Peer(u64),
+    Upstream(u64),
     /// A connection to discovery, by its number.
     Discovery(u64),
     /// The request to stop.
     Stop,
     /// The request for the counters.
-    Report,
+    PrintCounters,
     /// The request to read the configuration again.
     Reload,
     /// The socket on which the operators call.
     AdminListener,
     /// A connection of an operator's call, by its number.
-    Caller(u64),
+    AdminConnection(u64),
     /// The socket of the fleet's talk.
     Gossip,
 }
@@ -123,13 +123,13 @@
         let (number, kind) = match self {
             EventSource::Listener => (0, 0),
             EventSource::Client(n) => (n, 1),
-            EventSource::Peer(n) => (n, 2),
+            EventSource::Upstream(n) => (n, 2),
             EventSource::Discovery(n) => (n, 3),
             EventSource::Stop => (0, 4),
-            EventSource::Report => (0, 5),
+            EventSource::PrintCounters => (0, 5),
             EventSource::Reload => (0, 6),
             EventSource::AdminListener => (0, 7),
-            EventSource::Caller(n) => (n, 8),
+            EventSource::AdminConnection(n) => (n, 8),
             EventSource::Gossip => (0, 9),
         };
         (number * Self::KINDS + kind) as usize
@@ -140,13 +140,13 @@
         match key as u64 % Self::KINDS {
             0 => EventSource::Listener,
             1 => EventSource::Client(number),
-            2 => EventSource::Peer(number),
+            2 => EventSource::Upstream(number),
             3 => EventSource::Discovery(number),
             4 => EventSource::Stop,
-            5 => EventSource::Report,
+            5 => EventSource::PrintCounters,
             6 => EventSource::Reload,
             7 => EventSource::AdminListener,
-            8 => EventSource::Caller(number),
+            8 => EventSource::AdminConnection(number),
             _ => EventSource::Gossip,
         }
     }
--- a/crates/balancer/src/poll/tests.rs
+++ b/crates/balancer/src/poll/tests.rs
@@ -24,8 +24,8 @@
         ),
     ];
     for (number, problem) in wrong {
-        assert_eq!(inherited(number).err().as_deref(), Some(problem));
+        assert_eq!(inherit_listener(number).err().as_deref(), Some(problem));
     }
-    let inherited = inherited(listener.into_raw_fd()).unwrap();
-    assert_eq!(inherited.local_addr().unwrap(), address);
+    let inherit_listener = inherit_listener(listener.into_raw_fd()).unwrap();
+    assert_eq!(inherit_listener.local_addr().unwrap(), address);
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -24,13 +24,13 @@
     /// Its tenant, by name.
     pub tenant: Option<String>,
     /// The earliest time at which it can have come.
-    pub arrived: Nanos,
+    pub arrived_at: Nanos,
     /// How long the client waits from then on.
-    pub patience: Nanos,
+    pub client_timeout: Nanos,
     /// The client's guess at the work on a standard core, if it gives one.
-    pub work: Option<Nanos>,
+    pub estimated_work: Option<Nanos>,
     /// What is passed on.
-    pub order: CacheCommand,
+    pub command: CacheCommand,
 }
 
 /// What a peer is to do, in the client's words.
@@ -41,35 +41,39 @@
     /// What it concerns.
     pub key: Vec<u8>,
     /// The client's id for it.
-    pub id: Vec<u8>,
+    pub request_id: Vec<u8>,
     /// The client's names and values but for its patience, which is told anew with each try.
     pub fields: Vec<(String, String)>,
 }
 
 impl CacheCommand {
     /// The command for a peer that is waited for so many milliseconds.
-    pub fn command(&self, ms: u64) -> Vec<u8> {
+    pub fn encode(&self, ms: u64) -> Vec<u8> {
         let mut fields = String::new();
         for (name, value) in &self.fields {
             fields.push_str(&format!("{name}={value},"));
         }
         fields.push_str(&format!("d={ms}"));
         match &self.value {
-            None => write_command(&[b"C.GET", &self.key, &self.id, fields.as_bytes()]),
-            Some(value) => {
-                write_command(&[b"C.SET", &self.key, &self.id, fields.as_bytes(), value])
-            }
+            None => write_command(&[b"C.GET", &self.key, &self.request_id, fields.as_bytes()]),
+            Some(value) => write_command(&[
+                b"C.SET",
+                &self.key,
+                &self.request_id,
+                fields.as_bytes(),
+                value,
+            ]),
         }
     }
 
     /// Bytes that it holds.
-    pub fn size(&self) -> usize {
+    pub fn byte_size(&self) -> usize {
         let fields: usize = self
             .fields
             .iter()
             .map(|(name, value)| name.len() + value.len())
             .sum();
-        self.value.as_ref().map_or(0, Vec::len) + self.key.len() + self.id.len() + fields
+        self.value.as_ref().map_or(0, Vec::len) + self.key.len() + self.request_id.len() + fields
     }
 }
 
@@ -79,9 +83,9 @@
     /// The value or receipt that a peer gave for this request.
     Served(Vec<u8>),
     /// The same, of this length; the value comes in parts and may still break off.
-    Coming(usize),
+    Streaming(usize),
     /// Turned away: trying again is harmless, after this long if it is not 0.
-    Refused {
+    Rejected {
         /// The advice.
         retry_after: Nanos,
     },
@@ -95,46 +99,46 @@
 #[derive(Debug)]
 pub struct AttemptRecord {
     /// Where it went.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// When.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// For how long the process had been held up by then, in all.
-    pub lost: Nanos,
+    pub stalled_before: Nanos,
     /// When it has had its time.
-    pub until: Nanos,
+    pub deadline: Nanos,
     /// Its first byte is written by then or never.
-    pub begin_by: Nanos,
+    pub write_deadline: Nanos,
 }
 
 /// A request from its arrival until it is answered and nothing of it is out any more.
 #[derive(Debug)]
 pub struct RequestContext {
     /// Until it is answered or the client has left.
-    pub owed: Option<Ticket>,
+    pub ticket: Option<Ticket>,
     /// When its client left.
-    pub left: Option<Nanos>,
+    pub client_left_at: Option<Nanos>,
     /// What is passed on.
-    pub order: CacheCommand,
+    pub command: CacheCommand,
     /// When the client gives up.
     pub deadline: Nanos,
     /// Attempts that are out.
-    pub out: BTreeMap<AttemptNumber, AttemptRecord>,
+    pub attempts: BTreeMap<AttemptNumber, AttemptRecord>,
 }
 
 impl RequestContext {
     /// The context of a request that has just come.
     pub fn new(ticket: Ticket, order: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
-            owed: Some(ticket),
-            left: None,
-            order,
+            ticket: Some(ticket),
+            client_left_at: None,
+            command: order,
             deadline,
-            out: BTreeMap::new(),
+            attempts: BTreeMap::new(),
         }
     }
 
     /// Nothing is owed and nothing expected any more.
-    pub fn is_over(&self) -> bool {
-        self.owed.is_none() && self.out.is_empty()
+    pub fn is_finished(&self) -> bool {
+        self.ticket.is_none() && self.attempts.is_empty()
     }
 }
--- a/crates/balancer/src/resp.rs
+++ b/crates/balancer/src/resp.rs
@@ -10,7 +10,7 @@
 pub const VALUE_MAX: usize = 64 * 1024;
 /// The longest value taken from a peer, and passed on as it comes if it is over [`VALUE_MAX`]; what claims to be longer
 /// is spoilt.
-pub const ANSWER_VALUE_MAX: usize = 4 << 20;
+pub const RESPONSE_VALUE_MAX: usize = 4 << 20;
 /// The longest text line: a status or an error.
 const LINE_MAX: usize = 1024;
 /// The longest number, with its sign.
@@ -18,9 +18,9 @@
 /// The longest word of a command but for the value of a write, which is its last.
 const WORD_MAX: usize = 4 * 1024;
 /// Where the value stands in a command.
-const VALUE_PLACE: usize = 4;
+const VALUE_INDEX: usize = 4;
 /// The members of an answer: value, note and load report.
-const ANSWER_MEMBERS: usize = 3;
+const RESPONSE_MEMBERS: usize = 3;
 /// The most members of one array.
 const ARRAY_MAX: usize = 16;
 /// How deep arrays may lie in each other.
@@ -32,24 +32,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RespError {
     /// A message begins with something else than it must.
-    Start(u8),
+    UnexpectedByte(u8),
     /// A length is no number, or negative where it must not be.
-    Length,
+    InvalidLength,
     /// A line, value or array is longer than allowed.
     TooLong,
     /// A line or value does not end as it must.
-    End,
+    MissingLineEnd,
 }
 
 impl fmt::Display for RespError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RespError::Start(byte) => {
+            RespError::UnexpectedByte(byte) => {
                 write!(f, "Protocol error: unexpected '{}'", byte.escape_ascii())
             }
-            RespError::Length => f.write_str("Protocol error: invalid length"),
+            RespError::InvalidLength => f.write_str("Protocol error: invalid length"),
             RespError::TooLong => f.write_str("Protocol error: too long"),
-            RespError::End => f.write_str("Protocol error: missing line end"),
+            RespError::MissingLineEnd => f.write_str("Protocol error: missing line end"),
         }
     }
 }
@@ -95,7 +95,9 @@
                 Ok(None)
             };
         };
-        let line = rest[..end].strip_suffix(b"\r").ok_or(RespError::End)?;
+        let line = rest[..end]
+            .strip_suffix(b"\r")
+            .ok_or(RespError::MissingLineEnd)?;
         self.at += end + 1;
         Ok(Some(line))
     }
@@ -108,11 +110,11 @@
             .take_while(|b| b.is_ascii_digit() || **b == b'-')
             .count();
         if digits > NUMBER_MAX || rest.get(digits).is_some_and(|b| *b != b'\r') {
-            return Err(RespError::Length);
+            return Err(RespError::InvalidLength);
         }
         let line = more!(self.line());
-        let text = std::str::from_utf8(line).map_err(|_| RespError::Length)?;
-        text.parse().map(Some).map_err(|_| RespError::Length)
+        let text = std::str::from_utf8(line).map_err(|_| RespError::InvalidLength)?;
+        text.parse().map(Some).map_err(|_| RespError::InvalidLength)
     }
 
     fn start(&mut self) -> Option<u8> {
@@ -125,7 +127,7 @@
     fn bulk(&mut self, most: usize) -> Result<Option<Option<Range<usize>>>, RespError> {
         let length = match more!(self.number()) {
             -1 => return Ok(Some(None)),
-            n => usize::try_from(n).map_err(|_| RespError::Length)?,
+            n => usize::try_from(n).map_err(|_| RespError::InvalidLength)?,
         };
         if length > most {
             return Err(RespError::TooLong);
@@ -135,7 +137,7 @@
             return Ok(None);
         };
         if end != b"\r\n" {
-            return Err(RespError::End);
+            return Err(RespError::MissingLineEnd);
         }
         self.at = range.end + 2;
         Ok(Some(Some(range)))
@@ -148,7 +150,7 @@
             Some(b'$') => Ok(self
                 .bulk(most)?
                 .map(|range| range.map(|range| self.input[range].to_vec()))),
-            Some(other) => Err(RespError::Start(other)),
+            Some(other) => Err(RespError::UnexpectedByte(other)),
         }
     }
 
@@ -158,7 +160,7 @@
             n if n > ARRAY_MAX as i64 => Err(RespError::TooLong),
             n => usize::try_from(n)
                 .map(|n| Some(Some(n)))
-                .map_err(|_| RespError::Length),
+                .map_err(|_| RespError::InvalidLength),
         }
     }
 
@@ -170,7 +172,7 @@
             Ok(None) | Err(_) => Err(()),
         };
         let length = load.as_ref().ok().map(|_| self.at);
-        let made = Answer::Made {
+        let made = Answer::Served {
             value,
             note,
             load: load.unwrap_or_default(),
@@ -201,7 +203,7 @@
                 }
             },
             b'*' => return Err(RespError::TooLong),
-            other => return Err(RespError::Start(other)),
+            other => return Err(RespError::UnexpectedByte(other)),
         }))
     }
 }
@@ -210,12 +212,12 @@
 pub type Command = (Vec<Range<usize>>, usize);
 
 /// Reads a command: an array of bulk strings. A null or empty array is a command without words.
-pub fn read_command(input: &[u8]) -> Result<Option<Command>, RespError> {
+pub fn parse_command(input: &[u8]) -> Result<Option<Command>, RespError> {
     let mut reader = Reader { input, at: 0 };
     match reader.start() {
         None => return Ok(None),
         Some(b'*') => {}
-        Some(other) => return Err(RespError::Start(other)),
+        Some(other) => return Err(RespError::UnexpectedByte(other)),
     }
     let count = more!(reader.count()).unwrap_or(0);
     let mut words = Vec::with_capacity(count);
@@ -223,14 +225,14 @@
         match reader.start() {
             None => return Ok(None),
             Some(b'$') => {
-                let most = if place == VALUE_PLACE {
+                let most = if place == VALUE_INDEX {
                     VALUE_MAX
                 } else {
                     WORD_MAX
                 };
-                words.push(more!(reader.bulk(most)).ok_or(RespError::Length)?);
+                words.push(more!(reader.bulk(most)).ok_or(RespError::InvalidLength)?);
             }
-            Some(other) => return Err(RespError::Start(other)),
+            Some(other) => return Err(RespError::UnexpectedByte(other)),
         }
     }
     Ok(Some((words, reader.at)))
@@ -240,7 +242,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
     /// What it made for the request.
-    Made {
+    Served {
         /// The value or receipt.
         value: Vec<u8>,
         /// How it went.
@@ -255,7 +257,7 @@
 /// Reads a peer's answer to a request: three members in an array, or an error. With it comes its length, or none if
 /// the connection is of no further use. Whatever can't become such an answer is told at the first byte that
 /// shows it: what a spoilt answer lacks may never come. A value is good without the report behind it.
-pub fn read_answer(input: &[u8]) -> Result<Option<(Answer, Option<usize>)>, RespError> {
+pub fn parse_response(input: &[u8]) -> Result<Option<(Answer, Option<usize>)>, RespError> {
     let mut reader = Reader { input, at: 0 };
     match reader.start() {
         None => return Ok(None),
@@ -267,24 +269,24 @@
                 .next()
                 .unwrap_or_default();
             if !text.iter().all(|b| (b' '..=b'~').contains(b)) {
-                return Err(RespError::End);
+                return Err(RespError::MissingLineEnd);
             }
             let text = String::from_utf8_lossy(more!(reader.line())).into_owned();
             return Ok(Some((Answer::Error(text), Some(reader.at))));
         }
-        Some(other) => return Err(RespError::Start(other)),
+        Some(other) => return Err(RespError::UnexpectedByte(other)),
     }
-    if more!(reader.count()) != Some(ANSWER_MEMBERS) {
-        return Err(RespError::Length);
+    if more!(reader.count()) != Some(RESPONSE_MEMBERS) {
+        return Err(RespError::InvalidLength);
     }
-    let value = more!(reader.member(ANSWER_VALUE_MAX)).ok_or(RespError::Length)?;
+    let value = more!(reader.member(RESPONSE_VALUE_MAX)).ok_or(RespError::InvalidLength)?;
     reader.made(value)
 }
 
 /// Where the value of an answer begins and how long it says it is, once that much has come.
-pub fn read_long_start(input: &[u8]) -> Option<(usize, usize)> {
+pub fn parse_long_value_header(input: &[u8]) -> Option<(usize, usize)> {
     let mut reader = Reader { input, at: 0 };
-    let array = reader.start()? == b'*' && reader.count() == Ok(Some(Some(ANSWER_MEMBERS)));
+    let array = reader.start()? == b'*' && reader.count() == Ok(Some(Some(RESPONSE_MEMBERS)));
     if !array || reader.start()? != b'$' {
         return None;
     }
@@ -293,11 +295,11 @@
 }
 
 /// Reads what stands behind a value that was passed on as it came, from its line end on.
-pub fn read_tail(input: &[u8]) -> Result<Option<(Answer, Option<usize>)>, RespError> {
+pub fn parse_response_tail(input: &[u8]) -> Result<Option<(Answer, Option<usize>)>, RespError> {
     let end = b"\r\n";
     let come = input.len().min(end.len());
     if input[..come] != end[..come] {
-        return Err(RespError::End);
+        return Err(RespError::MissingLineEnd);
     }
     if come < end.len() {
         return Ok(None);
@@ -310,7 +312,7 @@
 }
 
 /// Reads a reply; with it comes its length.
-pub fn read_reply(input: &[u8]) -> Result<Option<(Reply, usize)>, RespError> {
+pub fn parse_reply(input: &[u8]) -> Result<Option<(Reply, usize)>, RespError> {
     let mut reader = Reader { input, at: 0 };
     let reply = more!(reader.reply(0));
     Ok(Some((reply, reader.at)))
@@ -347,9 +349,9 @@
     fn a_command_is_read_once_all_of_it_has_come() {
         let whole = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
         for cut in 0..whole.len() {
-            assert_eq!(read_command(&whole[..cut]), Ok(None), "after {cut} bytes");
+            assert_eq!(parse_command(&whole[..cut]), Ok(None), "after {cut} bytes");
         }
-        let (words, length) = read_command(&whole).unwrap().unwrap();
+        let (words, length) = parse_command(&whole).unwrap().unwrap();
         assert_eq!(length, whole.len());
         assert_eq!(
             words.iter().map(|w| &whole[w.clone()]).collect::<Vec<_>>(),
@@ -361,7 +363,7 @@
     fn a_reply_is_read_once_all_of_it_has_come() {
         let whole = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
         for cut in 0..whole.len() {
-            assert_eq!(read_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
+            assert_eq!(parse_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
         }
         let inner = Reply::Array(Some(vec![
             Reply::Integer(7),
@@ -372,7 +374,7 @@
             Reply::Bulk(None),
             inner,
         ]));
-        assert_eq!(read_reply(whole), Ok(Some((reply, whole.len()))));
+        assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
     }
 
     #[test]
@@ -393,13 +395,13 @@
         ];
         for input in spoilt {
             // An array of another size is told with its line.
-            let told =
-                read_answer(input).is_err() || read_answer(&[input, b"\r\n"].concat()).is_err();
+            let told = parse_response(input).is_err()
+                || parse_response(&[input, b"\r\n"].concat()).is_err();
             assert!(told, "{}", input.escape_ascii());
         }
         let made = |load: Option<&[u8]>| {
             let load = load.map(<[u8]>::to_vec);
-            Answer::Made {
+            Answer::Served {
                 value: b"v".to_vec(),
                 note: Some(b"hit".to_vec()),
                 load,
@@ -415,37 +417,37 @@
             (b"", None, false),
         ];
         for (tail, load, useful) in cases {
-            let (answer, length) = read_answer(&[head, tail].concat()).unwrap().unwrap();
+            let (answer, length) = parse_response(&[head, tail].concat()).unwrap().unwrap();
             assert_eq!(
                 (answer, length),
                 (made(load), useful.then_some(head.len() + tail.len()))
             );
         }
-        assert_eq!(read_answer(&head[..head.len() - 1]), Ok(None));
+        assert_eq!(parse_response(&head[..head.len() - 1]), Ok(None));
     }
 
     #[test]
     fn lost_framing_is_told() {
         let long = vec![b'1'; LINE_MAX];
         let cases: [(&[u8], RespError); 8] = [
-            (b"PING\r\n", RespError::Start(b'P')),
-            (b"*1\r\n+PING\r\n", RespError::Start(b'+')),
-            (b"*x\r\n", RespError::Length),
-            (b"*-2\r\n", RespError::Length),
+            (b"PING\r\n", RespError::UnexpectedByte(b'P')),
+            (b"*1\r\n+PING\r\n", RespError::UnexpectedByte(b'+')),
+            (b"*x\r\n", RespError::InvalidLength),
+            (b"*-2\r\n", RespError::InvalidLength),
             (b"*99999999999\r\n", RespError::TooLong),
             (b"*1\r\n$4097\r\n", RespError::TooLong),
-            (b"*1\r\n$-1\r\n", RespError::Length),
-            (b"*1\r\n$1\r\nabc", RespError::End),
+            (b"*1\r\n$-1\r\n", RespError::InvalidLength),
+            (b"*1\r\n$1\r\nabc", RespError::MissingLineEnd),
         ];
         for (input, error) in cases {
-            assert_eq!(read_command(input), Err(error), "{}", input.escape_ascii());
+            assert_eq!(parse_command(input), Err(error), "{}", input.escape_ascii());
         }
         assert_eq!(
-            read_command(&[b"*", &long[..]].concat()),
-            Err(RespError::Length)
+            parse_command(&[b"*", &long[..]].concat()),
+            Err(RespError::InvalidLength)
         );
         assert_eq!(
-            read_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n"),
+            parse_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n"),
             Err(RespError::TooLong)
         );
     }
--- a/crates/balancer/src/response_stream.rs
+++ b/crates/balancer/src/response_stream.rs
@@ -1,7 +1,9 @@
 //! A long value on its way through: told from the first bytes of a peer's answer, passed on as it comes, and checked for its end.
 //! No I/O.
 
-use crate::resp::{ANSWER_VALUE_MAX, Answer, RespError, VALUE_MAX, read_long_start, read_tail};
+use crate::resp::{
+    Answer, RESPONSE_VALUE_MAX, RespError, VALUE_MAX, parse_long_value_header, parse_response_tail,
+};
 
 /// A value is passed on once this much of it has come: what is spoilt mostly shows before.
 const BEGIN_AFTER: usize = 4 * 1024;
@@ -18,7 +20,8 @@
 
 /// Where a long value begins and how long it is, if the answer that has begun is that of one.
 fn long_start(input: &[u8]) -> Option<(usize, usize)> {
-    read_long_start(input).filter(|(_, length)| (VALUE_MAX + 1..=ANSWER_VALUE_MAX).contains(length))
+    parse_long_value_header(input)
+        .filter(|(_, length)| (VALUE_MAX + 1..=RESPONSE_VALUE_MAX).contains(length))
 }
 
 /// Whether an answer that has begun is that of a long value.
@@ -51,7 +54,7 @@
         if self.left > 0 {
             Ok(None)
         } else {
-            read_tail(input)
+            parse_response_tail(input)
         }
     }
 }
@@ -111,7 +114,7 @@
             let (made, next) = end.unwrap().unwrap();
             assert_eq!(
                 made,
-                Answer::Made {
+                Answer::Served {
                     value: Vec::new(),
                     note: Some(b"hit".to_vec()),
                     load: None
@@ -132,14 +135,14 @@
             (VALUE_MAX, &much[..], false),
             (VALUE_MAX + 1, &much[..BEGIN_AFTER - 1], false),
             (VALUE_MAX + 1, &much[..], true),
-            (ANSWER_VALUE_MAX, &much[..], true),
-            (ANSWER_VALUE_MAX + 1, &much[..], false),
+            (RESPONSE_VALUE_MAX, &much[..], true),
+            (RESPONSE_VALUE_MAX + 1, &much[..], false),
         ];
         for (length, come, begins) in cases {
             let mut input = [head(length).as_bytes(), come].concat();
             assert_eq!(
                 is_long(&input),
-                (VALUE_MAX + 1..=ANSWER_VALUE_MAX).contains(&length)
+                (VALUE_MAX + 1..=RESPONSE_VALUE_MAX).contains(&length)
             );
             assert_eq!(
                 ResponseStream::begin(&mut input).is_some(),
@@ -163,7 +166,10 @@
     fn a_value_that_is_longer_than_told_is_spoilt() {
         let value = vec![b'x'; VALUE_MAX + 1];
         let whole = answer(&value, b"more\r\n$3\r\nhit\r\n$-1\r\n");
-        assert_eq!(feed([&whole[..]].into_iter()).2, Err(RespError::End));
+        assert_eq!(
+            feed([&whole[..]].into_iter()).2,
+            Err(RespError::MissingLineEnd)
+        );
         for tail in [b"\r\n+3".as_slice(), b"\n", b"\r\r", b"\r\n$-5\r\n"] {
             assert!(
                 feed([&answer(&value, tail)[..]].into_iter()).2.is_err(),
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -2,8 +2,8 @@
 //! that giving a job up (by closing) takes no other with it and no answer waits for a slower one before it.
 
 use crate::counters::Counters;
-use crate::poll::{EventSource, Poll, Readiness, Registered, connect, is_silent};
-use crate::resp::{Answer, Reply, RespError, read_answer, read_reply};
+use crate::poll::{EventSource, Poll, Readiness, Registered, connect, is_open_without_input};
+use crate::resp::{Answer, Reply, RespError, parse_reply, parse_response};
 use crate::response_stream::{ResponseStream, is_long};
 use crate::timers::{MS, TimerKind, Timers};
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
@@ -291,7 +291,7 @@
             if !self
                 .connections
                 .get(&number)
-                .is_some_and(|c| is_silent(c.stream.socket()))
+                .is_some_and(|c| is_open_without_input(c.stream.socket()))
             {
                 self.remove(number, counters);
                 continue;
@@ -309,7 +309,7 @@
                 let number = self.next_connection;
                 let watched = self
                     .poll
-                    .watch(stream, EventSource::Peer(number), false, true);
+                    .watch(stream, EventSource::Upstream(number), false, true);
                 let stream = match watched {
                     Ok(stream) => stream,
                     Err(e) => {
@@ -515,7 +515,7 @@
         c.paused = pause;
         c.came = now;
         if !pause {
-            timers.set(now + c.stall(), TimerKind::Stall(number));
+            timers.set(now + c.stall(), TimerKind::ResponseStall(number));
         }
     }
 
@@ -528,7 +528,7 @@
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        let EventSource::Peer(number) = ready.source else {
+        let EventSource::Upstream(number) = ready.source else {
             return;
         };
         let Some(c) = self.connections.get_mut(&number) else {
@@ -633,7 +633,7 @@
             // The reader bounds each message; all that have begun are bounded together.
             Ok(None) if self.coming <= self.coming_most => {
                 if !unwritten {
-                    timers.set(now + c.stall(), TimerKind::Stall(number));
+                    timers.set(now + c.stall(), TimerKind::ResponseStall(number));
                 }
                 return;
             }
@@ -759,10 +759,10 @@
 ) -> Result<Option<(ExchangeResult, Option<usize>)>, RespError> {
     Ok(match job {
         UpstreamJob::Attempt(..) => {
-            read_answer(input)?.map(|(answer, length)| (ExchangeResult::Answer(answer), length))
+            parse_response(input)?.map(|(answer, length)| (ExchangeResult::Answer(answer), length))
         }
         UpstreamJob::Probe(_) => {
-            read_reply(input)?.map(|(reply, length)| (ExchangeResult::Reply(reply), Some(length)))
+            parse_reply(input)?.map(|(reply, length)| (ExchangeResult::Reply(reply), Some(length)))
         }
     })
 }
--- a/crates/balancer/src/upstream_pool/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -84,7 +84,7 @@
 
     fn ready(&mut self, number: u64) {
         let ready = Readiness {
-            source: EventSource::Peer(number),
+            source: EventSource::Upstream(number),
             readable: true,
             writable: true,
         };
@@ -464,7 +464,7 @@
     while read < LENGTH {
         read += peer.read(&mut some).unwrap();
         let ready = Readiness {
-            source: EventSource::Peer(0),
+            source: EventSource::Upstream(0),
             readable: false,
             writable: true,
         };
