--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,7 +1,7 @@
 //! A member's doubt of itself. One that stood still, or hears nobody, sees others as silent though the silence is its
 //! own; it accuses nobody until it has had time to hear them (the local health of the Lifeguard paper).
 
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use crate::{MS, Nanos};
 
 /// A turn that comes this much later than it was due shows that the member itself stood still. Scheduling on a busy
@@ -12,7 +12,7 @@
 /// One step of doubt goes after this long without a cause.
 const DOUBT_FADES: Nanos = 2_000 * MS;
 /// A member that hears nobody for this long holds itself for cut off: before any single member's silence is a suspicion
-/// ([`crate::watch::SILENT`]), for those it watches send it a beat four times a second each.
+/// ([`crate::heartbeat::SILENT`]), for those it watches send it a beat four times a second each.
 const CUT_OFF: Nanos = 800 * MS;
 /// After so long it believes the silence all the same: the others may be dead.
 const SILENT_MAX: Nanos = 10_000 * MS;
@@ -44,7 +44,7 @@
     /// it counts for nothing.
     pub fn turn(&mut self, now: Nanos) -> bool {
         let late = self.due.is_some_and(|due| now > due.saturating_add(GAP));
-        let stood = late && !planted::is_injected(InjectedFault::TrustsItselfAfterAStall);
+        let stood = late && !fault_injection::is_injected(InjectedFault::IgnoresOwnStall);
         if stood {
             self.gaps += 1;
             self.doubt(now);
@@ -93,7 +93,7 @@
 
     /// Whether an accusation by it counts now.
     pub fn may_accuse(&self, now: Nanos) -> bool {
-        !self.is_cut_off(now) || planted::is_injected(InjectedFault::AccusesWhileCutOff)
+        !self.is_cut_off(now) || fault_injection::is_injected(InjectedFault::SuspectsWhileIsolated)
     }
 }
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,6 +1,6 @@
 //! Who a member is, and how its older selves are told from it.
 
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        if planted::is_injected(InjectedFault::BelievesOldGeneration) {
+        if fault_injection::is_injected(InjectedFault::PrefersOlderGeneration) {
             return self.generation < adversary.generation;
         }
         self.generation > adversary.generation
@@ -151,7 +151,7 @@
         self.note(&id);
         if id.address == self.own {
             if member.state() == foca::State::Suspect
-                && planted::is_injected(InjectedFault::ForgetsRefutation)
+                && fault_injection::is_injected(InjectedFault::NeverRefutes)
             {
                 return Ok(foca::Member::alive(id));
             }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,41 +6,41 @@
 //! out by SWIM (the library `foca`); what this crate decides beyond that is in modules of its own:
 //!
 //! - [`envelope`]: whose datagrams are read at all;
-//! - [`watch`]: who listens for whom, and when silence becomes a suspicion;
+//! - [`heartbeat`]: who listens for whom, and when silence becomes a suspicion;
 //! - [`suspicion`]: when a suspect is given up, and by whom;
 //! - [`health`]: when a member distrusts itself and accuses nobody;
-//! - [`compare`]: what rumours have missed is found by comparing lists;
-//! - [`records`]: soft state of bounded size, spread and asked for;
-//! - [`overload`]: one level of admission for the whole fleet;
-//! - [`count`]: how many balancers the rest is shared among, through splits and deaths;
+//! - [`anti_entropy`]: what rumours have missed is found by comparing lists;
+//! - [`metadata`]: soft state of bounded size, spread and asked for;
+//! - [`shedding`]: one level of admission for the whole fleet;
+//! - [`share_count`]: how many balancers the rest is shared among, through splits and deaths;
 //! - [`regions`]: a fleet of several regions, in which members know only summaries of the others.
 //!
 //! Times are nanoseconds on the caller's own monotonic clock; spans are nanoseconds too. Nothing is encrypted or signed:
 //! the talk belongs on a network that is trusted.
 #![forbid(unsafe_code)]
 
-pub mod compare;
-pub mod count;
+pub mod anti_entropy;
 pub mod envelope;
+pub mod fault_injection;
 pub mod health;
+pub mod heartbeat;
 mod identity;
 mod location;
 mod member;
-pub mod overload;
-pub mod planted;
+pub mod metadata;
 #[cfg(test)]
 mod recorded_gossip_tests;
-pub mod records;
 pub mod regions;
 mod settings;
+pub mod share_count;
+pub mod shedding;
 pub mod suspicion;
 mod view;
-pub mod watch;
 
 pub use identity::Identity;
 pub use location::{LOCATION_NAME_MAX, Location};
 pub use member::{Member, MemberStatistics};
-pub use records::{MemberMetadata, MetadataRecord, ServingPhase};
+pub use metadata::{MemberMetadata, MetadataRecord, ServingPhase};
 pub use settings::{MembershipSettings, Timing};
 pub use view::{MemberStatus, MemberView, MembershipEvent, RegionView, View};
 
--- a/crates/membership/src/location.rs
+++ b/crates/membership/src/location.rs
@@ -1,7 +1,7 @@
 //! Where a balancer runs: its region, zone and site. Encoded in the extension of its record, so that members of versions
 //! without regions pass it on unread.
 
-use crate::records::EXTRA_MAX;
+use crate::metadata::EXTRA_MAX;
 use serde::{Deserialize, Serialize};
 
 /// The longest name of a region, zone or site, in bytes: three of them fit into the extension of a record.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,42 +1,42 @@
 //! One member: datagrams and time in; datagrams, wake-ups and changes of the view out.
 
-mod agree;
-mod budget;
-mod delegate;
-mod listen;
-mod overview;
-mod regional;
+mod anti_entropy;
+mod dissemination;
+mod failure_detection;
+mod federation;
+mod membership_table;
+mod region_delegate;
+mod region_overview;
 mod roster;
-mod spread;
+mod send_budget;
+mod statistics;
 mod swim;
-mod table;
-mod traffic;
 
-use crate::compare::{Pace, Sums};
-use crate::count::Count;
-use crate::envelope::{self, Kind, Numbers, Refusal};
+use crate::anti_entropy::{Pace, Sums};
+use crate::envelope::{self, EnvelopeError, EnvelopeScope, MessageKind};
 use crate::health::Health;
+use crate::heartbeat::Watch;
 use crate::identity::{Held, Named, Wire};
-use crate::overload::SharedShedding;
-use crate::records::{MemberMetadata, MetadataRecord, MetadataStore};
+use crate::metadata::{MemberMetadata, MetadataRecord, MetadataStore};
+use crate::share_count::Count;
+use crate::shedding::SharedShedding;
 use crate::suspicion::Suspicions;
-use crate::watch::Watch;
 use crate::{Identity, MS, MemberView, MembershipEvent, MembershipSettings, Nanos, View};
-use budget::Budget;
 #[cfg(test)]
-pub(crate) use delegate::Referral;
+pub(crate) use failure_detection::Ask;
+use federation::Regional;
 use foca::{Foca, Timer};
-#[cfg(test)]
-pub(crate) use listen::Ask;
+use membership_table::{Sources, Table};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use regional::Regional;
+#[cfg(test)]
+pub(crate) use region_delegate::Referral;
 use roster::Roster;
+use send_budget::Budget;
+pub use statistics::MemberStatistics;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use swim::Swim;
-use table::{Sources, Table};
-pub use traffic::MemberStatistics;
 
 /// A member wakes at least this often.
 const TURN: Nanos = 50 * MS;
@@ -46,7 +46,7 @@
 /// One member of a fleet.
 pub struct Member {
     settings: MembershipSettings,
-    numbers: Numbers,
+    numbers: EnvelopeScope,
     swim: Swim,
     roster: Roster,
     named: Named,
@@ -120,7 +120,7 @@
         let mut own = MetadataRecord {
             member: id,
             version: 1,
-            metadata: spread::bounded(soft),
+            metadata: dissemination::bounded(soft),
         };
         if !settings.location.is_none() {
             own.metadata.extension = settings.location.encode();
@@ -132,7 +132,7 @@
         }
         let join_delay = rng.random_range(0..swim::JOIN_FIRST / 2);
         Member {
-            numbers: Numbers::new(&settings.fleet, &settings.location.region),
+            numbers: EnvelopeScope::new(&settings.fleet, &settings.location.region),
             regional: Regional::new(&settings, unix_ms, now),
             swim: Foca::new(id, swim::config(&settings), swim_rng, wire),
             roster: Roster::new(),
@@ -262,29 +262,29 @@
         self.statistics.heard_bytes += datagram.len() as u64;
         let (kind, payload) = match envelope::open(self.numbers, datagram) {
             Ok(opened) => opened,
-            Err(Refusal::Torn) => return self.statistics.torn += 1,
-            Err(Refusal::Foreign) => return self.statistics.foreign += 1,
-            Err(Refusal::Version) => return self.statistics.version += 1,
+            Err(EnvelopeError::Corrupt) => return self.statistics.torn += 1,
+            Err(EnvelopeError::Foreign) => return self.statistics.foreign += 1,
+            Err(EnvelopeError::UnsupportedVersion) => return self.statistics.version += 1,
         };
         if self.gone {
             return;
         }
         let taken = match kind {
-            Kind::Swim => self.take_swim(from, payload),
-            Kind::Records => self.take_records(payload),
-            Kind::Want => self.take_want(from, payload),
-            Kind::Compare => self.take_compare(from, payload),
-            Kind::Told => self.take_told(from, payload),
-            Kind::Load => self.take_load(payload),
-            Kind::Ask => self.take_ask(payload),
+            MessageKind::Swim => self.take_swim(from, payload),
+            MessageKind::MetadataRecords => self.take_records(payload),
+            MessageKind::MetadataRequest => self.take_want(from, payload),
+            MessageKind::MemberListDigest => self.take_compare(from, payload),
+            MessageKind::MemberListDelta => self.take_told(from, payload),
+            MessageKind::LevelReports => self.take_load(payload),
+            MessageKind::WatcherProbe => self.take_ask(payload),
             // That it came is all it says.
-            Kind::Beat => postcard::from_bytes::<Identity>(payload).is_ok(),
-            Kind::RegionQuestion => self.take_region_question(from, payload),
-            Kind::RegionAnswer => self.take_region_answer(from, payload),
-            Kind::RegionNews => self.take_region_news(payload),
-            Kind::RegionReferral => self.take_region_referral(from, payload),
-            Kind::Overview => self.take_overview(from, payload),
-            Kind::OverviewQuestion => self.take_overview_question(from, payload),
+            MessageKind::Heartbeat => postcard::from_bytes::<Identity>(payload).is_ok(),
+            MessageKind::RegionDigest => self.take_region_question(from, payload),
+            MessageKind::RegionDelta => self.take_region_answer(from, payload),
+            MessageKind::RegionAnnouncements => self.take_region_news(payload),
+            MessageKind::RegionReferral => self.take_region_referral(from, payload),
+            MessageKind::Overview => self.take_overview(from, payload),
+            MessageKind::OverviewDigest => self.take_overview_question(from, payload),
         };
         if !taken {
             return self.statistics.malformed += 1;
@@ -396,7 +396,7 @@
         allowed
     }
 
-    fn send(&mut self, to: SocketAddr, kind: Kind, payload: &[u8]) {
+    fn send(&mut self, to: SocketAddr, kind: MessageKind, payload: &[u8]) {
         let datagram = envelope::seal(self.numbers, kind, payload);
         self.statistics.sent += 1;
         self.statistics.sent_bytes += datagram.len() as u64;
--- a/crates/membership/src/member/agree.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -1,12 +1,12 @@
-//! What members agree on beyond who is there: lists compared with those of others ([`crate::compare`]), and the level by
+//! What members agree on beyond who is there: lists compared with those of others ([`crate::anti_entropy`]), and the level by
 //! which all shed load.
 
 use super::Member;
 use super::swim::{GOSSIP, GOSSIP_TO, Runtime};
-use crate::compare::{self, Entry};
-use crate::envelope::Kind;
-use crate::overload::{AdmissionCounts, LevelReport, SharedShedding};
-use crate::planted::{self, InjectedFault};
+use crate::anti_entropy::{self as compare, Entry};
+use crate::envelope::MessageKind;
+use crate::fault_injection::{self, InjectedFault};
+use crate::shedding::{AdmissionCounts, LevelReport, SharedShedding};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -39,8 +39,8 @@
 
     /// Asks one of the others whether it holds the same, if it is time.
     pub(super) fn compare(&mut self) {
-        if planted::is_injected(InjectedFault::TellsRecordsOnce)
-            || planted::is_injected(InjectedFault::NeverCompares)
+        if fault_injection::is_injected(InjectedFault::GossipsRecordsOnce)
+            || fault_injection::is_injected(InjectedFault::SkipsAntiEntropy)
             || !self.pace.due(self.now)
         {
             return;
@@ -51,7 +51,7 @@
         let Some(to) = self.somebody() else { return };
         self.statistics.compared += 1;
         let question = compare::question(self.id(), &self.sums);
-        self.send(to, Kind::Compare, &question);
+        self.send(to, MessageKind::MemberListDigest, &question);
     }
 
     /// Another asks.
@@ -68,7 +68,7 @@
         if !answer.agrees() {
             self.pace.stir(self.now);
         }
-        self.send(from, Kind::Told, &compare::write(&answer));
+        self.send(from, MessageKind::MemberListDelta, &compare::write(&answer));
         true
     }
 
@@ -89,7 +89,7 @@
             && self.may_send()
             && let Some(back) = told.lacks(self.id(), self.entries())
         {
-            self.send(from, Kind::Told, &compare::write(&back));
+            self.send(from, MessageKind::MemberListDelta, &compare::write(&back));
         }
         let (own, most) = (self.settings.address, self.settings.members_max);
         let mut news = Vec::new();
@@ -128,15 +128,15 @@
         self.roster.touch();
         self.carry_out(runtime);
         self.leap();
-        for wanted in want.chunks(crate::records::WANT_MAX).take(2) {
+        for wanted in want.chunks(crate::metadata::WANT_MAX).take(2) {
             let payload = postcard::to_stdvec(wanted).unwrap_or_default();
-            self.send(from, Kind::Want, &payload);
+            self.send(from, MessageKind::MetadataRequest, &payload);
         }
         true
     }
 }
 
-/// The level that all shed load by together ([`crate::overload`]).
+/// The level that all shed load by together ([`crate::shedding`]).
 impl Member {
     /// Begins to agree on a level with the others; `tiers` is how many the module has.
     pub fn enable_shared_shedding(&mut self, tiers: usize) {
@@ -173,7 +173,7 @@
         }
         if self.now < self.tell_load
             || !overload.is_loud()
-            || planted::is_injected(InjectedFault::KeepsItsLevelToItself)
+            || fault_injection::is_injected(InjectedFault::WithholdsShedLevel)
         {
             return;
         }
@@ -182,7 +182,7 @@
         for _ in 0..GOSSIP_TO.min(self.swim.num_members()) {
             let Some(to) = self.somebody() else { return };
             self.statistics.load += 1;
-            self.send(to, Kind::Load, &words);
+            self.send(to, MessageKind::LevelReports, &words);
         }
     }
 
--- a/crates/membership/src/member/spread.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -2,9 +2,9 @@
 
 use super::Member;
 use super::swim::{GOSSIP, GOSSIP_TO, Runtime};
-use crate::envelope::Kind;
-use crate::planted::{self, InjectedFault};
-use crate::records::{BUILD_MAX, EXTRA_MAX, MemberMetadata, NAME_MAX, ServingPhase, cut};
+use crate::envelope::MessageKind;
+use crate::fault_injection::{self, InjectedFault};
+use crate::metadata::{BUILD_MAX, EXTRA_MAX, MemberMetadata, NAME_MAX, ServingPhase, cut};
 use crate::{MS, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
         };
         for answer in answers {
             if self.may_send() {
-                self.send(from, Kind::Records, &answer);
+                self.send(from, MessageKind::MetadataRecords, &answer);
             }
         }
         true
@@ -85,7 +85,9 @@
                 }
             }
         }
-        if self.now >= self.round && !planted::is_injected(InjectedFault::TellsRecordsOnce) {
+        if self.now >= self.round
+            && !fault_injection::is_injected(InjectedFault::GossipsRecordsOnce)
+        {
             self.round = self.now + ROUND;
             if let Some(to) = self.somebody() {
                 self.tell_records(to, true);
@@ -97,13 +99,13 @@
                 .want(self.now, members, self.swim.iter_members().map(|m| m.id()))
             && let Some(to) = self.somebody()
         {
-            self.send(to, Kind::Want, &want);
+            self.send(to, MessageKind::MetadataRequest, &want);
         }
     }
 
     pub(super) fn tell_records(&mut self, to: SocketAddr, with_round: bool) {
         let payload = self.records.tell(self.settings.address, with_round);
-        self.send(to, Kind::Records, &payload);
+        self.send(to, MessageKind::MetadataRecords, &payload);
     }
 
     /// Goes, and says so. The member answers nothing from then on; its last outputs are to be sent.
@@ -113,7 +115,7 @@
             return;
         }
         self.gone = true;
-        if planted::is_injected(InjectedFault::LeavesSilently) {
+        if fault_injection::is_injected(InjectedFault::LeavesSilently) {
             return;
         }
         self.update_metadata(|soft| soft.phase = ServingPhase::Leaving);
@@ -123,7 +125,7 @@
         for _ in 0..LEAVE_TOLD.min(others.len()) {
             let to = others.swap_remove(self.rng.random_range(0..others.len()));
             let payload = self.records.tell(own, true);
-            self.send(to, Kind::Records, &payload);
+            self.send(to, MessageKind::MetadataRecords, &payload);
         }
         let mut runtime = Runtime::default();
         // The word that it is down goes to a few at a time; some of it gets lost.
--- a/crates/membership/src/member/listen.rs
+++ b/crates/membership/src/member/failure_detection.rs
@@ -2,9 +2,9 @@
 
 use super::Member;
 use super::swim::Runtime;
-use crate::envelope::Kind;
-use crate::planted::{self, InjectedFault};
-use crate::{Identity, suspicion, watch};
+use crate::envelope::MessageKind;
+use crate::fault_injection::{self, InjectedFault};
+use crate::{Identity, heartbeat, suspicion};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
             self.beat(ask.by.address);
             return true;
         };
-        if suspect != self.id() || planted::is_injected(InjectedFault::ForgetsRefutation) {
+        if suspect != self.id() || fault_injection::is_injected(InjectedFault::NeverRefutes) {
             return true;
         }
         let mut runtime = Runtime::default();
@@ -61,11 +61,11 @@
             .due(self.now, patience, may, |a| watch.watches(a), heard);
         for step in steps {
             match step {
-                watch::Step::Beat(to) => self.beat(to),
+                heartbeat::Step::Beat(to) => self.beat(to),
                 // A suspect is asked below.
-                watch::Step::Ask(of) if self.roster.suspects().contains_key(&of) => {}
-                watch::Step::Ask(of) => self.ask(of, None),
-                watch::Step::Suspect(of) => self.say(of, foca::State::Suspect),
+                heartbeat::Step::Ask(of) if self.roster.suspects().contains_key(&of) => {}
+                heartbeat::Step::Ask(of) => self.ask(of, None),
+                heartbeat::Step::Suspect(of) => self.say(of, foca::State::Suspect),
             }
         }
         for step in verdicts {
@@ -80,7 +80,7 @@
 
     pub(super) fn beat(&mut self, to: SocketAddr) {
         let payload = postcard::to_stdvec(&self.id()).unwrap_or_default();
-        self.send(to, Kind::Beat, &payload);
+        self.send(to, MessageKind::Heartbeat, &payload);
     }
 
     pub(super) fn ask(&mut self, of: SocketAddr, suspect: Option<(Identity, u16)>) {
@@ -90,7 +90,7 @@
         })
         .unwrap_or_default();
         self.statistics.asked += 1;
-        self.send(of, Kind::Ask, &payload);
+        self.send(of, MessageKind::WatcherProbe, &payload);
     }
 
     /// Tells all of what a member is, by the word of this one.
--- a/crates/membership/src/member/regional.rs
+++ b/crates/membership/src/member/federation.rs
@@ -2,10 +2,10 @@
 //! members of the region hold of the others ([`crate::regions`]).
 
 use super::Member;
-use crate::planted::{self, InjectedFault};
-use crate::regions::count::{Figures, RegionCount};
+use crate::fault_injection::{self, InjectedFault};
 use crate::regions::exchange::{Dropped, Exchange};
 use crate::regions::overview::{Overview, RegionRow};
+use crate::regions::share_count::{Figures, RegionCount};
 use crate::regions::{SILENT_AFTER, delegates};
 use crate::{Location, MS, MembershipEvent, MembershipSettings, Nanos, RegionView};
 use std::collections::{BTreeMap, BTreeSet};
@@ -116,7 +116,7 @@
         }
         let first = self.drawn_of.is_none() || living.is_empty();
         self.drawn_of = Some(members);
-        if planted::is_injected(InjectedFault::NeverReplacesDelegates)
+        if fault_injection::is_injected(InjectedFault::NeverReplacesDelegates)
             && !first
             && now - self.started > 2 * LEAD_AFTER
         {
--- a/crates/membership/src/member/table.rs
+++ b/crates/membership/src/member/membership_table.rs
@@ -1,8 +1,8 @@
 //! The members as they were last seen, and what changed since.
 
 use super::swim::Swim;
-use crate::count::Count;
-use crate::records::{MetadataStore, ServingPhase};
+use crate::metadata::{MetadataStore, ServingPhase};
+use crate::share_count::Count;
 use crate::{Identity, MemberStatus, MemberView, MembershipEvent, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/membership/src/member/delegate.rs
+++ b/crates/membership/src/member/region_delegate.rs
@@ -2,9 +2,9 @@
 
 use super::Member;
 use super::swim::Runtime;
-use crate::envelope::{Kind, PAYLOAD_MAX};
-use crate::planted::{self, InjectedFault};
-use crate::records::ServingPhase;
+use crate::envelope::{MessageKind, PAYLOAD_MAX};
+use crate::fault_injection::{self, InjectedFault};
+use crate::metadata::ServingPhase;
 use crate::regions::exchange::{AgedAnnouncement, Answer, Exchange, Question};
 use crate::regions::{DELEGATES, Summary};
 use crate::{Identity, MS, Nanos};
@@ -159,7 +159,7 @@
         );
         let payload = AgedAnnouncement::encode(told);
         for target in targets {
-            self.send(target, Kind::RegionNews, &payload);
+            self.send(target, MessageKind::RegionAnnouncements, &payload);
         }
     }
 
@@ -220,7 +220,7 @@
         };
         self.statistics.regions_asked += 1;
         let payload = postcard::to_stdvec(&question).unwrap_or_default();
-        self.send(to, Kind::RegionQuestion, &payload);
+        self.send(to, MessageKind::RegionDigest, &payload);
     }
 
     pub(super) fn take_region_question(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
@@ -234,7 +234,7 @@
         let (kind, payload) = match &mut regional.exchange {
             Some(exchange) => {
                 let answer = exchange.answer(self.now, &question);
-                (Kind::RegionAnswer, postcard::to_stdvec(&answer))
+                (MessageKind::RegionDelta, postcard::to_stdvec(&answer))
             }
             None => {
                 let yours = regional
@@ -248,7 +248,7 @@
                         .map(|(row, _)| row.delegates.clone())
                         .unwrap_or_default(),
                 };
-                (Kind::RegionReferral, postcard::to_stdvec(&referral))
+                (MessageKind::RegionReferral, postcard::to_stdvec(&referral))
             }
         };
         self.send(from, kind, &payload.unwrap_or_default());
@@ -276,7 +276,7 @@
         regional.referred.clear();
         if !wanted.is_empty() {
             let payload = AgedAnnouncement::encode(&wanted);
-            self.send(from, Kind::RegionNews, &payload);
+            self.send(from, MessageKind::RegionAnnouncements, &payload);
         }
         self.heard_of(&new);
         true
@@ -322,7 +322,7 @@
         if let Some(leader) = leader
             && payload.len() <= PAYLOAD_MAX
         {
-            self.send(leader, Kind::RegionNews, &payload);
+            self.send(leader, MessageKind::RegionAnnouncements, &payload);
         }
     }
 
@@ -371,7 +371,9 @@
         let Some(regional) = &mut self.regional else {
             return;
         };
-        if planted::is_injected(InjectedFault::IgnoresReferrals) || self.now < regional.due.rejoin {
+        if fault_injection::is_injected(InjectedFault::IgnoresReferrals)
+            || self.now < regional.due.rejoin
+        {
             return;
         }
         let known =
--- a/crates/membership/src/member/overview.rs
+++ b/crates/membership/src/member/region_overview.rs
@@ -2,8 +2,8 @@
 
 use super::Member;
 use super::swim::GOSSIP;
-use crate::envelope::Kind;
-use crate::planted::{self, InjectedFault};
+use crate::envelope::MessageKind;
+use crate::fault_injection::{self, InjectedFault};
 use crate::regions::overview::{PARTS, Part, Taken};
 use crate::{MS, Nanos};
 use rand::RngExt;
@@ -41,7 +41,7 @@
 
     fn tell_overview(&mut self, to: SocketAddr, parts: &[Part]) {
         let payload = postcard::to_stdvec(parts).unwrap_or_default();
-        self.send(to, Kind::Overview, &payload);
+        self.send(to, MessageKind::Overview, &payload);
     }
 
     /// Asks one of the others whether it holds the same overview, if it is time.
@@ -50,7 +50,7 @@
             return;
         };
         if self.now < regional.due.compare
-            || planted::is_injected(InjectedFault::KeepsOverviewToItself)
+            || fault_injection::is_injected(InjectedFault::WithholdsOverview)
         {
             return;
         }
@@ -58,7 +58,7 @@
         regional.due.compare = self.now + if unsure { COMPARE_NEW } else { COMPARE };
         let sums = regional.overview.sums();
         if let Some(to) = self.somebody() {
-            self.send(to, Kind::OverviewQuestion, &sums);
+            self.send(to, MessageKind::OverviewDigest, &sums);
         }
     }
 
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -1,11 +1,11 @@
 //! Membership by SWIM: the library `foca`, its timers, and what it hands out.
 
 use super::Member;
-use crate::envelope::{self, Kind};
+use crate::envelope::{self, MessageKind};
+use crate::fault_injection::{self, InjectedFault};
 use crate::identity::Wire;
-use crate::planted::{self, InjectedFault};
 use crate::{
-    Identity, MS, MemberStatus, MemberView, MembershipEvent, MembershipSettings, Nanos, watch,
+    Identity, MS, MemberStatus, MemberView, MembershipEvent, MembershipSettings, Nanos, heartbeat,
 };
 use foca::{Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, Timer};
 use rand::RngExt;
@@ -175,7 +175,9 @@
     /// Asks those believed dead whom this member is drawn to ask. If all members asked each of the dead, who returns would
     /// have to answer as many as there are members, each with a datagram of the longest.
     pub(super) fn ask_drawn_dead(&mut self) {
-        if self.now < self.ask_dead_due || planted::is_injected(InjectedFault::NeverAsksTheDead) {
+        if self.now < self.ask_dead_due
+            || fault_injection::is_injected(InjectedFault::NeverContactsDeadMembers)
+        {
             return;
         }
         self.ask_dead_due = self.now + ASK_DEAD;
@@ -184,7 +186,8 @@
             return;
         }
         let addresses: Vec<SocketAddr> = dead.iter().map(|id| id.address).collect();
-        let mut drawn = watch::drawn_for(&addresses, self.settings.address, self.roster.living());
+        let mut drawn =
+            heartbeat::drawn_for(&addresses, self.settings.address, self.roster.living());
         let living = self.roster.living().len() + 1;
         if self.rng.random_range(0..living) < ASK_DEAD_AT_RANDOM {
             drawn.push(self.rng.random_range(0..dead.len()));
@@ -198,7 +201,7 @@
 
     /// Asks some of those believed dead: who was given up was cut off from more than one, most likely.
     pub(super) fn ask_dead(&mut self, most: usize) {
-        if planted::is_injected(InjectedFault::NeverAsksTheDead) {
+        if fault_injection::is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
         let mut dead = self.dead();
@@ -280,7 +283,7 @@
             .copied()
             .filter(|a| *a != own && !there(a) && !self.is_foreign(a))
             .collect();
-        if self.met && planted::is_injected(InjectedFault::NeverAsksTheDead) {
+        if self.met && fault_injection::is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
         let mut runtime = Runtime::default();
@@ -327,7 +330,7 @@
 
     pub(super) fn carry_out(&mut self, runtime: Runtime) {
         for (to, payload) in runtime.sends {
-            self.send(to.address, Kind::Swim, &payload);
+            self.send(to.address, MessageKind::Swim, &payload);
         }
         for (after, timer) in runtime.timers {
             // Who gives a suspect up is decided in `suspicion`.
--- a/crates/membership/src/records.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,6 +1,6 @@
 //! Metadata: a small record of each member, told by itself, spread by rumour and, where one is missing, asked for.
 
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use crate::{Identity, MS, Nanos, envelope::PAYLOAD_MAX};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,7 +52,7 @@
     pub config_checksum: u64,
     /// Requests that it took a second lately, in tenths.
     pub request_rate_tenths: u32,
-    /// How many places it counts ([`crate::count`]).
+    /// How many places it counts ([`crate::share_count`]).
     pub places: u16,
     /// For what later versions tell.
     pub extension: Vec<u8>,
@@ -339,7 +339,7 @@
         let early = now.saturating_sub(self.wanted) < WANT_EVERY;
         if early
             || self.complete == Some(members)
-            || planted::is_injected(InjectedFault::TellsRecordsOnce)
+            || fault_injection::is_injected(InjectedFault::GossipsRecordsOnce)
         {
             return None;
         }
--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -1,12 +1,12 @@
 //! Datagrams that version cab609d sent are read with today's types, and written again byte for byte.
 
-use crate::compare;
-use crate::envelope::{Kind, Numbers, open, seal};
+use crate::anti_entropy as compare;
+use crate::envelope::{EnvelopeScope, MessageKind, open, seal};
 use crate::member::{Ask, Referral};
-use crate::overload::LevelReport;
 use crate::regions::Payload;
 use crate::regions::exchange::{AgedAnnouncement, Answer, Question};
 use crate::regions::overview::Part;
+use crate::shedding::LevelReport;
 use crate::{Identity, Location, MetadataRecord, ServingPhase};
 use bytes::Buf;
 use foca::Codec;
@@ -49,16 +49,16 @@
 }
 
 /// The region's envelope numbers; members 1 to 5 are in the north, the others in the south.
-fn numbers(file: &str, of: SocketAddr) -> Numbers {
+fn numbers(file: &str, of: SocketAddr) -> EnvelopeScope {
     match (file == WITH_REGIONS, of.port() <= 7_005) {
-        (false, _) => Numbers::new("tiles", ""),
-        (true, true) => Numbers::new("tiles", "north"),
-        (true, false) => Numbers::new("tiles", "south"),
+        (false, _) => EnvelopeScope::new("tiles", ""),
+        (true, true) => EnvelopeScope::new("tiles", "north"),
+        (true, false) => EnvelopeScope::new("tiles", "south"),
     }
 }
 
 /// The payload of the datagram of a kind; the envelope is written again as it was.
-fn payload(file: &str, kind: Kind, which: &str) -> (SocketAddr, Vec<u8>) {
+fn payload(file: &str, kind: MessageKind, which: &str) -> (SocketAddr, Vec<u8>) {
     let recorded = recorded(file);
     let found = recorded
         .iter()
@@ -72,7 +72,7 @@
 }
 
 /// Reads a message that is serialized as a whole, and checks that it is written as it was.
-fn message<T: Serialize + DeserializeOwned>(file: &str, kind: Kind, which: &str) -> T {
+fn message<T: Serialize + DeserializeOwned>(file: &str, kind: MessageKind, which: &str) -> T {
     let (_, payload) = payload(file, kind, which);
     let message: T = postcard::from_bytes(&payload).unwrap();
     assert_eq!(postcard::to_stdvec(&message).unwrap(), payload, "{kind:?}");
@@ -103,7 +103,7 @@
 fn swim_messages_are_read_and_written_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
         for which in ["shortest", "longest"] {
-            let (from, payload) = payload(file, Kind::Swim, which);
+            let (from, payload) = payload(file, MessageKind::Swim, which);
             let mut codec = foca::PostcardCodec;
             let mut rest = payload.as_slice();
             let header: foca::Header<Identity> = codec.decode_header(&mut rest).unwrap();
@@ -127,7 +127,8 @@
 
 #[test]
 fn metadata_records_are_read_and_written_as_recorded() {
-    let plain: Vec<MetadataRecord> = message(WITHOUT_REGIONS, Kind::Records, "longest");
+    let plain: Vec<MetadataRecord> =
+        message(WITHOUT_REGIONS, MessageKind::MetadataRecords, "longest");
     assert_eq!(plain.len(), 7);
     let own = plain
         .iter()
@@ -144,7 +145,8 @@
     assert_eq!(own.metadata.request_rate_tenths, 70_010);
     assert_eq!(own.metadata.places, 7);
     assert!(own.metadata.extension.is_empty());
-    let located: Vec<MetadataRecord> = message(WITH_REGIONS, Kind::Records, "longest");
+    let located: Vec<MetadataRecord> =
+        message(WITH_REGIONS, MessageKind::MetadataRecords, "longest");
     for record in &located {
         let location = Location::decode(&record.metadata.extension).unwrap();
         assert_eq!(location.region, "north");
@@ -152,25 +154,26 @@
         assert_eq!(location.site, "");
         assert_eq!(location.encode(), record.metadata.extension);
     }
-    message::<Vec<MetadataRecord>>(WITHOUT_REGIONS, Kind::Records, "shortest");
-    message::<Vec<MetadataRecord>>(WITH_REGIONS, Kind::Records, "shortest");
+    message::<Vec<MetadataRecord>>(WITHOUT_REGIONS, MessageKind::MetadataRecords, "shortest");
+    message::<Vec<MetadataRecord>>(WITH_REGIONS, MessageKind::MetadataRecords, "shortest");
 }
 
 #[test]
 fn record_requests_are_read_and_written_as_recorded() {
-    let wanted: Vec<SocketAddr> = message(WITHOUT_REGIONS, Kind::Want, "shortest");
+    let wanted: Vec<SocketAddr> =
+        message(WITHOUT_REGIONS, MessageKind::MetadataRequest, "shortest");
     assert_eq!(wanted, [address(3)]);
-    let wanted: Vec<SocketAddr> = message(WITH_REGIONS, Kind::Want, "longest");
+    let wanted: Vec<SocketAddr> = message(WITH_REGIONS, MessageKind::MetadataRequest, "longest");
     assert_eq!(wanted, [1, 4, 3, 2].map(address));
 }
 
 #[test]
 fn watchers_questions_are_read_and_written_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        let ask: Ask = message(file, Kind::Ask, "shortest");
+        let ask: Ask = message(file, MessageKind::WatcherProbe, "shortest");
         assert_eq!(ask.by.generation, GENERATION);
         assert_eq!(ask.suspect, None);
-        let ask: Ask = message(file, Kind::Ask, "longest");
+        let ask: Ask = message(file, MessageKind::WatcherProbe, "longest");
         assert_eq!(ask.suspect, Some((identity(2), 0)));
     }
 }
@@ -178,7 +181,7 @@
 #[test]
 fn heartbeats_are_read_and_written_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        let by: Identity = message(file, Kind::Beat, "shortest");
+        let by: Identity = message(file, MessageKind::Heartbeat, "shortest");
         assert_eq!(by, identity(1));
     }
 }
@@ -186,12 +189,12 @@
 #[test]
 fn anti_entropy_messages_are_read_and_written_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        let question: compare::Question = message(file, Kind::Compare, "longest");
+        let question: compare::Question = message(file, MessageKind::MemberListDigest, "longest");
         assert_eq!(question.by, identity(1));
         assert_eq!(question.sums.len(), 4 * compare::BUCKETS);
-        let equal: compare::Answer = message(file, Kind::Told, "shortest");
+        let equal: compare::Answer = message(file, MessageKind::MemberListDelta, "shortest");
         assert!(equal.agrees() && !equal.last);
-        let differing: compare::Answer = message(file, Kind::Told, "longest");
+        let differing: compare::Answer = message(file, MessageKind::MemberListDelta, "longest");
         assert!(!differing.agrees());
         assert!(differing.entries.iter().any(|entry| entry.record != 0));
         assert_ne!(differing.parts, 0);
@@ -200,37 +203,38 @@
 
 #[test]
 fn level_reports_are_read_and_written_as_recorded() {
-    let own: Vec<LevelReport> = message(WITHOUT_REGIONS, Kind::Load, "shortest");
+    let own: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "shortest");
     assert_eq!(own.len(), 1);
     assert_eq!((own[0].of, own[0].generation), (address(1), GENERATION));
     assert_eq!(own[0].tally.admitted[..5], [40, 30, 20, 10, 0]);
     assert_eq!(own[0].tally.capacity_rejections, 35);
-    let many: Vec<LevelReport> = message(WITHOUT_REGIONS, Kind::Load, "longest");
+    let many: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "longest");
     assert_eq!(many.len(), 6);
     assert!(many.iter().any(|report| report.level > 0.0));
     assert!(many.iter().any(|report| report.age_ms > 0));
-    message::<Vec<LevelReport>>(WITH_REGIONS, Kind::Load, "shortest");
-    message::<Vec<LevelReport>>(WITH_REGIONS, Kind::Load, "longest");
+    message::<Vec<LevelReport>>(WITH_REGIONS, MessageKind::LevelReports, "shortest");
+    message::<Vec<LevelReport>>(WITH_REGIONS, MessageKind::LevelReports, "longest");
 }
 
 #[test]
 fn region_exchanges_are_read_and_written_as_recorded() {
-    let empty: Question = message(WITH_REGIONS, Kind::RegionQuestion, "shortest");
+    let empty: Question = message(WITH_REGIONS, MessageKind::RegionDigest, "shortest");
     assert_eq!(empty.region, "north");
     assert!(empty.delegate);
-    let full: Question = message(WITH_REGIONS, Kind::RegionQuestion, "longest");
+    let full: Question = message(WITH_REGIONS, MessageKind::RegionDigest, "longest");
     assert_eq!(full.region, "north");
-    let equal: Answer = message(WITH_REGIONS, Kind::RegionAnswer, "shortest");
+    let equal: Answer = message(WITH_REGIONS, MessageKind::RegionDelta, "shortest");
     assert_eq!(equal.region, "south");
     assert!(equal.told.is_empty());
-    let differing: Answer = message(WITH_REGIONS, Kind::RegionAnswer, "longest");
+    let differing: Answer = message(WITH_REGIONS, MessageKind::RegionDelta, "longest");
     assert_eq!(differing.region, "north");
     assert!(!differing.told.is_empty());
 }
 
 #[test]
 fn region_announcements_are_read_and_written_as_recorded() {
-    let told: Vec<AgedAnnouncement> = message(WITH_REGIONS, Kind::RegionNews, "shortest");
+    let told: Vec<AgedAnnouncement> =
+        message(WITH_REGIONS, MessageKind::RegionAnnouncements, "shortest");
     assert_eq!(told.len(), 1);
     let announcement = &told[0].announcement;
     assert_eq!(announcement.region, "south");
@@ -239,25 +243,25 @@
     assert_eq!((summary.living, summary.places), (4, 4));
     assert_eq!(summary.config, 0x1234_5678_9abc_def0);
     assert_eq!(summary.delegates.len(), 3);
-    message::<Vec<AgedAnnouncement>>(WITH_REGIONS, Kind::RegionNews, "longest");
+    message::<Vec<AgedAnnouncement>>(WITH_REGIONS, MessageKind::RegionAnnouncements, "longest");
 }
 
 #[test]
 fn referrals_are_read_and_written_as_recorded() {
-    let south: Referral = message(WITH_REGIONS, Kind::RegionReferral, "shortest");
+    let south: Referral = message(WITH_REGIONS, MessageKind::RegionReferral, "shortest");
     assert_eq!(south.region, "south");
     assert_eq!(south.delegates, [7, 8, 9].map(address));
-    let north: Referral = message(WITH_REGIONS, Kind::RegionReferral, "longest");
+    let north: Referral = message(WITH_REGIONS, MessageKind::RegionReferral, "longest");
     assert_eq!(north.region, "north");
     assert!(!north.yours.is_empty());
 }
 
 #[test]
 fn overviews_are_read_and_written_as_recorded() {
-    let one: Vec<Part> = message(WITH_REGIONS, Kind::Overview, "shortest");
+    let one: Vec<Part> = message(WITH_REGIONS, MessageKind::Overview, "shortest");
     assert_eq!(one.len(), 1);
     assert_eq!(one[0].author, Some(address(4)));
-    message::<Vec<Part>>(WITH_REGIONS, Kind::Overview, "longest");
-    let (_, sums) = payload(WITH_REGIONS, Kind::OverviewQuestion, "longest");
+    message::<Vec<Part>>(WITH_REGIONS, MessageKind::Overview, "longest");
+    let (_, sums) = payload(WITH_REGIONS, MessageKind::OverviewDigest, "longest");
     assert_eq!(sums.len(), 4 * crate::regions::overview::PARTS);
 }
--- a/crates/membership/src/regions.rs
+++ b/crates/membership/src/regions.rs
@@ -3,16 +3,16 @@
 //! Within a region the members know each other by SWIM, as in a fleet without regions. Between regions a few
 //! [`delegates`] of each exchange announcements ([`exchange`]); what they hold of other regions the first of them, the
 //! leader, spreads in its own region as an [`overview`]. So a member's cost follows the size of its region and the number
-//! of regions, and not the size of the fleet. By how many shares are divided is summed over the regions ([`count`]).
+//! of regions, and not the size of the fleet. By how many shares are divided is summed over the regions ([`share_count`]).
 //!
 //! An announcement carries a [`Payload`]. Summaries are the only one yet; configuration or purges can travel as others.
 
-pub mod count;
 pub mod delegates;
 pub mod exchange;
 pub mod overview;
+pub mod share_count;
 
-use crate::compare::bytes_of;
+use crate::anti_entropy::bytes_of;
 use crate::location::LOCATION_NAME_MAX;
 use crate::{MS, Nanos};
 use serde::{Deserialize, Serialize};
--- a/crates/membership/src/regions/delegates.rs
+++ b/crates/membership/src/regions/delegates.rs
@@ -2,7 +2,7 @@
 //! delegate that dies is replaced by the next, and nobody else changes.
 
 use super::DELEGATES;
-use crate::compare::bytes_of;
+use crate::anti_entropy::bytes_of;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -7,7 +7,7 @@
 use super::{Announcement, Payload, Summary, add};
 use super::{AnnouncementKey, REGIONS_MAX, SILENT_AFTER};
 use crate::envelope::PAYLOAD_MAX;
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use crate::{MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -349,7 +349,7 @@
             told: Vec::new(),
             wanted: Vec::new(),
         };
-        if planted::is_injected(InjectedFault::NeverComparesRegions) {
+        if fault_injection::is_injected(InjectedFault::SkipsRegionAntiEntropy) {
             return answer;
         }
         let mut room = PAYLOAD_MAX - LENGTHS_MAX;
@@ -427,7 +427,7 @@
     fn take_one(&mut self, now: Nanos, unix_ms: u64, told: &AgedAnnouncement) -> bool {
         let announcement = &told.announcement;
         if !announcement.is_sound(unix_ms)
-            && !planted::is_injected(InjectedFault::BelievesAnyFigures)
+            && !fault_injection::is_injected(InjectedFault::AcceptsUnsoundAnnouncements)
         {
             self.dropped.unsound += 1;
             return false;
@@ -447,7 +447,7 @@
         }
         if let Some(held) = self.held.get_mut(&place) {
             let older = announcement.version < held.announcement.version;
-            if older && !planted::is_injected(InjectedFault::BelievesOldAnnouncements) {
+            if older && !fault_injection::is_injected(InjectedFault::AcceptsOlderAnnouncements) {
                 self.dropped.older += 1;
                 return false;
             }
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -6,8 +6,8 @@
 use super::exchange::Known;
 use super::{CLOCK_SKEW_MAX_MS, REGIONS_MAX, add};
 use crate::envelope::PAYLOAD_MAX;
+use crate::fault_injection::{self, InjectedFault};
 use crate::location::LOCATION_NAME_MAX;
-use crate::planted::{self, InjectedFault};
 use crate::{MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -230,7 +230,7 @@
         if rank(&part) < rank(&held.part) {
             return Taken::Older(held.told(now));
         }
-        let rumours = if planted::is_injected(InjectedFault::KeepsOverviewToItself) {
+        let rumours = if fault_injection::is_injected(InjectedFault::WithholdsOverview) {
             0
         } else {
             RUMOURS
--- a/crates/membership/src/regions/count.rs
+++ b/crates/membership/src/regions/share_count.rs
@@ -1,4 +1,4 @@
-//! By how many balancers shares are divided in a fleet of regions: the rule of [`crate::count`], with regions for places.
+//! By how many balancers shares are divided in a fleet of regions: the rule of [`crate::share_count`], with regions for places.
 //!
 //! 1. A region that is heard counts with the places that it tells of.
 //! 2. One that is silent keeps its places for `hold`.
@@ -12,7 +12,7 @@
 //! is then under 2 through splits shorter than `forget`: 1 on the side with the majority, under 1 on all others.
 
 use crate::Nanos;
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use std::collections::BTreeMap;
 
 /// What a region last told of itself.
@@ -116,14 +116,15 @@
                     counted += region.figures.places;
                 }
                 Some(since) if now.saturating_sub(since) < hold => {
-                    let at_once = planted::is_injected(InjectedFault::DropsSilentRegionsAtOnce);
+                    let at_once =
+                        fault_injection::is_injected(InjectedFault::DropsSilentRegionsImmediately);
                     counted += if at_once { 0 } else { region.figures.places };
                 }
                 Some(_) => {}
             }
         }
-        let majority =
-            2 * living > all || planted::is_injected(InjectedFault::DropsSilentRegionsAtOnce);
+        let majority = 2 * living > all
+            || fault_injection::is_injected(InjectedFault::DropsSilentRegionsImmediately);
         self.last = if majority {
             counted
         } else {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,7 +8,7 @@
 pub struct MembershipSettings {
     /// The fleet's name; datagrams of another are dropped.
     pub fleet: String,
-    /// This balancer's name; at most [`crate::records::NAME_MAX`] bytes are told.
+    /// This balancer's name; at most [`crate::metadata::NAME_MAX`] bytes are told.
     pub name: String,
     /// Where the others reach this member.
     pub address: SocketAddr,
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/share_count.rs
@@ -15,7 +15,7 @@
 //! `forget` is taken for deaths: each side then divides by itself.
 
 use crate::Nanos;
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -86,7 +86,7 @@
             .saturating_sub(before - self.vanished.len())
             .max(1);
         let living = self.living();
-        if planted::is_injected(InjectedFault::CountsOwnSideAtOnce) {
+        if fault_injection::is_injected(InjectedFault::CountsOwnPartitionOnly) {
             return living;
         }
         let hold = self.hold;
--- a/crates/membership/src/overload.rs
+++ b/crates/membership/src/shedding.rs
@@ -10,7 +10,7 @@
 //! one that it stands in by the level's fraction. Which requests of that tier is the same at all members.
 
 use crate::envelope::PAYLOAD_MAX;
-use crate::planted::{self, InjectedFault};
+use crate::fault_injection::{self, InjectedFault};
 use crate::{MS, Nanos};
 pub use routing::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION};
 use serde::{Deserialize, Serialize};
@@ -217,7 +217,7 @@
                 self.rests = RESTS;
                 self.raise(short - MEANT * let_in, &sum.admitted);
             }
-        } else if !planted::is_injected(InjectedFault::NeverLowersItsLevel) {
+        } else if !fault_injection::is_injected(InjectedFault::NeverLowersShedLevel) {
             self.downs += 1;
             let grown = DOWN_GROWS.powi(self.downs.saturating_sub(DOWN_SLOW).min(9) as i32);
             let more = let_in * (DOWN_FIRST * grown).min(DOWN_MOST);
@@ -239,7 +239,7 @@
         let mut passes = 1.0 - (self.level - tier);
         let mut drop = short;
         let mut most = self.level;
-        if planted::is_injected(InjectedFault::ShedsTheDearestToo) {
+        if fault_injection::is_injected(InjectedFault::ShedsAllTiersAtOnce) {
             self.level = self.tiers as f64 - 0.5;
             return;
         }
@@ -280,7 +280,7 @@
 }
 
 fn is_fresh(heard: &Heard, now: Nanos) -> bool {
-    planted::is_injected(InjectedFault::BelievesStaleWords)
+    fault_injection::is_injected(InjectedFault::AcceptsExpiredReports)
         || now.saturating_sub(heard.said) < REPORT_TTL
 }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,12 +1,12 @@
 //! When a suspect is given up, and by whom.
 //!
-//! A suspicion runs at every member that hears of it. The suspect's watchers ([`crate::watch`]) ask the suspect itself,
+//! A suspicion runs at every member that hears of it. The suspect's watchers ([`crate::heartbeat`]) ask the suspect itself,
 //! again and again; whoever of them hears nothing of it for the whole time gives it up and says so. All others wait much
 //! longer, in case its watchers are gone. So a death rests on several members' own ears, not on a probe that was lost,
 //! and a suspect hears of its suspicion at once, and from several sides.
 
-use crate::planted::{self, InjectedFault};
-use crate::watch::ASK_EVERY;
+use crate::fault_injection::{self, InjectedFault};
+use crate::heartbeat::ASK_EVERY;
 use crate::{Identity, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     ) -> Vec<Step> {
         let mut steps = Vec::new();
         let mut over = Vec::new();
-        let last_question = !planted::is_injected(InjectedFault::NoLastQuestion);
+        let last_question = !fault_injection::is_injected(InjectedFault::SkipsFinalProbe);
         for (address, r) in &mut self.running {
             let watched = watches(*address);
             // A word of its own proves that it lives, whatever others say; it is asked on until it refutes.
--- a/crates/membership/tests/wire_format/network.rs
+++ b/crates/membership/tests/wire_format/network.rs
@@ -1,6 +1,6 @@
 //! A seeded network of members in virtual time that records every datagram.
 
-use membership::overload::AdmissionCounts;
+use membership::shedding::AdmissionCounts;
 use membership::{
     Location, MS, Member, MemberMetadata, MembershipSettings, Nanos, ServingPhase, Timing,
 };
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -51,7 +51,7 @@
         /// Where the members' log lines are written, one file for each play.
         #[arg(long)]
         logs: Option<PathBuf>,
-        /// A mistake to plant; the program must have been built with the feature `planted`.
+        /// A mistake to plant; the program must have been built with the feature `fault-injection`.
         #[arg(long)]
         planted: Option<String>,
     },
@@ -240,7 +240,7 @@
         #[arg(long, default_value = ".")]
         out: PathBuf,
     },
-    /// Plants each mistake and plays the trial that has to find it; needs the feature `planted`.
+    /// Plants each mistake and plays the trial that has to find it; needs the feature `fault-injection`.
     Mutations {
         /// The program, built with the feature too.
         #[arg(long)]
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -1,34 +1,37 @@
 //! The mutation check: each mistake that can be planted has to be found by a trial that passes without it.
 
 use crate::virtual_trials;
-use membership::planted::InjectedFault;
+use membership::fault_injection::InjectedFault;
 use serde::Serialize;
 use std::path::Path;
 use std::process::Command;
 
 /// Which trial finds which mistake.
 const FINDS: [(InjectedFault, &str); 22] = [
-    (InjectedFault::ForgetsRefutation, "lossy"),
-    (InjectedFault::BelievesOldGeneration, "rolling"),
-    (InjectedFault::CountsOwnSideAtOnce, "split"),
-    (InjectedFault::NeverAsksTheDead, "split"),
-    (InjectedFault::TrustsItselfAfterAStall, "virtual-asleep"),
-    (InjectedFault::AccusesWhileCutOff, "virtual-deaf"),
-    (InjectedFault::NoLastQuestion, "virtual-lossy"),
-    (InjectedFault::ReadsForeignFleets, "strangers"),
+    (InjectedFault::NeverRefutes, "lossy"),
+    (InjectedFault::PrefersOlderGeneration, "rolling"),
+    (InjectedFault::CountsOwnPartitionOnly, "split"),
+    (InjectedFault::NeverContactsDeadMembers, "split"),
+    (InjectedFault::IgnoresOwnStall, "virtual-asleep"),
+    (InjectedFault::SuspectsWhileIsolated, "virtual-deaf"),
+    (InjectedFault::SkipsFinalProbe, "virtual-lossy"),
+    (InjectedFault::AcceptsForeignFleets, "strangers"),
     (InjectedFault::LeavesSilently, "leave"),
-    (InjectedFault::TellsRecordsOnce, "virtual-newcomer"),
-    (InjectedFault::NeverCompares, "virtual-return"),
-    (InjectedFault::KeepsItsLevelToItself, "virtual-overload"),
-    (InjectedFault::NeverLowersItsLevel, "virtual-overload"),
-    (InjectedFault::BelievesStaleWords, "virtual-overload"),
-    (InjectedFault::ShedsTheDearestToo, "virtual-overload"),
-    (InjectedFault::DropsSilentRegionsAtOnce, "regions-split"),
+    (InjectedFault::GossipsRecordsOnce, "virtual-newcomer"),
+    (InjectedFault::SkipsAntiEntropy, "virtual-return"),
+    (InjectedFault::WithholdsShedLevel, "virtual-overload"),
+    (InjectedFault::NeverLowersShedLevel, "virtual-overload"),
+    (InjectedFault::AcceptsExpiredReports, "virtual-overload"),
+    (InjectedFault::ShedsAllTiersAtOnce, "virtual-overload"),
+    (
+        InjectedFault::DropsSilentRegionsImmediately,
+        "regions-split",
+    ),
     (InjectedFault::NeverReplacesDelegates, "regions-delegates"),
-    (InjectedFault::NeverComparesRegions, "regions-lossy"),
-    (InjectedFault::BelievesOldAnnouncements, "regions-lies"),
-    (InjectedFault::BelievesAnyFigures, "regions-lies"),
-    (InjectedFault::KeepsOverviewToItself, "regions-overview"),
+    (InjectedFault::SkipsRegionAntiEntropy, "regions-lossy"),
+    (InjectedFault::AcceptsOlderAnnouncements, "regions-lies"),
+    (InjectedFault::AcceptsUnsoundAnnouncements, "regions-lies"),
+    (InjectedFault::WithholdsOverview, "regions-overview"),
     (InjectedFault::IgnoresReferrals, "regions-referral"),
 ];
 
@@ -49,8 +52,8 @@
 
 /// Plays each mistake's trial without and with it, by this very command in processes of its own.
 pub fn check(own: &Path, program: Option<&Path>) -> Result<Vec<Row>, String> {
-    if !cfg!(feature = "planted") {
-        return Err("built without the feature planted".into());
+    if !cfg!(feature = "fault-injection") {
+        return Err("built without the feature fault-injection".into());
     }
     let play = |trial: &str, fault: Option<&str>| -> Result<String, String> {
         let mut command = Command::new(own);
--- a/crates/testbed/src/virtual_overload.rs
+++ b/crates/testbed/src/virtual_overload.rs
@@ -3,7 +3,7 @@
 //! worth 3 and, a tenth, writes worth 10.
 
 use crate::virtual_time::Fleet;
-use membership::overload::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION, REPORT_TTL};
+use membership::shedding::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION, REPORT_TTL};
 use membership::{MS, Nanos};
 use serde::Serialize;
 
--- a/crates/testbed/src/virtual_region_trials.rs
+++ b/crates/testbed/src/virtual_region_trials.rs
@@ -1,7 +1,7 @@
 //! Trials of a fleet in regions, in virtual time, each with a verdict.
 
 use crate::virtual_time::{Fleet, Network, address, region_name};
-use membership::envelope::{Kind, Numbers, seal};
+use membership::envelope::{EnvelopeScope, MessageKind, seal};
 use membership::regions::exchange::AgedAnnouncement;
 use membership::regions::{Announcement, Payload, Summary};
 use membership::{MS, Nanos};
@@ -141,7 +141,11 @@
         fleet.inject(
             delegate,
             author,
-            &seal(Numbers::new("trial", "any"), Kind::RegionNews, &payload),
+            &seal(
+                EnvelopeScope::new("trial", "any"),
+                MessageKind::RegionAnnouncements,
+                &payload,
+            ),
         );
     }
     for _ in 0..100 {
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -202,7 +202,7 @@
     }
 
     /// Counts what a member's module let in and what of it found no room.
-    pub fn count(&mut self, n: usize, tally: membership::overload::AdmissionCounts) {
+    pub fn count(&mut self, n: usize, tally: membership::shedding::AdmissionCounts) {
         if let Some(member) = &mut self.places[n].member {
             member.add_admission_counts(tally);
         }
@@ -373,7 +373,8 @@
         if self.cut[from][to] || self.rng.random_bool(network.loss) {
             return;
         }
-        let load = datagram.get(3) == Some(&(membership::envelope::Kind::Load as u8));
+        let load =
+            datagram.get(3) == Some(&(membership::envelope::MessageKind::LevelReports as u8));
         if load && network.load_loss > 0.0 && self.rng.random_bool(network.load_loss) {
             return;
         }
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -1,6 +1,6 @@
 //! A fleet in regions, in virtual time: the same seed plays the same course everywhere.
 
-use membership::envelope::{Kind, Numbers, seal};
+use membership::envelope::{EnvelopeScope, MessageKind, seal};
 use membership::regions::exchange::AgedAnnouncement;
 use membership::regions::{Announcement, Payload, Summary};
 use membership::{MS, Nanos};
@@ -272,7 +272,11 @@
 /// An announcement as it stands on the wire, with a sign of life.
 fn news(fleet: &str, announcement: &Announcement) -> Vec<u8> {
     let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(announcement.clone())]);
-    seal(Numbers::new(fleet, "any"), Kind::RegionNews, &payload)
+    seal(
+        EnvelopeScope::new(fleet, "any"),
+        MessageKind::RegionAnnouncements,
+        &payload,
+    )
 }
 
 fn summary(living: u32, places: u32) -> Summary {
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -232,11 +232,21 @@
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(20_000);
-    let fleets = ["trial", "another"].map(|name| membership::envelope::Numbers::new(name, ""));
+    let fleets =
+        ["trial", "another"].map(|name| membership::envelope::EnvelopeScope::new(name, ""));
     let kinds = {
-        use membership::envelope::Kind::*;
+        use membership::envelope::MessageKind::*;
         [
-            Swim, Records, Want, Ask, Beat, Compare, Told, Load, RegionNews, Overview,
+            Swim,
+            MetadataRecords,
+            MetadataRequest,
+            WatcherProbe,
+            Heartbeat,
+            MemberListDigest,
+            MemberListDelta,
+            LevelReports,
+            RegionAnnouncements,
+            Overview,
         ]
     };
     for round in 0..rounds {
