--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -107,11 +107,11 @@
         let row = &seen.overview;
         ShownRegion {
             region: row.region.clone(),
-            living: row.living,
+            living: row.alive,
             places: row.places,
-            config: format!("{:016x}", row.config),
-            config_others: row.config_others,
-            requests_per_s: f64::from(row.requests) / 10.0,
+            config: format!("{:016x}", row.config_checksum),
+            config_others: row.config_minority,
+            requests_per_s: f64::from(row.request_rate_tenths) / 10.0,
             delegates: row.delegates.clone(),
             authors: row.authors,
             changed_ms: (now / MS).saturating_sub(row.version),
@@ -356,8 +356,8 @@
         shown["regions"] = serde_json::json!(regions);
         shown["regions_dropped"] = serde_json::json!({
             "unsound": dropped.unsound,
-            "older": dropped.older,
-            "full": dropped.full,
+            "older": dropped.outdated,
+            "full": dropped.over_capacity,
             "refused_parts": refused_parts,
         });
     }
@@ -453,22 +453,22 @@
              full={} asked={} suspicions={} given_up={} refuted={} returned={} gaps={} compared={} load={} level={:.2}",
             t.sent,
             t.sent_bytes,
-            t.heard,
-            t.heard_bytes,
+            t.received,
+            t.received_bytes,
             self.unsent,
-            t.torn,
+            t.corrupt,
             t.foreign,
-            t.version,
+            t.unsupported_version,
             t.malformed,
-            t.full,
-            t.asked,
+            t.over_capacity,
+            t.watcher_probes,
             t.suspicions,
-            t.given_up,
-            t.refuted,
-            t.returned,
-            t.gaps,
-            t.compared,
-            t.load,
+            t.confirmed_dead,
+            t.refutations,
+            t.rejoins,
+            t.stalls,
+            t.digests,
+            t.level_reports,
             self.member.shedding_level()
         )?;
         if self.member.location().is_none() {
@@ -484,11 +484,11 @@
             f,
             " regions={} silent_regions={silent} regions_asked={} put_off={} unsound={} older={} full_regions={} refused_parts={refused_parts}",
             view.regions.len(),
-            t.regions_asked,
-            t.put_off,
+            t.region_digests,
+            t.deferred,
             dropped.unsound,
-            dropped.older,
-            dropped.full,
+            dropped.outdated,
+            dropped.over_capacity,
         )
     }
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -194,8 +194,8 @@
     pub fn statistics(&self) -> MemberStatistics {
         MemberStatistics {
             suspicions: self.suspicions.begun,
-            given_up: self.suspicions.given_up,
-            gaps: self.health.gaps,
+            confirmed_dead: self.suspicions.given_up,
+            stalls: self.health.gaps,
             ..self.statistics
         }
     }
@@ -258,13 +258,15 @@
     /// Takes a datagram in. Whatever is in it, it is counted and never ends the member.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, datagram: &[u8]) {
         self.now = self.now.max(now);
-        self.statistics.heard += 1;
-        self.statistics.heard_bytes += datagram.len() as u64;
+        self.statistics.received += 1;
+        self.statistics.received_bytes += datagram.len() as u64;
         let (kind, payload) = match envelope::open(self.numbers, datagram) {
             Ok(opened) => opened,
-            Err(EnvelopeError::Corrupt) => return self.statistics.torn += 1,
+            Err(EnvelopeError::Corrupt) => return self.statistics.corrupt += 1,
             Err(EnvelopeError::Foreign) => return self.statistics.foreign += 1,
-            Err(EnvelopeError::UnsupportedVersion) => return self.statistics.version += 1,
+            Err(EnvelopeError::UnsupportedVersion) => {
+                return self.statistics.unsupported_version += 1;
+            }
         };
         if self.gone {
             return;
@@ -392,7 +394,7 @@
             .budget
             .as_mut()
             .is_none_or(|budget| budget.allows(self.now));
-        self.statistics.put_off += u64::from(!allowed);
+        self.statistics.deferred += u64::from(!allowed);
         allowed
     }
 
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -49,7 +49,7 @@
             return;
         }
         let Some(to) = self.somebody() else { return };
-        self.statistics.compared += 1;
+        self.statistics.digests += 1;
         let question = compare::question(self.id(), &self.sums);
         self.send(to, MessageKind::MemberListDigest, &question);
     }
@@ -181,7 +181,7 @@
         let words = postcard::to_stdvec(&overload.words(self.now)).unwrap_or_default();
         for _ in 0..GOSSIP_TO.min(self.swim.num_members()) {
             let Some(to) = self.somebody() else { return };
-            self.statistics.load += 1;
+            self.statistics.level_reports += 1;
             self.send(to, MessageKind::LevelReports, &words);
         }
     }
--- a/crates/membership/src/member/failure_detection.rs
+++ b/crates/membership/src/member/failure_detection.rs
@@ -38,7 +38,7 @@
             .swim
             .apply_many(std::iter::once(said), true, &mut runtime);
         self.roster.touch();
-        self.statistics.refuted += 1;
+        self.statistics.refutations += 1;
         // Its header carries the new incarnation; the gossip that goes on tells the others.
         let _ = self.swim.announce(ask.by, &mut runtime);
         self.carry_out(runtime);
@@ -89,7 +89,7 @@
             suspect,
         })
         .unwrap_or_default();
-        self.statistics.asked += 1;
+        self.statistics.watcher_probes += 1;
         self.send(of, MessageKind::WatcherProbe, &payload);
     }
 
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -3,8 +3,8 @@
 
 use super::Member;
 use crate::fault_injection::{self, InjectedFault};
-use crate::regions::exchange::{Dropped, Exchange};
-use crate::regions::overview::{Overview, RegionRow};
+use crate::regions::exchange::{DroppedAnnouncements, Exchange};
+use crate::regions::overview::{Overview, RegionStatus};
 use crate::regions::share_count::{Figures, RegionCount};
 use crate::regions::{SILENT_AFTER, delegates};
 use crate::{Location, MS, MembershipEvent, MembershipSettings, Nanos, RegionView};
@@ -57,7 +57,7 @@
     pub(super) foreign: BTreeSet<SocketAddr>,
     /// Delegates of other regions that this member was referred to.
     pub(super) referred: Vec<SocketAddr>,
-    pub(super) dropped: Dropped,
+    pub(super) dropped: DroppedAnnouncements,
     pub(super) refused_parts: u64,
     pub(super) due: Due,
 }
@@ -99,7 +99,7 @@
             heard: BTreeMap::new(),
             foreign: BTreeSet::new(),
             referred: Vec::new(),
-            dropped: Dropped::default(),
+            dropped: DroppedAnnouncements::default(),
             refused_parts: 0,
             due,
         })
@@ -141,16 +141,16 @@
     }
 
     /// What was dropped since the start.
-    pub(super) fn dropped(&self) -> Dropped {
+    pub(super) fn dropped(&self) -> DroppedAnnouncements {
         let now = self
             .exchange
             .as_ref()
             .map(Exchange::dropped)
             .unwrap_or_default();
-        Dropped {
+        DroppedAnnouncements {
             unsound: self.dropped.unsound + now.unsound,
-            older: self.dropped.older + now.older,
-            full: self.dropped.full + now.full,
+            outdated: self.dropped.outdated + now.outdated,
+            over_capacity: self.dropped.over_capacity + now.over_capacity,
         }
     }
 
@@ -160,12 +160,12 @@
 
     /// The rows of the overview as its leader knows them. Regions that the leader before knew, and this one has not heard
     /// of, are kept: it may just not have been told yet.
-    pub(super) fn rows(&self, now: Nanos) -> Vec<RegionRow> {
+    pub(super) fn rows(&self, now: Nanos) -> Vec<RegionStatus> {
         let Some(exchange) = &self.exchange else {
             return Vec::new();
         };
         let known = exchange.regions(now);
-        let mut rows: BTreeMap<String, RegionRow> = BTreeMap::new();
+        let mut rows: BTreeMap<String, RegionStatus> = BTreeMap::new();
         let led_for = self
             .leads_since
             .map_or(0, |since| now.saturating_sub(since));
@@ -186,8 +186,8 @@
             let authors = if since.is_some() { 0 } else { row.authors };
             rows.insert(
                 row.region.clone(),
-                RegionRow {
-                    silent_s,
+                RegionStatus {
+                    silent_seconds: silent_s,
                     authors,
                     ..row.clone()
                 },
@@ -196,7 +196,7 @@
         rows.extend(
             known
                 .iter()
-                .map(|(region, known)| (region.to_string(), RegionRow::of(region, known, now))),
+                .map(|(region, known)| (region.to_string(), RegionStatus::of(region, known, now))),
         );
         rows.into_values().collect()
     }
@@ -244,7 +244,7 @@
             .filter(|(row, _)| row.region != self.location.region)
         {
             let figures = Figures {
-                living: row.living as usize,
+                living: row.alive as usize,
                 places: row.places as usize,
             };
             self.count.set(now, &row.region, figures, silent_since);
@@ -253,7 +253,7 @@
                 changes.push(MembershipEvent::RegionReachability {
                     region: row.region.clone(),
                     reachable: is_heard,
-                    alive: row.living,
+                    alive: row.alive,
                 });
             }
             heard.insert(row.region.clone(), is_heard);
@@ -278,7 +278,7 @@
     }
 
     /// The other regions by the overview.
-    pub fn region_rows(&self) -> impl Iterator<Item = (&RegionRow, Option<Nanos>)> {
+    pub fn region_rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         let rows = self
             .regional
             .iter()
@@ -287,7 +287,7 @@
     }
 
     /// Announcements that were dropped, and parts of the overview that were refused.
-    pub fn regions_dropped(&self) -> (Dropped, u64) {
+    pub fn regions_dropped(&self) -> (DroppedAnnouncements, u64) {
         let regional = self.regional.as_ref();
         regional.map_or_else(Default::default, |regional| {
             (regional.dropped(), regional.refused_parts)
@@ -304,7 +304,7 @@
     }
 
     pub(super) fn regions_seen(&self) -> Vec<RegionView> {
-        let seen = |(row, silent_since): (&RegionRow, Option<Nanos>)| RegionView {
+        let seen = |(row, silent_since): (&RegionStatus, Option<Nanos>)| RegionView {
             overview: row.clone(),
             silent_since,
         };
@@ -315,7 +315,7 @@
         let heard = self
             .region_rows()
             .filter(|(_, silent_since)| silent_since.is_none());
-        heard.map(|(row, _)| row.living as usize).sum()
+        heard.map(|(row, _)| row.alive as usize).sum()
     }
 
     pub(super) fn places_elsewhere(&self) -> usize {
--- a/crates/membership/src/member/region_delegate.rs
+++ b/crates/membership/src/member/region_delegate.rs
@@ -6,7 +6,7 @@
 use crate::fault_injection::{self, InjectedFault};
 use crate::metadata::ServingPhase;
 use crate::regions::exchange::{AgedAnnouncement, Answer, Exchange, Question};
-use crate::regions::{DELEGATES, Summary};
+use crate::regions::{DELEGATES, RegionSummary};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,8 @@
         };
         let former = exchange.own_summary();
         let same = former.is_some_and(|former| former.says_the_same(&summary));
-        let busier = former.is_some_and(|former| former.requests != summary.requests);
+        let busier =
+            former.is_some_and(|former| former.request_rate_tenths != summary.request_rate_tenths);
         let due = busier && self.now.saturating_sub(regional.published) >= PUBLISH_REQUESTS;
         let early = former.is_some() && self.now.saturating_sub(regional.published) < PUBLISH;
         if same && !due || early {
@@ -93,7 +94,7 @@
     }
 
     /// What the own region tells of itself.
-    fn summary(&self) -> Summary {
+    fn summary(&self) -> RegionSummary {
         let own = self.own_figures();
         let there = self.table.members().filter(|seen| seen.status.is_present());
         let others = there.filter_map(|seen| seen.metadata.as_ref());
@@ -112,12 +113,12 @@
             .map_or((0, 0), |(config, count)| (*config, *count));
         let regional = self.regional.as_ref();
         let is_own = |former: &SocketAddr| *former == self.settings.address;
-        Summary {
-            living: own.living as u32,
+        RegionSummary {
+            alive: own.living as u32,
             places: own.places as u32,
-            config: most.0,
-            config_others: configs.values().sum::<u32>() - most.1,
-            requests: two_figures(requests),
+            config_checksum: most.0,
+            config_minority: configs.values().sum::<u32>() - most.1,
+            request_rate_tenths: two_figures(requests),
             delegates: self.delegates().to_vec(),
             replaces: regional
                 .and_then(|regional| regional.former_leader)
@@ -218,7 +219,7 @@
             None => Exchange::new(regional.own, &regional.location.region, 0)
                 .question(self.now, false, 0),
         };
-        self.statistics.regions_asked += 1;
+        self.statistics.region_digests += 1;
         let payload = postcard::to_stdvec(&question).unwrap_or_default();
         self.send(to, MessageKind::RegionDigest, &payload);
     }
--- a/crates/membership/src/member/statistics.rs
+++ b/crates/membership/src/member/statistics.rs
@@ -1,44 +1,60 @@
-//! Counts of what a member sends and reads.
+//! Counters of what a member sends and receives.
 
 use serde::Serialize;
 
-/// Datagrams, as counts since the start.
+/// Counters since the start; serialized under the names that `/admin/fleet` shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-#[allow(missing_docs)]
 pub struct MemberStatistics {
-    /// Sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Read, and their bytes.
-    pub heard: u64,
-    pub heard_bytes: u64,
-    /// Dropped: not of this protocol, torn, too long.
-    pub torn: u64,
-    /// Dropped: of another fleet.
+    /// Datagrams received.
+    #[serde(rename = "heard")]
+    pub received: u64,
+    /// Bytes received.
+    #[serde(rename = "heard_bytes")]
+    pub received_bytes: u64,
+    /// Datagrams dropped: of another protocol, corrupt or too long.
+    #[serde(rename = "torn")]
+    pub corrupt: u64,
+    /// Datagrams dropped: of another fleet.
     pub foreign: u64,
-    /// Dropped: of another version of the format.
-    pub version: u64,
-    /// Dropped: whole, yet not to be understood, or in this member's own name.
+    /// Datagrams dropped: of another version of the format.
+    #[serde(rename = "version")]
+    pub unsupported_version: u64,
+    /// Datagrams dropped: intact, but their payload cannot be decoded.
     pub malformed: u64,
-    /// Dropped: they would have brought more members than are held.
-    pub full: u64,
-    /// Questions to suspects.
-    pub asked: u64,
-    /// Questions whether another holds the same.
-    pub compared: u64,
-    /// Rumours and comparisons put off for want of bytes to send.
-    pub put_off: u64,
-    /// Questions to delegates of other regions.
-    pub regions_asked: u64,
-    /// Words of load sent.
-    pub load: u64,
-    /// Suspicions that began, and suspects given up.
+    /// Datagrams dropped: they would have brought more members than are stored.
+    #[serde(rename = "full")]
+    pub over_capacity: u64,
+    /// Probes sent by this member as a watcher.
+    #[serde(rename = "asked")]
+    pub watcher_probes: u64,
+    /// Anti-entropy digests sent.
+    #[serde(rename = "compared")]
+    pub digests: u64,
+    /// Broadcasts and digests deferred by the send budget.
+    #[serde(rename = "put_off")]
+    pub deferred: u64,
+    /// Digests sent to delegates of other regions.
+    #[serde(rename = "regions_asked")]
+    pub region_digests: u64,
+    /// Level reports sent.
+    #[serde(rename = "load")]
+    pub level_reports: u64,
+    /// Suspicions begun.
     pub suspicions: u64,
-    pub given_up: u64,
+    /// Suspects confirmed dead.
+    #[serde(rename = "given_up")]
+    pub confirmed_dead: u64,
     /// Suspicions of this member that it refuted.
-    pub refuted: u64,
-    /// Returns after it was given up by others.
-    pub returned: u64,
-    /// Times it stood still itself.
-    pub gaps: u64,
+    #[serde(rename = "refuted")]
+    pub refutations: u64,
+    /// Returns after others had declared this member dead.
+    #[serde(rename = "returned")]
+    pub rejoins: u64,
+    /// Stalls of this member itself.
+    #[serde(rename = "gaps")]
+    pub stalls: u64,
 }
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -105,7 +105,7 @@
         let held = self.swim.iter_membership_state().len();
         if held >= self.settings.members_max && !self.knows(from) {
             let Some(dead) = self.oldest_dead() else {
-                self.statistics.full += 1;
+                self.statistics.over_capacity += 1;
                 return true;
             };
             self.swim_timer(Timer::RemoveDown(dead));
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn returned(&mut self) {
-        self.statistics.returned += 1;
+        self.statistics.rejoins += 1;
         self.changes.push(MembershipEvent::Rejoined {
             generation: self.id().generation,
         });
--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -3,7 +3,7 @@
 use crate::anti_entropy as compare;
 use crate::envelope::{EnvelopeScope, MessageKind, open, seal};
 use crate::member::{Ask, Referral};
-use crate::regions::Payload;
+use crate::regions::AnnouncementPayload;
 use crate::regions::exchange::{AgedAnnouncement, Answer, Question};
 use crate::regions::overview::Part;
 use crate::shedding::LevelReport;
@@ -239,9 +239,9 @@
     let announcement = &told[0].announcement;
     assert_eq!(announcement.region, "south");
     assert_eq!(announcement.author, address(7));
-    let Payload::Summary(summary) = &announcement.payload;
-    assert_eq!((summary.living, summary.places), (4, 4));
-    assert_eq!(summary.config, 0x1234_5678_9abc_def0);
+    let AnnouncementPayload::Summary(summary) = &announcement.payload;
+    assert_eq!((summary.alive, summary.places), (4, 4));
+    assert_eq!(summary.config_checksum, 0x1234_5678_9abc_def0);
     assert_eq!(summary.delegates.len(), 3);
     message::<Vec<AgedAnnouncement>>(WITH_REGIONS, MessageKind::RegionAnnouncements, "longest");
 }
--- a/crates/membership/src/regions.rs
+++ b/crates/membership/src/regions.rs
@@ -5,7 +5,7 @@
 //! leader, spreads in its own region as an [`overview`]. So a member's cost follows the size of its region and the number
 //! of regions, and not the size of the fleet. By how many shares are divided is summed over the regions ([`share_count`]).
 //!
-//! An announcement carries a [`Payload`]. Summaries are the only one yet; configuration or purges can travel as others.
+//! An announcement carries a [`AnnouncementPayload`]. Summaries are the only one yet; configuration or purges can travel as others.
 
 pub mod delegates;
 pub mod exchange;
@@ -33,44 +33,44 @@
 
 /// What a region tells the others of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct RegionSummary {
     /// Members that are there.
-    pub living: u32,
+    pub alive: u32,
     /// Members that count: by how many shares are divided within the region.
     pub places: u32,
     /// The checksum of the configuration that most members have.
-    pub config: u64,
+    pub config_checksum: u64,
     /// How many members have another one.
-    pub config_others: u32,
+    pub config_minority: u32,
     /// Requests that the region takes a second, in tenths.
-    pub requests: u32,
+    pub request_rate_tenths: u32,
     /// Who speaks for it, first the leader.
     pub delegates: Vec<SocketAddr>,
     /// Who led before, if the author took its place: its word counts no more unless it shows that it lives.
     pub replaces: Option<SocketAddr>,
 }
 
-impl Summary {
+impl RegionSummary {
     /// Whether its figures are within their bounds.
     pub fn is_sound(&self) -> bool {
-        self.living <= self.places
+        self.alive <= self.places
             && (1..=REGION_PLACES_MAX).contains(&self.places)
-            && self.config_others <= self.living
+            && self.config_minority <= self.alive
             && self.delegates.len() <= DELEGATES
     }
 
     /// Whether another says the same of what all should know soon.
-    pub fn says_the_same(&self, other: &Summary) -> bool {
-        let facts = |s: &Summary| (s.living, s.places, s.config, s.config_others);
+    pub fn says_the_same(&self, other: &RegionSummary) -> bool {
+        let facts = |s: &RegionSummary| (s.alive, s.places, s.config_checksum, s.config_minority);
         facts(self) == facts(other) && self.delegates == other.delegates
     }
 }
 
 /// What an announcement carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Payload {
+pub enum AnnouncementPayload {
     /// What a region tells of itself.
-    Summary(Summary),
+    Summary(RegionSummary),
 }
 
 /// A short stand-in for the region and author of an announcement.
@@ -95,20 +95,20 @@
     /// Unix time in milliseconds at the author, and more than any version before.
     pub version: u64,
     /// What it says.
-    pub payload: Payload,
+    pub payload: AnnouncementPayload,
 }
 
 impl Announcement {
     /// Whether its names and figures are within their bounds; `unix_ms` is the time now.
     pub fn is_sound(&self, unix_ms: u64) -> bool {
         let named = (1..=LOCATION_NAME_MAX).contains(&self.region.len());
-        let Payload::Summary(summary) = &self.payload;
+        let AnnouncementPayload::Summary(summary) = &self.payload;
         named && self.version <= unix_ms + CLOCK_SKEW_MAX_MS && summary.is_sound()
     }
 
     /// The summary, where it carries one.
-    pub fn summary(&self) -> &Summary {
-        let Payload::Summary(summary) = &self.payload;
+    pub fn summary(&self) -> &RegionSummary {
+        let AnnouncementPayload::Summary(summary) = &self.payload;
         summary
     }
 }
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -4,7 +4,7 @@
 //! figures don't change is told from one that can't be heard. Two delegates compare what they hold: the question lists
 //! each entry's version and beats, the answer brings what the asker lacks and asks for what the other lacks.
 
-use super::{Announcement, Payload, Summary, add};
+use super::{Announcement, AnnouncementPayload, RegionSummary, add};
 use super::{AnnouncementKey, REGIONS_MAX, SILENT_AFTER};
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{self, InjectedFault};
@@ -85,13 +85,13 @@
 
 /// Announcements that were dropped, as counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Dropped {
+pub struct DroppedAnnouncements {
     /// Beyond a bound: figures, names, a version from the future.
     pub unsound: u64,
     /// An older version of the same author.
-    pub older: u64,
+    pub outdated: u64,
     /// Of more regions than are held.
-    pub full: u64,
+    pub over_capacity: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -148,7 +148,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Known {
     /// What it last said.
-    pub summary: Summary,
+    pub summary: RegionSummary,
     /// That version.
     pub version: u64,
     /// The most places that any author who lives tells of: in a region that is split each part may tell of fewer.
@@ -168,7 +168,7 @@
     /// What was forgotten of authors lately. Others may still tell it: without this it would go round for good.
     forgotten: BTreeMap<(String, SocketAddr), Forgotten>,
     beat: Nanos,
-    dropped: Dropped,
+    dropped: DroppedAnnouncements,
 }
 
 impl Exchange {
@@ -181,12 +181,12 @@
             held: BTreeMap::new(),
             forgotten: BTreeMap::new(),
             beat: 0,
-            dropped: Dropped::default(),
+            dropped: DroppedAnnouncements::default(),
         }
     }
 
     /// What was dropped.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedAnnouncements {
         self.dropped
     }
 
@@ -205,14 +205,19 @@
     }
 
     /// What this member last announced itself.
-    pub fn own_summary(&self) -> Option<&Summary> {
+    pub fn own_summary(&self) -> Option<&RegionSummary> {
         self.held
             .get(&self.own_key())
             .map(|held| held.announcement.summary())
     }
 
     /// Announces the own region, by a version above any that is known of this author.
-    pub fn publish(&mut self, now: Nanos, unix_ms: u64, summary: Summary) -> AgedAnnouncement {
+    pub fn publish(
+        &mut self,
+        now: Nanos,
+        unix_ms: u64,
+        summary: RegionSummary,
+    ) -> AgedAnnouncement {
         let former = self
             .held
             .get(&self.own_key())
@@ -221,7 +226,7 @@
             region: self.region.clone(),
             author: self.own,
             version: unix_ms.max(former + 1),
-            payload: Payload::Summary(summary),
+            payload: AnnouncementPayload::Summary(summary),
         };
         let held = Held {
             announcement,
@@ -448,7 +453,7 @@
         if let Some(held) = self.held.get_mut(&place) {
             let older = announcement.version < held.announcement.version;
             if older && !fault_injection::is_injected(InjectedFault::AcceptsOlderAnnouncements) {
-                self.dropped.older += 1;
+                self.dropped.outdated += 1;
                 return false;
             }
             if announcement.version == held.announcement.version {
@@ -513,18 +518,18 @@
         if authors.is_empty() {
             let regions: BTreeSet<&String> = self.held.keys().map(|(region, _)| region).collect();
             let full = regions.len() >= REGIONS_MAX;
-            self.dropped.full += u64::from(full);
+            self.dropped.over_capacity += u64::from(full);
             return !full;
         }
         if authors.len() < AUTHORS_MAX {
             return true;
         }
-        let says = |held: &Held| (!held.is_silent(now), held.announcement.summary().living);
+        let says = |held: &Held| (!held.is_silent(now), held.announcement.summary().alive);
         let least = authors.iter().min_by_key(|(_, held)| says(held));
         let least =
-            least.filter(|(_, held)| says(held) < (!silent, told.announcement.summary().living));
+            least.filter(|(_, held)| says(held) < (!silent, told.announcement.summary().alive));
         let Some(least) = least.map(|(place, _)| (*place).clone()) else {
-            self.dropped.full += 1;
+            self.dropped.over_capacity += 1;
             return false;
         };
         self.forget_author(now, least);
@@ -544,12 +549,7 @@
         living.retain(|held| !held.is_replaced());
     }
     let considered = if living.is_empty() { authors } else { &living };
-    let rank = |held: &&&Held| {
-        (
-            held.announcement.summary().living,
-            held.announcement.version,
-        )
-    };
+    let rank = |held: &&&Held| (held.announcement.summary().alive, held.announcement.version);
     let first = if living.is_empty() {
         considered.iter().max_by_key(|held| held.heard)?
     } else {
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -23,56 +23,56 @@
 
 /// What is known of one region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RegionRow {
+pub struct RegionStatus {
     /// Its name.
     pub region: String,
     /// The version of its summary.
     pub version: u64,
     /// Members that are there.
-    pub living: u32,
+    pub alive: u32,
     /// Members that count.
     pub places: u32,
     /// The checksum of the configuration that most members have.
-    pub config: u64,
+    pub config_checksum: u64,
     /// How many members have another one.
-    pub config_others: u32,
+    pub config_minority: u32,
     /// Requests that it takes a second, in tenths.
-    pub requests: u32,
+    pub request_rate_tenths: u32,
     /// Who speaks for it.
     pub delegates: Vec<SocketAddr>,
     /// How many speak for it in contradiction; 1 unless it is split, 0 while it is silent.
     pub authors: u8,
     /// For how many seconds it has been silent.
-    pub silent_s: Option<u32>,
+    pub silent_seconds: Option<u32>,
 }
 
-impl RegionRow {
+impl RegionStatus {
     /// The row of a region that a delegate knows.
     pub fn of(region: &str, known: &Known, now: Nanos) -> Self {
         let summary = &known.summary;
-        RegionRow {
+        RegionStatus {
             region: region.into(),
             version: known.version,
-            living: summary.living,
+            alive: summary.alive,
             places: known.places,
-            config: summary.config,
-            config_others: summary.config_others,
-            requests: summary.requests,
+            config_checksum: summary.config_checksum,
+            config_minority: summary.config_minority,
+            request_rate_tenths: summary.request_rate_tenths,
             delegates: summary.delegates.clone(),
             authors: u8::try_from(known.authors).unwrap_or(u8::MAX),
-            silent_s: known.silent_since.map(|since| seconds(now, since)),
+            silent_seconds: known.silent_since.map(|since| seconds(now, since)),
         }
     }
 
     /// Whether another says the same; how long a silence has lasted each member counts for itself.
-    fn says_the_same(&self, other: &RegionRow) -> bool {
-        self.silent_s.is_some() == other.silent_s.is_some()
+    fn says_the_same(&self, other: &RegionStatus) -> bool {
+        self.silent_seconds.is_some() == other.silent_seconds.is_some()
             && self.without_silence() == other.without_silence()
     }
 
-    fn without_silence(&self) -> RegionRow {
-        RegionRow {
-            silent_s: None,
+    fn without_silence(&self) -> RegionStatus {
+        RegionStatus {
+            silent_seconds: None,
             ..self.clone()
         }
     }
@@ -91,7 +91,7 @@
     pub author: Option<SocketAddr>,
     /// Unix time in milliseconds at the author, and more than any version before.
     version: u64,
-    rows: Vec<RegionRow>,
+    rows: Vec<RegionStatus>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -113,7 +113,11 @@
     /// The part as it is told now: silences have gone on since it was taken.
     fn told(&self, now: Nanos) -> Part {
         let mut part = self.part.clone();
-        for silent_s in part.rows.iter_mut().filter_map(|row| row.silent_s.as_mut()) {
+        for silent_s in part
+            .rows
+            .iter_mut()
+            .filter_map(|row| row.silent_seconds.as_mut())
+        {
             *silent_s = silent_s.saturating_add(seconds(now, self.taken));
         }
         part
@@ -162,19 +166,19 @@
 
 impl Overview {
     /// All rows, and since when a silent region has been silent.
-    pub fn rows(&self) -> impl Iterator<Item = (&RegionRow, Option<Nanos>)> {
+    pub fn rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         self.held.iter().flat_map(|held| {
             let since = |silent_s: u32| held.taken.saturating_sub(Nanos::from(silent_s) * SECOND);
             held.part
                 .rows
                 .iter()
-                .map(move |row| (row, row.silent_s.map(since)))
+                .map(move |row| (row, row.silent_seconds.map(since)))
         })
     }
 
     /// Writes what is known now, as the leader; parts that say the same as before stay as they are.
-    pub fn write(&mut self, now: Nanos, unix_ms: u64, author: SocketAddr, rows: Vec<RegionRow>) {
-        let mut parts: Vec<Vec<RegionRow>> = vec![Vec::new(); PARTS];
+    pub fn write(&mut self, now: Nanos, unix_ms: u64, author: SocketAddr, rows: Vec<RegionStatus>) {
+        let mut parts: Vec<Vec<RegionStatus>> = vec![Vec::new(); PARTS];
         let mut room = [PAYLOAD_MAX - HEAD_MAX; PARTS];
         for row in rows.into_iter().take(REGIONS_MAX) {
             let number = part_of(&row.region);
@@ -208,7 +212,7 @@
 
     /// Takes a part that another told.
     pub fn take(&mut self, now: Nanos, unix_ms: u64, part: Part) -> Taken {
-        let bounded = |row: &RegionRow| (1..=LOCATION_NAME_MAX).contains(&row.region.len());
+        let bounded = |row: &RegionStatus| (1..=LOCATION_NAME_MAX).contains(&row.region.len());
         let sound = part.version <= unix_ms + CLOCK_SKEW_MAX_MS
             && part.author.is_some()
             && part.rows.len() <= REGIONS_MAX
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,6 +1,6 @@
 //! What a member sees of the others.
 
-use crate::regions::overview::RegionRow;
+use crate::regions::overview::RegionStatus;
 use crate::{Identity, MemberMetadata, Nanos};
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionView {
     /// What its delegates told of it.
-    pub overview: RegionRow,
+    pub overview: RegionStatus,
     /// Since when nothing was heard of it.
     pub silent_since: Option<Nanos>,
 }
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -326,7 +326,7 @@
         let rows: HashMap<&str, (u32, bool)> = hollow
             .member
             .region_rows()
-            .map(|(row, silent_since)| (row.region.as_str(), (row.living, silent_since.is_none())))
+            .map(|(row, silent_since)| (row.region.as_str(), (row.alive, silent_since.is_none())))
             .collect();
         let others = self.living.iter().filter(|(other, _)| **other != region);
         let mut all = others.map(|(other, living)| (region_name(*other), (*living as u32, true)));
--- a/crates/testbed/src/virtual_region_trials.rs
+++ b/crates/testbed/src/virtual_region_trials.rs
@@ -3,7 +3,7 @@
 use crate::virtual_time::{Fleet, Network, address, region_name};
 use membership::envelope::{EnvelopeScope, MessageKind, seal};
 use membership::regions::exchange::AgedAnnouncement;
-use membership::regions::{Announcement, Payload, Summary};
+use membership::regions::{Announcement, AnnouncementPayload, RegionSummary};
 use membership::{MS, Nanos};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -123,12 +123,12 @@
         region: region_name(1),
         author,
         version,
-        payload: Payload::Summary(Summary {
-            living: places,
+        payload: AnnouncementPayload::Summary(RegionSummary {
+            alive: places,
             places,
-            config: 7,
-            config_others: 0,
-            requests: 0,
+            config_checksum: 7,
+            config_minority: 0,
+            request_rate_tenths: 0,
             delegates: row.delegates.clone(),
             replaces: None,
         }),
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -591,7 +591,7 @@
         let heard: HashMap<&str, usize> = member
             .region_rows()
             .filter(|(_, silent_since)| silent_since.is_none())
-            .map(|(row, _)| (row.region.as_str(), row.living as usize))
+            .map(|(row, _)| (row.region.as_str(), row.alive as usize))
             .collect();
         let others = living
             .iter()
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -2,7 +2,7 @@
 
 use membership::envelope::{EnvelopeScope, MessageKind, seal};
 use membership::regions::exchange::AgedAnnouncement;
-use membership::regions::{Announcement, Payload, Summary};
+use membership::regions::{Announcement, AnnouncementPayload, RegionSummary};
 use membership::{MS, Nanos};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
         .member(n)?
         .region_rows()
         .find(|(row, _)| row.region == name)
-        .map(|(row, _)| row.living)
+        .map(|(row, _)| row.alive)
 }
 
 #[test]
@@ -159,7 +159,7 @@
                     .find(|seen| seen.overview.region == region_name(0))
                     .cloned();
                 let row = row.expect("it is told of").overview;
-                told.insert((row.living, row.places, row.authors));
+                told.insert((row.alive, row.places, row.authors));
             }
         }
         assert_eq!(
@@ -279,13 +279,13 @@
     )
 }
 
-fn summary(living: u32, places: u32) -> Summary {
-    Summary {
-        living,
+fn summary(living: u32, places: u32) -> RegionSummary {
+    RegionSummary {
+        alive: living,
         places,
-        config: 7,
-        config_others: 0,
-        requests: 0,
+        config_checksum: 7,
+        config_minority: 0,
+        request_rate_tenths: 0,
         delegates: Vec::new(),
         replaces: None,
     }
@@ -302,11 +302,11 @@
         region: region_name(1),
         author,
         version: leader.version,
-        payload: Payload::Summary(summary(6, 6)),
+        payload: AnnouncementPayload::Summary(summary(6, 6)),
     };
     let with = |living, places| Announcement {
         version: leader.version + 1,
-        payload: Payload::Summary(summary(living, places)),
+        payload: AnnouncementPayload::Summary(summary(living, places)),
         ..sound.clone()
     };
     let before = fleet.member(delegate).expect("it runs").regions_dropped().0;
@@ -329,7 +329,7 @@
     }
     let old = Announcement {
         version: leader.version - 1,
-        payload: Payload::Summary(summary(1, 1)),
+        payload: AnnouncementPayload::Summary(summary(1, 1)),
         ..sound.clone()
     };
     fleet.inject(delegate, author, &news("trial", &old));
@@ -337,7 +337,10 @@
     fleet.inject(delegate, author, &news("another", &with(1, 1)));
     let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
     assert_eq!(
-        (after.unsound - before.unsound, after.older - before.older),
+        (
+            after.unsound - before.unsound,
+            after.outdated - before.outdated
+        ),
         (lies.len() as u64, 1)
     );
     assert_eq!(
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -67,9 +67,9 @@
             "seed {seed}: {back}; 2.2 s and more where rumours alone tell of them"
         );
         fleet.play(fleet.now + 20 * S);
-        let (before, calm) = (fleet.traffic(3).compared, 10);
+        let (before, calm) = (fleet.traffic(3).digests, 10);
         fleet.play(fleet.now + calm * S);
-        let asked = fleet.traffic(3).compared - before;
+        let asked = fleet.traffic(3).digests - before;
         assert!(asked <= calm, "{asked} questions in {calm} calm seconds");
     }
 }
@@ -159,7 +159,7 @@
         );
         fleet.until(10 * S, Fleet::settled).expect("taken back");
         fleet.play(fleet.now + 5 * S);
-        assert!(fleet.settled() && fleet.false_deaths() == 0 && fleet.traffic(4).gaps > 0);
+        assert!(fleet.settled() && fleet.false_deaths() == 0 && fleet.traffic(4).stalls > 0);
     }
 }
 
@@ -218,7 +218,7 @@
         );
     }
     assert!(
-        fleet.view(0).members.len() >= 10 && fleet.traffic(0).full > 0,
+        fleet.view(0).members.len() >= 10 && fleet.traffic(0).over_capacity > 0,
         "the others are counted"
     );
 }
@@ -268,7 +268,7 @@
     }
     let after = fleet.traffic(0);
     assert!(
-        after.torn > before.torn
+        after.corrupt > before.corrupt
             && after.foreign > before.foreign
             && after.malformed > before.malformed
     );
