--- a/crates/membership/src/member/delegate.rs
+++ b/crates/membership/src/member/region_delegate.rs
@@ -2,11 +2,11 @@
 
 use super::Member;
 use super::swim::Runtime;
-use crate::envelope::{Kind, PAYLOAD_MAX};
-use crate::planted::{self, InjectedFault};
-use crate::records::ServingPhase;
+use crate::envelope::{MessageKind, PAYLOAD_MAX};
+use crate::fault_injection::{self, InjectedFault};
+use crate::metadata::ServingPhase;
 use crate::regions::exchange::{AgedAnnouncement, Answer, Exchange, Question};
-use crate::regions::{DELEGATES, Summary};
+use crate::regions::{DELEGATES, RegionSummary};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -80,7 +80,8 @@
         };
         let former = exchange.own_summary();
         let same = former.is_some_and(|former| former.says_the_same(&summary));
-        let busier = former.is_some_and(|former| former.requests != summary.requests);
+        let busier =
+            former.is_some_and(|former| former.request_rate_tenths != summary.request_rate_tenths);
         let due = busier && self.now.saturating_sub(regional.published) >= PUBLISH_REQUESTS;
         let early = former.is_some() && self.now.saturating_sub(regional.published) < PUBLISH;
         if same && !due || early {
@@ -93,7 +94,7 @@
     }
 
     /// What the own region tells of itself.
-    fn summary(&self) -> Summary {
+    fn summary(&self) -> RegionSummary {
         let own = self.own_figures();
         let there = self.table.members().filter(|seen| seen.status.is_present());
         let others = there.filter_map(|seen| seen.metadata.as_ref());
@@ -112,12 +113,12 @@
             .map_or((0, 0), |(config, count)| (*config, *count));
         let regional = self.regional.as_ref();
         let is_own = |former: &SocketAddr| *former == self.settings.address;
-        Summary {
-            living: own.living as u32,
+        RegionSummary {
+            alive: own.living as u32,
             places: own.places as u32,
-            config: most.0,
-            config_others: configs.values().sum::<u32>() - most.1,
-            requests: two_figures(requests),
+            config_checksum: most.0,
+            config_minority: configs.values().sum::<u32>() - most.1,
+            request_rate_tenths: two_figures(requests),
             delegates: self.delegates().to_vec(),
             replaces: regional
                 .and_then(|regional| regional.former_leader)
@@ -159,7 +160,7 @@
         );
         let payload = AgedAnnouncement::encode(told);
         for target in targets {
-            self.send(target, Kind::RegionNews, &payload);
+            self.send(target, MessageKind::RegionAnnouncements, &payload);
         }
     }
 
@@ -218,9 +219,9 @@
             None => Exchange::new(regional.own, &regional.location.region, 0)
                 .question(self.now, false, 0),
         };
-        self.statistics.regions_asked += 1;
+        self.statistics.region_digests += 1;
         let payload = postcard::to_stdvec(&question).unwrap_or_default();
-        self.send(to, Kind::RegionQuestion, &payload);
+        self.send(to, MessageKind::RegionDigest, &payload);
     }
 
     pub(super) fn take_region_question(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
@@ -234,7 +235,7 @@
         let (kind, payload) = match &mut regional.exchange {
             Some(exchange) => {
                 let answer = exchange.answer(self.now, &question);
-                (Kind::RegionAnswer, postcard::to_stdvec(&answer))
+                (MessageKind::RegionDelta, postcard::to_stdvec(&answer))
             }
             None => {
                 let yours = regional
@@ -248,7 +249,7 @@
                         .map(|(row, _)| row.delegates.clone())
                         .unwrap_or_default(),
                 };
-                (Kind::RegionReferral, postcard::to_stdvec(&referral))
+                (MessageKind::RegionReferral, postcard::to_stdvec(&referral))
             }
         };
         self.send(from, kind, &payload.unwrap_or_default());
@@ -276,7 +277,7 @@
         regional.referred.clear();
         if !wanted.is_empty() {
             let payload = AgedAnnouncement::encode(&wanted);
-            self.send(from, Kind::RegionNews, &payload);
+            self.send(from, MessageKind::RegionAnnouncements, &payload);
         }
         self.heard_of(&new);
         true
@@ -322,7 +323,7 @@
         if let Some(leader) = leader
             && payload.len() <= PAYLOAD_MAX
         {
-            self.send(leader, Kind::RegionNews, &payload);
+            self.send(leader, MessageKind::RegionAnnouncements, &payload);
         }
     }
 
@@ -371,7 +372,9 @@
         let Some(regional) = &mut self.regional else {
             return;
         };
-        if planted::is_injected(InjectedFault::IgnoresReferrals) || self.now < regional.due.rejoin {
+        if fault_injection::is_injected(InjectedFault::IgnoresReferrals)
+            || self.now < regional.due.rejoin
+        {
             return;
         }
         let known =
