--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -75,7 +75,7 @@
     ) -> Option<(Event, Answer)> {
         let ticket = self.contexts.get_mut(&request)?.ticket.take()?;
         let event = self.give_up(now, request, attempt, AttemptOutcome::Ok, counters)?;
-        counters.passed_on += 1;
+        counters.streamed += 1;
         self.passing.insert(request, (ticket.connection, attempt));
         Some((event, (ticket, FinalAnswer::Streaming(length))))
     }
@@ -175,11 +175,11 @@
         let time = timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let until = now.saturating_add(time).min(context.deadline);
         if context.ticket.is_none() || until < now + MS {
-            counters.try_moot += 1;
+            counters.attempts_not_sent += 1;
             return Err(moot(context.ticket.is_none()));
         }
-        counters.tries += 1;
-        counters.copies += u64::from(!context.attempts.is_empty());
+        counters.attempts += 1;
+        counters.hedges += u64::from(!context.attempts.is_empty());
         let begin_by = begin_within.map_or(Nanos::MAX, |within| now.saturating_add(within));
         let lost = self.lost;
         context.attempts.insert(
@@ -230,9 +230,9 @@
             .get(&request)
             .and_then(|context| context.client_left_at)
         {
-            counters.left_unsent += 1;
-            counters.left_unsent_ms = counters
-                .left_unsent_ms
+            counters.unsent_after_disconnect += 1;
+            counters.longest_unsent_after_disconnect_ms = counters
+                .longest_unsent_after_disconnect_ms
                 .max(now.saturating_sub(left).div_ceil(MS));
         }
     }
@@ -271,7 +271,7 @@
     pub fn probe(&mut self, server: EndpointId, counters: &mut Counters) -> UpstreamJob {
         self.next_probe += 1;
         self.probes.insert(self.next_probe, server);
-        counters.probes += 1;
+        counters.health_checks += 1;
         UpstreamJob::Probe(self.next_probe)
     }
 
@@ -334,16 +334,16 @@
 
 fn count(outcome: AttemptOutcome, counters: &mut Counters) {
     *match outcome {
-        AttemptOutcome::Ok => &mut counters.try_ok,
-        AttemptOutcome::Error | AttemptOutcome::CacheMiss => &mut counters.try_error,
-        AttemptOutcome::Unreadable => &mut counters.try_spoilt,
-        AttemptOutcome::InvalidRequest => &mut counters.try_unfit,
-        AttemptOutcome::Rejected => &mut counters.try_full,
-        AttemptOutcome::Timeout => &mut counters.try_timeout,
-        AttemptOutcome::ConnectFailed => &mut counters.try_connect_failed,
-        AttemptOutcome::Reset => &mut counters.try_reset,
-        AttemptOutcome::Cancelled => &mut counters.try_cancelled,
-        AttemptOutcome::NotSent => &mut counters.try_moot,
+        AttemptOutcome::Ok => &mut counters.attempts_ok,
+        AttemptOutcome::Error | AttemptOutcome::CacheMiss => &mut counters.attempts_error,
+        AttemptOutcome::Unreadable => &mut counters.attempts_unreadable,
+        AttemptOutcome::InvalidRequest => &mut counters.attempts_invalid,
+        AttemptOutcome::Rejected => &mut counters.attempts_rejected,
+        AttemptOutcome::Timeout => &mut counters.attempts_timeout,
+        AttemptOutcome::ConnectFailed => &mut counters.attempts_connect_failed,
+        AttemptOutcome::Reset => &mut counters.attempts_reset,
+        AttemptOutcome::Cancelled => &mut counters.attempts_cancelled,
+        AttemptOutcome::NotSent => &mut counters.attempts_not_sent,
     } += 1;
 }
 
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -27,10 +27,10 @@
     /// The name by which logs and counters call it.
     pub fn name(self) -> &'static str {
         match self {
-            DecisionStep::Rejected => "refused",
+            DecisionStep::Rejected => "rejected",
             DecisionStep::Failed => "failed",
-            DecisionStep::Queued => "held",
-            DecisionStep::HedgeSuppressed => "no_copy",
+            DecisionStep::Queued => "queued",
+            DecisionStep::HedgeSuppressed => "hedge_suppressed",
         }
     }
 }
@@ -83,113 +83,113 @@
 
 counters! {
     /// Requests taken from clients.
-    taken,
+    requests,
     /// Commands that were no request: malformed, or lacking a field.
-    malformed,
+    malformed_commands,
     /// Requests with a class that the settings don't name.
-    class_unknown,
+    unknown_class,
     /// Requests with the id of one that is still open.
-    id_open,
+    duplicate_id,
     /// Requests turned away for want of memory or places, without asking the module.
-    overfull,
+    rejected_at_limits,
     /// Requests whose time was over when they were read.
-    over_when_read,
+    expired_when_read,
     /// Clients that were asked for right before something was sent for them, since the last look was too long ago.
-    clients_asked,
+    client_checks,
     /// Of these, clients that had left.
-    clients_found_gone,
+    client_checks_disconnected,
     /// Attempts that waited for the next look at the sockets, since the last was too long ago.
-    postponed,
+    attempts_postponed,
     /// Times that the process was held up between two looks at the sockets.
-    held_up,
+    stalls,
     /// The longest of these, in milliseconds.
-    held_up_ms,
+    longest_stall_ms,
     /// Turns of the loop that took long.
-    turns_long,
+    long_turns,
     /// The longest turn, in microseconds.
-    turn_longest_us,
+    longest_turn_us,
     /// Attempts sent, the first of each request included.
-    tries,
+    attempts,
     /// Attempts sent while another of the request was out.
-    copies,
+    hedges,
     /// Probes sent.
-    probes,
+    health_checks,
     /// Attempts that were answered.
-    try_ok,
+    attempts_ok,
     /// Attempts that the peer answered with an error.
-    try_error,
+    attempts_error,
     /// Attempts that the peer turned away.
-    try_full,
+    attempts_rejected,
     /// Attempts that ran out of time.
-    try_timeout,
+    attempts_timeout,
     /// Attempts whose connection never came up or broke before all was written.
-    try_connect_failed,
+    attempts_connect_failed,
     /// Attempts whose connection broke after that.
-    try_reset,
+    attempts_reset,
     /// Attempts whose answer can't be read.
-    try_spoilt,
+    attempts_unreadable,
     /// Attempts that the peer answered with an error that speaks against the request itself.
-    try_unfit,
+    attempts_invalid,
     /// Attempts called back by the module.
-    try_cancelled,
+    attempts_cancelled,
     /// Attempts never sent, for want of time or of a connection.
-    try_moot,
+    attempts_not_sent,
     /// Requests answered with a value or receipt.
     served,
     /// Requests refused.
-    refused,
+    rejected,
     /// Requests failed.
     failed,
     /// Requests whose client left before the answer.
-    gone,
+    client_disconnects,
     /// Attempts that were never sent because the client had left before.
-    left_unsent,
+    unsent_after_disconnect,
     /// The longest time between the two, in milliseconds, rounded up.
-    left_unsent_ms,
+    longest_unsent_after_disconnect_ms,
     /// Clients that were found to have left while their connections were not read.
-    left_unread,
+    disconnects_while_unread,
     /// Client connections accepted.
     clients_accepted,
     /// Client connections closed, by either side.
     clients_closed,
     /// Replies of peers that can't be read.
-    spoilt,
+    upstream_unreadable,
     /// Of these, for standing still before their end.
-    stalled,
+    upstream_stalled,
     /// Long values passed on as they came.
-    passed_on,
+    streamed,
     /// Of these, broken off by the cache: the client's connection was ended.
-    broken_off,
+    streams_aborted,
     /// Attempts and probes without a place for another connection.
-    no_place,
+    upstream_slots_exhausted,
     /// Of these, for saying nothing, or half a command, for too long.
-    clients_unfinished,
+    clients_incomplete,
     /// Of these, for having nothing open for long.
     clients_idle,
     /// Connections to peers begun.
-    peers_opened,
+    upstream_opened,
     /// Connections to peers closed, by either side.
-    peers_closed,
+    upstream_closed,
     /// Messages of discovery taken.
-    list_news,
+    discovery_messages,
     /// Lines of the list that were left: of an older version than the line before.
-    list_old,
+    discovery_outdated_lines,
     /// Calls of discovery begun.
-    list_calls,
+    discovery_calls,
     /// Calls of discovery that failed or ended.
-    list_failed,
+    discovery_failed,
     /// Of these, given up for saying nothing.
-    list_silent,
+    discovery_silent,
     /// The longest silence before that, in milliseconds.
-    list_silent_ms,
+    longest_discovery_silence_ms,
     /// Calls of the operators.
-    calls,
+    admin_calls,
     /// Calls that were none: no HTTP, an unknown path, a wrong method, too long.
-    calls_wrong,
+    admin_calls_invalid,
     /// Callers that sent no whole call in time.
-    calls_unfinished,
+    admin_calls_incomplete,
     /// Unfinished callers closed for newcomers.
-    calls_pushed_out,
+    admin_calls_evicted,
     /// Configurations read again and taken over.
     reloads,
     /// Configurations read again and found faulty; the old one stayed.
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -245,7 +245,7 @@
         if self.call.is_some() {
             return None;
         }
-        counters.list_calls += 1;
+        counters.discovery_calls += 1;
         self.begun = now;
         let number = self.next_call;
         self.next_call += 1;
@@ -352,7 +352,7 @@
     /// an agent that is gone for hours is called several times a second.
     fn fail(&mut self, problem: &str, counters: &mut Counters) -> DiscoveryEvent {
         self.call = None;
-        counters.list_failed += 1;
+        counters.discovery_failed += 1;
         self.failures = self.failures.saturating_add(1);
         let level = if self.failures.is_power_of_two() {
             log::Level::Warn
@@ -390,8 +390,8 @@
             return timers.set(due, TimerKind::Discovery(number));
         }
         let (silent, stage) = (now.saturating_sub(call.heard) / MS, call.stage());
-        counters.list_silent += 1;
-        counters.list_silent_ms = counters.list_silent_ms.max(silent);
+        counters.discovery_silent += 1;
+        counters.longest_discovery_silence_ms = counters.longest_discovery_silence_ms.max(silent);
         events.push(self.fail(
             &format!("silent for {silent} ms, {stage}; it is called anew"),
             counters,
@@ -413,7 +413,7 @@
             // the version that was asked from, and an older one than that is late news too.
             let known = call.seq.or(self.seq.filter(|_| !message.whole));
             if known.is_some_and(|seq| message.seq < seq) {
-                counters.list_old += 1;
+                counters.discovery_outdated_lines += 1;
                 let (address, seq) = (self.address, message.seq);
                 log::warn!(
                     "discovery at {address}: a line of version {seq} is left, {known:?} was told"
@@ -422,7 +422,7 @@
             }
             call.seq = Some(message.seq);
             self.failures = 0;
-            counters.list_news += 1;
+            counters.discovery_messages += 1;
             self.pending.push_back(message);
         }
         if call.scanner.is_between() {
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -70,7 +70,10 @@
         events.clear();
         assert_eq!(group.failures, failures);
     }
-    assert_eq!((counters.list_news, counters.list_failed), (1, 3));
+    assert_eq!(
+        (counters.discovery_messages, counters.discovery_failed),
+        (1, 3)
+    );
 }
 
 #[test]
@@ -225,7 +228,10 @@
         watch.says(0, "HTTP/1.1 200 OK\r\n\r\n");
         watch.says(0, text);
         assert_eq!(watch.told(), told, "{text}");
-        assert_eq!(watch.counters.list_old, u64::from(told.is_empty()));
+        assert_eq!(
+            watch.counters.discovery_outdated_lines,
+            u64::from(told.is_empty())
+        );
     }
 }
 
@@ -267,7 +273,10 @@
             "{stage}: an empty line is due every 2 s"
         );
         assert_eq!(
-            (watch.counters.list_silent, watch.counters.list_silent_ms),
+            (
+                watch.counters.discovery_silent,
+                watch.counters.longest_discovery_silence_ms
+            ),
             (1, given_up / MS)
         );
     }
--- a/crates/balancer/src/event_loop/attempts.rs
+++ b/crates/balancer/src/event_loop/attempts.rs
@@ -44,7 +44,7 @@
             let now = self.clock.now();
             if !self.may_send_now(now, gathered) {
                 self.connected_jobs.push_front(job);
-                self.counters.postponed += 1;
+                self.counters.attempts_postponed += 1;
                 self.postponed_turns += u32::from(gathered);
                 return;
             }
@@ -115,7 +115,7 @@
             if let Some(connection) = self.attempt_tracker.passing((request, attempt)) {
                 self.attempt_tracker.passed(request);
                 let whole = matches!(end, ExchangeResult::Answer(_));
-                self.counters.broken_off += u64::from(!whole);
+                self.counters.streams_aborted += u64::from(!whole);
                 let mut events = Vec::new();
                 self.listener.finish_streaming(
                     connection,
@@ -128,7 +128,7 @@
                 return self.handle_listener_events(now, events);
             }
         }
-        self.counters.no_place += u64::from(end == ExchangeResult::NoPlace);
+        self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoPlace);
         let (event, answer) = self
             .attempt_tracker
             .finished(now, job, end, &mut self.counters);
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -52,7 +52,7 @@
             return;
         };
         fleet.count(self.engine.take_tally());
-        if let Some(routers) = fleet.turn(now, &self.lifecycle, self.counters.taken) {
+        if let Some(routers) = fleet.turn(now, &self.lifecycle, self.counters.requests) {
             self.pending_events.push(Event::BalancerCount(routers));
         }
         self.pending_events
--- a/crates/balancer/src/event_loop/requests.rs
+++ b/crates/balancer/src/event_loop/requests.rs
@@ -70,17 +70,17 @@
         full: bool,
     ) -> Option<FinalAnswer> {
         if !class_known {
-            self.counters.class_unknown += 1;
+            self.counters.unknown_class += 1;
             Some(FinalAnswer::Invalid("unknown class"))
         } else if self.attempt_tracker.is_open(&incoming.command.request_id) {
-            self.counters.id_open += 1;
+            self.counters.duplicate_id += 1;
             Some(FinalAnswer::Invalid("a request with this id is open"))
         } else if full {
-            self.counters.overfull += 1;
+            self.counters.rejected_at_limits += 1;
             Some(FinalAnswer::Rejected { retry_after: 0 })
         } else if incoming.arrived_at.saturating_add(incoming.client_timeout) <= self.clock.now() {
             // It waited to be read while the process was held up.
-            self.counters.over_when_read += 1;
+            self.counters.expired_when_read += 1;
             Some(FinalAnswer::Rejected { retry_after: 0 })
         } else {
             None
@@ -105,7 +105,7 @@
     pub(super) fn send_answer(&mut self, now: Nanos, (ticket, answer): Answer) {
         match answer {
             FinalAnswer::Served(_) | FinalAnswer::Streaming(_) => self.counters.served += 1,
-            FinalAnswer::Rejected { .. } => self.counters.refused += 1,
+            FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
             FinalAnswer::Failed | FinalAnswer::Invalid(_) => self.counters.failed += 1,
         }
         let connection = ticket.connection;
--- a/crates/balancer/src/event_loop/tests.rs
+++ b/crates/balancer/src/event_loop/tests.rs
@@ -302,7 +302,7 @@
     command(&mut cache);
     cache.write_all(VALUE).unwrap();
     s.turn(&[FIRST]);
-    s.until(|the| the.counters.list_calls == 1);
+    s.until(|the| the.counters.discovery_calls == 1);
     s.turn(&[EventSource::Discovery(0)]);
     // The connection rests until then.
     std::thread::sleep(Duration::from_millis(12));
@@ -317,7 +317,10 @@
     s.the.poll_timestamps = PollTimestamps::start(s.the.clock.now().saturating_sub(1_000 * MS));
     s.the.run_decisions();
     assert_eq!(
-        (s.the.counters.postponed, s.the.connected_jobs.len()),
+        (
+            s.the.counters.attempts_postponed,
+            s.the.connected_jobs.len()
+        ),
         (1, 1)
     );
     let dial = local(&s.caches[0]);
@@ -352,9 +355,15 @@
         s.turn(&[FIRST]);
     }
     assert_eq!(rest(&mut cache), "");
-    assert_eq!((s.the.counters.gone, s.the.counters.left_unsent), (1, 1));
+    assert_eq!(
+        (
+            s.the.counters.client_disconnects,
+            s.the.counters.unsent_after_disconnect
+        ),
+        (1, 1)
+    );
     assert!(
-        s.the.counters.left_unsent_ms < 300,
+        s.the.counters.longest_unsent_after_disconnect_ms < 300,
         "as long as the connection took"
     );
     assert_eq!(s.the.attempt_tracker.open(), 0);
@@ -369,8 +378,8 @@
     s.turn(&[FIRST, CLIENT]);
     assert_eq!(
         (
-            s.the.counters.try_full,
-            s.the.counters.peers_opened,
+            s.the.counters.attempts_rejected,
+            s.the.counters.upstream_opened,
             s.the.attempt_tracker.open()
         ),
         (1, 1, 0)
@@ -403,9 +412,9 @@
     s.turn(&[]);
     assert_eq!(
         (
-            s.the.counters.tries,
-            s.the.counters.copies,
-            s.the.counters.gone
+            s.the.counters.attempts,
+            s.the.counters.hedges,
+            s.the.counters.client_disconnects
         ),
         (1, 0, 1)
     );
@@ -430,19 +439,19 @@
     }
     assert_eq!(s.the.attempt_tracker.open(), 1_000);
     assert!(
-        s.the.counters.tries < 100,
+        s.the.counters.attempts < 100,
         "most are held: {}",
-        s.the.counters.tries
+        s.the.counters.attempts
     );
     s.clients.clear();
     let all: Vec<EventSource> = (0..8).map(EventSource::Client).collect();
     s.turn(&all);
-    let tries = s.the.counters.tries;
+    let tries = s.the.counters.attempts;
     assert_eq!(
         (
             s.the.attempt_tracker.open(),
             s.the.attempt_tracker.held(),
-            s.the.counters.gone
+            s.the.counters.client_disconnects
         ),
         (0, 0, 1_000)
     );
@@ -451,7 +460,7 @@
     while s.the.clock.now() < asked + 300 * MS {
         s.turn(&[]);
     }
-    assert_eq!(s.the.counters.tries, tries, "none is sent later");
+    assert_eq!(s.the.counters.attempts, tries, "none is sent later");
 }
 
 #[test]
@@ -461,7 +470,7 @@
     s.ask("read", 4_000);
     s.turn(&[FIRST]);
     let (_, mut first) = s.next();
-    s.until(|the| the.counters.copies == 1);
+    s.until(|the| the.counters.hedges == 1);
     let (_, mut second) = s.next();
     command(&mut first);
     first.write_all(VALUE).unwrap();
@@ -514,7 +523,10 @@
     drop(cache);
     s.turn(&[FIRST]);
     assert_eq!(
-        (s.the.counters.try_reset, s.the.counters.peers_opened),
+        (
+            s.the.counters.attempts_reset,
+            s.the.counters.upstream_opened
+        ),
         (1, 2),
         "within the window it is sent again"
     );
@@ -534,7 +546,7 @@
     s.ask("put", 50_000);
     let mut unsent = s.accept(0);
     // Its first try is over before its connection is up: it never ran, and the next is the first.
-    s.until(|the| the.counters.try_connect_failed == 1);
+    s.until(|the| the.counters.attempts_connect_failed == 1);
     assert_eq!(rest(&mut unsent), "");
     let mut cache = s.accept(0);
     s.turn(&[SECOND]);
@@ -544,7 +556,10 @@
     while s.the.clock.now() < sent + MS {}
     s.turn(&[SECOND]);
     assert_eq!(
-        (s.the.counters.try_reset, s.the.counters.peers_opened),
+        (
+            s.the.counters.attempts_reset,
+            s.the.counters.upstream_opened
+        ),
         (1, 2),
         "it may have run: no repeat"
     );
@@ -563,7 +578,13 @@
     s.news(&drains.to_string());
     // The outcome, by which the other is asked next, and behind it the news that it drains.
     s.turn(&[FIRST, EventSource::Discovery(0)]);
-    assert_eq!((s.the.counters.try_full, s.the.counters.list_news), (1, 1));
+    assert_eq!(
+        (
+            s.the.counters.attempts_rejected,
+            s.the.counters.discovery_messages
+        ),
+        (1, 1)
+    );
     s.caches[other].set_nonblocking(true).unwrap();
     assert!(
         s.caches[other].accept().is_err(),
@@ -609,11 +630,11 @@
     // A keyed write's first try has three quarters of the window.
     s.ask("put", 50_000);
     let _cache = s.accept(0);
-    s.until(|the| the.counters.try_timeout + the.counters.try_connect_failed > 0);
+    s.until(|the| the.counters.attempts_timeout + the.counters.attempts_connect_failed > 0);
     assert_eq!(
         (
-            s.the.counters.try_timeout,
-            s.the.counters.try_connect_failed
+            s.the.counters.attempts_timeout,
+            s.the.counters.attempts_connect_failed
         ),
         (0, 1)
     );
@@ -674,7 +695,7 @@
     #[case] stands: bool,
 ) {
     let mut s = Stage::set(GIVEN);
-    s.until(|the| the.counters.list_calls == 1);
+    s.until(|the| the.counters.discovery_calls == 1);
     s.turn(&[EventSource::Discovery(0)]);
     let (mut watch, _) = s.discovery.accept().unwrap();
     watch.write_all(text.as_bytes()).unwrap();
@@ -700,7 +721,7 @@
     const SOCKETS: usize = 64;
     let mut s = Stage::with(GIVEN, |config| config.sockets = SOCKETS);
     let (_, places) = split_sockets(SOCKETS, false);
-    s.until(|the| the.counters.list_calls == 1);
+    s.until(|the| the.counters.discovery_calls == 1);
     s.turn(&[EventSource::Discovery(0)]);
     let (down, _) = s.discovery.accept().unwrap();
     let address = s.the.listener.address().expect("the door is open");
@@ -713,8 +734,8 @@
     let ended = s.wait(EventSource::Discovery(0));
     s.the.process_ready(&mut vec![ended], true);
     s.the.run_decisions();
-    assert_eq!(s.the.counters.list_failed, 1);
-    s.until(|the| the.counters.list_calls == 2);
+    assert_eq!(s.the.counters.discovery_failed, 1);
+    s.until(|the| the.counters.discovery_calls == 2);
     let open = s.the.counters.clients_accepted - s.the.counters.clients_closed;
     assert!(open <= places as u64, "{open} of {places}");
     assert!(
@@ -955,7 +976,7 @@
     s.ask("read", 4_000);
     s.turn(&[FIRST]);
     let (_, mut first) = s.next();
-    s.until(|the| the.counters.copies == 1);
+    s.until(|the| the.counters.hedges == 1);
     let (_, mut second) = s.next();
     s.turn(&[SECOND]);
     command(&mut first);
@@ -968,7 +989,7 @@
         (
             s.the.counters.served,
             s.the.attempt_tracker.open(),
-            s.the.counters.tries
+            s.the.counters.attempts
         ),
         (1, 0, 2)
     );
--- a/crates/balancer/src/event_loop/turns.rs
+++ b/crates/balancer/src/event_loop/turns.rs
@@ -77,10 +77,10 @@
         }
         (self.catching_up, self.catch_up_polls_left) = (true, CATCH_UP_MOST);
         let ms = held_up / MS;
-        self.counters.held_up += 1;
-        self.counters.held_up_ms = self.counters.held_up_ms.max(ms);
+        self.counters.stalls += 1;
+        self.counters.longest_stall_ms = self.counters.longest_stall_ms.max(ms);
         log::log!(
-            level(self.counters.held_up),
+            level(self.counters.stalls),
             "held up for {ms} ms between two looks at the sockets"
         );
     }
@@ -97,12 +97,12 @@
         // Closes the last step.
         self.turn_meter.step(TurnStep::AdminCalls, now);
         let took = self.turn_meter.elapsed(now);
-        self.counters.turn_longest_us = self.counters.turn_longest_us.max(took / 1_000);
+        self.counters.longest_turn_us = self.counters.longest_turn_us.max(took / 1_000);
         if took > TURN_LONG {
-            self.counters.turns_long += 1;
+            self.counters.long_turns += 1;
             let (step, part) = self.turn_meter.longest();
             log::log!(
-                level(self.counters.turns_long),
+                level(self.counters.long_turns),
                 "a turn took {} ms, {} of them for {step:?}",
                 took / MS,
                 part / MS
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -151,7 +151,7 @@
                 // They are numbered as they came.
                 let unfinished = self.callers.iter().find(|(_, c)| c.output.is_empty());
                 if let Some((&number, _)) = unfinished.or(self.callers.first_key_value()) {
-                    counters.calls_pushed_out += 1;
+                    counters.admin_calls_evicted += 1;
                     self.callers.remove(&number);
                 }
             }
@@ -209,14 +209,14 @@
         match read_head(&c.input, self.fleet) {
             ParsedHead::More => None,
             ParsedHead::Command(call) => {
-                counters.calls += 1;
+                counters.admin_calls += 1;
                 Some(AdminRequest {
                     connection: number,
                     command: call,
                 })
             }
             ParsedHead::Wrong(status, allow) => {
-                counters.calls_wrong += 1;
+                counters.admin_calls_invalid += 1;
                 self.put(number, status, reason(status), allow);
                 None
             }
@@ -301,7 +301,7 @@
             .map(|(n, _)| *n)
             .collect();
         for number in late {
-            counters.calls_unfinished += 1;
+            counters.admin_calls_incomplete += 1;
             self.put(number, 408, reason(408), "");
         }
     }
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -102,7 +102,7 @@
         .unwrap();
     door.accept(1, &mut counters);
     assert_eq!(
-        (door.callers.len(), counters.calls_pushed_out),
+        (door.callers.len(), counters.admin_calls_evicted),
         (CONNECTIONS_MAX, 1)
     );
     assert_eq!(
@@ -187,5 +187,5 @@
     let mut text = String::new();
     caller.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 404 Not Found\r\n"), "{text}");
-    assert_eq!(counters.calls_wrong, 1);
+    assert_eq!(counters.admin_calls_invalid, 1);
 }
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -216,9 +216,9 @@
         if PollTimestamps::is_fresh(c.presence.seen(&self.poll_timestamps, c.is_read()), now) {
             return true;
         }
-        counters.clients_asked += 1;
+        counters.client_checks += 1;
         if has_peer_closed(c.stream.socket()) {
-            counters.clients_found_gone += 1;
+            counters.client_checks_disconnected += 1;
             self.close(number, counters, events);
             return false;
         }
@@ -337,7 +337,7 @@
                     };
                     match command(input, &words, ticket, self.policy) {
                         ParsedCommand::Request(_) if !takes => {
-                            counters.refused += 1;
+                            counters.rejected += 1;
                             c.responses.push_back(PendingResponse::Answered(encode(
                                 FinalAnswer::Rejected { retry_after: 0 },
                             )));
@@ -350,14 +350,14 @@
                             self.next_request += 1;
                             c.responses
                                 .push_back(PendingResponse::Waiting(incoming.ticket.request));
-                            counters.taken += 1;
+                            counters.requests += 1;
                             events.push(ListenerEvent::Request(incoming));
                         }
                         ParsedCommand::Answer(answer) => {
                             c.responses.push_back(PendingResponse::Answered(answer))
                         }
                         ParsedCommand::Malformed(problem) => {
-                            counters.malformed += 1;
+                            counters.malformed_commands += 1;
                             c.responses
                                 .push_back(PendingResponse::Answered(error(&format!(
                                     "ERR {problem}"
@@ -369,7 +369,7 @@
                 Err(e) => {
                     // Where the next command begins is not known: answer, then close.
                     log::debug!("client connection {number}: {e}");
-                    counters.malformed += 1;
+                    counters.malformed_commands += 1;
                     c.responses
                         .push_back(PendingResponse::Answered(error(&format!("ERR {e}"))));
                     c.closes_after_output = true;
@@ -644,7 +644,7 @@
             if let PendingResponse::Waiting(request) | PendingResponse::Streaming { request, .. } =
                 place
             {
-                counters.gone += 1;
+                counters.client_disconnects += 1;
                 events.push(ListenerEvent::ClientDisconnected(request));
             }
         }
--- a/crates/balancer/src/listener/resp/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/idle_reaper.rs
@@ -50,7 +50,8 @@
         });
         for number in gone {
             let waits = |c: &ClientConnection| c.close_by.is_none() && !c.responses.is_empty();
-            counters.left_unread += u64::from(self.connections.get(&number).is_some_and(waits));
+            counters.disconnects_while_unread +=
+                u64::from(self.connections.get(&number).is_some_and(waits));
             self.close(number, counters, events);
         }
     }
@@ -71,7 +72,7 @@
                 && is_open_without_input(c.stream.socket())
         });
         for number in unfinished {
-            counters.clients_unfinished += 1;
+            counters.clients_incomplete += 1;
             if let Some(c) = self
                 .connections
                 .get_mut(&number)
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -118,7 +118,7 @@
     assert_eq!(front.connections.len(), 4);
     front.reap(UNFINISHED, &mut events, &mut counters);
     assert_eq!(
-        (staying(&front), counters.clients_unfinished),
+        (staying(&front), counters.clients_incomplete),
         (vec![2, 3], 2),
         "one is only unread"
     );
@@ -534,7 +534,7 @@
     assert_eq!(events.drain(..).count(), taken);
     front.reap(1, &mut events, &mut counters);
     assert_eq!(
-        (events.len(), counters.left_unread),
+        (events.len(), counters.disconnects_while_unread),
         (0, 0),
         "it is still there"
     );
@@ -551,7 +551,11 @@
             .all(|event| matches!(event, ListenerEvent::ClientDisconnected(_)))
     );
     assert_eq!(
-        (events.len(), counters.left_unread, front.is_empty()),
+        (
+            events.len(),
+            counters.disconnects_while_unread,
+            front.is_empty()
+        ),
         (taken, 1, true)
     );
 }
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -321,7 +321,7 @@
                     }
                 };
                 self.next_connection += 1;
-                counters.peers_opened += 1;
+                counters.upstream_opened += 1;
                 let c = PeerConnection {
                     server,
                     address,
@@ -491,7 +491,7 @@
         };
         let begun = c.passing.is_some() || !c.input.is_empty();
         if begun && now >= c.came + c.stall() {
-            counters.stalled += 1;
+            counters.upstream_stalled += 1;
             self.end(number, ExchangeResult::Spoilt, events, counters);
         }
     }
@@ -641,7 +641,7 @@
             Ok(None) | Err(_) => {
                 let start = c.input[..c.input.len().min(64)].escape_ascii();
                 log::debug!("server {}: an answer can't be read: {start}", c.server.0);
-                counters.spoilt += 1;
+                counters.upstream_unreadable += 1;
                 // Before the last byte of the command nothing can have run.
                 (
                     if unwritten {
@@ -689,7 +689,7 @@
     fn remove(&mut self, number: u64, counters: &mut Counters) -> Option<UpstreamJob> {
         let c = self.connections.remove(&number)?;
         self.coming -= c.input.len();
-        counters.peers_closed += 1;
+        counters.upstream_closed += 1;
         if let Some(peer) = self.peers.get_mut(&c.server) {
             peer.idle.retain(|n| *n != number);
             peer.connections -= 1;
--- a/crates/balancer/src/upstream_pool/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -135,7 +135,10 @@
     drop(first);
     s.now = REST;
     s.dispatch(2, b"two".to_vec());
-    assert_eq!((s.counters.peers_opened, s.counters.peers_closed), (2, 1));
+    assert_eq!(
+        (s.counters.upstream_opened, s.counters.upstream_closed),
+        (2, 1)
+    );
     let mut second = s.peer.accept().unwrap().0;
     s.ready(1);
     second.read_exact(&mut [0; 3]).unwrap();
@@ -153,7 +156,7 @@
     s.now += later;
     s.dispatch(2, b"two".to_vec());
     assert_eq!(
-        (s.counters.peers_opened, s.counters.peers_closed),
+        (s.counters.upstream_opened, s.counters.upstream_closed),
         (2, 0),
         "the first one rests"
     );
@@ -163,7 +166,7 @@
     first.write_all(b"-ERR again\r\n").unwrap();
     s.ready(0);
     assert_eq!(
-        (s.ends(), s.counters.peers_closed),
+        (s.ends(), s.counters.upstream_closed),
         (vec![], 1),
         "it is nobody's"
     );
@@ -206,7 +209,7 @@
     let mut second = s.peer.accept().unwrap().0;
     s.ready(1);
     second.read_exact(&mut [0; 5]).unwrap();
-    assert_eq!((s.ends(), s.counters.peers_closed), (vec![], 1));
+    assert_eq!((s.ends(), s.counters.upstream_closed), (vec![], 1));
 }
 
 #[test]
@@ -259,7 +262,7 @@
     s.peers
         .stall_due(s.now + STALL, 0, &mut s.events, &mut s.counters);
     assert_eq!(
-        (s.ends(), s.counters.stalled),
+        (s.ends(), s.counters.upstream_stalled),
         (vec![ExchangeResult::Spoilt], 1)
     );
     assert!(
@@ -315,7 +318,7 @@
         s.dispatch(probe, b"one".to_vec());
     }
     assert_eq!(
-        (s.ends(), s.counters.peers_opened),
+        (s.ends(), s.counters.upstream_opened),
         (vec![ExchangeResult::NoPlace], 2)
     );
 }
@@ -361,7 +364,7 @@
     s.peers
         .stall_due(2 * STALL_PASSING, 0, &mut s.events, &mut s.counters);
     assert_eq!(
-        (s.ends(), s.counters.stalled),
+        (s.ends(), s.counters.upstream_stalled),
         (vec![ExchangeResult::Spoilt], 1)
     );
 }
@@ -382,7 +385,7 @@
         s.now = at;
         s.dispatch(2, b"two".to_vec());
         assert_eq!(
-            s.counters.peers_opened,
+            s.counters.upstream_opened,
             if reused { 1 } else { 2 },
             "{conn_idle} {at}"
         );
@@ -406,7 +409,11 @@
     );
     s.dispatch(3, b"three".to_vec());
     assert_eq!(
-        (s.ends(), s.counters.peers_opened, s.counters.peers_closed),
+        (
+            s.ends(),
+            s.counters.upstream_opened,
+            s.counters.upstream_closed
+        ),
         (vec![], 2, 1),
         "in service again"
     );
@@ -475,7 +482,7 @@
     assert_eq!(s.ends(), [pong()]);
     s.dispatch(2, b"two".to_vec());
     assert_eq!(
-        (s.ends(), s.counters.peers_closed),
+        (s.ends(), s.counters.upstream_closed),
         (vec![ExchangeResult::NeverSent], 1),
         "nothing new"
     );
--- a/crates/testbed/src/soak/growth.rs
+++ b/crates/testbed/src/soak/growth.rs
@@ -51,7 +51,7 @@
             cpu_s: usage.cpu_s,
             memory_mb: usage.peak_mb,
             descriptors: usage.descriptors as f64,
-            connections: counter("peers_opened") as f64,
+            connections: counter("upstream_opened") as f64,
             list_kb: outcome.change_bytes as f64 / 1_024.0,
             served: served as f64 / asked.max(1) as f64,
         }
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -87,8 +87,8 @@
     let counts = ground.member_counts();
     let of = |name: &str| counts.get(name).copied().unwrap_or(0);
     (
-        of("refused.level"),
-        of("refused.limit") + of("refused.spacing"),
+        of("rejected.level"),
+        of("rejected.limit") + of("rejected.spacing"),
     )
 }
 
