--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -3,7 +3,8 @@
 pub mod messages;
 
 use crate::counters::Counters;
-use crate::poll::{EventSource, Poll, Readiness, Registered, connect};
+use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
+use crate::sockets::connect;
 use crate::timers::{MS, TimerKind, Timers};
 use crate::watch_backoff::WatchBackoff;
 use messages::{ListPart, Message, MessageScanner};
@@ -306,8 +307,7 @@
         self.poll.watch(
             connect(self.address)?,
             EventSource::Discovery(number),
-            false,
-            true,
+            Interest::WRITABLE,
         )
     }
 
@@ -453,7 +453,7 @@
         }
         let unsent = self.written < self.request.len();
         self.stream
-            .interest(true, unsent)
+            .set_interest(Interest::readable_and(unsent))
             .map_err(|e| format!("watching: {e}"))
     }
 
--- /dev/null
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -0,0 +1,100 @@
+//! Arrival and admission of requests: events of the listener go to the engine, unless the request
+//! can't be forwarded at all.
+
+use super::EventLoop;
+use crate::listener::resp::ListenerEvent;
+use crate::request::{FinalAnswer, IncomingRequest};
+use crate::timers::MS;
+use routing::{Event, Nanos, RequestId};
+use std::collections::VecDeque;
+
+impl EventLoop {
+    pub(super) fn handle_listener_events(&mut self, now: Nanos, events: Vec<ListenerEvent>) {
+        let mut events = VecDeque::from(events);
+        while let Some(event) = events.pop_front() {
+            match event {
+                ListenerEvent::Request(incoming) => {
+                    let further = self.handle_request(now, incoming);
+                    events.extend(further);
+                }
+                ListenerEvent::ClientDisconnected(request) => {
+                    self.handle_client_disconnect(now, request);
+                }
+                ListenerEvent::CapacityAvailable(request) => {
+                    if let Some(job) = self.attempt_tracker.passing_try(request) {
+                        self.upstream_pool.pause(now, job, false, &mut self.timers);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Admits a request, or answers it at once; returns what its connection yields then.
+    fn handle_request(&mut self, now: Nanos, mut incoming: IncomingRequest) -> Vec<ListenerEvent> {
+        if let Some(deadline) = self.lifecycle.answer_deadline() {
+            let time_left = deadline.saturating_sub(incoming.arrived_at);
+            incoming.client_timeout = incoming.client_timeout.min(time_left);
+        }
+        let event = self.engine.request(&incoming);
+        if let Some(answer) = self.rejection(&incoming, event.is_some()) {
+            // Not by `send_answer`, which would recurse for each command of a long pipeline.
+            let mut events = Vec::new();
+            let connection = incoming.ticket.connection;
+            self.listener.answer(incoming.ticket, answer);
+            self.listener
+                .flush(connection, now, &mut events, &mut self.counters);
+            return events;
+        }
+        log::trace!(
+            class = incoming.class.as_str(),
+            tenant = incoming.tenant.as_deref(),
+            client_timeout_ms = incoming.client_timeout / MS;
+            "request {} admitted", incoming.ticket.request.0
+        );
+        self.pending_events.extend(event);
+        self.attempt_tracker.take(incoming);
+        Vec::new()
+    }
+
+    /// The answer to a request that is not admitted. A request of an unknown class, or with the id
+    /// of an open one, must reach no cache: the cache would confuse the two, or answer with an
+    /// error that the engine would count against it.
+    fn rejection(
+        &mut self,
+        incoming: &IncomingRequest,
+        is_class_known: bool,
+    ) -> Option<FinalAnswer> {
+        if !is_class_known {
+            self.counters.unknown_class += 1;
+            Some(FinalAnswer::Invalid("unknown class"))
+        } else if self.attempt_tracker.is_open(&incoming.command.request_id) {
+            self.counters.duplicate_id += 1;
+            Some(FinalAnswer::Invalid("a request with this id is open"))
+        } else if self.is_at_limits() {
+            self.counters.rejected_at_limits += 1;
+            Some(FinalAnswer::Rejected { retry_after: 0 })
+        } else if incoming.arrived_at.saturating_add(incoming.client_timeout) <= self.clock.now() {
+            // It waited unread while the process was stalled.
+            self.counters.expired_when_read += 1;
+            Some(FinalAnswer::Rejected { retry_after: 0 })
+        } else {
+            None
+        }
+    }
+
+    /// Whether another request could end the process for its memory, and all open ones with it.
+    fn is_at_limits(&self) -> bool {
+        self.attempt_tracker.held() + self.listener.buffered() > self.memory_limit
+            || self.attempt_tracker.open() >= self.open_requests_max
+    }
+
+    fn handle_client_disconnect(&mut self, now: Nanos, request: RequestId) {
+        if let Some(job) = self.attempt_tracker.passing_try(request) {
+            self.attempt_tracker.passed(request);
+            self.upstream_pool.abandon(job, &mut self.counters);
+        } else {
+            self.attempt_tracker.gone(now, request);
+            self.pending_events.push(Event::ClientDisconnected(request));
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/decisions.rs
@@ -0,0 +1,110 @@
+//! Decisions: events go to the engine, its actions are executed.
+
+use super::EventLoop;
+use super::dispatch::AttemptOrder;
+use super::turn_meter::TurnStep;
+use crate::counters::DecisionStep;
+use crate::request::FinalAnswer;
+use crate::timers::TimerKind;
+use routing::{Action, Deferral, Event, Explanation, Nanos, RequestId};
+
+impl EventLoop {
+    /// Has the engine handle what happened, and executes its actions, until no event is left.
+    pub(super) fn run_decisions(&mut self) {
+        self.turn_meter.step(TurnStep::Decisions, self.clock.now());
+        while !self.pending_events.is_empty() {
+            let now = self.clock.now();
+            let mut events = std::mem::take(&mut self.pending_events);
+            for event in &mut events {
+                // Time has passed since the request was read.
+                if let Event::RequestArrived(request) = event
+                    && let Some(time_left) = self.attempt_tracker.left(now, request.id)
+                {
+                    request.client_timeout = time_left;
+                }
+            }
+            for action in self.engine.decide(now, events) {
+                self.execute(now, action);
+            }
+        }
+    }
+
+    fn execute(&mut self, now: Nanos, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                attempt,
+                endpoint,
+                timeout,
+                write_within,
+            } => self.start_attempt(
+                now,
+                AttemptOrder {
+                    request,
+                    attempt,
+                    endpoint,
+                    timeout,
+                    write_within,
+                },
+            ),
+            Action::Fail {
+                request,
+                explanation,
+            } => {
+                self.record_decision(request, DecisionStep::Failed, &explanation);
+                self.end_request(now, request, FinalAnswer::Failed);
+            }
+            Action::Defer {
+                request,
+                deferral,
+                explanation,
+            } => {
+                let step = match deferral {
+                    Deferral::Queued => DecisionStep::Queued,
+                    Deferral::HedgeSuppressed => DecisionStep::HedgeSuppressed,
+                };
+                self.record_decision(request, step, &explanation);
+            }
+            Action::Reject {
+                request,
+                retry_after,
+                explanation,
+            } => {
+                self.record_decision(request, DecisionStep::Rejected, &explanation);
+                self.end_request(now, request, FinalAnswer::Rejected { retry_after });
+            }
+            Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt),
+            Action::HealthCheck(endpoint) => self.start_health_check(now, endpoint),
+            Action::CloseIdleConnections(endpoint) => {
+                self.upstream_pool.close_idle(endpoint, &mut self.counters)
+            }
+            Action::QueryDiscovery => self.start_watch(now),
+            Action::SetTimer { after, token } => self
+                .timers
+                .set(now.saturating_add(after), TimerKind::Engine(token)),
+            Action::Log(text) => log::info!("{text}"),
+        }
+    }
+
+    /// Answers a request by the engine's decision, if an answer is still owed.
+    fn end_request(&mut self, now: Nanos, request: RequestId, answer: FinalAnswer) {
+        if let Some(answer) = self.attempt_tracker.answer(request, answer) {
+            self.send_answer(now, answer);
+        }
+    }
+
+    /// Counts a decision and logs it with the figures that it was based on.
+    fn record_decision(&mut self, request: RequestId, step: DecisionStep, why: &Explanation) {
+        self.counters.steps.count(step, why.reason);
+        log::debug!(
+            step = step.name(),
+            reason = why.reason.name(),
+            in_flight = why.in_flight,
+            limit = why.limit,
+            origin_admitted = why.origin_admitted_fraction,
+            baseline_us = why.baseline_latency / 1_000,
+            recent_us = why.recent_latency / 1_000;
+            "request {}", request.0
+        );
+    }
+}
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -1,4 +1,4 @@
-//! The loop's part in lists of caches: what discovery tells goes to the module and to the pools, a part at a time.
+//! Endpoint updates: what discovery sends goes to the engine and to the upstream pool, a part at a time.
 
 use super::EventLoop;
 use crate::discovery::messages::ListPart;
@@ -9,11 +9,20 @@
 use routing::{EndpointId, EndpointState, Event, Nanos, UpdateKind};
 use std::collections::BTreeSet;
 
-/// Hosts of a list that are taken in one turn: at some microseconds each, they hold nothing else up.
-const HOSTS_A_TURN: usize = 128;
+/// Endpoints of a list that are applied in one turn: at some microseconds each, they delay nothing
+/// else.
+const ENDPOINTS_PER_TURN: usize = 128;
 
-/// Of a part with more hosts than this each has its line in the log at the level `debug` only.
-const HOSTS_LOGGED: usize = 32;
+/// In a part with more endpoints than this each is logged at the level `debug` only.
+const LOGGED_ENDPOINTS_MAX: usize = 32;
+
+/// Where an endpoint list comes from.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ListSource {
+    Discovery,
+    /// An earlier process, or the configuration; it may be out of date.
+    Remembered,
+}
 
 impl EventLoop {
     pub(super) fn handle_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
@@ -21,21 +30,23 @@
             match event {
                 DiscoveryEvent::Stands => self.pending_events.push(Event::DiscoveryAvailable),
                 DiscoveryEvent::News(part) => self.apply_list_part(part),
-                DiscoveryEvent::Failed => match self.discovery.again(self.clock.now()) {
-                    Some(at) => self.timers.set(at, TimerKind::Watch),
-                    None => {
-                        let entries = Vec::new();
-                        self.pending_events.push(Event::EndpointUpdate {
-                            kind: UpdateKind::Failed,
-                            endpoints: entries,
-                        });
-                    }
-                },
+                DiscoveryEvent::Failed => self.watch_failed(),
             }
         }
     }
 
-    /// Begins a watch, unless one is open.
+    /// Schedules the next watch, or tells the engine, which schedules it where lists are polled.
+    fn watch_failed(&mut self) {
+        match self.discovery.again(self.clock.now()) {
+            Some(at) => self.timers.set(at, TimerKind::Watch),
+            None => self.pending_events.push(Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: Vec::new(),
+            }),
+        }
+    }
+
+    /// Starts a watch, unless one is open.
     pub(super) fn start_watch(&mut self, now: Nanos) {
         let failed = self
             .discovery
@@ -43,9 +54,9 @@
         self.handle_discovery_events(failed.into_iter().collect());
     }
 
-    /// Takes the next part of what discovery has told, if something is left.
+    /// Applies the next part of a discovery message, if one is pending.
     pub(super) fn apply_next_list_part(&mut self) {
-        let event = self.discovery.take(HOSTS_A_TURN, &mut self.counters);
+        let event = self.discovery.take(ENDPOINTS_PER_TURN, &mut self.counters);
         self.handle_discovery_events(event.into_iter().collect());
     }
 
@@ -56,118 +67,115 @@
             hosts,
             is_last,
         } = part;
-        log::debug!(seq, whole, hosts = hosts.len(), is_last; "upstream group: a part of a message");
-        self.apply_list(
-            &EndpointList {
-                seq,
-                whole: false,
-                hosts,
-            },
-            false,
-        );
+        log::debug!(seq, whole, endpoints = hosts.len(), is_last; "discovery: a part of a message");
+        let delta = EndpointList {
+            seq,
+            whole: false,
+            hosts,
+        };
+        self.apply_list(&delta, ListSource::Discovery);
         if is_last && self.discovery.is_listed() {
             self.endpoints_listed();
         }
     }
 
-    /// Takes in a list that is known from before, in one go: nobody is served before it.
+    /// Applies a list that is known from before, in one turn: no client is served before it.
     pub(super) fn load_known_list(&mut self, list: EndpointList) {
         self.discovery.learn(&list);
-        self.apply_list(&list, true);
+        self.apply_list(&list, ListSource::Remembered);
         if !list.hosts.is_empty() {
             self.endpoints_listed();
         }
     }
 
-    /// There is a list of caches.
+    /// Endpoints are known: the process may serve.
     fn endpoints_listed(&mut self) {
         let now = self.clock.now();
         self.lifecycle.endpoints_listed();
         self.apply_lifecycle(now);
     }
 
-    /// Tells the module of hosts, and the pools what is said of them.
-    fn apply_list(&mut self, list: &EndpointList, stale: bool) {
+    /// Tells the engine and the upstream pool of endpoints.
+    fn apply_list(&mut self, list: &EndpointList, source: ListSource) {
         let mut events = Vec::new();
-        let mut listed = BTreeSet::new();
-        // A line for each of thousands would hold the process up, and push what matters out of the log.
-        let level = if list.hosts.len() > HOSTS_LOGGED {
-            log::Level::Debug
-        } else {
-            log::Level::Info
-        };
+        let level = log_level(list);
         if level == log::Level::Debug {
             log::info!(
-                "upstream group: version {}: {} hosts",
+                "discovery: version {}: {} endpoints",
                 list.seq,
                 list.hosts.len()
             );
         }
-        for host in &list.hosts {
-            listed.insert(self.apply_endpoint(host, level, &mut events));
+        let mut listed = BTreeSet::new();
+        for endpoint in &list.hosts {
+            listed.insert(self.apply_endpoint(endpoint, level, &mut events));
         }
         if list.whole {
-            for server in self
-                .upstream_pool
-                .listed()
-                .into_iter()
-                .filter(|s| !listed.contains(s))
-            {
+            self.remove_unlisted(&listed, &mut events);
+        }
+        let is_stale = source == ListSource::Remembered;
+        self.pending_events.push(self.engine.list(list, is_stale));
+        self.handle_upstream_events(self.clock.now(), events);
+    }
+
+    fn remove_unlisted(&mut self, listed: &BTreeSet<EndpointId>, events: &mut Vec<UpstreamEvent>) {
+        for endpoint in self.upstream_pool.listed() {
+            if !listed.contains(&endpoint) {
                 self.upstream_pool
-                    .withdraw(server, &mut events, &mut self.counters);
-                self.upstream_pool.forget(server);
+                    .withdraw(endpoint, events, &mut self.counters);
+                self.upstream_pool.forget(endpoint);
             }
         }
-        self.pending_events.push(self.engine.list(list, stale));
-        self.handle_upstream_events(self.clock.now(), events);
     }
 
-    /// Tells the pools what is said of one host.
+    /// Tells the upstream pool of one endpoint.
     fn apply_endpoint(
         &mut self,
-        host: &ListedEndpoint,
+        endpoint: &ListedEndpoint,
         level: log::Level,
         events: &mut Vec<UpstreamEvent>,
     ) -> EndpointId {
-        let server = server_id(&host.host);
-        let phase = phase(&host.health);
-        if known_phase(&host.health).is_none() {
-            let health = &host.health;
-            log::warn!(
-                "upstream group: {}: health \"{health}\" is unknown; it gets nothing new",
-                host.host
-            );
+        let id = server_id(&endpoint.host);
+        let name = &endpoint.host;
+        if known_phase(&endpoint.health).is_none() {
+            let health = &endpoint.health;
+            log::warn!("discovery: {name}: health \"{health}\" is unknown; it gets nothing new");
         }
-        match host.dial.parse() {
+        match endpoint.dial.parse() {
             Ok(address) => {
-                if self
-                    .upstream_pool
-                    .set_address(server, address, events, &mut self.counters)
-                {
-                    // The module's log lines name servers by their numbers only.
+                let is_new =
+                    self.upstream_pool
+                        .set_address(id, address, events, &mut self.counters);
+                if is_new {
+                    // The engine's log lines name endpoints by their numbers only.
                     log::log!(
                         level,
-                        "upstream group: {} is server {}, at {address}",
-                        host.host,
-                        server.0
+                        "discovery: {name} is endpoint {}, at {address}",
+                        id.0
                     );
                 }
             }
             Err(_) => {
-                log::warn!(
-                    "upstream group: {}: \"{}\" is no address with a port",
-                    host.host,
-                    host.dial
-                )
+                let dial = &endpoint.dial;
+                log::warn!("discovery: {name}: \"{dial}\" is no address with a port");
             }
         }
-        if phase != EndpointState::Active {
-            self.upstream_pool
-                .withdraw(server, events, &mut self.counters);
+        let state = phase(&endpoint.health);
+        if state != EndpointState::Active {
+            self.upstream_pool.withdraw(id, events, &mut self.counters);
         }
-        if phase == EndpointState::Removed {
-            self.upstream_pool.forget(server);
+        if state == EndpointState::Removed {
+            self.upstream_pool.forget(id);
         }
-        server
+        id
+    }
+}
+
+/// A line for each of thousands of endpoints would stall the process, and crowd the log.
+fn log_level(list: &EndpointList) -> log::Level {
+    if list.hosts.len() > LOGGED_ENDPOINTS_MAX {
+        log::Level::Debug
+    } else {
+        log::Level::Info
     }
 }
--- /dev/null
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -0,0 +1,189 @@
+//! Dispatch of attempts and health checks: they get a connection, and are written if what is known
+//! at that moment still allows it.
+
+use super::EventLoop;
+use crate::poll_timestamps::PollTimestamps;
+use crate::resp::write_command;
+use crate::timers::{MS, TimerKind};
+use crate::upstream_pool::{OutboundCommand, UpstreamJob};
+use routing::{AttemptNumber, AttemptOutcome, EndpointId, Event, Nanos, RequestId};
+
+/// How long a health check may take.
+const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
+/// Right after a poll was processed attempts are written although processing took long, up to this:
+/// whether each client is still connected is checked then.
+const PROCESSED_POLL_AGE_MAX: Nanos = 100 * MS;
+/// For how many turns attempts wait for a recent poll. Where each turn takes long, they would
+/// otherwise wait for good.
+const POSTPONED_TURNS_MAX: u32 = 3;
+
+/// An attempt as the engine wants it sent.
+pub(super) struct AttemptOrder {
+    pub(super) request: RequestId,
+    pub(super) attempt: AttemptNumber,
+    pub(super) endpoint: EndpointId,
+    pub(super) timeout: Option<Nanos>,
+    pub(super) write_within: Option<Nanos>,
+}
+
+/// Whether everything that the last poll reported has been processed just now.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum PollState {
+    JustProcessed,
+    Earlier,
+}
+
+impl EventLoop {
+    /// Starts an attempt, unless its request has no time left.
+    pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptOrder) {
+        let AttemptOrder {
+            request,
+            attempt,
+            endpoint,
+            timeout,
+            write_within,
+        } = order;
+        let started = self.attempt_tracker.start(
+            now,
+            (request, attempt),
+            endpoint,
+            (timeout, write_within),
+            &mut self.counters,
+        );
+        match started {
+            Ok(outbound) => {
+                if let UpstreamJob::Attempt(request, attempt) = outbound.job {
+                    self.timers
+                        .set(outbound.until, TimerKind::Attempt(request, attempt));
+                }
+                self.dispatch(now, outbound);
+            }
+            Err(not_sent) => self.pending_events.push(*not_sent),
+        }
+    }
+
+    /// Cancels an attempt by the engine's decision.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        attempt: AttemptNumber,
+    ) {
+        let job = UpstreamJob::Attempt(request, attempt);
+        if self.upstream_pool.is_unsent(job) {
+            self.attempt_tracker
+                .count_unsent(now, request, &mut self.counters);
+        }
+        let outcome = AttemptOutcome::Cancelled;
+        if let Some(event) =
+            self.attempt_tracker
+                .give_up(now, request, attempt, outcome, &mut self.counters)
+        {
+            self.timers.cancel(TimerKind::Attempt(request, attempt));
+            self.upstream_pool.abandon(job, &mut self.counters);
+            self.pending_events.push(event);
+        }
+    }
+
+    /// Starts a health check.
+    pub(super) fn start_health_check(&mut self, now: Nanos, endpoint: EndpointId) {
+        let job = self.attempt_tracker.probe(endpoint, &mut self.counters);
+        let until = now + HEALTH_CHECK_TIMEOUT;
+        if let UpstreamJob::Probe(number) = job {
+            self.timers.set(until, TimerKind::HealthCheck(number));
+        }
+        let outbound = OutboundCommand {
+            job,
+            server: endpoint,
+            until,
+        };
+        self.dispatch(now, outbound);
+    }
+
+    fn dispatch(&mut self, now: Nanos, outbound: OutboundCommand) {
+        let mut events = Vec::new();
+        self.upstream_pool.dispatch(
+            now,
+            outbound,
+            &mut self.timers,
+            &mut events,
+            &mut self.counters,
+        );
+        self.handle_upstream_events(now, events);
+        self.start_connected_jobs(PollState::Earlier);
+    }
+
+    /// Writes the jobs whose connections are established, as far as what is known is recent enough:
+    /// nothing is sent by what was true before the process stalled.
+    pub(super) fn start_connected_jobs(&mut self, poll_state: PollState) {
+        while let Some(job) = self.connected_jobs.pop_front() {
+            let now = self.clock.now();
+            if !self.may_send_now(now, poll_state) {
+                self.connected_jobs.push_front(job);
+                self.counters.attempts_postponed += 1;
+                self.postponed_turns += u32::from(poll_state == PollState::JustProcessed);
+                return;
+            }
+            self.start_job(now, job);
+        }
+        self.postponed_turns = 0;
+    }
+
+    /// Whether disconnects and endpoint updates were polled recently enough to send something.
+    fn may_send_now(&self, now: Nanos, poll_state: PollState) -> bool {
+        if self.is_catching_up() {
+            return false;
+        }
+        let polled_at = self.poll_timestamps.quiet();
+        PollTimestamps::is_fresh(polled_at, now)
+            || poll_state == PollState::JustProcessed
+                && (now.saturating_sub(polled_at) <= PROCESSED_POLL_AGE_MAX
+                    || self.postponed_turns >= POSTPONED_TURNS_MAX)
+    }
+
+    /// Writes a job on its established connection, unless it is not wanted any more.
+    fn start_job(&mut self, now: Nanos, job: UpstreamJob) {
+        match self.command_for(now, job) {
+            Ok(command) => {
+                let mut events = Vec::new();
+                self.upstream_pool
+                    .begin(job, command, &mut events, &mut self.counters);
+                self.handle_upstream_events(now, events);
+            }
+            Err(not_sent) => {
+                if let UpstreamJob::Attempt(request, attempt) = job {
+                    self.timers.cancel(TimerKind::Attempt(request, attempt));
+                }
+                self.upstream_pool.abandon(job, &mut self.counters);
+                self.pending_events.extend(not_sent.map(|event| *event));
+            }
+        }
+    }
+
+    /// What a job writes; or, if it is not wanted any more, the event that tells the engine so.
+    fn command_for(&mut self, now: Nanos, job: UpstreamJob) -> Result<Vec<u8>, Option<Box<Event>>> {
+        match job {
+            UpstreamJob::Attempt(request, attempt) => {
+                self.check_client_connection(now, request);
+                self.attempt_tracker
+                    .first_byte(now, request, attempt, &mut self.counters)
+            }
+            // Where endpoints report their load, the health check asks for it.
+            UpstreamJob::Probe(_) if !self.engine.names().report_columns.is_empty() => {
+                Ok(write_command(&[b"INFO", b"load"]))
+            }
+            UpstreamJob::Probe(_) => Ok(write_command(&[b"PING"])),
+        }
+    }
+
+    /// Nothing is owed to a client that has disconnected, though this has not been read yet.
+    fn check_client_connection(&mut self, now: Nanos, request: RequestId) {
+        let Some(connection) = self.attempt_tracker.owed_to(request) else {
+            return;
+        };
+        let mut events = Vec::new();
+        self.listener
+            .is_client_connected(connection, now, &mut events, &mut self.counters);
+        self.handle_listener_events(now, events);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -0,0 +1,118 @@
+//! Processing of ready sockets, in the order in which their news matters to each other: endpoint
+//! updates first, outcomes before new requests, so that the engine decides by the latest state. What
+//! waits to be written goes last, behind disconnects and endpoint updates of the same poll.
+
+use super::EventLoop;
+use super::dispatch::PollState;
+use super::turn_meter::TurnStep;
+use crate::poll::{EventSource, PollOutcome, Readiness};
+use routing::Nanos;
+
+impl EventLoop {
+    /// Processes all that is ready, expired timers included.
+    pub(super) fn process_ready(&mut self, ready: &mut Vec<Readiness>, outcome: PollOutcome) {
+        let now = self.clock.now();
+        if outcome == PollOutcome::Completed {
+            self.listener.set_poll_timestamps(self.poll_timestamps);
+            if !ready.iter().any(|r| r.source == EventSource::Listener) {
+                self.listener.note_empty_backlog();
+            }
+        }
+        self.attempt_tracker.set_lost(self.poll_timestamps.lost());
+        self.process_admin_calls(now, ready);
+        self.process_discovery(now, ready);
+        let clients = self.process_upstreams(now, ready);
+        self.process_timers(now);
+        self.process_clients(now, clients);
+        if outcome == PollOutcome::Completed {
+            self.update_catch_up();
+            self.start_connected_jobs(PollState::JustProcessed);
+        }
+    }
+
+    /// Admin calls go first: whatever the load, an answer waits for one turn at most.
+    fn process_admin_calls(&mut self, now: Nanos, ready: &[Readiness]) {
+        for readiness in ready {
+            if matches!(
+                readiness.source,
+                EventSource::AdminListener | EventSource::AdminConnection(_)
+            ) {
+                self.handle_admin(now, *readiness);
+            }
+        }
+    }
+
+    fn process_discovery(&mut self, now: Nanos, ready: &[Readiness]) {
+        self.turn_meter.step(TurnStep::DiscoveryUpdates, now);
+        for readiness in ready {
+            if matches!(readiness.source, EventSource::Discovery(_)) {
+                let mut events = Vec::new();
+                self.discovery
+                    .ready(now, *readiness, &mut events, &mut self.counters);
+                self.handle_discovery_events(events);
+            }
+        }
+        self.apply_next_list_part();
+    }
+
+    /// Processes upstream connections, signals, gossip and new clients; returns the client
+    /// connections that are ready.
+    fn process_upstreams(&mut self, now: Nanos, ready: &mut Vec<Readiness>) -> Vec<Readiness> {
+        self.turn_meter.step(TurnStep::Upstreams, self.clock.now());
+        let mut clients = Vec::new();
+        for readiness in ready.drain(..) {
+            match readiness.source {
+                EventSource::AdminListener
+                | EventSource::AdminConnection(_)
+                | EventSource::Discovery(_) => {}
+                EventSource::Upstream(_) => self.process_upstream(now, readiness),
+                EventSource::Stop => {
+                    self.signals.shutdown.drain();
+                    self.begin_shutdown(now);
+                }
+                EventSource::PrintCounters => {
+                    self.signals.print_counters.drain();
+                    self.print_counters();
+                }
+                EventSource::Reload => {
+                    self.signals.reload.drain();
+                    self.reload_config(now);
+                }
+                EventSource::Gossip => self.receive_gossip(now),
+                EventSource::Listener => self.listener.accept(now, &mut self.counters),
+                EventSource::Client(_) => clients.push(readiness),
+            }
+        }
+        clients
+    }
+
+    fn process_upstream(&mut self, now: Nanos, readiness: Readiness) {
+        let mut events = Vec::new();
+        self.upstream_pool.ready(
+            now,
+            readiness,
+            &mut self.timers,
+            &mut events,
+            &mut self.counters,
+        );
+        self.handle_upstream_events(now, events);
+    }
+
+    /// A timeout for something to come counts until the last poll that did not report it, no longer.
+    fn process_timers(&mut self, now: Nanos) {
+        self.turn_meter.step(TurnStep::Timers, self.clock.now());
+        while let Some(timer) = self.timers.pop_expired(self.poll_timestamps.quiet()) {
+            self.timer_expired(now, timer);
+        }
+    }
+
+    fn process_clients(&mut self, now: Nanos, clients: Vec<Readiness>) {
+        self.turn_meter.step(TurnStep::Clients, self.clock.now());
+        for readiness in clients {
+            let mut events = Vec::new();
+            self.listener
+                .ready(now, readiness, &mut events, &mut self.counters);
+            self.handle_listener_events(now, events);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -0,0 +1,138 @@
+//! Responses of caches: attempts end, long values are streamed, requests are answered.
+
+use super::EventLoop;
+use crate::attempt_tracker::Answer;
+use crate::listener::resp::{MemoryPressure, StreamEnd};
+use crate::request::FinalAnswer;
+use crate::timers::TimerKind;
+use crate::upstream_pool::{ExchangeResult, UpstreamEvent, UpstreamJob};
+use routing::{AttemptOutcome, Nanos, RequestId};
+
+impl EventLoop {
+    pub(super) fn handle_upstream_events(&mut self, now: Nanos, events: Vec<UpstreamEvent>) {
+        for event in events {
+            match event {
+                // A job that waits for a recent poll is reported again by each poll.
+                UpstreamEvent::Up { job } if self.connected_jobs.contains(&job) => {}
+                UpstreamEvent::Up { job } => self.connected_jobs.push_back(job),
+                UpstreamEvent::Begun { job, length } => self.start_streaming(now, job, length),
+                UpstreamEvent::Part { job, bytes } => self.stream_chunk(now, job, &bytes),
+                UpstreamEvent::End { job, end } => self.finish_job(now, job, end),
+            }
+        }
+    }
+
+    fn finish_job(&mut self, now: Nanos, job: UpstreamJob, end: ExchangeResult) {
+        if let UpstreamJob::Attempt(request, attempt) = job {
+            self.timers.cancel(TimerKind::Attempt(request, attempt));
+            if let Some(connection) = self.attempt_tracker.passing((request, attempt)) {
+                return self.finish_streaming(now, connection, request, &end);
+            }
+        }
+        self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoPlace);
+        let (event, answer) = self
+            .attempt_tracker
+            .finished(now, job, end, &mut self.counters);
+        self.pending_events.extend(event);
+        if let Some(answer) = answer {
+            self.send_answer(now, answer);
+        }
+    }
+
+    /// A long value has started to arrive.
+    fn start_streaming(&mut self, now: Nanos, job: UpstreamJob, length: usize) {
+        let UpstreamJob::Attempt(request, attempt) = job else {
+            return;
+        };
+        self.timers.cancel(TimerKind::Attempt(request, attempt));
+        let started =
+            self.attempt_tracker
+                .begun(now, (request, attempt), length, &mut self.counters);
+        if let Some((event, answer)) = started {
+            self.pending_events.push(event);
+            return self.send_answer(now, answer);
+        }
+        // Another attempt has answered, or the client has disconnected.
+        self.upstream_pool.abandon(job, &mut self.counters);
+        let outcome = AttemptOutcome::Cancelled;
+        let ended =
+            self.attempt_tracker
+                .give_up(now, request, attempt, outcome, &mut self.counters);
+        self.pending_events.extend(ended);
+    }
+
+    /// Forwards the next bytes of a long value, and stops reading its cache while the client can't
+    /// take more.
+    fn stream_chunk(&mut self, now: Nanos, job: UpstreamJob, bytes: &[u8]) {
+        let UpstreamJob::Attempt(request, attempt) = job else {
+            return;
+        };
+        let Some(connection) = self.attempt_tracker.passing((request, attempt)) else {
+            return;
+        };
+        self.listener.append_chunk(connection, request, bytes);
+        let mut events = Vec::new();
+        self.listener
+            .flush(connection, now, &mut events, &mut self.counters);
+        let memory = self.memory_pressure(connection, request);
+        if self
+            .listener
+            .apply_back_pressure(connection, request, memory)
+        {
+            self.upstream_pool.pause(now, job, true, &mut self.timers);
+        }
+        self.handle_listener_events(now, events);
+    }
+
+    /// Memory is short at half of the limit at which requests are rejected: long values must not
+    /// cause that.
+    fn memory_pressure(&self, connection: u64, request: RequestId) -> MemoryPressure {
+        let is_waiting = self.listener.pending_bytes(connection, request) > 0;
+        let held = || self.attempt_tracker.held() + self.listener.buffered();
+        if is_waiting && held() > self.memory_limit / 2 {
+            MemoryPressure::High
+        } else {
+            MemoryPressure::Low
+        }
+    }
+
+    fn finish_streaming(
+        &mut self,
+        now: Nanos,
+        connection: u64,
+        request: RequestId,
+        end: &ExchangeResult,
+    ) {
+        self.attempt_tracker.passed(request);
+        let stream_end = match end {
+            ExchangeResult::Answer(_) => StreamEnd::Complete,
+            _ => StreamEnd::Aborted,
+        };
+        self.counters.streams_aborted += u64::from(stream_end == StreamEnd::Aborted);
+        let mut events = Vec::new();
+        self.listener.finish_streaming(
+            connection,
+            request,
+            stream_end,
+            now,
+            &mut events,
+            &mut self.counters,
+        );
+        self.handle_listener_events(now, events);
+    }
+
+    /// Sends a final answer to its client.
+    pub(super) fn send_answer(&mut self, now: Nanos, (ticket, answer): Answer) {
+        match answer {
+            FinalAnswer::Served(_) | FinalAnswer::Streaming(_) => self.counters.served += 1,
+            FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
+            FinalAnswer::Failed | FinalAnswer::Invalid(_) => self.counters.failed += 1,
+        }
+        let connection = ticket.connection;
+        self.listener.answer(ticket, answer);
+        let mut events = Vec::new();
+        self.listener
+            .flush(connection, now, &mut events, &mut self.counters);
+        self.handle_listener_events(now, events);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -0,0 +1,223 @@
+//! Start-up: everything that has to be open before the first client can be served.
+
+use super::EventLoop;
+use super::limits::{ADMIN_DESCRIPTORS, DescriptorBudget};
+use super::signals::SignalPipes;
+use super::timeouts::REAP_INTERVAL;
+use super::turn_meter::TurnMeter;
+use crate::attempt_tracker::AttemptTracker;
+use crate::config::Config;
+use crate::counters::Counters;
+use crate::discovery::{DiscoveryClient, EndpointList};
+use crate::engine_adapter::EngineAdapter;
+use crate::hot_restart::HotRestart;
+use crate::lifecycle::Lifecycle;
+use crate::listener::admin::AdminListener;
+use crate::listener::resp::RespListener;
+use crate::poll::Poll;
+use crate::poll_timestamps::PollTimestamps;
+use crate::process_slots::ProcessSlots;
+use crate::sockets::{InheritError, inherit_listener};
+use crate::timers::{Clock, TimerKind, Timers};
+use crate::upstream_pool::UpstreamPool;
+use crate::watch_backoff::WatchBackoff;
+use routing::{DiscoveryMode, Engine, Event, Nanos, SettingsError, TimerToken};
+use std::collections::VecDeque;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::RawFd;
+
+/// Why the process can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartupError {
+    /// There is no way to wait for sockets.
+    #[error("poller: {0}")]
+    Poller(#[source] io::Error),
+    /// A signal can't be handled.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The engine rejects the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The client listener can't be opened.
+    #[error("listening on {address}: {source}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The descriptor that this process was started with is not a listener.
+    #[error(
+        "configuration: GW_SOCKET_FD: {descriptor} {source}; a listening TCP socket is expected"
+    )]
+    InheritListener {
+        /// Its number.
+        descriptor: RawFd,
+        /// What it is.
+        source: InheritError,
+    },
+    /// The address of the inherited listener can't be read.
+    #[error("GW_SOCKET_FD: {0}")]
+    InheritedAddress(#[source] io::Error),
+    /// The admin listener can't be opened.
+    #[error(
+        "configuration: management (GW_MANAGEMENT): {address}: {source}; a free address of this \
+         machine is expected"
+    )]
+    AdminListen {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The gossip socket can't be opened.
+    #[error("configuration: fleet.bind: {address}: {source}")]
+    Gossip {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
+impl EventLoop {
+    /// Opens everything that is needed before the first client can be served.
+    ///
+    /// # Errors
+    /// If a socket can't be opened, or the engine rejects the settings.
+    pub fn new(mut config: Config) -> Result<Self, StartupError> {
+        let clock = Clock::start();
+        let now = clock.now();
+        let poll = Poll::new().map_err(StartupError::Poller)?;
+        let known_list = config.known.take();
+        let mut event_loop = EventLoop::open(config, clock, poll, now)?;
+        event_loop.begin(known_list, now)?;
+        Ok(event_loop)
+    }
+
+    fn open(config: Config, clock: Clock, poll: Poll, now: Nanos) -> Result<Self, StartupError> {
+        let engine = Engine::new(config.settings.clone(), config.seed, now)?;
+        let lifecycle = new_lifecycle(&config);
+        let poll_timestamps = PollTimestamps::start(now);
+        let admin_descriptors = config.management.map_or(0, |_| ADMIN_DESCRIPTORS);
+        let descriptors = DescriptorBudget::new(config.sockets, admin_descriptors);
+        let listen_error = |source| StartupError::Listen {
+            address: config.listen,
+            source,
+        };
+        Ok(EventLoop {
+            signals: SignalPipes::register(&poll).map_err(StartupError::Signals)?,
+            listener: RespListener::listen(
+                &poll,
+                client_listener(&config)?,
+                descriptors.clients,
+                lifecycle.policy(now),
+                poll_timestamps,
+            )
+            .map_err(listen_error)?,
+            process_slots: take_process_slot(&config, now),
+            hot_restart: HotRestart::new(),
+            discovery: DiscoveryClient::new(&poll, config.discovery, watch_backoff(&config)),
+            upstream_pool: UpstreamPool::new(
+                &poll,
+                descriptors.upstream,
+                config.transport.connect_timeout,
+                config.transport.idle_timeout,
+            ),
+            engine: EngineAdapter::new(engine, config.names.clone()),
+            attempt_tracker: AttemptTracker::default(),
+            timers: Timers::default(),
+            counters: Counters::default(),
+            pending_events: Vec::new(),
+            poll_timestamps,
+            turn_meter: TurnMeter::start(now),
+            connected_jobs: VecDeque::new(),
+            postponed_turns: 0,
+            catch_up_polls_left: 0,
+            // Set by `apply_limits`.
+            memory_limit: 0,
+            open_requests_max: config.transport.max_open_requests,
+            admin_listener: admin_listener(&config, &poll)?,
+            gossip: None,
+            lifecycle,
+            clock,
+            poll,
+            config,
+        })
+    }
+
+    /// Sets the first timers, joins the fleet and loads the endpoint list, if one is known.
+    fn begin(&mut self, known: Option<EndpointList>, now: Nanos) -> Result<(), StartupError> {
+        self.apply_limits();
+        self.timers.set(now + REAP_INTERVAL, TimerKind::ReapIdle);
+        self.check_other_process(now);
+        self.join_fleet(now)?;
+        match known {
+            Some(list) => self.load_known_list(list),
+            // The engine asks discovery on its first event. Without a list there would be none
+            // before the first client comes, and clients are not sent to a process that isn't ready.
+            None => self.pending_events.push(Event::TimerFired(TimerToken(0))),
+        }
+        if self.discovery.is_pushed() {
+            self.start_watch(now);
+        }
+        Ok(())
+    }
+}
+
+fn new_lifecycle(config: &Config) -> Lifecycle {
+    let deadlines = config.settings.classes.iter().map(|class| class.deadline);
+    Lifecycle::new(
+        config.socket_fd.is_some(),
+        deadlines.max().unwrap_or_default(),
+    )
+}
+
+/// The backoff between watches, where lists are pushed.
+fn watch_backoff(config: &Config) -> Option<WatchBackoff> {
+    let grace = config.settings.rules.drain_grace;
+    (config.settings.discovery == DiscoveryMode::Push).then(|| WatchBackoff::new(grace))
+}
+
+/// The client listener's socket: the inherited one, or a new one.
+fn client_listener(config: &Config) -> Result<TcpListener, StartupError> {
+    let Some(descriptor) = config.socket_fd else {
+        return TcpListener::bind(config.listen).map_err(|source| StartupError::Listen {
+            address: config.listen,
+            source,
+        });
+    };
+    let listener = inherit_listener(descriptor)
+        .map_err(|source| StartupError::InheritListener { descriptor, source })?;
+    let address = listener
+        .local_addr()
+        .map_err(StartupError::InheritedAddress)?;
+    if address != config.listen {
+        log::warn!(
+            "GW_SOCKET_FD: descriptor {descriptor} listens on {address}, not on {}",
+            config.listen
+        );
+    }
+    Ok(listener)
+}
+
+/// A process slot beside the other process of a hot restart; without one this process serves as if
+/// it were alone.
+fn take_process_slot(config: &Config, now: Nanos) -> Option<ProcessSlots> {
+    config.socket_fd?;
+    let folder = config.folder.as_ref()?;
+    let process = format!("{}-{now}", std::process::id());
+    ProcessSlots::take(folder, process)
+        .map_err(|e| log::warn!("process slot in $TMPDIR {}: {e}", folder.display()))
+        .ok()
+}
+
+fn admin_listener(config: &Config, poll: &Poll) -> Result<Option<AdminListener>, StartupError> {
+    let Some(address) = config.management else {
+        return Ok(None);
+    };
+    AdminListener::listen(poll, address, config.fleet.is_some())
+        .map(Some)
+        .map_err(|source| StartupError::AdminListen { address, source })
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/tests/disconnects.rs
@@ -0,0 +1,162 @@
+//! Clients that disconnect while something is under way for them.
+
+use super::harness::{CLIENT_0, DEFAULTS, Harness, Options, UPSTREAM_0, read_to_end};
+use crate::poll::EventSource;
+use crate::resp::write_command;
+use crate::timers::MS;
+use rstest::rstest;
+use socket2::SockRef;
+use std::io::Write;
+use std::time::Duration;
+
+#[rstest]
+fn request_of_a_client_that_leaves_as_the_connection_is_established_is_not_forwarded(
+    #[values([UPSTREAM_0, CLIENT_0], [CLIENT_0, UPSTREAM_0])] order: [EventSource; 2],
+    #[values("read", "put", "once")] class: &str,
+) {
+    let mut harness = Harness::new(DEFAULTS);
+    harness.send_request(class, 50_000);
+    let mut cache = harness.accept(0);
+    drop(harness.clients.pop());
+    harness.turn(&order);
+    assert_eq!(read_to_end(&mut cache), "");
+}
+
+#[rstest]
+fn request_of_a_client_that_left_during_a_slow_connect_is_not_forwarded(
+    #[values(true, false)] cancel: bool,
+    #[values(true, false)] reset: bool,
+    #[values("read", "put", "once")] class: &str,
+) {
+    let mut harness = Harness::new(Options { cancel, ..DEFAULTS });
+    harness.send_request(class, 50_000);
+    let mut cache = harness.accept(0);
+    let client = harness.clients.pop().unwrap();
+    if reset {
+        SockRef::from(&client)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
+    }
+    drop(client);
+    harness.turn(&[CLIENT_0]);
+    if !cancel {
+        harness.turn(&[UPSTREAM_0]);
+    }
+    assert_eq!(read_to_end(&mut cache), "");
+    assert_eq!(
+        (
+            harness.event_loop.counters.client_disconnects,
+            harness.event_loop.counters.unsent_after_disconnect
+        ),
+        (1, 1)
+    );
+    assert!(
+        harness
+            .event_loop
+            .counters
+            .longest_unsent_after_disconnect_ms
+            < 300,
+        "as long as the connection took"
+    );
+    assert_eq!(harness.event_loop.attempt_tracker.open(), 0);
+}
+
+#[test]
+fn disconnect_in_the_turn_of_a_failed_attempt_prevents_the_retry() {
+    let mut harness = Harness::new(Options {
+        caches: 2,
+        ..DEFAULTS
+    });
+    let (_, mut cache) = harness.forwarded("read", 50_000);
+    cache.write_all(b"-BUSY\r\n").unwrap();
+    drop(harness.clients.pop());
+    harness.turn(&[UPSTREAM_0, CLIENT_0]);
+    assert_eq!(
+        (
+            harness.event_loop.counters.attempts_rejected,
+            harness.event_loop.counters.upstream_opened,
+            harness.event_loop.attempt_tracker.open()
+        ),
+        (1, 1, 0)
+    );
+}
+
+#[rstest]
+fn disconnect_before_the_hedge_or_in_its_turn_prevents_it(
+    #[values(true, false)] cancel: bool,
+    #[values(true, false)] in_that_turn: bool,
+) {
+    let mut harness = Harness::new(Options {
+        caches: 2,
+        cancel,
+        ..DEFAULTS
+    });
+    // The copy is due after half of this.
+    let (_, _cache) = harness.forwarded("read", 400);
+    drop(harness.clients.pop());
+    let due = harness.event_loop.clock.now() + 200 * MS;
+    if in_that_turn {
+        let end = harness.wait(CLIENT_0);
+        harness.turn_at(due, end);
+    } else {
+        harness.turn(&[CLIENT_0]);
+        while harness.event_loop.clock.now() < due {
+            harness.turn(&[]);
+        }
+    }
+    harness.turn(&[]);
+    assert_eq!(
+        (
+            harness.event_loop.counters.attempts,
+            harness.event_loop.counters.hedges,
+            harness.event_loop.counters.client_disconnects
+        ),
+        (1, 0, 1)
+    );
+}
+
+#[test]
+fn a_thousand_disconnects_in_one_turn_release_all_requests() {
+    let mut harness = Harness::new(DEFAULTS);
+    for client in 0..8 {
+        harness.connect_client();
+        let ask = |n| {
+            write_command(&[
+                b"C.GET",
+                b"a",
+                format!("{client}-{n}").as_bytes(),
+                b"c=read,d=50000",
+            ])
+        };
+        let asks: Vec<u8> = (0..125).flat_map(ask).collect();
+        harness.clients[client].write_all(&asks).unwrap();
+        harness.turn(&[EventSource::Client(client as u64)]);
+    }
+    assert_eq!(harness.event_loop.attempt_tracker.open(), 1_000);
+    assert!(
+        harness.event_loop.counters.attempts < 100,
+        "most are held: {}",
+        harness.event_loop.counters.attempts
+    );
+    harness.clients.clear();
+    let all: Vec<EventSource> = (0..8).map(EventSource::Client).collect();
+    harness.turn(&all);
+    let tries = harness.event_loop.counters.attempts;
+    assert_eq!(
+        (
+            harness.event_loop.attempt_tracker.open(),
+            harness.event_loop.attempt_tracker.held(),
+            harness.event_loop.counters.client_disconnects
+        ),
+        (0, 0, 1_000)
+    );
+    let asked = harness.event_loop.clock.now();
+    // The module releases what it holds ten times a second.
+    while harness.event_loop.clock.now() < asked + 300 * MS {
+        harness.turn(&[]);
+    }
+    assert_eq!(
+        harness.event_loop.counters.attempts, tries,
+        "none is sent later"
+    );
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/tests/hedges.rs
@@ -0,0 +1,66 @@
+//! Hedged requests.
+
+use super::harness::{
+    DEFAULTS, Harness, Options, UPSTREAM_0, UPSTREAM_1, VALUE, read_command, read_to_end, received,
+};
+use crate::poll::EventSource;
+use rstest::rstest;
+use std::io::Write;
+
+#[test]
+fn hedge_that_is_connected_after_the_answer_is_not_sent() {
+    let mut harness = Harness::new(Options {
+        caches: 2,
+        ..DEFAULTS
+    });
+    // The copy is due after half of this.
+    harness.send_request("read", 4_000);
+    harness.turn(&[UPSTREAM_0]);
+    let (_, mut first) = harness.next_connection();
+    harness.run_until(|event_loop| event_loop.counters.hedges == 1);
+    let (_, mut second) = harness.next_connection();
+    read_command(&mut first);
+    first.write_all(VALUE).unwrap();
+    harness.turn(&[UPSTREAM_0, UPSTREAM_1]);
+    assert_eq!(read_to_end(&mut second), "");
+    harness.expect_answer(0, "$1\r\nv\r\n");
+    assert_eq!(
+        (
+            harness.event_loop.counters.served,
+            harness.event_loop.attempt_tracker.open()
+        ),
+        (1, 0)
+    );
+}
+
+#[rstest]
+fn answers_of_a_read_and_its_hedge_in_one_turn_yield_one_answer(
+    #[values([UPSTREAM_0, UPSTREAM_1], [UPSTREAM_1, UPSTREAM_0])] order: [EventSource; 2],
+    #[values(VALUE, b"-ERR failed\r\n", b"*3\r\n$x")] other: &[u8],
+) {
+    let mut harness = Harness::new(Options {
+        caches: 2,
+        cancel: false,
+        ..DEFAULTS
+    });
+    harness.send_request("read", 4_000);
+    harness.turn(&[UPSTREAM_0]);
+    let (_, mut first) = harness.next_connection();
+    harness.run_until(|event_loop| event_loop.counters.hedges == 1);
+    let (_, mut second) = harness.next_connection();
+    harness.turn(&[UPSTREAM_1]);
+    read_command(&mut first);
+    read_command(&mut second);
+    first.write_all(VALUE).unwrap();
+    second.write_all(other).unwrap();
+    harness.turn(&order);
+    assert_eq!(received(&mut harness.clients[0]), "$1\r\nv\r\n");
+    assert_eq!(
+        (
+            harness.event_loop.counters.served,
+            harness.event_loop.attempt_tracker.open(),
+            harness.event_loop.counters.attempts
+        ),
+        (1, 0, 2)
+    );
+}
--- /dev/null
+++ b/crates/balancer/src/event_loop/timeouts.rs
@@ -0,0 +1,92 @@
+//! Expired timers.
+
+use super::EventLoop;
+use crate::timers::{MS, TimerKind};
+use crate::upstream_pool::UpstreamJob;
+use routing::{AttemptNumber, AttemptOutcome, Event, Nanos, RequestId};
+
+/// How often idle and stuck connections are looked for.
+pub(super) const REAP_INTERVAL: Nanos = 50 * MS;
+
+impl EventLoop {
+    pub(super) fn timer_expired(&mut self, now: Nanos, timer: TimerKind) {
+        match timer {
+            TimerKind::Engine(token) => self.pending_events.push(Event::TimerFired(token)),
+            TimerKind::Attempt(request, attempt) => self.attempt_timed_out(now, request, attempt),
+            TimerKind::HealthCheck(number) => self.health_check_timed_out(number),
+            TimerKind::Connect(connection) => self.connect_timed_out(now, connection),
+            TimerKind::ResponseStall(connection) => self.response_stalled(now, connection),
+            TimerKind::Discovery(connection) => self.discovery_timed_out(connection),
+            TimerKind::Watch => self.start_watch(now),
+            TimerKind::ReapIdle => self.reap_connections(now),
+            TimerKind::Lifecycle => self.apply_lifecycle(now),
+            TimerKind::CheckOtherProcess => self.check_other_process(now),
+            TimerKind::Gossip => self.run_gossip_turn(now),
+        }
+    }
+
+    fn attempt_timed_out(&mut self, now: Nanos, request: RequestId, attempt: AttemptNumber) {
+        let job = UpstreamJob::Attempt(request, attempt);
+        // What was not sent whole never ran, and may be repeated.
+        let outcome = if self.upstream_pool.is_unsent(job) {
+            AttemptOutcome::ConnectFailed
+        } else {
+            AttemptOutcome::Timeout
+        };
+        if let Some(event) =
+            self.attempt_tracker
+                .give_up(now, request, attempt, outcome, &mut self.counters)
+        {
+            self.upstream_pool.abandon(job, &mut self.counters);
+            self.pending_events.push(event);
+        }
+    }
+
+    fn health_check_timed_out(&mut self, number: u64) {
+        if let Some(event) = self.attempt_tracker.probe_due(number) {
+            self.upstream_pool
+                .abandon(UpstreamJob::Probe(number), &mut self.counters);
+            self.pending_events.push(event);
+        }
+    }
+
+    fn connect_timed_out(&mut self, now: Nanos, connection: u64) {
+        let mut events = Vec::new();
+        self.upstream_pool
+            .connect_due(connection, &mut events, &mut self.counters);
+        self.handle_upstream_events(now, events);
+    }
+
+    fn response_stalled(&mut self, now: Nanos, connection: u64) {
+        let mut events = Vec::new();
+        // What came since the last poll is not read yet.
+        let seen = self.poll_timestamps.quiet();
+        self.upstream_pool
+            .stall_due(seen, connection, &mut events, &mut self.counters);
+        self.handle_upstream_events(now, events);
+    }
+
+    fn discovery_timed_out(&mut self, connection: u64) {
+        let mut events = Vec::new();
+        let seen = self.poll_timestamps.quiet();
+        self.discovery.due(
+            seen,
+            connection,
+            &mut self.timers,
+            &mut events,
+            &mut self.counters,
+        );
+        self.handle_discovery_events(events);
+    }
+
+    fn reap_connections(&mut self, now: Nanos) {
+        let mut events = Vec::new();
+        self.listener.reap(now, &mut events, &mut self.counters);
+        self.upstream_pool.sweep(now, &mut self.counters);
+        if let Some(admin_listener) = &mut self.admin_listener {
+            admin_listener.reap(now, &mut self.counters);
+        }
+        self.handle_listener_events(now, events);
+        self.timers.set(now + REAP_INTERVAL, TimerKind::ReapIdle);
+    }
+}
--- a/crates/balancer/src/event_loop/turns/tests.rs
+++ b/crates/balancer/src/event_loop/turn_meter/tests.rs
@@ -1,9 +1,10 @@
 //! What a turn's figures say.
 
 use super::*;
+use crate::timers::MS;
 
 #[test]
-fn a_turn_is_measured_from_its_beginning_and_named_by_its_longest_step() {
+fn a_turn_is_measured_from_its_start_and_named_by_its_longest_step() {
     let mut turn = TurnMeter::start(5 * MS);
     for (step, ms) in [
         (TurnStep::DiscoveryUpdates, 6),
@@ -14,8 +15,9 @@
         turn.step(step, ms * MS);
     }
     turn.step(TurnStep::AdminCalls, 45 * MS);
-    assert_eq!(
-        (turn.elapsed(45 * MS), turn.longest()),
-        (40 * MS, (TurnStep::DiscoveryUpdates, 24 * MS))
-    );
+    let longest = StepTime {
+        step: TurnStep::DiscoveryUpdates,
+        time: 24 * MS,
+    };
+    assert_eq!((turn.elapsed(45 * MS), turn.longest()), (40 * MS, longest));
 }
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -4,7 +4,7 @@
 
 use crate::config::FleetConfig;
 use crate::lifecycle::Lifecycle;
-use crate::poll::{EventSource, Poll, Registered};
+use crate::poll::{EventSource, Interest, Poll, Registered};
 use crate::timers::MS;
 use membership::envelope::DATAGRAM_MAX;
 use membership::{
@@ -181,7 +181,10 @@
             self.member.fleet_name(),
             socket.local_addr()?
         );
-        self.socket = Some(self.poll.watch(socket, EventSource::Gossip, true, false)?);
+        self.socket = Some(
+            self.poll
+                .watch(socket, EventSource::Gossip, Interest::READABLE)?,
+        );
         Ok(())
     }
 
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -3,7 +3,8 @@
 
 use super::LEAVE;
 use crate::counters::Counters;
-use crate::poll::{EventSource, Poll, Readiness, Registered, discard};
+use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
+use crate::sockets::discard;
 use crate::timers::MS;
 use routing::Nanos;
 use std::collections::BTreeMap;
@@ -121,7 +122,7 @@
         let listener = TcpListener::bind(address)?;
         log::info!("management listens on {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, EventSource::AdminListener, true, false)?;
+        let listener = poll.watch(listener, EventSource::AdminListener, Interest::READABLE)?;
         Ok(AdminListener {
             poll: poll.clone(),
             listener,
@@ -157,8 +158,11 @@
             }
             let number = self.next_caller;
             let watched = stream.set_nonblocking(true).and_then(|()| {
-                self.poll
-                    .watch(stream, EventSource::AdminConnection(number), true, false)
+                self.poll.watch(
+                    stream,
+                    EventSource::AdminConnection(number),
+                    Interest::READABLE,
+                )
             });
             match watched {
                 Ok(stream) => {
@@ -282,13 +286,16 @@
                 return drop(self.callers.remove(&number));
             }
         }
-        if c.stream.interest(true, unsent).is_err() {
+        if c.stream
+            .set_interest(Interest::readable_and(unsent))
+            .is_err()
+        {
             self.callers.remove(&number);
         }
     }
 
     /// Ends calls that don't become whole, and answered ones whose callers stay.
-    pub fn sweep(&mut self, now: Nanos, counters: &mut Counters) {
+    pub fn reap(&mut self, now: Nanos, counters: &mut Counters) {
         // Closed at once, what still comes would reset the answer away.
         self.callers
             .retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + LEAVE);
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -133,10 +133,10 @@
         CONNECTIONS_MAX - 1,
         "a caller that has gone is let go of"
     );
-    door.sweep(UNFINISHED - 1, &mut counters);
+    door.reap(UNFINISHED - 1, &mut counters);
     assert_eq!(door.callers.len(), CONNECTIONS_MAX - 1);
     silent[2].write_all(b"GET /admin/he").unwrap();
-    door.sweep(UNFINISHED, &mut counters);
+    door.reap(UNFINISHED, &mut counters);
     // What crosses the answer does not reset it away: each gets its own, and the end behind it.
     silent[2].write_all(b"alth HTTP/1.1\r\n\r\n").unwrap();
     for caller in &mut silent[1..] {
@@ -144,7 +144,7 @@
         caller.read_to_string(&mut text).unwrap();
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
     }
-    door.sweep(UNFINISHED + LEAVE - 1, &mut counters);
+    door.reap(UNFINISHED + LEAVE - 1, &mut counters);
     assert_eq!(
         door.callers.len(),
         CONNECTIONS_MAX - 1,
@@ -167,10 +167,10 @@
         .unwrap();
     door.accept(0, &mut counters);
     assert_eq!(door.ready(readable(1), &mut counters), None);
-    door.sweep(UNFINISHED, &mut counters);
-    door.sweep(UNFINISHED + LEAVE - 1, &mut counters);
+    door.reap(UNFINISHED, &mut counters);
+    door.reap(UNFINISHED + LEAVE - 1, &mut counters);
     assert_eq!(door.callers.len(), 2);
-    door.sweep(UNFINISHED + LEAVE, &mut counters);
+    door.reap(UNFINISHED + LEAVE, &mut counters);
     assert!(door.callers.is_empty());
 }
 
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -7,13 +7,11 @@
 use super::LEAVE;
 use crate::counters::Counters;
 use crate::lifecycle::{LifecyclePolicy, ListenerMode};
-use crate::poll::{
-    EventSource, Poll, Readiness, Registered, discard, has_peer_closed, has_unsent_output,
-    is_open_without_input,
-};
+use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::poll_timestamps::{ClientPresence, PollTimestamps};
 use crate::request::{FinalAnswer, IncomingRequest, Ticket};
 use crate::resp::{self, VALUE_MAX, parse_command};
+use crate::sockets::{discard, has_peer_closed, has_unsent_output, is_open_without_input};
 use crate::timers::MS;
 use commands::{ParsedCommand, command, encode, error};
 use routing::{Nanos, RequestId};
@@ -72,6 +70,24 @@
     CapacityAvailable(RequestId),
 }
 
+/// How a streamed value ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamEnd {
+    /// All of it has arrived.
+    Complete,
+    /// The upstream connection broke before.
+    Aborted,
+}
+
+/// Whether memory for requests and responses runs short.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MemoryPressure {
+    /// Enough is free.
+    Low,
+    /// Responses may hardly be buffered.
+    High,
+}
+
 /// An answer that is owed on a connection, or has come but waits for those before it.
 enum PendingResponse {
     Waiting(RequestId),
@@ -170,7 +186,7 @@
             listener.local_addr()?
         );
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, EventSource::Listener, true, false)?;
+        let listener = poll.watch(listener, EventSource::Listener, Interest::READABLE)?;
         let mut front = RespListener {
             poll: poll.clone(),
             listener: Some(listener),
@@ -193,10 +209,14 @@
         self.connections_max = most;
     }
 
-    /// The sockets were looked at, and somebody waits at the listener or not; to be told before what was found is taken in.
-    pub fn set_poll_timestamps(&mut self, looks: PollTimestamps, somebody_waits: bool) {
-        self.poll_timestamps = looks;
-        if self.accepting && !somebody_waits {
+    /// The sockets were polled; to be called before what was reported is processed.
+    pub fn set_poll_timestamps(&mut self, timestamps: PollTimestamps) {
+        self.poll_timestamps = timestamps;
+    }
+
+    /// The poll did not report the listening socket: nobody waits there.
+    pub fn note_empty_backlog(&mut self) {
+        if self.accepting {
             self.backlog_since = None;
         }
     }
@@ -445,7 +465,7 @@
         &mut self,
         connection: u64,
         request: RequestId,
-        tight: bool,
+        memory: MemoryPressure,
     ) -> bool {
         let waits = self.pending_bytes(connection, request);
         let Some(PendingResponse::Streaming {
@@ -454,7 +474,7 @@
         else {
             return false;
         };
-        *held_back = waits >= WINDOW || tight && waits > 0;
+        *held_back = waits >= WINDOW || memory == MemoryPressure::High && waits > 0;
         *held_back
     }
 
@@ -463,7 +483,7 @@
         &mut self,
         connection: u64,
         request: RequestId,
-        whole: bool,
+        end: StreamEnd,
         now: Nanos,
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
@@ -473,10 +493,14 @@
         };
         if let PendingResponse::Streaming { bytes, .. } = place {
             let mut bytes = std::mem::take(bytes);
-            bytes.extend_from_slice(if whole { b"\r\n" } else { b"" });
+            bytes.extend_from_slice(if end == StreamEnd::Complete {
+                b"\r\n"
+            } else {
+                b""
+            });
             *place = PendingResponse::Answered(bytes);
         }
-        if whole {
+        if end == StreamEnd::Complete {
             self.flush(connection, now, events, counters)
         } else {
             self.close(connection, counters, events)
@@ -573,8 +597,11 @@
                 continue;
             }
             // While answers are owed the end of the connection is still of interest: the client has gone.
-            let (read, write) = (c.is_read(), c.unsent_bytes() > 0);
-            if c.stream.interest(read, write).is_err() {
+            let interest = Interest {
+                readable: c.is_read(),
+                writable: c.unsent_bytes() > 0,
+            };
+            if c.stream.set_interest(interest).is_err() {
                 self.close(number, counters, events);
             }
             return;
@@ -600,7 +627,7 @@
         c.close_by = Some(now + LEAVE);
         c.input = Vec::new();
         if c.stream.socket().shutdown(Shutdown::Write).is_err()
-            || c.stream.interest(true, false).is_err()
+            || c.stream.set_interest(Interest::READABLE).is_err()
         {
             return self.close(number, counters, events);
         }
@@ -625,7 +652,7 @@
             match socket.peek(&mut [0]) {
                 Ok(0) => false,
                 // From now on its end is looked for in the sweep.
-                Ok(_) => !has_peer_closed(socket) && c.stream.interest(false, false).is_ok(),
+                Ok(_) => !has_peer_closed(socket) && c.stream.set_interest(Interest::NONE).is_ok(),
                 Err(e) => e.kind() == ErrorKind::WouldBlock,
             }
         };
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -31,7 +31,7 @@
                         .and_then(|()| stream.set_nodelay(true))
                         .and_then(|()| {
                             self.poll
-                                .watch(stream, EventSource::Client(number), true, false)
+                                .watch(stream, EventSource::Client(number), Interest::READABLE)
                         });
                     let stream = match watched {
                         Ok(stream) => stream,
@@ -83,7 +83,11 @@
         if let Some(listener) = &mut self.listener
             && self.accepting == pause
         {
-            match listener.interest(!pause, false) {
+            match listener.set_interest(if pause {
+                Interest::NONE
+            } else {
+                Interest::READABLE
+            }) {
                 Ok(()) => {
                     self.accepting = !pause;
                     if pause {
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -392,20 +392,23 @@
     // The second comes while the first is still out: what of it there is room for waits.
     front.answer(second, FinalAnswer::Streaming(WINDOW + 1));
     front.append_chunk(0, two, &[b'y'; WINDOW - 20]);
-    assert!(!front.apply_back_pressure(0, two, false) && front.apply_back_pressure(0, two, true));
+    assert!(
+        !front.apply_back_pressure(0, two, MemoryPressure::Low)
+            && front.apply_back_pressure(0, two, MemoryPressure::High)
+    );
     front.append_chunk(0, two, &[b'y'; 21]);
-    assert!(front.apply_back_pressure(0, two, false));
+    assert!(front.apply_back_pressure(0, two, MemoryPressure::Low));
     front.flush(0, 1, &mut events, &mut counters);
-    front.finish_streaming(0, two, true, 1, &mut events, &mut counters);
+    front.finish_streaming(0, two, StreamEnd::Complete, 1, &mut events, &mut counters);
     front.answer(first, FinalAnswer::Streaming(3));
     front.append_chunk(0, one, b"x");
     front.flush(0, 1, &mut events, &mut counters);
     assert!(
-        !front.apply_back_pressure(0, one, true),
+        !front.apply_back_pressure(0, one, MemoryPressure::High),
         "nothing waits for it"
     );
     front.append_chunk(0, one, b"xx");
-    front.finish_streaming(0, one, true, 1, &mut events, &mut counters);
+    front.finish_streaming(0, one, StreamEnd::Complete, 1, &mut events, &mut counters);
     let want = [
         b"$3\r\nxxx\r\n",
         format!("${}\r\n", WINDOW + 1).as_bytes(),
@@ -426,7 +429,7 @@
     const LENGTH: usize = 64 << 20;
     front.answer(first, FinalAnswer::Streaming(LENGTH));
     let mut sent = 0;
-    while !front.apply_back_pressure(0, request, false) {
+    while !front.apply_back_pressure(0, request, MemoryPressure::Low) {
         front.append_chunk(0, request, &[b'x'; READ_SIZE]);
         front.flush(0, 1, &mut events, &mut counters);
         sent += READ_SIZE;
@@ -450,7 +453,14 @@
     assert_eq!(front.buffered(), 0);
     // The cache breaks off: the client must be able to tell, and the request behind has nobody to wait for.
     events.clear();
-    front.finish_streaming(0, request, false, 3, &mut events, &mut counters);
+    front.finish_streaming(
+        0,
+        request,
+        StreamEnd::Aborted,
+        3,
+        &mut events,
+        &mut counters,
+    );
     assert!(
         front.is_empty()
             && matches!(events[..], [ListenerEvent::ClientDisconnected(r)] if r != request)
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,6 +1,9 @@
-//! pipitrun: one balancer of tile caches on real sockets. The modules follow the stages of a request: a front
-//! takes it from a client connection, `request` is its context, `decide` asks the module, `tries` and `peers`
-//! carry out what it says, and the front answers. No decision is taken here; they are all routing's.
+//! `pipitrun`, a load balancer for tile caches: the daemon round the decision engine of `routing`.
+//!
+//! A request passes these modules: `listener` parses the client's command, `event_loop::admission`
+//! admits it, `event_loop::decisions` asks the engine, `event_loop::dispatch` and `upstream_pool` send
+//! attempts, `attempt_tracker` matches their outcomes to the request, and `event_loop::responses` has
+//! the listener answer it. All decisions are the engine's.
 #![deny(unsafe_code)]
 
 mod attempt_tracker;
@@ -19,27 +22,20 @@
 mod request;
 mod resp;
 mod response_stream;
+mod sockets;
 mod state_transfer;
 mod timers;
 mod upstream_pool;
 mod watch_backoff;
 
+use config::Config;
+use event_loop::EventLoop;
+use std::error::Error;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    let result = config::Config::load(|name| std::env::var(name).ok())
-        .map_err(|e| e.to_string())
-        .and_then(|config| {
-            log::info!("{}: discovery is at {}", config.name, config.discovery);
-            config
-                .remarks
-                .iter()
-                .for_each(|remark| log::warn!("configuration: settings.{remark}"));
-            log::debug!("{:?}", config.settings);
-            event_loop::EventLoop::new(config)?.run()
-        });
-    match result {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("pipitrun: {e}");
@@ -47,3 +43,14 @@
         }
     }
 }
+
+fn run() -> Result<(), Box<dyn Error>> {
+    let config = Config::load(|name| std::env::var(name).ok())?;
+    log::info!("{}: discovery is at {}", config.name, config.discovery);
+    for remark in &config.remarks {
+        log::warn!("configuration: settings.{remark}");
+    }
+    log::debug!("{:?}", config.settings);
+    EventLoop::new(config)?.run()?;
+    Ok(())
+}
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -1,122 +1,38 @@
-//! The one wrapper round `polling`: sockets are watched as long as they live, and no longer.
+//! Readiness of sockets: a wrapper round `polling` in which a socket is watched exactly as long as its
+//! guard lives.
 
 use polling::{AsSource, Event, Events, PollMode, Poller};
-use rustix::event::{PollFd, PollFlags, Timespec};
-use rustix::ioctl::{Getter, Opcode};
-use socket2::{Domain, Protocol, SockRef, Socket, Type};
-use std::ffi::c_int;
-use std::io::{self, Read};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a non-blocking connect answers while it is under way (Linux; std has no stable name for it).
-const EINPROGRESS: i32 = 115;
-
-/// Begins a connection without waiting for it: once the socket is writable, it is up or has failed.
-pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket = Socket::new(
-        Domain::for_address(address),
-        Type::STREAM,
-        Some(Protocol::TCP),
-    )?;
-    socket.set_nonblocking(true)?;
-    socket.set_tcp_nodelay(true)?;
-    match socket.connect(&address.into()) {
-        Err(e) if e.raw_os_error() != Some(EINPROGRESS) => Err(e),
-        _ => Ok(socket.into()),
-    }
-}
-
-/// The listening TCP socket that this process was started with under that number, or why it is none.
-#[allow(unsafe_code)]
-pub fn inherit_listener(number: RawFd) -> Result<TcpListener, String> {
-    if number <= 2 {
-        return Err("is a standard stream".into());
-    }
-    // SAFETY: the number is only looked at until it is known to be an open socket, and never closed by this.
-    let looked_at = unsafe { BorrowedFd::borrow_raw(number) };
-    let socket = SockRef::from(&looked_at);
-    let kind = socket
-        .r#type()
-        .map_err(|e| format!("is no open socket: {e}"))?;
-    if kind != Type::STREAM || !socket.is_listener().unwrap_or(false) {
-        return Err("is no listening TCP socket".into());
-    }
-    socket
-        .local_addr()
-        .ok()
-        .and_then(|a| a.as_socket())
-        .ok_or("is no listening TCP socket")?;
-    // SAFETY: it is open and listens, so it was given to this process by whoever started it: this is called once, before
-    // the program listens anywhere itself, and nothing else here holds it.
-    Ok(unsafe { TcpListener::from_raw_fd(number) })
-}
-
-/// Whether a connection stands and nothing waits to be read on it.
-pub fn is_open_without_input(stream: &TcpStream) -> bool {
-    matches!(stream.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
-}
-
-/// Whether the other end sends nothing more, or has closed. Unlike a read this sees it past bytes that wait to be read.
-pub fn has_peer_closed(stream: &TcpStream) -> bool {
-    let mut one = [PollFd::new(stream, PollFlags::RDHUP)];
-    matches!(rustix::event::poll(&mut one, Some(&Timespec::default())), Ok(ready) if ready > 0)
-}
-
-/// Whether something that was written still waits here because the other end takes no more for now. Closed then, a byte from there
-/// would destroy it. Where the kernel can't tell, nothing waits.
-#[allow(unsafe_code)]
-pub fn has_unsent_output(stream: &TcpStream) -> bool {
-    // Linux's SIOCOUTQNSD: bytes not sent yet. Those that were sent and not confirmed arrive before any reset.
-    const UNSENT: Opcode = 0x894B;
-    // SAFETY: the kernel writes one int for this request, and that is what the getter holds; it touches nothing else.
-    let unsent = unsafe { rustix::ioctl::ioctl(stream, Getter::<UNSENT, c_int>::new()) };
-    unsent.is_ok_and(|bytes| bytes > 0)
-}
-
-/// Takes what has come and will not be read, at most so much: closing over it would reset the connection, and who is at its
-/// other end might lose the last answer. False once it has ended, or if it sends on and on.
-pub fn discard(mut stream: &TcpStream, most: usize) -> bool {
-    let mut bytes = [0; 4096];
-    for _ in 0..most / bytes.len() {
-        match stream.read(&mut bytes) {
-            Ok(n) if n > 0 => {}
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            _ => return false,
-        }
-    }
-    false
-}
-
-/// Whose socket became ready.
+/// The owner of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
     /// The socket on which clients connect.
     Listener,
     /// A client connection, by its number.
     Client(u64),
-    /// A connection to a peer, by its number.
+    /// An upstream connection, by its number.
     Upstream(u64),
     /// A connection to discovery, by its number.
     Discovery(u64),
-    /// The request to stop.
+    /// The signal pipe for a graceful shutdown.
     Stop,
-    /// The request for the counters.
+    /// The signal pipe for printing the counters.
     PrintCounters,
-    /// The request to read the configuration again.
+    /// The signal pipe for reloading the configuration.
     Reload,
-    /// The socket on which the operators call.
+    /// The admin listener's socket.
     AdminListener,
-    /// A connection of an operator's call, by its number.
+    /// A connection to the admin listener, by its number.
     AdminConnection(u64),
-    /// The socket of the fleet's talk.
+    /// The gossip socket.
     Gossip,
 }
 
 impl EventSource {
+    /// Keys carry the number of a connection, times this, plus the kind of the source.
     const KINDS: u64 = 10;
 
     fn key(self) -> usize {
@@ -135,7 +51,7 @@
         (number * Self::KINDS + kind) as usize
     }
 
-    fn of(key: usize) -> Self {
+    fn from_key(key: usize) -> Self {
         let number = key as u64 / Self::KINDS;
         match key as u64 % Self::KINDS {
             0 => EventSource::Listener,
@@ -155,7 +71,7 @@
 /// What one socket is ready for. A broken one is reported as ready for both.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
-    /// Whose socket.
+    /// The owner of the socket.
     pub source: EventSource,
     /// It can be read, or has ended.
     pub readable: bool,
@@ -163,6 +79,55 @@
     pub writable: bool,
 }
 
+/// What a socket is watched for. Its end and its errors are reported in any case.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Interest {
+    /// Report when it can be read.
+    pub readable: bool,
+    /// Report when it can be written.
+    pub writable: bool,
+}
+
+impl Interest {
+    /// Nothing but the end and errors.
+    pub const NONE: Interest = Interest {
+        readable: false,
+        writable: false,
+    };
+    /// Input.
+    pub const READABLE: Interest = Interest {
+        readable: true,
+        writable: false,
+    };
+    /// Space for output.
+    pub const WRITABLE: Interest = Interest {
+        readable: false,
+        writable: true,
+    };
+
+    /// Input, and space for output as long as some is unsent.
+    #[must_use]
+    pub fn readable_and(unsent: bool) -> Self {
+        Interest {
+            readable: true,
+            writable: unsent,
+        }
+    }
+
+    fn event(self, source: EventSource) -> Event {
+        Event::new(source.key(), self.readable, self.writable)
+    }
+}
+
+/// Whether a wait saw the state of the sockets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PollOutcome {
+    /// All sockets were checked.
+    Completed,
+    /// A signal interrupted the wait before the sockets were checked.
+    Interrupted,
+}
+
 /// The set of watched sockets.
 #[derive(Clone)]
 pub struct Poll {
@@ -170,7 +135,10 @@
 }
 
 impl Poll {
-    /// An empty set.
+    /// Creates an empty set.
+    ///
+    /// # Errors
+    /// If the kernel has no descriptor for it.
     pub fn new() -> io::Result<Self> {
         Ok(Poll {
             poller: Rc::new(Poller::new()?),
@@ -178,50 +146,57 @@
     }
 
     /// Watches a socket until the returned guard is dropped.
+    ///
+    /// # Errors
+    /// If the kernel refuses to watch it.
     #[allow(unsafe_code)]
     pub fn watch<S: AsSource>(
         &self,
         socket: S,
         source: EventSource,
-        readable: bool,
-        writable: bool,
+        interest: Interest,
     ) -> io::Result<Registered<S>> {
-        let interest = Event::new(source.key(), readable, writable);
-        // SAFETY: the socket must leave the poller before it is closed. It moves into `Registered`, which owns it,
-        // never lets it out, and removes it from the poller when dropped, before the socket itself is dropped.
+        // SAFETY: the socket must leave the poller before it is closed. It moves into `Registered`,
+        // which owns it, never gives it away, and removes it from the poller when dropped, before
+        // the socket itself is dropped.
         unsafe {
             self.poller
-                .add_with_mode(&socket.source(), interest, PollMode::Level)?;
+                .add_with_mode(&socket.source(), interest.event(source), PollMode::Level)?;
         }
         Ok(Registered {
             socket,
             source,
-            interest: (readable, writable),
+            interest,
             poller: Rc::clone(&self.poller),
         })
     }
 
-    /// Waits until a socket is ready or the time is over, and appends what is ready. False if a signal came in between: then
-    /// the sockets were not looked at. `events` has room for more than a process may have descriptors.
+    /// Waits until a socket is ready or the time is over, and appends what is ready. `events` has a
+    /// capacity beyond the number of descriptors a process may have.
+    ///
+    /// # Errors
+    /// If the wait fails for another reason than a signal.
     pub fn wait(
         &self,
         events: &mut Events,
         timeout: Option<Duration>,
         ready: &mut Vec<Readiness>,
-    ) -> io::Result<bool> {
+    ) -> io::Result<PollOutcome> {
         events.clear();
         match self.poller.wait(events, timeout) {
             Ok(_) => {}
-            // A signal came in; its pipe is ready at the next turn.
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(false),
+            // The signal's pipe is readable in the next turn.
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {
+                return Ok(PollOutcome::Interrupted);
+            }
             Err(e) => return Err(e),
         }
-        ready.extend(events.iter().map(|e| Readiness {
-            source: EventSource::of(e.key),
-            readable: e.readable,
-            writable: e.writable,
+        ready.extend(events.iter().map(|event| Readiness {
+            source: EventSource::from_key(event.key),
+            readable: event.readable,
+            writable: event.writable,
         }));
-        Ok(true)
+        Ok(PollOutcome::Completed)
     }
 }
 
@@ -229,23 +204,29 @@
 pub struct Registered<S: AsSource> {
     socket: S,
     source: EventSource,
-    interest: (bool, bool),
+    interest: Interest,
     poller: Rc<Poller>,
 }
 
 impl<S: AsSource> Registered<S> {
     /// The socket.
+    #[must_use]
     pub fn socket(&self) -> &S {
         &self.socket
     }
 
     /// Changes what the socket is watched for.
-    pub fn interest(&mut self, readable: bool, writable: bool) -> io::Result<()> {
-        if self.interest != (readable, writable) {
-            let event = Event::new(self.source.key(), readable, writable);
-            self.poller
-                .modify_with_mode(&self.socket, event, PollMode::Level)?;
-            self.interest = (readable, writable);
+    ///
+    /// # Errors
+    /// If the kernel refuses the change.
+    pub fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
+        if self.interest != interest {
+            self.poller.modify_with_mode(
+                &self.socket,
+                interest.event(self.source),
+                PollMode::Level,
+            )?;
+            self.interest = interest;
         }
         Ok(())
     }
@@ -253,10 +234,7 @@
 
 impl<S: AsSource> Drop for Registered<S> {
     fn drop(&mut self) {
-        // It fails only for a socket that is not in the set; then there is nothing to take out.
+        // It fails only for a socket that is not in the set; then there is nothing to remove.
         let _ = self.poller.delete(&self.socket);
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/balancer/src/poll/tests.rs
+++ b/crates/balancer/src/sockets/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `poll`.
+//! Which descriptors are inherited as a listener.
 
 use super::*;
 use std::os::fd::{AsRawFd, IntoRawFd};
@@ -24,7 +24,8 @@
         ),
     ];
     for (number, problem) in wrong {
-        assert_eq!(inherit_listener(number).err().as_deref(), Some(problem));
+        let error = inherit_listener(number).err().map(|e| e.to_string());
+        assert_eq!(error.as_deref(), Some(problem));
     }
     let inherit_listener = inherit_listener(listener.into_raw_fd()).unwrap();
     assert_eq!(inherit_listener.local_addr().unwrap(), address);
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,5 +1,5 @@
-//! What is due when. Who gets a timer that is out of date ignores it; those that could stand for long are taken
-//! back, or a day of many short requests with long deadlines would heap them up.
+//! The clock, and timers. Whoever sets a timer ignores it once it is out of date; those that would
+//! stand for long are cancelled, or many short requests with long deadlines would pile them up.
 
 use routing::{AttemptNumber, Nanos, RequestId, TimerToken};
 use std::collections::{BTreeMap, HashMap};
@@ -10,92 +10,98 @@
 
 /// Unix time in nanoseconds that never goes back: the system's clock is read once, at the start.
 pub struct Clock {
-    unix: Nanos,
+    started_at: Nanos,
     start: Instant,
 }
 
 impl Clock {
     /// Starts now.
+    #[must_use]
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            unix: unix.as_nanos() as Nanos,
+            started_at: unix_time.as_nanos() as Nanos,
             start: Instant::now(),
         }
     }
 
     /// The time now.
+    #[must_use]
     pub fn now(&self) -> Nanos {
-        self.unix + self.start.elapsed().as_nanos() as Nanos
+        self.started_at + self.start.elapsed().as_nanos() as Nanos
     }
 }
 
 /// What a timer was set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TimerKind {
-    /// The module wants to be woken.
+    /// The engine set it.
     Engine(TimerToken),
-    /// A try has had its time.
+    /// The timeout of an attempt.
     Attempt(RequestId, AttemptNumber),
-    /// A probe has had its time, by its number.
+    /// The timeout of a health check, by its number.
     HealthCheck(u64),
-    /// A connection to a peer must be up by now, by its number.
+    /// The connect timeout of an upstream connection, by its number.
     Connect(u64),
-    /// An answer that has begun may have ended short, by its connection's number.
+    /// A response that has begun may have stalled, by its connection's number.
     ResponseStall(u64),
-    /// A connection to discovery has been silent for long, by its number.
+    /// The silence timeout of a discovery connection, by its number.
     Discovery(u64),
-    /// The next watch begins where lists are pushed.
+    /// Where lists are pushed, the next watch starts.
     Watch,
     /// Idle and stuck connections are looked for.
     ReapIdle,
-    /// Look for the other process of an upgrade.
+    /// The other process of a hot restart is checked on.
     CheckOtherProcess,
-    /// The life cycle goes on by time alone.
+    /// The lifecycle changes by time alone.
     Lifecycle,
-    /// The fleet's talk has its turn.
+    /// Gossip takes its turn.
     Gossip,
 }
 
+/// The place of a timer in the queue: its time, then the order in which timers were set.
+type Position = (Nanos, u64);
+
 /// All timers.
 #[derive(Default)]
 pub struct Timers {
-    /// By time, then in the order in which they were set.
-    queue: BTreeMap<(Nanos, u64), TimerKind>,
-    positions: HashMap<TimerKind, (Nanos, u64)>,
-    schedule: u64,
+    queue: BTreeMap<Position, TimerKind>,
+    positions: HashMap<TimerKind, Position>,
+    next_sequence: u64,
 }
 
 impl Timers {
-    /// Sets a timer, or sets it anew.
-    pub fn set(&mut self, at: Nanos, due: TimerKind) {
-        self.cancel(due);
-        self.schedule += 1;
-        self.queue.insert((at, self.schedule), due);
-        self.positions.insert(due, (at, self.schedule));
+    /// Sets a timer, or moves it if it is set.
+    pub fn set(&mut self, at: Nanos, kind: TimerKind) {
+        self.cancel(kind);
+        self.next_sequence += 1;
+        let position = (at, self.next_sequence);
+        self.queue.insert(position, kind);
+        self.positions.insert(kind, position);
     }
 
-    /// Takes a timer back, if it is still set.
-    pub fn cancel(&mut self, due: TimerKind) {
-        if let Some(place) = self.positions.remove(&due) {
-            self.queue.remove(&place);
+    /// Cancels a timer, if it is set.
+    pub fn cancel(&mut self, kind: TimerKind) {
+        if let Some(position) = self.positions.remove(&kind) {
+            self.queue.remove(&position);
         }
     }
 
-    /// The next one that is due at `now`; among equals the one set first.
+    /// Takes the next timer that has expired at `now`; among equals the one set first.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<TimerKind> {
         let next = self
             .queue
             .first_entry()
             .filter(|next| next.key().0 <= now)?;
-        let due = next.remove();
-        self.positions.remove(&due);
-        Some(due)
+        let kind = next.remove();
+        self.positions.remove(&kind);
+        Some(kind)
     }
 
-    /// How long until the next one.
+    /// How long until the next timer expires.
+    #[must_use]
     pub fn time_to_next(&self, now: Nanos) -> Option<Duration> {
         let (at, _) = self.queue.first_key_value()?.0;
         Some(Duration::from_nanos(at.saturating_sub(now)))
@@ -103,37 +109,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn timers_come_when_due_and_in_order() {
-        let mut timers = Timers::default();
-        timers.set(20, TimerKind::ReapIdle);
-        timers.set(10, TimerKind::Connect(1));
-        timers.set(10, TimerKind::Connect(0));
-        assert_eq!(timers.pop_expired(9), None);
-        assert_eq!(timers.time_to_next(4), Some(Duration::from_nanos(6)));
-        assert_eq!(
-            [timers.pop_expired(10), timers.pop_expired(10)],
-            [Some(TimerKind::Connect(1)), Some(TimerKind::Connect(0))]
-        );
-        assert_eq!(
-            [timers.pop_expired(19), timers.pop_expired(30)],
-            [None, Some(TimerKind::ReapIdle)]
-        );
-        timers.set(40, TimerKind::HealthCheck(1));
-        timers.set(50, TimerKind::HealthCheck(2));
-        timers.set(60, TimerKind::HealthCheck(1));
-        timers.cancel(TimerKind::HealthCheck(2));
-        assert_eq!(
-            [
-                timers.pop_expired(59),
-                timers.pop_expired(60),
-                timers.pop_expired(99)
-            ],
-            [None, Some(TimerKind::HealthCheck(1)), None]
-        );
-        assert!(timers.queue.is_empty() && timers.positions.is_empty());
-    }
-}
+mod tests;
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -2,9 +2,10 @@
 //! that giving a job up (by closing) takes no other with it and no answer waits for a slower one before it.
 
 use crate::counters::Counters;
-use crate::poll::{EventSource, Poll, Readiness, Registered, connect, is_open_without_input};
+use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::resp::{Answer, Reply, RespError, parse_reply, parse_response};
 use crate::response_stream::{ResponseStream, is_long};
+use crate::sockets::{connect, is_open_without_input};
 use crate::timers::{MS, TimerKind, Timers};
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
@@ -307,9 +308,9 @@
         match self.open(server, counters) {
             Ok((stream, address)) => {
                 let number = self.next_connection;
-                let watched = self
-                    .poll
-                    .watch(stream, EventSource::Upstream(number), false, true);
+                let watched =
+                    self.poll
+                        .watch(stream, EventSource::Upstream(number), Interest::WRITABLE);
                 let stream = match watched {
                     Ok(stream) => stream,
                     Err(e) => {
@@ -508,7 +509,11 @@
         else {
             return;
         };
-        if let Err(e) = c.stream.interest(!pause, false) {
+        if let Err(e) = c.stream.set_interest(if pause {
+            Interest::NONE
+        } else {
+            Interest::READABLE
+        }) {
             // It is read on: better a longer buffer than an answer that never ends.
             return log::warn!("connection to a peer: {e}");
         }
@@ -568,7 +573,10 @@
             }
         }
         let unsent = c.written < c.output.len();
-        if c.stream.interest(true, unsent).is_err() {
+        if c.stream
+            .set_interest(Interest::readable_and(unsent))
+            .is_err()
+        {
             let end = c.broken();
             self.end(number, end, events, counters);
         }
