--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -2,9 +2,10 @@
 //! that giving a job up (by closing) takes no other with it and no answer waits for a slower one before it.
 
 use crate::counters::Counters;
-use crate::poll::{EventSource, Poll, Readiness, Registered, connect, is_open_without_input};
+use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::resp::{Answer, Reply, RespError, parse_reply, parse_response};
 use crate::response_stream::{ResponseStream, is_long};
+use crate::sockets::{connect, is_open_without_input};
 use crate::timers::{MS, TimerKind, Timers};
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
@@ -307,9 +308,9 @@
         match self.open(server, counters) {
             Ok((stream, address)) => {
                 let number = self.next_connection;
-                let watched = self
-                    .poll
-                    .watch(stream, EventSource::Upstream(number), false, true);
+                let watched =
+                    self.poll
+                        .watch(stream, EventSource::Upstream(number), Interest::WRITABLE);
                 let stream = match watched {
                     Ok(stream) => stream,
                     Err(e) => {
@@ -321,7 +322,7 @@
                     }
                 };
                 self.next_connection += 1;
-                counters.peers_opened += 1;
+                counters.upstream_opened += 1;
                 let c = PeerConnection {
                     server,
                     address,
@@ -491,7 +492,7 @@
         };
         let begun = c.passing.is_some() || !c.input.is_empty();
         if begun && now >= c.came + c.stall() {
-            counters.stalled += 1;
+            counters.upstream_stalled += 1;
             self.end(number, ExchangeResult::Spoilt, events, counters);
         }
     }
@@ -508,7 +509,11 @@
         else {
             return;
         };
-        if let Err(e) = c.stream.interest(!pause, false) {
+        if let Err(e) = c.stream.set_interest(if pause {
+            Interest::NONE
+        } else {
+            Interest::READABLE
+        }) {
             // It is read on: better a longer buffer than an answer that never ends.
             return log::warn!("connection to a peer: {e}");
         }
@@ -568,7 +573,10 @@
             }
         }
         let unsent = c.written < c.output.len();
-        if c.stream.interest(true, unsent).is_err() {
+        if c.stream
+            .set_interest(Interest::readable_and(unsent))
+            .is_err()
+        {
             let end = c.broken();
             self.end(number, end, events, counters);
         }
@@ -641,7 +649,7 @@
             Ok(None) | Err(_) => {
                 let start = c.input[..c.input.len().min(64)].escape_ascii();
                 log::debug!("server {}: an answer can't be read: {start}", c.server.0);
-                counters.spoilt += 1;
+                counters.upstream_unreadable += 1;
                 // Before the last byte of the command nothing can have run.
                 (
                     if unwritten {
@@ -689,7 +697,7 @@
     fn remove(&mut self, number: u64, counters: &mut Counters) -> Option<UpstreamJob> {
         let c = self.connections.remove(&number)?;
         self.coming -= c.input.len();
-        counters.peers_closed += 1;
+        counters.upstream_closed += 1;
         if let Some(peer) = self.peers.get_mut(&c.server) {
             peer.idle.retain(|n| *n != number);
             peer.connections -= 1;
