--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -1,16 +1,18 @@
-//! The tables of docs/CAPACITY.md: what each role costs at today's size, at the plan's and in the plan's worst hour, worked
-//! out from the plan and the measured slopes.
+//! The tables of docs/CAPACITY.md: what each role costs at today's size, at the plan's and in the
+//! plan's worst hour, worked out from the plan and the measured slopes.
 
 mod rows;
 
-use crate::slopes::Slopes;
+use crate::error::TestbedError;
+use crate::slopes::{Slopes, UnknownSlope};
 use serde::Deserialize;
 use std::path::Path;
+use thiserror::Error;
 
 /// A size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Size {
+pub struct FleetSize {
     /// Balancers.
     pub balancers: f64,
     /// Regions.
@@ -26,7 +28,7 @@
 /// What the fleet has to carry beside requests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Demand {
+pub struct ControlDemand {
     /// Purges.
     pub purges_per_s: f64,
     /// Within which each is done everywhere.
@@ -48,7 +50,7 @@
 /// What is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Budget {
+pub struct ResourceBudget {
     /// Processor time of control a balancer, in percent of a core.
     pub control_core_percent: f64,
     /// Memory of control a balancer.
@@ -68,7 +70,7 @@
 /// What is assumed.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Assumed {
+pub struct Assumptions {
     /// How long a cache takes to answer.
     pub answer_ms: f64,
     /// The message of one purge.
@@ -90,29 +92,31 @@
 /// The plan, as its file tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Plan {
+pub struct CapacityPlan {
     /// Today's fleet.
-    pub today: Size,
+    pub today: FleetSize,
     /// The fleet to design for.
-    pub plan: Size,
+    pub plan: FleetSize,
     /// What it has to carry.
-    pub demand: Demand,
+    pub demand: ControlDemand,
     /// What is allowed.
-    pub budget: Budget,
+    pub budget: ResourceBudget,
     /// What is assumed.
-    pub assumed: Assumed,
+    pub assumed: Assumptions,
 }
 
-impl Plan {
+impl CapacityPlan {
     /// Reads a plan.
     ///
     /// # Errors
     ///
     /// Names the file, and the key that is missing, unknown or makes no sense.
-    pub fn read(path: &Path) -> Result<Self, String> {
-        let problem = |e: String| format!("{}: {e}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|e| problem(e.to_string()))?;
-        let plan: Plan = toml::from_str(&text).map_err(|e| problem(e.to_string()))?;
+    pub fn read(path: &Path) -> Result<Self, TestbedError> {
+        let text = std::fs::read_to_string(path).map_err(|e| TestbedError::file(path, e))?;
+        let plan: CapacityPlan = toml::from_str(&text).map_err(|source| TestbedError::Toml {
+            path: path.into(),
+            source,
+        })?;
         for (name, size) in [("today", plan.today), ("plan", plan.plan)] {
             let figures = [
                 ("balancers", size.balancers),
@@ -123,7 +127,8 @@
             ];
             for (key, value) in figures {
                 if !(value >= 1.0 && value.is_finite()) {
-                    return Err(problem(format!("{name}.{key}: {value} is not 1 or more")));
+                    let invalid = CapacityError::InvalidSize { name, key, value };
+                    return Err(invalid.in_file(path));
                 }
             }
         }
@@ -131,9 +136,60 @@
     }
 }
 
+/// Why tables could not be computed, checked or written.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum CapacityError {
+    /// A size of the plan is out of range.
+    #[error("{name}.{key}: {value} is not 1 or more")]
+    InvalidSize {
+        /// Which size.
+        name: &'static str,
+        /// Which figure of it.
+        key: &'static str,
+        /// The figure.
+        value: f64,
+    },
+    /// A row needs a slope that was not measured.
+    #[error(transparent)]
+    UnknownSlope(#[from] UnknownSlope),
+    /// The page lacks the line that begins a table.
+    #[error("no line \"{line}\"")]
+    MissingLine {
+        /// The line.
+        line: String,
+    },
+    /// The page lacks the line that ends a table.
+    #[error("table \"{name}\" has no end")]
+    NoTableEnd {
+        /// The table.
+        name: String,
+    },
+    /// A line of the page is not the table's.
+    #[error("line {number}: \"{found}\" stands there, and \"{expected}\" is right")]
+    LineDiffers {
+        /// Its number in the page, from 1.
+        number: usize,
+        /// The page's line.
+        found: String,
+        /// The table's line.
+        expected: String,
+    },
+}
+
+impl CapacityError {
+    /// The error with the file it was found in.
+    #[must_use]
+    pub fn in_file(self, path: &Path) -> TestbedError {
+        TestbedError::CapacityPage {
+            path: path.into(),
+            source: self,
+        }
+    }
+}
+
 /// Whether there is a mechanism that carries a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum MechanismState {
     /// There is.
     Built,
     /// It carries a part.
@@ -142,19 +198,19 @@
     Missing,
 }
 
-impl State {
+impl MechanismState {
     fn name(self) -> &'static str {
         match self {
-            State::Built => "built",
-            State::Part => "part",
-            State::Missing => "missing",
+            MechanismState::Built => "built",
+            MechanismState::Part => "part",
+            MechanismState::Missing => "missing",
         }
     }
 }
 
 /// One figure of the page.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct CapacityRow {
     /// Who pays it.
     pub role: &'static str,
     /// What it is, with its unit.
@@ -172,10 +228,10 @@
     /// What carries it.
     pub mechanism: &'static str,
     /// Whether that is there.
-    pub state: State,
+    pub state: MechanismState,
 }
 
-impl Row {
+impl CapacityRow {
     /// The need in the worst hour over what is allowed.
     pub fn over(&self) -> Option<f64> {
         self.budget.map(|budget| self.worst / budget)
@@ -195,7 +251,7 @@
     }
 }
 
-fn table(rows: &[Row]) -> Vec<String> {
+fn table(rows: &[CapacityRow]) -> Vec<String> {
     let mut lines = vec![
         "| figure | today | plan | plan, worst hour | allowed | need over allowed | from | carried by | |"
             .to_string(),
@@ -221,16 +277,16 @@
 }
 
 /// What is missing or only in part there, the greatest need over what is allowed first.
-fn missing(rows: &[Row]) -> Vec<String> {
-    let mut open: Vec<&Row> = rows
+fn missing(rows: &[CapacityRow]) -> Vec<String> {
+    let mut open: Vec<&CapacityRow> = rows
         .iter()
-        .filter(|row| row.state != State::Built)
+        .filter(|row| row.state != MechanismState::Built)
         .collect();
     open.sort_by(|a, b| {
-        let worst = |row: &Row| row.over().unwrap_or(0.0);
+        let worst = |row: &CapacityRow| row.over().unwrap_or(0.0);
         worst(b).total_cmp(&worst(a))
     });
-    let line = |row: &&Row| {
+    let line = |row: &&CapacityRow| {
         let over = row
             .over()
             .map_or_else(|| "-".into(), |over| format!("{over:.2}"));
@@ -281,11 +337,14 @@
 /// # Errors
 ///
 /// Names a slope that is missing.
-pub fn tables(plan: &Plan, slopes: &Slopes) -> Result<Vec<(String, Vec<String>)>, String> {
+pub fn tables(
+    plan: &CapacityPlan,
+    slopes: &Slopes,
+) -> Result<Vec<(String, Vec<String>)>, CapacityError> {
     let rows = rows::all(plan, slopes)?;
     let mut tables = Vec::new();
     for role in rows::ROLES {
-        let of_role: Vec<Row> = rows
+        let of_role: Vec<CapacityRow> = rows
             .iter()
             .filter(|row| row.role == role)
             .cloned()
@@ -308,12 +367,12 @@
 /// # Errors
 ///
 /// Names the first line of the page that differs, or a table that it lacks.
-pub fn check(page: &str, tables: &[(String, Vec<String>)]) -> Result<(), String> {
+pub fn check(page: &str, tables: &[(String, Vec<String>)]) -> Result<(), CapacityError> {
     let lines: Vec<&str> = page.lines().collect();
     for (name, expected) in tables {
         let begin = begins(name);
         let at = lines.iter().position(|line| *line == begin);
-        let at = at.ok_or_else(|| format!("no line \"{begin}\""))? + 1;
+        let at = at.ok_or(CapacityError::MissingLine { line: begin })? + 1;
         for (n, expected) in expected
             .iter()
             .map(String::as_str)
@@ -322,10 +381,11 @@
         {
             let is = lines.get(at + n).copied().unwrap_or_default();
             if is != expected {
-                return Err(format!(
-                    "line {}: \"{is}\" stands there, and \"{expected}\" is right",
-                    at + n + 1
-                ));
+                return Err(CapacityError::LineDiffers {
+                    number: at + n + 1,
+                    found: is.into(),
+                    expected: expected.into(),
+                });
             }
         }
     }
@@ -337,17 +397,17 @@
 /// # Errors
 ///
 /// Names a table that has no place in the page, or no end.
-pub fn rewrite(page: &str, tables: &[(String, Vec<String>)]) -> Result<String, String> {
+pub fn rewrite(page: &str, tables: &[(String, Vec<String>)]) -> Result<String, CapacityError> {
     let mut page = page.to_string();
     for (name, lines) in tables {
         let begin = begins(name) + "\n";
         let from = page
             .find(&begin)
-            .ok_or_else(|| format!("no line \"{}\"", begins(name)))?
+            .ok_or_else(|| CapacityError::MissingLine { line: begins(name) })?
             + begin.len();
         let to = page[from..]
             .find(ENDS)
-            .ok_or_else(|| format!("table \"{name}\" has no end"))?
+            .ok_or_else(|| CapacityError::NoTableEnd { name: name.clone() })?
             + from;
         page.replace_range(from..to, &(lines.join("\n") + "\n"));
     }
--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -1,7 +1,7 @@
 //! The rows of the page: how each figure follows from the plan and the slopes.
 
-use super::{Plan, Row, Size, State};
-use crate::slopes::Slopes;
+use super::{CapacityPlan, CapacityRow, FleetSize, MechanismState};
+use crate::slopes::{Slopes, UnknownSlope};
 
 /// The roles, in the order of the page.
 pub(super) const ROLES: [&str; 8] = [
@@ -15,8 +15,8 @@
     "machines",
 ];
 
-/// Connections that stay open at a cache over all balancers, and for how long each (`IDLE_CONNECTIONS`, `IDLE_LEAST` of
-/// the decision module).
+/// Connections that stay open at a cache over all balancers, and for how long each
+/// (`IDLE_CONNECTIONS`, `IDLE_LEAST` of the decision module).
 const IDLE_CONNECTIONS: f64 = 60.0;
 const IDLE_LEAST_S: f64 = 0.5;
 /// Rounds of housekeeping of the decision module a second.
@@ -28,20 +28,21 @@
 
 /// Figures of one size that several rows need.
 struct Derived {
-    size: Size,
+    size: FleetSize,
     /// Requests a second of one balancer.
     requests: f64,
 }
 
 impl Derived {
-    fn new(size: Size) -> Self {
+    fn new(size: FleetSize) -> Self {
         Derived {
             size,
             requests: size.requests_per_s / size.balancers,
         }
     }
 
-    /// Handshakes with caches a second of one balancer that sends to so many: those that find no connection left open.
+    /// Handshakes with caches a second of one balancer that sends to so many: those that find no
+    /// connection left open.
     fn handshakes(&self, caches: f64) -> f64 {
         let each = self.requests / caches;
         let kept = (IDLE_CONNECTIONS * caches / self.size.balancers).min(caches);
@@ -52,7 +53,7 @@
 }
 
 /// All rows.
-pub(super) fn all(plan: &Plan, slopes: &Slopes) -> Result<Vec<Row>, String> {
+pub(super) fn all(plan: &CapacityPlan, slopes: &Slopes) -> Result<Vec<CapacityRow>, UnknownSlope> {
     let context = Context {
         plan,
         slopes,
@@ -71,19 +72,19 @@
 }
 
 struct Context<'a> {
-    plan: &'a Plan,
+    plan: &'a CapacityPlan,
     slopes: &'a Slopes,
     today: Derived,
     planned: Derived,
 }
 
 impl Context<'_> {
-    fn at(&self, name: &str, size: f64) -> Result<f64, String> {
+    fn at(&self, name: &str, size: f64) -> Result<f64, UnknownSlope> {
         Ok(self.slopes.find(name)?.at(size))
     }
 
     /// Where a figure comes from: the slope, and whether the size lies beyond what was measured.
-    fn source(&self, name: &str, size: f64) -> Result<String, String> {
+    fn source(&self, name: &str, size: f64) -> Result<String, UnknownSlope> {
         let (_, most) = self.slopes.find(name)?.range();
         let beyond = if size > most {
             format!(", measured up to {most}")
@@ -93,14 +94,14 @@
         Ok(format!("`{name}`{beyond}"))
     }
 
-    fn core_of_decisions(&self, of: &Derived) -> Result<f64, String> {
+    fn core_of_decisions(&self, of: &Derived) -> Result<f64, UnknownSlope> {
         let caches = of.size.caches;
         let requests = of.requests * self.at("decision_request", caches)? / 1e6;
         let rounds = HOUSEKEEPING_PER_S * self.at("decision_housekeeping", caches)? / 1e3;
         Ok((requests + rounds) * 100.0)
     }
 
-    fn data_path(&self) -> Result<Vec<Row>, String> {
+    fn data_path(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (today, plan) = (self.plan.today, self.plan.plan);
         let role = "data path";
         // A zone of the largest region is gone: its other half takes all of that region's requests.
@@ -110,7 +111,7 @@
         };
         let regional = plan.caches / plan.regions;
         Ok(vec![
-            Row {
+            CapacityRow {
                 role,
                 what: "decisions, % of a core".into(),
                 today: Some(self.core_of_decisions(&self.today)?),
@@ -119,9 +120,9 @@
                 budget: None,
                 source: self.source("decision_request", plan.caches)?,
                 mechanism: "table of candidates mended in place",
-                state: State::Built,
+                state: MechanismState::Built,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "one cache comes or goes, ms of a core".into(),
                 today: Some(self.at("decision_change", today.caches)?),
@@ -130,9 +131,9 @@
                 budget: None,
                 source: self.source("decision_change", plan.caches)?,
                 mechanism: "table of candidates mended in place",
-                state: State::Built,
+                state: MechanismState::Built,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "table of candidates, MB".into(),
                 today: Some(SLOT_TABLE_BYTES / MB),
@@ -141,9 +142,9 @@
                 budget: None,
                 source: "counted: 10 bytes for each of 65,536 slots".into(),
                 mechanism: "table of candidates mended in place",
-                state: State::Built,
+                state: MechanismState::Built,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "handshakes with caches, a second, all caches seen".into(),
                 today: Some(self.today.handshakes(today.caches)),
@@ -154,9 +155,9 @@
                 ),
                 source: "assumed: keys spread evenly; `IDLE_CONNECTIONS`, `IDLE_LEAST`".into(),
                 mechanism: "caches of the own region only",
-                state: State::Missing,
+                state: MechanismState::Missing,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "the same, only its region's caches seen".into(),
                 today: None,
@@ -167,12 +168,12 @@
                 ),
                 source: "assumed: keys spread evenly".into(),
                 mechanism: "a list of its region's caches alone, by discovery",
-                state: State::Part,
+                state: MechanismState::Part,
             },
         ])
     }
 
-    fn control(&self) -> Result<Vec<Row>, String> {
+    fn control(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (today, plan, budget) = (
             self.plan.today.balancers,
             self.plan.plan.balancers,
@@ -180,7 +181,7 @@
         );
         let role = "control";
         let levels = "a view in two levels";
-        let row = |what: &str, today, plan, worst, budget, source| Row {
+        let row = |what: &str, today, plan, worst, budget, source| CapacityRow {
             role,
             what: what.into(),
             today,
@@ -189,7 +190,7 @@
             budget: Some(budget),
             source,
             mechanism: levels,
-            state: State::Built,
+            state: MechanismState::Built,
         };
         let memory = |kb: f64| kb / 1e3;
         Ok(vec![
@@ -217,8 +218,8 @@
                 budget.control_bytes_per_s,
                 format!("{}, `zone_bytes`", self.source("regions_bytes", plan)?),
             ),
-            Row {
-                state: State::Part,
+            CapacityRow {
+                state: MechanismState::Part,
                 ..row(
                     "bytes sent, a second, by who returns, in its first ten seconds",
                     None,
@@ -263,11 +264,11 @@
         ])
     }
 
-    fn delegates(&self) -> Result<Vec<Row>, String> {
+    fn delegates(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let plan = self.plan.plan.balancers;
         let role = "delegates";
         Ok(vec![
-            Row {
+            CapacityRow {
                 role,
                 what: "bytes sent, a second".into(),
                 today: None,
@@ -276,9 +277,9 @@
                 budget: Some(self.plan.budget.control_bytes_per_s),
                 source: self.source("regions_bytes_delegates", plan)?,
                 mechanism: "three of each region exchange summaries",
-                state: State::Built,
+                state: MechanismState::Built,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "entries held by who holds most: members, regions, announcements".into(),
                 today: None,
@@ -287,19 +288,19 @@
                 budget: None,
                 source: self.source("regions_entries", plan)?,
                 mechanism: "three of each region exchange summaries",
-                state: State::Built,
+                state: MechanismState::Built,
             },
         ])
     }
 
-    fn discovery(&self) -> Result<Vec<Row>, String> {
+    fn discovery(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (today, plan, assumed) = (self.plan.today, self.plan.plan, self.plan.assumed);
         let role = "discovery";
         let list = |caches: f64| self.at("list_bytes", caches);
         let per_s = assumed.cache_changes_per_day / DAY_S;
         let egress = self.plan.budget.control_machines * assumed.machine_egress_bytes_per_s;
         Ok(vec![
-            Row {
+            CapacityRow {
                 role,
                 what: "a whole list, bytes".into(),
                 today: Some(list(today.caches)?),
@@ -308,9 +309,9 @@
                 budget: None,
                 source: self.source("list_bytes", plan.caches)?,
                 mechanism: "watches that tell changes alone",
-                state: State::Built,
+                state: MechanismState::Built,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "whole lists at each change, bytes a second to all; worst: all call anew within 1 s"
                     .into(),
@@ -320,19 +321,19 @@
                 budget: Some(egress),
                 source: "`list_bytes`; assumed: changes a day, what a machine sends".into(),
                 mechanism: "changes alone; calls anew spread over 0.3 s to 5 s",
-                state: State::Part,
+                state: MechanismState::Part,
             },
         ])
     }
 
-    fn configuration(&self) -> Vec<Row> {
+    fn configuration(&self) -> Vec<CapacityRow> {
         let (plan, demand, assumed) = (self.plan.plan, self.plan.demand, self.plan.assumed);
         let role = "configuration";
         let egress = self.plan.budget.control_machines * assumed.machine_egress_bytes_per_s;
         let bytes = assumed.config_bytes * plan.balancers;
         let cut = demand.config_changes_per_day / DAY_S * demand.region_cut_minutes * 60.0;
         vec![
-            Row {
+            CapacityRow {
                 role,
                 what: "deliveries a second; worst: one change within its time".into(),
                 today: None,
@@ -341,9 +342,9 @@
                 budget: Some(self.plan.budget.control_machines * assumed.machine_calls_per_s),
                 source: "plan; assumed: calls that a machine answers".into(),
                 mechanism: "versions from one place to all, as a payload between regions",
-                state: State::Missing,
+                state: MechanismState::Missing,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "bytes a second; worst: one whole configuration to all within its time"
                     .into(),
@@ -353,9 +354,9 @@
                 budget: Some(egress),
                 source: "plan; assumed: bytes of a configuration".into(),
                 mechanism: "versions from one place to all, as a payload between regions",
-                state: State::Missing,
+                state: MechanismState::Missing,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "in force after a change, s; today at the next start only".into(),
                 today: Some(DAY_S),
@@ -365,9 +366,9 @@
                 source: "counted: `settings` are heeded at the next start, assumed one a day"
                     .into(),
                 mechanism: "settings that apply live",
-                state: State::Missing,
+                state: MechanismState::Missing,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "changes that a region cut off has missed when it is back".into(),
                 today: None,
@@ -376,19 +377,19 @@
                 budget: None,
                 source: "plan".into(),
                 mechanism: "the last version alone is told",
-                state: State::Missing,
+                state: MechanismState::Missing,
             },
         ]
     }
 
-    fn purges(&self) -> Vec<Row> {
+    fn purges(&self) -> Vec<CapacityRow> {
         let (plan, demand, assumed) = (self.plan.plan, self.plan.demand, self.plan.assumed);
         let role = "purges";
         let to_all = demand.purges_per_s * plan.caches;
         let to_replicas = demand.purges_per_s * demand.replicas_a_region * plan.regions;
         let backlog = demand.purges_per_s * demand.region_cut_minutes * 60.0;
         let calls = self.plan.budget.control_machines * assumed.machine_calls_per_s;
-        let missing = |what: &str, plan: f64, worst: f64, budget, source: &str| Row {
+        let missing = |what: &str, plan: f64, worst: f64, budget, source: &str| CapacityRow {
             role,
             what: what.into(),
             today: None,
@@ -397,7 +398,7 @@
             budget,
             source: source.into(),
             mechanism: "a numbered stream of purges a region, gaps asked for again",
-            state: State::Missing,
+            state: MechanismState::Missing,
         };
         vec![
             missing(
@@ -445,7 +446,7 @@
         ]
     }
 
-    fn caches(&self) -> Vec<Row> {
+    fn caches(&self) -> Vec<CapacityRow> {
         let (today, plan, assumed) = (self.plan.today, self.plan.plan, self.plan.assumed);
         let role = "caches";
         let handshakes =
@@ -458,7 +459,7 @@
             ..Derived::new(plan)
         };
         vec![
-            Row {
+            CapacityRow {
                 role,
                 what: "requests a second at one cache".into(),
                 today: Some(today.requests_per_s / today.caches),
@@ -467,9 +468,9 @@
                 budget: None,
                 source: "plan; worst: a region's caches with twice their load".into(),
                 mechanism: "limits by latency, refusals",
-                state: State::Built,
+                state: MechanismState::Built,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "handshakes a second at one cache".into(),
                 today: Some(handshakes(&self.today)),
@@ -478,9 +479,9 @@
                 budget: Some(assumed.cache_handshakes_per_s),
                 source: "assumed: keys spread evenly, handshakes that a cache bears".into(),
                 mechanism: "caches of the own region only",
-                state: State::Missing,
+                state: MechanismState::Missing,
             },
-            Row {
+            CapacityRow {
                 role,
                 what: "connections open at one cache".into(),
                 today: Some(open(&self.today)),
@@ -489,12 +490,12 @@
                 budget: Some(assumed.cache_connections),
                 source: "assumed: answers after 8 ms, connections that a cache bears".into(),
                 mechanism: "idle connections closed by share",
-                state: State::Built,
+                state: MechanismState::Built,
             },
         ]
     }
 
-    fn machines(&self) -> Result<Vec<Row>, String> {
+    fn machines(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (plan, budget, assumed) = (self.plan.plan, self.plan.budget, self.plan.assumed);
         let role = "machines";
         let list = self.at("list_bytes", plan.caches)?;
@@ -504,7 +505,7 @@
         let config =
             assumed.config_bytes * plan.balancers / self.plan.demand.config_within_s / egress;
         let purges = self.plan.demand.purges_per_s * plan.caches / assumed.machine_calls_per_s;
-        let row = |what: &str, plan: f64, worst: f64, state| Row {
+        let row = |what: &str, plan: f64, worst: f64, state| CapacityRow {
             role,
             what: what.into(),
             today: None,
@@ -520,25 +521,25 @@
                 "machines that lists take; worst: all call anew within 5 s",
                 lists / 10.0,
                 lists,
-                State::Part,
+                MechanismState::Part,
             ),
             row(
                 "machines that configuration takes; worst: one change to all",
                 config / 10.0,
                 config,
-                State::Missing,
+                MechanismState::Missing,
             ),
             row(
                 "machines that purges to all caches take",
                 purges,
                 purges / 0.9,
-                State::Missing,
+                MechanismState::Missing,
             ),
             row(
                 "machines that all of it takes together",
                 (lists + config) / 10.0 + purges,
                 lists + config + purges / 0.9,
-                State::Missing,
+                MechanismState::Missing,
             ),
         ])
     }
--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -1,5 +1,7 @@
-//! Charts and tables of what was measured: reports of plays as `run --out` writes them, rows as `measure` prints them.
+//! Charts and tables of what was measured: reports of plays as `run --out` writes them, rows as
+//! `measure` prints them.
 
+use crate::error::TestbedError;
 use plotters::prelude::*;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -9,8 +11,8 @@
 pub type Settled = BTreeMap<(String, u64), Vec<f64>>;
 
 /// Reads all reports of a folder.
-pub fn reports(folder: &Path) -> Result<Vec<Value>, String> {
-    let problem = |e: std::io::Error| format!("{}: {e}", folder.display());
+pub fn reports(folder: &Path) -> Result<Vec<Value>, TestbedError> {
+    let problem = |e| TestbedError::file(folder, e);
     let mut files: Vec<_> = std::fs::read_dir(folder)
         .map_err(problem)?
         .filter_map(|entry| Some(entry.ok()?.path()))
@@ -20,8 +22,8 @@
     files
         .iter()
         .map(|path| {
-            let text = std::fs::read_to_string(path).map_err(problem)?;
-            serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
+            let text = std::fs::read_to_string(path).map_err(|e| TestbedError::file(path, e))?;
+            serde_json::from_str(&text).map_err(|e| TestbedError::json(path, e))
         })
         .collect()
 }
@@ -73,8 +75,11 @@
 ];
 
 /// Draws each play as a dot, a row for each thing that was waited for.
-pub fn draw_settled(settled: &Settled, aim: f64, file: &Path) -> Result<(), String> {
-    let problem = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+pub fn draw_settled(settled: &Settled, aim: f64, file: &Path) -> Result<(), TestbedError> {
+    let problem = |e: &dyn std::fmt::Display| TestbedError::Chart {
+        path: file.into(),
+        problem: e.to_string(),
+    };
     let names: Vec<&String> = {
         let mut names: Vec<&String> = settled.keys().map(|(name, _)| name).collect();
         names.dedup();
@@ -140,8 +145,16 @@
 }
 
 /// Draws one figure of the measured rows over the number of members, a line for each rate of loss.
-pub fn draw_measured(rows: &[Value], figure: &str, title: &str, file: &Path) -> Result<(), String> {
-    let problem = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+pub fn draw_measured(
+    rows: &[Value],
+    figure: &str,
+    title: &str,
+    file: &Path,
+) -> Result<(), TestbedError> {
+    let problem = |e: &dyn std::fmt::Display| TestbedError::Chart {
+        path: file.into(),
+        problem: e.to_string(),
+    };
     let mut lines: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
         let (Some(members), Some(value)) = (row["members"].as_u64(), row[figure].as_f64()) else {
@@ -168,7 +181,7 @@
         .fold(0.0, f64::max)
         * 1.1;
     if highest <= 0.0 {
-        return Err(format!("no row has {figure}"));
+        return Err(TestbedError::MissingFigure(figure.into()));
     }
     let root = SVGBackend::new(file, (720, 380)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| problem(&e))?;
@@ -212,39 +225,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_table_names_median_and_worst_and_charts_are_drawn() {
-        let report = |seconds: f64, instances: u64| serde_json::json!({"scenario": "split", "instances": instances, "settled": {"healed": seconds, "join": 0.5}});
-        let all = settled(&[
-            report(1.0, 12),
-            report(3.0, 12),
-            report(2.0, 12),
-            report(0.5, 40),
-        ]);
-        let text = table(&all);
-        assert!(
-            text.contains("| split: healed | 12 | 3 | 2.00 | 3.00 |"),
-            "{text}"
-        );
-        assert!(text.contains("| join | 40 | 1 | 0.50 | 0.50 |"), "{text}");
-        let folder = std::env::temp_dir().join(format!("pipitrun-chart-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        draw_settled(&all, 3.0, &folder.join("a.svg")).unwrap();
-        let rows: Vec<Value> = [10, 100]
-            .map(|n| serde_json::json!({"members": n, "loss": 0.2, "bytes_per_s": 7.0}))
-            .into();
-        draw_measured(&rows, "bytes_per_s", "bytes", &folder.join("b.svg")).unwrap();
-        assert!(draw_measured(&rows, "nothing", "bytes", &folder.join("c.svg")).is_err());
-        for file in ["a.svg", "b.svg"] {
-            assert!(
-                std::fs::read_to_string(folder.join(file))
-                    .unwrap()
-                    .contains("</svg>")
-            );
-        }
-        std::fs::remove_dir_all(&folder).unwrap();
-    }
-}
+mod tests;
--- a/crates/testbed/src/ground.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,15 +1,17 @@
-//! The trial ground: N real processes of the built program with stand-ins round them and faults between them. All of it
-//! ends with the [`Ground`], also in a panic.
+//! The trial ground: N real processes of the built program with stand-ins round them and faults
+//! between them. All of it ends with the [`Cluster`], also in a panic.
 
-use crate::faults::{Faults, Link};
-use crate::member::{MemberProcess, Spec, View};
-use crate::relay::Relay;
-use crate::stand_ins::cache::{Cache, CacheOptions, Counts};
-use crate::stand_ins::clients::{Behaviour, Clients, Load};
-use crate::stand_ins::discovery::{Discovery, Host, List};
-use crate::stand_ins::origin::{Origin, OriginOptions};
-use crate::switch::Switch;
-use crate::timeline::Scenario;
+use crate::error::TestbedError;
+use crate::member_process::{MemberProcess, MemberSpec, MemberView};
+use crate::network_emulation::datagram_proxy::DatagramProxy;
+use crate::network_emulation::faults::{Link, LinkFaults};
+use crate::network_emulation::stream_proxy::StreamProxy;
+use crate::process;
+use crate::scenario::Scenario;
+use crate::simulated_services::cache::{Cache, CacheCounts, CacheOptions};
+use crate::simulated_services::clients::{ClientOptions, Clients, RequestRate};
+use crate::simulated_services::discovery::{Discovery, EndpointList, ListedHost};
+use crate::simulated_services::origin::{Origin, OriginOptions};
 use std::collections::HashMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -24,7 +26,7 @@
 
 /// What is put on the ground.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterPlan {
     /// Processes of the program.
     pub instances: usize,
     /// Tile caches.
@@ -36,7 +38,7 @@
     /// The origin behind the caches, if there is one.
     pub origin: Option<OriginOptions>,
     /// How clients behave.
-    pub clients: Behaviour,
+    pub clients: ClientOptions,
     /// The most requests a second that the timeline asks for; so many clients are there.
     pub rate_most: f64,
     /// The key `fleet` is set.
@@ -59,10 +61,10 @@
     pub logs: Option<PathBuf>,
 }
 
-impl Plan {
+impl ClusterPlan {
     /// What a scenario puts on the ground.
     pub fn of(scenario: &Scenario) -> Self {
-        Plan {
+        ClusterPlan {
             instances: scenario.instances,
             caches: scenario.caches,
             rate: scenario.rate,
@@ -77,20 +79,20 @@
                 .iter()
                 .filter_map(|step| step.rate)
                 .fold(0.0, f64::max),
-            ..Plan::default()
+            ..ClusterPlan::default()
         }
     }
 }
 
-impl Default for Plan {
+impl Default for ClusterPlan {
     fn default() -> Self {
-        Plan {
+        ClusterPlan {
             instances: 6,
             caches: 4,
             cache: CacheOptions::default(),
             cold: CacheOptions::default(),
             origin: None,
-            clients: Behaviour::default(),
+            clients: ClientOptions::default(),
             rate_most: 0.0,
             fleet: true,
             joins: 3,
@@ -106,13 +108,13 @@
 }
 
 /// A loopback network that no other trial on this machine uses while this lives: 127.A.B.0/24.
-pub(crate) struct Network {
+pub(crate) struct LoopbackNetwork {
     a: u8,
     b: u8,
     _lock: TcpListener,
 }
 
-impl Network {
+impl LoopbackNetwork {
     pub(crate) fn take() -> io::Result<Self> {
         static TAKEN: AtomicU32 = AtomicU32::new(0);
         let begin = std::process::id()
@@ -122,7 +124,7 @@
             let n = begin.wrapping_add(step * 131);
             let (a, b) = (64 + (n >> 8) as u8 % 128, n as u8);
             if let Ok(lock) = TcpListener::bind((Ipv4Addr::new(127, a, b, 254), 1_999)) {
-                return Ok(Network { a, b, _lock: lock });
+                return Ok(LoopbackNetwork { a, b, _lock: lock });
             }
         }
         Err(io::Error::other("no loopback network is free"))
@@ -141,34 +143,10 @@
     }
 }
 
-/// The program that is tried: named, or beside this one in the build's folder.
-pub fn program(named: Option<&PathBuf>) -> Result<PathBuf, String> {
-    if let Some(path) = named {
-        return if path.is_file() {
-            Ok(path.clone())
-        } else {
-            Err(format!("{} is no file", path.display()))
-        };
-    }
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let found = own
-        .ancestors()
-        .skip(1)
-        .take(2)
-        .map(|folder| folder.join("pipitrun"))
-        .find(|path| path.is_file());
-    found.ok_or_else(|| {
-        format!(
-            "no pipitrun beside {}; build the workspace first, or name it with --program",
-            own.display()
-        )
-    })
-}
-
 /// The ground with all on it.
-pub struct Ground {
+pub struct Cluster {
     /// What was put on it.
-    pub plan: Plan,
+    pub plan: ClusterPlan,
     /// When it was laid out.
     pub begun: Instant,
     /// The processes.
@@ -176,23 +154,23 @@
     /// The caches; `None` while one is down.
     pub caches: Vec<Option<Cache>>,
     /// The list that discovery tells.
-    pub list: List,
+    pub list: EndpointList,
     /// The origin, if there is one.
     pub origin: Option<Origin>,
     /// Requests a second of all clients.
-    pub load: Load,
+    pub load: RequestRate,
     /// What came to caches that have died since.
-    past: Counts,
+    past: CacheCounts,
     clients: Option<Clients>,
-    switch: Switch,
+    switch: DatagramProxy,
     /// `relays[member][cache]`.
-    relays: Vec<Vec<Relay>>,
+    relays: Vec<Vec<StreamProxy>>,
     _discovery: Vec<Discovery>,
-    network: Network,
+    network: LoopbackNetwork,
     folder: PathBuf,
 }
 
-impl Drop for Ground {
+impl Drop for Cluster {
     fn drop(&mut self) {
         // Clients first: what breaks from here on is no finding.
         self.clients = None;
@@ -201,7 +179,7 @@
     }
 }
 
-fn add(sum: &mut Counts, more: Counts) {
+fn add(sum: &mut CacheCounts, more: CacheCounts) {
     sum.tries += more.tries;
     sum.turned_away += more.turned_away;
     sum.probes += more.probes;
@@ -214,43 +192,42 @@
     format!("c-{n}")
 }
 
-impl Ground {
+impl Cluster {
     /// Lays it out; no process runs yet.
-    pub fn lay_out(plan: Plan) -> Result<Self, String> {
+    pub fn lay_out(plan: ClusterPlan) -> Result<Self, TestbedError> {
         if !(1..=INSTANCES_MAX).contains(&plan.instances)
             || !(1..=CACHES_MAX).contains(&plan.caches)
         {
-            return Err(format!(
-                "1 to {INSTANCES_MAX} instances and 1 to {CACHES_MAX} caches have room"
-            ));
+            return Err(TestbedError::ClusterSize {
+                max_instances: INSTANCES_MAX,
+                max_caches: CACHES_MAX,
+            });
         }
-        let told = |what: &str| {
-            let what = what.to_string();
-            move |e: io::Error| format!("{what}: {e}")
-        };
-        let program = program(plan.program.as_ref())?;
-        let network = Network::take().map_err(|e| e.to_string())?;
+        let program = process::find_program(plan.program.as_deref())?;
+        let network =
+            LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
         let folder = std::env::temp_dir().join(format!(
             "pipitrun-trial-{}-{}-{}",
             std::process::id(),
             network.a,
             network.b
         ));
-        std::fs::create_dir_all(&folder).map_err(told("folder"))?;
+        std::fs::create_dir_all(&folder).map_err(|e| TestbedError::io("folder", e))?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
         let own: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
-        let switch = Switch::start(&advertised, &own, plan.seed).map_err(told("switch"))?;
-        let list = List::default();
+        let switch = DatagramProxy::start(&advertised, &own, plan.seed)
+            .map_err(|e| TestbedError::io("switch", e))?;
+        let list = EndpointList::default();
         let origin = plan.origin.map(Origin::new);
         let mut caches = Vec::new();
         for c in 0..plan.caches {
             let cache = Cache::start(&cache_name(c), network.cache(c), plan.cache, origin.clone());
-            let cache = cache.map_err(told("cache"))?;
+            let cache = cache.map_err(|e| TestbedError::io("cache", e))?;
             caches.push(Some(cache));
             list.put(
                 &cache_name(c),
-                Host {
+                ListedHost {
                     health: "in_service",
                     born_ms: 0,
                 },
@@ -264,15 +241,15 @@
             for c in 0..plan.caches {
                 let listen = network.member(i, 7_100 + c as u16);
                 mine.push(
-                    Relay::start(listen, network.cache(c), seed + c as u64)
-                        .map_err(told("relay"))?,
+                    StreamProxy::start(listen, network.cache(c), seed + c as u64)
+                        .map_err(|e| TestbedError::io("relay", e))?,
                 );
                 dials.insert(cache_name(c), listen);
             }
             relays.push(mine);
             let dial = move |name: &str| dials.get(name).copied();
             let one = Discovery::start(network.member(i, 8_500), list.clone(), dial);
-            discovery.push(one.map_err(told("discovery"))?);
+            discovery.push(one.map_err(|e| TestbedError::io("discovery", e))?);
             let fleet = plan.fleet.then(|| {
                 let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
                 let mut fleet = serde_json::json!({
@@ -283,7 +260,7 @@
                 }
                 fleet
             });
-            members.push(MemberProcess::new(Spec {
+            members.push(MemberProcess::new(MemberSpec {
                 name: format!("n{i}"),
                 program: program.clone(),
                 folder: folder.clone(),
@@ -297,15 +274,15 @@
                 planted: plan.planted.clone(),
             }));
         }
-        Ok(Ground {
+        Ok(Cluster {
             plan,
             begun: Instant::now(),
             members,
             caches,
             list,
             origin,
-            load: Load::default(),
-            past: Counts::default(),
+            load: RequestRate::default(),
+            past: CacheCounts::default(),
             clients: None,
             switch,
             relays,
@@ -316,7 +293,7 @@
     }
 
     /// Starts all processes at once.
-    pub fn start_all(&mut self) -> Result<(), String> {
+    pub fn start_all(&mut self) -> Result<(), TestbedError> {
         self.members.iter_mut().try_for_each(MemberProcess::start)
     }
 
@@ -337,7 +314,7 @@
     }
 
     /// Ends the clients; what each asked, and how it went.
-    pub fn stop_clients(&mut self) -> Vec<crate::stand_ins::clients::Asked> {
+    pub fn stop_clients(&mut self) -> Vec<crate::simulated_services::clients::ClientRequest> {
         self.clients.take().map(Clients::stop).unwrap_or_default()
     }
 
@@ -358,7 +335,7 @@
     }
 
     /// Sets the faults of all links between two sets of members, in one direction.
-    pub fn set_links(&self, from: &[usize], to: &[usize], faults: Faults) {
+    pub fn set_links(&self, from: &[usize], to: &[usize], faults: LinkFaults) {
         for i in from {
             for j in to.iter().filter(|j| *j != i) {
                 self.link(*i, *j).set(faults);
@@ -379,14 +356,14 @@
     }
 
     /// Starts a cache again, cold and holding nothing; the list says so later.
-    pub fn start_cache(&mut self, n: usize) -> Result<(), String> {
+    pub fn start_cache(&mut self, n: usize) -> Result<(), TestbedError> {
         let cache = Cache::start(
             &cache_name(n),
             self.network.cache(n),
             self.plan.cold,
             self.origin.clone(),
         );
-        self.caches[n] = Some(cache.map_err(|e| e.to_string())?);
+        self.caches[n] = Some(cache.map_err(|e| TestbedError::io("cache", e))?);
         Ok(())
     }
 
@@ -394,7 +371,7 @@
     pub fn list_cache(&self, n: usize, born_ms: u64) {
         self.list.put(
             &cache_name(n),
-            Host {
+            ListedHost {
                 health: "in_service",
                 born_ms,
             },
@@ -402,7 +379,7 @@
     }
 
     /// What came to all caches, those that have died included.
-    pub fn cache_counts(&self) -> Counts {
+    pub fn cache_counts(&self) -> CacheCounts {
         let mut sum = self.past;
         self.caches
             .iter()
@@ -411,7 +388,8 @@
         sum
     }
 
-    /// The members' counters, summed over all their lives. Those that are asked now answer by the next call.
+    /// The members' counters, summed over all their lives. Those that are asked now answer by the
+    /// next call.
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
         let mut sum = std::collections::BTreeMap::new();
         for member in &self.members {
@@ -424,8 +402,9 @@
     }
 
     /// What each member sees, of those that answer; `None` of the others.
-    pub fn views(&self) -> Vec<Option<View>> {
-        // Side by side: one after the other takes long enough among many for the first to be out of date.
+    pub fn views(&self) -> Vec<Option<MemberView>> {
+        // Side by side: one after the other takes long enough among many for the first to be out of
+        // date.
         std::thread::scope(|scope| {
             let asked: Vec<_> = self
                 .members
@@ -440,7 +419,11 @@
     }
 
     /// Waits until this holds, at most for so long; how long it took.
-    pub fn wait(&self, most: Duration, mut holds: impl FnMut(&Ground) -> bool) -> Option<Duration> {
+    pub fn wait(
+        &self,
+        most: Duration,
+        mut holds: impl FnMut(&Cluster) -> bool,
+    ) -> Option<Duration> {
         let begun = Instant::now();
         while begun.elapsed() < most {
             if holds(self) {
--- /dev/null
+++ b/crates/testbed/src/commands/run.rs
@@ -0,0 +1,204 @@
+//! `testbed run`: plays one scenario on real processes, or one simulation trial.
+
+use super::CommandResult;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::atomic::{AtomicBool, Ordering};
+use testbed::cluster::ClusterPlan;
+use testbed::error::TestbedError;
+use testbed::overload_metrics::SpanMetrics;
+use testbed::scenario::Scenario;
+use testbed::scenario_runner::{ScenarioReport, play};
+use testbed::{mutations, scenario_catalog};
+
+#[derive(clap::Args)]
+pub struct RunArguments {
+    /// The scenario.
+    scenario: String,
+    /// Processes; as many as the scenario says if not given.
+    #[arg(long)]
+    instances: Option<usize>,
+    /// For all that is drawn; with --repeat the first of several.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// How often, each time by the next seed.
+    #[arg(long, default_value_t = 1)]
+    repeat: u64,
+    /// Where figures and the record of faults are written, one JSON file for each play.
+    #[arg(long)]
+    out: Option<PathBuf>,
+    /// The program, if not the one beside this.
+    #[arg(long)]
+    program: Option<PathBuf>,
+    /// Without the key `fleet`: what the members did before they had a view.
+    #[arg(long)]
+    no_fleet: bool,
+    /// With the key `shed_together`: load is shed by a level that all agree on.
+    #[arg(long)]
+    shed_together: bool,
+    /// Where the members' log lines are written, one file for each play.
+    #[arg(long)]
+    logs: Option<PathBuf>,
+    /// A fault to inject; the program must have been built with the feature `planted`.
+    #[arg(long)]
+    planted: Option<String>,
+}
+
+pub fn run(arguments: &RunArguments, interrupted: &AtomicBool) -> CommandResult {
+    if let Some(result) = mutations::play_virtual(&arguments.scenario, arguments.seed) {
+        return Ok(match result {
+            Ok(()) => {
+                println!("verdict: passed");
+                ExitCode::SUCCESS
+            }
+            Err(e) => {
+                println!("verdict: failed {e}");
+                ExitCode::FAILURE
+            }
+        });
+    }
+    let scenario = scenario_catalog::find(&arguments.scenario)?;
+    let mut reports = Vec::new();
+    for seed in arguments.seed..arguments.seed + arguments.repeat {
+        let report = play(&scenario, arguments.plan(&scenario, seed), interrupted)?;
+        print_report(&report);
+        if let Some(out) = &arguments.out {
+            write_report(out, &report)?;
+        }
+        if arguments.repeat > 1 {
+            println!("  {}", report.verdict());
+        }
+        reports.push(report);
+        if interrupted.load(Ordering::Relaxed) {
+            break;
+        }
+    }
+    if reports.len() > 1 {
+        print_summary(&reports);
+    }
+    let failed = reports.iter().find(|report| report.failed > 0);
+    let verdict = failed.or(reports.last()).map(ScenarioReport::verdict);
+    println!("{}", verdict.unwrap_or_default());
+    Ok(if failed.is_some() {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    })
+}
+
+impl RunArguments {
+    fn plan(&self, scenario: &Scenario, seed: u64) -> ClusterPlan {
+        let mut plan = ClusterPlan::of(scenario);
+        if self.shed_together {
+            plan.fleet_keys.insert("shed_together".into(), true.into());
+        }
+        ClusterPlan {
+            instances: self.instances.unwrap_or(plan.instances),
+            seed,
+            program: self.program.clone(),
+            fleet: !self.no_fleet,
+            planted: self.planted.clone(),
+            logs: self.logs.clone(),
+            ..plan
+        }
+    }
+}
+
+fn print_report(report: &ScenarioReport) {
+    println!(
+        "{} with {} instances, seed {}",
+        report.scenario, report.instances, report.seed
+    );
+    for (at, what) in &report.done {
+        println!("  {at:7.2} s  {what}");
+    }
+    for (what, seconds) in &report.settled {
+        println!("  {what}: all views true after {seconds:.2} s");
+    }
+    println!(
+        "  greatest sum of shares {:.2}; requests {:?}",
+        report.shares_most, report.requests
+    );
+    for (name, span) in &report.spans {
+        print_span(name, span);
+    }
+    if !report.spans.is_empty() {
+        match report.recovered_s {
+            Some(seconds) => {
+                println!("  nine tenths of the worth back {seconds:.0} s after the trouble");
+            }
+            None => println!("  nine tenths of the worth did not come back"),
+        }
+    }
+    for failure in &report.failures {
+        println!(
+            "  {:7.2} s  {}: {}",
+            failure.at, failure.invariant, failure.what
+        );
+    }
+}
+
+fn print_span(name: &str, span: &SpanMetrics) {
+    println!(
+        "  {name}: worth {:.2}, of perfect {:.2}; tries {:.2}, copies {:.2}, connections {:.2} a request; probes {:.2} a cache a second",
+        span.worth_share,
+        span.of_perfect,
+        span.tries_per_request,
+        span.copies_per_request,
+        span.connects_per_request,
+        span.probes_per_cache_s
+    );
+    for (class, of) in &span.classes {
+        println!(
+            "    {class}: asked {}, served {}, late {}, refused {}, failed {}, unanswered {}; refused {:.2} to {:.2} by balancer",
+            of.asked,
+            of.served,
+            of.late,
+            of.refused,
+            of.failed,
+            of.unanswered,
+            of.refused_least,
+            of.refused_most
+        );
+    }
+    println!("    refused for {:?}", span.refused_by_reason);
+}
+
+fn write_report(out: &Path, report: &ScenarioReport) -> Result<(), TestbedError> {
+    let problem = |e: std::io::Error| TestbedError::io(format!("--out {}", out.display()), e);
+    std::fs::create_dir_all(out).map_err(problem)?;
+    let planted = report
+        .planted
+        .as_ref()
+        .map(|fault| format!("-{fault}"))
+        .unwrap_or_default();
+    let file = format!(
+        "{}-{}-{}{planted}.json",
+        report.scenario, report.instances, report.seed
+    );
+    let json = serde_json::to_string_pretty(report)?;
+    std::fs::write(out.join(file), json + "\n").map_err(problem)
+}
+
+fn print_summary(reports: &[ScenarioReport]) {
+    let names: BTreeSet<&String> = reports.iter().flat_map(|r| r.settled.keys()).collect();
+    for name in names {
+        let mut all: Vec<f64> = reports
+            .iter()
+            .filter_map(|r| r.settled.get(name).copied())
+            .collect();
+        all.sort_by(f64::total_cmp);
+        let (median, worst) = (all[all.len() / 2], all[all.len() - 1]);
+        println!(
+            "{name}: median {median:.2} s, worst {worst:.2} s of {}",
+            all.len()
+        );
+    }
+    let shares = reports.iter().map(|r| r.shares_most).fold(0.0, f64::max);
+    let passed = reports.iter().filter(|r| r.failed == 0).count();
+    println!(
+        "greatest sum of shares {shares:.2}; {passed} of {} passed",
+        reports.len()
+    );
+}
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -1,12 +1,19 @@
-//! What the decision module costs, by the number of caches: a [`Engine`] driven by hand, without sockets.
+//! What the decision module costs, by the number of caches: a [`Engine`] driven by hand, without
+//! sockets.
 //!
-//! Reads of random keys arrive at a steady rate, each is answered after the same time, and each second one cache
-//! goes or another comes. Time is taken on the machine's clock round each event. The rows of the table of candidates
-//! fill up while the run warms up; that is measured apart, as the cost of a first request.
+//! Reads of random keys arrive at a steady rate, each is answered after the same time, and each
+//! second one cache goes or another comes. Time is taken on the machine's clock round each event.
+//! The rows of the table of candidates fill up while the run warms up; that is measured apart, as
+//! the cost of a first request.
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use routing::*;
+use routing::{
+    Action, AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, Capabilities, ClassId,
+    DiscoveryMode, Endpoint, EndpointId, EndpointState, Engine, Event, Idempotency, Key, Nanos,
+    NewRequest, OriginMode, RequestClass, RequestId, ServiceRules, Settings, SettingsError,
+    TimerToken, UpdateKind,
+};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -25,10 +32,11 @@
 
 /// What one number of caches costs.
 #[derive(Clone, Debug, Serialize)]
-pub struct Cost {
+pub struct DecisionCost {
     /// Caches listed.
     pub caches: usize,
-    /// A request and all that follows from it, once its slot's candidates are known, in microseconds.
+    /// A request and all that follows from it, once its slot's candidates are known, in
+    /// microseconds.
     pub request_us: f64,
     /// The same in the first seconds, while nearly each request is its slot's first.
     pub first_request_us: f64,
@@ -42,8 +50,8 @@
     pub core_percent: f64,
 }
 
-impl Cost {
-    fn take_least(&mut self, other: &Cost) {
+impl DecisionCost {
+    fn take_least(&mut self, other: &DecisionCost) {
         self.request_us = self.request_us.min(other.request_us);
         self.first_request_us = self.first_request_us.min(other.first_request_us);
         self.change_ms = self.change_ms.min(other.change_ms);
@@ -55,7 +63,7 @@
 
 /// What an event is booked under.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Account {
+enum CostAccount {
     Request,
     Change,
     WholeList,
@@ -63,17 +71,17 @@
 }
 
 /// What is due in the driven module.
-enum Due {
+enum DueEvent {
     Arrival,
     Answer(RequestId, AttemptNumber, EndpointId, Nanos),
     Change,
     Timer(TimerToken),
 }
 
-struct Driver {
+struct EngineDriver {
     brain: Engine,
     rng: Xoshiro256PlusPlus,
-    due: BTreeMap<(Nanos, u64), Due>,
+    due: BTreeMap<(Nanos, u64), DueEvent>,
     set: u64,
     requests: u128,
     caches: Vec<u64>,
@@ -81,7 +89,7 @@
     listed: usize,
     next_cache: u64,
     /// Time and count since the last reset.
-    spent: BTreeMap<Account, (f64, u64)>,
+    spent: BTreeMap<CostAccount, (f64, u64)>,
 }
 
 fn settings() -> Settings {
@@ -129,10 +137,10 @@
     }
 }
 
-impl Driver {
-    fn new(caches: usize, seed: u64) -> Result<Self, String> {
-        let brain = Engine::new(settings(), seed, 0).map_err(|e| e.to_string())?;
-        let mut driver = Driver {
+impl EngineDriver {
+    fn new(caches: usize, seed: u64) -> Result<Self, SettingsError> {
+        let brain = Engine::new(settings(), seed, 0)?;
+        let mut driver = EngineDriver {
             brain,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             due: BTreeMap::new(),
@@ -154,20 +162,20 @@
                 kind: UpdateKind::Full,
                 endpoints: entries,
             },
-            Account::Change,
+            CostAccount::Change,
         );
-        driver.push(0, Due::Arrival);
-        driver.push(CHANGE_EVERY, Due::Change);
+        driver.push(0, DueEvent::Arrival);
+        driver.push(CHANGE_EVERY, DueEvent::Change);
         Ok(driver)
     }
 
-    fn push(&mut self, at: Nanos, due: Due) {
+    fn push(&mut self, at: Nanos, due: DueEvent) {
         self.set += 1;
         self.due.insert((at, self.set), due);
     }
 
     /// Hands an event to the module, books its time, and plays what it asks for.
-    fn tell(&mut self, now: Nanos, event: Event, account: Account) {
+    fn tell(&mut self, now: Nanos, event: Event, account: CostAccount) {
         let mut actions = Vec::new();
         let begun = Instant::now();
         self.brain.handle(now, event, &mut actions);
@@ -184,10 +192,10 @@
                 } => {
                     self.push(
                         now + ANSWER_AFTER,
-                        Due::Answer(request, attempt, server, now),
+                        DueEvent::Answer(request, attempt, server, now),
                     );
                 }
-                Action::SetTimer { after, token } => self.push(now + after, Due::Timer(token)),
+                Action::SetTimer { after, token } => self.push(now + after, DueEvent::Timer(token)),
                 _ => {}
             }
         }
@@ -204,8 +212,8 @@
             estimated_work: None,
             is_write: false,
         };
-        self.push(now + S / REQUESTS_PER_S, Due::Arrival);
-        self.tell(now, Event::RequestArrived(read), Account::Request);
+        self.push(now + S / REQUESTS_PER_S, DueEvent::Arrival);
+        self.tell(now, Event::RequestArrived(read), CostAccount::Request);
     }
 
     fn answer(
@@ -223,7 +231,7 @@
             cache_status: Some(CacheStatus::Hit),
             load_report: None,
         };
-        self.tell(now, Event::AttemptEnded(end), Account::Request);
+        self.tell(now, Event::AttemptEnded(end), CostAccount::Request);
     }
 
     /// One cache goes, or another comes in the place of the one that went before.
@@ -236,14 +244,14 @@
             self.next_cache += 1;
             entry(self.next_cache - 1, EndpointState::Active)
         };
-        self.push(now + CHANGE_EVERY, Due::Change);
+        self.push(now + CHANGE_EVERY, DueEvent::Change);
         self.tell(
             now,
             Event::EndpointUpdate {
                 kind: UpdateKind::Delta,
                 endpoints: vec![entry],
             },
-            Account::Change,
+            CostAccount::Change,
         );
     }
 
@@ -260,7 +268,7 @@
                 kind: UpdateKind::Full,
                 endpoints: entries,
             },
-            Account::WholeList,
+            CostAccount::WholeList,
         );
     }
 
@@ -268,17 +276,18 @@
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 < until) {
             let ((now, _), due) = entry.remove_entry();
             match due {
-                Due::Arrival => self.arrival(now),
-                Due::Answer(request, attempt, server, sent) => {
+                DueEvent::Arrival => self.arrival(now),
+                DueEvent::Answer(request, attempt, server, sent) => {
                     self.answer(now, (request, attempt, server, sent));
                 }
-                Due::Change => self.change(now),
-                Due::Timer(token) => {
-                    // A deadline or a copy that is no longer wanted costs next to nothing; the rest is housekeeping.
+                DueEvent::Change => self.change(now),
+                DueEvent::Timer(token) => {
+                    // A deadline or a copy that is no longer wanted costs next to nothing; the rest
+                    // is housekeeping.
                     let account = if self.is_housekeeping(now) {
-                        Account::Housekeeping
+                        CostAccount::Housekeeping
                     } else {
-                        Account::Request
+                        CostAccount::Request
                     };
                     self.tell(now, Event::TimerFired(token), account);
                 }
@@ -291,27 +300,31 @@
         now.is_multiple_of(100 * MS)
     }
 
-    fn mean(&self, account: Account) -> f64 {
+    fn mean(&self, account: CostAccount) -> f64 {
         self.spent
             .get(&account)
             .map_or(0.0, |(seconds, count)| seconds / (*count).max(1) as f64)
     }
 
-    fn seconds(&self, account: Account) -> f64 {
+    fn seconds(&self, account: CostAccount) -> f64 {
         self.spent
             .get(&account)
             .map_or(0.0, |(seconds, _)| *seconds)
     }
 }
 
-/// Measures these numbers of caches in turn, so many times, over so many seconds of the module's time each, and takes
-/// the least of each figure: what else the machine does only ever adds to it.
+/// Measures these numbers of caches in turn, so many times, over so many seconds of the module's
+/// time each, and takes the least of each figure: what else the machine does only ever adds to it.
 ///
 /// # Errors
 ///
 /// Says what of the settings makes no sense.
-pub fn measure(caches: &[usize], seconds: u64, rounds: u64) -> Result<Vec<Cost>, String> {
-    let round = |seed: u64| -> Result<Vec<Cost>, String> {
+pub fn measure(
+    caches: &[usize],
+    seconds: u64,
+    rounds: u64,
+) -> Result<Vec<DecisionCost>, SettingsError> {
+    let round = |seed: u64| -> Result<Vec<DecisionCost>, SettingsError> {
         caches
             .iter()
             .map(|count| measure_once(*count, seconds, seed))
@@ -328,10 +341,10 @@
     Ok(least)
 }
 
-fn measure_once(caches: usize, seconds: u64, seed: u64) -> Result<Cost, String> {
-    let mut driver = Driver::new(caches, seed)?;
+fn measure_once(caches: usize, seconds: u64, seed: u64) -> Result<DecisionCost, SettingsError> {
+    let mut driver = EngineDriver::new(caches, seed)?;
     driver.play(S);
-    let first_request_us = driver.seconds(Account::Request) / driver.requests as f64 * 1e6;
+    let first_request_us = driver.seconds(CostAccount::Request) / driver.requests as f64 * 1e6;
     driver.play(WARM_UP);
     driver.spent.clear();
     let before = driver.requests;
@@ -339,13 +352,13 @@
     driver.play(WARM_UP + seconds * S);
     let requests = (driver.requests - before) as f64;
     let all: f64 = driver.spent.values().map(|(seconds, _)| seconds).sum();
-    Ok(Cost {
+    Ok(DecisionCost {
         caches,
-        request_us: driver.seconds(Account::Request) / requests * 1e6,
+        request_us: driver.seconds(CostAccount::Request) / requests * 1e6,
         first_request_us,
-        change_ms: driver.mean(Account::Change) * 1e3,
-        whole_list_ms: driver.mean(Account::WholeList) * 1e3,
-        housekeeping_ms: driver.mean(Account::Housekeeping) * 1e3,
+        change_ms: driver.mean(CostAccount::Change) * 1e3,
+        whole_list_ms: driver.mean(CostAccount::WholeList) * 1e3,
+        housekeeping_ms: driver.mean(CostAccount::Housekeeping) * 1e3,
         core_percent: all / seconds as f64 * 100.0,
     })
 }
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,25 +1,30 @@
-//! Hollow balancers: the real control code over real sockets, many in a process and without the data path, for sizes at
-//! which whole balancers don't fit on a machine.
+//! Hollow balancers: the real control code over real sockets, many in a process and without the
+//! data path, for sizes at which whole balancers don't fit on a machine.
 //!
-//! The parent ([`run`]) lays the fleet out, starts processes that run a share of the members each ([`members`]), tells them
-//! what happens, and holds what they report against what is true. A process ends when its standard input ends, so that
-//! nothing stays behind whatever becomes of the parent.
+//! The parent ([`run`]) lays the fleet out, starts processes that run a share of the members each
+//! ([`members`]), tells them what happens, and holds what they report against what is true. A
+//! process ends when its standard input ends, so that nothing stays behind whatever becomes of the
+//! parent.
 
 pub mod members;
 mod messages;
 mod processes;
 
-use crate::virtual_regions::sizes;
+use crate::simulation::regions::sizes;
 use membership::MS;
-use messages::{Command, Report};
+use messages::{MemberCommand, MemberReport};
 use processes::Processes;
 use serde::Serialize;
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
+use std::process::ExitStatus;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// What a member takes in memory at most, in KB: a share for itself, and one for each member of its region.
+/// What a member takes in memory at most, in KB: a share for itself, and one for each member of its
+/// region.
 const MEMBER_KB: usize = 160;
 const ENTRY_KB: f64 = 1.6;
 /// The part of the machine's memory that a run may take.
@@ -38,7 +43,7 @@
 
 /// What happens after the calm stretch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Event {
+pub enum HollowEvent {
     /// Nothing.
     None,
     /// Twenty members die at once.
@@ -51,7 +56,7 @@
 
 /// A run.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct HollowPlan {
     /// Members in all.
     pub members: usize,
     /// Regions, uneven; 1: without regions.
@@ -63,12 +68,12 @@
     /// How long the calm stretch lasts, in seconds.
     pub seconds: u64,
     /// What happens after it.
-    pub event: Event,
+    pub event: HollowEvent,
 }
 
 /// What a run measured.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
+pub struct HollowMeasurement {
     /// Members.
     pub members: usize,
     /// Regions.
@@ -81,11 +86,13 @@
     pub datagrams_per_s: f64,
     /// Bytes sent a member a second in calm.
     pub bytes_per_s: f64,
-    /// The same of the worst member in its worst second, in calm and in the ten seconds behind the event.
+    /// The same of the worst member in its worst second, in calm and in the ten seconds behind the
+    /// event.
     pub bytes_per_s_worst: u64,
     /// From the joint start until all views were true.
     pub joined_s: Option<f64>,
-    /// From the event, or the healing of the cut, until all views were true; the joint start's where nothing happens.
+    /// From the event, or the healing of the cut, until all views were true; the joint start's
+    /// where nothing happens.
     pub settled_s: Option<f64>,
     /// Living members that were taken for dead.
     pub false_deaths: u64,
@@ -101,12 +108,12 @@
 
 /// One member of the layout.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct MemberPlacement {
     region: usize,
     address: SocketAddr,
 }
 
-fn layout(plan: &Plan) -> Vec<Place> {
+fn layout(plan: &HollowPlan) -> Vec<MemberPlacement> {
     let sizes = if plan.regions > 1 {
         sizes(plan.members, plan.regions)
     } else {
@@ -114,7 +121,7 @@
     };
     let of_region = |(region, size): (usize, &usize)| {
         (0..*size)
-            .map(move |n| Place {
+            .map(move |n| MemberPlacement {
                 region,
                 address: address(region, n),
             })
@@ -131,29 +138,30 @@
         .sum()
 }
 
-fn machine_kb() -> Result<usize, String> {
-    let text =
-        std::fs::read_to_string("/proc/meminfo").map_err(|e| format!("/proc/meminfo: {e}"))?;
+fn machine_kb() -> Result<usize, HollowError> {
+    let text = std::fs::read_to_string("/proc/meminfo")
+        .map_err(|e| HollowError::io("/proc/meminfo", e))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     let kb = line.and_then(|line| line.trim().trim_end_matches("kB").trim().parse().ok());
-    kb.ok_or_else(|| "/proc/meminfo: no MemTotal".into())
+    kb.ok_or(HollowError::NoMemTotal)
 }
 
-impl Plan {
-    fn check(&self) -> Result<(), String> {
+impl HollowPlan {
+    fn check(&self) -> Result<(), HollowError> {
         if self.members < 2 || self.regions == 0 || self.regions > self.members || self.regions > 64
         {
-            return Err(format!(
-                "{} members in {} regions make no fleet",
-                self.members, self.regions
-            ));
+            return Err(HollowError::NoFleet {
+                members: self.members,
+                regions: self.regions,
+            });
         }
         let least = self.members.div_ceil(PER_PROCESS_MAX);
         if !(least..=PROCESSES_MAX).contains(&self.processes) {
-            return Err(format!(
-                "--processes {}: {least} to {PROCESSES_MAX} for {} members",
-                self.processes, self.members
-            ));
+            return Err(HollowError::ProcessCount {
+                processes: self.processes,
+                least,
+                members: self.members,
+            });
         }
         let sizes = if self.regions > 1 {
             sizes(self.members, self.regions)
@@ -162,22 +170,102 @@
         };
         let (expected, most) = (expected_kb(&sizes), machine_kb()? / MEMORY_PART);
         if expected > most {
-            return Err(format!(
-                "{} members in {} regions take up to {} MB, and half of the machine's memory is {} MB",
-                self.members,
-                self.regions,
-                expected / 1_024,
-                most / 1_024
-            ));
+            return Err(HollowError::TooLarge {
+                members: self.members,
+                regions: self.regions,
+                expected_mb: expected / 1_024,
+                available_mb: most / 1_024,
+            });
         }
         Ok(())
     }
 }
 
+/// Why hollow members could not be run.
+#[derive(Debug, Error)]
+pub enum HollowError {
+    /// The plan's sizes make no fleet.
+    #[error("{members} members in {regions} regions make no fleet")]
+    NoFleet {
+        /// Members.
+        members: usize,
+        /// Regions.
+        regions: usize,
+    },
+    /// The plan has too few or too many processes.
+    #[error("--processes {processes}: {least} to {PROCESSES_MAX} for {members} members")]
+    ProcessCount {
+        /// Processes.
+        processes: usize,
+        /// The fewest that can run the members.
+        least: usize,
+        /// Members.
+        members: usize,
+    },
+    /// The plan needs more memory than may be taken.
+    #[error(
+        "{members} members in {regions} regions take up to {expected_mb} MB, and half of the \
+         machine's memory is {available_mb} MB"
+    )]
+    TooLarge {
+        /// Members.
+        members: usize,
+        /// Regions.
+        regions: usize,
+        /// What they take, in MB.
+        expected_mb: usize,
+        /// What may be taken, in MB.
+        available_mb: usize,
+    },
+    /// The run takes more memory than may be taken.
+    #[error("{resident_mb} MB are taken, more than half of the machine's memory")]
+    OutOfMemory {
+        /// What is taken, in MB.
+        resident_mb: usize,
+    },
+    /// The machine does not say how much memory it has.
+    #[error("/proc/meminfo: no MemTotal")]
+    NoMemTotal,
+    /// A process of members ended by itself.
+    #[error("process {index} of members: {status}")]
+    ProcessEnded {
+        /// Which one.
+        index: usize,
+        /// How.
+        status: ExitStatus,
+    },
+    /// A socket, pipe or process could not be set up or used.
+    #[error("{context}: {source}")]
+    Io {
+        /// What for.
+        context: String,
+        /// Why.
+        source: io::Error,
+    },
+    /// A message could not be written as JSON.
+    #[error("JSON: {0}")]
+    Serialize(#[from] serde_json::Error),
+    /// The clock of the machine stands before 1970.
+    #[error("clock: {0}")]
+    Clock(#[from] std::time::SystemTimeError),
+    /// A signal ended the run.
+    #[error("interrupted")]
+    Interrupted,
+}
+
+impl HollowError {
+    fn io(context: impl Into<String>, source: impl Into<io::Error>) -> Self {
+        HollowError::Io {
+            context: context.into(),
+            source: source.into(),
+        }
+    }
+}
+
 /// A run under way.
 struct Run<'a> {
-    plan: Plan,
-    places: Vec<Place>,
+    plan: HollowPlan,
+    places: Vec<MemberPlacement>,
     processes: Processes,
     /// Who runs, by place.
     alive: Vec<bool>,
@@ -190,8 +278,9 @@
 ///
 /// # Errors
 ///
-/// Says what of the plan does not fit the machine, which process failed, or that it was interrupted.
-pub fn run(plan: Plan, interrupted: &AtomicBool) -> Result<Measured, String> {
+/// Says what of the plan does not fit the machine, which process failed, or that it was
+/// interrupted.
+pub fn run(plan: HollowPlan, interrupted: &AtomicBool) -> Result<HollowMeasurement, HollowError> {
     plan.check()?;
     let places = layout(&plan);
     let processes = Processes::start(&plan)?;
@@ -212,7 +301,7 @@
 }
 
 impl Run<'_> {
-    fn play(&mut self) -> Result<Measured, String> {
+    fn play(&mut self) -> Result<HollowMeasurement, HollowError> {
         let empty_kb = self.processes.resident_kb();
         self.start(0..self.places.len())?;
         let joined = self.until_settled()?;
@@ -224,7 +313,7 @@
         let (event, settled) = self.event(joined)?;
         let members = self.plan.members as f64;
         let span = calm.span.as_secs_f64();
-        Ok(Measured {
+        Ok(HollowMeasurement {
             members: self.plan.members,
             regions: self.plan.regions,
             cpu_percent: calm.busy.as_secs_f64() / span / members * 100.0,
@@ -238,18 +327,19 @@
         })
     }
 
-    /// What happens after the calm, and how long until all views were true; the worst second's bytes in it.
-    fn event(&mut self, joined: Option<Duration>) -> Result<(u64, Option<Duration>), String> {
+    /// What happens after the calm, and how long until all views were true; the worst second's
+    /// bytes in it.
+    fn event(&mut self, joined: Option<Duration>) -> Result<(u64, Option<Duration>), HollowError> {
         let largest: Vec<usize> = (0..self.places.len())
             .filter(|n| self.places[*n].region == 0)
             .collect();
         match self.plan.event {
-            Event::None => return Ok((0, joined)),
-            Event::Rack => {
+            HollowEvent::None => return Ok((0, joined)),
+            HollowEvent::Rack => {
                 self.kill(&largest[largest.len().saturating_sub(RACK.min(largest.len() / 2))..])?
             }
-            Event::Zone => self.kill(&largest[largest.len().div_ceil(2)..])?,
-            Event::Cut => {
+            HollowEvent::Zone => self.kill(&largest[largest.len().div_ceil(2)..])?,
+            HollowEvent::Cut => {
                 self.tell_cut(Some(0))?;
                 self.wait(Duration::from_secs(10))?;
                 self.tell_cut(None)?;
@@ -262,26 +352,26 @@
         Ok((self.processes.worst(), settled))
     }
 
-    fn start(&mut self, who: std::ops::Range<usize>) -> Result<(), String> {
+    fn start(&mut self, who: std::ops::Range<usize>) -> Result<(), HollowError> {
         who.clone().for_each(|n| self.alive[n] = true);
         self.expect()?;
-        self.processes.tell(&Command::Start(who.collect()))
+        self.processes.tell(&MemberCommand::Start(who.collect()))
     }
 
-    fn kill(&mut self, who: &[usize]) -> Result<(), String> {
+    fn kill(&mut self, who: &[usize]) -> Result<(), HollowError> {
         who.iter().for_each(|n| self.alive[*n] = false);
         self.expect()?;
-        self.processes.tell(&Command::Kill(who.to_vec()))
+        self.processes.tell(&MemberCommand::Kill(who.to_vec()))
     }
 
-    fn tell_cut(&mut self, region: Option<usize>) -> Result<(), String> {
+    fn tell_cut(&mut self, region: Option<usize>) -> Result<(), HollowError> {
         self.cut = region;
         self.expect()?;
-        self.processes.tell(&Command::Cut(region))
+        self.processes.tell(&MemberCommand::Cut(region))
     }
 
     /// Tells all what is true from now on.
-    fn expect(&mut self) -> Result<(), String> {
+    fn expect(&mut self) -> Result<(), HollowError> {
         let mut living: BTreeMap<usize, usize> = BTreeMap::new();
         for (place, _) in self
             .places
@@ -294,7 +384,7 @@
         self.processes.expect(living)
     }
 
-    fn until_settled(&mut self) -> Result<Option<Duration>, String> {
+    fn until_settled(&mut self) -> Result<Option<Duration>, HollowError> {
         let begun = Instant::now();
         while begun.elapsed() < CEILING {
             if let Some(settled) = self.processes.settled_at() {
@@ -305,7 +395,7 @@
         Ok(None)
     }
 
-    fn measured(&mut self, span: Duration) -> Result<Calm, String> {
+    fn measured(&mut self, span: Duration) -> Result<Calm, HollowError> {
         self.processes.reset();
         let (first, begun) = (self.processes.sums(), Instant::now());
         self.wait(span)?;
@@ -320,19 +410,18 @@
     }
 
     /// Waits, unless it is interrupted, a process fails, or memory runs short.
-    fn wait(&mut self, span: Duration) -> Result<(), String> {
+    fn wait(&mut self, span: Duration) -> Result<(), HollowError> {
         let until = Instant::now() + span;
         loop {
             self.processes.check()?;
             if self.interrupted.load(Ordering::Relaxed) {
-                return Err("interrupted".into());
+                return Err(HollowError::Interrupted);
             }
             let resident = self.processes.resident_kb();
             if resident > self.memory_most_kb {
-                return Err(format!(
-                    "{} MB are taken, more than half of the machine's memory",
-                    resident / 1_024
-                ));
+                return Err(HollowError::OutOfMemory {
+                    resident_mb: resident / 1_024,
+                });
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
@@ -359,15 +448,15 @@
 const REPORT: u64 = 100 * MS;
 
 /// Runs a share of the members, as a process of its own; ends when standard input does.
-pub fn serve(plan: Plan, share: usize) -> Result<(), String> {
+pub fn serve(plan: HollowPlan, share: usize) -> Result<(), HollowError> {
     let places = layout(&plan);
     let own = (share..places.len()).step_by(plan.processes).collect();
     members::serve(&plan, &places, own)
 }
 
-impl Report {
+impl MemberReport {
     /// Adds up what processes have sent and taken.
-    fn add(&mut self, other: &Report) {
+    fn add(&mut self, other: &MemberReport) {
         self.busy_ns += other.busy_ns;
         self.datagrams += other.datagrams;
         self.bytes += other.bytes;
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -1,9 +1,9 @@
 //! One process of hollow members: a loop over their sockets and timers.
 
-use super::messages::{Command, Report};
-use super::{Place, Plan, REPORT};
-use crate::virtual_time::region_name;
-use crate::virtual_trials::resident_kb;
+use super::messages::{MemberCommand, MemberReport};
+use super::{HollowError, HollowPlan, MemberPlacement, REPORT};
+use crate::process;
+use crate::simulation::fleet::region_name;
 use membership::envelope::DATAGRAM_MAX;
 use membership::{
     Location, MS, Member, MemberMetadata, MemberStatus, MembershipEvent, MembershipSettings, Nanos,
@@ -35,8 +35,8 @@
 }
 
 struct Process<'a> {
-    plan: &'a Plan,
-    places: &'a [Place],
+    plan: &'a HollowPlan,
+    places: &'a [MemberPlacement],
     by_address: HashMap<SocketAddr, usize>,
     epoll: Epoll,
     members: BTreeMap<usize, Hollow>,
@@ -45,7 +45,7 @@
     killed: Vec<bool>,
     cut: Option<usize>,
     living: BTreeMap<usize, usize>,
-    report: Report,
+    report: MemberReport,
     /// Processor time of the look at the views.
     look_ns: u64,
     second: Nanos,
@@ -67,11 +67,15 @@
 }
 
 /// Runs these members until standard input ends.
-pub(super) fn serve(plan: &Plan, places: &[Place], own: Vec<usize>) -> Result<(), String> {
+pub(super) fn serve(
+    plan: &HollowPlan,
+    places: &[MemberPlacement],
+    own: Vec<usize>,
+) -> Result<(), HollowError> {
     let (tell, commands) = channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            let Ok(command) = serde_json::from_str::<Command>(&line) else {
+            let Ok(command) = serde_json::from_str::<MemberCommand>(&line) else {
                 return;
             };
             if tell.send(command).is_err() {
@@ -79,10 +83,8 @@
             }
         }
     });
-    let epoll = Epoll::new(EpollCreateFlags::empty()).map_err(|e| format!("epoll: {e}"))?;
-    let unix = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_err(|e| e.to_string())?;
+    let epoll = Epoll::new(EpollCreateFlags::empty()).map_err(|e| HollowError::io("epoll", e))?;
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let mut process = Process {
         plan,
         places,
@@ -98,7 +100,7 @@
         killed: vec![true; places.len()],
         cut: None,
         living: BTreeMap::new(),
-        report: Report::default(),
+        report: MemberReport::default(),
         look_ns: 0,
         second: 0,
         next_report: 0,
@@ -115,7 +117,7 @@
         self.begun.elapsed().as_nanos() as Nanos
     }
 
-    fn run(&mut self, commands: &Receiver<Command>) -> Result<(), String> {
+    fn run(&mut self, commands: &Receiver<MemberCommand>) -> Result<(), HollowError> {
         let mut events = [EpollEvent::empty(); EVENTS_MAX];
         loop {
             loop {
@@ -135,19 +137,20 @@
             let ready = match self.epoll.wait(&mut events, EpollTimeout::from(wait_ms)) {
                 Ok(ready) => ready,
                 Err(nix::errno::Errno::EINTR) => 0,
-                Err(e) => return Err(format!("epoll: {e}")),
+                Err(e) => return Err(HollowError::io("epoll", e)),
             };
             for event in &events[..ready] {
                 self.read(event.data() as usize);
             }
             self.turns();
-            self.tell_report().map_err(|e| format!("reporting: {e}"))?;
+            self.tell_report()
+                .map_err(|e| HollowError::io("reporting", e))?;
         }
     }
 
-    fn carry_out(&mut self, command: Command) -> Result<(), String> {
+    fn carry_out(&mut self, command: MemberCommand) -> Result<(), HollowError> {
         match command {
-            Command::Start(who) => {
+            MemberCommand::Start(who) => {
                 who.iter().for_each(|n| self.killed[*n] = false);
                 let own: Vec<usize> = who
                     .into_iter()
@@ -155,7 +158,7 @@
                     .collect();
                 own.into_iter().try_for_each(|n| self.start(n))?;
             }
-            Command::Kill(who) => {
+            MemberCommand::Kill(who) => {
                 for n in who {
                     self.killed[n] = true;
                     if let Some(hollow) = self.members.remove(&n) {
@@ -166,8 +169,8 @@
                     }
                 }
             }
-            Command::Cut(region) => self.cut = region,
-            Command::Expect { epoch, living } => {
+            MemberCommand::Cut(region) => self.cut = region,
+            MemberCommand::Expect { epoch, living } => {
                 (self.report.epoch, self.living) = (epoch, living);
                 self.report.settled = false;
             }
@@ -175,15 +178,15 @@
         Ok(())
     }
 
-    fn start(&mut self, n: usize) -> Result<(), String> {
+    fn start(&mut self, n: usize) -> Result<(), HollowError> {
         let place = self.places[n];
-        let problem = |e: std::io::Error| format!("{}: {e}", place.address);
+        let problem = |e: std::io::Error| HollowError::io(place.address.to_string(), e);
         let socket = UdpSocket::bind(place.address).map_err(problem)?;
         socket.set_nonblocking(true).map_err(problem)?;
         let event = EpollEvent::new(EpollFlags::EPOLLIN, n as u64);
         self.epoll
             .add(&socket, event)
-            .map_err(|e| format!("epoll: {e}"))?;
+            .map_err(|e| HollowError::io("epoll", e))?;
         let now = self.now();
         let name = format!("h{n}");
         let location = match self.plan.regions {
@@ -333,7 +336,8 @@
         all.all(|(name, truth)| rows.get(name.as_str()) == Some(&truth))
     }
 
-    /// Whether all members of this process see what is true; the look begins where the last one ended.
+    /// Whether all members of this process see what is true; the look begins where the last one
+    /// ended.
     fn is_settled(&mut self) -> bool {
         let order = self
             .members
@@ -370,7 +374,7 @@
                 hollow.bytes = sent;
             }
         }
-        self.report.resident_kb = resident_kb().unwrap_or(0.0) as usize;
+        self.report.resident_kb = process::own_resident_kb().unwrap_or(0) as usize;
         let after = busy_ns();
         self.look_ns += after.saturating_sub(before);
         self.report.busy_ns = after.saturating_sub(self.look_ns);
--- a/crates/testbed/src/hollow/messages.rs
+++ b/crates/testbed/src/hollow/messages.rs
@@ -5,7 +5,7 @@
 
 /// The parent tells a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) enum Command {
+pub(super) enum MemberCommand {
     /// These members start, as far as they are of this process.
     Start(Vec<usize>),
     /// These end without a word.
@@ -23,7 +23,7 @@
 
 /// A process tells the parent, some times a second; counts are since its start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(super) struct Report {
+pub(super) struct MemberReport {
     /// What the views were held against.
     pub(super) epoch: u64,
     /// All views of its members are true.
--- a/crates/testbed/src/hollow/processes.rs
+++ b/crates/testbed/src/hollow/processes.rs
@@ -1,7 +1,7 @@
 //! The processes that run hollow members, as the parent sees them.
 
-use super::Plan;
-use super::messages::{Command, Report};
+use super::messages::{MemberCommand, MemberReport};
+use super::{HollowError, HollowPlan};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, Stdio};
@@ -11,7 +11,7 @@
 /// What a process last reported.
 #[derive(Default)]
 struct Last {
-    report: Report,
+    report: MemberReport,
     /// When its views were first true, by the last expectation.
     settled: Option<Instant>,
     worst: u64,
@@ -30,8 +30,8 @@
 }
 
 impl Processes {
-    pub(super) fn start(plan: &Plan) -> Result<Self, String> {
-        let own = std::env::current_exe().map_err(|e| e.to_string())?;
+    pub(super) fn start(plan: &HollowPlan) -> Result<Self, HollowError> {
+        let own = std::env::current_exe().map_err(|e| HollowError::io("this program", e))?;
         let mut processes = Processes {
             all: Vec::new(),
             epoch: 0,
@@ -56,7 +56,7 @@
             command.stdin(Stdio::piped()).stdout(Stdio::piped());
             let mut child = command
                 .spawn()
-                .map_err(|e| format!("{}: {e}", own.display()))?;
+                .map_err(|e| HollowError::io(own.display().to_string(), e))?;
             let (input, output) = (child.stdin.take(), child.stdout.take());
             let last = Arc::new(Mutex::new(Last::default()));
             if let Some(output) = output {
@@ -68,31 +68,34 @@
         Ok(processes)
     }
 
-    pub(super) fn tell(&mut self, command: &Command) -> Result<(), String> {
-        let line = serde_json::to_string(command).map_err(|e| e.to_string())?;
+    pub(super) fn tell(&mut self, command: &MemberCommand) -> Result<(), HollowError> {
+        let line = serde_json::to_string(command)?;
         for process in &mut self.all {
             let Some(input) = &mut process.input else {
                 continue;
             };
-            writeln!(input, "{line}").map_err(|e| format!("a process of members: {e}"))?;
+            writeln!(input, "{line}").map_err(|e| HollowError::io("a process of members", e))?;
         }
         Ok(())
     }
 
     /// What is true from now on.
-    pub(super) fn expect(&mut self, living: BTreeMap<usize, usize>) -> Result<(), String> {
+    pub(super) fn expect(&mut self, living: BTreeMap<usize, usize>) -> Result<(), HollowError> {
         self.epoch += 1;
-        self.tell(&Command::Expect {
+        self.tell(&MemberCommand::Expect {
             epoch: self.epoch,
             living,
         })
     }
 
     /// A process that ended by itself is named.
-    pub(super) fn check(&mut self) -> Result<(), String> {
+    pub(super) fn check(&mut self) -> Result<(), HollowError> {
         for (share, process) in self.all.iter_mut().enumerate() {
             if let Ok(Some(status)) = process.child.try_wait() {
-                return Err(format!("process {share} of members: {status}"));
+                return Err(HollowError::ProcessEnded {
+                    index: share,
+                    status,
+                });
             }
         }
         Ok(())
@@ -113,8 +116,8 @@
         all.and_then(|all| all.into_iter().max())
     }
 
-    pub(super) fn sums(&self) -> Report {
-        let mut sum = Report::default();
+    pub(super) fn sums(&self) -> MemberReport {
+        let mut sum = MemberReport::default();
         self.lasts().for_each(|last| sum.add(&last.report));
         sum
     }
@@ -156,7 +159,7 @@
 /// Reads the reports of one process until it ends.
 fn listen(output: impl BufRead, last: &Mutex<Last>) {
     for line in output.lines().map_while(Result::ok) {
-        let Ok(report) = serde_json::from_str::<Report>(&line) else {
+        let Ok(report) = serde_json::from_str::<MemberReport>(&line) else {
             continue;
         };
         let Ok(mut last) = last.lock() else { return };
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/invariants.rs
@@ -1,22 +1,25 @@
-//! The referee: what the trial did is what is true; what members, clients and caches saw is held against it.
+//! The referee: what the trial did is what is true; what members, clients and caches saw is held
+//! against it.
 
-use crate::ground::Ground;
-use crate::member::{Meant, View};
-use crate::stand_ins::clients::{Asked, End, deadline};
+use crate::cluster::Cluster;
+use crate::member_process::{IntendedState, MemberView};
+use crate::simulated_services::clients::{ClientRequest, RequestEnd, deadline};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
 /// Failures that are told in full; the others are counted.
 const TOLD_MAX: usize = 50;
-/// A member that stood still says so itself; whatever the machine made of it, nothing near it is held against anybody.
+/// A member that stood still says so itself; whatever the machine made of it, nothing near it is
+/// held against anybody.
 const NEAR: f64 = 12.0;
-/// An answer that comes this much after its deadline is counted as late. It is no failure: how fast a machine is must not
-/// decide a verdict; none at all, or a connection that breaks though nothing was done to its balancer, does.
+/// An answer that comes this much after its deadline is counted as late. It is no failure: how fast
+/// a machine is must not decide a verdict; none at all, or a connection that breaks though nothing
+/// was done to its balancer, does.
 const SLACK: f64 = 0.05;
 
 /// What went wrong.
 #[derive(Clone, Debug, Serialize)]
-pub struct Failure {
+pub struct InvariantViolation {
     /// Seconds since the start of the trial.
     pub at: f64,
     /// Which invariant.
@@ -27,38 +30,38 @@
 
 /// A span in which something was wrong with a member, by the trial's doing.
 #[derive(Clone, Copy, Debug)]
-struct Span {
+struct TimeSpan {
     from: f64,
     to: Option<f64>,
 }
 
 /// What is true, since when, and what broke.
 #[derive(Default)]
-pub struct Referee {
+pub struct InvariantChecker {
     /// By member: when it was down, stopped or leaving.
-    away: HashMap<usize, Vec<Span>>,
+    away: HashMap<usize, Vec<TimeSpan>>,
     /// By pair, in one direction: when it was cut.
-    cut: HashMap<(usize, usize), Vec<Span>>,
-    failures: Vec<Failure>,
+    cut: HashMap<(usize, usize), Vec<TimeSpan>>,
+    failures: Vec<InvariantViolation>,
     count: usize,
     /// The greatest sum of shares that was seen.
     pub shares: f64,
 }
 
-fn begin(spans: &mut Vec<Span>, at: f64) {
+fn begin(spans: &mut Vec<TimeSpan>, at: f64) {
     if spans.last().is_none_or(|span| span.to.is_some()) {
-        spans.push(Span { from: at, to: None });
+        spans.push(TimeSpan { from: at, to: None });
     }
 }
 
-fn end(spans: &mut [Span], at: f64) {
+fn end(spans: &mut [TimeSpan], at: f64) {
     if let Some(span) = spans.last_mut().filter(|span| span.to.is_none()) {
         span.to = Some(at);
     }
 }
 
 /// Whether any of these spans reaches into that time.
-fn near(spans: Option<&Vec<Span>>, from: f64, to: f64) -> bool {
+fn near(spans: Option<&Vec<TimeSpan>>, from: f64, to: f64) -> bool {
     spans.is_some_and(|spans| {
         spans
             .iter()
@@ -66,7 +69,7 @@
     })
 }
 
-impl Referee {
+impl InvariantChecker {
     /// A member is away from now on, or back.
     pub fn away(&mut self, at: f64, member: usize, away: bool) {
         let spans = self.away.entry(member).or_default();
@@ -91,7 +94,7 @@
     pub fn fail(&mut self, at: f64, invariant: &'static str, what: String) {
         self.count += 1;
         if self.failures.len() < TOLD_MAX {
-            self.failures.push(Failure {
+            self.failures.push(InvariantViolation {
                 at,
                 invariant,
                 what,
@@ -100,7 +103,7 @@
     }
 
     /// What broke, and how often in all.
-    pub fn failures(&self) -> (&[Failure], usize) {
+    pub fn failures(&self) -> (&[InvariantViolation], usize) {
         (&self.failures, self.count)
     }
 
@@ -111,7 +114,8 @@
             .is_none_or(|span| span.to.is_some())
     }
 
-    /// Who is reached from whom, over others too, by ways that are open in both directions: a number for each side.
+    /// Who is reached from whom, over others too, by ways that are open in both directions: a
+    /// number for each side.
     pub fn sides(&self, n: usize) -> Vec<usize> {
         let mut side: Vec<usize> = (0..n).collect();
         loop {
@@ -133,14 +137,14 @@
     /// The first thing in which a member's view is not true, if any.
     pub fn untrue(
         &self,
-        ground: &Ground,
-        views: &[Option<View>],
+        ground: &Cluster,
+        views: &[Option<MemberView>],
         suspicions: bool,
     ) -> Option<String> {
         let n = ground.members.len();
         let side = self.sides(n);
         for (i, view) in views.iter().enumerate() {
-            if ground.members[i].meant != Meant::Up {
+            if ground.members[i].meant != IntendedState::Up {
                 continue;
             }
             let Some(view) = view else {
@@ -150,16 +154,16 @@
             for (j, other) in ground.members.iter().enumerate().filter(|(j, _)| *j != i) {
                 let state = seen.get(&other.spec.advertised).map(|m| m.state.as_str());
                 let right = match other.meant {
-                    Meant::Up if side[i] != side[j] => matches!(state, Some("dead") | None),
-                    Meant::Up => {
+                    IntendedState::Up if side[i] != side[j] => matches!(state, Some("dead") | None),
+                    IntendedState::Up => {
                         let same = views[j].as_ref().map(|v| v.generation);
                         let life = seen.get(&other.spec.advertised).map(|m| m.generation);
                         (state == Some("serving") || suspicions && state == Some("stalled"))
                             && same == life
                     }
-                    Meant::Stopped => matches!(state, Some("stalled" | "dead")),
-                    Meant::Left => matches!(state, Some("left" | "draining") | None),
-                    Meant::Down => matches!(state, Some("dead" | "left") | None),
+                    IntendedState::Stopped => matches!(state, Some("stalled" | "dead")),
+                    IntendedState::Left => matches!(state, Some("left" | "draining") | None),
+                    IntendedState::Down => matches!(state, Some("dead" | "left") | None),
                 };
                 if !right {
                     return Some(format!(
@@ -174,7 +178,7 @@
     }
 
     /// Holds the sum of all shares against its bound.
-    pub fn shares(&mut self, at: f64, views: &[Option<View>], most: f64) {
+    pub fn shares(&mut self, at: f64, views: &[Option<MemberView>], most: f64) {
         let sum: f64 = views
             .iter()
             .flatten()
@@ -191,11 +195,12 @@
         }
     }
 
-    /// Reads the members' logs for deaths that were none: of a member that was there, stood not still, and could be
-    /// reached, for as long as it takes to find a death.
-    pub fn false_deaths(&mut self, ground: &Ground) -> usize {
+    /// Reads the members' logs for deaths that were none: of a member that was there, stood not
+    /// still, and could be reached, for as long as it takes to find a death.
+    pub fn false_deaths(&mut self, ground: &Cluster) -> usize {
         let n = ground.members.len();
-        let logs: Vec<Vec<crate::member::Line>> = ground.members.iter().map(|m| m.log()).collect();
+        let logs: Vec<Vec<crate::member_process::LogLine>> =
+            ground.members.iter().map(|m| m.log()).collect();
         let stood: Vec<Vec<f64>> = logs
             .iter()
             .map(|log| {
@@ -242,8 +247,9 @@
         found
     }
 
-    /// Judges what the clients saw: one answer at most, a true one, and in time unless its balancer was away.
-    pub fn clients(&mut self, asked: &[Asked]) -> BTreeMap<String, usize> {
+    /// Judges what the clients saw: one answer at most, a true one, and in time unless its balancer
+    /// was away.
+    pub fn clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
         let mut ends: BTreeMap<String, usize> = BTreeMap::new();
         for one in asked {
             *ends
@@ -262,7 +268,7 @@
                     format!("more than one answer: {}", what()),
                 );
             }
-            if one.end == End::Wrong {
+            if one.end == RequestEnd::Wrong {
                 self.fail(one.at, "true-answer", what());
             }
             let away = near(
@@ -270,11 +276,18 @@
                 one.at - 1.0,
                 one.at + one.took,
             );
-            let answered = matches!(one.end, End::Served | End::Refused | End::Failed);
+            let answered = matches!(
+                one.end,
+                RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed
+            );
             if answered && one.took > deadline(one.class) + SLACK && !away {
                 *ends.entry("late".into()).or_default() += 1;
             }
-            if matches!(one.end, End::Never | End::Broken | End::NoDoor) && !away {
+            if matches!(
+                one.end,
+                RequestEnd::Never | RequestEnd::Broken | RequestEnd::NoDoor
+            ) && !away
+            {
                 self.fail(one.at, "answered", what());
             }
         }
@@ -282,7 +295,7 @@
     }
 
     /// Judges what the caches did: a write that must not run twice ran at most once.
-    pub fn caches(&mut self, at: f64, ground: &Ground) {
+    pub fn caches(&mut self, at: f64, ground: &Cluster) {
         let mut effects: HashMap<String, u32> = HashMap::new();
         for cache in ground.caches.iter().flatten() {
             for (id, done) in cache.executed() {
@@ -302,62 +315,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn sides_follow_the_ways_that_are_open_in_both_directions() {
-        let mut referee = Referee::default();
-        assert_eq!(referee.sides(4), [0; 4]);
-        referee.cut(1.0, 0, 1, true);
-        assert_eq!(
-            referee.sides(4),
-            [0; 4],
-            "over others they reach each other"
-        );
-        for (from, to) in [(0, 2), (0, 3), (2, 1)] {
-            referee.cut(1.0, from, to, true);
-        }
-        assert_eq!(referee.sides(4), [0, 1, 1, 1]);
-        referee.cut(2.0, 0, 3, false);
-        assert_eq!(referee.sides(4), [0; 4]);
-    }
-
-    #[test]
-    fn what_clients_saw_is_held_against_what_was_done_to_their_balancer() {
-        let one = |at, end, took, extra| Asked {
-            id: "1".into(),
-            class: "tile-read",
-            balancer: 2,
-            at,
-            took,
-            end,
-            extra,
-            again: false,
-            wait_ms: None,
-        };
-        let mut referee = Referee::default();
-        referee.away(10.0, 2, true);
-        referee.away(12.0, 2, false);
-        let fine = [
-            one(1.0, End::Served, 0.1, false),
-            one(10.5, End::Broken, 0.1, false),
-            one(11.0, End::NoDoor, 0.0, false),
-        ];
-        assert_eq!(referee.clients(&fine)["served"], 1);
-        assert_eq!(referee.failures().1, 0);
-        let bad = [
-            one(1.0, End::Broken, 0.1, false),
-            one(1.0, End::Wrong, 0.1, false),
-            one(20.0, End::Never, 20.0, false),
-            one(1.0, End::Served, 0.1, true),
-        ];
-        assert_eq!(
-            referee.clients(&[one(1.0, End::Served, 1.7, false)])["late"],
-            1
-        );
-        assert_eq!(referee.failures().1, 0, "a busy machine is no failure");
-        referee.clients(&bad);
-        assert_eq!(referee.failures().1, 4);
-    }
-}
+mod tests;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,31 +1,29 @@
-//! The trial ground: many balancers, faults between them, and a referee that judges by invariants.
+//! The testbed: many balancers, injected faults between them, and checks by invariants.
 //!
-//! [`virtual_time`] plays the `fleet` crate alone, seeded and without a machine's pace. Everything else starts real
-//! processes of the built program on loopback addresses: [`ground`] lays them out, [`timeline`] tells what happens to
-//! them, [`play`](mod@play) has it happen, and [`referee`] holds what was seen against what is true.
+//! [`simulation`] runs the `membership` crate alone in virtual time. Everything else starts real
+//! processes of the built program on loopback addresses: [`cluster`] lays them out, [`scenario`]
+//! says what happens to them, [`scenario_runner`] makes it happen, and [`invariants`] compares what
+//! was observed with what is true. [`soak`] does the same with faults drawn from a seed. [`hollow`]
+//! runs the control plane without data traffic.
 #![forbid(unsafe_code)]
 
 pub mod capacity;
 pub mod chart;
+pub mod cluster;
 pub mod decisions;
-pub mod faults;
-pub mod ground;
+pub mod error;
 pub mod hollow;
-pub mod member;
-pub mod meter;
+pub mod invariants;
+pub mod member_process;
 pub mod mutations;
-pub mod play;
-pub mod referee;
-pub mod relay;
-pub mod scenarios;
-pub mod silence;
+pub mod network_emulation;
+pub mod overload_metrics;
+pub mod process;
+pub mod scenario;
+pub mod scenario_catalog;
+pub mod scenario_runner;
+pub mod simulated_services;
+pub mod simulation;
 pub mod slopes;
 pub mod soak;
-pub mod stand_ins;
-pub mod switch;
-pub mod timeline;
-pub mod virtual_overload;
-pub mod virtual_region_trials;
-pub mod virtual_regions;
-pub mod virtual_time;
-pub mod virtual_trials;
+pub mod stall;
--- a/crates/testbed/src/member.rs
+++ b/crates/testbed/src/member_process.rs
@@ -1,13 +1,15 @@
-//! One process of the program: its configuration, its signals, its log, and what it says of the fleet.
+//! One process of the program: its configuration, its signals, its log, and what it says of the
+//! fleet.
 
-use nix::sys::signal::{Signal, kill};
-use nix::unistd::Pid;
+use crate::error::TestbedError;
+use crate::process::{self, ChildGuard};
+use nix::sys::signal::Signal;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::process::{ExitStatus, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -18,7 +20,7 @@
 
 /// How a process is started.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct MemberSpec {
     /// Its name.
     pub name: String,
     /// What is started.
@@ -45,7 +47,7 @@
 
 /// A line of a member's log, and when it came.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct LogLine {
     /// Seconds since the start of the trial.
     pub at: f64,
     /// The line.
@@ -54,7 +56,7 @@
 
 /// What the operators' door shows of the fleet.
 #[derive(Clone, Debug, Deserialize)]
-pub struct View {
+pub struct MemberView {
     /// Its own name.
     pub name: String,
     /// Its life.
@@ -68,14 +70,14 @@
     /// The level that load is shed by.
     pub level: f64,
     /// The others.
-    pub members: Vec<Other>,
+    pub members: Vec<PeerView>,
     /// Its counts.
     pub datagrams: serde_json::Map<String, serde_json::Value>,
 }
 
 /// Another member as one sees it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Other {
+pub struct PeerView {
     /// Its name.
     pub name: String,
     /// Where it is reached.
@@ -88,7 +90,7 @@
 
 /// What a process is meant to do now, as the trial has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meant {
+pub enum IntendedState {
     /// Not started yet, or ended without a word.
     Down,
     /// At work.
@@ -102,12 +104,12 @@
 /// A process and its log; it ends with this.
 pub struct MemberProcess {
     /// How it is started.
-    pub spec: Spec,
+    pub spec: MemberSpec,
     /// What it is meant to do.
-    pub meant: Meant,
-    child: Option<Child>,
+    pub meant: IntendedState,
+    child: Option<ChildGuard>,
     begun: Instant,
-    lines: Arc<Mutex<Vec<Line>>>,
+    lines: Arc<Mutex<Vec<LogLine>>>,
     /// The counters of each life, as last printed.
     counters: Arc<Mutex<Vec<BTreeMap<String, u64>>>>,
     starts: u64,
@@ -121,11 +123,11 @@
 
 impl MemberProcess {
     /// A process that is not started yet.
-    pub fn new(spec: Spec) -> Self {
+    pub fn new(spec: MemberSpec) -> Self {
         let (begun, lines, counters) = (Instant::now(), Arc::default(), Arc::default());
         MemberProcess {
             spec,
-            meant: Meant::Down,
+            meant: IntendedState::Down,
             child: None,
             begun,
             lines,
@@ -135,7 +137,7 @@
     }
 
     /// Starts it, under the same name and addresses each time.
-    pub fn start(&mut self) -> Result<(), String> {
+    pub fn start(&mut self) -> Result<(), TestbedError> {
         self.kill();
         self.starts += 1;
         let spec = &self.spec;
@@ -148,22 +150,12 @@
             object.insert("fleet".into(), fleet.clone());
         }
         let path = spec.folder.join(format!("{}.json", spec.name));
-        std::fs::write(&path, config.to_string())
-            .map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut command = Command::new(&spec.program);
-        command
-            .env_clear()
-            .env("GW_CONFIG", &path)
-            .env("RUST_LOG", "info");
+        std::fs::write(&path, config.to_string()).map_err(|e| TestbedError::file(&path, e))?;
+        let mut command = process::balancer_command(&spec.program, &path);
         if let Some(planted) = &spec.planted {
             command.env("PIPITRUN_PLANTED", planted);
         }
-        let mut child = command
-            .stdin(Stdio::null())
-            .stdout(Stdio::piped())
-            .stderr(Stdio::piped())
-            .spawn()
-            .map_err(|e| format!("{}: {e}", spec.program.display()))?;
+        let mut child = ChildGuard::spawn(command.stdout(Stdio::piped()).stderr(Stdio::piped()))?;
         if let Some(log) = child.stderr.take() {
             let (lines, begun) = (Arc::clone(&self.lines), self.begun);
             // Read on though nobody asks, or the program would wait for its log to be read.
@@ -171,7 +163,7 @@
                 for text in BufReader::new(log).lines().map_while(Result::ok) {
                     let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
                     if lines.len() < LINES_MAX {
-                        lines.push(Line {
+                        lines.push(LogLine {
                             at: begun.elapsed().as_secs_f64(),
                             text,
                         });
@@ -188,25 +180,20 @@
             };
             std::thread::spawn(move || {
                 for text in BufReader::new(output).lines().map_while(Result::ok) {
-                    let Some(pairs) = text.strip_prefix("counters: ") else {
-                        continue;
-                    };
-                    let read = pairs.split(' ').filter_map(|pair| {
-                        let (name, count) = pair.split_once('=')?;
-                        Some((name.to_string(), count.parse().ok()?))
-                    });
-                    counters.lock().unwrap_or_else(PoisonError::into_inner)[life] = read.collect();
+                    if let Some(parsed) = process::parse_counters(&text) {
+                        counters.lock().unwrap_or_else(PoisonError::into_inner)[life] = parsed;
+                    }
                 }
             });
         }
         self.child = Some(child);
-        self.meant = Meant::Up;
+        self.meant = IntendedState::Up;
         Ok(())
     }
 
     /// Has it print its counters, if it is at work.
     pub fn ask_counters(&self) {
-        if self.meant == Meant::Up {
+        if self.meant == IntendedState::Up {
             self.signal(Signal::SIGUSR1);
         }
     }
@@ -228,7 +215,7 @@
     }
 
     /// Its log so far, over all its lives.
-    pub fn log(&self) -> Vec<Line> {
+    pub fn log(&self) -> Vec<LogLine> {
         self.lines
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -236,40 +223,34 @@
     }
 
     fn signal(&self, signal: Signal) {
-        if let Some(pid) = self
-            .child
-            .as_ref()
-            .and_then(|child| i32::try_from(child.id()).ok())
-        {
-            let _ = kill(Pid::from_raw(pid), signal);
+        if let Some(child) = &self.child {
+            child.signal(signal);
         }
     }
 
     /// Ends it without a word.
     pub fn kill(&mut self) {
-        if let Some(mut child) = self.child.take() {
-            let _ = child.kill();
-            let _ = child.wait();
-            self.meant = Meant::Down;
+        if self.child.take().is_some() {
+            self.meant = IntendedState::Down;
         }
     }
 
     /// It stands still.
     pub fn stop(&mut self) {
         self.signal(Signal::SIGSTOP);
-        self.meant = Meant::Stopped;
+        self.meant = IntendedState::Stopped;
     }
 
     /// It goes on.
     pub fn go_on(&mut self) {
         self.signal(Signal::SIGCONT);
-        self.meant = Meant::Up;
+        self.meant = IntendedState::Up;
     }
 
     /// It is asked to end.
     pub fn term(&mut self) {
         self.signal(Signal::SIGTERM);
-        self.meant = Meant::Left;
+        self.meant = IntendedState::Left;
     }
 
     /// How it ended, if it has; it is waited for that long.
@@ -287,16 +268,12 @@
 
     /// Descriptors that the process holds open.
     pub fn descriptors(&self) -> Option<usize> {
-        let pid = self.child.as_ref()?.id();
-        Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
+        process::open_descriptors(self.child.as_ref()?.id())
     }
 
     /// Resident memory of the process, in bytes.
     pub fn memory(&self) -> Option<u64> {
-        let pid = self.child.as_ref()?.id();
-        let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-        let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
-        Some(line.trim().strip_suffix("kB")?.trim().parse::<u64>().ok()? * 1_024)
+        Some(process::resident_kb(self.child.as_ref()?.id())? * 1_024)
     }
 
     /// A call of the operators, and the body of its answer if it is 200.
@@ -311,8 +288,8 @@
     }
 
     /// What it sees of the fleet, if it is at work and answers.
-    pub fn view(&self) -> Option<View> {
-        if self.meant != Meant::Up {
+    pub fn view(&self) -> Option<MemberView> {
+        if self.meant != IntendedState::Up {
             return None;
         }
         serde_json::from_str(&self.call("/admin/fleet")?).ok()
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -1,13 +1,15 @@
-//! The mutation check: each mistake that can be planted has to be found by a trial that passes without it.
+//! The mutation check: each mistake that can be planted has to be found by a trial that passes
+//! without it.
 
-use crate::virtual_trials;
+use crate::error::TestbedError;
+use crate::simulation::{SimulationFailure, trials};
 use membership::planted::InjectedFault;
 use serde::Serialize;
 use std::path::Path;
 use std::process::Command;
 
 /// Which trial finds which mistake.
-const FINDS: [(InjectedFault, &str); 22] = [
+const DETECTING_TRIALS: [(InjectedFault, &str); 22] = [
     (InjectedFault::ForgetsRefutation, "lossy"),
     (InjectedFault::BelievesOldGeneration, "rolling"),
     (InjectedFault::CountsOwnSideAtOnce, "split"),
@@ -34,7 +36,7 @@
 
 /// One row of the table.
 #[derive(Clone, Debug, Serialize)]
-pub struct Row {
+pub struct MutationResult {
     /// What was planted.
     pub fault: &'static str,
     /// The trial.
@@ -48,11 +50,11 @@
 }
 
 /// Plays each mistake's trial without and with it, by this very command in processes of its own.
-pub fn check(own: &Path, program: Option<&Path>) -> Result<Vec<Row>, String> {
+pub fn check(own: &Path, program: Option<&Path>) -> Result<Vec<MutationResult>, TestbedError> {
     if !cfg!(feature = "planted") {
-        return Err("built without the feature planted".into());
+        return Err(TestbedError::NoFaultInjection);
     }
-    let play = |trial: &str, fault: Option<&str>| -> Result<String, String> {
+    let play = |trial: &str, fault: Option<&str>| -> Result<String, TestbedError> {
         let mut command = Command::new(own);
         command.args(["run", trial]).env_remove("PIPITRUN_PLANTED");
         if let Some(program) = program {
@@ -64,14 +66,16 @@
                 .args(["--planted", fault])
                 .env("PIPITRUN_PLANTED", fault);
         }
-        let output = command.output().map_err(|e| e.to_string())?;
+        let output = command.output().map_err(|e| TestbedError::file(own, e))?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         text.lines()
             .last()
             .map(str::to_string)
-            .ok_or_else(|| format!("{trial}: no verdict"))
+            .ok_or_else(|| TestbedError::NoVerdict {
+                trial: trial.into(),
+            })
     };
-    FINDS
+    DETECTING_TRIALS
         .iter()
         .map(|(fault, trial)| {
             let name = InjectedFault::ALL
@@ -82,7 +86,7 @@
             let found = without == "verdict: passed"
                 && with.starts_with("verdict: failed ")
                 && !with.ends_with("to play");
-            Ok(Row {
+            Ok(MutationResult {
                 fault: name,
                 trial,
                 without,
@@ -94,8 +98,8 @@
 }
 
 /// Plays a trial in virtual time, if there is one of this name.
-pub fn play_virtual(name: &str, seed: u64) -> Option<Result<(), String>> {
-    virtual_trials::ALL
+pub fn play_virtual(name: &str, seed: u64) -> Option<Result<(), SimulationFailure>> {
+    trials::ALL
         .iter()
         .find(|(n, _)| *n == name)
         .map(|(_, trial)| trial(seed))
--- a/crates/testbed/src/switch.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -1,8 +1,9 @@
-//! Datagrams between members: each member has an address at the switch, by which the others know it; what comes there is
-//! passed on to the member's own address, from the address at the switch of whoever sent it. So the program needs no code
-//! for trials: it binds to one address and advertises another, as behind any translation of addresses.
+//! Datagrams between members: each member has an address at the switch, by which the others know
+//! it; what comes there is passed on to the member's own address, from the address at the switch of
+//! whoever sent it. So the program needs no code for trials: it binds to one address and advertises
+//! another, as behind any translation of addresses.
 
-use crate::faults::Link;
+use crate::network_emulation::faults::Link;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BinaryHeap;
@@ -20,7 +21,7 @@
 /// A datagram that is held back comes this much later.
 const BEHIND: Duration = Duration::from_millis(20);
 
-struct Held {
+struct DelayedDatagram {
     at: Instant,
     number: u64,
     from: usize,
@@ -28,40 +29,40 @@
     bytes: Vec<u8>,
 }
 
-impl PartialEq for Held {
+impl PartialEq for DelayedDatagram {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.number) == (other.at, other.number)
     }
 }
 
-impl Eq for Held {}
+impl Eq for DelayedDatagram {}
 
-impl PartialOrd for Held {
+impl PartialOrd for DelayedDatagram {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
 /// The earliest is the greatest: a heap hands that out first.
-impl Ord for Held {
+impl Ord for DelayedDatagram {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
 #[derive(Default)]
-struct Queue {
-    held: BinaryHeap<Held>,
+struct DelayQueue {
+    held: BinaryHeap<DelayedDatagram>,
     number: u64,
 }
 
-struct Shared {
+struct ProxyState {
     /// Each member's address at the switch, and its own.
     sockets: Vec<UdpSocket>,
     own: Vec<SocketAddr>,
     /// `links[from][to]`.
     links: Vec<Vec<Link>>,
-    queue: Mutex<Queue>,
+    queue: Mutex<DelayQueue>,
     wake: Condvar,
     end: AtomicBool,
     passed: AtomicU64,
@@ -69,12 +70,12 @@
 }
 
 /// The switch; it ends with this.
-pub struct Switch {
-    shared: Arc<Shared>,
+pub struct DatagramProxy {
+    shared: Arc<ProxyState>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Switch {
+impl DatagramProxy {
     /// A switch for members that are known to the others by `advertised` and bound to `own`.
     pub fn start(advertised: &[SocketAddr], own: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let sockets = advertised
@@ -86,7 +87,7 @@
             })
             .collect::<io::Result<Vec<_>>>()?;
         let n = sockets.len();
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(ProxyState {
             sockets,
             own: own.to_vec(),
             links: (0..n)
@@ -106,7 +107,7 @@
         }
         let later = Arc::clone(&shared);
         threads.push(std::thread::spawn(move || later.pass_held()));
-        Ok(Switch { shared, threads })
+        Ok(DatagramProxy { shared, threads })
     }
 
     /// The link from one member to another.
@@ -123,7 +124,7 @@
     }
 }
 
-impl Shared {
+impl ProxyState {
     fn take(&self, to: usize, mut rng: Xoshiro256PlusPlus) {
         let mut bytes = [0; 2_048];
         while !self.end.load(Ordering::Relaxed) {
@@ -166,7 +167,7 @@
         if queue.held.len() < HELD_MAX {
             queue.number += 1;
             let number = queue.number;
-            queue.held.push(Held {
+            queue.held.push(DelayedDatagram {
                 at,
                 number,
                 from,
@@ -205,7 +206,7 @@
     }
 }
 
-impl Drop for Switch {
+impl Drop for DatagramProxy {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
@@ -215,88 +216,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::faults::Faults;
-
-    fn pair() -> (Vec<UdpSocket>, Vec<SocketAddr>, Switch) {
-        let own: Vec<UdpSocket> = (0..2)
-            .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
-            .collect();
-        for socket in &own {
-            socket
-                .set_read_timeout(Some(Duration::from_secs(10)))
-                .unwrap();
-        }
-        let free = || {
-            UdpSocket::bind("127.0.0.1:0")
-                .unwrap()
-                .local_addr()
-                .unwrap()
-        };
-        let advertised = vec![free(), free()];
-        let addresses: Vec<SocketAddr> = own.iter().map(|s| s.local_addr().unwrap()).collect();
-        let switch = Switch::start(&advertised, &addresses, 1).unwrap();
-        (own, advertised, switch)
-    }
-
-    #[test]
-    fn a_datagram_comes_from_the_address_at_the_switch_and_faults_hold_for_one_direction() {
-        let (own, advertised, switch) = pair();
-        let mut bytes = [0; 64];
-        own[0].send_to(b"one", advertised[1]).unwrap();
-        let (length, from) = own[1].recv_from(&mut bytes).unwrap();
-        assert_eq!((&bytes[..length], from), (b"one".as_slice(), advertised[0]));
-        switch.link(0, 1).set(Faults {
-            cut: true,
-            ..Faults::default()
-        });
-        own[0].send_to(b"lost", advertised[1]).unwrap();
-        own[1].send_to(b"back", advertised[0]).unwrap();
-        assert_eq!(
-            own[0].recv_from(&mut bytes).unwrap().0,
-            4,
-            "the other direction is open"
-        );
-        while switch.counts().1 == 0 {
-            std::thread::yield_now();
-        }
-        switch.link(0, 1).set(Faults {
-            duplicate: 1.0,
-            delay_ms: 5,
-            ..Faults::default()
-        });
-        own[0].send_to(b"two", advertised[1]).unwrap();
-        for _ in 0..2 {
-            let (length, _) = own[1].recv_from(&mut bytes).unwrap();
-            assert_eq!(&bytes[..length], b"two");
-        }
-    }
-
-    #[test]
-    fn who_is_held_back_comes_behind() {
-        let (own, advertised, switch) = pair();
-        switch.link(0, 1).set(Faults {
-            reorder: 1.0,
-            ..Faults::default()
-        });
-        own[0].send_to(b"first", advertised[1]).unwrap();
-        while switch.shared.queue.lock().unwrap().held.is_empty() {
-            std::thread::yield_now();
-        }
-        switch.link(0, 1).set(Faults::default());
-        own[0].send_to(b"second", advertised[1]).unwrap();
-        let mut bytes = [0; 64];
-        let mut order = Vec::new();
-        for _ in 0..2 {
-            let (length, _) = own[1].recv_from(&mut bytes).unwrap();
-            order.push(bytes[..length].to_vec());
-        }
-        order.sort();
-        assert_eq!(
-            order,
-            [b"first".to_vec(), b"second".to_vec()],
-            "both come, in whatever order"
-        );
-    }
-}
+mod tests;
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/network_emulation/faults.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What is wrong on one direction of a link. Shares are 0 to 1; times are milliseconds. What makes no sense for the kind
-/// of link is left: a stream has no datagrams to lose, a datagram can't drip.
+/// What is wrong on one direction of a link. Shares are 0 to 1; times are milliseconds. What makes
+/// no sense for the kind of link is left: a stream has no datagrams to lose, a datagram can't drip.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Faults {
+pub struct LinkFaults {
     /// Datagrams: the share that is lost.
     pub drop: f64,
     /// Each datagram or piece of a stream comes this much later.
@@ -28,16 +28,16 @@
 
 /// One direction of a link, shared by who changes it and who carries it out.
 #[derive(Clone, Debug, Default)]
-pub struct Link(Arc<Mutex<Faults>>);
+pub struct Link(Arc<Mutex<LinkFaults>>);
 
 impl Link {
     /// What is wrong now.
-    pub fn get(&self) -> Faults {
+    pub fn get(&self) -> LinkFaults {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes it.
-    pub fn set(&self, faults: Faults) {
+    pub fn set(&self, faults: LinkFaults) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy.rs
@@ -1,6 +1,6 @@
 //! Streams between a process and what it calls, each direction with faults of its own.
 
-use crate::faults::Link;
+use crate::network_emulation::faults::Link;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use socket2::SockRef;
@@ -16,7 +16,7 @@
 const PIECE: usize = 16 * 1024;
 
 /// A relay in front of one address; it ends with this, and so do its connections.
-pub struct Relay {
+pub struct StreamProxy {
     end: Arc<AtomicBool>,
     listen: SocketAddr,
     /// From who connects to who is called.
@@ -25,11 +25,11 @@
     pub back: Link,
 }
 
-impl Relay {
+impl StreamProxy {
     /// Takes connections at one address and passes them on to another.
     pub fn start(listen: SocketAddr, target: SocketAddr, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
-        let relay = Relay {
+        let relay = StreamProxy {
             end: Arc::default(),
             listen: listener.local_addr()?,
             there: Link::default(),
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for StreamProxy {
     fn drop(&mut self) {
         self.end.store(true, Ordering::Relaxed);
         // Whoever waits for a connection gets one, and sees that it is over.
@@ -154,46 +154,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::faults::Faults;
-
-    #[test]
-    fn a_stream_passes_stands_still_while_cut_goes_on_and_is_reset() {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let free = TcpListener::bind("127.0.0.1:0")
-            .unwrap()
-            .local_addr()
-            .unwrap();
-        let relay = Relay::start(free, listener.local_addr().unwrap(), 1).unwrap();
-        let mut near = TcpStream::connect(free).unwrap();
-        near.set_read_timeout(Some(Duration::from_secs(10)))
-            .unwrap();
-        let (mut far, _) = listener.accept().unwrap();
-        near.write_all(b"there").unwrap();
-        let mut bytes = [0; 5];
-        far.read_exact(&mut bytes).unwrap();
-        relay.back.set(Faults {
-            cut: true,
-            ..Faults::default()
-        });
-        std::thread::sleep(3 * LOOK);
-        far.write_all(b"later").unwrap();
-        near.set_read_timeout(Some(3 * LOOK)).unwrap();
-        assert!(near.read(&mut bytes).is_err(), "nothing passes");
-        near.set_read_timeout(Some(Duration::from_secs(10)))
-            .unwrap();
-        relay.back.set(Faults {
-            drip_ms: 1,
-            ..Faults::default()
-        });
-        near.read_exact(&mut bytes).unwrap();
-        assert_eq!(&bytes, b"later", "nothing is lost of a stream");
-        relay.there.set(Faults {
-            reset: true,
-            ..Faults::default()
-        });
-        let ended = near.read(&mut bytes).map_err(|e| e.kind());
-        assert_eq!(ended, Err(io::ErrorKind::ConnectionReset));
-    }
-}
+mod tests;
--- a/crates/testbed/src/meter.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -1,11 +1,13 @@
-//! What a whole fleet does second by second, and what its clients got: the figures by which overload is judged.
+//! What a whole fleet does second by second, and what its clients got: the figures by which
+//! overload is judged.
 
-use crate::stand_ins::cache::Counts;
-use crate::stand_ins::clients::{Asked, End};
+use crate::simulated_services::cache::CacheCounts;
+use crate::simulated_services::clients::{ClientRequest, RequestEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A class's worth, and the time within which an answer earns it, in seconds; as in the members' settings.
+/// A class's worth, and the time within which an answer earns it, in seconds; as in the members'
+/// settings.
 pub const CLASSES: [(&str, f64, f64); 3] = [
     ("tile-read", 3.0, 0.3),
     ("status-set", 10.0, 0.3),
@@ -14,11 +16,11 @@
 
 /// Sums over the fleet at one moment, since the start.
 #[derive(Clone, Debug, Default)]
-pub struct Sample {
+pub struct ClusterSample {
     /// Seconds since the start of the timeline.
     pub at: f64,
     /// What came to all caches.
-    pub caches: Counts,
+    pub caches: CacheCounts,
     /// Fetches and writes at the origin, and those that waited there in vain.
     pub origin: (u64, u64),
     /// The members' counters, summed over all their lives.
@@ -27,7 +29,7 @@
 
 /// One second of the fleet.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Second {
+pub struct SecondMetrics {
     /// Since the start of the timeline.
     pub at: u64,
     /// Requests of clients, without returns; and returns.
@@ -54,7 +56,7 @@
 
 /// What one class got, in the span that is judged.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Class {
+pub struct ClassMetrics {
     /// First requests.
     pub asked: u64,
     /// Of all requests, those served in time, served late, refused, failed, and without an answer.
@@ -67,8 +69,8 @@
     pub failed: u64,
     /// See `served`.
     pub unanswered: u64,
-    /// The share that was refused at the balancer that refused least, and at the one that refused most; of those with
-    /// twenty requests or more.
+    /// The share that was refused at the balancer that refused least, and at the one that refused
+    /// most; of those with twenty requests or more.
     pub refused_least: f64,
     /// See `refused_least`.
     pub refused_most: f64,
@@ -76,7 +78,7 @@
 
 /// The judgement of one span.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Span {
+pub struct SpanMetrics {
     /// From when to when, in seconds since the start of the timeline.
     pub from: f64,
     /// See `from`.
@@ -94,7 +96,7 @@
     /// Connections for each first request.
     pub connects_per_request: f64,
     /// By class.
-    pub classes: BTreeMap<String, Class>,
+    pub classes: BTreeMap<String, ClassMetrics>,
     /// Why members refused, by their counters.
     pub refused_by_reason: BTreeMap<String, u64>,
 }
@@ -106,8 +108,8 @@
         .map_or((0.0, 0.0), |(_, worth, goal)| (*worth, *goal))
 }
 
-fn in_time(one: &Asked) -> bool {
-    one.end == End::Served && one.took <= class_of(one.class).1
+fn in_time(one: &ClientRequest) -> bool {
+    one.end == RequestEnd::Served && one.took <= class_of(one.class).1
 }
 
 fn delta(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, name: &str) -> u64 {
@@ -116,12 +118,16 @@
 }
 
 /// The fleet second by second; `begun` is the start of the timeline in the clients' time.
-pub fn seconds(samples: &[Sample], asked: &[Asked], begun: f64) -> Vec<Second> {
-    let mut seconds: Vec<Second> = samples
+pub fn seconds(
+    samples: &[ClusterSample],
+    asked: &[ClientRequest],
+    begun: f64,
+) -> Vec<SecondMetrics> {
+    let mut seconds: Vec<SecondMetrics> = samples
         .windows(2)
         .map(|pair| {
             let (a, b) = (&pair[0], &pair[1]);
-            Second {
+            SecondMetrics {
                 at: a.at.round() as u64,
                 tries: b.caches.tries.saturating_sub(a.caches.tries),
                 turned_away: b.caches.turned_away.saturating_sub(a.caches.turned_away),
@@ -129,7 +135,7 @@
                 probes: b.caches.probes.saturating_sub(a.caches.probes),
                 connects: b.caches.connections.saturating_sub(a.caches.connections),
                 fetches: b.origin.0.saturating_sub(a.origin.0),
-                ..Second::default()
+                ..SecondMetrics::default()
             }
         })
         .collect();
@@ -155,8 +161,9 @@
     seconds
 }
 
-/// What so much room would earn with perfect choice: the dearest first. A request takes one unit of it.
-pub fn perfect(asked: &BTreeMap<String, Class>, room: f64) -> f64 {
+/// What so much room would earn with perfect choice: the dearest first. A request takes one unit of
+/// it.
+pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, room: f64) -> f64 {
     let mut classes: Vec<(f64, f64)> = asked
         .iter()
         .map(|(name, class)| (class_of(name).0, class.asked as f64))
@@ -175,13 +182,13 @@
 /// Judges one span; `room` is how many requests all caches serve a second when warm.
 pub fn span(
     (from, to): (f64, f64),
-    samples: &[Sample],
-    asked: &[Asked],
+    samples: &[ClusterSample],
+    asked: &[ClientRequest],
     begun: f64,
     room: f64,
     caches: usize,
-) -> Span {
-    let mut classes: BTreeMap<String, Class> = BTreeMap::new();
+) -> SpanMetrics {
+    let mut classes: BTreeMap<String, ClassMetrics> = BTreeMap::new();
     let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
     let (mut worth_asked, mut worth, mut first) = (0.0, 0.0, 0u64);
     for one in asked
@@ -195,20 +202,20 @@
             worth_asked += class_of(one.class).0;
         }
         match one.end {
-            End::Served if in_time(one) => {
+            RequestEnd::Served if in_time(one) => {
                 class.served += 1;
                 worth += class_of(one.class).0;
             }
-            End::Served => class.late += 1,
-            End::Refused => class.refused += 1,
-            End::Failed | End::Wrong => class.failed += 1,
-            End::Broken | End::NoDoor | End::Never => class.unanswered += 1,
+            RequestEnd::Served => class.late += 1,
+            RequestEnd::Refused => class.refused += 1,
+            RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
+            RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never => class.unanswered += 1,
         }
         let of = balancers
             .entry((one.class.into(), one.balancer))
             .or_default();
         of.0 += 1;
-        of.1 += u64::from(one.end == End::Refused);
+        of.1 += u64::from(one.end == RequestEnd::Refused);
     }
     for (name, class) in &mut classes {
         let shares = balancers
@@ -235,7 +242,7 @@
         .members
         .keys()
         .filter_map(|name| name.strip_prefix("refused."));
-    Span {
+    SpanMetrics {
         from,
         to,
         worth_share: worth / worth_asked.max(0.001),
@@ -261,21 +268,21 @@
     }
 }
 
-/// Seconds from `end` until, for two seconds on end, at least nine tenths of the worth share from before the trouble is
-/// served; `None` if that never comes.
-pub fn recovery(seconds: &[Second], before: (f64, f64), end: f64) -> Option<f64> {
-    let share = |of: &[&Second]| {
+/// Seconds from `end` until, for two seconds on end, at least nine tenths of the worth share from
+/// before the trouble is served; `None` if that never comes.
+pub fn recovery(seconds: &[SecondMetrics], before: (f64, f64), end: f64) -> Option<f64> {
+    let share = |of: &[&SecondMetrics]| {
         let (worth, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
             (sum.0 + s.worth, sum.1 + s.worth_asked)
         });
         if asked > 0.0 { worth / asked } else { 1.0 }
     };
-    let usual: Vec<&Second> = seconds
+    let usual: Vec<&SecondMetrics> = seconds
         .iter()
         .filter(|s| (before.0..before.1).contains(&(s.at as f64)))
         .collect();
     let wanted = 0.9 * share(&usual);
-    let after: Vec<&Second> = seconds.iter().filter(|s| s.at as f64 >= end).collect();
+    let after: Vec<&SecondMetrics> = seconds.iter().filter(|s| s.at as f64 >= end).collect();
     after
         .windows(2)
         .find(|pair| share(pair) >= wanted)
@@ -283,113 +290,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn one(at: f64, class: &'static str, end: End, took: f64, balancer: usize) -> Asked {
-        Asked {
-            id: "1".into(),
-            class,
-            balancer,
-            at,
-            took,
-            end,
-            extra: false,
-            again: false,
-            wait_ms: None,
-        }
-    }
-
-    fn sample(at: f64, tries: u64, refused: u64) -> Sample {
-        let members = [
-            ("refused.limit".to_string(), refused),
-            ("copies".to_string(), tries / 10),
-        ]
-        .into();
-        Sample {
-            at,
-            caches: Counts {
-                tries,
-                probes: tries,
-                ..Counts::default()
-            },
-            origin: (0, 0),
-            members,
-        }
-    }
-
-    #[test]
-    fn a_span_is_judged_by_worth_room_and_counters() {
-        let samples: Vec<Sample> = (0..=4).map(|s| sample(s as f64, 30 * s, 5 * s)).collect();
-        let mut asked = Vec::new();
-        for i in 0..40 {
-            let at = 100.0 + i as f64 / 10.0;
-            let end = if i % 2 == 0 {
-                End::Served
-            } else {
-                End::Refused
-            };
-            asked.push(one(at, "tile-read", end, 0.1, i % 2));
-        }
-        asked.push(one(100.5, "status-set", End::Served, 0.31, 0));
-        let span = span((0.0, 4.0), &samples, &asked, 100.0, 5.0, 2);
-        assert_eq!(span.classes["tile-read"].served, 20);
-        assert_eq!(span.classes["status-set"].late, 1, "past its aim");
-        assert_eq!(
-            (
-                span.classes["tile-read"].refused_least,
-                span.classes["tile-read"].refused_most
-            ),
-            (0.0, 1.0)
-        );
-        // Room for 20: the one status-set and 19 reads.
-        assert!(
-            (span.of_perfect - 60.0 / 67.0).abs() < 1e-9,
-            "{}",
-            span.of_perfect
-        );
-        assert!((span.tries_per_request - 120.0 / 41.0).abs() < 1e-9);
-        assert_eq!(span.refused_by_reason["limit"], 20);
-        assert!((span.probes_per_cache_s - 15.0).abs() < 1e-9);
-    }
-
-    #[test]
-    fn recovery_is_the_first_two_good_seconds_after_the_end() {
-        let second = |at: u64, worth: f64| Second {
-            at,
-            worth,
-            worth_asked: 10.0,
-            ..Second::default()
-        };
-        let seconds: Vec<Second> = [10.0, 10.0, 2.0, 2.0, 9.0, 4.0, 9.0, 9.5, 10.0]
-            .iter()
-            .enumerate()
-            .map(|(i, w)| second(i as u64, *w))
-            .collect();
-        assert_eq!(recovery(&seconds, (0.0, 2.0), 3.0), Some(3.0));
-        assert_eq!(
-            recovery(&seconds[..6], (0.0, 2.0), 3.0),
-            None,
-            "it stays bad"
-        );
-    }
-
-    #[test]
-    fn seconds_gather_what_clients_asked_and_caches_saw() {
-        let samples: Vec<Sample> = (0..=2).map(|s| sample(s as f64, 30 * s, 0)).collect();
-        let mut again = one(101.2, "tile-read", End::Served, 0.1, 0);
-        again.again = true;
-        let asked = [one(100.2, "tile-read", End::Refused, 0.1, 0), again];
-        let seconds = seconds(&samples, &asked, 100.0);
-        assert_eq!(
-            (
-                seconds[0].asked,
-                seconds[0].worth,
-                seconds[1].again,
-                seconds[1].worth
-            ),
-            (1, 0.0, 1, 3.0)
-        );
-        assert_eq!(seconds[1].tries, 30);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -0,0 +1,110 @@
+//! Tests of `overload_metrics`.
+
+use super::*;
+
+fn one(at: f64, class: &'static str, end: RequestEnd, took: f64, balancer: usize) -> ClientRequest {
+    ClientRequest {
+        id: "1".into(),
+        class,
+        balancer,
+        at,
+        took,
+        end,
+        extra: false,
+        again: false,
+        wait_ms: None,
+    }
+}
+
+fn sample(at: f64, tries: u64, refused: u64) -> ClusterSample {
+    let members = [
+        ("refused.limit".to_string(), refused),
+        ("copies".to_string(), tries / 10),
+    ]
+    .into();
+    ClusterSample {
+        at,
+        caches: CacheCounts {
+            tries,
+            probes: tries,
+            ..CacheCounts::default()
+        },
+        origin: (0, 0),
+        members,
+    }
+}
+
+#[test]
+fn a_span_is_judged_by_worth_room_and_counters() {
+    let samples: Vec<ClusterSample> = (0..=4).map(|s| sample(s as f64, 30 * s, 5 * s)).collect();
+    let mut asked = Vec::new();
+    for i in 0..40 {
+        let at = 100.0 + i as f64 / 10.0;
+        let end = if i % 2 == 0 {
+            RequestEnd::Served
+        } else {
+            RequestEnd::Refused
+        };
+        asked.push(one(at, "tile-read", end, 0.1, i % 2));
+    }
+    asked.push(one(100.5, "status-set", RequestEnd::Served, 0.31, 0));
+    let span = span((0.0, 4.0), &samples, &asked, 100.0, 5.0, 2);
+    assert_eq!(span.classes["tile-read"].served, 20);
+    assert_eq!(span.classes["status-set"].late, 1, "past its aim");
+    assert_eq!(
+        (
+            span.classes["tile-read"].refused_least,
+            span.classes["tile-read"].refused_most
+        ),
+        (0.0, 1.0)
+    );
+    // Room for 20: the one status-set and 19 reads.
+    assert!(
+        (span.of_perfect - 60.0 / 67.0).abs() < 1e-9,
+        "{}",
+        span.of_perfect
+    );
+    assert!((span.tries_per_request - 120.0 / 41.0).abs() < 1e-9);
+    assert_eq!(span.refused_by_reason["limit"], 20);
+    assert!((span.probes_per_cache_s - 15.0).abs() < 1e-9);
+}
+
+#[test]
+fn recovery_is_the_first_two_good_seconds_after_the_end() {
+    let second = |at: u64, worth: f64| SecondMetrics {
+        at,
+        worth,
+        worth_asked: 10.0,
+        ..SecondMetrics::default()
+    };
+    let seconds: Vec<SecondMetrics> = [10.0, 10.0, 2.0, 2.0, 9.0, 4.0, 9.0, 9.5, 10.0]
+        .iter()
+        .enumerate()
+        .map(|(i, w)| second(i as u64, *w))
+        .collect();
+    assert_eq!(recovery(&seconds, (0.0, 2.0), 3.0), Some(3.0));
+    assert_eq!(
+        recovery(&seconds[..6], (0.0, 2.0), 3.0),
+        None,
+        "it stays bad"
+    );
+}
+
+#[test]
+fn seconds_gather_what_clients_asked_and_caches_saw() {
+    let samples: Vec<ClusterSample> = (0..=2).map(|s| sample(s as f64, 30 * s, 0)).collect();
+    let mut again = one(101.2, "tile-read", RequestEnd::Served, 0.1, 0);
+    again.again = true;
+    let asked = [one(100.2, "tile-read", RequestEnd::Refused, 0.1, 0), again];
+    let seconds = seconds(&samples, &asked, 100.0);
+    assert_eq!(
+        (
+            seconds[0].asked,
+            seconds[0].worth,
+            seconds[1].again,
+            seconds[1].worth
+        ),
+        (1, 0.0, 1, 3.0)
+    );
+    assert_eq!(seconds[1].tries, 30);
+}
--- /dev/null
+++ b/crates/testbed/src/process.rs
@@ -0,0 +1,151 @@
+//! Processes of the program: where it is found, how it is started, signals, and what the operating
+//! system says of what it uses.
+
+use crate::error::TestbedError;
+use nix::sys::signal::{Signal, kill};
+use nix::unistd::Pid;
+use std::collections::BTreeMap;
+use std::ops::{Deref, DerefMut};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+
+/// The name of the program in the build's folder.
+const PROGRAM: &str = "pipitrun";
+/// Clock ticks a second in `/proc/PID/stat`.
+const TICKS_PER_S: f64 = 100.0;
+
+/// Finds the program: the one that is named, or else the one beside this in the build's folder.
+///
+/// # Errors
+///
+/// If it is not there.
+pub fn find_program(named: Option<&Path>) -> Result<PathBuf, TestbedError> {
+    if let Some(path) = named {
+        return if path.is_file() {
+            Ok(path.into())
+        } else {
+            Err(TestbedError::ProgramNotAFile(path.into()))
+        };
+    }
+    let own = std::env::current_exe().map_err(|e| TestbedError::io("this program", e))?;
+    // Tests run from a folder within the one that programs are built in.
+    let found = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join(PROGRAM))
+        .find(|path| path.is_file());
+    found.ok_or(TestbedError::ProgramNotFound(own))
+}
+
+/// The command that starts a balancer with this configuration file; its output still has to be
+/// redirected.
+#[must_use]
+pub fn balancer_command(program: &Path, config: &Path) -> Command {
+    let mut command = Command::new(program);
+    command
+        .env_clear()
+        .env("GW_CONFIG", config)
+        .env("RUST_LOG", "info")
+        .stdin(Stdio::null());
+    command
+}
+
+/// A child process that is killed and reaped when this is dropped.
+#[derive(Debug)]
+pub struct ChildGuard(Child);
+
+impl ChildGuard {
+    /// Starts a command.
+    ///
+    /// # Errors
+    ///
+    /// If its program can't be started.
+    pub fn spawn(command: &mut Command) -> Result<Self, TestbedError> {
+        let child = command.spawn().map_err(|source| TestbedError::File {
+            path: command.get_program().into(),
+            source,
+        })?;
+        Ok(ChildGuard(child))
+    }
+
+    /// Sends a signal; a process that has ended ignores it.
+    pub fn signal(&self, signal: Signal) {
+        if let Ok(pid) = i32::try_from(self.0.id()) {
+            let _ = kill(Pid::from_raw(pid), signal);
+        }
+    }
+}
+
+impl Deref for ChildGuard {
+    type Target = Child;
+
+    fn deref(&self) -> &Child {
+        &self.0
+    }
+}
+
+impl DerefMut for ChildGuard {
+    fn deref_mut(&mut self) -> &mut Child {
+        &mut self.0
+    }
+}
+
+impl Drop for ChildGuard {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+/// Parses a line of counters as the program prints them on SIGUSR1.
+#[must_use]
+pub fn parse_counters(line: &str) -> Option<BTreeMap<String, u64>> {
+    let pairs = line.strip_prefix("counters: ")?;
+    let parse = |pair: &str| {
+        let (name, count) = pair.split_once('=')?;
+        Some((name.to_string(), count.parse().ok()?))
+    };
+    Some(pairs.split(' ').filter_map(parse).collect())
+}
+
+/// Resident memory of a process, in KiB.
+#[must_use]
+pub fn resident_kb(pid: u32) -> Option<u64> {
+    status_kb(&pid.to_string(), "VmRSS:")
+}
+
+/// Resident memory of this process, in KiB.
+#[must_use]
+pub fn own_resident_kb() -> Option<u64> {
+    status_kb("self", "VmRSS:")
+}
+
+/// The most resident memory that a process has had, in KiB.
+#[must_use]
+pub fn peak_kb(pid: u32) -> Option<u64> {
+    status_kb(&pid.to_string(), "VmHWM:")
+}
+
+fn status_kb(process: &str, key: &str) -> Option<u64> {
+    let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
+    let value = status.lines().find_map(|line| line.strip_prefix(key))?;
+    value.trim().strip_suffix(" kB")?.trim().parse().ok()
+}
+
+/// Descriptors that a process has open.
+#[must_use]
+pub fn open_descriptors(pid: u32) -> Option<usize> {
+    Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
+}
+
+/// User and system time of a process, in seconds.
+#[must_use]
+pub fn cpu_seconds(pid: u32) -> Option<f64> {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
+    // The fields behind the name of the program, which may hold spaces.
+    let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
+    let ticks = fields.get(11..13)?.iter();
+    let ticks: f64 = ticks.filter_map(|field| field.parse::<f64>().ok()).sum();
+    Some(ticks / TICKS_PER_S)
+}
--- a/crates/testbed/src/timeline.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,11 +1,12 @@
 //! What happens in a trial and when, as a file tells it.
 
-use crate::faults::Faults;
-use crate::stand_ins::cache::CacheOptions;
-use crate::stand_ins::clients::Behaviour;
-use crate::stand_ins::origin::OriginOptions;
+use crate::network_emulation::faults::LinkFaults;
+use crate::simulated_services::cache::CacheOptions;
+use crate::simulated_services::clients::ClientOptions;
+use crate::simulated_services::origin::OriginOptions;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
+use thiserror::Error;
 
 /// A scenario: what is on the ground, and its timeline.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -25,7 +26,7 @@
     pub rate: f64,
     /// What is wrong on every link of datagrams from the start.
     #[serde(default)]
-    pub links: Faults,
+    pub links: LinkFaults,
     /// Members are of so many fleets, in turn; all are told the same addresses to ask.
     #[serde(default = "one")]
     pub fleets: usize,
@@ -43,18 +44,18 @@
     pub ceiling: f64,
     /// How the caches work.
     #[serde(default)]
-    pub cache: CacheFigures,
+    pub cache: CacheProfile,
     /// The origin behind the caches, if there is one.
-    pub origin: Option<OriginFigures>,
+    pub origin: Option<OriginProfile>,
     /// How clients behave.
     #[serde(default)]
-    pub clients: Behaviour,
-    /// The trouble lasts from then to then, in seconds of the timeline: what the fleet does is metered second by second
-    /// and judged before, in and after it.
+    pub clients: ClientOptions,
+    /// The trouble lasts from then to then, in seconds of the timeline: what the fleet does is
+    /// metered second by second and judged before, in and after it.
     pub trouble: Option<(f64, f64)>,
     /// The timeline, in order.
     #[serde(default, rename = "step")]
-    pub steps: Vec<Step>,
+    pub steps: Vec<ScenarioStep>,
 }
 
 fn four() -> usize {
@@ -64,7 +65,7 @@
 /// A cache's figures; times are in milliseconds, the warm-up in seconds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct CacheFigures {
+pub struct CacheProfile {
     /// Requests at work at a time.
     pub slots: usize,
     /// Requests that wait; more are turned away.
@@ -77,9 +78,9 @@
     pub warm_s: f64,
 }
 
-impl Default for CacheFigures {
+impl Default for CacheProfile {
     fn default() -> Self {
-        CacheFigures {
+        CacheProfile {
             slots: 4,
             queue: 32,
             service_ms: 8,
@@ -89,7 +90,7 @@
     }
 }
 
-impl CacheFigures {
+impl CacheProfile {
     /// As a cache takes them: one that has been there for long, or one that has just started.
     pub fn options(&self, cold: bool) -> CacheOptions {
         CacheOptions {
@@ -111,7 +112,7 @@
 /// The origin's figures; times are in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct OriginFigures {
+pub struct OriginProfile {
     /// Fetches and writes at a time.
     pub slots: usize,
     /// What one takes.
@@ -120,7 +121,7 @@
     pub patience_ms: u64,
 }
 
-impl OriginFigures {
+impl OriginProfile {
     /// As the origin takes them.
     pub fn options(&self) -> OriginOptions {
         OriginOptions {
@@ -146,12 +147,13 @@
 /// One thing that happens.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Step {
-    /// When, in seconds since all views first agreed. Later than that where a step before it waits longer.
+pub struct ScenarioStep {
+    /// When, in seconds since all views first agreed. Later than that where a step before it waits
+    /// longer.
     pub at: f64,
     /// What.
     #[serde(rename = "do")]
-    pub act: Act,
+    pub act: ScenarioAction,
     /// With whom, as in [`members`]; for links: from whom.
     #[serde(default = "all")]
     pub members: String,
@@ -167,8 +169,9 @@
     pub slow: Option<f64>,
     /// For `link`: what is wrong from then on.
     #[serde(default)]
-    pub faults: Faults,
-    /// How long until all views agree and are true after this is measured under this name, and waited for.
+    pub faults: LinkFaults,
+    /// How long until all views agree and are true after this is measured under this name, and
+    /// waited for.
     pub settles: Option<String>,
 }
 
@@ -179,7 +182,7 @@
 /// What can happen.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum ScenarioAction {
     /// SIGKILL.
     Kill,
     /// SIGSTOP.
@@ -213,15 +216,57 @@
 /// The most requests a second: each that is out has a thread of its own.
 pub const RATE_MAX: f64 = 1_000.0;
 
-/// Reads a scenario; the error names what is wrong and where.
-pub fn read(text: &str) -> Result<Scenario, String> {
-    let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
+/// A scenario that is not valid.
+#[derive(Debug, Error)]
+pub enum ScenarioError {
+    /// It is no TOML of the expected form.
+    #[error(transparent)]
+    Syntax(#[from] toml::de::Error),
+    /// Members have to belong to a fleet.
+    #[error("fleets: 0; 1 or more are expected")]
+    NoFleets,
+    /// A value of a step is out of range.
+    #[error("step[{index}].{key}: {problem}")]
+    Step {
+        /// Which step, from 0.
+        index: usize,
+        /// Which key.
+        key: String,
+        /// The value, and what is expected.
+        problem: String,
+    },
+}
+
+/// A text that names no set of members.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error(
+    "\"{text}\" is no member; a number, a range such as 3-5, all, none, first-half, second-half or \
+     last-quarter is expected"
+)]
+pub struct MemberSetError {
+    /// The text.
+    pub text: String,
+}
+
+/// Reads a scenario.
+///
+/// # Errors
+///
+/// Says what is wrong and where.
+pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
+    let scenario: Scenario = toml::from_str(text)?;
     if scenario.fleets == 0 {
-        return Err("fleets: 0; 1 or more are expected".into());
+        return Err(ScenarioError::NoFleets);
     }
     let mut before = 0.0;
     for (i, step) in scenario.steps.iter().enumerate() {
-        let wrong = |key: &str, problem: String| Err(format!("step[{i}].{key}: {problem}"));
+        let wrong = |key: &str, problem: String| {
+            Err(ScenarioError::Step {
+                index: i,
+                key: key.into(),
+                problem,
+            })
+        };
         if !step.at.is_finite() || step.at < before {
             return wrong(
                 "at",
@@ -231,10 +276,10 @@
         before = step.at;
         for (key, text) in [("members", &step.members), ("to", &step.to)] {
             if let Err(problem) = members(text, scenario.instances) {
-                return wrong(key, problem);
+                return wrong(key, problem.to_string());
             }
         }
-        if step.act == Act::Load
+        if step.act == ScenarioAction::Load
             && step
                 .rate
                 .is_none_or(|rate| !(0.0..=RATE_MAX).contains(&rate))
@@ -247,7 +292,7 @@
                 ),
             );
         }
-        if step.act == Act::SlowOrigin && step.slow.is_none_or(|slow| slow < 1.0) {
+        if step.act == ScenarioAction::SlowOrigin && step.slow.is_none_or(|slow| slow < 1.0) {
             return wrong("slow", format!("{:?}; 1 or more is expected", step.slow));
         }
         for (key, share) in [
@@ -266,9 +311,14 @@
     Ok(scenario)
 }
 
-/// Members by words, of `n`: `all`, `none`, `first-half`, `second-half`, `last-quarter`, or numbers such as `0,3-5`; numbers
-/// beyond the last count for nobody, so that a scenario fits any number of instances.
-pub fn members(text: &str, n: usize) -> Result<Vec<usize>, String> {
+/// Members by words, of `n`: `all`, `none`, `first-half`, `second-half`, `last-quarter`, or numbers
+/// such as `0,3-5`; numbers beyond the last count for nobody, so that a scenario fits any number of
+/// instances.
+///
+/// # Errors
+///
+/// If the text is none of these.
+pub fn members(text: &str, n: usize) -> Result<Vec<usize>, MemberSetError> {
     let range = |from: usize, to: usize| Ok((from.min(n)..to.min(n)).collect());
     match text {
         "all" => return range(0, n),
@@ -279,9 +329,9 @@
         _ => {}
     }
     let number = |text: &str| {
-        text.trim().parse::<usize>().map_err(|_| {
-            format!("\"{text}\" is no member; a number, a range such as 3-5, all, none, first-half, second-half or last-quarter is expected")
-        })
+        text.trim()
+            .parse::<usize>()
+            .map_err(|_| MemberSetError { text: text.into() })
     };
     let mut found = Vec::new();
     for part in text.split(',') {
@@ -295,47 +345,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = "name='a'\nabout='b'\ninstances=8\n[[step]]\nat=4\ndo='cut'\nmembers='0,2-3'\nboth=true\nsettles='cut'\n[[step]]\nat=9.5\ndo='heal'\n";
-
-    #[test]
-    fn a_timeline_is_read_and_a_faulty_one_named() {
-        let scenario = read(GOOD).unwrap();
-        assert_eq!(members(&scenario.steps[0].members, 8).unwrap(), [0, 2, 3]);
-        assert_eq!(
-            (scenario.steps[0].act, scenario.steps[1].act),
-            (Act::Cut, Act::Heal)
-        );
-        for (from, to, message) in [
-            (
-                "at=9.5",
-                "at=3",
-                "step[1].at: 3 comes before the step above, at 4",
-            ),
-            ("'0,2-3'", "'x'", "step[0].members: \"x\" is no member"),
-            (
-                "both=true",
-                "faults={drop=1.5}",
-                "step[0].faults.drop: 1.5 is no share of 0 to 1",
-            ),
-        ] {
-            let error = read(&GOOD.replace(from, to)).unwrap_err();
-            assert!(error.starts_with(message), "{error}");
-        }
-        assert!(
-            read(&GOOD.replace("'heal'", "'mend'"))
-                .unwrap_err()
-                .contains("unknown variant `mend`")
-        );
-    }
-
-    #[test]
-    fn members_are_told_by_words_and_numbers() {
-        assert_eq!(members("last-quarter", 12).unwrap(), [9, 10, 11]);
-        assert_eq!(members("second-half", 5).unwrap(), [2, 3, 4]);
-        assert_eq!(members("1,7-9", 8).unwrap(), [1, 7]);
-        assert!(members("none", 8).unwrap().is_empty());
-    }
-}
+mod tests;
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenario_catalog.rs
@@ -1,6 +1,7 @@
-//! The scenarios that come with the trials.
+//! The scenarios that come with the testbed.
 
-use crate::timeline::{Scenario, read};
+use crate::error::TestbedError;
+use crate::scenario::{Scenario, ScenarioError, read};
 
 const ALL: [(&str, &str); 17] = [
     ("join", include_str!("../scenarios/join.toml")),
@@ -34,33 +35,31 @@
 }
 
 /// One by its name, or else from a file.
-pub fn find(name: &str) -> Result<Scenario, String> {
+///
+/// # Errors
+///
+/// If there is none, or it is not valid.
+pub fn find(name: &str) -> Result<Scenario, TestbedError> {
     if let Some((_, text)) = ALL.iter().find(|(n, _)| *n == name) {
-        return read(text).map_err(|e| format!("{name}: {e}"));
+        return read(text).map_err(|e| invalid(name, e));
     }
-    let text = std::fs::read_to_string(name).map_err(|e| {
+    let text = std::fs::read_to_string(name).map_err(|source| {
         let names: Vec<&str> = names().collect();
-        format!(
-            "{name}: {e}; a file or one of {} is expected",
-            names.join(", ")
-        )
+        TestbedError::ScenarioNotFound {
+            name: name.into(),
+            source,
+            known: names.join(", "),
+        }
     })?;
-    read(&text).map_err(|e| format!("{name}: {e}"))
+    read(&text).map_err(|e| invalid(name, e))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_scenario_is_sound_and_bears_its_name() {
-        for name in names() {
-            assert_eq!(find(name).unwrap().name, name);
-        }
-        assert!(
-            find("/nowhere")
-                .unwrap_err()
-                .contains("one of join, kill-quarter")
-        );
+fn invalid(name: &str, source: ScenarioError) -> TestbedError {
+    TestbedError::InvalidScenario {
+        name: name.into(),
+        source,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/scenario_catalog/tests.rs
@@ -0,0 +1,16 @@
+//! Tests of `scenario_catalog`.
+
+use super::*;
+
+#[test]
+fn each_scenario_is_sound_and_bears_its_name() {
+    for name in names() {
+        assert_eq!(find(name).unwrap().name, name);
+    }
+    assert!(
+        find("/nowhere")
+            .unwrap_err()
+            .to_string()
+            .contains("one of join, kill-quarter")
+    );
+}
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -1,18 +1,20 @@
 //! Plays a scenario and gives the verdict.
 
-use crate::faults::Faults;
-use crate::ground::{Ground, Plan};
-use crate::member::Meant;
-use crate::meter::{self, Sample, Second, Span};
-use crate::referee::{Failure, Referee};
-use crate::timeline::{Act, Scenario, Step, members};
+use crate::cluster::{Cluster, ClusterPlan};
+use crate::error::TestbedError;
+use crate::invariants::{InvariantChecker, InvariantViolation};
+use crate::member_process::IntendedState;
+use crate::network_emulation::faults::LinkFaults;
+use crate::overload_metrics::{self, ClusterSample, SecondMetrics, SpanMetrics};
+use crate::scenario::{Scenario, ScenarioAction, ScenarioStep, members};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A process that is asked to end has this long; requests of the longest class and the platform's slack fit in.
+/// A process that is asked to end has this long; requests of the longest class and the platform's
+/// slack fit in.
 const END_MOST: Duration = Duration::from_secs(10);
 /// The list knows of a death this late, and of a start.
 const UNLISTED_AFTER: Duration = Duration::from_secs(2);
@@ -24,7 +26,7 @@
 
 /// What a trial showed.
 #[derive(Clone, Debug, Serialize)]
-pub struct Report {
+pub struct ScenarioReport {
     /// The scenario.
     pub scenario: String,
     /// How many processes.
@@ -46,20 +48,21 @@
     /// Means over the members that ran to the end, since their start.
     pub member: BTreeMap<String, f64>,
     /// What the fleet did second by second, where it was metered.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondMetrics>,
     /// The judgement before, in and after the trouble.
-    pub spans: BTreeMap<String, Span>,
-    /// Seconds from the trouble's end until nine tenths of the worth were back; absent where they never came.
+    pub spans: BTreeMap<String, SpanMetrics>,
+    /// Seconds from the trouble's end until nine tenths of the worth were back; absent where they
+    /// never came.
     pub recovered_s: Option<f64>,
     /// What was done, and when, in seconds.
     pub done: Vec<(f64, String)>,
     /// What broke; at most fifty are told.
-    pub failures: Vec<Failure>,
+    pub failures: Vec<InvariantViolation>,
     /// How much broke in all.
     pub failed: usize,
 }
 
-impl Report {
+impl ScenarioReport {
     /// The verdict's line.
     pub fn verdict(&self) -> String {
         match self.failures.first() {
@@ -72,9 +75,9 @@
     }
 }
 
-struct Play<'a> {
-    ground: Ground,
-    referee: Referee,
+struct ScenarioRun<'a> {
+    ground: Cluster,
+    referee: InvariantChecker,
     scenario: &'a Scenario,
     done: Vec<(f64, String)>,
     settled: BTreeMap<String, f64>,
@@ -82,19 +85,23 @@
     interrupted: &'a AtomicBool,
     /// The start of the timeline.
     begun: Instant,
-    samples: Vec<Sample>,
+    samples: Vec<ClusterSample>,
     /// What the list is to say of a cache, and when: whether it is there.
     listings: Vec<(Instant, usize, bool)>,
-    seconds: Vec<Second>,
-    spans: BTreeMap<String, Span>,
+    seconds: Vec<SecondMetrics>,
+    spans: BTreeMap<String, SpanMetrics>,
     recovered_s: Option<f64>,
 }
 
 /// Plays a scenario on a ground by this plan. `interrupted` ends it early.
-pub fn play(scenario: &Scenario, plan: Plan, interrupted: &AtomicBool) -> Result<Report, String> {
-    let ground = Ground::lay_out(plan)?;
-    let (referee, done, settled) = (Referee::default(), Vec::new(), BTreeMap::new());
-    let mut play = Play {
+pub fn play(
+    scenario: &Scenario,
+    plan: ClusterPlan,
+    interrupted: &AtomicBool,
+) -> Result<ScenarioReport, TestbedError> {
+    let ground = Cluster::lay_out(plan)?;
+    let (referee, done, settled) = (InvariantChecker::default(), Vec::new(), BTreeMap::new());
+    let mut play = ScenarioRun {
         ground,
         referee,
         scenario,
@@ -117,12 +124,12 @@
     Ok(play.report())
 }
 
-impl Play<'_> {
+impl ScenarioRun<'_> {
     /// What all members logged, by the time at which it came.
-    fn write_logs(&self, folder: &Path) -> Result<(), String> {
+    fn write_logs(&self, folder: &Path) -> Result<(), TestbedError> {
         let mut lines: Vec<(f64, String)> = Vec::new();
         for member in &self.ground.members {
-            let of = |line: crate::member::Line| {
+            let of = |line: crate::member_process::LogLine| {
                 (line.at, format!("{} {}", member.spec.name, line.text))
             };
             lines.extend(member.log().into_iter().map(of));
@@ -144,14 +151,14 @@
         ));
         std::fs::create_dir_all(folder)
             .and_then(|()| std::fs::write(&file, text))
-            .map_err(|e| format!("{}: {e}", file.display()))
+            .map_err(|e| TestbedError::file(&file, e))
     }
 
     fn now(&self) -> f64 {
         self.ground.begun.elapsed().as_secs_f64()
     }
 
-    fn run(&mut self) -> Result<(), String> {
+    fn run(&mut self) -> Result<(), TestbedError> {
         let n = self.ground.plan.instances;
         let everyone: Vec<usize> = (0..n).collect();
         self.ground
@@ -208,7 +215,7 @@
             .as_ref()
             .map(|o| o.counts())
             .unwrap_or_default();
-        self.samples.push(Sample {
+        self.samples.push(ClusterSample {
             at,
             caches,
             origin,
@@ -217,7 +224,7 @@
     }
 
     /// Carries out what the list is to say by now.
-    fn listings(&mut self) -> Result<(), String> {
+    fn listings(&mut self) -> Result<(), TestbedError> {
         let now = Instant::now();
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.listings)
             .into_iter()
@@ -226,10 +233,7 @@
         for (at, cache, there) in due {
             if there {
                 let age = now.saturating_duration_since(at) + LISTED_AFTER;
-                let born = SystemTime::now()
-                    .duration_since(UNIX_EPOCH)
-                    .map_err(|e| e.to_string())?
-                    - age;
+                let born = SystemTime::now().duration_since(UNIX_EPOCH)? - age;
                 self.ground.list_cache(cache, born.as_millis() as u64);
             } else {
                 self.ground.unlist_cache(cache);
@@ -239,7 +243,7 @@
     }
 
     /// Judges the spans before, in and after the trouble, where there is one.
-    fn judge(&mut self, asked: &[crate::stand_ins::clients::Asked], offset: f64) {
+    fn judge(&mut self, asked: &[crate::simulated_services::clients::ClientRequest], offset: f64) {
         let Some((from, to)) = self.scenario.trouble else {
             return;
         };
@@ -252,16 +256,16 @@
             ("trouble", (from, to)),
             ("after", (to, last)),
         ] {
-            let judged = meter::span(span, &self.samples, asked, offset, room, caches);
+            let judged = overload_metrics::span(span, &self.samples, asked, offset, room, caches);
             self.spans.insert(name.into(), judged);
         }
-        self.seconds = meter::seconds(&self.samples, asked, offset);
-        self.recovered_s = meter::recovery(&self.seconds, before, to);
+        self.seconds = overload_metrics::seconds(&self.samples, asked, offset);
+        self.recovered_s = overload_metrics::recovery(&self.seconds, before, to);
     }
 
-    fn check_interrupted(&self) -> Result<(), String> {
+    fn check_interrupted(&self) -> Result<(), TestbedError> {
         if self.interrupted.load(Ordering::Relaxed) {
-            Err("interrupted".into())
+            Err(TestbedError::Interrupted)
         } else {
             Ok(())
         }
@@ -272,7 +276,7 @@
     }
 
     /// Holds what members see now against the invariants that always hold.
-    fn look(&mut self) -> Vec<Option<crate::member::View>> {
+    fn look(&mut self) -> Vec<Option<crate::member_process::MemberView>> {
         let views = self.ground.views();
         let at = self.now();
         self.referee.shares(at, &views, self.scenario.shares_most);
@@ -290,8 +294,8 @@
                 self.referee
                     .untrue(&self.ground, &views, self.scenario.suspicions)
             } else {
-                let away = |m: &&crate::member::MemberProcess| {
-                    m.meant == Meant::Up && m.call("/admin/health").is_none()
+                let away = |m: &&crate::member_process::MemberProcess| {
+                    m.meant == IntendedState::Up && m.call("/admin/health").is_none()
                 };
                 self.ground
                     .members
@@ -315,7 +319,7 @@
         }
     }
 
-    fn step(&mut self, step: &Step) -> Result<(), String> {
+    fn step(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
         let n = self.ground.plan.instances;
         let (from, to) = (members(&step.members, n)?, members(&step.to, n)?);
         self.note(format!(
@@ -325,57 +329,57 @@
             if step.both { "both ways" } else { "" }
         ));
         match step.act {
-            Act::Kill => self.each(&from, true, |m| m.kill()),
-            Act::Stop => self.each(&from, true, |m| m.stop()),
-            Act::GoOn => self.each(&from, false, |m| m.go_on()),
-            Act::Term => self.each(&from, true, |m| m.term()),
-            Act::Start => {
+            ScenarioAction::Kill => self.each(&from, true, |m| m.kill()),
+            ScenarioAction::Stop => self.each(&from, true, |m| m.stop()),
+            ScenarioAction::GoOn => self.each(&from, false, |m| m.go_on()),
+            ScenarioAction::Term => self.each(&from, true, |m| m.term()),
+            ScenarioAction::Start => {
                 for i in &from {
                     self.ground.members[*i].start()?;
                 }
                 self.back(&from);
             }
-            Act::Roll => {
+            ScenarioAction::Roll => {
                 for i in &from {
                     self.roll(*i)?;
                     self.look();
                 }
             }
-            Act::Cut => self.links(
+            ScenarioAction::Cut => self.links(
                 &from,
                 &to,
                 step.both,
-                Faults {
+                LinkFaults {
                     cut: true,
                     ..self.scenario.links
                 },
             ),
-            Act::Link => self.links(&from, &to, step.both, step.faults),
-            Act::Heal => self.links(&from, &to, step.both, self.scenario.links),
-            Act::Load => self
+            ScenarioAction::Link => self.links(&from, &to, step.both, step.faults),
+            ScenarioAction::Heal => self.links(&from, &to, step.both, self.scenario.links),
+            ScenarioAction::Load => self
                 .ground
                 .load
                 .set(step.rate.unwrap_or(self.scenario.rate)),
-            Act::KillCaches => {
+            ScenarioAction::KillCaches => {
                 for cache in members(&step.members, self.ground.plan.caches)? {
                     self.ground.kill_cache(cache);
                     self.listings
                         .push((Instant::now() + UNLISTED_AFTER, cache, false));
                 }
             }
-            Act::StartCaches => {
+            ScenarioAction::StartCaches => {
                 for cache in members(&step.members, self.ground.plan.caches)? {
                     self.ground.start_cache(cache)?;
                     self.listings
                         .push((Instant::now() + LISTED_AFTER, cache, true));
                 }
             }
-            Act::SlowOrigin => {
+            ScenarioAction::SlowOrigin => {
                 if let Some(origin) = &self.ground.origin {
                     origin.slow(step.slow.unwrap_or(1.0));
                 }
             }
-            Act::Wait => {}
+            ScenarioAction::Wait => {}
         }
         let step_done = Instant::now();
         if let Some(name) = &step.settles {
@@ -385,7 +389,12 @@
         self.check_interrupted()
     }
 
-    fn each(&mut self, who: &[usize], away: bool, act: impl Fn(&mut crate::member::MemberProcess)) {
+    fn each(
+        &mut self,
+        who: &[usize],
+        away: bool,
+        act: impl Fn(&mut crate::member_process::MemberProcess),
+    ) {
         for i in who {
             // What is seen of it lies between the two, whatever else the machine does.
             let before = self.now();
@@ -397,7 +406,7 @@
 
     /// They were started: until they are ready they count as away.
     fn back(&mut self, who: &[usize]) {
-        let ready = |ground: &Ground| {
+        let ready = |ground: &Cluster| {
             who.iter()
                 .all(|i| ground.members[*i].call("/admin/health").is_some())
         };
@@ -410,7 +419,7 @@
         who.iter().for_each(|i| self.referee.away(at, *i, false));
     }
 
-    fn roll(&mut self, i: usize) -> Result<(), String> {
+    fn roll(&mut self, i: usize) -> Result<(), TestbedError> {
         let at = self.now();
         self.referee.away(at, i, true);
         self.ground.members[i].term();
@@ -424,7 +433,7 @@
         Ok(())
     }
 
-    fn links(&mut self, from: &[usize], to: &[usize], both: bool, faults: Faults) {
+    fn links(&mut self, from: &[usize], to: &[usize], both: bool, faults: LinkFaults) {
         let at = self.now();
         for i in from {
             for j in to.iter().filter(|j| *j != i) {
@@ -438,7 +447,7 @@
         }
     }
 
-    fn report(self) -> Report {
+    fn report(self) -> ScenarioReport {
         let mut member: BTreeMap<String, f64> = BTreeMap::new();
         let views: Vec<_> = self.ground.views().into_iter().flatten().collect();
         let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
@@ -467,7 +476,7 @@
             .collect();
         member.insert("memory".into(), mean(memory));
         let (failures, failed) = self.referee.failures();
-        Report {
+        ScenarioReport {
             scenario: self.scenario.name.clone(),
             instances: self.ground.plan.instances,
             seed: self.ground.plan.seed,
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/simulated_services.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what a balancer meets: tile caches, discovery and clients. They speak the published protocol, over
-//! loopback, and keep count of all that they saw.
+//! Stand-ins for what a balancer meets: tile caches, discovery and clients. They speak the
+//! published protocol, over loopback, and keep count of all that they saw.
 
 pub mod cache;
 pub mod clients;
@@ -13,14 +13,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// A listening thread and the connections it took; all end with this.
-pub struct Door {
+pub struct TcpService {
     end: Arc<AtomicBool>,
     address: SocketAddr,
     open: Arc<Mutex<Vec<TcpStream>>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Door {
+impl TcpService {
     /// Takes connections at an address, each in a thread of its own.
     pub fn open(
         address: SocketAddr,
@@ -53,7 +53,7 @@
                 });
             }
         });
-        Ok(Door {
+        Ok(TcpService {
             end,
             address,
             open,
@@ -62,12 +62,13 @@
     }
 }
 
-impl Drop for Door {
+impl Drop for TcpService {
     fn drop(&mut self) {
         self.end.store(true, Ordering::Relaxed);
         // Whoever waits for a connection gets one, and sees that it is over.
         let _ = TcpStream::connect(self.address);
-        // The listener is gone once its thread has ended; connections that came last are among the taken.
+        // The listener is gone once its thread has ended; connections that came last are among the
+        // taken.
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/testbed/src/stand_ins/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -1,8 +1,8 @@
-//! A tile cache of limited room: it works at so many requests at a time, lets so many wait, starts cold, reads through,
-//! and counts every execution.
+//! A tile cache of limited room: it works at so many requests at a time, lets so many wait, starts
+//! cold, reads through, and counts every execution.
 
 use super::origin::Origin;
-use super::{Door, resp};
+use super::{TcpService, resp};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -57,7 +57,7 @@
 
 /// What came to a cache, as counts since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct CacheCounts {
     /// Requests, those turned away included.
     pub tries: u64,
     /// Requests turned away.
@@ -73,7 +73,7 @@
 }
 
 #[derive(Default)]
-struct State {
+struct CacheState {
     tries: u64,
     probes: u64,
     connections: u64,
@@ -88,17 +88,17 @@
     executed: HashMap<String, Executed>,
 }
 
-struct Shared {
+struct SharedCache {
     name: String,
     options: CacheOptions,
     origin: Option<Origin>,
     started: Instant,
-    state: Mutex<State>,
+    state: Mutex<CacheState>,
     freed: Condvar,
 }
 
-impl Shared {
-    fn state(&self) -> MutexGuard<'_, State> {
+impl SharedCache {
+    fn state(&self) -> MutexGuard<'_, CacheState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -117,19 +117,20 @@
 
 /// A tile cache; it ends with this, and so do its connections.
 pub struct Cache {
-    shared: Arc<Shared>,
-    _door: Door,
+    shared: Arc<SharedCache>,
+    _door: TcpService,
 }
 
 impl Cache {
-    /// Starts it at an address; without an origin a miss takes `fetch`, and a write no longer than a hit.
+    /// Starts it at an address; without an origin a miss takes `fetch`, and a write no longer than
+    /// a hit.
     pub fn start(
         name: &str,
         address: SocketAddr,
         options: CacheOptions,
         origin: Option<Origin>,
     ) -> io::Result<Self> {
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(SharedCache {
             name: name.into(),
             options,
             origin,
@@ -138,7 +139,7 @@
             freed: Condvar::new(),
         });
         let serving = Arc::clone(&shared);
-        let door = Door::open(address, move |stream| serve(&serving, stream))?;
+        let door = TcpService::open(address, move |stream| serve(&serving, stream))?;
         Ok(Cache {
             shared,
             _door: door,
@@ -156,9 +157,9 @@
     }
 
     /// What came to it so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CacheCounts {
         let state = self.shared.state();
-        Counts {
+        CacheCounts {
             tries: state.tries,
             turned_away: state.turned_away,
             probes: state.probes,
@@ -169,7 +170,7 @@
     }
 }
 
-fn serve(shared: &Shared, stream: TcpStream) -> io::Result<()> {
+fn serve(shared: &SharedCache, stream: TcpStream) -> io::Result<()> {
     let mut input = BufReader::new(stream.try_clone()?);
     let mut output = stream;
     shared.state().connections += 1;
@@ -205,7 +206,7 @@
 }
 
 fn answer(
-    shared: &Shared,
+    shared: &SharedCache,
     output: &mut TcpStream,
     key: &[u8],
     id: &[u8],
--- a/crates/testbed/src/stand_ins/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -1,7 +1,7 @@
-//! Clients: requests in an open loop, each with a deadline. Who finds its connection broken goes to another balancer; a
-//! request is said again only where that is harmless.
+//! Clients: requests in an open loop, each with a deadline. Who finds its connection broken goes to
+//! another balancer; a request is said again only where that is harmless.
 
-use super::resp::{self, Answer};
+use super::resp::{self, RespReply};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long after its deadline an answer is still waited for, to tell late from never on any machine.
+/// How long after its deadline an answer is still waited for, to tell late from never on any
+/// machine.
 const GRACE: Duration = Duration::from_secs(20);
 /// Keys that are asked for.
 const KEYS: u64 = 400;
@@ -20,7 +21,7 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum RequestEnd {
     /// A value or receipt.
     Served,
     /// `-BUSY`.
@@ -39,7 +40,7 @@
 
 /// One request as its client saw it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Asked {
+pub struct ClientRequest {
     /// Its id.
     pub id: String,
     /// Its class.
@@ -51,7 +52,7 @@
     /// See `at`.
     pub took: f64,
     /// How it ended.
-    pub end: End,
+    pub end: RequestEnd,
     /// More came on the connection than was asked for.
     pub extra: bool,
     /// It was said again for one that was refused or failed.
@@ -60,7 +61,8 @@
     pub wait_ms: Option<u64>,
 }
 
-/// A class of requests: its name, its share, its deadline, and whether it is a write and carries a key.
+/// A class of requests: its name, its share, its deadline, and whether it is a write and carries a
+/// key.
 const CLASSES: [(&str, f64, u64, bool, bool); 3] = [
     ("tile-read", 0.90, 600, false, false),
     ("status-set", 0.05, 1_000, true, true),
@@ -76,18 +78,19 @@
 /// How clients behave.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Behaviour {
+pub struct ClientOptions {
     /// How often a request that was refused or failed is said again, where that is harmless.
     pub returns: u32,
-    /// Whether a return waits as long as the refusal says; else it comes at once, at another balancer.
+    /// Whether a return waits as long as the refusal says; else it comes at once, at another
+    /// balancer.
     pub obey: bool,
     /// The first balancer gets so many times the mean of the others' traffic.
     pub first: f64,
 }
 
-impl Default for Behaviour {
+impl Default for ClientOptions {
     fn default() -> Self {
-        Behaviour {
+        ClientOptions {
             returns: 0,
             obey: true,
             first: 1.0,
@@ -101,9 +104,9 @@
 
 /// Requests a second over all clients, changed while they work.
 #[derive(Clone, Debug, Default)]
-pub struct Load(Arc<AtomicU64>);
+pub struct RequestRate(Arc<AtomicU64>);
 
-impl Load {
+impl RequestRate {
     /// So many from now on.
     pub fn set(&self, per_s: f64) {
         self.0.store(per_s.max(0.0).to_bits(), Ordering::Relaxed);
@@ -115,7 +118,7 @@
 }
 
 /// What a client wants, over all its returns.
-struct Order {
+struct RequestTemplate {
     class: &'static str,
     deadline: u64,
     write: bool,
@@ -126,7 +129,7 @@
 /// Clients at work; they end with this.
 pub struct Clients {
     end: Arc<AtomicBool>,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    asked: Arc<Mutex<Vec<ClientRequest>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -135,7 +138,7 @@
     /// Where it goes first.
     home: usize,
     at: usize,
-    behaviour: Behaviour,
+    behaviour: ClientOptions,
     stream: Option<(TcpStream, BufReader<TcpStream>)>,
     rng: Xoshiro256PlusPlus,
     name: String,
@@ -144,12 +147,13 @@
 }
 
 impl Clients {
-    /// `workers` clients that together send as many requests a second as `load` says, to these doors, as seen from `begun`.
+    /// `workers` clients that together send as many requests a second as `load` says, to these
+    /// doors, as seen from `begun`.
     pub fn start(
         doors: &[SocketAddr],
         workers: usize,
-        load: &Load,
-        behaviour: Behaviour,
+        load: &RequestRate,
+        behaviour: ClientOptions,
         seed: u64,
         begun: Instant,
     ) -> Self {
@@ -157,7 +161,8 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::new())),
         );
-        // Of workers in turn so many stay with the first balancer that it gets its multiple of the mean.
+        // Of workers in turn so many stay with the first balancer that it gets its multiple of the
+        // mean.
         let others = doors.len() as f64 - 1.0;
         let first = behaviour.first / (behaviour.first + others);
         let threads = (0..workers)
@@ -215,7 +220,7 @@
     }
 
     /// Ends them; what each asked, and how it went.
-    pub fn stop(mut self) -> Vec<Asked> {
+    pub fn stop(mut self) -> Vec<ClientRequest> {
         self.end.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
@@ -244,7 +249,7 @@
     }
 
     /// One request, and its returns.
-    fn ask_until_done(&mut self, asked: &Mutex<Vec<Asked>>) {
+    fn ask_until_done(&mut self, asked: &Mutex<Vec<ClientRequest>>) {
         let order = self.order();
         let mut again = 0;
         loop {
@@ -254,9 +259,10 @@
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(one);
-            // After a failure only what may run twice is said again; a refusal says that a return is harmless.
-            let harmless =
-                end == End::Refused || end == End::Failed && order.class != "map-publish";
+            // After a failure only what may run twice is said again; a refusal says that a return
+            // is harmless.
+            let harmless = end == RequestEnd::Refused
+                || end == RequestEnd::Failed && order.class != "map-publish";
             if !harmless || again >= self.behaviour.returns {
                 break;
             }
@@ -278,7 +284,7 @@
     }
 
     /// What is asked for next.
-    fn order(&mut self) -> Order {
+    fn order(&mut self) -> RequestTemplate {
         let mut draw = self.rng.random::<f64>();
         let class = CLASSES.iter().find(|(_, share, ..)| {
             draw -= share;
@@ -292,7 +298,7 @@
         );
         // A return carries the key of the first.
         let keyed = keyed.then(|| format!("{}-{:x}", self.name, self.sent + 1));
-        Order {
+        RequestTemplate {
             class,
             deadline,
             write,
@@ -301,8 +307,8 @@
         }
     }
 
-    fn ask(&mut self, order: &Order, again: bool) -> Asked {
-        let Order {
+    fn ask(&mut self, order: &RequestTemplate, again: bool) -> ClientRequest {
+        let RequestTemplate {
             class,
             deadline,
             write,
@@ -334,12 +340,15 @@
         let balancer = self.at;
         let most = Duration::from_millis(deadline) + GRACE;
         let (end, extra, wait_ms) = self.exchange(&command, most, key, write);
-        if matches!(end, End::Broken | End::NoDoor | End::Never) {
+        if matches!(
+            end,
+            RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never
+        ) {
             self.stream = None;
             self.at = self.rng.random_range(0..self.doors.len());
         }
         let at = sent.duration_since(begun).as_secs_f64();
-        Asked {
+        ClientRequest {
             id,
             class,
             balancer,
@@ -358,8 +367,9 @@
         most: Duration,
         key: &str,
         write: bool,
-    ) -> (End, bool, Option<u64>) {
-        // Between requests a balancer may close a connection: then the request goes once more, on a new one.
+    ) -> (RequestEnd, bool, Option<u64>) {
+        // Between requests a balancer may close a connection: then the request goes once more, on a
+        // new one.
         if self.stream.as_ref().is_some_and(|(stream, _)| {
             let _ = stream.set_nonblocking(true);
             let ended = matches!(stream.peek(&mut [0]), Ok(0))
@@ -372,32 +382,32 @@
             self.stream = None;
         }
         let Ok((stream, input)) = self.connection() else {
-            return (End::NoDoor, false, None);
+            return (RequestEnd::NoDoor, false, None);
         };
         if stream.set_read_timeout(Some(most)).is_err() || stream.write_all(command).is_err() {
-            return (End::Broken, false, None);
+            return (RequestEnd::Broken, false, None);
         }
         let mut wait_ms = None;
         let end = match resp::answer(input) {
-            Ok(Answer::Bulk(Some(value))) => judge(&value, key, write),
-            Ok(Answer::Array(parts)) => match parts.first() {
-                Some(Answer::Bulk(Some(value))) => judge(value, key, write),
-                _ => End::Failed,
+            Ok(RespReply::Bulk(Some(value))) => judge(&value, key, write),
+            Ok(RespReply::Array(parts)) => match parts.first() {
+                Some(RespReply::Bulk(Some(value))) => judge(value, key, write),
+                _ => RequestEnd::Failed,
             },
-            Ok(Answer::Error(text)) if text == "BUSY" || text.starts_with("BUSY ") => {
+            Ok(RespReply::Error(text)) if text == "BUSY" || text.starts_with("BUSY ") => {
                 wait_ms = text.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok());
-                End::Refused
+                RequestEnd::Refused
             }
-            Ok(_) => End::Failed,
+            Ok(_) => RequestEnd::Failed,
             Err(e)
                 if matches!(
                     e.kind(),
                     io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                 ) =>
             {
-                End::Never
+                RequestEnd::Never
             }
-            Err(_) => End::Broken,
+            Err(_) => RequestEnd::Broken,
         };
         // One request is out at a time: whatever else came is a second answer.
         (end, !input.buffer().is_empty(), wait_ms)
@@ -405,9 +415,13 @@
 }
 
 /// Whether a cache makes this for that key.
-fn judge(value: &[u8], key: &str, write: bool) -> End {
+fn judge(value: &[u8], key: &str, write: bool) -> RequestEnd {
     let text = String::from_utf8_lossy(value);
     let made = text.starts_with(&format!("tile {key} by ")) || text.starts_with("written by ");
     let right = if write { text == "stored" } else { made };
-    if right { End::Served } else { End::Wrong }
+    if right {
+        RequestEnd::Served
+    } else {
+        RequestEnd::Wrong
+    }
 }
--- a/crates/testbed/src/stand_ins/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery: one list of caches, told over HTTP, whole or as a watch. Each balancer may be told addresses of its own.
+//! Discovery: one list of caches, told over HTTP, whole or as a watch. Each balancer may be told
+//! addresses of its own.
 
-use super::Door;
+use super::TcpService;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +16,7 @@
 
 /// A cache on the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Host {
+pub struct ListedHost {
     /// `in_service` or `terminating`.
     pub health: &'static str,
     /// When it last started, in Unix milliseconds; 0 for long ago.
@@ -24,15 +25,15 @@
 
 /// The list, shared by all doors.
 #[derive(Clone, Default)]
-pub struct List(Arc<Mutex<(u64, BTreeMap<String, Host>)>>);
+pub struct EndpointList(Arc<Mutex<(u64, BTreeMap<String, ListedHost>)>>);
 
-impl List {
-    fn lock(&self) -> MutexGuard<'_, (u64, BTreeMap<String, Host>)> {
+impl EndpointList {
+    fn lock(&self) -> MutexGuard<'_, (u64, BTreeMap<String, ListedHost>)> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Puts a cache on the list, or changes what is said of it.
-    pub fn put(&self, name: &str, host: Host) {
+    pub fn put(&self, name: &str, host: ListedHost) {
         let mut list = self.lock();
         list.0 += 1;
         list.1.insert(name.into(), host);
@@ -45,7 +46,8 @@
         list.1.remove(name);
     }
 
-    /// The whole list as it goes over the wire, and its version; `None` if it is not newer than what was told.
+    /// The whole list as it goes over the wire, and its version; `None` if it is not newer than
+    /// what was told.
     pub fn line(
         &self,
         told: u64,
@@ -74,25 +76,25 @@
 
 /// Discovery as one balancer reaches it; it ends with this.
 pub struct Discovery {
-    _door: Door,
+    _door: TcpService,
 }
 
 impl Discovery {
     /// Tells the list at an address; `dial` is where a cache is reached from there.
     pub fn start(
         address: SocketAddr,
-        list: List,
+        list: EndpointList,
         dial: impl Fn(&str) -> Option<SocketAddr> + Clone + Send + 'static,
     ) -> io::Result<Self> {
         Ok(Discovery {
-            _door: Door::open(address, move |stream| serve(stream, &list, &dial))?,
+            _door: TcpService::open(address, move |stream| serve(stream, &list, &dial))?,
         })
     }
 }
 
 fn serve(
     mut stream: TcpStream,
-    list: &List,
+    list: &EndpointList,
     dial: &impl Fn(&str) -> Option<SocketAddr>,
 ) -> io::Result<()> {
     let mut head = Vec::new();
--- a/crates/testbed/src/stand_ins/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -1,5 +1,5 @@
-//! The slow map store behind the caches: it takes so many fetches and writes at a time, and may be slowed while it works.
-//! Caches alone talk to it.
+//! The slow map store behind the caches: it takes so many fetches and writes at a time, and may be
+//! slowed while it works. Caches alone talk to it.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 }
 
 #[derive(Default)]
-struct State {
+struct OriginState {
     at_work: usize,
     fetches: u64,
     failed: u64,
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 pub struct Origin {
     options: OriginOptions,
-    state: Arc<(Mutex<State>, Condvar)>,
+    state: Arc<(Mutex<OriginState>, Condvar)>,
 }
 
 impl Origin {
@@ -40,7 +40,7 @@
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, OriginState> {
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -84,25 +84,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn it_takes_so_many_at_a_time_and_fails_those_that_wait_in_vain() {
-        let options = OriginOptions {
-            slots: 1,
-            service: Duration::from_millis(200),
-            patience: Duration::from_millis(1),
-        };
-        let origin = Origin::new(options);
-        let other = origin.clone();
-        let first = std::thread::spawn(move || other.work());
-        while origin.counts().0 == 0 {
-            std::thread::yield_now();
-        }
-        assert!(!origin.work(), "the one slot is taken");
-        assert!(first.join().unwrap());
-        assert_eq!(origin.counts(), (1, 1));
-        assert!(origin.work());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/simulated_services/origin/tests.rs
@@ -0,0 +1,22 @@
+//! Tests of `origin`.
+
+use super::*;
+
+#[test]
+fn it_takes_so_many_at_a_time_and_fails_those_that_wait_in_vain() {
+    let options = OriginOptions {
+        slots: 1,
+        service: Duration::from_millis(200),
+        patience: Duration::from_millis(1),
+    };
+    let origin = Origin::new(options);
+    let other = origin.clone();
+    let first = std::thread::spawn(move || other.work());
+    while origin.counts().0 == 0 {
+        std::thread::yield_now();
+    }
+    assert!(!origin.work(), "the one slot is taken");
+    assert!(first.join().unwrap());
+    assert_eq!(origin.counts(), (1, 1));
+    assert!(origin.work());
+}
