--- a/crates/testbed/src/stand_ins/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -9,7 +9,7 @@
 
 /// An answer of a balancer, or an element of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum RespReply {
     /// A bulk string, or null.
     Bulk(Option<Vec<u8>>),
     /// A simple string or an integer.
@@ -17,7 +17,7 @@
     /// An error.
     Error(String),
     /// An array.
-    Array(Vec<Answer>),
+    Array(Vec<RespReply>),
 }
 
 fn line(input: &mut impl BufRead) -> io::Result<String> {
@@ -67,17 +67,17 @@
 }
 
 /// The next answer.
-pub fn answer(input: &mut impl BufRead) -> io::Result<Answer> {
+pub fn answer(input: &mut impl BufRead) -> io::Result<RespReply> {
     let head = line(input)?;
     let (kind, rest) = head.split_at_checked(1).unwrap_or(("", ""));
     match kind {
-        "+" | ":" => Ok(Answer::Line(rest.into())),
-        "-" => Ok(Answer::Error(rest.into())),
-        "$" if rest == "-1" => Ok(Answer::Bulk(None)),
-        "$" => Ok(Answer::Bulk(Some(word(input, number(rest, WORD_MAX)?)?))),
+        "+" | ":" => Ok(RespReply::Line(rest.into())),
+        "-" => Ok(RespReply::Error(rest.into())),
+        "$" if rest == "-1" => Ok(RespReply::Bulk(None)),
+        "$" => Ok(RespReply::Bulk(Some(word(input, number(rest, WORD_MAX)?)?))),
         "*" => {
             let length = number(rest, WORDS_MAX)?;
-            Ok(Answer::Array(
+            Ok(RespReply::Array(
                 (0..length)
                     .map(|_| answer(input))
                     .collect::<io::Result<_>>()?,
@@ -88,31 +88,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn commands_and_answers_are_read_whole_and_faulty_ones_named() {
-        let bytes = write_command(&[b"C.GET", b"a b", b""]);
-        assert_eq!(
-            command(&mut bytes.as_slice()).unwrap(),
-            [b"C.GET".to_vec(), b"a b".to_vec(), Vec::new()]
-        );
-        for cut in 0..bytes.len() {
-            assert!(command(&mut &bytes[..cut]).is_err(), "after {cut}");
-        }
-        let text = b"*3\r\n$1\r\nv\r\n$-1\r\n+x\r\n-BUSY 7\r\n";
-        let mut input = text.as_slice();
-        let array = [
-            Answer::Bulk(Some(b"v".to_vec())),
-            Answer::Bulk(None),
-            Answer::Line("x".into()),
-        ];
-        assert_eq!(answer(&mut input).unwrap(), Answer::Array(array.into()));
-        assert_eq!(answer(&mut input).unwrap(), Answer::Error("BUSY 7".into()));
-        assert!(
-            answer(&mut b"$99999999\r\n".as_slice()).is_err()
-                && answer(&mut b"?\r\n".as_slice()).is_err()
-        );
-    }
-}
+mod tests;
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -1,4 +1,5 @@
-//! Members of the `fleet` crate side by side in virtual time: the same seed plays the same course on every machine.
+//! Members of the `fleet` crate side by side in virtual time: the same seed plays the same course
+//! on every machine.
 
 use membership::{
     Location, MS, Member, MemberMetadata, MemberStatistics, MemberStatus, MembershipEvent,
@@ -13,7 +14,7 @@
 
 /// What the network does to each datagram.
 #[derive(Clone, Copy, Debug)]
-pub struct Network {
+pub struct NetworkConditions {
     /// The share that is lost.
     pub loss: f64,
     /// The delay of each, and what is added at random.
@@ -26,9 +27,9 @@
     pub load_loss: f64,
 }
 
-impl Default for Network {
+impl Default for NetworkConditions {
     fn default() -> Self {
-        Network {
+        NetworkConditions {
             loss: 0.0,
             delay: MS / 2,
             jitter: MS / 2,
@@ -38,7 +39,7 @@
     }
 }
 
-struct Place {
+struct MemberSlot {
     member: Option<Member>,
     /// Stands still until then.
     stalled: Nanos,
@@ -53,21 +54,21 @@
     busy: Duration,
 }
 
-enum What {
+enum QueuedEvent {
     Turn(usize),
     Datagram(usize, SocketAddr, Vec<u8>),
 }
 
 /// A fleet in virtual time.
-pub struct Fleet {
-    places: Vec<Place>,
-    queue: BTreeMap<(Nanos, u64), What>,
+pub struct SimulatedFleet {
+    places: Vec<MemberSlot>,
+    queue: BTreeMap<(Nanos, u64), QueuedEvent>,
     set: u64,
     rng: Xoshiro256PlusPlus,
     /// What happens to datagrams.
-    pub network: Network,
+    pub network: NetworkConditions,
     /// What happens to those that go from one region to another; as all others if not told.
-    pub between: Option<Network>,
+    pub between: Option<NetworkConditions>,
     /// Whether the way from one to another is cut.
     cut: Vec<Vec<bool>>,
     /// The time.
@@ -82,7 +83,8 @@
     in_regions: bool,
     /// Members ask these places besides at first, whatever their region.
     joins_at: Vec<usize>,
-    /// What members say that they take a second, in tenths; differs from member to member and moves on.
+    /// What members say that they take a second, in tenths; differs from member to member and moves
+    /// on.
     busy_members: bool,
     /// Where the last look for views that are not true stopped.
     untrue_at: Cell<usize>,
@@ -107,10 +109,10 @@
     format!("region-{region}")
 }
 
-impl Fleet {
+impl SimulatedFleet {
     /// `n` places, all empty, by this seed; each member asks the first `joins` places.
     pub fn new(n: usize, joins: usize, seed: u64) -> Self {
-        let empty = || Place {
+        let empty = || MemberSlot {
             member: None,
             stalled: 0,
             inbox: Vec::new(),
@@ -120,12 +122,12 @@
             region: 0,
             busy: Duration::ZERO,
         };
-        Fleet {
+        SimulatedFleet {
             places: (0..n).map(|_| empty()).collect(),
             queue: BTreeMap::new(),
             set: 0,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            network: Network::default(),
+            network: NetworkConditions::default(),
             between: None,
             cut: vec![vec![false; n]; n],
             now: 0,
@@ -142,10 +144,10 @@
         }
     }
 
-    /// A fleet in regions of these sizes, all places empty. Each member asks the first two places of its region at first, and
-    /// the first of all.
+    /// A fleet in regions of these sizes, all places empty. Each member asks the first two places
+    /// of its region at first, and the first of all.
     pub fn in_regions(sizes: &[usize], seed: u64) -> Self {
-        let mut fleet = Fleet::new(sizes.iter().sum(), 2, seed);
+        let mut fleet = SimulatedFleet::new(sizes.iter().sum(), 2, seed);
         fleet.in_regions = true;
         let regions = sizes
             .iter()
@@ -159,7 +161,8 @@
         fleet
     }
 
-    /// Members that start from now on ask these places at first, and none of their region unless it is among these.
+    /// Members that start from now on ask these places at first, and none of their region unless it
+    /// is among these.
     pub fn join_at(&mut self, places: &[usize]) {
         (self.joins, self.joins_at) = (0, places.to_vec());
     }
@@ -272,7 +275,7 @@
         let place = &mut self.places[n];
         (place.member, place.stalled) = (Some(member), 0);
         place.inbox.clear();
-        self.push(self.now, What::Turn(n));
+        self.push(self.now, QueuedEvent::Turn(n));
     }
 
     /// Starts all at once.
@@ -349,7 +352,7 @@
             .unwrap_or(self.places[n].traffic)
     }
 
-    fn push(&mut self, at: Nanos, what: What) {
+    fn push(&mut self, at: Nanos, what: QueuedEvent) {
         self.set += 1;
         self.queue.insert((at, self.set), what);
     }
@@ -381,7 +384,10 @@
         for _ in 0..copies {
             let jitter = self.rng.random_range(0..=network.jitter);
             let at = self.now + network.delay + jitter;
-            self.push(at, What::Datagram(to, address(from), datagram.clone()));
+            self.push(
+                at,
+                QueuedEvent::Datagram(to, address(from), datagram.clone()),
+            );
         }
     }
 
@@ -407,8 +413,8 @@
             let ((at, _), what) = entry.remove_entry();
             self.now = self.now.max(at);
             match what {
-                What::Turn(n) => self.turn(n),
-                What::Datagram(n, from, datagram) => self.arrive(n, from, datagram),
+                QueuedEvent::Turn(n) => self.turn(n),
+                QueuedEvent::Datagram(n, from, datagram) => self.arrive(n, from, datagram),
             }
         }
         self.now = until;
@@ -422,7 +428,7 @@
         };
         if place.stalled > now {
             let at = place.stalled;
-            return self.push(at, What::Turn(n));
+            return self.push(at, QueuedEvent::Turn(n));
         }
         let begun = Instant::now();
         for (from, datagram) in std::mem::take(&mut place.inbox) {
@@ -438,7 +444,7 @@
         });
         place.busy += begun.elapsed();
         if let Some(due) = due {
-            self.push(due, What::Turn(n));
+            self.push(due, QueuedEvent::Turn(n));
         }
         self.after(n);
     }
@@ -490,14 +496,15 @@
         self.send(n, outputs);
     }
 
-    /// Whether all that run see what is true: each other as serving, by the life they live, and nobody else as there; of
-    /// other regions the number of those who run.
+    /// Whether all that run see what is true: each other as serving, by the life they live, and
+    /// nobody else as there; of other regions the number of those who run.
     pub fn settled(&self) -> bool {
         self.settled_by(|_| 0)
     }
 
-    /// The same where members of different sides don't reach each other. The look begins where the last one found something
-    /// untrue: a fleet that is not settled costs one member's view, not all of them.
+    /// The same where members of different sides don't reach each other. The look begins where the
+    /// last one found something untrue: a fleet that is not settled costs one member's view, not
+    /// all of them.
     pub fn settled_by(&self, side: impl Fn(usize) -> usize) -> bool {
         let count = self.places.len();
         let living = self.living(&side);
@@ -637,7 +644,7 @@
     }
 
     /// Plays until this holds, at most for so long; how long it took.
-    pub fn until(&mut self, most: Nanos, holds: impl Fn(&Fleet) -> bool) -> Option<Nanos> {
+    pub fn until(&mut self, most: Nanos, holds: impl Fn(&SimulatedFleet) -> bool) -> Option<Nanos> {
         let begun = self.now;
         while self.now - begun <= most {
             if holds(self) {
--- a/crates/testbed/src/virtual_region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -1,6 +1,7 @@
 //! Trials of a fleet in regions, in virtual time, each with a verdict.
 
-use crate::virtual_time::{Fleet, Network, address, region_name};
+use super::SimulationFailure;
+use crate::simulation::fleet::{NetworkConditions, SimulatedFleet, address, region_name};
 use membership::envelope::{Kind, Numbers, seal};
 use membership::regions::exchange::AgedAnnouncement;
 use membership::regions::{Announcement, Payload, Summary};
@@ -14,27 +15,31 @@
 const CEILING: Nanos = 60 * S;
 
 /// A fleet in regions of these sizes in which all views are true.
-pub fn settled(sizes: &[usize], seed: u64) -> Result<Fleet, String> {
-    let mut fleet = Fleet::in_regions(sizes, seed);
-    fleet.between = Some(Network {
+pub fn settled(sizes: &[usize], seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
+    let mut fleet = SimulatedFleet::in_regions(sizes, seed);
+    fleet.between = Some(NetworkConditions {
         delay: 40 * MS,
         jitter: 5 * MS,
-        ..Network::default()
+        ..NetworkConditions::default()
     });
     fleet.start_all();
     settle(&mut fleet, "the regions meet")?;
     Ok(fleet)
 }
 
-fn settle(fleet: &mut Fleet, what: &str) -> Result<(), String> {
-    let settled = fleet.until(CEILING, Fleet::settled);
+fn settle(fleet: &mut SimulatedFleet, what: &str) -> Result<(), SimulationFailure> {
+    let settled = fleet.until(CEILING, SimulatedFleet::settled);
     settled
         .map(|_| ())
-        .ok_or_else(|| format!("{what}: not settled after {} s", CEILING / S))
+        .ok_or_else(|| SimulationFailure::NotSettled {
+            phase: what.into(),
+            ceiling_s: CEILING / S,
+        })
 }
 
-/// Regions are cut apart, and one of them in two, in a row drawn by the seed: the shares keep their bound.
-pub fn split(seed: u64) -> Result<(), String> {
+/// Regions are cut apart, and one of them in two, in a row drawn by the seed: the shares keep their
+/// bound.
+pub fn split(seed: u64) -> Result<(), SimulationFailure> {
     const BOUND: f64 = 2.0;
     let sizes = [24, 12, 9, 6];
     let mut fleet = settled(&sizes, seed)?;
@@ -59,7 +64,10 @@
                 .map(|n| 1.0 / fleet.view(*n).share_count.max(1) as f64)
                 .sum();
             if sum >= BOUND {
-                return Err(format!("the shares sum to {sum:.2}"));
+                return Err(SimulationFailure::ShareSum {
+                    context: String::new(),
+                    sum,
+                });
             }
         }
         fleet.split(side, false);
@@ -69,7 +77,7 @@
 }
 
 /// All who speak for a region die at once: others do, and its new figures are known everywhere.
-pub fn delegates_die(seed: u64) -> Result<(), String> {
+pub fn delegates_die(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[20, 8, 8], seed)?;
     fleet.play(fleet.now + 10 * S);
     let named: Vec<SocketAddr> = fleet
@@ -82,14 +90,15 @@
     settle(&mut fleet, "all delegates of a region are dead")
 }
 
-/// Half of all datagrams between regions are lost: changes get through, though each is told once only.
-pub fn lossy(seed: u64) -> Result<(), String> {
+/// Half of all datagrams between regions are lost: changes get through, though each is told once
+/// only.
+pub fn lossy(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[12, 12, 6, 6], seed)?;
-    fleet.between = Some(Network {
+    fleet.between = Some(NetworkConditions {
         loss: 0.5,
         delay: 40 * MS,
         jitter: 5 * MS,
-        ..Network::default()
+        ..NetworkConditions::default()
     });
     for n in [3, 15, 25, 31] {
         fleet.kill(n);
@@ -101,7 +110,7 @@
 }
 
 /// Announcements with figures beyond their bounds, and old ones, change nothing.
-pub fn lies(seed: u64) -> Result<(), String> {
+pub fn lies(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[12, 6], seed)?;
     fleet.play(fleet.now + 20 * S);
     let speaks = |n: &usize| {
@@ -109,15 +118,13 @@
             .member(*n)
             .is_some_and(|m| m.delegates().contains(&address(*n)))
     };
-    let delegate = (0..12)
-        .find(speaks)
-        .ok_or("nobody speaks for the first region")?;
+    let delegate = (0..12).find(speaks).ok_or(SimulationFailure::NoDelegate)?;
     let row = fleet
         .view(delegate)
         .regions
         .first()
         .map(|seen| seen.overview.clone())
-        .ok_or("one region only")?;
+        .ok_or(SimulationFailure::OneRegion)?;
     let author = row.delegates[0];
     let announcement = |version: u64, places: u32| Announcement {
         region: region_name(1),
@@ -153,19 +160,20 @@
             .max()
             .unwrap_or(0);
         if count > 18 {
-            return Err(format!("shares are divided by {count}, and 18 members run"));
+            return Err(SimulationFailure::ShareCount { count, members: 18 });
         }
     }
     Ok(())
 }
 
-/// Members that are told addresses in another region only find their own by what those refer them to.
-pub fn referral(seed: u64) -> Result<(), String> {
-    let mut fleet = Fleet::in_regions(&[8, 8], seed);
-    fleet.between = Some(Network {
+/// Members that are told addresses in another region only find their own by what those refer them
+/// to.
+pub fn referral(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = SimulatedFleet::in_regions(&[8, 8], seed);
+    fleet.between = Some(NetworkConditions {
         delay: 40 * MS,
         jitter: 5 * MS,
-        ..Network::default()
+        ..NetworkConditions::default()
     });
     fleet.join_at(&[0, 1]);
     fleet.start_all();
@@ -173,7 +181,7 @@
 }
 
 /// What the delegates know all members of the region know soon.
-pub fn overview(seed: u64) -> Result<(), String> {
+pub fn overview(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[20, 12], seed)?;
     fleet.kill(25);
     settle(&mut fleet, "a death in the other region")
--- a/crates/testbed/src/virtual_regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -1,7 +1,8 @@
-//! What a fleet in regions costs and how soon its views are true, in virtual time: sizes that no machine runs live.
+//! What a fleet in regions costs and how soon its views are true, in virtual time: sizes that no
+//! machine runs live.
 
-use crate::virtual_time::{Fleet, Network};
-use crate::virtual_trials::resident_kb;
+use crate::process;
+use crate::simulation::fleet::{NetworkConditions, SimulatedFleet};
 use membership::{MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -25,7 +26,7 @@
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct RegionPlan {
     /// Members in all.
     pub members: usize,
     /// Regions, uneven.
@@ -41,12 +42,12 @@
     /// How long nothing happens, in seconds.
     pub calm_s: u64,
     /// What happens after the calm.
-    pub events: Events,
+    pub events: RegionEvents,
 }
 
 /// What happens after the calm.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Events {
+pub struct RegionEvents {
     /// One dies and is back, then the leader of the largest region.
     pub deaths: bool,
     /// A rack dies and is back, then a zone.
@@ -55,9 +56,9 @@
     pub cut: bool,
 }
 
-impl Events {
+impl RegionEvents {
     /// All of them.
-    pub const ALL: Events = Events {
+    pub const ALL: RegionEvents = RegionEvents {
         deaths: true,
         losses: true,
         cut: true,
@@ -66,7 +67,7 @@
 
 /// What it costs and takes; times in seconds, `None` if it took over a minute.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Measured {
+pub struct RegionMeasurement {
     /// Members.
     pub members: usize,
     /// Regions.
@@ -98,12 +99,12 @@
     /// Deaths that were none, in calm.
     pub false_deaths: u64,
     /// What happened after the calm.
-    pub events: Vec<Event>,
+    pub events: Vec<RegionEvent>,
 }
 
 /// One event and its course.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Event {
+pub struct RegionEvent {
     /// What happened.
     pub what: String,
     /// Until the members of the region that it befell see what is true.
@@ -153,7 +154,7 @@
 }
 
 /// Measures what members send and take of processor time over some seconds.
-struct Meter {
+struct TrafficMeter {
     begun: Nanos,
     bytes: Vec<u64>,
     last: Vec<u64>,
@@ -162,13 +163,13 @@
     worst: u64,
 }
 
-fn bytes_of(fleet: &Fleet) -> Vec<u64> {
+fn bytes_of(fleet: &SimulatedFleet) -> Vec<u64> {
     (0..fleet.len())
         .map(|n| fleet.traffic(n).sent_bytes)
         .collect()
 }
 
-fn sent_of(fleet: &Fleet) -> u64 {
+fn sent_of(fleet: &SimulatedFleet) -> u64 {
     (0..fleet.len()).map(|n| fleet.traffic(n).sent).sum()
 }
 
@@ -176,16 +177,16 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn speaks(fleet: &Fleet, n: usize) -> bool {
+fn speaks(fleet: &SimulatedFleet, n: usize) -> bool {
     fleet
         .member(n)
         .is_some_and(|member| member.delegates().contains(&member.id().address))
 }
 
-impl Meter {
-    fn new(fleet: &Fleet) -> Self {
+impl TrafficMeter {
+    fn new(fleet: &SimulatedFleet) -> Self {
         let bytes = bytes_of(fleet);
-        Meter {
+        TrafficMeter {
             begun: fleet.now,
             last: bytes.clone(),
             bytes,
@@ -196,7 +197,7 @@
     }
 
     /// A second has passed.
-    fn second(&mut self, fleet: &Fleet) {
+    fn second(&mut self, fleet: &SimulatedFleet) {
         let now = bytes_of(fleet);
         let most = now
             .iter()
@@ -207,7 +208,7 @@
         self.last = now;
     }
 
-    fn cost(&self, fleet: &Fleet) -> Cost {
+    fn cost(&self, fleet: &SimulatedFleet) -> Cost {
         let length = (fleet.now - self.begun) as f64 / S as f64;
         let now = bytes_of(fleet);
         let running = fleet.running();
@@ -234,38 +235,38 @@
 }
 
 /// Starts a fleet and plays until all views are true.
-fn started(plan: Plan) -> (Fleet, Option<Nanos>) {
+fn started(plan: RegionPlan) -> (SimulatedFleet, Option<Nanos>) {
     let mut fleet = if plan.regions > 1 {
-        Fleet::in_regions(&sizes(plan.members, plan.regions), plan.seed)
+        SimulatedFleet::in_regions(&sizes(plan.members, plan.regions), plan.seed)
     } else {
-        Fleet::new(plan.members, 3, plan.seed)
+        SimulatedFleet::new(plan.members, 3, plan.seed)
     };
     fleet.set_members_max(plan.members.max(2_048));
     fleet.network.loss = plan.loss;
-    fleet.between = (plan.regions > 1).then_some(Network {
+    fleet.between = (plan.regions > 1).then_some(NetworkConditions {
         loss: plan.loss.max(plan.loss_between),
         delay: plan.delay_between_ms * MS,
         jitter: BETWEEN_JITTER,
-        ..Network::default()
+        ..NetworkConditions::default()
     });
     fleet.keep_busy();
     fleet.start_all();
-    let joined = fleet.until(CEILING, Fleet::settled);
+    let joined = fleet.until(CEILING, SimulatedFleet::settled);
     (fleet, joined)
 }
 
 /// Plays an event, prices its first ten seconds, and takes how long views take to be true.
 fn event(
-    fleet: &mut Fleet,
+    fleet: &mut SimulatedFleet,
     what: &'static str,
     region: usize,
     side: impl Fn(usize) -> usize + Copy,
-    happen: impl FnOnce(&mut Fleet),
-) -> Event {
+    happen: impl FnOnce(&mut SimulatedFleet),
+) -> RegionEvent {
     let false_before = fleet.false_deaths();
     let begun = fleet.now;
     happen(fleet);
-    let mut meter = Meter::new(fleet);
+    let mut meter = TrafficMeter::new(fleet);
     let mut cost = None;
     let (mut region_s, mut settled_s) = (None, None);
     for step in 1.. {
@@ -288,7 +289,7 @@
         }
     }
     let cost = cost.unwrap_or_else(|| meter.cost(fleet));
-    Event {
+    RegionEvent {
         what: what.into(),
         region_s: seconds(region_s),
         settled_s: seconds(settled_s),
@@ -301,7 +302,7 @@
     }
 }
 
-fn events(fleet: &mut Fleet, which: Events) -> Vec<Event> {
+fn events(fleet: &mut SimulatedFleet, which: RegionEvents) -> Vec<RegionEvent> {
     let mut events = Vec::new();
     if which.deaths {
         events.extend(deaths(fleet));
@@ -319,7 +320,7 @@
 const REGION: usize = 0;
 
 /// One dies and is back, then the leader.
-fn deaths(fleet: &mut Fleet) -> Vec<Event> {
+fn deaths(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
     let whole = |_: usize| 0;
     let of_region = fleet.of_region(REGION);
     let one = of_region[of_region.len() / 2];
@@ -345,7 +346,7 @@
 }
 
 /// A rack dies and is back, then a zone.
-fn losses(fleet: &mut Fleet) -> Vec<Event> {
+fn losses(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
     let of_region = fleet.of_region(REGION);
     let rack: Vec<usize> = of_region
         .iter()
@@ -360,8 +361,8 @@
         .collect();
     let mut events = Vec::new();
     for (what, lost) in [("a rack dies", rack), ("a zone dies", zone)] {
-        let kill = |fleet: &mut Fleet| lost.iter().for_each(|n| fleet.kill(*n));
-        let start = |fleet: &mut Fleet| lost.iter().for_each(|n| fleet.start(*n, 0));
+        let kill = |fleet: &mut SimulatedFleet| lost.iter().for_each(|n| fleet.kill(*n));
+        let start = |fleet: &mut SimulatedFleet| lost.iter().for_each(|n| fleet.start(*n, 0));
         events.push(event(fleet, what, REGION, |_| 0, kill));
         events.push(event(fleet, "it is back", REGION, |_| 0, start));
     }
@@ -369,7 +370,7 @@
 }
 
 /// A region is cut off and comes back.
-fn cut(fleet: &mut Fleet) -> Vec<Event> {
+fn cut(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
     let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
     let apart = |n: usize| usize::from(regions[n] == REGION);
     let off = event(fleet, "a region is cut off", REGION, apart, |fleet| {
@@ -387,27 +388,27 @@
 }
 
 /// Plays a plan and measures it.
-pub fn measure(plan: Plan) -> Measured {
-    let resident = resident_kb();
+pub fn measure(plan: RegionPlan) -> RegionMeasurement {
+    let resident = process::own_resident_kb();
     let (mut fleet, joined) = started(plan);
     // Rumours of the beginning run out.
     fleet.play(fleet.now + 8 * S);
     let false_before = fleet.false_deaths();
-    let mut meter = Meter::new(&fleet);
+    let mut meter = TrafficMeter::new(&fleet);
     for _ in 0..plan.calm_s {
         fleet.play(fleet.now + S);
         meter.second(&fleet);
     }
     let cost = meter.cost(&fleet);
     let memory_kb = resident
-        .zip(resident_kb())
-        .map(|(from, to)| (to - from) / plan.members as f64);
+        .zip(process::own_resident_kb())
+        .map(|(from, to)| (to as f64 - from as f64) / plan.members as f64);
     let false_deaths = fleet.false_deaths() - false_before;
     let entries = (0..fleet.len()).filter_map(|n| fleet.member(n));
     let entries = entries
         .map(|m| m.members().count() + m.region_rows().count() + m.announcements())
         .max();
-    Measured {
+    RegionMeasurement {
         members: plan.members,
         regions: plan.regions,
         largest: sizes(plan.members, plan.regions)
--- a/crates/testbed/src/virtual_overload.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -1,8 +1,9 @@
-//! The level by which members shed load together, in virtual time: members of the `fleet` crate, and a model of caches
-//! with so much room. What is let in beyond the room is turned away in equal parts; requests are of two kinds, reads
-//! worth 3 and, a tenth, writes worth 10.
+//! The level by which members shed load together, in virtual time: members of the `fleet` crate,
+//! and a model of caches with so much room. What is let in beyond the room is turned away in equal
+//! parts; requests are of two kinds, reads worth 3 and, a tenth, writes worth 10.
 
-use crate::virtual_time::Fleet;
+use super::SimulationFailure;
+use crate::simulation::fleet::SimulatedFleet;
 use membership::overload::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION, REPORT_TTL};
 use membership::{MS, Nanos};
 use serde::Serialize;
@@ -25,7 +26,7 @@
 /// What befalls the talk in the middle of the overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum InjectedDisturbance {
     /// Nothing.
     None,
     /// It is cut in halves for 5 s.
@@ -39,17 +40,17 @@
 }
 
 /// All of them, in the order of the table.
-pub const TROUBLES: [Trouble; 5] = [
-    Trouble::None,
-    Trouble::Split,
-    Trouble::Silence,
-    Trouble::Uneven,
-    Trouble::Restarts,
+pub const DISTURBANCES: [InjectedDisturbance; 5] = [
+    InjectedDisturbance::None,
+    InjectedDisturbance::Split,
+    InjectedDisturbance::Silence,
+    InjectedDisturbance::Uneven,
+    InjectedDisturbance::Restarts,
 ];
 
 /// What a fleet's level did through an overload of twice the room.
 #[derive(Clone, Debug, Serialize)]
-pub struct Levels {
+pub struct SheddingMeasurement {
     /// Members.
     pub members: usize,
     /// The share of datagrams that is lost.
@@ -57,14 +58,15 @@
     /// By which seed.
     pub seed: u64,
     /// What befell the talk.
-    pub trouble: Trouble,
+    pub disturbance: InjectedDisturbance,
     /// Worth served over what perfect choice would have served, over the 15 s.
     pub of_perfect: f64,
     /// The same if each went by its own counts alone.
     pub of_perfect_apart: f64,
     /// Tries at caches over what they bear.
     pub tries_of_room: f64,
-    /// The greatest difference between the shares of reads that two members shed, in the mean over the time from 3 s on.
+    /// The greatest difference between the shares of reads that two members shed, in the mean over
+    /// the time from 3 s on.
     pub spread: f64,
     /// Seconds from the end of the overload until nothing is shed.
     pub over_s: Option<f64>,
@@ -88,7 +90,13 @@
 }
 
 /// One tick of the model over the members that run: each asks for `asked` times its weight.
-fn tick(fleet: &mut Fleet, carried: &mut [[f64; 3]], weights: &[f64], asked: f64, sum: &mut Sum) {
+fn tick(
+    fleet: &mut SimulatedFleet,
+    carried: &mut [[f64; 3]],
+    weights: &[f64],
+    asked: f64,
+    sum: &mut Sum,
+) {
     let seconds = TICK as f64 / S as f64;
     let running = fleet.running();
     // Clients of those that are away ask the others.
@@ -129,7 +137,7 @@
     fleet.play(fleet.now + TICK);
 }
 
-fn spread(fleet: &Fleet) -> f64 {
+fn spread(fleet: &SimulatedFleet) -> f64 {
     let levels = fleet
         .running()
         .into_iter()
@@ -141,12 +149,12 @@
 }
 
 /// A fleet whose members have met, and agree on a level.
-fn met(members: usize, loss: f64, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(members, 3, seed);
+fn met(members: usize, loss: f64, seed: u64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(members, 3, seed);
     fleet.network.loss = loss;
     fleet.set_tiers(TIERS);
     fleet.start_all();
-    fleet.until(CEILING, Fleet::settled);
+    fleet.until(CEILING, SimulatedFleet::settled);
     fleet
 }
 
@@ -155,13 +163,13 @@
     members: usize,
     loss: f64,
     seed: u64,
-    trouble: Trouble,
+    disturbance: InjectedDisturbance,
     apart: bool,
 ) -> (Sum, Option<f64>, f64) {
     let mut fleet = met(members, loss, seed);
     fleet.network.load_loss = if apart { 1.0 } else { 0.0 };
     let mut weights = vec![1.0; members];
-    if trouble == Trouble::Uneven {
+    if disturbance == InjectedDisturbance::Uneven {
         weights[0] = 5.0;
         let sum: f64 = weights.iter().sum();
         weights.iter_mut().for_each(|w| *w *= members as f64 / sum);
@@ -171,7 +179,7 @@
     for _ in 0..5 * S / TICK {
         tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
     }
-    let sent = |fleet: &Fleet| {
+    let sent = |fleet: &SimulatedFleet| {
         fleet
             .running()
             .iter()
@@ -185,23 +193,23 @@
     while fleet.now - begun < 15 * S {
         let at = fleet.now - begun;
         let half = |n: usize| usize::from(n >= members / 2);
-        match trouble {
-            Trouble::Split if stage == 0 && at >= 5 * S => {
+        match disturbance {
+            InjectedDisturbance::Split if stage == 0 && at >= 5 * S => {
                 fleet.split(half, true);
                 stage = 1;
             }
-            Trouble::Split if stage == 1 && at >= 10 * S => {
+            InjectedDisturbance::Split if stage == 1 && at >= 10 * S => {
                 fleet.split(half, false);
                 stage = 2;
             }
-            Trouble::Silence => {
+            InjectedDisturbance::Silence => {
                 fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart)
             }
-            Trouble::Restarts if stage == 0 && at >= 5 * S => {
+            InjectedDisturbance::Restarts if stage == 0 && at >= 5 * S => {
                 quarter.clone().for_each(|n| fleet.kill(n));
                 stage = 1;
             }
-            Trouble::Restarts if stage == 1 && at >= 8 * S => {
+            InjectedDisturbance::Restarts if stage == 1 && at >= 8 * S => {
                 quarter.clone().for_each(|n| fleet.start(n, 0));
                 stage = 2;
             }
@@ -224,15 +232,20 @@
     (sum, over_s, datagrams)
 }
 
-/// Plays one fleet through one trouble, together and each by itself.
-pub fn levels(members: usize, loss: f64, seed: u64, trouble: Trouble) -> Levels {
-    let (sum, over_s, datagrams_per_s) = run(members, loss, seed, trouble, false);
-    let (apart, ..) = run(members, loss, seed, trouble, true);
-    Levels {
+/// Plays one fleet through one disturbance, together and each by itself.
+pub fn measure(
+    members: usize,
+    loss: f64,
+    seed: u64,
+    disturbance: InjectedDisturbance,
+) -> SheddingMeasurement {
+    let (sum, over_s, datagrams_per_s) = run(members, loss, seed, disturbance, false);
+    let (apart, ..) = run(members, loss, seed, disturbance, true);
+    SheddingMeasurement {
         members,
         loss,
         seed,
-        trouble,
+        disturbance,
         of_perfect: sum.worth / sum.perfect,
         of_perfect_apart: apart.worth / apart.perfect,
         tries_of_room: sum.tries / sum.room,
@@ -242,26 +255,31 @@
     }
 }
 
-/// A trial with a verdict: the overload is shed by all alike, the dearest is kept, and it ends when its cause does.
-pub fn overload(seed: u64) -> Result<(), String> {
-    for trouble in TROUBLES {
-        let figures = levels(12, 0.0, seed, trouble);
-        let told = format!("{trouble:?}: {figures:?}");
+/// A trial with a verdict: the overload is shed by all alike, the dearest is kept, and it ends when
+/// its cause does.
+pub fn overload(seed: u64) -> Result<(), SimulationFailure> {
+    for disturbance in DISTURBANCES {
+        let figures = measure(12, 0.0, seed, disturbance);
+        let failure = |problem| SimulationFailure::Shedding {
+            problem,
+            details: format!("{disturbance:?}: {figures:?}"),
+        };
         if figures.of_perfect < 0.85 {
-            return Err(format!("too little worth: {told}"));
+            return Err(failure("too little worth"));
         }
         if figures.spread > 0.1 {
-            return Err(format!("members shed unlike parts: {told}"));
+            return Err(failure("members shed unlike parts"));
         }
         if figures.over_s.is_none() {
-            return Err(format!("it goes on being shed: {told}"));
+            return Err(failure("it goes on being shed"));
         }
     }
     stale(seed)
 }
 
-/// All but one are gone after they shed much; the one that is left goes by their words no longer than they are fresh.
-fn stale(seed: u64) -> Result<(), String> {
+/// All but one are gone after they shed much; the one that is left goes by their words no longer
+/// than they are fresh.
+fn stale(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = met(6, 0.0, seed);
     let (mut carried, weights) = (vec![[0.0; 3]; 6], vec![1.0; 6]);
     for _ in 0..5 * S / TICK {
@@ -287,6 +305,6 @@
     }
     match fleet.level(0) {
         0.0 => Ok(()),
-        level => Err(format!("words of the dead are believed: level {level:.2}")),
+        level => Err(SimulationFailure::StaleReports(level)),
     }
 }
--- a/crates/testbed/src/virtual_trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -1,26 +1,31 @@
-//! Trials in virtual time, each with a verdict: what real processes can't be brought to in a few seconds, or only by luck.
+//! Trials in virtual time, each with a verdict: what real processes can't be brought to in a few
+//! seconds, or only by luck.
 
-use crate::virtual_region_trials as regions;
-use crate::virtual_time::{Fleet, Network, address};
+use super::SimulationFailure;
+use crate::process;
+use crate::simulation::fleet::{NetworkConditions, SimulatedFleet, address};
+use crate::simulation::region_trials as regions;
 use membership::{MS, Nanos};
 use serde::Serialize;
 
 const S: Nanos = 1_000 * MS;
 /// Wide ceilings: how long things take is measured by [`measure`].
 const CEILING: Nanos = 60 * S;
+/// The bound on the sum of shares through any split.
+const MAX_SHARE_SUM: f64 = 1.5;
 
 /// A trial, by a seed; what broke if it failed.
-type Trial = fn(u64) -> Result<(), String>;
+type SimulationTrial = fn(u64) -> Result<(), SimulationFailure>;
 
 /// All of them, by name.
-pub const ALL: [(&str, Trial); 13] = [
+pub const ALL: [(&str, SimulationTrial); 13] = [
     ("virtual-lossy", lossy),
     ("virtual-deaf", deaf),
     ("virtual-asleep", asleep),
     ("virtual-newcomer", newcomer),
     ("virtual-split", split),
     ("virtual-return", returns),
-    ("virtual-overload", crate::virtual_overload::overload),
+    ("virtual-overload", crate::simulation::shedding::overload),
     ("regions-split", regions::split),
     ("regions-delegates", regions::delegates_die),
     ("regions-lossy", regions::lossy),
@@ -29,42 +34,45 @@
     ("regions-overview", regions::overview),
 ];
 
-fn settled(n: usize, seed: u64) -> Result<Fleet, String> {
-    let mut fleet = Fleet::new(n, 3, seed);
+fn settled(n: usize, seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
+    let mut fleet = SimulatedFleet::new(n, 3, seed);
     fleet.start_all();
     settle(&mut fleet, "join")?;
     Ok(fleet)
 }
 
-fn settle(fleet: &mut Fleet, what: &str) -> Result<Nanos, String> {
+fn settle(fleet: &mut SimulatedFleet, what: &str) -> Result<Nanos, SimulationFailure> {
     fleet
-        .until(CEILING, Fleet::settled)
-        .ok_or_else(|| format!("{what}: not settled after {} s", CEILING / S))
+        .until(CEILING, SimulatedFleet::settled)
+        .ok_or_else(|| SimulationFailure::NotSettled {
+            phase: what.into(),
+            ceiling_s: CEILING / S,
+        })
 }
 
-fn no_false_death(fleet: &Fleet) -> Result<(), String> {
+fn no_false_death(fleet: &SimulatedFleet) -> Result<(), SimulationFailure> {
     match fleet.false_deaths() {
         0 => Ok(()),
-        n => Err(format!("{n} deaths that were none")),
+        n => Err(SimulationFailure::FalseDeaths(n)),
     }
 }
 
 /// Six in ten datagrams are lost and all are late: nobody is given up in five minutes.
-fn lossy(seed: u64) -> Result<(), String> {
+fn lossy(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(12, seed)?;
-    fleet.network = Network {
+    fleet.network = NetworkConditions {
         loss: 0.6,
         delay: 50 * MS,
         jitter: 10 * MS,
         twice: 0.02,
-        ..Network::default()
+        ..NetworkConditions::default()
     };
     fleet.play(fleet.now + 300 * S);
     no_false_death(&fleet)
 }
 
 /// One is heard by all and hears nobody: it gives nobody up, and is taken back.
-fn deaf(seed: u64) -> Result<(), String> {
+fn deaf(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(8, seed)?;
     (1..8).for_each(|n| fleet.cut(n, 0, true));
     fleet.play(fleet.now + 8 * S);
@@ -74,7 +82,7 @@
         .iter()
         .find(|seen| !seen.status.is_present())
     {
-        return Err(format!("the deaf one gave {} up", seen.id.address));
+        return Err(SimulationFailure::AccusedWhileIsolated(seen.id.address));
     }
     no_false_death(&fleet)?;
     (1..8).for_each(|n| fleet.cut(n, 0, false));
@@ -82,7 +90,7 @@
 }
 
 /// One stands still, and what is sent to it meanwhile is lost: when it goes on it suspects nobody.
-fn asleep(seed: u64) -> Result<(), String> {
+fn asleep(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(8, seed)?;
     let before = fleet.traffic(4).suspicions;
     fleet.split(|n| usize::from(n == 4), true);
@@ -93,13 +101,14 @@
     fleet.play(fleet.now + 3 * S);
     match fleet.traffic(4).suspicions - before {
         0 => no_false_death(&fleet),
-        n => Err(format!("it suspected {n} others for its own sleep")),
+        n => Err(SimulationFailure::SuspectedAfterStall(n)),
     }
 }
 
-/// One comes to a fleet in which nothing has been news for long: it hears what each member says of itself.
-fn newcomer(seed: u64) -> Result<(), String> {
-    let mut fleet = Fleet::new(12, 3, seed);
+/// One comes to a fleet in which nothing has been news for long: it hears what each member says of
+/// itself.
+fn newcomer(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = SimulatedFleet::new(12, 3, seed);
     (0..11).for_each(|n| fleet.start(n, 0));
     settle(&mut fleet, "the first eleven")?;
     fleet.play(fleet.now + 30 * S);
@@ -114,12 +123,17 @@
     if heard == 11 {
         Ok(())
     } else {
-        Err(format!("{}: {heard} of 11 records", address(11)))
+        Err(SimulationFailure::MissingMetadata {
+            member: address(11),
+            known: heard,
+            expected: 11,
+        })
     }
 }
 
-/// Many return at once: each is known to all soon, though rumours die out now and then before they have reached all.
-fn returns(seed: u64) -> Result<(), String> {
+/// Many return at once: each is known to all soon, though rumours die out now and then before they
+/// have reached all.
+fn returns(seed: u64) -> Result<(), SimulationFailure> {
     // By rumours and the round of records alone it takes 2.2 s and more.
     const SOON: Nanos = 1_500 * MS;
     let mut fleet = settled(100, seed)?;
@@ -128,26 +142,52 @@
     (90..100).for_each(|n| fleet.start(n, 0));
     let back = settle(&mut fleet, "back")?;
     if back > SOON {
-        Err(format!("back: known to all after {} ms", back / MS))
+        Err(SimulationFailure::SlowReturn(back / MS))
     } else {
         Ok(())
     }
 }
 
 /// Parts of a fleet don't hear each other: whatever the parts, the shares keep their sum.
-fn split(seed: u64) -> Result<(), String> {
+fn split(seed: u64) -> Result<(), SimulationFailure> {
     for parts in [2, 3, 5] {
-        let (most, _) = shares(12, parts, seed)?;
-        if most > 1.5 {
-            return Err(format!("{parts} parts: the shares sum to {most:.2}"));
+        let sum = share_sums(12, parts, seed)?.with_retention;
+        if sum > MAX_SHARE_SUM {
+            return Err(SimulationFailure::ShareSum {
+                context: format!("{parts} parts: "),
+                sum,
+            });
         }
     }
     Ok(())
 }
 
-/// The greatest sum of shares through a split into so many parts and its healing: by the rule, and if each part divided by
-/// itself at once.
-pub fn shares(n: usize, parts: usize, seed: u64) -> Result<(f64, f64), String> {
+/// The greatest sums of shares that were seen.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ShareSums {
+    /// By the share count that members use.
+    pub with_retention: f64,
+    /// If members divided by those they see alive.
+    pub without_retention: f64,
+}
+
+impl ShareSums {
+    /// The greater of each.
+    #[must_use]
+    pub fn max(self, other: Self) -> Self {
+        ShareSums {
+            with_retention: self.with_retention.max(other.with_retention),
+            without_retention: self.without_retention.max(other.without_retention),
+        }
+    }
+}
+
+/// The greatest sums of shares through a split into so many parts and its healing.
+///
+/// # Errors
+///
+/// If views are not true in time.
+pub fn share_sums(n: usize, parts: usize, seed: u64) -> Result<ShareSums, SimulationFailure> {
     let mut fleet = settled(n, seed)?;
     fleet.play(fleet.now + 20 * S);
     // Parts of different size: the worst for the rule is one that just has more than half.
@@ -158,34 +198,33 @@
             m % parts
         }
     };
-    let (mut by_rule, mut at_once) = (0f64, 0f64);
-    let mut look = |fleet: &Fleet| {
+    let mut most = ShareSums::default();
+    let mut observe = |fleet: &SimulatedFleet| {
         let views: Vec<_> = fleet.running().into_iter().map(|m| fleet.view(m)).collect();
-        by_rule = by_rule.max(
-            views
-                .iter()
-                .map(|v| 1.0 / v.share_count.max(1) as f64)
-                .sum(),
-        );
-        at_once = at_once.max(views.iter().map(|v| 1.0 / v.alive.max(1) as f64).sum());
+        let share = |count: usize| 1.0 / count.max(1) as f64;
+        most = most.max(ShareSums {
+            with_retention: views.iter().map(|v| share(v.share_count)).sum(),
+            without_retention: views.iter().map(|v| share(v.alive)).sum(),
+        });
     };
     fleet.split(side, true);
     for _ in 0..300 {
         fleet.play(fleet.now + S / 10);
-        look(&fleet);
+        observe(&fleet);
     }
     fleet.split(side, false);
     for _ in 0..100 {
         fleet.play(fleet.now + S / 10);
-        look(&fleet);
+        observe(&fleet);
     }
     settle(&mut fleet, "healed")?;
-    Ok((by_rule, at_once))
+    Ok(most)
 }
 
-/// What a fleet of one size does at one rate of loss; times in seconds, `None` if it took over a minute.
+/// What a fleet of one size does at one rate of loss; times in seconds, `None` if it took over a
+/// minute.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
+pub struct DetectionMeasurement {
     /// Members.
     pub members: usize,
     /// The share of datagrams that is lost.
@@ -204,34 +243,27 @@
     pub packets_per_s: f64,
     /// Their bytes.
     pub bytes_per_s: f64,
-    /// Growth of this process by then, a member, in KB: the network's queue is in it, and memory that earlier rows freed is not.
+    /// Growth of this process by then, a member, in KB: the network's queue is in it, and memory
+    /// that earlier rows freed is not.
     pub memory_kb: Option<f64>,
     /// Suspicions that began at a member in an hour, of members that lived.
     pub suspicions_per_h: f64,
-    /// Deaths that were none, until the split: after it who hears late of a death in it is told of one that was.
+    /// Deaths that were none, until the split: after it who hears late of a death in it is told of
+    /// one that was.
     pub false_deaths: u64,
 }
 
-/// What this process holds in memory, in KB.
-pub(crate) fn resident_kb() -> Option<f64> {
-    let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status
-        .lines()
-        .find_map(|line| line.strip_prefix("VmRSS:"))?;
-    line.trim().trim_end_matches("kB").trim().parse().ok()
-}
-
 /// Measures one fleet; the calm span lasts `calm` seconds.
-pub fn measure(members: usize, loss: f64, seed: u64, calm: u64) -> Measured {
+pub fn measure(members: usize, loss: f64, seed: u64, calm: u64) -> DetectionMeasurement {
     let seconds = |t: Option<Nanos>| t.map(|t| (t / MS) as f64 / 1e3);
-    let resident = resident_kb();
-    let mut fleet = Fleet::new(members, 3, seed);
+    let resident = process::own_resident_kb();
+    let mut fleet = SimulatedFleet::new(members, 3, seed);
     fleet.network.loss = loss;
     fleet.start_all();
-    let join_s = seconds(fleet.until(CEILING, Fleet::settled));
+    let join_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
     // Rumours of the beginning run out.
     fleet.play(fleet.now + 8 * S);
-    let sum = |fleet: &Fleet| {
+    let sum = |fleet: &SimulatedFleet| {
         fleet
             .running()
             .iter()
@@ -244,22 +276,22 @@
     fleet.play(fleet.now + calm * S);
     let after = sum(&fleet);
     let memory_kb = resident
-        .zip(resident_kb())
-        .map(|(from, to)| (to - from) / members as f64);
+        .zip(process::own_resident_kb())
+        .map(|(from, to)| (to as f64 - from as f64) / members as f64);
     let per_s = |before: u64, after: u64| (after - before) as f64 / members as f64 / calm as f64;
     let tenth = members - members.div_ceil(10)..members;
     tenth.clone().for_each(|n| fleet.kill(n));
-    let death_s = seconds(fleet.until(CEILING, Fleet::settled));
+    let death_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
     tenth.for_each(|n| fleet.start(n, 0));
-    let back_s = seconds(fleet.until(CEILING, Fleet::settled));
+    let back_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
     let false_deaths = fleet.false_deaths();
     fleet.play(fleet.now + 2 * S);
     let half = move |n: usize| usize::from(n >= members / 2);
     fleet.split(half, true);
     fleet.play(fleet.now + 10 * S);
     fleet.split(half, false);
-    let healed_s = seconds(fleet.until(CEILING, Fleet::settled));
-    Measured {
+    let healed_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
+    DetectionMeasurement {
         members,
         loss,
         seed,
@@ -275,37 +307,46 @@
     }
 }
 
-/// The course of what `measure` plays, for tracing: what is untrue in how many pairs of members, each `every` until all is
-/// true, at most for `most`.
-pub fn course(
-    members: usize,
-    loss: f64,
-    seed: u64,
-    (every, most): (Nanos, Nanos),
-    mut tell: impl FnMut(&str),
-) {
-    let mut fleet = Fleet::new(members, 3, seed);
-    fleet.network.loss = loss;
-    let mut step = |fleet: &mut Fleet, what: &str| {
+/// The course of what `measure` plays, for tracing: what is untrue in how many pairs of members,
+/// each `every` until all is true, at most for `most`.
+pub struct ConvergenceTrace {
+    /// Members.
+    pub members: usize,
+    /// The share of datagrams that is lost.
+    pub loss: f64,
+    /// For all that is drawn.
+    pub seed: u64,
+    /// The time between two lines.
+    pub interval: Nanos,
+    /// A step that has not settled is ended after this.
+    pub step_limit: Nanos,
+}
+
+impl ConvergenceTrace {
+    /// Runs the steps and reports each line.
+    pub fn run(&self, mut report: impl FnMut(&str)) {
+        let mut fleet = SimulatedFleet::new(self.members, 3, self.seed);
+        fleet.network.loss = self.loss;
+        fleet.start_all();
+        self.step(&mut fleet, "join", &mut report);
+        fleet.play(fleet.now + 8 * S);
+        let tenth = self.members - self.members.div_ceil(10)..self.members;
+        tenth.clone().for_each(|n| fleet.kill(n));
+        self.step(&mut fleet, "death", &mut report);
+        tenth.for_each(|n| fleet.start(n, 0));
+        self.step(&mut fleet, "back", &mut report);
+    }
+
+    fn step(&self, fleet: &mut SimulatedFleet, name: &str, report: &mut impl FnMut(&str)) {
         let begun = fleet.now;
-        while fleet.now - begun < most {
-            fleet.play(fleet.now + every);
+        while fleet.now - begun < self.step_limit {
+            fleet.play(fleet.now + self.interval);
             let untrue = fleet.untrue();
-            tell(&format!(
-                "{what} {:6.2} s {untrue:?}",
-                ((fleet.now - begun) / MS) as f64 / 1e3
-            ));
+            let elapsed_s = ((fleet.now - begun) / MS) as f64 / 1e3;
+            report(&format!("{name} {elapsed_s:6.2} s {untrue:?}"));
             if fleet.settled() {
                 break;
             }
         }
-    };
-    fleet.start_all();
-    step(&mut fleet, "join");
-    fleet.play(fleet.now + 8 * S);
-    let tenth = members - members.div_ceil(10)..members;
-    tenth.clone().for_each(|n| fleet.kill(n));
-    step(&mut fleet, "death");
-    tenth.for_each(|n| fleet.start(n, 0));
-    step(&mut fleet, "back");
+    }
 }
--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -1,9 +1,11 @@
-//! How costs grow: each quantity that docs/CAPACITY.md uses, measured at several sizes and fitted by a line.
+//! How costs grow: each quantity that docs/CAPACITY.md uses, measured at several sizes and fitted
+//! by a line.
 
 use crate::decisions;
+use crate::error::TestbedError;
 use crate::hollow;
-use crate::stand_ins::discovery::{Host, List};
-use crate::virtual_regions::{self, Events, Measured};
+use crate::simulated_services::discovery::{EndpointList, ListedHost};
+use crate::simulation::regions::{self, RegionEvents, RegionMeasurement};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -62,8 +64,9 @@
         }
     }
 
-    /// The value at a size: the greatest measured there, or that of the line where it was not measured. Beyond the sizes
-    /// that were measured it is not under the greatest value of any: a line that falls is no promise.
+    /// The value at a size: the greatest measured there, or that of the line where it was not
+    /// measured. Beyond the sizes that were measured it is not under the greatest value of any: a
+    /// line that falls is no promise.
     pub fn at(&self, size: f64) -> f64 {
         let greatest = |of: &dyn Fn(&&Point) -> bool| {
             self.points
@@ -124,15 +127,23 @@
     pub slopes: Vec<Slope>,
 }
 
+/// A slope that is not there.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no slope is called \"{name}\"")]
+pub struct UnknownSlope {
+    /// Its name.
+    pub name: String,
+}
+
 impl Slopes {
     /// Reads a file.
     ///
     /// # Errors
     ///
     /// Names the file, and what is wrong in it.
-    pub fn read(path: &Path) -> Result<Self, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
+    pub fn read(path: &Path) -> Result<Self, TestbedError> {
+        let text = std::fs::read_to_string(path).map_err(|e| TestbedError::file(path, e))?;
+        serde_json::from_str(&text).map_err(|e| TestbedError::json(path, e))
     }
 
     /// The slope of this name.
@@ -140,15 +151,15 @@
     /// # Errors
     ///
     /// Names it if there is none.
-    pub fn find(&self, name: &str) -> Result<&Slope, String> {
+    pub fn find(&self, name: &str) -> Result<&Slope, UnknownSlope> {
         let found = self.slopes.iter().find(|slope| slope.name == name);
-        found.ok_or_else(|| format!("no slope is called \"{name}\""))
+        found.ok_or_else(|| UnknownSlope { name: name.into() })
     }
 }
 
 /// What is measured.
 #[derive(Clone, Debug)]
-pub struct Sizes {
+pub struct SlopeSizes {
     /// Numbers of caches for the decision module.
     pub caches: Vec<usize>,
     /// Members of one region, in virtual time.
@@ -166,10 +177,10 @@
 /// # Errors
 ///
 /// Says which measurement failed, and why.
-pub fn measure(sizes: &Sizes, interrupted: &AtomicBool) -> Result<Slopes, String> {
+pub fn measure(sizes: &SlopeSizes, interrupted: &AtomicBool) -> Result<Slopes, TestbedError> {
     let mut slopes = decision_slopes(&sizes.caches)?;
     slopes.push(list_slope(&sizes.caches));
-    let plan = |members, regions, loss| virtual_regions::Plan {
+    let plan = |members, regions, loss| regions::RegionPlan {
         members,
         regions,
         seed: 1,
@@ -178,31 +189,33 @@
         delay_between_ms: 40,
         calm_s: 20,
         events: if regions > 1 {
-            Events::ALL
+            RegionEvents::ALL
         } else {
-            Events::default()
+            RegionEvents::default()
         },
     };
-    let one: Vec<Measured> = sizes
+    let one: Vec<RegionMeasurement> = sizes
         .one_region
         .iter()
-        .map(|members| virtual_regions::measure(plan(*members, 1, 0.0)))
+        .map(|members| regions::measure(plan(*members, 1, 0.0)))
         .collect();
     slopes.extend(view_slopes("one_region", "members of one region", &one));
-    let mut many: Vec<Measured> = Vec::new();
+    let mut many: Vec<RegionMeasurement> = Vec::new();
     for members in &sizes.in_regions {
-        many.push(virtual_regions::measure(plan(*members, sizes.regions, 0.0)));
-        many.push(virtual_regions::measure(plan(*members, sizes.regions, 0.1)));
+        many.push(regions::measure(plan(*members, sizes.regions, 0.0)));
+        many.push(regions::measure(plan(*members, sizes.regions, 0.1)));
     }
     slopes.extend(row_slopes(&many));
     slopes.extend(hollow_slopes(sizes, interrupted)?);
     Ok(Slopes { slopes })
 }
 
-/// Adds rows of virtual plays of fleets in regions, made apart since they last long, to slopes that were measured before.
-pub fn extend(mut slopes: Slopes, rows: &[Measured]) -> Slopes {
+/// Adds rows of virtual plays of fleets in regions, made apart since they last long, to slopes that
+/// were measured before.
+pub fn extend(mut slopes: Slopes, rows: &[RegionMeasurement]) -> Slopes {
     // Each was played by a process of its own, in which nothing was freed before.
-    let alone: Vec<Measured> = rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
+    let alone: Vec<RegionMeasurement> =
+        rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
     let memory = points(
         &alone,
         |row| row.members as f64,
@@ -227,9 +240,9 @@
 }
 
 /// The slopes of fleets in regions, in virtual time.
-fn row_slopes(rows: &[Measured]) -> Vec<Slope> {
-    let calm: Vec<Measured> = rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
-    let lossy: Vec<Measured> = rows.iter().filter(|row| row.loss > 0.0).cloned().collect();
+fn row_slopes(rows: &[RegionMeasurement]) -> Vec<Slope> {
+    let calm: Vec<RegionMeasurement> = rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
+    let lossy: Vec<RegionMeasurement> = rows.iter().filter(|row| row.loss > 0.0).cloned().collect();
     let mut slopes = view_slopes("regions", "members in 26 regions", &calm);
     slopes.extend(view_slopes(
         "regions_lossy",
@@ -250,9 +263,9 @@
         .collect()
 }
 
-fn decision_slopes(caches: &[usize]) -> Result<Vec<Slope>, String> {
+fn decision_slopes(caches: &[usize]) -> Result<Vec<Slope>, TestbedError> {
     let costs = decisions::measure(caches, 30, 3)?;
-    let slope = |name: &str, unit: &str, value: fn(&decisions::Cost) -> f64| {
+    let slope = |name: &str, unit: &str, value: fn(&decisions::DecisionCost) -> f64| {
         let how = "the module driven by hand, least of three rounds (`decisions`)";
         Slope::new(
             name,
@@ -274,11 +287,11 @@
 /// The bytes of a whole list.
 fn list_slope(caches: &[usize]) -> Slope {
     let bytes = |count: usize| {
-        let list = List::default();
+        let list = EndpointList::default();
         for n in 0..count {
             list.put(
                 &format!("cache-{n:04}"),
-                Host {
+                ListedHost {
                     health: "in_service",
                     born_ms: 1_700_000_000_000,
                 },
@@ -298,8 +311,8 @@
     )
 }
 
-fn view_slopes(prefix: &str, by: &str, rows: &[Measured]) -> Vec<Slope> {
-    let slope = |name: &str, unit: &str, value: fn(&Measured) -> f64| {
+fn view_slopes(prefix: &str, by: &str, rows: &[RegionMeasurement]) -> Vec<Slope> {
+    let slope = |name: &str, unit: &str, value: fn(&RegionMeasurement) -> f64| {
         let how = "virtual time, calm (`regions`)";
         Slope::new(
             &format!("{prefix}_{name}"),
@@ -322,11 +335,11 @@
 }
 
 /// What events cost in a fleet in regions.
-fn event_slopes(rows: &[Measured]) -> Vec<Slope> {
+fn event_slopes(rows: &[RegionMeasurement]) -> Vec<Slope> {
     let by = "members in 26 regions";
     let slope =
-        |name: &str, unit: &str, what: &str, value: fn(&virtual_regions::Event) -> Option<f64>| {
-            let of = |row: &Measured| {
+        |name: &str, unit: &str, what: &str, value: fn(&regions::RegionEvent) -> Option<f64>| {
+            let of = |row: &RegionMeasurement| {
                 let event = row.events.iter().find(|event| event.what == what)?;
                 Some(Point {
                     size: row.members as f64,
@@ -366,20 +379,20 @@
     ]
 }
 
-fn hollow_slopes(sizes: &Sizes, interrupted: &AtomicBool) -> Result<Vec<Slope>, String> {
+fn hollow_slopes(sizes: &SlopeSizes, interrupted: &AtomicBool) -> Result<Vec<Slope>, TestbedError> {
     let mut rows = Vec::new();
     for members in &sizes.hollow {
-        let plan = hollow::Plan {
+        let plan = hollow::HollowPlan {
             members: *members,
             regions: sizes.regions.min(*members / 2),
             processes: 6,
             seed: 1,
             seconds: 20,
-            event: hollow::Event::None,
+            event: hollow::HollowEvent::None,
         };
         rows.push(hollow::run(plan, interrupted)?);
     }
-    let slope = |name: &str, unit: &str, value: fn(&hollow::Measured) -> f64| {
+    let slope = |name: &str, unit: &str, value: fn(&hollow::HollowMeasurement) -> f64| {
         let how = "real sockets on loopback (`hollow`)";
         let points = points(&rows, |row| row.members as f64, value);
         Slope::new(name, unit, "members in 26 regions", how, points)
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,28 +1,29 @@
-//! A soak: real balancers on loopback between caches, a discovery and clients that go wrong as a seed draws it, and a
-//! referee that holds what all of them saw against the rules.
+//! A soak: real balancers on loopback between caches, a discovery and clients that go wrong as a
+//! seed draws it, and a referee that holds what all of them saw against the rules.
 
 pub mod balancers;
 pub mod caches;
 pub mod clients;
 pub mod command;
+pub mod connections;
 pub mod discovery;
-pub mod draw;
 pub mod growth;
+pub mod plan;
 pub mod records;
-pub mod referee;
-pub mod sockets;
+pub mod rule_checker;
 
-use crate::ground::Network;
-use crate::stand_ins::Door;
-use balancers::{Balancer, Board, Usage};
+use crate::cluster::LoopbackNetwork;
+use crate::error::TestbedError;
+use crate::simulated_services::TcpService;
+use balancers::{Balancer, ProcessUsage, StatusBoard};
 use caches::Caches;
 use clients::Clients;
-use discovery::{List, Trouble};
-use draw::{Event, Plan, SHARED_LISTENERS};
+use connections::Clock;
+use discovery::{DiscoveryFault, DiscoveryService};
 use nix::sys::signal::Signal;
-use records::{CacheState, MS, Records, Time};
-use referee::Breach;
-use sockets::Clock;
+use plan::{SHARED_LISTENERS, SoakEvent, SoakPlan};
+use records::{CacheState, MS, Nanos, Records};
+use rule_checker::RuleViolation;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -37,28 +38,29 @@
 /// How often the timeline and the processes are looked at.
 const LOOK: Duration = Duration::from_millis(3);
 /// Before a shutdown caches hang for this long, so that requests are out.
-const HANG_BEFORE: Time = 100 * MS;
+const HANG_BEFORE: Nanos = 100 * MS;
 /// Connections are reset for so long.
-const RESET: Time = 30 * MS;
+const RESET: Nanos = 30 * MS;
 /// How often descriptors are counted.
-const SAMPLE: Time = 100 * MS;
+const SAMPLE: Nanos = 100 * MS;
 /// The processor share is kept over periods of this length.
 const SHARE_PERIOD: Duration = Duration::from_millis(50);
-/// By the protocol a process is killed no sooner than this and the longest deadline (3 s at most) after the request to end.
-const KILL_AFTER: Time = 700 * MS;
-const DEADLINE_MOST: Time = 3_000 * MS;
+/// By the protocol a process is killed no sooner than this and the longest deadline (3 s at most)
+/// after the request to end.
+const KILL_AFTER: Nanos = 700 * MS;
+const DEADLINE_MOST: Nanos = 3_000 * MS;
 
 /// What one seed showed.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct SoakOutcome {
     /// The rules that were broken.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<RuleViolation>,
     /// How many requests ended how.
     pub ends: BTreeMap<String, usize>,
     /// Attempts.
     pub attempts: usize,
     /// By balancer: what its process had used at the end, with the most descriptors that were seen.
-    pub usage: Vec<Usage>,
+    pub usage: Vec<ProcessUsage>,
     /// By balancer: the counters of its last life.
     pub counters: Vec<BTreeMap<String, u64>>,
     /// Bytes of changes that discovery wrote.
@@ -68,33 +70,34 @@
 }
 
 /// A balancer that a thread may have standing still.
-type Shared = Arc<Mutex<Balancer>>;
+type SharedBalancer = Arc<Mutex<Balancer>>;
 
-struct World {
-    plan: Plan,
+struct SoakRun {
+    plan: SoakPlan,
     clock: Clock,
     caches: Caches,
-    list: List,
-    board: Board,
-    balancers: Vec<Shared>,
+    list: DiscoveryService,
+    board: StatusBoard,
+    balancers: Vec<SharedBalancer>,
     /// Two doors of discovery for each balancer, and which it is told of.
     doors: Vec<[SocketAddr; 2]>,
     door_now: Vec<usize>,
-    _open: Vec<Door>,
-    _network: Network,
+    _open: Vec<TcpService>,
+    _network: LoopbackNetwork,
     next_cache: usize,
     oldest_cache: usize,
     /// What a later time brings.
-    later: Vec<(Time, Later)>,
+    later: Vec<(Nanos, DeferredEvent)>,
     threads: Vec<std::thread::JoinHandle<()>>,
-    events: Vec<(Time, String)>,
+    events: Vec<(Nanos, String)>,
     /// By balancer: the most descriptors that were seen.
     descriptors: Vec<usize>,
 }
 
-enum Later {
+enum DeferredEvent {
     Gone(Vec<usize>),
-    /// They are down for a moment, so that what is out there is reset long after it came, and then work.
+    /// They are down for a moment, so that what is out there is reset long after it came, and then
+    /// work.
     Reset(Vec<usize>),
     Work(Vec<usize>),
     Whole,
@@ -109,9 +112,9 @@
 /// # Errors
 ///
 /// Says which part of the trial itself failed.
-pub fn play(plan: Plan, program: &Path, folder: &Path) -> Result<Outcome, String> {
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let mut world = World::lay_out(plan, program, folder)?;
+pub fn play(plan: SoakPlan, program: &Path, folder: &Path) -> Result<SoakOutcome, TestbedError> {
+    std::fs::create_dir_all(folder).map_err(|e| TestbedError::file(folder, e))?;
+    let mut world = SoakRun::lay_out(plan, program, folder)?;
     world.start()?;
     let doors = world.balancers.iter().map(|b| lock(b).listen).collect();
     let manners = world.plan.manners.clone();
@@ -127,16 +130,16 @@
     world.finish(asked)
 }
 
-fn lock(balancer: &Shared) -> std::sync::MutexGuard<'_, Balancer> {
+fn lock(balancer: &SharedBalancer) -> std::sync::MutexGuard<'_, Balancer> {
     balancer.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl World {
-    fn lay_out(plan: Plan, program: &Path, folder: &Path) -> Result<Self, String> {
+impl SoakRun {
+    fn lay_out(plan: SoakPlan, program: &Path, folder: &Path) -> Result<Self, TestbedError> {
         let clock = Clock::start();
         let own = plan.rules.own_listeners;
         let caches = Caches::start(own + SHARED_LISTENERS, clock, plan.seed)
-            .map_err(|e| format!("caches: {e}"))?;
+            .map_err(|e| TestbedError::io("caches", e))?;
         let addresses = caches.addresses.clone();
         let dial = move |cache: usize| {
             addresses[if cache < own {
@@ -145,18 +148,19 @@
                 own + cache % SHARED_LISTENERS
             }]
         };
-        let list = List::new(clock, dial);
+        let list = DiscoveryService::new(clock, dial);
         list.change((0..plan.caches).collect(), CacheState::Up { born_ms: 0 });
         list.form(plan.form);
-        let board = Board::new(plan.balancers);
-        let network = Network::take().map_err(|e| format!("a loopback network: {e}"))?;
+        let board = StatusBoard::new(plan.balancers);
+        let network =
+            LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
         let (mut balancers, mut doors, mut open) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..plan.balancers {
             let pair = DISCOVERY_PORTS.map(|port| network.member(number, port));
             for door in pair {
                 open.push(
                     list.door(door, number)
-                        .map_err(|e| format!("discovery at {door}: {e}"))?,
+                        .map_err(|e| TestbedError::io(format!("discovery at {door}"), e))?,
                 );
             }
             let listen = network.member(number, CLIENTS_PORT);
@@ -181,7 +185,7 @@
         let next_cache = plan.caches;
         let door_now = vec![0; plan.balancers];
         let descriptors = vec![0; plan.balancers];
-        Ok(World {
+        Ok(SoakRun {
             plan,
             clock,
             caches,
@@ -201,7 +205,7 @@
         })
     }
 
-    fn start(&mut self) -> Result<(), String> {
+    fn start(&mut self) -> Result<(), TestbedError> {
         let known = self.list.known();
         for balancer in &self.balancers {
             lock(balancer).start(known.clone())?;
@@ -211,10 +215,10 @@
             .board
             .lock()
             .iter()
-            .any(|me| me.doors == balancers::Doors::Shut)
+            .any(|me| me.doors == balancers::ClientAccess::Shut)
         {
             if asked.elapsed() > READY_MOST {
-                return Err("the balancers do not become ready".into());
+                return Err(TestbedError::NotReady);
             }
             self.look();
             std::thread::sleep(LOOK);
@@ -261,11 +265,11 @@
         }
         // Everything is well again, so that what is open can be answered.
         *self.caches.faults.lock() = caches::CacheFaults::default();
-        self.list.trouble(Trouble::None);
+        self.list.trouble(DiscoveryFault::None);
         self.threads.drain(..).for_each(|thread| _ = thread.join());
         let later = std::mem::take(&mut self.later);
         for (at, what) in later {
-            if matches!(what, Later::Kill(_)) {
+            if matches!(what, DeferredEvent::Kill(_)) {
                 let now = self.clock.now();
                 std::thread::sleep(Duration::from_nanos(at.saturating_sub(now)));
                 self.happen_later(what);
@@ -287,30 +291,30 @@
         (0..count.min(self.plan.rules.own_listeners)).collect()
     }
 
-    fn after(&mut self, span: Time, what: Later) {
+    fn after(&mut self, span: Nanos, what: DeferredEvent) {
         self.later.push((self.clock.now() + span, what));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn happen(&mut self, event: SoakEvent) {
         match event {
-            Event::Joins(count) => {
+            SoakEvent::Joins(count) => {
                 let new: Vec<usize> = (self.next_cache..self.next_cache + count).collect();
                 self.next_cache += count;
                 self.list.change(new, CacheState::Up { born_ms: 0 });
             }
-            Event::Replaced(count) => {
+            SoakEvent::Replaced(count) => {
                 let old: Vec<usize> = (self.oldest_cache..self.oldest_cache + count).collect();
                 self.oldest_cache += count;
                 self.list.change(old.clone(), CacheState::Draining);
-                self.after(1_000 * MS, Later::Gone(old));
-                self.happen(Event::Joins(count));
+                self.after(1_000 * MS, DeferredEvent::Gone(old));
+                self.happen(SoakEvent::Joins(count));
             }
-            Event::Drains(count, span) => {
+            SoakEvent::Drains(count, span) => {
                 let caches = self.own(count);
                 self.list.change(caches.clone(), CacheState::Draining);
-                self.after(span, Later::Gone(caches));
+                self.after(span, DeferredEvent::Gone(caches));
             }
-            Event::Cold(count) => {
+            SoakEvent::Cold(count) => {
                 let born = SystemTime::now()
                     .duration_since(UNIX_EPOCH)
                     .unwrap_or_default();
@@ -318,67 +322,67 @@
                 self.list
                     .change(self.own(count), CacheState::Up { born_ms });
             }
-            Event::Hangs(count, span) => {
+            SoakEvent::Hangs(count, span) => {
                 let caches = self.own(count);
                 self.caches.faults.lock().hanging.extend(&caches);
-                self.after(span, Later::Reset(caches));
+                self.after(span, DeferredEvent::Reset(caches));
             }
-            Event::CachesDown(count, span) => {
+            SoakEvent::CachesDown(count, span) => {
                 let caches = self.own(count);
                 self.caches.faults.lock().down.extend(&caches);
-                self.after(span, Later::Work(caches));
+                self.after(span, DeferredEvent::Work(caches));
             }
-            Event::Spoilt(span) => {
+            SoakEvent::Spoilt(span) => {
                 let mut faults = self.caches.faults.lock();
                 (faults.busy, faults.error, faults.reset) = (0.1, 0.05, 0.05);
                 (faults.cut, faults.second, faults.close) = (0.03, 0.05, 0.1);
                 drop(faults);
-                self.after(span, Later::Whole);
+                self.after(span, DeferredEvent::Whole);
             }
-            Event::Silence => self.list.silence(),
-            Event::WatchesReset => {
-                self.list.trouble(Trouble::Down);
-                self.after(30 * MS, Later::Discovery);
+            SoakEvent::Silence => self.list.silence(),
+            SoakEvent::WatchesReset => {
+                self.list.trouble(DiscoveryFault::Down);
+                self.after(30 * MS, DeferredEvent::Discovery);
             }
-            Event::DiscoveryDown(span) => {
-                self.list.trouble(Trouble::Down);
-                self.after(span, Later::Discovery);
+            SoakEvent::DiscoveryDown(span) => {
+                self.list.trouble(DiscoveryFault::Down);
+                self.after(span, DeferredEvent::Discovery);
             }
-            Event::DiscoveryCrowded(span) => {
-                self.list.trouble(Trouble::Crowded(300));
-                self.after(span, Later::Discovery);
+            SoakEvent::DiscoveryCrowded(span) => {
+                self.list.trouble(DiscoveryFault::Crowded(300));
+                self.after(span, DeferredEvent::Discovery);
             }
-            Event::Restart(one) => self.restart(one),
-            Event::Kill(one) => {
-                self.happen_later(Later::Kill(one));
-                self.after(200 * MS, Later::Start(one));
+            SoakEvent::Restart(one) => self.restart(one),
+            SoakEvent::Kill(one) => {
+                self.happen_later(DeferredEvent::Kill(one));
+                self.after(200 * MS, DeferredEvent::Start(one));
             }
-            Event::Reload(one) => self.reload(one),
-            Event::HoldUp(one, span) => {
+            SoakEvent::Reload(one) => self.reload(one),
+            SoakEvent::HoldUp(one, span) => {
                 let balancer = Arc::clone(&self.balancers[one]);
                 let span = Duration::from_nanos(span);
                 self.threads
                     .push(std::thread::spawn(move || lock(&balancer).hold_up(span)));
             }
-            Event::Share(one, share, span) => self.share(one, share, span),
+            SoakEvent::Share(one, share, span) => self.share(one, share, span),
         }
     }
 
-    fn happen_later(&mut self, what: Later) {
+    fn happen_later(&mut self, what: DeferredEvent) {
         match what {
-            Later::Gone(caches) => self.list.change(caches, CacheState::Gone),
-            Later::Reset(caches) => {
+            DeferredEvent::Gone(caches) => self.list.change(caches, CacheState::Gone),
+            DeferredEvent::Reset(caches) => {
                 self.caches.faults.lock().down.extend(&caches);
-                self.after(RESET, Later::Work(caches));
+                self.after(RESET, DeferredEvent::Work(caches));
             }
-            Later::Work(caches) => {
+            DeferredEvent::Work(caches) => {
                 let mut faults = self.caches.faults.lock();
                 for cache in &caches {
                     faults.hanging.remove(cache);
                     faults.down.remove(cache);
                 }
             }
-            Later::Whole => {
+            DeferredEvent::Whole => {
                 let mut faults = self.caches.faults.lock();
                 let (hanging, down) = (faults.hanging.clone(), faults.down.clone());
                 *faults = caches::CacheFaults {
@@ -387,20 +391,20 @@
                     ..Default::default()
                 };
             }
-            Later::Discovery => self.list.trouble(Trouble::None),
-            Later::Term(one) => self.term(one),
-            Later::Kill(one) => lock(&self.balancers[one]).kill(),
-            Later::Start(one) => {
+            DeferredEvent::Discovery => self.list.trouble(DiscoveryFault::None),
+            DeferredEvent::Term(one) => self.term(one),
+            DeferredEvent::Kill(one) => lock(&self.balancers[one]).kill(),
+            DeferredEvent::Start(one) => {
                 let known = self.list.known();
                 if let Err(e) = lock(&self.balancers[one]).start(known) {
-                    self.events.push((self.clock.now(), e));
+                    self.events.push((self.clock.now(), e.to_string()));
                 }
             }
         }
     }
 
     /// How long after the request to end a process is killed: as early as may be.
-    fn kill_after(&self) -> Time {
+    fn kill_after(&self) -> Nanos {
         let longest = self
             .plan
             .manners
@@ -414,21 +418,21 @@
 
     fn restart(&mut self, one: usize) {
         let kill = self.kill_after();
-        let is_open = self.board.lock()[one].doors == balancers::Doors::Open;
+        let is_open = self.board.lock()[one].doors == balancers::ClientAccess::Open;
         if !is_open {
             return;
         }
         // Caches that hang through the whole of a shutdown.
-        self.happen(Event::Hangs(self.plan.rules.own_listeners, kill));
+        self.happen(SoakEvent::Hangs(self.plan.rules.own_listeners, kill));
         let started = self.clock.now() + HANG_BEFORE;
-        self.later.push((started, Later::Term(one)));
+        self.later.push((started, DeferredEvent::Term(one)));
     }
 
     fn term(&mut self, one: usize) {
         let kill = self.kill_after();
         lock(&self.balancers[one]).term();
-        self.after(kill, Later::Kill(one));
-        self.after(kill + 50 * MS, Later::Start(one));
+        self.after(kill, DeferredEvent::Kill(one));
+        self.after(kill + 50 * MS, DeferredEvent::Start(one));
     }
 
     fn reload(&mut self, one: usize) {
@@ -437,11 +441,11 @@
         let mut balancer = lock(&self.balancers[one]);
         match balancer.configure("discovery", serde_json::json!(door)) {
             Ok(_) => balancer.signal(Signal::SIGHUP),
-            Err(e) => self.events.push((self.clock.now(), e)),
+            Err(e) => self.events.push((self.clock.now(), e.to_string())),
         }
     }
 
-    fn share(&mut self, one: usize, share: u64, span: Time) {
+    fn share(&mut self, one: usize, share: u64, span: Nanos) {
         let balancer = Arc::clone(&self.balancers[one]);
         let clock = self.clock;
         let until = clock.now() + span;
@@ -454,11 +458,11 @@
         }));
     }
 
-    fn finish(self, asked: Vec<records::Asked>) -> Result<Outcome, String> {
+    fn finish(self, asked: Vec<records::RequestRecord>) -> Result<SoakOutcome, TestbedError> {
         self.look();
-        let with_most = |(balancer, most): (&Shared, &usize)| {
+        let with_most = |(balancer, most): (&SharedBalancer, &usize)| {
             let usage = lock(balancer).usage().unwrap_or_default();
-            Usage {
+            ProcessUsage {
                 descriptors: *most,
                 ..usage
             }
@@ -490,10 +494,10 @@
             lives,
             events,
         };
-        let breaches = referee::judge(&records, &self.plan.rules);
-        let ends = referee::ends(&records.asked);
+        let breaches = rule_checker::judge(&records, &self.plan.rules);
+        let ends = rule_checker::ends(&records.asked);
         let attempts = records.attempts.len();
-        Ok(Outcome {
+        Ok(SoakOutcome {
             breaches,
             ends,
             attempts,
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -1,22 +1,22 @@
 //! The balancers of a soak: real processes with signals, and what was done to them.
 
-use super::records::{Life, Span, Time};
-use super::sockets::Clock;
-use nix::sys::signal::{Signal, kill};
-use nix::unistd::Pid;
+use super::connections::Clock;
+use super::records::{Nanos, ProcessRecord, TimeSpan};
+use crate::error::TestbedError;
+use crate::process::{self, ChildGuard};
+use nix::sys::signal::Signal;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// What a balancer's clients may do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doors {
+pub enum ClientAccess {
     /// It is not there, or not ready.
     Shut,
     /// It serves.
@@ -27,39 +27,39 @@
 
 /// What others may know of a balancer while the soak goes on.
 #[derive(Clone, Debug)]
-pub struct Public {
+pub struct BalancerStatus {
     /// What its clients may do.
-    pub doors: Doors,
+    pub doors: ClientAccess,
     /// Its lives so far.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessRecord>,
     /// When it stood still.
-    pub stops: Vec<Span>,
+    pub stops: Vec<TimeSpan>,
 }
 
 /// The same, shared.
 #[derive(Clone)]
-pub struct Board(Arc<Mutex<Vec<Public>>>);
+pub struct StatusBoard(Arc<Mutex<Vec<BalancerStatus>>>);
 
-impl Board {
+impl StatusBoard {
     /// For so many balancers.
     pub fn new(balancers: usize) -> Self {
-        let none = Public {
-            doors: Doors::Shut,
+        let none = BalancerStatus {
+            doors: ClientAccess::Shut,
             lives: Vec::new(),
             stops: Vec::new(),
         };
-        Board(Arc::new(Mutex::new(vec![none; balancers])))
+        StatusBoard(Arc::new(Mutex::new(vec![none; balancers])))
     }
 
     /// To look or change.
-    pub fn lock(&self) -> MutexGuard<'_, Vec<Public>> {
+    pub fn lock(&self) -> MutexGuard<'_, Vec<BalancerStatus>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// What a process has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Processor seconds.
     pub cpu_s: f64,
     /// Peak memory in MB.
@@ -77,8 +77,8 @@
     config: Value,
     folder: PathBuf,
     clock: Clock,
-    board: Board,
-    child: Option<Child>,
+    board: StatusBoard,
+    child: Option<ChildGuard>,
 }
 
 impl Drop for Balancer {
@@ -96,7 +96,7 @@
         config: Value,
         folder: PathBuf,
         clock: Clock,
-        board: Board,
+        board: StatusBoard,
     ) -> Self {
         Balancer {
             number,
@@ -110,7 +110,7 @@
         }
     }
 
-    fn public<T>(&self, change: impl FnOnce(&mut Public) -> T) -> T {
+    fn public<T>(&self, change: impl FnOnce(&mut BalancerStatus) -> T) -> T {
         change(&mut self.board.lock()[self.number])
     }
 
@@ -119,11 +119,10 @@
     /// # Errors
     ///
     /// If the file can't be written.
-    pub fn configure(&mut self, key: &str, value: Value) -> Result<PathBuf, String> {
+    pub fn configure(&mut self, key: &str, value: Value) -> Result<PathBuf, TestbedError> {
         self.config[key] = value;
         let path = self.folder.join(format!("n{}.json", self.number));
-        std::fs::write(&path, self.config.to_string())
-            .map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, self.config.to_string()).map_err(|e| TestbedError::file(&path, e))?;
         Ok(path)
     }
 
@@ -132,31 +131,24 @@
     /// # Errors
     ///
     /// If the configuration can't be written, or the program not be started.
-    pub fn start(&mut self, known: Value) -> Result<(), String> {
+    pub fn start(&mut self, known: Value) -> Result<(), TestbedError> {
         self.kill();
         let path = self.configure("known", known)?;
         let log = self.folder.join(format!("n{}.log", self.number));
-        let log = File::options()
+        let problem = |e| TestbedError::file(&log, e);
+        let stderr = File::options()
             .create(true)
             .append(true)
             .open(&log)
-            .map_err(|e| e.to_string())?;
-        let counters = log.try_clone().map_err(|e| e.to_string())?;
-        let child = Command::new(&self.program)
-            .env_clear()
-            .env("GW_CONFIG", &path)
-            .env("RUST_LOG", "info")
-            .stdin(Stdio::null())
-            .stdout(counters)
-            .stderr(log)
-            .spawn()
-            .map_err(|e| format!("{}: {e}", self.program.display()))?;
-        self.child = Some(child);
+            .map_err(problem)?;
+        let stdout = stderr.try_clone().map_err(problem)?;
+        let mut command = process::balancer_command(&self.program, &path);
+        self.child = Some(ChildGuard::spawn(command.stdout(stdout).stderr(stderr))?);
         let started = self.clock.now();
         self.public(|me| {
-            me.lives.push(Life {
+            me.lives.push(ProcessRecord {
                 started,
-                ..Life::default()
+                ..ProcessRecord::default()
             })
         });
         Ok(())
@@ -165,14 +157,14 @@
     /// Asks whether it is ready, if it is not known to be.
     pub fn look(&mut self) {
         let shut = self.public(|me| {
-            me.doors == Doors::Shut && me.lives.last().is_some_and(|l| l.ready.is_none())
+            me.doors == ClientAccess::Shut && me.lives.last().is_some_and(|l| l.ready.is_none())
         });
         if self.child.is_none() || !shut || !self.says_ready() {
             return;
         }
         let now = self.clock.now();
         self.public(|me| {
-            me.doors = Doors::Open;
+            me.doors = ClientAccess::Open;
             if let Some(life) = me.lives.last_mut() {
                 life.ready = Some(now);
             }
@@ -193,12 +185,8 @@
 
     /// Sends it a signal.
     pub fn signal(&self, signal: Signal) {
-        if let Some(pid) = self
-            .child
-            .as_ref()
-            .and_then(|child| i32::try_from(child.id()).ok())
-        {
-            let _ = kill(Pid::from_raw(pid), signal);
+        if let Some(child) = &self.child {
+            child.signal(signal);
         }
     }
 
@@ -206,7 +194,7 @@
     pub fn term(&mut self) {
         let now = self.clock.now();
         self.public(|me| {
-            me.doors = Doors::Ending;
+            me.doors = ClientAccess::Ending;
             if let Some(life) = me.lives.last_mut() {
                 life.asked_to_end = Some(now);
             }
@@ -221,7 +209,7 @@
         std::thread::sleep(span);
         self.signal(Signal::SIGCONT);
         let to = self.clock.now();
-        self.public(|me| me.stops.push(Span { from, to }));
+        self.public(|me| me.stops.push(TimeSpan { from, to }));
     }
 
     /// Whether it runs; notes its end.
@@ -235,7 +223,7 @@
         let now = self.clock.now();
         self.child = None;
         self.public(|me| {
-            me.doors = Doors::Shut;
+            me.doors = ClientAccess::Shut;
             if let Some(life) = me.lives.last_mut() {
                 let asked = life.asked_to_end.is_some();
                 life.ended = Some((now, asked && status.success()));
@@ -249,18 +237,17 @@
         if !self.is_running() {
             return;
         }
-        let Some(mut child) = self.child.take() else {
+        let Some(child) = self.child.take() else {
             return;
         };
-        let now: Time = self.clock.now();
+        let now: Nanos = self.clock.now();
         self.public(|me| {
-            me.doors = Doors::Shut;
+            me.doors = ClientAccess::Shut;
             if let Some(life) = me.lives.last_mut() {
                 life.killed = Some(now);
             }
         });
-        let _ = child.kill();
-        let _ = child.wait();
+        drop(child);
     }
 
     /// Its counters as it prints them now.
@@ -269,39 +256,17 @@
         std::thread::sleep(Duration::from_millis(100));
         let log = self.folder.join(format!("n{}.log", self.number));
         let text = std::fs::read_to_string(log).unwrap_or_default();
-        let line = text
-            .lines()
-            .rev()
-            .find_map(|line| line.strip_prefix("counters: "))
-            .unwrap_or_default();
-        let read = |pair: &str| {
-            let (name, count) = pair.split_once('=')?;
-            Some((name.to_string(), count.parse().ok()?))
-        };
-        line.split(' ').filter_map(read).collect()
+        let counters = text.lines().rev().find_map(process::parse_counters);
+        counters.unwrap_or_default()
     }
 
     /// What it has used so far.
-    pub fn usage(&self) -> Option<Usage> {
+    pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.child.as_ref()?.id();
-        let read = |name: &str| std::fs::read_to_string(format!("/proc/{pid}/{name}")).ok();
-        let stat = read("stat")?;
-        let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
-        // User and system time, in hundredths of a second on Linux.
-        let ticks: f64 = fields
-            .get(11..13)?
-            .iter()
-            .filter_map(|f| f.parse::<f64>().ok())
-            .sum();
-        let status = read("status")?;
-        let peak = status
-            .lines()
-            .find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"))?;
-        let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count();
-        Some(Usage {
-            cpu_s: ticks / 100.0,
-            peak_mb: peak.trim().parse::<f64>().ok()? / 1_024.0,
-            descriptors,
+        Some(ProcessUsage {
+            cpu_s: process::cpu_seconds(pid)?,
+            peak_mb: process::peak_kb(pid)? as f64 / 1_024.0,
+            descriptors: process::open_descriptors(pid)?,
         })
     }
 }
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -1,8 +1,9 @@
-//! The caches of a soak: listeners that many cache identities share, or that one has to itself, served by one thread.
+//! The caches of a soak: listeners that many cache identities share, or that one has to itself,
+//! served by one thread.
 
-use super::records::{Attempt, AttemptEnd, MS, Time};
-use super::sockets::{Clock, Connection, State, readable};
-use crate::stand_ins::resp;
+use super::connections::{Clock, Connection, ConnectionState, readable};
+use super::records::{AttemptEnd, AttemptRecord, MS, Nanos};
+use crate::simulated_services::resp;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeMap, HashSet};
@@ -55,12 +56,12 @@
     /// How they behave.
     pub faults: SharedFaults,
     end: Arc<AtomicBool>,
-    thread: JoinHandle<Vec<Attempt>>,
+    thread: JoinHandle<Vec<AttemptRecord>>,
 }
 
 /// What a connection still has to write, and what becomes of it then.
 struct Due {
-    at: Time,
+    at: Nanos,
     connection: u64,
     attempt: usize,
     bytes: Vec<u8>,
@@ -78,7 +79,7 @@
     connection: Connection,
     listener: usize,
     /// The earliest time at which what is in its input can have begun.
-    began: Time,
+    began: Nanos,
     open: Vec<usize>,
 }
 
@@ -90,7 +91,7 @@
     connections: BTreeMap<u64, Served>,
     next: u64,
     due: Vec<Due>,
-    attempts: Vec<Attempt>,
+    attempts: Vec<AttemptRecord>,
 }
 
 impl Caches {
@@ -132,7 +133,7 @@
     }
 
     /// Ends them; all attempts that came.
-    pub fn stop(self) -> Vec<Attempt> {
+    pub fn stop(self) -> Vec<AttemptRecord> {
         self.end.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
     }
@@ -170,7 +171,7 @@
         Ok(())
     }
 
-    fn accept(&mut self, listener: usize, before: Time, down: &HashSet<usize>) {
+    fn accept(&mut self, listener: usize, before: Nanos, down: &HashSet<usize>) {
         while let Ok((stream, _)) = self.listeners[listener].accept() {
             let Ok(connection) = Connection::new(stream) else {
                 continue;
@@ -193,7 +194,7 @@
         }
     }
 
-    fn read(&mut self, number: u64, before: Time) {
+    fn read(&mut self, number: u64, before: Nanos) {
         let Some(served) = self.connections.get_mut(&number) else {
             return;
         };
@@ -212,12 +213,12 @@
             served.began = before;
             self.take(number, &words, began);
         }
-        if state != State::Open {
+        if state != ConnectionState::Open {
             self.drop_connection(number, false);
         }
     }
 
-    fn take(&mut self, number: u64, words: &[Vec<u8>], began: Time) {
+    fn take(&mut self, number: u64, words: &[Vec<u8>], began: Nanos) {
         let Some(served) = self.connections.get_mut(&number) else {
             return;
         };
@@ -246,7 +247,7 @@
         } else {
             format!("value {}", String::from_utf8_lossy(key))
         };
-        self.attempts.push(Attempt {
+        self.attempts.push(AttemptRecord {
             id,
             listener,
             began,
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,10 +1,10 @@
-//! The clients of a soak: requests in an open loop to all balancers, by one thread; some leave, some send many at once,
-//! some write slowly, some stop in the middle.
+//! The clients of a soak: requests in an open loop to all balancers, by one thread; some leave,
+//! some send many at once, some write slowly, some stop in the middle.
 
-use super::balancers::{Board, Doors};
-use super::records::{Asked, Effect, End, MS, Time};
-use super::sockets::{Clock, Connection, State, readable};
-use crate::stand_ins::resp::{self, Answer, write_command};
+use super::balancers::{ClientAccess, StatusBoard};
+use super::connections::{Clock, Connection, ConnectionState, readable};
+use super::records::{MS, Nanos, RequestEnd, RequestKind, RequestRecord};
+use crate::simulated_services::resp::{self, RespReply, write_command};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeMap, VecDeque};
@@ -18,19 +18,19 @@
 /// Keys that are asked for.
 const KEYS: u64 = 400;
 /// How long beyond its time an answer is waited for.
-const NEVER: Time = 4_000 * MS;
+const NEVER: Nanos = 4_000 * MS;
 /// After a request to end new connections are made for so long.
-const NEW_CONNECTIONS: Time = 300 * MS;
+const NEW_CONNECTIONS: Nanos = 300 * MS;
 /// The second half of a command that is written slowly comes so much later.
-const SLOW: Time = 60 * MS;
+const SLOW: Nanos = 60 * MS;
 
 /// How clients behave; shares are of requests.
 #[derive(Clone, Debug)]
-pub struct Manners {
+pub struct ClientBehavior {
     /// Requests a second at each balancer.
     pub per_s: f64,
-    /// How long clients wait, by [`Effect::CLASSES`].
-    pub patience: [Time; 3],
+    /// How long clients wait, by [`RequestKind::CLASSES`].
+    pub patience: [Nanos; 3],
     /// They close before their answer.
     pub leave: f64,
     /// Several are sent at once on a connection.
@@ -44,7 +44,7 @@
 /// All clients at work.
 pub struct Clients {
     end: Arc<AtomicBool>,
-    thread: JoinHandle<Vec<Asked>>,
+    thread: JoinHandle<Vec<RequestRecord>>,
 }
 
 struct Client {
@@ -55,21 +55,21 @@
     answered: bool,
     /// Requests whose answers are to come, by their places.
     open: VecDeque<usize>,
-    leaves: Option<Time>,
+    leaves: Option<Nanos>,
     /// What is left of a command, when it comes, and whose it is.
-    rest: Option<(Time, Vec<u8>, usize)>,
+    rest: Option<(Nanos, Vec<u8>, usize)>,
 }
 
 struct Work {
     clock: Clock,
-    board: Board,
+    board: StatusBoard,
     doors: Vec<SocketAddr>,
-    manners: Manners,
+    manners: ClientBehavior,
     rng: Xoshiro256PlusPlus,
     clients: BTreeMap<u64, Client>,
     next_client: u64,
-    next_at: Vec<Time>,
-    asked: Vec<Asked>,
+    next_at: Vec<Nanos>,
+    asked: Vec<RequestRecord>,
     /// The key of each request.
     keys: Vec<u64>,
 }
@@ -78,8 +78,8 @@
     /// Starts them.
     pub fn start(
         doors: Vec<SocketAddr>,
-        manners: Manners,
-        board: Board,
+        manners: ClientBehavior,
+        board: StatusBoard,
         clock: Clock,
         seed: u64,
     ) -> Self {
@@ -110,7 +110,7 @@
     }
 
     /// Asks no more, waits for what is open, and tells all that was asked.
-    pub fn stop(self) -> Vec<Asked> {
+    pub fn stop(self) -> Vec<RequestRecord> {
         self.end.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
     }
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    fn read(&mut self, number: u64, before: Time) {
+    fn read(&mut self, number: u64, before: Nanos) {
         let Some(client) = self.clients.get_mut(&number) else {
             return;
         };
@@ -156,17 +156,17 @@
                 self.asked[*next].behind = self.clock.now();
             }
         }
-        if state == State::Open {
+        if state == ConnectionState::Open {
             return;
         }
         let Some(client) = self.clients.remove(&number) else {
             return;
         };
         for request in client.open {
-            let end = if state == State::Ended {
-                End::Closed
+            let end = if state == ConnectionState::Ended {
+                RequestEnd::Closed
             } else {
-                End::Reset
+                RequestEnd::Reset
             };
             (self.asked[request].end, self.asked[request].ended) = (end, before);
         }
@@ -201,7 +201,14 @@
         let closed = self.clock.now();
         for request in client.open {
             let asked = &mut self.asked[request];
-            (asked.end, asked.ended) = (if leaves { End::Left } else { End::Never }, closed);
+            (asked.end, asked.ended) = (
+                if leaves {
+                    RequestEnd::Left
+                } else {
+                    RequestEnd::Never
+                },
+                closed,
+            );
             asked.closed = Some(closed);
         }
     }
@@ -213,7 +220,7 @@
             return;
         }
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.manners.per_s;
-        self.next_at[balancer] = now.min(due + 50 * MS).max(due) + (gap * 1e9) as Time;
+        self.next_at[balancer] = now.min(due + 50 * MS).max(due) + (gap * 1e9) as Nanos;
         let (doors, life, asked_to_end) = {
             let board = self.board.lock();
             let me = &board[balancer];
@@ -221,9 +228,9 @@
             (me.doors, me.lives.len(), asked_to_end)
         };
         let may_connect = match doors {
-            Doors::Shut => return,
-            Doors::Open => true,
-            Doors::Ending => asked_to_end.is_some_and(|at| now < at + NEW_CONNECTIONS),
+            ClientAccess::Shut => return,
+            ClientAccess::Open => true,
+            ClientAccess::Ending => asked_to_end.is_some_and(|at| now < at + NEW_CONNECTIONS),
         };
         let idle = |c: &Client| {
             c.balancer == balancer && c.open.is_empty() && c.rest.is_none() && c.leaves.is_none()
@@ -265,7 +272,7 @@
 
     fn ask(&mut self, number: u64) {
         let draw = self.rng.random::<f64>();
-        let Manners {
+        let ClientBehavior {
             leave,
             pipeline,
             slow,
@@ -317,29 +324,29 @@
     fn command(&mut self, number: u64) -> (Vec<u8>, usize) {
         let client = &self.clients[&number];
         let effect = match self.rng.random_range(0..20) {
-            0..14 => Effect::Safe,
-            14..17 => Effect::Keyed,
-            _ => Effect::Unsafe,
+            0..14 => RequestKind::Safe,
+            14..17 => RequestKind::Keyed,
+            _ => RequestKind::Unsafe,
         };
         let request = self.asked.len();
         let id = format!("b{}r{request:x}", client.balancer);
         let key = self.rng.random_range(0..KEYS);
         let patience = self.manners.patience[effect as usize];
         let mut fields = format!("c={},d={}", effect.class(), patience / MS);
-        if effect == Effect::Keyed {
+        if effect == RequestKind::Keyed {
             fields.push_str(&format!(",k={request:x}"));
         }
         let text = format!("{key:016x}");
         let mut words: Vec<&[u8]> =
             vec![b"C.GET", text.as_bytes(), id.as_bytes(), fields.as_bytes()];
-        if effect != Effect::Safe {
+        if effect != RequestKind::Safe {
             words[0] = b"C.SET";
             words.push(b"value");
         }
         let bytes = write_command(&words);
         let (balancer, life) = (client.balancer, client.life - 1);
         let sent = self.clock.now();
-        self.asked.push(Asked {
+        self.asked.push(RequestRecord {
             id,
             balancer,
             life,
@@ -349,7 +356,7 @@
             fresh: !client.answered,
             patience,
             closed: None,
-            end: End::Never,
+            end: RequestEnd::Never,
             ended: 0,
         });
         self.keys.push(key);
@@ -357,24 +364,26 @@
     }
 }
 
-fn judge(answer: &Answer, key: u64, asked: &Asked) -> End {
+fn judge(answer: &RespReply, key: u64, asked: &RequestRecord) -> RequestEnd {
     let value = match answer {
-        Answer::Bulk(Some(value)) => value,
-        Answer::Array(parts) => match parts.first() {
-            Some(Answer::Bulk(Some(value))) => value,
-            _ => return End::Failed,
+        RespReply::Bulk(Some(value)) => value,
+        RespReply::Array(parts) => match parts.first() {
+            Some(RespReply::Bulk(Some(value))) => value,
+            _ => return RequestEnd::Failed,
         },
-        Answer::Error(text) if text == "BUSY" || text.starts_with("BUSY ") => return End::Refused,
-        _ => return End::Failed,
+        RespReply::Error(text) if text == "BUSY" || text.starts_with("BUSY ") => {
+            return RequestEnd::Refused;
+        }
+        _ => return RequestEnd::Failed,
     };
-    let made = if asked.effect == Effect::Safe {
+    let made = if asked.effect == RequestKind::Safe {
         format!("value {key:016x}")
     } else {
         format!("receipt {}", asked.id)
     };
     if *value == made.into_bytes() {
-        End::Served
+        RequestEnd::Served
     } else {
-        End::Wrong
+        RequestEnd::Wrong
     }
 }
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,19 +1,20 @@
 //! `testbed soak`: plays seeds and prints a row for each, the breaches, and the verdict.
 
-use super::draw::draw;
-use super::{Outcome, play};
-use crate::ground;
+use super::plan::draw;
+use super::{SoakOutcome, play};
+use crate::error::TestbedError;
+use crate::process;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Mutex, PoisonError};
 
 /// Breaches of one seed that are printed.
 const BREACHES_PRINTED: usize = 6;
 
 /// What is played.
 #[derive(clap::Args)]
-pub struct Arguments {
+pub struct SoakArguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -39,8 +40,8 @@
 /// # Errors
 ///
 /// Says which part of a trial itself failed; the verdict counts that as a failure too.
-pub fn run(arguments: &Arguments) -> Result<ExitCode, String> {
-    let program = ground::program(arguments.program.as_ref())?;
+pub fn run(arguments: &SoakArguments) -> Result<ExitCode, TestbedError> {
+    let program = process::find_program(arguments.program.as_deref())?;
     let next = AtomicU64::new(arguments.seed);
     let end = arguments.seed + arguments.seeds;
     let failed: Mutex<Vec<String>> = Mutex::default();
@@ -61,7 +62,7 @@
             });
         }
     });
-    let failed = failed.into_inner().map_err(|e| e.to_string())?;
+    let failed = failed.into_inner().unwrap_or_else(PoisonError::into_inner);
     if failed.is_empty() {
         println!("verdict: passed");
         return Ok(ExitCode::SUCCESS);
@@ -71,7 +72,7 @@
 }
 
 /// Plays one; the seed with the rules that it broke, if any.
-fn play_seed(seed: u64, arguments: &Arguments, program: &Path) -> Option<String> {
+fn play_seed(seed: u64, arguments: &SoakArguments, program: &Path) -> Option<String> {
     let plan = draw(seed, arguments.short);
     let (balancers, caches) = (plan.balancers, plan.caches);
     let own = std::env::temp_dir().join(format!("pipitrun-soak-{}-{seed}", std::process::id()));
@@ -118,7 +119,7 @@
 }
 
 /// Writes the records beside the logs.
-fn keep(outcome: &Outcome, folder: &Path) {
+fn keep(outcome: &SoakOutcome, folder: &Path) {
     let written = serde_json::to_vec(&outcome.records)
         .map_err(std::io::Error::from)
         .and_then(|json| std::fs::write(folder.join("records.json"), json));
--- a/crates/testbed/src/soak/sockets.rs
+++ b/crates/testbed/src/soak/connections.rs
@@ -1,13 +1,15 @@
-//! What the stand-ins of a soak share: a clock, looks at many sockets, and connections that never block.
+//! What the stand-ins of a soak share: a clock, looks at many sockets, and connections that never
+//! block.
 
-use super::records::Time;
+use super::records::Nanos;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::time::Instant;
 
-/// The longest wait of a stand-in, in milliseconds: what it reads has come no longer ago, and then its own lag.
+/// The longest wait of a stand-in, in milliseconds: what it reads has come no longer ago, and then
+/// its own lag.
 const WAIT_MS: u8 = 2;
 /// One read takes at most this much.
 const READ_SIZE: usize = 64 * 1024;
@@ -23,8 +25,8 @@
     }
 
     /// The time now.
-    pub fn now(&self) -> Time {
-        self.0.elapsed().as_nanos() as Time
+    pub fn now(&self) -> Nanos {
+        self.0.elapsed().as_nanos() as Nanos
     }
 }
 
@@ -42,7 +44,7 @@
 
 /// What a connection is found to be when it is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ConnectionState {
     /// More may come.
     Open,
     /// The other end has closed behind all that it had read.
@@ -77,20 +79,21 @@
     }
 
     /// Reads all that has come.
-    pub fn read(&mut self) -> State {
+    pub fn read(&mut self) -> ConnectionState {
         let mut bytes = [0; READ_SIZE];
         loop {
             match self.stream.read(&mut bytes) {
-                Ok(0) => return State::Ended,
+                Ok(0) => return ConnectionState::Ended,
                 Ok(n) => self.input.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return State::Open,
-                Err(_) => return State::Reset,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return ConnectionState::Open,
+                Err(_) => return ConnectionState::Reset,
             }
         }
     }
 
-    /// Writes this, behind what could not be written yet. True once all is written; an end is found by the next read.
+    /// Writes this, behind what could not be written yet. True once all is written; an end is found
+    /// by the next read.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.output.extend_from_slice(bytes);
         self.flush()
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery for a soak: one list, told to each balancer at doors of its own, with faults.
 
-use super::records::{CacheState, Change, Span, Time, Told};
-use super::sockets::Clock;
-use crate::stand_ins::Door;
+use super::connections::Clock;
+use super::records::{CacheState, ListChange, Nanos, Notification, TimeSpan};
+use crate::simulated_services::TcpService;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -21,7 +21,7 @@
 
 /// What is wrong with discovery now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiscoveryFault {
     /// Nothing.
     #[default]
     None,
@@ -38,7 +38,7 @@
 
 /// How messages are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum ListFormat {
     /// One to a line.
     #[default]
     Line,
@@ -49,14 +49,14 @@
 }
 
 #[derive(Default)]
-struct State {
+struct DiscoveryState {
     version: u64,
     caches: BTreeMap<usize, CacheState>,
-    changes: Vec<Change>,
-    told: Vec<Told>,
-    down: Vec<Span>,
-    trouble: Trouble,
-    form: Form,
+    changes: Vec<ListChange>,
+    told: Vec<Notification>,
+    down: Vec<TimeSpan>,
+    trouble: DiscoveryFault,
+    form: ListFormat,
     watches: u64,
     /// Bytes of changes that were written.
     change_bytes: u64,
@@ -64,27 +64,27 @@
 
 /// The list, and what was told of it.
 #[derive(Clone)]
-pub struct List {
-    state: Arc<Mutex<State>>,
+pub struct DiscoveryService {
+    state: Arc<Mutex<DiscoveryState>>,
     clock: Clock,
     /// The listener of each cache, by its number.
     dials: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
 }
 
 /// What discovery did.
-pub type Log = (Vec<Change>, Vec<Told>, Vec<Span>);
+pub type DiscoveryLog = (Vec<ListChange>, Vec<Notification>, Vec<TimeSpan>);
 
-impl List {
+impl DiscoveryService {
     /// An empty one.
     pub fn new(clock: Clock, dials: impl Fn(usize) -> SocketAddr + Send + Sync + 'static) -> Self {
-        List {
+        DiscoveryService {
             state: Arc::default(),
             clock,
             dials: Arc::new(dials),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, DiscoveryState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -99,7 +99,7 @@
                 state.caches.insert(*cache, to);
             }
         }
-        let change = Change {
+        let change = ListChange {
             version: state.version,
             at: self.clock.now(),
             caches,
@@ -109,17 +109,17 @@
     }
 
     /// What is wrong from now on.
-    pub fn trouble(&self, trouble: Trouble) {
+    pub fn trouble(&self, trouble: DiscoveryFault) {
         let mut state = self.lock();
         let now = self.clock.now();
-        if trouble == Trouble::Down && state.trouble != Trouble::Down {
-            state.down.push(Span {
+        if trouble == DiscoveryFault::Down && state.trouble != DiscoveryFault::Down {
+            state.down.push(TimeSpan {
                 from: now,
-                to: Time::MAX,
+                to: Nanos::MAX,
             });
         }
-        if trouble != Trouble::Down
-            && let Some(span) = state.down.last_mut().filter(|span| span.to == Time::MAX)
+        if trouble != DiscoveryFault::Down
+            && let Some(span) = state.down.last_mut().filter(|span| span.to == Nanos::MAX)
         {
             span.to = now;
         }
@@ -129,16 +129,16 @@
     /// All watches that are open fall silent.
     pub fn silence(&self) {
         let before = self.lock().watches;
-        self.trouble(Trouble::Silent { before });
+        self.trouble(DiscoveryFault::Silent { before });
     }
 
     /// How messages are written from now on.
-    pub fn form(&self, form: Form) {
+    pub fn form(&self, form: ListFormat) {
         self.lock().form = form;
     }
 
     /// What was done.
-    pub fn log(&self) -> Log {
+    pub fn log(&self) -> DiscoveryLog {
         let state = self.lock();
         (
             state.changes.clone(),
@@ -199,19 +199,19 @@
     /// # Errors
     ///
     /// If the address is taken.
-    pub fn door(&self, address: SocketAddr, balancer: usize) -> io::Result<Door> {
+    pub fn door(&self, address: SocketAddr, balancer: usize) -> io::Result<TcpService> {
         let list = self.clone();
-        Door::open(address, move |stream| list.serve(stream, balancer))
+        TcpService::open(address, move |stream| list.serve(stream, balancer))
     }
 
     fn serve(&self, mut stream: TcpStream, balancer: usize) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        if self.lock().trouble == Trouble::Down {
+        if self.lock().trouble == DiscoveryFault::Down {
             return Ok(());
         }
         let head = read_head(&mut stream)?;
         let crowded = match self.lock().trouble {
-            Trouble::Crowded(ms) => ms,
+            DiscoveryFault::Crowded(ms) => ms,
             _ => 0,
         };
         std::thread::sleep(Duration::from_millis(crowded));
@@ -228,14 +228,14 @@
         loop {
             let trouble = self.lock().trouble;
             match trouble {
-                Trouble::Down => return Ok(()),
-                Trouble::Silent { before } if number < before => {}
+                DiscoveryFault::Down => return Ok(()),
+                DiscoveryFault::Silent { before } if number < before => {}
                 _ => match self.message(since) {
                     Some((version, message)) => {
                         self.write(&mut stream, &message)?;
                         (since, empty) = (Some(version), 0);
                         let at = self.clock.now();
-                        self.lock().told.push(Told {
+                        self.lock().told.push(Notification {
                             balancer,
                             version,
                             at,
@@ -255,14 +255,14 @@
     fn write(&self, stream: &mut TcpStream, message: &Value) -> io::Result<()> {
         let form = self.lock().form;
         let mut text = match form {
-            Form::Indented => serde_json::to_string_pretty(message)?,
-            Form::Line | Form::Torn => message.to_string(),
+            ListFormat::Indented => serde_json::to_string_pretty(message)?,
+            ListFormat::Line | ListFormat::Torn => message.to_string(),
         };
         text.push('\n');
         if message["whole"] == false {
             self.lock().change_bytes += text.len() as u64;
         }
-        if form != Form::Torn {
+        if form != ListFormat::Torn {
             return stream.write_all(text.as_bytes());
         }
         for part in text.as_bytes().chunks(TORN.0.max(text.len() / 20)) {
--- a/crates/testbed/src/soak/growth.rs
+++ b/crates/testbed/src/soak/growth.rs
@@ -1,14 +1,15 @@
 //! What one balancer needs of the same day with few caches and with many, held against what it may.
 
-use super::draw::growth;
-use super::{Outcome, play};
-use crate::ground;
+use super::plan::growth;
+use super::{SoakOutcome, play};
+use crate::error::TestbedError;
+use crate::process;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// What is played.
 #[derive(clap::Args)]
-pub struct Arguments {
+pub struct GrowthArguments {
     /// Numbers of caches: the usual one, then the larger ones.
     #[arg(long, value_delimiter = ',', default_values_t = [200, 3_200])]
     caches: Vec<usize>,
@@ -25,7 +26,7 @@
 
 /// What was needed.
 #[derive(Clone, Copy, Debug)]
-struct Need {
+struct ResourceUse {
     cpu_s: f64,
     memory_mb: f64,
     descriptors: f64,
@@ -34,8 +35,8 @@
     served: f64,
 }
 
-impl Need {
-    fn of(outcome: &Outcome) -> Self {
+impl ResourceUse {
+    fn of(outcome: &SoakOutcome) -> Self {
         let usage = outcome.usage.first().copied().unwrap_or_default();
         let counter = |name: &str| {
             outcome
@@ -47,7 +48,7 @@
         };
         let served = outcome.ends.get("Served").copied().unwrap_or(0);
         let asked: usize = outcome.ends.values().sum();
-        Need {
+        ResourceUse {
             cpu_s: usage.cpu_s,
             memory_mb: usage.peak_mb,
             descriptors: usage.descriptors as f64,
@@ -60,7 +61,7 @@
     /// What may be needed with so many caches, by what was needed with the usual number.
     fn allowed(&self, caches: usize) -> Self {
         let thousands = caches as f64 / 1_000.0;
-        Need {
+        ResourceUse {
             cpu_s: 1.4 * self.cpu_s + 0.02 + 0.03 * thousands,
             memory_mb: 1.5 * self.memory_mb + 8.0 + 4.0 * thousands,
             descriptors: 2.0 * self.descriptors + 40.0,
@@ -88,9 +89,9 @@
 /// # Errors
 ///
 /// Says which part of a trial itself failed.
-pub fn run(arguments: &Arguments) -> Result<ExitCode, String> {
-    let program = ground::program(arguments.program.as_ref())?;
-    let mut usual: Option<Need> = None;
+pub fn run(arguments: &GrowthArguments) -> Result<ExitCode, TestbedError> {
+    let program = process::find_program(arguments.program.as_deref())?;
+    let mut usual: Option<ResourceUse> = None;
     let mut over = Vec::new();
     for caches in &arguments.caches {
         let folder =
@@ -101,7 +102,7 @@
             &folder,
         )?;
         let _ = std::fs::remove_dir_all(&folder);
-        let need = Need::of(&outcome);
+        let need = ResourceUse::of(&outcome);
         let allowed = usual.map(|usual| usual.allowed(*caches));
         println!("{caches} caches, {} breaches", outcome.breaches.len());
         for (place, (name, figure)) in need.figures().into_iter().enumerate() {
--- a/crates/testbed/src/soak/draw.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,7 +1,7 @@
 //! What a seed draws: settings, sizes, manners of clients, and a timeline of faults.
 
-use super::clients::Manners;
-use super::records::{MS, Time};
+use super::clients::ClientBehavior;
+use super::records::{MS, Nanos};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::{Value, json};
@@ -11,39 +11,39 @@
 /// The most caches that have a listener of their own.
 const OWN_MOST: usize = 60;
 /// How long a soak of one seed takes.
-pub const LENGTH: Time = 9_000 * MS;
+pub const LENGTH: Nanos = 9_000 * MS;
 /// How long a day of [`growth`] takes, and how many balancers its settings tell of.
-const GROWTH_LENGTH: Time = 20_000 * MS;
+const GROWTH_LENGTH: Nanos = 20_000 * MS;
 const GROWTH_BALANCERS: usize = 300;
 /// Work that a cache of mean size does, over its part of all requests.
 const SPARE: f64 = 2.0;
 
 /// What the referee has to know of the settings.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct CheckedRules {
     /// The grace of a drain.
-    pub grace: Time,
+    pub grace: Nanos,
     /// The window of keyed writes.
-    pub window: Time,
+    pub window: Nanos,
     /// The share of its capacity at which a cache starts.
     pub cold_from: f64,
     /// It is warm after this.
-    pub warm_after: Time,
+    pub warm_after: Nanos,
     /// It falls by more than this multiple ...
     pub overload_factor: f64,
     /// ... for this long.
-    pub tip_after: Time,
+    pub tip_after: Nanos,
     /// What a cache can do, requests a second.
     pub capacity: f64,
     /// Caches with smaller numbers have a listener of their own: they alone are judged one by one.
     pub own_listeners: usize,
     /// A process has to be ready within this.
-    pub ready_within: Time,
+    pub ready_within: Nanos,
     /// When the soak ends.
-    pub length: Time,
+    pub length: Nanos,
 }
 
-impl Rules {
+impl CheckedRules {
     /// The most requests that a cache may get in a window, at this age as a part of its warm-up.
     pub fn allowed(&self, age: f64) -> f64 {
         let ramp = self.cold_from + (1.0 - self.cold_from) * age.clamp(0.0, 1.0);
@@ -55,29 +55,30 @@
 
 /// Something that happens.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub enum SoakEvent {
     /// So many caches are new, long at work.
     Joins(usize),
     /// So many of the oldest caches drain, are gone soon, and as many new ones come.
     Replaced(usize),
-    /// The first of the caches that have listeners of their own drain, and are gone after the second time.
-    Drains(usize, Time),
+    /// The first of the caches that have listeners of their own drain, and are gone after the
+    /// second time.
+    Drains(usize, Nanos),
     /// So many of the same come, or come back, cold.
     Cold(usize),
     /// They hang for so long.
-    Hangs(usize, Time),
+    Hangs(usize, Nanos),
     /// They are down for so long, and nobody is told.
-    CachesDown(usize, Time),
+    CachesDown(usize, Nanos),
     /// Answers go wrong for so long.
-    Spoilt(Time),
+    Spoilt(Nanos),
     /// All open watches fall silent.
     Silence,
     /// All watches are reset.
     WatchesReset,
     /// Discovery is down for so long.
-    DiscoveryDown(Time),
+    DiscoveryDown(Nanos),
     /// Calls of discovery wait in turn.
-    DiscoveryCrowded(Time),
+    DiscoveryCrowded(Nanos),
     /// A balancer is asked to end, killed as early as may be, and started anew.
     Restart(usize),
     /// A balancer is killed and started anew.
@@ -85,14 +86,14 @@
     /// A balancer reads a new configuration, by which discovery is elsewhere.
     Reload(usize),
     /// A balancer stands still for so long.
-    HoldUp(usize, Time),
+    HoldUp(usize, Nanos),
     /// A balancer has only this part of its time, in hundredths, for so long.
-    Share(usize, u64, Time),
+    Share(usize, u64, Nanos),
 }
 
 /// What one seed plays.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SoakPlan {
     /// The seed.
     pub seed: u64,
     /// Balancers.
@@ -102,13 +103,13 @@
     /// The settings of all balancers.
     pub settings: Value,
     /// What the referee has to know of them.
-    pub rules: Rules,
+    pub rules: CheckedRules,
     /// How clients behave.
-    pub manners: Manners,
+    pub manners: ClientBehavior,
     /// Lists come indented or torn.
-    pub form: super::discovery::Form,
+    pub form: super::discovery::ListFormat,
     /// What happens, by time.
-    pub events: Vec<(Time, Event)>,
+    pub events: Vec<(Nanos, SoakEvent)>,
 }
 
 fn pick<T: Copy>(rng: &mut impl Rng, of: &[T]) -> T {
@@ -116,7 +117,7 @@
 }
 
 /// What this seed plays, in a small way if `short`.
-pub fn draw(seed: u64, short: bool) -> Plan {
+pub fn draw(seed: u64, short: bool) -> SoakPlan {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let balancers = if short {
         rng.random_range(2..5)
@@ -143,7 +144,7 @@
         patience(&mut rng, &[400, 1_000, 2_500]),
     ];
     let capacity = SPARE * per_s * balancers as f64 / caches as f64;
-    let rules = Rules {
+    let rules = CheckedRules {
         grace: pick(&mut rng, &[400, 500, 1_000, 2_500]) * MS,
         window: pick(&mut rng, &[200, 250, 600, 2_000]) * MS,
         cold_from: pick(&mut rng, &[0.05, 0.12, 0.3]),
@@ -157,7 +158,7 @@
     };
     let settings = settings(&mut rng, balancers, &patience, &rules);
     let share = |rng: &mut Xoshiro256PlusPlus| pick(rng, &[0.0, 0.03, 0.1]);
-    let manners = Manners {
+    let manners = ClientBehavior {
         per_s,
         patience,
         leave: pick(&mut rng, &[0.05, 0.15, 0.3]),
@@ -165,34 +166,40 @@
         slow: share(&mut rng),
         half: share(&mut rng) / 5.0,
     };
-    use super::discovery::Form;
+    use super::discovery::ListFormat;
     let form = pick(
         &mut rng,
-        &[Form::Line, Form::Line, Form::Indented, Form::Torn],
+        &[
+            ListFormat::Line,
+            ListFormat::Line,
+            ListFormat::Indented,
+            ListFormat::Torn,
+        ],
     );
     let count = rng.random_range(4..9);
     let times = |rng: &mut Xoshiro256PlusPlus| rng.random_range(1_000..LENGTH / MS - 2_500) * MS;
-    let mut events: Vec<(Time, Event)> = (0..count)
+    let mut events: Vec<(Nanos, SoakEvent)> = (0..count)
         .map(|_| (times(&mut rng), event(&mut rng, balancers, caches)))
         .collect();
-    // Each seed has a shutdown, a hold-up, caches that hang and caches that come back cold, whatever else.
+    // Each seed has a shutdown, a hold-up, caches that hang and caches that come back cold,
+    // whatever else.
     let own = OWN_MOST.min(caches / 2);
-    events.push((times(&mut rng), Event::Cold(own.div_ceil(2))));
+    events.push((times(&mut rng), SoakEvent::Cold(own.div_ceil(2))));
     events.push((
         times(&mut rng),
-        Event::Hangs(own, rng.random_range(300..1_500) * MS),
+        SoakEvent::Hangs(own, rng.random_range(300..1_500) * MS),
     ));
-    let held_up = Event::HoldUp(
+    let held_up = SoakEvent::HoldUp(
         rng.random_range(0..balancers),
         rng.random_range(150..1_500) * MS,
     );
     events.push((times(&mut rng), held_up));
     events.push((
         times(&mut rng),
-        Event::Restart(rng.random_range(0..balancers)),
+        SoakEvent::Restart(rng.random_range(0..balancers)),
     ));
     events.sort_by_key(|(at, _)| *at);
-    Plan {
+    SoakPlan {
         seed,
         balancers,
         caches,
@@ -204,14 +211,14 @@
     }
 }
 
-/// The same day for one balancer at any number of caches: the same traffic and the same capacity of all caches together; a
-/// tenth of the caches is replaced twice, and a batch of a quarter comes.
-pub fn growth(seed: u64, caches: usize, per_s: f64) -> Plan {
+/// The same day for one balancer at any number of caches: the same traffic and the same capacity of
+/// all caches together; a tenth of the caches is replaced twice, and a batch of a quarter comes.
+pub fn growth(seed: u64, caches: usize, per_s: f64) -> SoakPlan {
     let mut plan = draw(seed, true);
     plan.balancers = 1;
     plan.caches = caches;
-    plan.form = super::discovery::Form::Line;
-    plan.manners = Manners {
+    plan.form = super::discovery::ListFormat::Line;
+    plan.manners = ClientBehavior {
         per_s,
         leave: 0.0,
         pipeline: 0.0,
@@ -226,14 +233,14 @@
     let tenth = caches / 10;
     let at = |s: u64| s * 1_000 * MS;
     plan.events = vec![
-        (at(3), Event::Replaced(tenth)),
-        (at(6), Event::Replaced(tenth)),
-        (at(9), Event::Joins(caches / 4)),
+        (at(3), SoakEvent::Replaced(tenth)),
+        (at(6), SoakEvent::Replaced(tenth)),
+        (at(9), SoakEvent::Joins(caches / 4)),
     ];
     plan
 }
 
-fn event(rng: &mut impl Rng, balancers: usize, caches: usize) -> Event {
+fn event(rng: &mut impl Rng, balancers: usize, caches: usize) -> SoakEvent {
     let one = rng.random_range(0..balancers);
     let own = OWN_MOST.min(caches / 2);
     let some = rng.random_range(1..own.max(2));
@@ -241,27 +248,32 @@
         |rng: &mut dyn FnMut(std::ops::Range<u64>) -> u64, of: std::ops::Range<u64>| rng(of) * MS;
     let mut draw = |of: std::ops::Range<u64>| rng.random_range(of);
     match draw(0..18) {
-        0 | 1 => Event::Joins(1 + draw(0..(caches as u64 / 3).max(1)) as usize),
-        2 | 3 => Event::Drains(some, span(&mut draw, 100..2_000)),
-        4 => Event::Cold(some),
-        5 => Event::Hangs(some, span(&mut draw, 300..3_000)),
-        6 => Event::CachesDown(some, span(&mut draw, 300..3_000)),
-        7 => Event::Spoilt(span(&mut draw, 500..3_000)),
-        8 => Event::Silence,
-        9 => Event::WatchesReset,
-        10 => Event::DiscoveryDown(span(&mut draw, 300..3_000)),
-        11 => Event::DiscoveryCrowded(span(&mut draw, 300..3_000)),
-        12 => Event::Restart(one),
-        13 => Event::Kill(one),
-        14 => Event::Reload(one),
-        15 | 16 => Event::HoldUp(one, span(&mut draw, 50..2_000)),
-        _ => Event::Share(one, 8 + draw(0..80), span(&mut draw, 500..3_000)),
+        0 | 1 => SoakEvent::Joins(1 + draw(0..(caches as u64 / 3).max(1)) as usize),
+        2 | 3 => SoakEvent::Drains(some, span(&mut draw, 100..2_000)),
+        4 => SoakEvent::Cold(some),
+        5 => SoakEvent::Hangs(some, span(&mut draw, 300..3_000)),
+        6 => SoakEvent::CachesDown(some, span(&mut draw, 300..3_000)),
+        7 => SoakEvent::Spoilt(span(&mut draw, 500..3_000)),
+        8 => SoakEvent::Silence,
+        9 => SoakEvent::WatchesReset,
+        10 => SoakEvent::DiscoveryDown(span(&mut draw, 300..3_000)),
+        11 => SoakEvent::DiscoveryCrowded(span(&mut draw, 300..3_000)),
+        12 => SoakEvent::Restart(one),
+        13 => SoakEvent::Kill(one),
+        14 => SoakEvent::Reload(one),
+        15 | 16 => SoakEvent::HoldUp(one, span(&mut draw, 50..2_000)),
+        _ => SoakEvent::Share(one, 8 + draw(0..80), span(&mut draw, 500..3_000)),
     }
 }
 
-fn settings(rng: &mut impl Rng, balancers: usize, patience: &[Time; 3], rules: &Rules) -> Value {
-    use super::records::Effect;
-    let profiles: Vec<Value> = Effect::CLASSES
+fn settings(
+    rng: &mut impl Rng,
+    balancers: usize,
+    patience: &[Nanos; 3],
+    rules: &CheckedRules,
+) -> Value {
+    use super::records::RequestKind;
+    let profiles: Vec<Value> = RequestKind::CLASSES
         .iter()
         .zip(patience)
         .map(|((_, name, repeat), patience)| {
--- a/crates/testbed/src/soak/records.rs
+++ b/crates/testbed/src/soak/records.rs
@@ -1,19 +1,19 @@
 //! What the stand-ins of a soak saw, in nanoseconds since its beginning.
 //!
-//! Where something can have come earlier than it was read, the record has the earliest time: that of the look before. What
-//! the trial itself delays is allowed for by that, and by nothing else.
+//! Where something can have come earlier than it was read, the record has the earliest time: that
+//! of the look before. What the trial itself delays is allowed for by that, and by nothing else.
 
 use serde::Serialize;
 
 /// Nanoseconds since the beginning of the soak.
-pub type Time = u64;
+pub type Nanos = u64;
 
 /// One millisecond.
-pub const MS: Time = 1_000_000;
+pub const MS: Nanos = 1_000_000;
 
 /// What a repeat of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Effect {
+pub enum RequestKind {
     /// It may be repeated.
     Safe,
     /// It may be repeated within a window.
@@ -22,12 +22,12 @@
     Unsafe,
 }
 
-impl Effect {
+impl RequestKind {
     /// All of them, as classes of the settings, by name and `repeat`.
-    pub const CLASSES: [(Effect, &'static str, &'static str); 3] = [
-        (Effect::Safe, "read", "safe"),
-        (Effect::Keyed, "put", "keyed"),
-        (Effect::Unsafe, "once", "unsafe"),
+    pub const CLASSES: [(RequestKind, &'static str, &'static str); 3] = [
+        (RequestKind::Safe, "read", "safe"),
+        (RequestKind::Keyed, "put", "keyed"),
+        (RequestKind::Unsafe, "once", "unsafe"),
     ];
 
     /// The name of its class.
@@ -38,7 +38,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum End {
+pub enum RequestEnd {
     /// A value or receipt that a cache made for it.
     Served,
     /// `-BUSY`.
@@ -59,7 +59,7 @@
 
 /// A request as its client saw it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Its id.
     pub id: String,
     /// Which balancer, and in which of its lives.
@@ -67,31 +67,32 @@
     /// See `balancer`.
     pub life: usize,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub effect: RequestKind,
     /// When its last byte had been written.
-    pub sent: Time,
-    /// When the answer before it on its connection had come, if it was sent behind another: until then its time stands.
-    pub behind: Time,
+    pub sent: Nanos,
+    /// When the answer before it on its connection had come, if it was sent behind another: until
+    /// then its time stands.
+    pub behind: Nanos,
     /// Nothing had been answered on its connection before.
     pub fresh: bool,
     /// How long its client waits.
-    pub patience: Time,
+    pub patience: Nanos,
     /// When its client had closed, if it left.
-    pub closed: Option<Time>,
+    pub closed: Option<Nanos>,
     /// How it ended, and the earliest time at which that came.
-    pub end: End,
+    pub end: RequestEnd,
     /// See `end`.
-    pub ended: Time,
+    pub ended: Nanos,
 }
 
-impl Asked {
+impl RequestRecord {
     /// From when its time counts.
-    pub fn since(&self) -> Time {
+    pub fn since(&self) -> Nanos {
         self.sent.max(self.behind)
     }
 
     /// When its time is over.
-    pub fn deadline(&self) -> Time {
+    pub fn deadline(&self) -> Nanos {
         self.since() + self.patience
     }
 }
@@ -109,30 +110,30 @@
 
 /// An attempt as a cache saw it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Attempt {
+pub struct AttemptRecord {
     /// The request's id.
     pub id: String,
     /// Which listener it came to.
     pub listener: usize,
     /// The earliest time at which its first byte can have come.
-    pub began: Time,
+    pub began: Nanos,
     /// When its last byte had come.
-    pub whole: Time,
+    pub whole: Nanos,
     /// The time that it was told, in milliseconds.
     pub told_ms: u64,
     /// What was made of it.
     pub end: AttemptEnd,
     /// When its answer was written, or its connection was found to have ended.
-    pub over: Option<Time>,
+    pub over: Option<Nanos>,
 }
 
 /// A change of the list, and when discovery had it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Change {
+pub struct ListChange {
     /// The version that it made.
     pub version: u64,
     /// When.
-    pub at: Time,
+    pub at: Nanos,
     /// Which caches, by number.
     pub caches: Vec<usize>,
     /// What they are from then on.
@@ -155,63 +156,63 @@
 
 /// A version that discovery had written to a balancer.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Told {
+pub struct Notification {
     /// Which balancer.
     pub balancer: usize,
     /// Up to which version.
     pub version: u64,
     /// When.
-    pub at: Time,
+    pub at: Nanos,
 }
 
 /// A time in which something was so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Span {
+pub struct TimeSpan {
     /// From then on.
-    pub from: Time,
+    pub from: Nanos,
     /// Until then.
-    pub to: Time,
+    pub to: Nanos,
 }
 
-impl Span {
+impl TimeSpan {
     /// How much of it lies in another.
-    pub fn within(&self, from: Time, to: Time) -> Time {
+    pub fn within(&self, from: Nanos, to: Nanos) -> Nanos {
         self.to.min(to).saturating_sub(self.from.max(from))
     }
 }
 
 /// A life of a balancer's process.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Life {
+pub struct ProcessRecord {
     /// When it was started.
-    pub started: Time,
+    pub started: Nanos,
     /// When it first answered `PING` with a yes.
-    pub ready: Option<Time>,
+    pub ready: Option<Nanos>,
     /// When it was asked to end.
-    pub asked_to_end: Option<Time>,
+    pub asked_to_end: Option<Nanos>,
     /// When it was killed, asked to end before or not.
-    pub killed: Option<Time>,
+    pub killed: Option<Nanos>,
     /// When it was found to have ended by itself, and whether as it should.
-    pub ended: Option<(Time, bool)>,
+    pub ended: Option<(Nanos, bool)>,
 }
 
 /// All that was seen.
 #[derive(Debug, Default, Serialize)]
 pub struct Records {
     /// Requests.
-    pub asked: Vec<Asked>,
+    pub asked: Vec<RequestRecord>,
     /// Attempts.
-    pub attempts: Vec<Attempt>,
+    pub attempts: Vec<AttemptRecord>,
     /// Changes of the list.
-    pub changes: Vec<Change>,
+    pub changes: Vec<ListChange>,
     /// What discovery wrote.
-    pub told: Vec<Told>,
+    pub told: Vec<Notification>,
     /// When discovery could not be reached.
-    pub down: Vec<Span>,
+    pub down: Vec<TimeSpan>,
     /// By balancer: when it stood still.
-    pub stops: Vec<Vec<Span>>,
+    pub stops: Vec<Vec<TimeSpan>>,
     /// By balancer: its lives.
-    pub lives: Vec<Vec<Life>>,
+    pub lives: Vec<Vec<ProcessRecord>>,
     /// What happened, for the reader.
-    pub events: Vec<(Time, String)>,
+    pub events: Vec<(Nanos, String)>,
 }
--- a/crates/testbed/src/soak/referee.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -1,45 +1,48 @@
 //! Holds what a soak saw against the rules.
 //!
-//! A balancer that the trial let stand still is given as much longer to answer, and no more. Where a record has an earliest
-//! and a latest time, the one counts that speaks for the balancer.
+//! A balancer that the trial let stand still is given as much longer to answer, and no more. Where
+//! a record has an earliest and a latest time, the one counts that speaks for the balancer.
 
-use super::draw::Rules;
+use super::plan::CheckedRules;
 use super::records::{
-    Asked, Attempt, AttemptEnd, CacheState, Effect, End, Life, MS, Records, Time,
+    AttemptEnd, AttemptRecord, CacheState, MS, Nanos, ProcessRecord, Records, RequestEnd,
+    RequestKind, RequestRecord,
 };
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
 /// An answer is lost when it comes so long after its time.
-const ANSWER_SLACK: Time = 550 * MS;
+const ANSWER_SLACK: Nanos = 550 * MS;
 /// An attempt may begin so long after its client has closed.
-const CLOSED_SLACK: Time = 100 * MS;
+const CLOSED_SLACK: Nanos = 100 * MS;
 /// An attempt may be told so much more than is left.
-const TOLD_SLACK: Time = 150 * MS;
+const TOLD_SLACK: Nanos = 150 * MS;
 /// Windows and the grace of drains bear a hold-up of that length between the clock and the write.
-const WINDOW_SLACK: Time = 150 * MS;
-const DRAIN_SLACK: Time = 50 * MS;
+const WINDOW_SLACK: Nanos = 150 * MS;
+const DRAIN_SLACK: Nanos = 50 * MS;
 /// What discovery has counts as told after this, if it can be reached.
-const TOLD_AT_LATEST: Time = 6_000 * MS;
-/// Requests that come later than this behind the request to end are owed an answer whatever ends the process.
-const ACCEPT_ON: Time = 700 * MS;
-/// Of a cold cache's requests so many came from balancers that had been told, if its fall breaks the rule.
+const TOLD_AT_LATEST: Nanos = 6_000 * MS;
+/// Requests that come later than this behind the request to end are owed an answer whatever ends
+/// the process.
+const ACCEPT_ON: Nanos = 700 * MS;
+/// Of a cold cache's requests so many came from balancers that had been told, if its fall breaks
+/// the rule.
 const TOLD_PART: f64 = 2.0 / 3.0;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Breach {
+pub struct RuleViolation {
     /// Which rule.
     pub rule: &'static str,
     /// When.
-    pub at: Time,
+    pub at: Nanos,
     /// What happened.
     pub what: String,
 }
 
 /// All breaches, in order of time.
-pub fn judge(records: &Records, rules: &Rules) -> Vec<Breach> {
-    let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
+pub fn judge(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
+    let mut by_id: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &records.attempts {
         by_id.entry(&attempt.id).or_default().push(attempt);
     }
@@ -55,7 +58,7 @@
         }
         breaches.extend(duplicate(rules, asked, attempts));
     }
-    let asked: HashMap<&str, &Asked> = records
+    let asked: HashMap<&str, &RequestRecord> = records
         .asked
         .iter()
         .map(|asked| (asked.id.as_str(), asked))
@@ -67,19 +70,19 @@
     breaches
 }
 
-fn life<'a>(records: &'a Records, asked: &Asked) -> Option<&'a Life> {
+fn life<'a>(records: &'a Records, asked: &RequestRecord) -> Option<&'a ProcessRecord> {
     records.lives.get(asked.balancer)?.get(asked.life)
 }
 
 /// How long the balancer stood still in this time.
-fn stood_still(records: &Records, balancer: usize, from: Time, to: Time) -> Time {
+fn stood_still(records: &Records, balancer: usize, from: Nanos, to: Nanos) -> Nanos {
     records.stops.get(balancer).map_or(0, |stops| {
         stops.iter().map(|stop| stop.within(from, to)).sum()
     })
 }
 
 /// Whether the process was gone before it had to have answered, by no fault of its own.
-fn is_excused(asked: &Asked, life: &Life, limit: Time) -> bool {
+fn is_excused(asked: &RequestRecord, life: &ProcessRecord, limit: Nanos) -> bool {
     let Some(killed) = life.killed.filter(|killed| *killed <= limit) else {
         return false;
     };
@@ -90,7 +93,7 @@
 }
 
 /// By when a request has to be answered.
-fn answer_limit(records: &Records, asked: &Asked) -> Time {
+fn answer_limit(records: &Records, asked: &RequestRecord) -> Nanos {
     let due = asked.deadline() + ANSWER_SLACK;
     let mut limit = due;
     // Standing still moves the limit, and the balancer may stand still until then too.
@@ -103,11 +106,15 @@
     }
 }
 
-fn lost(records: &Records, asked: &Asked, attempts: &[&Attempt]) -> Option<Breach> {
+fn lost(
+    records: &Records,
+    asked: &RequestRecord,
+    attempts: &[&AttemptRecord],
+) -> Option<RuleViolation> {
     let limit = answer_limit(records, asked);
     let excused = life(records, asked).is_some_and(|life| is_excused(asked, life, limit));
     let breach = |at, what: &str| {
-        let Asked {
+        let RequestRecord {
             id, balancer, sent, ..
         } = asked;
         let what = format!(
@@ -115,25 +122,26 @@
             asked.effect,
             *sent as f64 / 1e9
         );
-        Some(Breach {
+        Some(RuleViolation {
             rule: "lost",
             at,
             what,
         })
     };
     match asked.end {
-        End::Wrong => breach(asked.ended, "a value that was made for another request"),
-        End::Never if !excused => breach(limit, "no answer"),
-        // Between two requests a balancer may end its sending; a request that crosses that is not read.
-        End::Closed if !excused && (asked.fresh || !attempts.is_empty()) => breach(
+        RequestEnd::Wrong => breach(asked.ended, "a value that was made for another request"),
+        RequestEnd::Never if !excused => breach(limit, "no answer"),
+        // Between two requests a balancer may end its sending; a request that crosses that is not
+        // read.
+        RequestEnd::Closed if !excused && (asked.fresh || !attempts.is_empty()) => breach(
             asked.ended,
             "read, and its connection closed with no answer",
         ),
-        End::Reset if !excused && !attempts.is_empty() => breach(
+        RequestEnd::Reset if !excused && !attempts.is_empty() => breach(
             asked.ended,
             "forwarded, and its connection reset with no answer",
         ),
-        End::Served | End::Refused | End::Failed if asked.ended > limit => {
+        RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed if asked.ended > limit => {
             let ms = (asked.ended - asked.deadline()) / MS;
             breach(asked.ended, &format!("answered {ms} ms after its time"))
         }
@@ -142,7 +150,7 @@
 }
 
 /// An attempt that begins after its client has closed, or is told more time than is left.
-fn sent_too_late(asked: &Asked, attempt: &Attempt) -> Option<Breach> {
+fn sent_too_late(asked: &RequestRecord, attempt: &AttemptRecord) -> Option<RuleViolation> {
     let id = &asked.id;
     if let Some(closed) = asked
         .closed
@@ -153,7 +161,7 @@
             "attempt of {id} at n{} began {ms} ms after its client had closed",
             asked.balancer
         );
-        return Some(Breach {
+        return Some(RuleViolation {
             rule: "lost",
             at: attempt.began,
             what,
@@ -170,7 +178,7 @@
         attempt.told_ms,
         left / MS
     );
-    Some(Breach {
+    Some(RuleViolation {
         rule: "lost",
         at: attempt.began,
         what,
@@ -178,17 +186,21 @@
 }
 
 /// Attempts that came whole and may have run, each with the one before it.
-fn duplicate(rules: &Rules, asked: &Asked, attempts: &[&Attempt]) -> Option<Breach> {
-    if asked.effect == Effect::Safe {
+fn duplicate(
+    rules: &CheckedRules,
+    asked: &RequestRecord,
+    attempts: &[&AttemptRecord],
+) -> Option<RuleViolation> {
+    if asked.effect == RequestKind::Safe {
         return None;
     }
-    let mut ran: Vec<&&Attempt> = attempts
+    let mut ran: Vec<&&AttemptRecord> = attempts
         .iter()
         .filter(|a| a.end != AttemptEnd::TurnedAway)
         .collect();
     ran.sort_by_key(|attempt| attempt.began);
     let breach = |at, what: String| {
-        Some(Breach {
+        Some(RuleViolation {
             rule: "duplicate",
             at,
             what,
@@ -197,7 +209,7 @@
     let (first, rest) = ran.split_first()?;
     let mut former = first;
     for attempt in rest {
-        if asked.effect == Effect::Unsafe {
+        if asked.effect == RequestKind::Unsafe {
             return breach(attempt.began, format!("{} may have run twice", asked.id));
         }
         if attempt.began > first.whole + rules.window + WINDOW_SLACK {
@@ -222,13 +234,13 @@
 }
 
 /// When a change counts as told to a balancer.
-fn told(records: &Records, balancer: usize, version: u64, changed: Time) -> Time {
+fn told(records: &Records, balancer: usize, version: u64, changed: Nanos) -> Nanos {
     let written = records
         .told
         .iter()
         .filter(|told| told.balancer == balancer && told.version >= version);
-    let written = written.map(|told| told.at).min().unwrap_or(Time::MAX);
-    let had = |at: Time| {
+    let written = written.map(|told| told.at).min().unwrap_or(Nanos::MAX);
+    let had = |at: Nanos| {
         let down = records
             .down
             .iter()
@@ -246,11 +258,15 @@
 }
 
 /// The balancer that sent an attempt, by its request's id.
-fn sender(asked: &HashMap<&str, &Asked>, attempt: &Attempt) -> Option<usize> {
+fn sender(asked: &HashMap<&str, &RequestRecord>, attempt: &AttemptRecord) -> Option<usize> {
     asked.get(attempt.id.as_str()).map(|asked| asked.balancer)
 }
 
-fn drains(records: &Records, rules: &Rules, asked: &HashMap<&str, &Asked>) -> Vec<Breach> {
+fn drains(
+    records: &Records,
+    rules: &CheckedRules,
+    asked: &HashMap<&str, &RequestRecord>,
+) -> Vec<RuleViolation> {
     let mut breaches = Vec::new();
     for change in records
         .changes
@@ -268,7 +284,7 @@
                     && later.caches.contains(cache)
                     && matches!(later.state, CacheState::Up { .. })
             });
-            let until = back.map_or(Time::MAX, |back| back.at);
+            let until = back.map_or(Nanos::MAX, |back| back.at);
             let at_cache = records
                 .attempts
                 .iter()
@@ -285,7 +301,7 @@
                         "{} sent by n{balancer} to cache {cache} {ms} ms after it was told that it is {:?}",
                         attempt.id, change.state
                     );
-                    breaches.push(Breach {
+                    breaches.push(RuleViolation {
                         rule: "drain",
                         at: attempt.began,
                         what,
@@ -297,8 +313,13 @@
     breaches
 }
 
-/// Cold caches that get more, from all balancers together, than the settings allow them at their age.
-fn failbacks(records: &Records, rules: &Rules, asked: &HashMap<&str, &Asked>) -> Vec<Breach> {
+/// Cold caches that get more, from all balancers together, than the settings allow them at their
+/// age.
+fn failbacks(
+    records: &Records,
+    rules: &CheckedRules,
+    asked: &HashMap<&str, &RequestRecord>,
+) -> Vec<RuleViolation> {
     let mut breaches = Vec::new();
     for change in &records.changes {
         let CacheState::Up { born_ms: 1.. } = change.state else {
@@ -314,19 +335,19 @@
                 .attempts
                 .iter()
                 .filter(|a| a.listener == *cache && cold.contains(&a.began));
-            let mut came: Vec<&Attempt> = came.collect();
+            let mut came: Vec<&AttemptRecord> = came.collect();
             came.sort_by_key(|attempt| attempt.began);
             let fall = (0..came.len()).find_map(|last| {
                 let now = came[last].began;
                 let window = came[..=last]
                     .iter()
                     .filter(|a| a.began + rules.tip_after > now);
-                let window: Vec<&Attempt> = window.copied().collect();
+                let window: Vec<&AttemptRecord> = window.copied().collect();
                 let age = (now - change.at) as f64 / rules.warm_after as f64;
                 (window.len() as f64 > rules.allowed(age)).then_some((now, window))
             });
             let Some((at, window)) = fall else { continue };
-            let knew = |attempt: &&&Attempt| {
+            let knew = |attempt: &&&AttemptRecord| {
                 let balancer = sender(asked, attempt);
                 balancer
                     .is_some_and(|b| told(records, b, change.version, change.at) <= attempt.began)
@@ -337,7 +358,7 @@
                     "cold cache {cache} got {} requests in a window, {told} of them by who knew",
                     window.len()
                 );
-                breaches.push(Breach {
+                breaches.push(RuleViolation {
                     rule: "failback",
                     at,
                     what,
@@ -348,12 +369,12 @@
     breaches
 }
 
-fn lives(records: &Records, rules: &Rules) -> Vec<Breach> {
+fn lives(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
     let mut breaches = Vec::new();
     for (balancer, lives) in records.lives.iter().enumerate() {
         for life in lives {
             if let Some((at, false)) = life.ended {
-                breaches.push(Breach {
+                breaches.push(RuleViolation {
                     rule: "crash",
                     at,
                     what: format!("n{balancer} ended by itself"),
@@ -368,7 +389,7 @@
             let late = life.started + rules.ready_within;
             if ready > late + stood_still(records, balancer, life.started, ready) {
                 let ms = (ready - life.started) / MS;
-                breaches.push(Breach {
+                breaches.push(RuleViolation {
                     rule: "ready",
                     at: ready,
                     what: format!("n{balancer} not ready after {ms} ms"),
@@ -380,7 +401,7 @@
 }
 
 /// How many requests ended how, for the figures.
-pub fn ends(asked: &[Asked]) -> BTreeMap<String, usize> {
+pub fn ends(asked: &[RequestRecord]) -> BTreeMap<String, usize> {
     let mut ends = BTreeMap::new();
     for one in asked {
         *ends.entry(format!("{:?}", one.end)).or_insert(0) += 1;
--- a/crates/testbed/src/soak/referee/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -1,17 +1,17 @@
 //! Records that break each rule, and the same a little earlier, which do not.
 
 use super::*;
-use crate::soak::draw::draw;
-use crate::soak::records::{Change, Span, Told};
+use crate::soak::plan::draw;
+use crate::soak::records::{ListChange, Notification, TimeSpan};
 
-const S: Time = 1_000 * MS;
+const S: Nanos = 1_000 * MS;
 
-fn rules() -> Rules {
+fn rules() -> CheckedRules {
     let drawn = draw(1, true).rules;
     let (grace, window, own_listeners) = (500 * MS, 600 * MS, 5);
     let (cold_from, overload_factor, capacity) = (0.1, 2.0, 10.0);
     let (tip_after, warm_after) = (S, 10 * S);
-    Rules {
+    CheckedRules {
         grace,
         window,
         own_listeners,
@@ -24,8 +24,8 @@
     }
 }
 
-fn asked(effect: Effect) -> Asked {
-    Asked {
+fn asked(effect: RequestKind) -> RequestRecord {
+    RequestRecord {
         id: "b0r0".into(),
         balancer: 0,
         life: 0,
@@ -35,14 +35,14 @@
         fresh: true,
         patience: 400 * MS,
         closed: None,
-        end: End::Served,
+        end: RequestEnd::Served,
         ended: 2 * S + 10 * MS,
     }
 }
 
-fn attempt(began: Time) -> Attempt {
+fn attempt(began: Nanos) -> AttemptRecord {
     let (id, over) = ("b0r0".into(), Some(began + 10 * MS));
-    Attempt {
+    AttemptRecord {
         id,
         listener: 0,
         began,
@@ -55,13 +55,13 @@
 
 /// What the referee finds in one request and its attempts.
 fn found(
-    asked: Asked,
-    attempts: Vec<Attempt>,
+    asked: RequestRecord,
+    attempts: Vec<AttemptRecord>,
     with: impl FnOnce(&mut Records),
 ) -> Vec<&'static str> {
-    let life = Life {
+    let life = ProcessRecord {
         ready: Some(1),
-        ..Life::default()
+        ..ProcessRecord::default()
     };
     let lives = vec![vec![life]];
     let mut records = Records {
@@ -80,14 +80,14 @@
 
 #[test]
 fn a_request_must_get_its_answer_in_time_unless_the_trial_held_its_balancer_up_or_killed_it() {
-    let late = |ms: u64| Asked {
+    let late = |ms: u64| RequestRecord {
         ended: 2 * S + (400 + ms) * MS,
-        ..asked(Effect::Safe)
+        ..asked(RequestKind::Safe)
     };
     assert!(found(late(550), vec![], |_| {}).is_empty());
     assert_eq!(found(late(551), vec![], |_| {}), ["lost"]);
     let held = |records: &mut Records| {
-        records.stops[0].push(Span {
+        records.stops[0].push(TimeSpan {
             from: 2 * S,
             to: 2 * S + 300 * MS,
         })
@@ -96,19 +96,19 @@
     assert_eq!(found(late(851), vec![], held), ["lost"]);
     let held_on = |records: &mut Records| {
         let spans = [(2_000, 2_900), (2_900, 4_000), (4_000, 5_000)];
-        records.stops[0].extend(spans.map(|(from, to)| Span {
+        records.stops[0].extend(spans.map(|(from, to)| TimeSpan {
             from: from * MS,
             to: to * MS,
         }));
     };
     assert!(found(late(3_550), vec![], held_on).is_empty());
     assert_eq!(found(late(3_551), vec![], held_on), ["lost"]);
-    for end in [End::Never, End::Closed, End::Wrong] {
+    for end in [RequestEnd::Never, RequestEnd::Closed, RequestEnd::Wrong] {
         assert_eq!(
             found(
-                Asked {
+                RequestRecord {
                     end,
-                    ..asked(Effect::Safe)
+                    ..asked(RequestKind::Safe)
                 },
                 vec![],
                 |_| {}
@@ -117,19 +117,19 @@
             "{end:?}"
         );
     }
-    let crossed = || Asked {
-        end: End::Closed,
+    let crossed = || RequestRecord {
+        end: RequestEnd::Closed,
         fresh: false,
-        ..asked(Effect::Safe)
+        ..asked(RequestKind::Safe)
     };
     assert!(
         found(crossed(), vec![], |_| {}).is_empty(),
         "the balancer ended its sending between two requests"
     );
     assert_eq!(found(crossed(), vec![attempt(2 * S)], |_| {}), ["lost"]);
-    let reset = || Asked {
-        end: End::Reset,
-        ..asked(Effect::Safe)
+    let reset = || RequestRecord {
+        end: RequestEnd::Reset,
+        ..asked(RequestKind::Safe)
     };
     assert!(found(reset(), vec![], |_| {}).is_empty(), "it was not read");
     assert_eq!(
@@ -137,13 +137,13 @@
         ["lost"],
         "it was forwarded"
     );
-    let killed = |asked_to_end: Option<Time>| {
+    let killed = |asked_to_end: Option<Nanos>| {
         move |records: &mut Records| {
-            records.lives[0][0] = Life {
+            records.lives[0][0] = ProcessRecord {
                 ready: Some(1),
                 asked_to_end,
                 killed: Some(2 * S),
-                ..Life::default()
+                ..ProcessRecord::default()
             };
         }
     };
@@ -157,59 +157,59 @@
 
 #[test]
 fn nothing_begins_for_who_has_closed_or_is_told_more_than_is_left() {
-    let left = || Asked {
+    let left = || RequestRecord {
         closed: Some(2 * S),
-        end: End::Left,
-        ..asked(Effect::Safe)
+        end: RequestEnd::Left,
+        ..asked(RequestKind::Safe)
     };
     assert!(found(left(), vec![attempt(2 * S + 100 * MS)], |_| {}).is_empty());
     assert_eq!(
         found(left(), vec![attempt(2 * S + 101 * MS)], |_| {}),
         ["lost"]
     );
-    let told = |told_ms| Attempt {
+    let told = |told_ms| AttemptRecord {
         told_ms,
         ..attempt(2 * S + 300 * MS)
     };
-    assert!(found(asked(Effect::Safe), vec![told(250)], |_| {}).is_empty());
+    assert!(found(asked(RequestKind::Safe), vec![told(250)], |_| {}).is_empty());
     assert_eq!(
-        found(asked(Effect::Safe), vec![told(251)], |_| {}),
+        found(asked(RequestKind::Safe), vec![told(251)], |_| {}),
         ["lost"]
     );
 }
 
 #[test]
 fn what_may_have_run_is_repeated_only_as_its_class_permits() {
-    let twice = |effect, after: Time| {
+    let twice = |effect, after: Nanos| {
         found(
             asked(effect),
             vec![attempt(2 * S), attempt(2 * S + after)],
             |_| {},
         )
     };
-    assert!(twice(Effect::Safe, 5 * S).is_empty());
-    assert!(twice(Effect::Keyed, 750 * MS).is_empty());
-    assert_eq!(twice(Effect::Keyed, 751 * MS), ["duplicate"]);
-    assert_eq!(twice(Effect::Unsafe, 20 * MS), ["duplicate"]);
-    let turned_away = Attempt {
+    assert!(twice(RequestKind::Safe, 5 * S).is_empty());
+    assert!(twice(RequestKind::Keyed, 750 * MS).is_empty());
+    assert_eq!(twice(RequestKind::Keyed, 751 * MS), ["duplicate"]);
+    assert_eq!(twice(RequestKind::Unsafe, 20 * MS), ["duplicate"]);
+    let turned_away = AttemptRecord {
         end: AttemptEnd::TurnedAway,
         ..attempt(2 * S)
     };
     let second = attempt(2 * S + 20 * MS);
     assert!(
         found(
-            asked(Effect::Unsafe),
+            asked(RequestKind::Unsafe),
             vec![turned_away, second.clone()],
             |_| {}
         )
         .is_empty()
     );
-    let open = Attempt {
+    let open = AttemptRecord {
         over: None,
         ..attempt(2 * S)
     };
     assert_eq!(
-        found(asked(Effect::Keyed), vec![open, second], |_| {}),
+        found(asked(RequestKind::Keyed), vec![open, second], |_| {}),
         ["duplicate"],
         "two are out"
     );
@@ -217,16 +217,16 @@
 
 #[test]
 fn a_cache_that_drains_gets_nothing_new_once_that_was_told_and_its_grace_is_over() {
-    let drain = |written: Option<Time>, down: Option<Span>| {
+    let drain = |written: Option<Nanos>, down: Option<TimeSpan>| {
         move |records: &mut Records| {
             let (version, at, caches) = (7, S, vec![0]);
-            records.changes.push(Change {
+            records.changes.push(ListChange {
                 version,
                 at,
                 caches,
                 state: CacheState::Draining,
             });
-            records.told.extend(written.map(|at| Told {
+            records.told.extend(written.map(|at| Notification {
                 balancer: 0,
                 version,
                 at,
@@ -235,10 +235,10 @@
         }
     };
     let late = |began, with: Box<dyn FnOnce(&mut Records)>| {
-        let asked = Asked {
+        let asked = RequestRecord {
             sent: began,
             ended: began,
-            ..asked(Effect::Safe)
+            ..asked(RequestKind::Safe)
         };
         found(asked, vec![attempt(began)], with)
     };
@@ -254,7 +254,7 @@
         ["drain"],
         "told at the latest 6 s later"
     );
-    let down = Some(Span {
+    let down = Some(TimeSpan {
         from: S / 2,
         to: 3 * S,
     });
@@ -272,38 +272,44 @@
     let most = rules.allowed(0.0) as usize;
     let cold = |records: &mut Records| {
         let (version, at, caches) = (7, 2 * S, vec![0]);
-        records.changes.push(Change {
+        records.changes.push(ListChange {
             version,
             at,
             caches,
             state: CacheState::Up { born_ms: 1 },
         });
-        records.told.push(Told {
+        records.told.push(Notification {
             balancer: 0,
             version,
             at,
         });
     };
     let burst = |count| (0..count).map(|_| attempt(2 * S + MS)).collect();
-    assert!(found(asked(Effect::Safe), burst(most), cold).is_empty());
+    assert!(found(asked(RequestKind::Safe), burst(most), cold).is_empty());
     assert_eq!(
-        found(asked(Effect::Safe), burst(most + 2), cold),
+        found(asked(RequestKind::Safe), burst(most + 2), cold),
         ["failback"]
     );
 }
 
 #[test]
 fn a_process_must_not_end_by_itself_and_has_to_be_ready_in_time() {
-    let life = |life: Life| move |records: &mut Records| records.lives[0][0] = life;
-    let crashed = Life {
+    let life = |life: ProcessRecord| move |records: &mut Records| records.lives[0][0] = life;
+    let crashed = ProcessRecord {
         ready: Some(1),
         ended: Some((S, false)),
-        ..Life::default()
+        ..ProcessRecord::default()
     };
-    assert_eq!(found(asked(Effect::Safe), vec![], life(crashed)), ["crash"]);
-    let late = Life {
+    assert_eq!(
+        found(asked(RequestKind::Safe), vec![], life(crashed)),
+        ["crash"]
+    );
+    let late = ProcessRecord {
         ready: Some(7 * S),
-        ..Life::default()
+        ..ProcessRecord::default()
     };
-    assert_eq!(found(asked(Effect::Safe), vec![], life(late)), ["ready"]);
+    assert_eq!(
+        found(asked(RequestKind::Safe), vec![], life(late)),
+        ["ready"]
+    );
 }
--- a/crates/testbed/src/silence.rs
+++ b/crates/testbed/src/stall.rs
@@ -1,13 +1,16 @@
-//! How long one balancer is silent while discovery tells it of many caches at once: a real process, a client that sends
-//! `PING` without a pause, and a watch that names a batch of new, draining or removed caches in one message.
+//! How long one balancer is silent while discovery tells it of many caches at once: a real process,
+//! a client that sends `PING` without a pause, and a watch that names a batch of new, draining or
+//! removed caches in one message.
 
-use crate::stand_ins::cache::{Cache, CacheOptions};
-use crate::stand_ins::resp::{self, write_command};
+use crate::error::TestbedError;
+use crate::process::{self, ChildGuard};
+use crate::simulated_services::cache::{Cache, CacheOptions};
+use crate::simulated_services::resp::{self, write_command};
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
-use std::process::{Child, Command, Stdio};
+use std::process::Stdio;
 use std::str::FromStr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -25,7 +28,7 @@
 
 /// What a message of the watch says of the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum BatchChange {
     /// The caches are new.
     Joins,
     /// They drain.
@@ -34,40 +37,30 @@
     Goes,
 }
 
-impl Change {
+impl BatchChange {
     /// All changes, in the order in which a batch goes through them.
-    pub const ALL: [Change; 3] = [Change::Joins, Change::Drains, Change::Goes];
+    pub const ALL: [BatchChange; 3] = [BatchChange::Joins, BatchChange::Drains, BatchChange::Goes];
 
     fn health(self) -> &'static str {
         match self {
-            Change::Joins => "in_service",
-            Change::Drains => "terminating",
-            Change::Goes => "terminated",
+            BatchChange::Joins => "in_service",
+            BatchChange::Drains => "terminating",
+            BatchChange::Goes => "terminated",
         }
     }
 }
 
 /// What was measured of one balancer.
 #[derive(Clone, Copy, Debug)]
-pub struct Silence {
+pub struct StallMeasurement {
     /// The longest time without an answer before any change.
     pub calm: Duration,
-    /// The same around each of [`Change::ALL`].
+    /// The same around each of [`BatchChange::ALL`].
     pub around: [Duration; 3],
     /// Peak memory of the process in kB.
     pub peak_kb: u64,
 }
 
-/// A process that ends with this.
-struct Balancer(Child);
-
-impl Drop for Balancer {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 fn host(number: usize, health: &str, dials: &[SocketAddr]) -> Value {
     json!({"host": format!("s-{number:05}"), "dial": dials[number % dials.len()].to_string(), "site": "dc-vake",
         "class": "small-1c", "block": 1, "health": health, "share": 1.0, "born_ms": 0})
@@ -103,26 +96,16 @@
 }
 
 /// Starts the program; its client address comes from its log.
-fn start(program: &Path, discovery: SocketAddr) -> Result<(Balancer, SocketAddr), String> {
-    let settings = crate::member::settings(1);
+fn start(program: &Path, discovery: SocketAddr) -> Result<(ChildGuard, SocketAddr), TestbedError> {
+    let settings = crate::member_process::settings(1);
     let config = json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "2a",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings});
     let path = std::env::temp_dir().join(format!("pipitrun-silence-{}.json", std::process::id()));
-    std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
-    let mut child = Command::new(program)
-        .env_clear()
-        .env("GW_CONFIG", &path)
-        .env("RUST_LOG", "info")
-        .stdin(Stdio::null())
-        .stdout(Stdio::null())
-        .stderr(Stdio::piped())
-        .spawn()
-        .map_err(|e| format!("{}: {e}", program.display()))?;
-    let log = child.stderr.take();
-    let child = Balancer(child);
-    let mut lines = BufReader::new(log.ok_or("no log")?)
-        .lines()
-        .map_while(Result::ok);
+    std::fs::write(&path, config.to_string()).map_err(|e| TestbedError::file(&path, e))?;
+    let mut command = process::balancer_command(program, &path);
+    let mut child = ChildGuard::spawn(command.stdout(Stdio::null()).stderr(Stdio::piped()))?;
+    let log = child.stderr.take().ok_or(TestbedError::NoListenAddress)?;
+    let mut lines = BufReader::new(log).lines().map_while(Result::ok);
     let address = lines.find_map(|l| {
         l.split_once("listening on ")?
             .1
@@ -133,19 +116,16 @@
     });
     // Read on, or the program would wait for its log to be read.
     std::thread::spawn(move || lines.for_each(drop));
-    Ok((
-        child,
-        address.ok_or("the program does not say where it listens")?,
-    ))
+    Ok((child, address.ok_or(TestbedError::NoListenAddress)?))
 }
 
 /// A client that sends `PING` without a pause and keeps the longest time that an answer took.
-struct Pings {
+struct PingProbe {
     longest: Arc<Mutex<Duration>>,
     end: Arc<AtomicBool>,
 }
 
-impl Pings {
+impl PingProbe {
     fn start(address: SocketAddr) -> io::Result<Self> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -166,7 +146,7 @@
             }
             Ok(())
         });
-        Ok(Pings { longest, end })
+        Ok(PingProbe { longest, end })
     }
 
     /// The longest time so far, counted anew from now on.
@@ -175,13 +155,13 @@
     }
 }
 
-impl Drop for Pings {
+impl Drop for PingProbe {
     fn drop(&mut self) {
         self.end.store(true, Ordering::Relaxed);
     }
 }
 
-fn wait_ready(address: SocketAddr) -> Result<(), String> {
+fn wait_ready(address: SocketAddr) -> Result<(), TestbedError> {
     let asked = Instant::now();
     while asked.elapsed() < PATIENCE {
         let ready = TcpStream::connect(address).and_then(|mut stream| {
@@ -195,7 +175,7 @@
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    Err("the balancer does not become ready".into())
+    Err(TestbedError::NotReady)
 }
 
 fn read_keys(address: SocketAddr) -> io::Result<()> {
@@ -215,25 +195,16 @@
     Ok(())
 }
 
-fn peak_kb(child: &Child) -> u64 {
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-    let peak = status.lines().find_map(|line| {
-        line.strip_prefix("VmHWM:")?
-            .trim()
-            .strip_suffix(" kB")?
-            .parse()
-            .ok()
-    });
-    peak.unwrap_or(0)
-}
-
 /// Measures a balancer of `program` with so many caches, and a batch of so many more.
 ///
 /// # Errors
 ///
 /// Says which step failed: a socket, the program's start, or its readiness.
-pub fn measure(program: &Path, caches: usize, batch: usize) -> Result<Silence, String> {
+pub fn measure(
+    program: &Path,
+    caches: usize,
+    batch: usize,
+) -> Result<StallMeasurement, TestbedError> {
     let quick = CacheOptions {
         slots: 64,
         service: Duration::ZERO,
@@ -245,9 +216,9 @@
     for number in 0..LISTENERS {
         let free = TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
-            .map_err(|e| e.to_string())?;
-        let cache =
-            Cache::start(&format!("c{number}"), free, quick, None).map_err(|e| e.to_string())?;
+            .map_err(|e| TestbedError::io("cache", e))?;
+        let cache = Cache::start(&format!("c{number}"), free, quick, None)
+            .map_err(|e| TestbedError::io("cache", e))?;
         running.push(cache);
         dials.push(free);
     }
@@ -255,49 +226,57 @@
         range.map(|n| host(n, health, &dials)).collect::<Vec<_>>()
     };
     let first = message(1, true, hosts(0..caches, "in_service"));
-    let (discovery, tell) = discovery(first).map_err(|e| format!("discovery: {e}"))?;
+    let (discovery, tell) = discovery(first).map_err(|e| TestbedError::io("discovery", e))?;
     let (balancer, address) = start(program, discovery)?;
     wait_ready(address)?;
-    read_keys(address).map_err(|e| format!("reads: {e}"))?;
-    let pings = Pings::start(address).map_err(|e| format!("pings: {e}"))?;
+    read_keys(address).map_err(|e| TestbedError::io("reads", e))?;
+    let pings = PingProbe::start(address).map_err(|e| TestbedError::io("pings", e))?;
     std::thread::sleep(AFTER);
     let calm = pings.take();
     let mut around = [Duration::ZERO; 3];
-    for (place, change) in Change::ALL.into_iter().enumerate() {
+    for (place, change) in BatchChange::ALL.into_iter().enumerate() {
         let batch = hosts(caches..caches + batch, change.health());
         tell.send(message(2 + place as u64, false, batch))
-            .map_err(|e| e.to_string())?;
+            .map_err(|e| TestbedError::io("discovery", std::io::Error::other(e)))?;
         std::thread::sleep(AFTER);
         around[place] = pings.take();
     }
-    Ok(Silence {
+    Ok(StallMeasurement {
         calm,
         around,
-        peak_kb: peak_kb(&balancer.0),
+        peak_kb: process::peak_kb(balancer.id()).unwrap_or(0),
     })
 }
 
 /// A number of caches and the batch that comes to them, written `3200:1000`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size {
+pub struct BatchSize {
     /// Caches before the batch.
     pub caches: usize,
     /// Caches in the batch.
     pub batch: usize,
 }
 
-impl FromStr for Size {
-    type Err = String;
+/// A text that is no [`BatchSize`].
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("\"{text}\": caches and batch are expected, as in 3200:1000")]
+pub struct InvalidBatchSize {
+    /// The text.
+    pub text: String,
+}
+
+impl FromStr for BatchSize {
+    type Err = InvalidBatchSize;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, InvalidBatchSize> {
         let read = || {
             let (caches, batch) = text.split_once(':')?;
-            Some(Size {
+            Some(BatchSize {
                 caches: caches.parse().ok()?,
                 batch: batch.parse().ok()?,
             })
         };
-        read().ok_or_else(|| format!("\"{text}\": caches and batch are expected, as in 3200:1000"))
+        read().ok_or_else(|| InvalidBatchSize { text: text.into() })
     }
 }
 
@@ -306,10 +285,10 @@
 /// # Errors
 ///
 /// As [`measure`].
-pub fn print_table(program: &Path, sizes: &[Size]) -> Result<(), String> {
+pub fn print_table(program: &Path, sizes: &[BatchSize]) -> Result<(), TestbedError> {
     println!("caches batch   calm_ms  joins_ms drains_ms   goes_ms   peak_kb");
     for size in sizes {
-        let Silence {
+        let StallMeasurement {
             calm,
             around,
             peak_kb,
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! The page of capacity: fits, tables and the check that names what differs.
 
 use std::path::{Path, PathBuf};
-use testbed::capacity::{Plan, check, rewrite, tables};
+use testbed::capacity::{CapacityPlan, check, rewrite, tables};
 use testbed::slopes::{Point, Slopes, fit};
 
 fn docs() -> PathBuf {
@@ -32,7 +32,7 @@
 
 #[test]
 fn the_page_says_what_follows_from_the_plan_and_the_slopes() {
-    let plan = Plan::read(&docs().join("capacity/plan.toml")).unwrap();
+    let plan = CapacityPlan::read(&docs().join("capacity/plan.toml")).unwrap();
     let slopes = Slopes::read(&docs().join("capacity/slopes.json")).unwrap();
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
     let tables = tables(&plan, &slopes).unwrap();
@@ -47,7 +47,7 @@
         line,
         &line.replace("| data", "| no data").replace(" | ", " |  "),
     );
-    let problem = check(&wrong, &tables).unwrap_err();
+    let problem = check(&wrong, &tables).unwrap_err().to_string();
     assert!(
         problem.starts_with(&format!("line {}: ", number + 1)),
         "{problem}"
@@ -56,6 +56,7 @@
     assert!(
         check("", &tables)
             .unwrap_err()
+            .to_string()
             .starts_with("no line \"<!-- table: ")
     );
 }
@@ -75,12 +76,17 @@
     ];
     for (from, to, problem) in cases {
         std::fs::write(&path, text.replace(from, to)).unwrap();
-        let error = Plan::read(&path).unwrap_err();
+        let error = CapacityPlan::read(&path).unwrap_err().to_string();
         assert!(
             error.contains(problem) && error.contains("pipitrun-plan"),
             "{error}"
         );
     }
     std::fs::remove_file(&path).unwrap();
-    assert!(Plan::read(&path).unwrap_err().contains("pipitrun-plan"));
+    assert!(
+        CapacityPlan::read(&path)
+            .unwrap_err()
+            .to_string()
+            .contains("pipitrun-plan")
+    );
 }
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -1,27 +1,28 @@
-//! Several processes of the program, with faults between them. What holds is judged by invariants and by waiting for
-//! conditions up to wide ceilings; how fast they come to hold is measured elsewhere.
+//! Several processes of the program, with faults between them. What holds is judged by invariants
+//! and by waiting for conditions up to wide ceilings; how fast they come to hold is measured
+//! elsewhere.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
-use testbed::ground::{Ground, Plan};
-use testbed::play::{Report, play};
-use testbed::scenarios;
+use testbed::cluster::{Cluster, ClusterPlan};
+use testbed::scenario_catalog;
+use testbed::scenario_runner::{ScenarioReport, play};
 
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
 
 const PATIENCE: Duration = Duration::from_secs(30);
 
-fn trial(name: &str) -> Report {
+fn trial(name: &str) -> ScenarioReport {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let scenario = scenarios::find(name).unwrap();
-    let plan = Plan {
+    let scenario = scenario_catalog::find(name).unwrap();
+    let plan = ClusterPlan {
         instances: 6,
         rate: 20.0,
-        ..Plan::of(&scenario)
+        ..ClusterPlan::of(&scenario)
     };
     let report = play(&scenario, plan, &AtomicBool::new(false)).unwrap();
     assert_eq!(
@@ -75,22 +76,23 @@
     assert_eq!(report.false_deaths, 0);
 }
 
-/// Without the key nothing differs: no socket, no descriptor more than that one, no path at the operators' door.
+/// Without the key nothing differs: no socket, no descriptor more than that one, no path at the
+/// operators' door.
 #[test]
 fn without_the_key_there_is_no_socket_and_no_path() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let descriptors = |fleet: bool| {
-        let plan = Plan {
+        let plan = ClusterPlan {
             instances: 1,
             caches: 1,
             fleet,
-            ..Plan::default()
+            ..ClusterPlan::default()
         };
-        let mut ground = Ground::lay_out(plan).unwrap();
+        let mut ground = Cluster::lay_out(plan).unwrap();
         ground.start_all().unwrap();
-        let ready = |g: &Ground| g.members[0].call("/admin/health").is_some();
+        let ready = |g: &Cluster| g.members[0].call("/admin/health").is_some();
         ground.wait(PATIENCE, ready).expect("it becomes ready");
         let member = &ground.members[0];
         assert_eq!(member.call("/admin/fleet").is_some(), fleet);
@@ -112,30 +114,31 @@
     assert_eq!(with, without + 1, "the one socket of the talk");
 }
 
-/// All that a member is told to ask is dead: it serves alone, divides by the settings' figure, and meets whoever comes.
+/// All that a member is told to ask is dead: it serves alone, divides by the settings' figure, and
+/// meets whoever comes.
 #[test]
 fn with_all_join_addresses_dead_it_serves_alone_and_is_found_later() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Ground::lay_out(Plan {
+    let mut ground = Cluster::lay_out(ClusterPlan {
         instances: 4,
         joins: 1,
-        ..Plan::default()
+        ..ClusterPlan::default()
     })
     .unwrap();
     ground.members[2].start().unwrap();
     ground.members[3].start().unwrap();
-    let alone = |g: &Ground, i: usize| {
+    let alone = |g: &Cluster, i: usize| {
         g.members[i]
             .view()
             .is_some_and(|v| v.living == 1 && v.shared_by == 4)
     };
-    let served = |g: &Ground, i: usize| g.members[i].call("/admin/health").is_some();
-    let both = |g: &Ground| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
+    let served = |g: &Cluster, i: usize| g.members[i].call("/admin/health").is_some();
+    let both = |g: &Cluster| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
     ground.wait(PATIENCE, both).expect("each serves alone");
     ground.members[0].start().unwrap();
-    let met = |g: &Ground| {
+    let met = |g: &Cluster| {
         [0, 2, 3]
             .iter()
             .all(|i| g.members[*i].view().is_some_and(|v| v.living == 3))
@@ -151,21 +154,22 @@
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Ground::lay_out(Plan {
+    let mut ground = Cluster::lay_out(ClusterPlan {
         instances: 3,
-        ..Plan::default()
+        ..ClusterPlan::default()
     })
     .unwrap();
-    // Its configuration file bears its name: the later start must not write over it while it is read.
+    // Its configuration file bears its name: the later start must not write over it while it is
+    // read.
     ground.members[2].spec.name = "n1".into();
     ground.members[0].start().unwrap();
     ground.members[1].start().unwrap();
-    let two = |g: &Ground| g.members[0].view().is_some_and(|v| v.living == 2);
+    let two = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
     ground.wait(PATIENCE, two).expect("the first two meet");
     ground.members[2].start().unwrap();
-    let three = |g: &Ground| g.members[0].view().is_some_and(|v| v.living == 3);
+    let three = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 3);
     ground.wait(PATIENCE, three).expect("both count");
-    let named = |g: &Ground| {
+    let named = |g: &Cluster| {
         g.members[0]
             .log()
             .iter()
@@ -174,18 +178,18 @@
     ground.wait(PATIENCE, named).expect("it is said");
 }
 
-/// Two regions of two: each member sees its own region's members and the other's summary, and divides by all; a death is
-/// told to the other region by its summary.
+/// Two regions of two: each member sees its own region's members and the other's summary, and
+/// divides by all; a death is told to the other region by its summary.
 #[test]
 fn balancers_in_two_regions_see_the_other_as_a_summary() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Ground::lay_out(Plan {
+    let mut ground = Cluster::lay_out(ClusterPlan {
         instances: 4,
         joins: 4,
         caches: 1,
-        ..Plan::default()
+        ..ClusterPlan::default()
     })
     .unwrap();
     for (i, member) in ground.members.iter_mut().enumerate() {
@@ -199,10 +203,10 @@
         fleet.insert("zone".into(), format!("z{i}").into());
     }
     ground.start_all().unwrap();
-    let shown = |g: &Ground, i: usize| -> Option<serde_json::Value> {
+    let shown = |g: &Cluster, i: usize| -> Option<serde_json::Value> {
         serde_json::from_str(&g.members[i].call("/admin/fleet")?).ok()
     };
-    let sees = |g: &Ground, i: usize, members: usize, elsewhere: u64, all: u64| {
+    let sees = |g: &Cluster, i: usize, members: usize, elsewhere: u64, all: u64| {
         shown(g, i).is_some_and(|shown| {
             shown["members"]
                 .as_array()
@@ -213,7 +217,7 @@
                 && shown["region"] == format!("region-{}", i / 2)
         })
     };
-    let all = |g: &Ground| (0..4).all(|i| sees(g, i, 1, 2, 4));
+    let all = |g: &Cluster| (0..4).all(|i| sees(g, i, 1, 2, 4));
     ground
         .wait(PATIENCE, all)
         .expect("each sees its own region and the other's summary");
@@ -223,13 +227,14 @@
     );
     ground.members[3].kill();
     // Its place is kept: one of two that hears nobody may be half of a split.
-    let told = |g: &Ground| (0..2).all(|i| sees(g, i, 1, 1, 4)) && sees(g, 2, 0, 2, 4);
+    let told = |g: &Cluster| (0..2).all(|i| sees(g, i, 1, 1, 4)) && sees(g, 2, 0, 2, 4);
     ground
         .wait(PATIENCE, told)
         .expect("a death in one region is told to the other");
 }
 
-/// Hollow members over real sockets meet, and nothing of them is left behind, also where a run is interrupted.
+/// Hollow members over real sockets meet, and nothing of them is left behind, also where a run is
+/// interrupted.
 #[test]
 fn hollow_members_meet_and_leave_nothing_behind() {
     let _one = ONE
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -1,13 +1,13 @@
-//! Several processes that shed load by one level (`fleet.shed_together`), with faults between them. What holds is waited
-//! for, up to wide ceilings; how well and how fast is measured elsewhere.
+//! Several processes that shed load by one level (`fleet.shed_together`), with faults between them.
+//! What holds is waited for, up to wide ceilings; how well and how fast is measured elsewhere.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use testbed::faults::Faults;
-use testbed::ground::{Ground, Plan};
-use testbed::stand_ins::cache::CacheOptions;
-use testbed::stand_ins::clients::{Asked, End};
+use testbed::cluster::{Cluster, ClusterPlan};
+use testbed::network_emulation::faults::LinkFaults;
+use testbed::simulated_services::cache::CacheOptions;
+use testbed::simulated_services::clients::{ClientRequest, RequestEnd};
 
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
@@ -22,7 +22,7 @@
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn ground(shed_together: bool) -> Ground {
+fn ground(shed_together: bool) -> Cluster {
     let mut keys = serde_json::Map::new();
     if shed_together {
         keys.insert("shed_together".into(), true.into());
@@ -35,18 +35,18 @@
         fetch: Duration::ZERO,
         ..CacheOptions::default()
     };
-    let plan = Plan {
+    let plan = ClusterPlan {
         instances: MEMBERS,
         caches: 2,
         cache,
         rate: CALM,
         rate_most: STORM,
         fleet_keys: keys,
-        ..Plan::default()
+        ..ClusterPlan::default()
     };
-    let mut ground = Ground::lay_out(plan).unwrap();
+    let mut ground = Cluster::lay_out(plan).unwrap();
     ground.start_all().unwrap();
-    let met = |g: &Ground| {
+    let met = |g: &Cluster| {
         g.views()
             .iter()
             .flatten()
@@ -59,7 +59,7 @@
     ground
 }
 
-fn levels(ground: &Ground, of: &[usize]) -> Option<Vec<f64>> {
+fn levels(ground: &Cluster, of: &[usize]) -> Option<Vec<f64>> {
     let views = ground.views();
     of.iter()
         .map(|i| views[*i].as_ref().map(|view| view.level))
@@ -67,7 +67,7 @@
 }
 
 /// All of these shed something, and nearly the same.
-fn alike(ground: &Ground, of: &[usize]) -> bool {
+fn alike(ground: &Cluster, of: &[usize]) -> bool {
     levels(ground, of).is_some_and(|levels| {
         let (least, most) = levels
             .iter()
@@ -76,12 +76,12 @@
     })
 }
 
-fn calm(ground: &Ground) -> bool {
+fn calm(ground: &Cluster) -> bool {
     levels(ground, &[0, 1, 2, 3]).is_some_and(|levels| levels.iter().all(|level| *level == 0.0))
 }
 
 /// How often members refused for the sake of the level, and for want of room.
-fn refused(ground: &Ground) -> (u64, u64) {
+fn refused(ground: &Cluster) -> (u64, u64) {
     ground.member_counts();
     std::thread::sleep(Duration::from_millis(300));
     let counts = ground.member_counts();
@@ -93,14 +93,17 @@
 }
 
 /// Each request has one answer, but for those whose balancer was killed.
-fn answered_once(asked: &[Asked], killed: bool) {
+fn answered_once(asked: &[ClientRequest], killed: bool) {
     let mut ids: HashMap<&str, u32> = HashMap::new();
     for one in asked {
         *ids.entry(&one.id).or_default() += 1;
         assert!(!one.extra, "two answers: {one:?}");
-        assert!(!matches!(one.end, End::Wrong | End::Never), "{one:?}");
         assert!(
-            killed || !matches!(one.end, End::Broken | End::NoDoor),
+            !matches!(one.end, RequestEnd::Wrong | RequestEnd::Never),
+            "{one:?}"
+        );
+        assert!(
+            killed || !matches!(one.end, RequestEnd::Broken | RequestEnd::NoDoor),
             "{one:?}"
         );
     }
@@ -116,21 +119,21 @@
         .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
         .expect("all shed by one level");
     // Each half goes by its own counts, and goes on shedding.
-    let cut = Faults {
+    let cut = LinkFaults {
         cut: true,
-        ..Faults::default()
+        ..LinkFaults::default()
     };
     ground.set_links(&[0, 1], &[2, 3], cut);
     ground.set_links(&[2, 3], &[0, 1], cut);
     let split =
-        |g: &Ground| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
+        |g: &Cluster| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
     ground.wait(PATIENCE, split).expect("the split is known");
     ground
         .wait(PATIENCE, |g| alike(g, &[0, 1]) && alike(g, &[2, 3]))
         .expect("each half by one level");
-    ground.set_links(&[0, 1], &[2, 3], Faults::default());
-    ground.set_links(&[2, 3], &[0, 1], Faults::default());
-    let healed = |g: &Ground| {
+    ground.set_links(&[0, 1], &[2, 3], LinkFaults::default());
+    ground.set_links(&[2, 3], &[0, 1], LinkFaults::default());
+    let healed = |g: &Cluster| {
         g.views()
             .iter()
             .flatten()
@@ -163,7 +166,7 @@
     ground
         .wait(PATIENCE, |g| alike(g, &[0, 1]))
         .expect("the others go on");
-    let known = |g: &Ground| g.members[0].view().is_some_and(|v| v.living == 2);
+    let known = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
     ground.wait(PATIENCE, known).expect("both are given up");
     ground.members[2].go_on();
     ground.members[3].start().unwrap();
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -6,18 +6,18 @@
 use membership::{MS, Nanos};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use testbed::virtual_region_trials as trials;
-use testbed::virtual_regions::{Events, Plan, measure, sizes};
-use testbed::virtual_time::{Fleet, Network, address, region_name};
+use testbed::simulation::fleet::{NetworkConditions, SimulatedFleet, address, region_name};
+use testbed::simulation::region_trials as trials;
+use testbed::simulation::regions::{RegionEvents, RegionPlan, measure, sizes};
 
 const S: Nanos = 1_000 * MS;
 const CEILING: Nanos = 60 * S;
 
-fn settled_regions(sizes: &[usize], seed: u64) -> Fleet {
+fn settled_regions(sizes: &[usize], seed: u64) -> SimulatedFleet {
     trials::settled(sizes, seed).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn sum_of_shares(fleet: &Fleet) -> f64 {
+fn sum_of_shares(fleet: &SimulatedFleet) -> f64 {
     fleet
         .running()
         .iter()
@@ -25,7 +25,7 @@
         .sum()
 }
 
-fn delegates(fleet: &Fleet, region: usize) -> Vec<usize> {
+fn delegates(fleet: &SimulatedFleet, region: usize) -> Vec<usize> {
     let first = fleet
         .of_region(region)
         .into_iter()
@@ -40,7 +40,7 @@
 }
 
 /// The living that a member sees in another region.
-fn living_in(fleet: &Fleet, n: usize, region: usize) -> Option<u32> {
+fn living_in(fleet: &SimulatedFleet, n: usize, region: usize) -> Option<u32> {
     let name = region_name(region);
     fleet
         .member(n)?
@@ -86,7 +86,7 @@
         assert_eq!(dead.len(), 3);
         dead.iter().for_each(|n| fleet.kill(*n));
         fleet
-            .until(CEILING, Fleet::settled)
+            .until(CEILING, SimulatedFleet::settled)
             .expect("others speak for it");
         assert!(delegates(&fleet, 0).iter().all(|n| !dead.contains(n)));
         assert_eq!(living_in(&fleet, 45, 0), Some(27));
@@ -106,7 +106,8 @@
             assert!(sum <= 1.5, "seed {seed}: {sum}");
         }
         let count = |n: usize| fleet.view(n).share_count;
-        // The larger part holds more than half of all places and counts the others out; they go on dividing by all.
+        // The larger part holds more than half of all places and counts the others out; they go on
+        // dividing by all.
         assert_eq!((count(0), count(31), count(45)), (30, 54, 54));
         assert!(
             fleet
@@ -117,7 +118,7 @@
         );
         fleet.split(apart, false);
         let healed = fleet
-            .until(CEILING, Fleet::settled)
+            .until(CEILING, SimulatedFleet::settled)
             .expect("they hear each other");
         assert!(healed <= 5 * S, "seed {seed}: {healed}");
         fleet.play(fleet.now + S);
@@ -137,7 +138,7 @@
         fleet.play(fleet.now + 20 * S);
         let half = |n: usize| usize::from((12..24).contains(&n));
         // The halves don't hear each other; both hear the other regions.
-        let cut = |fleet: &mut Fleet, is: bool| {
+        let cut = |fleet: &mut SimulatedFleet, is: bool| {
             for a in 0..12 {
                 for b in 12..24 {
                     fleet.cut(a, b, is);
@@ -174,7 +175,9 @@
         assert_eq!(halves.len(), 2, "each half has delegates of its own");
         assert_eq!(half(12), 1);
         cut(&mut fleet, false);
-        fleet.until(CEILING, Fleet::settled).expect("one again");
+        fleet
+            .until(CEILING, SimulatedFleet::settled)
+            .expect("one again");
     }
 }
 
@@ -183,10 +186,14 @@
     let mut fleet = settled_regions(&[60, 12, 12], 2);
     for lost in [20..40, 30..60] {
         lost.clone().for_each(|n| fleet.kill(n));
-        let known = fleet.until(CEILING, Fleet::settled).expect("all know");
+        let known = fleet
+            .until(CEILING, SimulatedFleet::settled)
+            .expect("all know");
         assert!(known <= 5 * S, "{known}");
         lost.for_each(|n| fleet.start(n, 0));
-        let back = fleet.until(CEILING, Fleet::settled).expect("all are back");
+        let back = fleet
+            .until(CEILING, SimulatedFleet::settled)
+            .expect("all are back");
         assert!(back <= 5 * S, "{back}");
     }
     assert_eq!(fleet.false_deaths(), 0);
@@ -199,7 +206,9 @@
     fleet.kill(7);
     fleet.set_region(7, 1);
     fleet.start(7, 0);
-    fleet.until(CEILING, Fleet::settled).expect("it has moved");
+    fleet
+        .until(CEILING, SimulatedFleet::settled)
+        .expect("it has moved");
     assert_eq!(
         (living_in(&fleet, 25, 0), living_in(&fleet, 0, 1)),
         (Some(19), Some(13))
@@ -219,19 +228,21 @@
     for seed in 0..4 {
         trials::referral(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
-    let mut fleet = Fleet::in_regions(&[12, 12], 4);
+    let mut fleet = SimulatedFleet::in_regions(&[12, 12], 4);
     fleet.join_at(&[0, 1]);
     fleet.start_all();
     fleet
-        .until(CEILING, Fleet::settled)
+        .until(CEILING, SimulatedFleet::settled)
         .expect("those of the second region meet through the first");
     // And one that comes when all is calm.
     fleet.kill(20);
     fleet
-        .until(CEILING, Fleet::settled)
+        .until(CEILING, SimulatedFleet::settled)
         .expect("its death is known");
     fleet.start(20, 0);
-    fleet.until(CEILING, Fleet::settled).expect("it is back");
+    fleet
+        .until(CEILING, SimulatedFleet::settled)
+        .expect("it is back");
 }
 
 #[test]
@@ -239,11 +250,11 @@
     let mut fleet = settled_regions(&[150, 4], 5);
     fleet.kill(151);
     fleet
-        .until(CEILING, Fleet::settled)
+        .until(CEILING, SimulatedFleet::settled)
         .expect("a death in the small one is known to all");
     fleet.kill(9);
     fleet
-        .until(CEILING, Fleet::settled)
+        .until(CEILING, SimulatedFleet::settled)
         .expect("and one in the large one");
 }
 
@@ -258,11 +269,11 @@
 #[test]
 fn nobody_is_taken_for_dead_in_a_minute_of_calm_with_far_regions_and_loss_between_them() {
     let mut fleet = settled_regions(&[40, 20, 20], 6);
-    fleet.between = Some(Network {
+    fleet.between = Some(NetworkConditions {
         loss: 0.01,
         delay: 80 * MS,
         jitter: 10 * MS,
-        ..Network::default()
+        ..NetworkConditions::default()
     });
     fleet.play(fleet.now + 60 * S);
     assert_eq!(fleet.false_deaths(), 0);
@@ -352,10 +363,11 @@
     );
 }
 
-/// What a member holds and sends follows its region and the number of regions, not the size of the fleet.
+/// What a member holds and sends follows its region and the number of regions, not the size of the
+/// fleet.
 #[test]
 fn entries_datagrams_and_bytes_a_member_do_not_grow_with_the_fleet() {
-    let plan = |members, regions| Plan {
+    let plan = |members, regions| RegionPlan {
         members,
         regions,
         seed: 1,
@@ -363,7 +375,7 @@
         loss_between: 0.0,
         delay_between_ms: 40,
         calm_s: 20,
-        events: Events::default(),
+        events: RegionEvents::default(),
     };
     let small = measure(plan(80, 4));
     let large = measure(plan(240, 12));
