--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -3,10 +3,10 @@
 use membership::{MS, MemberStatus};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use testbed::virtual_time::{Fleet, Network, address};
+use testbed::simulation::fleet::{NetworkConditions, SimulatedFleet, address};
 
 const S: u64 = 1_000 * MS;
-const LOSSY: Network = Network {
+const LOSSY: NetworkConditions = NetworkConditions {
     loss: 0.2,
     delay: 50 * MS,
     jitter: 10 * MS,
@@ -14,11 +14,13 @@
     load_loss: 0.0,
 };
 
-fn settled(n: usize, seed: u64, network: Network) -> Fleet {
-    let mut fleet = Fleet::new(n, 3, seed);
+fn settled(n: usize, seed: u64, network: NetworkConditions) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(n, 3, seed);
     fleet.network = network;
     fleet.start_all();
-    fleet.until(60 * S, Fleet::settled).expect("all meet");
+    fleet
+        .until(60 * S, SimulatedFleet::settled)
+        .expect("all meet");
     fleet
 }
 
@@ -32,36 +34,41 @@
         "there was something to refute"
     );
     fleet
-        .until(10 * S, Fleet::settled)
+        .until(10 * S, SimulatedFleet::settled)
         .expect("and all still see each other");
 }
 
 #[test]
 fn a_death_is_known_to_all_in_time_and_so_is_a_return() {
     for seed in 0..5 {
-        let mut fleet = settled(40, seed, Network::default());
+        let mut fleet = settled(40, seed, NetworkConditions::default());
         (30..40).for_each(|n| fleet.kill(n));
         let known = fleet
-            .until(60 * S, Fleet::settled)
+            .until(60 * S, SimulatedFleet::settled)
             .expect("the death is known");
         assert!(known <= 3 * S, "seed {seed}: {known}");
         (30..40).for_each(|n| fleet.start(n, 0));
-        let back = fleet.until(60 * S, Fleet::settled).expect("they are back");
+        let back = fleet
+            .until(60 * S, SimulatedFleet::settled)
+            .expect("they are back");
         assert!(back <= 3 * S, "seed {seed}: {back}");
     }
 }
 
-/// A rumour dies out now and then before it has reached all of so many: who is missed is found by comparing lists.
+/// A rumour dies out now and then before it has reached all of so many: who is missed is found by
+/// comparing lists.
 #[test]
 fn many_that_return_at_once_to_a_hundred_are_known_to_all_soon() {
     for seed in 1..4 {
-        let mut fleet = settled(100, seed, Network::default());
+        let mut fleet = settled(100, seed, NetworkConditions::default());
         (90..100).for_each(|n| fleet.kill(n));
         fleet
-            .until(60 * S, Fleet::settled)
+            .until(60 * S, SimulatedFleet::settled)
             .expect("the death is known");
         (90..100).for_each(|n| fleet.start(n, 0));
-        let back = fleet.until(60 * S, Fleet::settled).expect("they are back");
+        let back = fleet
+            .until(60 * S, SimulatedFleet::settled)
+            .expect("they are back");
         assert!(
             back <= S,
             "seed {seed}: {back}; 2.2 s and more where rumours alone tell of them"
@@ -77,10 +84,10 @@
 #[test]
 fn a_split_settles_on_both_sides_and_heals_and_shares_keep_their_sum() {
     for seed in 0..5 {
-        let mut fleet = settled(12, seed, Network::default());
+        let mut fleet = settled(12, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 5);
         fleet.split(side, true);
-        let sum = |fleet: &Fleet| -> f64 {
+        let sum = |fleet: &SimulatedFleet| -> f64 {
             fleet
                 .running()
                 .iter()
@@ -96,7 +103,7 @@
         }
         fleet.split(side, false);
         let healed = fleet
-            .until(60 * S, Fleet::settled)
+            .until(60 * S, SimulatedFleet::settled)
             .expect("they find each other");
         assert!(healed <= 3 * S, "seed {seed}: {healed}");
         assert!((sum(&fleet) - 1.0).abs() < 1e-9);
@@ -107,7 +114,7 @@
 #[test]
 fn what_one_side_of_a_split_held_of_the_other_kills_nobody_when_it_heals() {
     for seed in 0..2 {
-        let mut fleet = settled(40, seed, Network::default());
+        let mut fleet = settled(40, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 19);
         fleet.split(side, true);
         fleet
@@ -118,7 +125,7 @@
         let before = fleet.false_deaths();
         fleet.split(side, false);
         fleet
-            .until(60 * S, Fleet::settled)
+            .until(60 * S, SimulatedFleet::settled)
             .expect("they find each other");
         assert_eq!(fleet.false_deaths(), before, "seed {seed}");
     }
@@ -126,7 +133,7 @@
 
 #[test]
 fn who_is_cut_off_from_all_accuses_nobody_and_who_cannot_hear_is_taken_back() {
-    let mut fleet = settled(8, 3, Network::default());
+    let mut fleet = settled(8, 3, NetworkConditions::default());
     // It is heard by all and hears nobody.
     (1..8).for_each(|n| fleet.cut(n, 0, true));
     fleet.play(fleet.now + 8 * S);
@@ -141,13 +148,15 @@
         "and nobody else is given up for its sake"
     );
     (1..8).for_each(|n| fleet.cut(n, 0, false));
-    fleet.until(10 * S, Fleet::settled).expect("taken back");
+    fleet
+        .until(10 * S, SimulatedFleet::settled)
+        .expect("taken back");
 }
 
 #[test]
 fn a_stall_is_seen_and_accuses_nobody() {
     for seed in 0..5 {
-        let mut fleet = settled(12, seed, Network::default());
+        let mut fleet = settled(12, seed, NetworkConditions::default());
         fleet.stall(4, 10 * S);
         fleet.play(fleet.now + 10 * S);
         assert!(
@@ -157,7 +166,9 @@
                 .iter()
                 .any(|m| m.id.address == address(4) && m.status == MemberStatus::Serving)
         );
-        fleet.until(10 * S, Fleet::settled).expect("taken back");
+        fleet
+            .until(10 * S, SimulatedFleet::settled)
+            .expect("taken back");
         fleet.play(fleet.now + 5 * S);
         assert!(fleet.settled() && fleet.false_deaths() == 0 && fleet.traffic(4).gaps > 0);
     }
@@ -165,14 +176,14 @@
 
 #[test]
 fn a_restart_is_not_taken_for_the_older_self_though_the_clock_was_set_back() {
-    let mut fleet = settled(6, 1, Network::default());
+    let mut fleet = settled(6, 1, NetworkConditions::default());
     for clock in [-3_600_000, 0, 5_000] {
         let before = fleet.member(2).unwrap().id().generation;
         fleet.kill(2);
         // At once, and after its death is known.
         fleet.start(2, clock);
         fleet
-            .until(20 * S, Fleet::settled)
+            .until(20 * S, SimulatedFleet::settled)
             .unwrap_or_else(|| panic!("clock {clock}"));
         assert!(
             fleet.member(2).unwrap().id().generation > before,
@@ -182,16 +193,18 @@
         fleet.play(fleet.now + 6 * S);
         fleet.start(2, clock);
         fleet
-            .until(20 * S, Fleet::settled)
+            .until(20 * S, SimulatedFleet::settled)
             .unwrap_or_else(|| panic!("late, clock {clock}"));
     }
 }
 
 #[test]
 fn a_leave_is_told_and_gives_its_place_up_at_once() {
-    let mut fleet = settled(10, 1, Network::default());
+    let mut fleet = settled(10, 1, NetworkConditions::default());
     fleet.leave(9);
-    fleet.until(S, Fleet::settled).expect("told, not detected");
+    fleet
+        .until(S, SimulatedFleet::settled)
+        .expect("told, not detected");
     fleet.play(fleet.now + S);
     for n in 0..9 {
         let view = fleet.view(n);
@@ -206,7 +219,7 @@
 
 #[test]
 fn more_members_than_are_held_are_turned_away_and_bounded() {
-    let mut fleet = Fleet::new(60, 3, 1);
+    let mut fleet = SimulatedFleet::new(60, 3, 1);
     fleet.set_members_max(10);
     fleet.start_all();
     fleet.play(20 * S);
@@ -225,7 +238,7 @@
 
 #[test]
 fn torn_random_foreign_and_replayed_datagrams_are_counted_and_change_nothing() {
-    let mut fleet = settled(6, 1, Network::default());
+    let mut fleet = settled(6, 1, NetworkConditions::default());
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let (before, seen) = (fleet.traffic(0), fleet.view(0).members.len());
     let rounds = std::env::var("PIPITRUN_DATAGRAMS")
@@ -263,12 +276,13 @@
             && after.malformed > before.malformed
     );
     fleet
-        .until(20 * S, Fleet::settled)
+        .until(20 * S, SimulatedFleet::settled)
         .expect("all see each other as before");
     assert_eq!(fleet.view(0).members.len(), seen, "nobody was made up");
 }
 
-/// Old datagrams come again, of lives that have ended and of suspicions long refuted: nobody believes them for good.
+/// Old datagrams come again, of lives that have ended and of suspicions long refuted: nobody
+/// believes them for good.
 #[test]
 fn replayed_datagrams_bring_nobody_back_and_kill_nobody() {
     let mut fleet = settled(6, 1, LOSSY);
@@ -277,18 +291,20 @@
     fleet.start(5, 0);
     fleet.leave(4);
     fleet
-        .until(20 * S, Fleet::settled)
+        .until(20 * S, SimulatedFleet::settled)
         .expect("a new life, and a leave");
     let tape = fleet.tape();
     assert!(tape.len() > 1_000);
-    fleet.network = Network::default();
+    fleet.network = NetworkConditions::default();
     for to in [0, 3, 5] {
         for (from, datagram) in &tape {
             fleet.inject(to, *from, datagram);
         }
         fleet.play(fleet.now + 20 * MS);
     }
-    fleet.until(20 * S, Fleet::settled).expect("as before");
+    fleet
+        .until(20 * S, SimulatedFleet::settled)
+        .expect("as before");
     fleet.play(fleet.now + 5 * S);
     assert!(fleet.settled());
     assert!(
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -7,8 +7,8 @@
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
-use testbed::stand_ins::cache::{Cache, CacheOptions};
-use testbed::stand_ins::discovery::{Discovery, Host, List};
+use testbed::simulated_services::cache::{Cache, CacheOptions};
+use testbed::simulated_services::discovery::{Discovery, EndpointList, ListedHost};
 
 const CACHES: usize = 3;
 
@@ -21,7 +21,7 @@
 }
 
 fn main() -> io::Result<()> {
-    let list = List::default();
+    let list = EndpointList::default();
     let options = CacheOptions {
         service: Duration::from_millis(20),
         fetch: Duration::ZERO,
@@ -32,7 +32,7 @@
     (1..=CACHES).for_each(|n| {
         list.put(
             &name(n),
-            Host {
+            ListedHost {
                 health: "in_service",
                 born_ms: 0,
             },
@@ -55,14 +55,14 @@
         match (line.split(' ').next(), cache) {
             (Some("drain"), Some(n)) => list.put(
                 &name(n),
-                Host {
+                ListedHost {
                     health: "terminating",
                     born_ms: 0,
                 },
             ),
             (Some("up"), Some(n)) => list.put(
                 &name(n),
-                Host {
+                ListedHost {
                     health: "in_service",
                     born_ms: 0,
                 },
