--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -131,7 +131,7 @@
                 at: a.at.round() as u64,
                 tries: b.caches.tries.saturating_sub(a.caches.tries),
                 turned_away: b.caches.turned_away.saturating_sub(a.caches.turned_away),
-                copies: delta(&a.members, &b.members, "copies"),
+                copies: delta(&a.members, &b.members, "hedges"),
                 probes: b.caches.probes.saturating_sub(a.caches.probes),
                 connects: b.caches.connections.saturating_sub(a.caches.connections),
                 fetches: b.origin.0.saturating_sub(a.origin.0),
@@ -241,14 +241,14 @@
     let reasons = b
         .members
         .keys()
-        .filter_map(|name| name.strip_prefix("refused."));
+        .filter_map(|name| name.strip_prefix("rejected."));
     SpanMetrics {
         from,
         to,
         worth_share: worth / worth_asked.max(0.001),
         of_perfect: worth / perfect(&classes, room * (to - from)).max(0.001),
         tries_per_request: per_request(b.caches.tries.saturating_sub(a.caches.tries)),
-        copies_per_request: per_request(delta(&a.members, &b.members, "copies")),
+        copies_per_request: per_request(delta(&a.members, &b.members, "hedges")),
         probes_per_cache_s: b.caches.probes.saturating_sub(a.caches.probes) as f64
             / length
             / caches as f64,
@@ -259,7 +259,7 @@
             .map(|reason| {
                 (
                     reason.to_string(),
-                    delta(&a.members, &b.members, &format!("refused.{reason}")),
+                    delta(&a.members, &b.members, &format!("rejected.{reason}")),
                 )
             })
             .filter(|(_, count)| *count > 0)
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -18,8 +18,8 @@
 
 fn sample(at: f64, tries: u64, refused: u64) -> ClusterSample {
     let members = [
-        ("refused.limit".to_string(), refused),
-        ("copies".to_string(), tries / 10),
+        ("rejected.limit".to_string(), refused),
+        ("hedges".to_string(), tries / 10),
     ]
     .into();
     ClusterSample {
