--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -4,7 +4,7 @@
 use crate::request::IncomingRequest;
 use routing::{
     Action, AdmissionCounts, ClassId, Endpoint, EndpointId, EndpointState, Engine, Event, Key,
-    Nanos, NewRequest, Snapshot, TenantId, UpdateKind,
+    Nanos, NewRequest, Snapshot, SnapshotError, TenantId, UpdateKind,
 };
 use routing_config::NameTables;
 use xxhash_rust::xxh3::xxh3_64;
@@ -46,7 +46,7 @@
     }
 
     /// Takes over what another process's module had learnt, or tells what makes no sense of it.
-    pub fn recall(&mut self, learnt: &Snapshot) -> Result<(), &'static str> {
+    pub fn recall(&mut self, learnt: &Snapshot) -> Result<(), SnapshotError> {
         self.brain.restore(learnt)
     }
 
--- a/crates/routing-config/src/translation.rs
+++ b/crates/routing-config/src/translation.rs
@@ -66,8 +66,8 @@
 const OPERATOR_KEYS: [(&str, &str); 4] = [
     ("classes", "profiles"),
     ("deadline", "give_up_ns"),
-    ("limits", "caps"),
-    ("routers", "group_size"),
+    ("capabilities", "caps"),
+    ("balancers", "group_size"),
 ];
 
 /// The path of a rejected setting, in the operators' keys.
--- /dev/null
+++ b/crates/routing/src/admission.rs
@@ -0,0 +1,164 @@
+//! Admission: which arriving requests are within their tenant's quota, and which are rejected at
+//! once because the fleet sheds them or has no capacity.
+
+use crate::actions::DecisionReason;
+use crate::concurrency_limit::min_limits_exceed_initial;
+use crate::estimators::Rate;
+use crate::events::SheddingLevel;
+use crate::fleet_shedding::FleetShedding;
+use crate::fleet_size::FleetSize;
+use crate::identifiers::{Nanos, TenantId};
+use crate::random::Random;
+use crate::request::Request;
+use crate::settings::Settings;
+use crate::traffic::{Traffic, new_rate};
+
+/// Tiers that are counted apart; the greatest beyond them are counted as one.
+pub const COUNTED_TIERS: usize = 16;
+
+/// Requests admitted for each that is served usefully: after an overload the admitted fraction
+/// doubles within the time constant of the rates.
+const ADMITTED_PER_USEFUL: f64 = 2.0;
+/// Requests admitted besides, in the time constant, to see whether there is capacity again.
+const PROBE_REQUESTS: f64 = 1.0;
+/// The least admitted fraction: clients retry a few times only, and not all failures are overload.
+const MIN_ADMITTED_FRACTION: f64 = 0.3;
+/// The least number of requests that a fraction is computed from.
+const MIN_REQUESTS: f64 = 0.1;
+
+/// What a balancer has admitted, and how much of it was rejected for lack of capacity.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct AdmissionCounts {
+    /// Requests admitted, by tier (see [`SheddingLevel::level`]).
+    pub admitted: [u32; COUNTED_TIERS],
+    /// Those that were rejected later for lack of capacity at the caches. Late answers are not
+    /// among them: they result from what was admitted a second ago, and a level that followed
+    /// them would oscillate.
+    pub capacity_rejections: u32,
+}
+
+impl AdmissionCounts {
+    /// Adds another balancer's counts.
+    pub fn add(&mut self, other: &AdmissionCounts) {
+        self.capacity_rejections = self
+            .capacity_rejections
+            .saturating_add(other.capacity_rejections);
+        for (sum, more) in self.admitted.iter_mut().zip(other.admitted) {
+            *sum = sum.saturating_add(more);
+        }
+    }
+
+    /// All requests admitted.
+    #[must_use]
+    pub fn total_admitted(&self) -> u32 {
+        let counts = self.admitted.iter();
+        counts.fold(0, |sum, count| sum.saturating_add(*count))
+    }
+}
+
+/// The state of admission.
+pub(crate) struct Admission {
+    pub(crate) traffic: Traffic,
+    tenants: Vec<TenantUsage>,
+    shedding: FleetShedding,
+    counts: AdmissionCounts,
+}
+
+/// A tenant's quota over all balancers, and its requests at this one.
+struct TenantUsage {
+    quota_per_second: f64,
+    requests: Rate,
+}
+
+impl Admission {
+    pub(crate) fn new(settings: &Settings, now: Nanos) -> Self {
+        let tenants = settings.tenants.iter();
+        Admission {
+            traffic: Traffic::new(now),
+            tenants: tenants
+                .map(|tenant| TenantUsage {
+                    quota_per_second: tenant.quota_per_second,
+                    requests: new_rate(now),
+                })
+                .collect(),
+            shedding: FleetShedding::new(settings),
+            counts: AdmissionCounts::default(),
+        }
+    }
+
+    pub(crate) fn set_shedding_level(&mut self, level: SheddingLevel) {
+        self.shedding.set_level(level);
+    }
+
+    pub(crate) fn shedding(&self) -> &FleetShedding {
+        &self.shedding
+    }
+
+    /// Counts an arriving request. Returns whether it is beyond its tenant's quota.
+    pub(crate) fn record_arrival(
+        &mut self,
+        tenant: Option<TenantId>,
+        fleet: FleetSize,
+        now: Nanos,
+    ) -> bool {
+        self.traffic.record_request(now);
+        let Some(usage) = tenant.and_then(|TenantId(index)| self.tenants.get_mut(index)) else {
+            return false;
+        };
+        usage.requests.add(now);
+        usage.requests.per_second(now) > usage.quota_per_second / fleet.balancers() as f64
+    }
+
+    /// Why an arriving request is not admitted; none if it is.
+    pub(crate) fn check(
+        &mut self,
+        request: &Request,
+        fleet: FleetSize,
+        now: Nanos,
+        random: &mut Random,
+    ) -> Option<DecisionReason> {
+        if self.shedding.sheds(request) {
+            return Some(DecisionReason::FleetShedding);
+        }
+        let tier = self.shedding.tier(request).min(COUNTED_TIERS - 1);
+        self.counts.admitted[tier] += 1;
+        let has_capacity = self.fleet_has_capacity(fleet, now, random);
+        (!has_capacity).then_some(DecisionReason::FleetOverload)
+    }
+
+    /// Whether the fleet, as far as this balancer saw, has capacity for one more request. Where
+    /// there are so many balancers that their least limits overload an endpoint, each learns too
+    /// little of a single endpoint, but enough of all of them.
+    pub(crate) fn fleet_has_capacity(
+        &mut self,
+        fleet: FleetSize,
+        now: Nanos,
+        random: &mut Random,
+    ) -> bool {
+        let useful = self.traffic.recently_useful(now);
+        let consumed = self.traffic.recently_consumed(now).max(MIN_REQUESTS);
+        let fraction = (ADMITTED_PER_USEFUL * useful + PROBE_REQUESTS) / consumed;
+        let has_capacity =
+            !min_limits_exceed_initial(fleet) || random.chance(fraction.max(MIN_ADMITTED_FRACTION));
+        if !has_capacity {
+            self.traffic.record_consumed(now);
+        }
+        has_capacity
+    }
+
+    /// Counts a final answer with this reason.
+    pub(crate) fn record_rejection(&mut self, reason: DecisionReason) {
+        let is_for_lack_of_capacity = matches!(
+            reason,
+            DecisionReason::FleetOverload
+                | DecisionReason::ConcurrencyLimit
+                | DecisionReason::Pacing
+                | DecisionReason::RetryFutile
+        );
+        self.counts.capacity_rejections += u32::from(is_for_lack_of_capacity);
+    }
+
+    pub(crate) fn take_counts(&mut self) -> AdmissionCounts {
+        std::mem::take(&mut self.counts)
+    }
+}
--- /dev/null
+++ b/crates/routing/src/engine/answers.rs
@@ -0,0 +1,152 @@
+//! The engine's own final answers, and the queue of requests that wait for capacity.
+
+use super::Engine;
+use crate::actions::{Action, DecisionReason, Deferral, Explanation};
+use crate::events::AttemptOutcome;
+use crate::explanations::explain;
+use crate::idempotency::permits_rejection;
+use crate::identifiers::{AttemptNumber, Nanos};
+use crate::request::{Attempt, Request};
+use crate::request_queue::max_wait;
+
+impl Engine {
+    /// Ends a request without an endpoint's answer: rejects it where that is truthful, else fails
+    /// it.
+    pub(super) fn reject_or_fail(&mut self, request: &mut Request, reason: DecisionReason) {
+        self.admission.record_rejection(reason);
+        let explanation = self.explain(request, reason);
+        let id = request.details.id;
+        let class = self.settings.class(request.details.class);
+        let answer = if permits_rejection(class.idempotency, request) {
+            Action::Reject {
+                request: id,
+                retry_after: self.supported_retry_after(request, reason),
+                explanation,
+            }
+        } else {
+            Action::Fail {
+                request: id,
+                explanation,
+            }
+        };
+        self.close(request, Some(answer));
+    }
+
+    fn supported_retry_after(&mut self, request: &Request, reason: DecisionReason) -> Nanos {
+        if !self.settings.capabilities.retry_after {
+            return 0;
+        }
+        let retry_after = self.retry_after(request, reason);
+        retry_after.min(self.settings.capabilities.max_retry_after)
+    }
+
+    /// When a rejected client should come back, spread so that not all do at once: within its
+    /// latency objective if capacity may return by then, beyond it if the fleet or the origin is
+    /// overloaded, which an attempt in time would only prolong.
+    pub(super) fn retry_after(&mut self, request: &Request, reason: DecisionReason) -> Nanos {
+        let class = self.settings.class(request.details.class);
+        let objective = class.latency_objective;
+        let elapsed = self.now.saturating_sub(request.arrived_at);
+        let time_left = objective.saturating_sub(elapsed);
+        match reason {
+            DecisionReason::DeadlineExceeded
+            | DecisionReason::NoEligibleEndpoint
+            | DecisionReason::InvalidRequest
+            | DecisionReason::UnknownClass => 0,
+            DecisionReason::FleetShedding => {
+                let rotation = self.admission.shedding().time_to_rotation(self.now);
+                rotation + self.random.below(objective)
+            }
+            DecisionReason::ConcurrencyLimit
+            | DecisionReason::Pacing
+            | DecisionReason::SlowStart
+            | DecisionReason::NoEndpoints
+            | DecisionReason::BudgetExhausted
+                if time_left > 0 =>
+            {
+                time_left / 4 + self.random.below(time_left / 2)
+            }
+            _ => objective / 2 + self.random.below(objective),
+        }
+    }
+
+    /// Ends a request: nothing more is sent, and attempts in flight are cancelled.
+    pub(super) fn close(&mut self, request: &mut Request, answer: Option<Action>) {
+        self.queue.remove(request.details.id);
+        if request.is_closed {
+            return;
+        }
+        self.actions.extend(answer);
+        request.is_closed = true;
+        if request.attempts.iter().any(has_consumed) {
+            self.admission.traffic.record_consumed(self.now);
+        }
+        self.cancel_attempts(request, None);
+    }
+
+    /// Cancels the attempts in flight but this one.
+    pub(super) fn cancel_attempts(&mut self, request: &Request, except: Option<AttemptNumber>) {
+        if !self.settings.capabilities.cancellation {
+            return;
+        }
+        for (number, attempt) in (0..).map(AttemptNumber).zip(&request.attempts) {
+            if attempt.is_in_flight() && Some(number) != except {
+                self.actions.push(Action::Cancel {
+                    request: request.details.id,
+                    attempt: number,
+                });
+            }
+        }
+    }
+
+    /// Sends queued requests as capacity returns, in the order of their priority, and rejects those
+    /// that have waited too long. They are not sent to whichever endpoint has capacity: scattered
+    /// reads would displace what is cached there, and ever more would have to be fetched.
+    pub(super) fn retry_queued(&mut self) {
+        for id in self.queue.by_priority(&self.requests, &self.settings) {
+            self.update_request(id, |engine, request| {
+                engine.advance(request);
+                engine.reject_if_queued_too_long(request);
+            });
+        }
+    }
+
+    fn reject_if_queued_too_long(&mut self, request: &mut Request) {
+        let Some(entry) = request.queued else {
+            return;
+        };
+        let has_expired = self.now.saturating_sub(entry.since) >= max_wait(request, &self.settings);
+        if has_expired && request.in_flight() == 0 && !request.is_closed {
+            self.reject_or_fail(request, entry.reason);
+        }
+    }
+
+    pub(super) fn explain(&mut self, request: &Request, reason: DecisionReason) -> Explanation {
+        let candidates = self.placement.candidates(request.slot);
+        let first = candidates.first().and_then(|id| self.endpoints.get(*id));
+        explain(reason, first, &self.origin)
+    }
+
+    /// Reports what was not done for a request that is still open.
+    pub(super) fn report_deferral(
+        &mut self,
+        request: &Request,
+        deferral: Deferral,
+        reason: DecisionReason,
+    ) {
+        let explanation = self.explain(request, reason);
+        self.actions.push(Action::Defer {
+            request: request.details.id,
+            deferral,
+            explanation,
+        });
+    }
+}
+
+/// Whether an attempt took an endpoint's time: rejections and errors are answered quickly.
+fn has_consumed(attempt: &Attempt) -> bool {
+    matches!(
+        attempt.outcome,
+        None | Some(AttemptOutcome::Ok | AttemptOutcome::Timeout)
+    )
+}
--- /dev/null
+++ b/crates/routing/src/engine/attempt_results.rs
@@ -0,0 +1,247 @@
+//! What the end of an attempt says of its endpoint and of the origin.
+
+use super::Engine;
+use crate::actions::Action;
+use crate::concurrency_limit::LimitContext;
+use crate::endpoints::InFlightAttempt;
+use crate::events::{AttemptOutcome, AttemptResult, CacheStatus, NewRequest};
+use crate::identifiers::EndpointId;
+use crate::outlier_detection::{FailureEvidence, is_fault_fleet_wide};
+use crate::request::Request;
+use crate::settings::OriginMode;
+
+/// What is known of the request that an attempt was for.
+struct ResultContext {
+    /// None if the request is over.
+    details: Option<NewRequest>,
+    /// The endpoint's rank among the candidates, for a read.
+    rank: Option<usize>,
+    /// Whether a timeout is evidence of a fault.
+    is_timeout_evidence: bool,
+    /// Whether a rejection was for lack of capacity, not of a slot for another fetch.
+    is_rejection_for_capacity: bool,
+}
+
+impl Engine {
+    /// Adjusts what is known of the endpoint that an attempt was sent to.
+    pub(super) fn record_endpoint_result(&mut self, result: &AttemptResult) {
+        let context = self.result_context(result);
+        let Some(record) = self.endpoints.get_mut(result.endpoint) else {
+            return;
+        };
+        let Some(attempt) = record.end_attempt(result.request, result.attempt) else {
+            return;
+        };
+        let is_idle =
+            record.in_flight.is_empty() && result.outcome != AttemptOutcome::ConnectFailed;
+        record.idle_since = is_idle.then_some(self.now);
+        let reported = result.load_report.and_then(|report| report.hit_ratio);
+        record.hit_ratio = reported
+            .filter(|ratio| (0.0..=1.0).contains(ratio))
+            .unwrap_or(record.hit_ratio);
+        if let (Some(rank), Some(status)) = (context.rank, result.cache_status) {
+            self.placement.record_cache_status(rank, status);
+        }
+        let is_answer = matches!(
+            result.outcome,
+            AttemptOutcome::Ok | AttemptOutcome::CacheMiss
+        );
+        if is_answer {
+            self.record_answer(result, &context);
+        }
+        self.record_failure(result, &context, attempt);
+        self.eject_if_due(result.endpoint, 0.0);
+    }
+
+    fn result_context(&mut self, result: &AttemptResult) -> ResultContext {
+        let open = self.requests.get(&result.request);
+        let request = open.map(|request| (request.details, request.slot));
+        let Some((details, slot)) = request else {
+            return ResultContext {
+                details: None,
+                rank: None,
+                is_timeout_evidence: true,
+                is_rejection_for_capacity: self.settings.origin != OriginMode::ReadThrough,
+            };
+        };
+        let id = result.endpoint;
+        let is_read = !details.is_write;
+        let mut candidates = self.placement.candidates(slot).into_iter();
+        let rank = candidates.position(|candidate| candidate == id);
+        let is_cached = is_read && self.placement.recent_keys.is_cached(details.key, id);
+        ResultContext {
+            details: Some(details),
+            rank: rank.filter(|_| is_read),
+            is_timeout_evidence: self.is_timeout_evidence(&details),
+            is_rejection_for_capacity: self.settings.origin != OriginMode::ReadThrough || is_cached,
+        }
+    }
+
+    fn is_timeout_evidence(&self, details: &NewRequest) -> bool {
+        let objective = self.settings.class(details.class).latency_objective;
+        self.hedging
+            .is_timeout_evidence(details.client_timeout, objective)
+    }
+
+    fn record_answer(&mut self, result: &AttemptResult, context: &ResultContext) {
+        let id = result.endpoint;
+        let relative_size = self.endpoints.relative_size(id);
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        record.last_answer_at = self.now;
+        if record.health.record_success() {
+            self.actions
+                .push(Action::Log(format!("endpoint {} readmitted", id.0)));
+        }
+        let limit_context = LimitContext {
+            fleet: self.fleet,
+            relative_size,
+            latency_objective: self.latency_objective,
+            in_flight: record.in_flight.len(),
+        };
+        if result
+            .cache_status
+            .is_none_or(|status| status == CacheStatus::Hit)
+        {
+            let estimated_work = context.details.and_then(|details| details.estimated_work);
+            record.record_hit_latency(result.latency, estimated_work);
+            record.limit.record_hit(&record.latency, &limit_context);
+        } else {
+            record
+                .limit
+                .record_miss(self.origin.fetch_latency(), &limit_context);
+        }
+    }
+
+    /// Counts a result that is no answer, and both in the failure ratios.
+    fn record_failure(
+        &mut self,
+        result: &AttemptResult,
+        context: &ResultContext,
+        attempt: InFlightAttempt,
+    ) {
+        let overdue_after = self.hedging.overdue_after();
+        let Some(record) = self.endpoints.get_mut(result.endpoint) else {
+            return;
+        };
+        let is_silent = record.last_answer_at <= attempt.sent_at;
+        let evidence = match result.outcome {
+            AttemptOutcome::Error => FailureEvidence::Ambiguous,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => FailureEvidence::Strong,
+            AttemptOutcome::Timeout => {
+                FailureEvidence::strong_if(context.is_timeout_evidence && is_silent)
+            }
+            // Cancelled when overdue and with nothing heard since: the endpoint is silent.
+            AttemptOutcome::Cancelled => {
+                FailureEvidence::strong_if(result.latency >= overdue_after && is_silent)
+            }
+            AttemptOutcome::Ok
+            | AttemptOutcome::CacheMiss
+            | AttemptOutcome::Rejected
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Unreadable
+            | AttemptOutcome::InvalidRequest => FailureEvidence::None,
+        };
+        record.health.record_failure(evidence);
+        let is_rejection = result.outcome == AttemptOutcome::Rejected;
+        let is_answer = matches!(
+            result.outcome,
+            AttemptOutcome::Ok | AttemptOutcome::CacheMiss
+        );
+        if is_rejection && context.is_rejection_for_capacity
+            || result.outcome == AttemptOutcome::Timeout && context.is_timeout_evidence
+        {
+            record.limit.record_overload();
+        }
+        let failure = if is_rejection { 1.0 } else { evidence.weight() };
+        if failure > 0.0 || is_answer {
+            self.outliers.update_failure_ratio(failure);
+            record.health.update_failure_ratio(failure > 0.0);
+        }
+    }
+
+    /// Ejects an endpoint whose failures reach the threshold, together with attempts that are
+    /// overdue in silence.
+    pub(super) fn eject_if_due(&mut self, id: EndpointId, silent_attempts: f64) {
+        let threshold = self.outliers.ejection_threshold();
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        let is_ejected = self.outliers.eject_if_due(
+            &mut record.health,
+            silent_attempts,
+            threshold,
+            self.now,
+            &mut self.random,
+        );
+        if is_ejected {
+            self.actions.push(ejection_log(id));
+        }
+    }
+
+    /// A health check has ended. It goes to an ejected endpoint first, so that no client pays for
+    /// finding out that it has not recovered.
+    pub(super) fn on_health_check_ended(&mut self, id: EndpointId, outcome: AttemptOutcome) {
+        let is_success = outcome == AttemptOutcome::Ok;
+        let Some(record) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        if !record.health.is_ejected() {
+            return;
+        }
+        record.health.end_health_check(self.now, is_success);
+        if !is_success {
+            self.eject_if_due(id, f64::INFINITY);
+        }
+    }
+
+    /// Adjusts what is known of the origin and of where keys are cached.
+    pub(super) fn record_origin_result(&mut self, request: &Request, result: &AttemptResult) {
+        self.placement.recent_keys.expire(self.now);
+        let key = request.details.key;
+        let id = result.endpoint;
+        match result.outcome {
+            // The endpoint answered others meanwhile: the fetch takes too long.
+            AttemptOutcome::Timeout
+                if self.has_answered_since(request, result)
+                    && self.is_timeout_evidence(&request.details)
+                    && !self.placement.recent_keys.is_cached(key, id) =>
+            {
+                self.origin.record_failure(self.fleet);
+            }
+            AttemptOutcome::Error => {
+                // What fails at a few endpoints only is not the origin's fault.
+                if is_fault_fleet_wide(self.endpoints.records()) {
+                    self.origin.record_failure(self.fleet);
+                }
+                for candidate in self.placement.candidates(request.slot) {
+                    self.placement.recent_keys.remove(key, candidate);
+                }
+            }
+            AttemptOutcome::Ok => {
+                if result.cache_status != Some(CacheStatus::Hit) {
+                    self.origin
+                        .record_fetch(result.latency, result.cache_status, self.fleet);
+                }
+                let read_key = key.filter(|_| !request.details.is_write);
+                self.placement.recent_keys.insert(read_key, id);
+            }
+            _ => {}
+        }
+    }
+
+    /// Whether the endpoint has answered since the attempt was sent.
+    fn has_answered_since(&self, request: &Request, result: &AttemptResult) -> bool {
+        let attempt = request.attempts.get(result.attempt.0 as usize);
+        let record = self.endpoints.get(result.endpoint);
+        attempt
+            .zip(record)
+            .is_some_and(|(attempt, record)| record.last_answer_at > attempt.sent_at)
+    }
+}
+
+/// The log line for an endpoint that was not ejected before.
+pub(super) fn ejection_log(id: EndpointId) -> Action {
+    Action::Log(format!("endpoint {} ejected: no answer lately", id.0))
+}
--- /dev/null
+++ b/crates/routing/src/estimators/tests.rs
@@ -0,0 +1,49 @@
+//! Exact values of the latency quantile.
+
+use super::LatencyQuantile;
+use crate::hedging::{OVERDUE_QUANTILE, QUANTILE_MEMORY_SAMPLES};
+
+const MS: u64 = 1_000_000;
+
+fn quantile() -> LatencyQuantile {
+    LatencyQuantile::new(QUANTILE_MEMORY_SAMPLES, OVERDUE_QUANTILE)
+}
+
+#[test]
+fn latency_quantile_is_the_99th_percentile() {
+    let mut latencies = quantile();
+    for i in 0..200 {
+        latencies.add(if i % 50 == 49 { 400 * MS } else { 10 * MS });
+    }
+    // Two in a hundred are slow: the 99th percentile is theirs.
+    assert_eq!(latencies.value(), LatencyQuantile::bucket_edge(400.0));
+    let mut latencies = quantile();
+    for i in 0..400 {
+        latencies.add(if i == 0 { 400 * MS } else { 10 * MS });
+    }
+    assert_eq!(latencies.value(), LatencyQuantile::bucket_edge(10.0));
+}
+
+#[test]
+fn old_samples_decay_with_the_number_of_new_ones() {
+    let mut latencies = quantile();
+    for _ in 0..500 {
+        latencies.add(400 * MS);
+    }
+    let mut needed = 0;
+    while latencies.value() == LatencyQuantile::bucket_edge(400.0) {
+        latencies.add(10 * MS);
+        needed += 1;
+    }
+    // Weight of the old after n new ones: (1 - 1/e) e^(-n/500) of 1 - e^(-1 - n/500), 1 % at
+    // n = 2079.
+    assert!((2_050..2_100).contains(&needed), "{needed}");
+    let mut long = quantile();
+    for _ in 0..100_000 {
+        long.add(10 * MS);
+    }
+    assert!(
+        long.total_weight() < QUANTILE_MEMORY_SAMPLES + 1.0
+            && long.value() == LatencyQuantile::bucket_edge(10.0)
+    );
+}
--- /dev/null
+++ b/crates/routing/src/idempotency.rs
@@ -0,0 +1,87 @@
+//! Which attempts and rejections of a request are permitted: a request that must not run twice
+//! never does, and an attempt goes only to an active endpoint before the deadline.
+
+use crate::events::{Endpoint, EndpointState};
+use crate::identifiers::Nanos;
+use crate::request::{Attempt, Request};
+use crate::settings::{Capabilities, DeduplicationScope, Idempotency};
+
+/// What an attempt is made for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum AttemptKind {
+    /// The first attempt or a retry.
+    Regular,
+    /// A second attempt of a read while the first is in flight.
+    Hedge,
+}
+
+/// Whether a rejection is truthful. It tells the client that a retry is harmless: not so once an
+/// attempt may have run that endpoints would not recognise as a repeat.
+pub(crate) fn permits_rejection(idempotency: Idempotency, request: &Request) -> bool {
+    if request.is_closed || request.is_streaming {
+        return false;
+    }
+    match idempotency {
+        Idempotency::Idempotent
+        | Idempotency::Keyed {
+            scope: DeduplicationScope::All,
+            ..
+        } => true,
+        _ => !request.attempts.iter().any(Attempt::may_have_run),
+    }
+}
+
+/// Whether an attempt may be sent to an endpoint.
+pub(crate) fn permits_attempt(
+    idempotency: Idempotency,
+    capabilities: &Capabilities,
+    request: &Request,
+    endpoint: &Endpoint,
+    kind: AttemptKind,
+    now: Nanos,
+) -> bool {
+    !request.is_closed
+        && !request.is_streaming
+        && endpoint.state == EndpointState::Active
+        && now < request.deadline
+        && request.attempts.len() < capabilities.max_attempts as usize
+        && permits_concurrency(idempotency, capabilities, request, kind)
+        && permits_repeat(idempotency, request, endpoint, now)
+}
+
+/// Whether a further attempt may be in flight beside those that are.
+fn permits_concurrency(
+    idempotency: Idempotency,
+    capabilities: &Capabilities,
+    request: &Request,
+    kind: AttemptKind,
+) -> bool {
+    let is_idempotent = idempotency == Idempotency::Idempotent;
+    match request.in_flight() {
+        0 => is_idempotent || kind == AttemptKind::Regular,
+        1 => is_idempotent && capabilities.hedging,
+        _ => false,
+    }
+}
+
+/// Whether the endpoint may receive the request although earlier attempts may have run.
+fn permits_repeat(
+    idempotency: Idempotency,
+    request: &Request,
+    endpoint: &Endpoint,
+    now: Nanos,
+) -> bool {
+    let Idempotency::Keyed { scope, window } = idempotency else {
+        return idempotency == Idempotency::Idempotent || request.first_possible_effect().is_none();
+    };
+    let is_within_window = request
+        .first_possible_effect()
+        .is_none_or(|first| now < first.sent_at.saturating_add(window));
+    let is_in_scope = |attempt: &Attempt| match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => attempt.zone == endpoint.zone,
+        DeduplicationScope::Cell => attempt.cell == endpoint.cell,
+    };
+    let mut earlier = request.attempts.iter();
+    is_within_window && earlier.all(|attempt| !attempt.may_have_run() || is_in_scope(attempt))
+}
--- /dev/null
+++ b/crates/routing/src/idle_connections.rs
@@ -0,0 +1,38 @@
+//! Which idle connections are closed: hundreds of balancers would fill an endpoint's connection
+//! table with connections that they hardly use.
+
+use crate::fleet_size::FleetSize;
+use crate::identifiers::{EndpointId, Nanos};
+
+/// Idle connections kept open at an endpoint, over all balancers.
+const MAX_IDLE_PER_ENDPOINT: usize = 60;
+/// Idle connections that one balancer keeps open in all: each is a descriptor.
+pub(crate) const MAX_IDLE_PER_BALANCER: usize = 64;
+/// Those beyond are closed once idle for this long, in nanoseconds.
+const MIN_IDLE_TIME: Nanos = 500_000_000;
+
+/// An endpoint with nothing in flight and perhaps an open connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct IdleEndpoint {
+    pub(crate) since: Nanos,
+    pub(crate) id: EndpointId,
+}
+
+/// The endpoints whose connections are to be closed, the longest idle first.
+pub(crate) fn to_close(
+    mut idle: Vec<IdleEndpoint>,
+    endpoints: usize,
+    fleet: FleetSize,
+    now: Nanos,
+) -> impl Iterator<Item = EndpointId> {
+    let fair_share = MAX_IDLE_PER_ENDPOINT * endpoints / fleet.balancers();
+    let excess = idle
+        .len()
+        .saturating_sub(fair_share.min(MAX_IDLE_PER_BALANCER));
+    if excess == 0 {
+        idle.clear();
+    }
+    idle.retain(|endpoint| now.saturating_sub(endpoint.since) >= MIN_IDLE_TIME);
+    idle.sort_unstable();
+    idle.into_iter().take(excess).map(|endpoint| endpoint.id)
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,14 @@
-//! The decisions of a sidecar that spreads keys over cache servers before a slow origin.
+//! The decisions of a load balancer that spreads keys over caches before a slow origin.
 //!
-//! An [`Engine`] decides for one router. It does no I/O and has no clock: the router tells it what happens, with
-//! the time, and carries out the [`Action`]s that come back, in order. The same settings, seed and events give
-//! the same actions. The interface is [`api`], all decisions are in [`brain`].
+//! An [`Engine`] decides for one balancer. It does no I/O and has no clock: the balancer reports
+//! each [`Event`] with the time, and carries out the [`Action`]s that come back, in order. The same
+//! settings, seed and events give the same actions.
 //!
-//! # Embedding in a router
+//! The engine dispatches events and composes components that each own their state: the endpoint
+//! list, placement, slow start, concurrency limits, outlier detection, hedging, retries, admission
+//! and origin protection.
+//!
+//! # Embedding in a balancer
 //!
 //! ```
 //! use routing::*;
@@ -45,11 +49,11 @@
 //! let mut engine = Engine::new(settings, 42, 0)?;
 //! let mut actions = Vec::new();
 //!
-//! // What discovery knows.
+//! // What discovery lists.
 //! let endpoints = (1..=4).map(|n| Endpoint { id: EndpointId(n), weight: 1.0, ..Endpoint::default() }).collect();
 //! engine.handle(0, Event::EndpointUpdate { kind: UpdateKind::Full, endpoints }, &mut actions);
 //!
-//! // A client's read arrives; the router carries out what comes back.
+//! // A client's read arrives; carry out what comes back.
 //! let read = NewRequest {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
@@ -91,10 +95,50 @@
 //! ```
 #![forbid(unsafe_code)]
 
-pub mod api;
-pub mod brain;
-mod state;
-mod stats;
+mod actions;
+mod admission;
+mod attempt_budget;
+mod concurrency_limit;
+mod discovery_schedule;
+mod endpoints;
+mod engine;
+mod estimators;
+mod events;
+mod explanations;
+mod fleet_shedding;
+mod fleet_size;
+mod hedging;
+mod idempotency;
+mod identifiers;
+mod idle_connections;
+mod origin_protection;
+mod outlier_detection;
+mod placement;
+mod random;
+mod recent_keys;
+mod rendezvous;
+mod request;
+mod request_queue;
+mod retry_budget;
+mod settings;
+mod slow_start;
+mod snapshot;
+mod timers;
+mod traffic;
 
-pub use api::*;
-pub use brain::{Engine, MAX_SHED_FRACTION, Snapshot};
+pub use actions::{Action, DecisionReason, Deferral, Explanation};
+pub use admission::{AdmissionCounts, COUNTED_TIERS};
+pub use engine::Engine;
+pub use events::{
+    AttemptOutcome, AttemptResult, CacheStatus, Endpoint, EndpointState, Event, LoadReport,
+    NewRequest, SheddingLevel, UpdateKind,
+};
+pub use fleet_shedding::MAX_SHED_FRACTION;
+pub use identifiers::{
+    AttemptNumber, ClassId, EndpointId, Key, Nanos, RequestId, TenantId, TimerToken,
+};
+pub use settings::{
+    Capabilities, DeduplicationScope, DiscoveryMode, Idempotency, OriginMode, RequestClass,
+    ServiceRules, Settings, SettingsError, Tenant,
+};
+pub use snapshot::{Snapshot, SnapshotError};
--- a/crates/routing/src/brain/slots/tests.rs
+++ b/crates/routing/src/rendezvous/tests.rs
@@ -1,15 +1,18 @@
 //! The table against the plain way to rank: a score for each cache, and a sort.
 
-use super::super::tests::settings;
-use super::*;
-use crate::api::{Endpoint, EndpointState, UpdateKind};
-use crate::brain::Engine;
+use super::{CANDIDATES, MAX_LOGGED_CHANGES, NO_CACHE, SLOTS, SlotTable, Version};
+use crate::engine::Engine;
+use crate::engine::tests::settings;
+use crate::events::{Endpoint, EndpointState, Event, UpdateKind};
+use crate::identifiers::EndpointId;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::Cell;
+use std::collections::BTreeMap;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 thread_local! {
-    /// Hashes of a slot and a cache that were worked out in this thread: the measure of the table's work.
+    /// Hashes of a slot and a cache that were computed in this thread: the measure of the table's work.
     static HASHES: Cell<usize> = const { Cell::new(0) };
 }
 
@@ -39,37 +42,46 @@
     ranked.into_iter().map(|(_, id)| id).collect()
 }
 
-/// A list that changes at random, and the module that is told of it.
-struct Course {
+/// An endpoint list that changes at random, and the engine that is notified of it.
+struct RandomChanges {
     rng: Xoshiro256PlusPlus,
     caches: BTreeMap<u64, Endpoint>,
-    brain: Engine,
+    engine: Engine,
 }
 
-impl Course {
+impl RandomChanges {
     fn new(seed: u64, count: u64) -> Self {
-        let brain = Engine::new(settings(), 1, 0).expect("settings make sense");
-        let mut course = Course {
+        let engine = Engine::new(settings(), 1, 0).expect("settings are consistent");
+        let mut changes = RandomChanges {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             caches: BTreeMap::new(),
-            brain,
+            engine,
         };
-        (0..count).for_each(|id| course.join(id));
-        course
+        (0..count).for_each(|id| changes.join(id));
+        changes
     }
 
     fn below(&mut self, n: usize) -> usize {
         (self.rng.next_u64() % n as u64) as usize
     }
 
-    fn tell(&mut self, entry: Endpoint) {
+    fn list(&mut self, entry: Endpoint) {
         self.caches.insert(entry.id.0, entry);
-        self.brain.on_list(UpdateKind::Delta, vec![entry]);
+        self.update(UpdateKind::Delta, vec![entry]);
+    }
+
+    fn update(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) {
+        let event = Event::EndpointUpdate { kind, endpoints };
+        self.engine.handle(0, event, &mut Vec::new());
+    }
+
+    fn table(&mut self) -> &mut SlotTable {
+        self.engine.slot_table()
     }
 
     fn join(&mut self, id: u64) {
         let weight = [1.0, 1.0, 1.0, 0.25, 2.0, 7.5][self.below(6)];
-        self.tell(Endpoint {
+        self.list(Endpoint {
             id: EndpointId(id),
             weight,
             ..Endpoint::default()
@@ -81,17 +93,17 @@
         *self.caches.keys().nth(chosen).expect("there are some")
     }
 
-    /// One change of the list: a join, a drain, a restart, another weight, a removal, or a whole list.
+    /// One change of the list: a join, a drain, a restart, another weight, a removal, or a full list.
     fn step(&mut self, next_id: u64) {
         let chosen = self.any();
         let entry = self.caches[&chosen];
         match self.below(6) {
             0 => self.join(next_id),
-            1 => self.tell(Endpoint {
+            1 => self.list(Endpoint {
                 state: EndpointState::Draining,
                 ..entry
             }),
-            2 => self.tell(Endpoint {
+            2 => self.list(Endpoint {
                 state: EndpointState::Active,
                 started: entry.started + 1,
                 ..entry
@@ -99,11 +111,11 @@
             3 => self.join(chosen),
             4 => {
                 self.caches.remove(&chosen);
-                let gone = Endpoint {
+                let removed = Endpoint {
                     state: EndpointState::Removed,
                     ..entry
                 };
-                self.brain.on_list(UpdateKind::Delta, vec![gone]);
+                self.update(UpdateKind::Delta, vec![removed]);
             }
             _ => {
                 self.caches.remove(&chosen);
@@ -114,8 +126,7 @@
                         ..entry
                     },
                 );
-                self.brain
-                    .on_list(UpdateKind::Full, self.caches.values().copied().collect());
+                self.update(UpdateKind::Full, self.caches.values().copied().collect());
             }
         }
     }
@@ -123,71 +134,71 @@
     fn check(&mut self, slot: usize) {
         let sorted = sorted(&self.caches, slot);
         let first = &sorted[..sorted.len().min(CANDIDATES)];
-        assert_eq!(*self.brain.slots.candidates(slot), *first, "slot {slot}");
-        let beyond: Vec<EndpointId> = self.brain.slots.ranking(slot).collect();
+        assert_eq!(*self.table().candidates(slot), *first, "slot {slot}");
+        let beyond: Vec<EndpointId> = self.table().ranking(slot).collect();
         assert_eq!(beyond, sorted, "slot {slot}");
     }
 }
 
 #[test]
-fn every_slot_is_ranked_as_by_a_sort_through_joins_drains_restarts_and_whole_lists() {
+fn every_slot_is_ranked_as_by_a_sort_through_joins_drains_restarts_and_full_lists() {
     for (seed, count) in [(1, 1), (2, 4), (3, 40)] {
-        let mut course = Course::new(seed, count);
+        let mut changes = RandomChanges::new(seed, count);
         for step in 0..40 {
-            // All rows hold candidates when the change comes: it has to mend them.
-            (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot));
-            course.step(1_000 + step);
-            if course.caches.is_empty() {
-                course.join(0);
+            // All rows contain candidates before the change, which has to correct them.
+            (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot));
+            changes.step(1_000 + step);
+            if changes.caches.is_empty() {
+                changes.join(0);
             }
             for _ in 0..200 {
-                let slot = course.below(SLOTS);
-                course.check(slot);
+                let slot = changes.below(SLOTS);
+                changes.check(slot);
             }
         }
-        (0..SLOTS).for_each(|slot| course.check(slot));
+        (0..SLOTS).for_each(|slot| changes.check(slot));
     }
 }
 
 #[test]
-fn a_change_of_one_cache_has_the_rows_that_it_touches_worked_out_anew_and_few_others() {
-    let mut course = Course::new(4, 0);
+fn change_of_one_cache_recomputes_the_rows_that_it_affects_and_few_others() {
+    let mut changes = RandomChanges::new(4, 0);
     let count = 400;
     let all = (0..count).map(|id| Endpoint {
         id: EndpointId(id),
         weight: 1.0,
         ..Endpoint::default()
     });
-    all.for_each(|entry| course.tell(entry));
-    let worked_out = |course: &mut Course, entry: Endpoint| {
-        (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot));
-        course.tell(entry);
+    all.for_each(|entry| changes.list(entry));
+    let recomputed = |changes: &mut RandomChanges, entry: Endpoint| {
+        (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot));
+        changes.list(entry);
         let slots = 0..SLOTS;
         let anew = slots
-            .filter(|slot| hashes(|| _ = course.brain.slots.candidates(*slot)) > 1)
+            .filter(|slot| hashes(|| _ = changes.table().candidates(*slot)) > 1)
             .count();
         assert_eq!(
-            hashes(|| (0..SLOTS).for_each(|slot| _ = course.brain.slots.candidates(slot))),
+            hashes(|| (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot))),
             0
         );
         anew
     };
     let due = CANDIDATES * SLOTS / count as usize;
     let near = due * 3 / 4..due * 5 / 4;
-    let entry = course.caches[&77];
-    let drained = worked_out(
-        &mut course,
+    let entry = changes.caches[&77];
+    let drained = recomputed(
+        &mut changes,
         Endpoint {
             state: EndpointState::Draining,
             ..entry
         },
     );
     assert!(near.contains(&drained), "{drained} of {due}");
-    let back = worked_out(&mut course, entry);
+    let back = recomputed(&mut changes, entry);
     assert!(near.contains(&back), "{back} of {due}");
     assert_eq!(
-        worked_out(
-            &mut course,
+        recomputed(
+            &mut changes,
             Endpoint {
                 started: 5,
                 ..entry
@@ -196,40 +207,40 @@
         0,
         "a restart moves nothing"
     );
-    assert_eq!(worked_out(&mut course, entry), 0);
+    assert_eq!(recomputed(&mut changes, entry), 0);
 }
 
 #[test]
-fn rows_are_right_however_far_behind_they_are_and_when_versions_begin_anew() {
-    let mut course = Course::new(5, 30);
+fn rows_are_current_however_far_behind_they_are_and_when_versions_start_again() {
+    let mut changes = RandomChanges::new(5, 30);
     let slots: Vec<usize> = (0..SLOTS).step_by(499).collect();
-    for (step, behind) in [1, 3, 29, 40, CHANGES_KEPT - 1, CHANGES_KEPT + 1]
+    for (step, behind) in [1, 3, 29, 40, MAX_LOGGED_CHANGES - 1, MAX_LOGGED_CHANGES + 1]
         .into_iter()
         .enumerate()
     {
-        slots.iter().for_each(|slot| course.check(*slot));
+        slots.iter().for_each(|slot| changes.check(*slot));
         for change in 0..behind as u64 {
-            course.step(1_000_000 * (step as u64 + 1) + change);
-            if course.caches.is_empty() {
-                course.join(0);
+            changes.step(1_000_000 * (step as u64 + 1) + change);
+            if changes.caches.is_empty() {
+                changes.join(0);
             }
         }
-        slots.iter().for_each(|slot| course.check(*slot));
+        slots.iter().for_each(|slot| changes.check(*slot));
     }
-    course.brain.slots.version = Version::MAX - 2;
+    changes.table().version = Version::MAX - 2;
     slots
         .iter()
-        .for_each(|slot| course.brain.slots.rows[*slot].version = Version::MAX - 2);
+        .for_each(|slot| changes.table().rows[*slot].version = Version::MAX - 2);
     for id in 0..6 {
-        course.join(id);
-        course.join(9_000_000 + id);
-        slots.iter().for_each(|slot| course.check(*slot));
+        changes.join(id);
+        changes.join(9_000_000 + id);
+        slots.iter().for_each(|slot| changes.check(*slot));
     }
-    assert!(course.brain.slots.version < 20, "versions have begun anew");
+    assert!(changes.table().version < 20, "versions have started again");
 }
 
 #[test]
-fn caches_beyond_the_numbers_of_a_row_are_ranked_all_the_same() {
+fn caches_beyond_the_indexes_of_a_row_are_ranked_all_the_same() {
     let caches = u64::from(NO_CACHE) + 40;
     let mut table = SlotTable::new();
     let listed: Vec<(EndpointId, f64)> = (0..caches).map(|id| (EndpointId(id), 1.0)).collect();
@@ -274,7 +285,7 @@
 }
 
 #[test]
-fn a_batch_of_caches_costs_nothing_by_the_number_of_slots_when_it_is_told() {
+fn batch_of_caches_costs_nothing_for_each_slot_when_it_is_listed() {
     let (before, batch) = (3_200, 1_000);
     let mut table = SlotTable::new();
     table.set_caches(&listed(0..before));
@@ -283,7 +294,7 @@
     assert_eq!(
         hashes(|| table.set_caches(&listed(0..before + batch))),
         0,
-        "when the batch is told"
+        "when the batch is listed"
     );
     let caches = (before + batch) as usize;
     for slot in 0..in_use {
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -376,8 +376,10 @@
     let wrong: [(&str, Spoil); 4] = [
         ("classes", |s| s.classes.clear()),
         ("classes[1].deadline", |s| s.classes[1].deadline = 0),
-        ("limits.max_attempts", |s| s.capabilities.max_attempts = 0),
-        ("routers", |s| s.balancers = 0),
+        ("capabilities.max_attempts", |s| {
+            s.capabilities.max_attempts = 0
+        }),
+        ("balancers", |s| s.balancers = 0),
     ];
     for (field, spoil) in wrong {
         let mut s = settings();
