--- a/crates/routing/src/engine/attempt_results.rs
+++ b/crates/routing/src/engine/attempt_results.rs
@@ -126,22 +126,14 @@
             return;
         };
         let is_silent = record.last_answer_at <= attempt.sent_at;
+        let is_overdue = result.latency >= overdue_after;
         let evidence = match result.outcome {
-            AttemptOutcome::Error => FailureEvidence::Ambiguous,
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => FailureEvidence::Strong,
             AttemptOutcome::Timeout => {
                 FailureEvidence::strong_if(context.is_timeout_evidence && is_silent)
             }
-            // Cancelled when overdue and with nothing heard since: the endpoint is silent.
-            AttemptOutcome::Cancelled => {
-                FailureEvidence::strong_if(result.latency >= overdue_after && is_silent)
-            }
-            AttemptOutcome::Ok
-            | AttemptOutcome::CacheMiss
-            | AttemptOutcome::Rejected
-            | AttemptOutcome::NotSent
-            | AttemptOutcome::Unreadable
-            | AttemptOutcome::InvalidRequest => FailureEvidence::None,
+            // Nothing was heard of the endpoint until the attempt was cancelled.
+            AttemptOutcome::Cancelled => FailureEvidence::strong_if(is_overdue && is_silent),
+            outcome => FailureEvidence::of(outcome),
         };
         record.health.record_failure(evidence);
         let is_rejection = result.outcome == AttemptOutcome::Rejected;
--- a/crates/routing/src/hedging.rs
+++ b/crates/routing/src/hedging.rs
@@ -7,7 +7,8 @@
 
 /// The quantile of latencies after which an attempt is overdue.
 pub(crate) const OVERDUE_QUANTILE: f64 = 0.99;
-/// Samples until an old one weighs 1/e: a count, so that little traffic does not swing the quantile.
+/// Samples until an old one weighs 1/e: a count, so that little traffic does not swing the
+/// quantile.
 pub(crate) const QUANTILE_MEMORY_SAMPLES: f64 = 500.0;
 /// With fewer samples the quantile is not used.
 pub(crate) const MIN_SAMPLES: u64 = 20;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,7 +11,11 @@
 //! # Embedding in a balancer
 //!
 //! ```
-//! use routing::*;
+//! use routing::{
+//!     Action, AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, Capabilities, ClassId,
+//!     DiscoveryMode, Endpoint, EndpointId, Engine, Event, Idempotency, Key, Nanos, NewRequest,
+//!     OriginMode, RequestClass, RequestId, ServiceRules, Settings, SettingsError, UpdateKind,
+//! };
 //!
 //! const MS: Nanos = 1_000_000;
 //! let settings = Settings {
@@ -50,7 +54,9 @@
 //! let mut actions = Vec::new();
 //!
 //! // What discovery lists.
-//! let endpoints = (1..=4).map(|n| Endpoint { id: EndpointId(n), weight: 1.0, ..Endpoint::default() }).collect();
+//! let endpoints = (1..=4)
+//!     .map(|id| Endpoint { id: EndpointId(id), weight: 1.0, ..Endpoint::default() })
+//!     .collect();
 //! engine.handle(0, Event::EndpointUpdate { kind: UpdateKind::Full, endpoints }, &mut actions);
 //!
 //! // A client's read arrives; carry out what comes back.
@@ -69,16 +75,16 @@
 //! for action in &actions {
 //!     match action {
 //!         Action::Send { request, endpoint, .. } => {
-//!             assert_eq!(*request, RequestId(1)); // open the attempt on the network here
+//!             assert_eq!(*request, RequestId(1)); // open the connection here
 //!             sent_to = Some(*endpoint);
 //!         }
-//!         Action::SetTimer { .. } => {} // bring back Event::TimerFired when it is due
+//!         Action::SetTimer { .. } => {} // report Event::TimerFired when it is due
 //!         other => panic!("nothing else is due: {other:?}"),
 //!     }
 //! }
 //!
 //! // The cache answers; the first answer finishes the request.
-//! let end = AttemptResult {
+//! let result = AttemptResult {
 //!     request: RequestId(1),
 //!     attempt: AttemptNumber(0),
 //!     endpoint: sent_to.expect("one attempt was sent"),
@@ -89,7 +95,7 @@
 //!     load_report: None,
 //! };
 //! actions.clear();
-//! engine.handle(17 * MS, Event::AttemptEnded(end), &mut actions);
+//! engine.handle(17 * MS, Event::AttemptEnded(result), &mut actions);
 //! assert!(actions.is_empty());
 //! # Ok::<(), SettingsError>(())
 //! ```
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -2,6 +2,7 @@
 //! probe, a health check or a request, decides whether it is readmitted.
 
 use crate::endpoints::EndpointRecord;
+use crate::events::AttemptOutcome;
 use crate::identifiers::Nanos;
 use crate::random::Random;
 
@@ -55,6 +56,23 @@
         }
     }
 
+    /// The evidence of an outcome alone: none for timeouts and cancellations, which depend on
+    /// whether the endpoint was silent, nor for what would suit no other endpoint either.
+    pub(crate) fn of(outcome: AttemptOutcome) -> Self {
+        match outcome {
+            AttemptOutcome::Error => FailureEvidence::Ambiguous,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => FailureEvidence::Strong,
+            AttemptOutcome::Ok
+            | AttemptOutcome::CacheMiss
+            | AttemptOutcome::Rejected
+            | AttemptOutcome::Timeout
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Unreadable
+            | AttemptOutcome::InvalidRequest => FailureEvidence::None,
+        }
+    }
+
     pub(crate) fn strong_if(condition: bool) -> Self {
         if condition {
             FailureEvidence::Strong
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing: the candidates of each slot, cached in a flat table whose rows are brought up
-//! to date when they are next asked for.
+//! Rendezvous hashing: the candidates of each slot, in a flat table whose rows are brought up to
+//! date when they are next asked for.
 //!
 //! Each cache has a score at each slot ([`score`]); the caches with the least scores are the slot's
 //! candidates, in that order. Computing them takes a hash for each cache. A row therefore stores
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,41 +1,45 @@
-//! A hand-driven router: plays events into a brain, keeps its timers and all that it ordered.
-#![allow(dead_code)]
+//! A hand-driven balancer: plays events into an engine, and keeps its timers and all its actions.
+#![allow(dead_code)] // Each test file uses a part of it.
 
-use routing::*;
+use routing::{
+    Action, AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, Capabilities, ClassId,
+    DeduplicationScope, DiscoveryMode, Endpoint, EndpointId, EndpointState, Engine, Event,
+    Idempotency, Key, Nanos, NewRequest, OriginMode, RequestClass, RequestId, ServiceRules,
+    Settings, Tenant, TenantId, TimerToken, UpdateKind,
+};
+use std::collections::BTreeMap;
 
 pub const MS: Nanos = 1_000_000;
-pub const SAFE: ClassId = ClassId(0);
+pub const IDEMPOTENT: ClassId = ClassId(0);
 pub const KEYED: ClassId = ClassId(1);
-pub const UNSAFE: ClassId = ClassId(2);
+pub const NOT_IDEMPOTENT: ClassId = ClassId(2);
+
+const SEED: u64 = 42;
+/// The most attempts that [`TestBalancer::end_attempts`] ends.
+const MAX_ATTEMPTS: usize = 4;
 
 pub fn settings() -> Settings {
-    let class = |effect, worth| RequestClass {
-        idempotency: effect,
+    let class = |idempotency, priority_weight| RequestClass {
+        idempotency,
         latency_objective: 200 * MS,
         deadline: 1_000 * MS,
-        priority_weight: worth,
+        priority_weight,
         late_value_fraction: 0.2,
     };
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
+        window: 500 * MS,
+    };
+    let tenant = Tenant {
+        quota_per_second: 50.0,
+    };
     Settings {
         classes: vec![
             class(Idempotency::Idempotent, 1.0),
-            class(
-                Idempotency::Keyed {
-                    scope: DeduplicationScope::All,
-                    window: 500 * MS,
-                },
-                2.0,
-            ),
+            class(keyed, 2.0),
             class(Idempotency::NotIdempotent, 5.0),
         ],
-        tenants: vec![
-            Tenant {
-                quota_per_second: 50.0,
-            },
-            Tenant {
-                quota_per_second: 50.0,
-            },
-        ],
+        tenants: vec![tenant.clone(), tenant],
         over_quota_weight: 0.1,
         balancers: 1,
         origin: OriginMode::ReadThrough,
@@ -61,165 +65,244 @@
     }
 }
 
-pub fn entry(server: u64, phase: EndpointState, started: Nanos) -> Endpoint {
+/// An entry of the endpoint list; zone and cell are the identifier modulo 2.
+pub fn endpoint(id: u64, state: EndpointState, started: Nanos) -> Endpoint {
     Endpoint {
-        id: EndpointId(server),
-        zone: (server % 2) as usize,
+        id: EndpointId(id),
+        zone: (id % 2) as usize,
         kind: 0,
-        cell: server % 2,
-        state: phase,
+        cell: id % 2,
+        state,
         weight: 1.0,
         started,
     }
 }
 
-pub struct Bench {
-    pub brain: Engine,
+/// An action with the time at which it was ordered.
+pub struct TimedAction {
+    pub at: Nanos,
+    pub action: Action,
+}
+
+/// A timer that has not fired yet.
+pub struct PendingTimer {
+    pub due: Nanos,
+    pub token: TimerToken,
+}
+
+/// The timers that an engine has set.
+#[derive(Default)]
+pub struct TimerQueue {
+    pending: Vec<PendingTimer>,
+}
+
+impl TimerQueue {
+    pub fn push(&mut self, due: Nanos, token: TimerToken) {
+        self.pending.push(PendingTimer { due, token });
+    }
+
+    /// Takes out the first timer that is due by then.
+    pub fn pop_due(&mut self, by: Nanos) -> Option<PendingTimer> {
+        let timers = self.pending.iter().enumerate();
+        let (first, timer) = timers.min_by_key(|(_, timer)| (timer.due, timer.token))?;
+        (timer.due <= by).then(|| self.pending.remove(first))
+    }
+
+    /// Delays all timers.
+    pub fn delay(&mut self, time: Nanos) {
+        for timer in &mut self.pending {
+            timer.due += time;
+        }
+    }
+}
+
+pub struct TestBalancer {
+    pub engine: Engine,
     pub now: Nanos,
-    pub at: Vec<(Nanos, Action)>,
-    pub timers: Vec<(Nanos, TimerToken)>,
-    pub sent_at: std::collections::BTreeMap<(u128, u32), Nanos>,
-    pub slack: Nanos,
+    pub ordered: Vec<TimedAction>,
+    pub timers: TimerQueue,
+    pub sent_at: BTreeMap<(RequestId, AttemptNumber), Nanos>,
+}
+
+pub fn balancer(settings: Settings) -> TestBalancer {
+    balancer_with_seed(settings, SEED)
 }
 
-pub fn bench(settings: Settings) -> Bench {
-    let slack = settings.rules.final_answer_grace;
-    let brain = Engine::new(settings, 42, 0).expect("settings make sense");
-    Bench {
-        brain,
+pub fn balancer_with_seed(settings: Settings, seed: u64) -> TestBalancer {
+    TestBalancer {
+        engine: Engine::new(settings, seed, 0).expect("settings are consistent"),
         now: 0,
-        at: Vec::new(),
-        timers: Vec::new(),
-        sent_at: Default::default(),
-        slack,
+        ordered: Vec::new(),
+        timers: TimerQueue::default(),
+        sent_at: BTreeMap::new(),
     }
 }
 
-impl Bench {
-    pub fn slack(&self) -> Nanos {
-        self.slack
-    }
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+impl TestBalancer {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
-                Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
-                Action::Send { request, .. } => {
-                    let number = self.sends(request.0).len() as u32;
-                    self.sent_at.insert((request.0, number), self.now);
+                Action::SetTimer { after, token } => self.timers.push(self.now + after, *token),
+                Action::Send {
+                    request, attempt, ..
+                } => {
+                    self.sent_at.insert((*request, *attempt), self.now);
                 }
                 _ => {}
             }
-            self.at.push((self.now, action.clone()));
+            self.ordered.push(TimedAction {
+                at: self.now,
+                action: action.clone(),
+            });
         }
         actions
     }
-    pub fn run_to(&mut self, until: Nanos) {
-        loop {
-            self.timers.sort_by_key(|(at, token)| (*at, token.0));
-            match self.timers.first().copied() {
-                Some((at, token)) if at <= until => {
-                    self.timers.remove(0);
-                    self.now = self.now.max(at);
-                    self.event(Event::TimerFired(token));
-                }
-                _ => break,
-            }
+
+    /// Lets time pass until then; timers fire when they are due.
+    pub fn run_until(&mut self, until: Nanos) {
+        while let Some(timer) = self.timers.pop_due(until) {
+            self.now = self.now.max(timer.due);
+            self.handle(Event::TimerFired(timer.token));
         }
         self.now = self.now.max(until);
     }
-    pub fn list(&mut self, servers: &[u64]) {
-        let entries = servers
+
+    pub fn run_for(&mut self, time: Nanos) {
+        self.run_until(self.now + time);
+    }
+
+    /// A full endpoint list with these active endpoints arrives.
+    pub fn list_endpoints(&mut self, ids: &[u64]) {
+        let endpoints = ids
             .iter()
-            .map(|s| entry(*s, EndpointState::Active, 0))
+            .map(|id| endpoint(*id, EndpointState::Active, 0))
             .collect();
-        self.event(Event::EndpointUpdate {
-            kind: UpdateKind::Full,
-            endpoints: entries,
-        });
+        self.update_endpoints(UpdateKind::Full, endpoints);
     }
-    pub fn patch(&mut self, server: u64, phase: EndpointState, started: Nanos) {
-        self.event(Event::EndpointUpdate {
-            kind: UpdateKind::Delta,
-            endpoints: vec![entry(server, phase, started)],
-        });
+
+    /// One entry of the endpoint list changes.
+    pub fn change_endpoint(&mut self, id: u64, state: EndpointState, started: Nanos) {
+        self.update_endpoints(UpdateKind::Delta, vec![endpoint(id, state, started)]);
+    }
+
+    pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) {
+        self.handle(Event::EndpointUpdate { kind, endpoints });
     }
+
+    /// A request arrives; it is a write unless it is idempotent.
     pub fn request(
         &mut self,
         id: u128,
         class: ClassId,
         key: Option<u64>,
-        patience: Nanos,
+        client_timeout: Nanos,
     ) -> Vec<Action> {
-        self.event(Event::RequestArrived(NewRequest {
+        self.handle(Event::RequestArrived(NewRequest {
             id: RequestId(id),
             class,
             tenant: Some(TenantId(0)),
             key: key.map(Key),
-            client_timeout: patience,
+            client_timeout,
             estimated_work: None,
-            is_write: class != SAFE,
+            is_write: class != IDEMPOTENT,
         }))
     }
-    pub fn end(
-        &mut self,
-        id: u128,
-        attempt: u32,
-        outcome: AttemptOutcome,
-        finished: bool,
-    ) -> Vec<Action> {
-        self.end_noted(id, attempt, outcome, finished, None)
+
+    /// An idempotent read with its own key and a client timeout of 1 s arrives.
+    pub fn read(&mut self, id: u128) -> Vec<Action> {
+        self.request(id, IDEMPOTENT, Some(id as u64), 1_000 * MS)
     }
-    pub fn end_noted(
-        &mut self,
-        id: u128,
-        attempt: u32,
-        outcome: AttemptOutcome,
-        finished: bool,
-        note: Option<CacheStatus>,
-    ) -> Vec<Action> {
-        let server = self.sends(id)[attempt as usize];
-        let latency = self.now - self.sent_at[&(id, attempt)];
-        self.event(Event::AttemptEnded(AttemptResult {
-            request: RequestId(id),
-            attempt: AttemptNumber(attempt),
-            endpoint: server,
+
+    /// An attempt ends; only an answer finishes the request.
+    pub fn end(&mut self, id: u128, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        let result = self.result(id, attempt, outcome);
+        self.handle(Event::AttemptEnded(result))
+    }
+
+    /// An attempt ends after its request was finished.
+    pub fn end_finished(&mut self, id: u128, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        let result = AttemptResult {
+            request_finished: true,
+            ..self.result(id, attempt, outcome)
+        };
+        self.handle(Event::AttemptEnded(result))
+    }
+
+    /// An attempt ends with an answer or a failure that states a cache miss.
+    pub fn end_as_miss(&mut self, id: u128, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        let result = AttemptResult {
+            cache_status: Some(CacheStatus::Miss),
+            ..self.result(id, attempt, outcome)
+        };
+        self.handle(Event::AttemptEnded(result))
+    }
+
+    fn result(&self, id: u128, attempt: u32, outcome: AttemptOutcome) -> AttemptResult {
+        let (request, number) = (RequestId(id), AttemptNumber(attempt));
+        AttemptResult {
+            request,
+            attempt: number,
+            endpoint: self.sends(id)[attempt as usize],
             outcome,
-            latency,
-            request_finished: finished,
-            cache_status: note,
+            latency: self.now - self.sent_at[&(request, number)],
+            request_finished: outcome == AttemptOutcome::Ok,
+            cache_status: None,
             load_report: None,
-        }))
+        }
+    }
+
+    /// Ends the attempts of a request, each at once with the outcome of its endpoint.
+    pub fn end_attempts(
+        &mut self,
+        id: u128,
+        mut outcome_of: impl FnMut(EndpointId) -> AttemptOutcome,
+    ) {
+        for attempt in 0..MAX_ATTEMPTS {
+            let Some(endpoint) = self.sends(id).get(attempt).copied() else {
+                break;
+            };
+            self.end(id, attempt as u32, outcome_of(endpoint));
+        }
     }
-    /// Ends every attempt of a request that is still out, with an answer.
-    pub fn finish_all(&mut self, id: u128) {
+
+    /// Ends every attempt of a request that is still in flight with an answer.
+    pub fn answer_all(&mut self, id: u128) {
         for attempt in 0..self.sends(id).len() {
-            self.end(id, attempt as u32, AttemptOutcome::Ok, true);
+            self.end(id, attempt as u32, AttemptOutcome::Ok);
         }
     }
+
+    /// The endpoints that a request's attempts were sent to.
     pub fn sends(&self, id: u128) -> Vec<EndpointId> {
-        self.at
-            .iter()
-            .filter_map(|(_, a)| match a {
+        self.actions()
+            .filter_map(|action| match action {
                 Action::Send {
-                    request,
-                    endpoint: server,
-                    ..
-                } if request.0 == id => Some(*server),
+                    request, endpoint, ..
+                } if request.0 == id => Some(*endpoint),
                 _ => None,
             })
             .collect()
     }
-    pub fn finals(&self, id: u128) -> usize {
-        let id = RequestId(id);
-        self.at
-            .iter()
-            .filter(|(_, a)| match a {
-                Action::Fail { request, .. } => *request == id,
-                Action::Reject { request, .. } => *request == id,
+
+    /// How many final answers a request got from the engine.
+    pub fn final_answers(&self, id: u128) -> usize {
+        self.actions()
+            .filter(|action| match action {
+                Action::Fail { request, .. } | Action::Reject { request, .. } => request.0 == id,
                 _ => false,
             })
             .count()
     }
+
+    /// All actions so far.
+    pub fn actions(&self) -> impl Iterator<Item = &Action> {
+        self.ordered.iter().map(|ordered| &ordered.action)
+    }
+
+    /// Whether this action was ordered since there were `count` of them.
+    pub fn has_ordered_since(&self, count: usize, action: &Action) -> bool {
+        self.actions().skip(count).any(|ordered| ordered == action)
+    }
 }
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -1,507 +1,481 @@
-//! Troubles, each played by hand: what a guard in the decision module is there for.
+//! Failures, each played by hand: what the engine does against overload, outliers and outages.
 
 mod common;
-use common::*;
-use routing::*;
 
-/// Plays `count` reads of ever new keys, 10 ms apart, and ends each attempt at once as told.
-fn play(b: &mut Bench, from: u128, count: u128, outcome: AttemptOutcome) -> (usize, usize) {
-    let (mut sent, mut refused) = (0, 0);
-    for id in from..from + count {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.run_to(b.now + 10 * MS);
+use common::{IDEMPOTENT, KEYED, MS, NOT_IDEMPOTENT, TestBalancer, balancer, endpoint, settings};
+use routing::{
+    Action, AttemptNumber, AttemptOutcome, ClassId, DiscoveryMode, Endpoint, EndpointId,
+    EndpointState, Event, OriginMode, RequestId, Settings, UpdateKind,
+};
+
+const ONE: EndpointId = EndpointId(1);
+
+/// Settings without health checks: a request is the recovery probe.
+fn settings_without_health_checks() -> Settings {
+    let mut settings = settings();
+    settings.capabilities.health_checks = false;
+    settings
+}
+
+/// An answer, or this failure.
+fn ok_or(failure: AttemptOutcome, fails: bool) -> AttemptOutcome {
+    if fails { failure } else { AttemptOutcome::Ok }
+}
+
+/// What became of reads.
+#[derive(Debug, PartialEq)]
+struct ReadCounts {
+    attempts: usize,
+    final_answers: usize,
+}
+
+/// Plays `count` reads of new keys, 10 ms apart, and ends each attempt at once with this outcome.
+fn play_reads(
+    balancer: &mut TestBalancer,
+    first: u128,
+    count: u128,
+    outcome: AttemptOutcome,
+) -> ReadCounts {
+    let mut counts = ReadCounts {
+        attempts: 0,
+        final_answers: 0,
+    };
+    for id in first..first + count {
+        balancer.read(id);
+        balancer.run_for(10 * MS);
         let mut attempt = 0;
-        while b.finals(id) == 0 && attempt < b.sends(id).len() {
-            b.end_noted(
-                id,
-                attempt as u32,
-                outcome,
-                outcome == AttemptOutcome::Ok,
-                Some(CacheStatus::Miss),
-            );
+        while balancer.final_answers(id) == 0 && attempt < balancer.sends(id).len() {
+            balancer.end_as_miss(id, attempt as u32, outcome);
             attempt += 1;
         }
-        sent += b.sends(id).len();
-        refused += b.finals(id);
+        counts.attempts += balancer.sends(id).len();
+        counts.final_answers += balancer.final_answers(id);
     }
-    (sent, refused)
+    counts
 }
 
 #[test]
-fn an_origin_in_distress_is_spared_what_it_would_have_to_fetch() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4]);
-    play(&mut b, 1, 200, AttemptOutcome::Ok);
-    play(&mut b, 1_000, 100, AttemptOutcome::Error);
-    // All fetches fail: of the next hundred unknown keys few go out, none of them twice.
-    let (sent, refused) = play(&mut b, 2_000, 100, AttemptOutcome::Error);
-    assert!(sent < 25, "{sent}");
-    assert_eq!(refused, 100);
-    // A key that was answered lately is let through all the same.
-    b.request(5_000, SAFE, Some(200), 1_000 * MS);
-    assert_eq!(b.sends(5_000).len(), 1);
+fn overloaded_origin_is_spared_what_it_would_have_to_fetch() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4]);
+    play_reads(&mut balancer, 1, 200, AttemptOutcome::Ok);
+    play_reads(&mut balancer, 1_000, 100, AttemptOutcome::Error);
+    // All fetches fail: of the next hundred unknown keys few are sent, none of them twice.
+    let counts = play_reads(&mut balancer, 2_000, 100, AttemptOutcome::Error);
+    assert!(counts.attempts < 25, "{counts:?}");
+    assert_eq!(counts.final_answers, 100);
+    // A key that was answered lately is admitted all the same.
+    balancer.request(5_000, IDEMPOTENT, Some(200), 1_000 * MS);
+    assert_eq!(balancer.sends(5_000).len(), 1);
 }
 
 #[test]
-fn an_origin_that_works_again_is_used_again() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4]);
-    play(&mut b, 1, 100, AttemptOutcome::Error);
-    play(&mut b, 1_000, 1_000, AttemptOutcome::Ok);
-    let (sent, refused) = play(&mut b, 5_000, 100, AttemptOutcome::Ok);
-    assert_eq!((sent, refused), (100, 0));
+fn recovered_origin_is_used_again() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4]);
+    play_reads(&mut balancer, 1, 100, AttemptOutcome::Error);
+    play_reads(&mut balancer, 1_000, 1_000, AttemptOutcome::Ok);
+    let counts = play_reads(&mut balancer, 5_000, 100, AttemptOutcome::Ok);
+    let all_answered = ReadCounts {
+        attempts: 100,
+        final_answers: 0,
+    };
+    assert_eq!(counts, all_answered);
 }
 
 #[test]
-fn a_server_that_refuses_connections_is_left_out_and_tried_again() {
-    let mut s = settings();
-    s.capabilities.health_checks = false;
-    let mut b = bench(s);
-    b.list(&[1, 2, 3, 4]);
-    let mut tried = Vec::new();
+fn endpoint_that_refuses_connections_is_ejected_and_probed() {
+    let mut balancer = balancer(settings_without_health_checks());
+    balancer.list_endpoints(&[1, 2, 3, 4]);
+    let mut tried_at = Vec::new();
     for id in 1..=1_200u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else {
-                break;
-            };
-            if server == EndpointId(1) {
-                tried.push(b.now);
-                b.end(id, attempt as u32, AttemptOutcome::ConnectFailed, false);
-            } else {
-                b.end(id, attempt as u32, AttemptOutcome::Ok, true);
-            }
-        }
-        assert_eq!(b.finals(id), 0, "another server was there for {id}");
-        b.run_to(b.now + 10 * MS);
+        balancer.read(id);
+        let now = balancer.now;
+        balancer.end_attempts(id, |endpoint| {
+            let refuses = endpoint == ONE;
+            tried_at.extend(refuses.then_some(now));
+            ok_or(AttemptOutcome::ConnectFailed, refuses)
+        });
+        assert_eq!(
+            balancer.final_answers(id),
+            0,
+            "another endpoint was there for {id}"
+        );
+        balancer.run_for(10 * MS);
     }
-    // In 12 s: two failures, then single trials after 1, 2, 4 s and more.
-    assert!((3..=7).contains(&tried.len()), "{tried:?}");
+    // In 12 s: two failures, then single probes after 1, 2, 4 s and more.
+    assert!((3..=7).contains(&tried_at.len()), "{tried_at:?}");
+    let mut intervals = tried_at.windows(2).skip(1).map(|pair| pair[1] - pair[0]);
     assert!(
-        tried.windows(2).skip(1).all(|t| t[1] - t[0] >= 750 * MS),
-        "{tried:?}"
+        intervals.all(|interval| interval >= 750 * MS),
+        "{tried_at:?}"
     );
 }
 
 #[test]
-fn where_probes_may_be_sent_no_client_pays_for_a_trial_at_a_dead_server() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4]);
-    let (mut to_dead, mut probes, mut dead) = (0, 0, true);
+fn with_health_checks_no_client_pays_for_probing_a_dead_endpoint() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4]);
+    let (mut attempts_at_dead, mut health_checks) = (0, 0);
     for id in 1..=2_000u128 {
-        dead = dead && id < 1_000;
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else {
-                break;
-            };
-            let down = server == EndpointId(1) && dead;
-            to_dead += usize::from(down);
-            b.end(
-                id,
-                attempt as u32,
-                if down {
-                    AttemptOutcome::ConnectFailed
-                } else {
-                    AttemptOutcome::Ok
-                },
-                !down,
-            );
-        }
-        let before = b.at.len();
-        b.run_to(b.now + 10 * MS);
-        if b.at[before..]
-            .iter()
-            .any(|(_, a)| *a == Action::HealthCheck(EndpointId(1)))
-        {
-            probes += 1;
-            let outcome = if dead {
-                AttemptOutcome::Timeout
-            } else {
-                AttemptOutcome::Ok
-            };
-            b.event(Event::HealthCheckEnded {
-                endpoint: EndpointId(1),
-                outcome,
+        let is_dead = id < 1_000;
+        balancer.read(id);
+        balancer.end_attempts(id, |endpoint| {
+            let fails = endpoint == ONE && is_dead;
+            attempts_at_dead += usize::from(fails);
+            ok_or(AttemptOutcome::ConnectFailed, fails)
+        });
+        let before = balancer.ordered.len();
+        balancer.run_for(10 * MS);
+        if balancer.has_ordered_since(before, &Action::HealthCheck(ONE)) {
+            health_checks += 1;
+            balancer.handle(Event::HealthCheckEnded {
+                endpoint: ONE,
+                outcome: ok_or(AttemptOutcome::Timeout, is_dead),
                 load_report: None,
             });
         }
     }
-    assert_eq!(to_dead, 2, "two failures, then probes alone");
-    assert!((3..=8).contains(&probes), "{probes}");
-    let back = (1_900..2_000)
-        .filter(|id| b.sends(*id).contains(&EndpointId(1)))
+    assert_eq!(
+        attempts_at_dead, 2,
+        "two failures, then health checks alone"
+    );
+    assert!((3..=8).contains(&health_checks), "{health_checks}");
+    let recovered = (1_900..2_000)
+        .filter(|id| balancer.sends(*id).contains(&ONE))
         .count();
-    assert!(back > 5, "{back}");
+    assert!(recovered > 5, "{recovered}");
 }
 
 #[test]
-fn a_zone_cut_off_stays_suspected_though_it_is_more_than_half_the_fleet() {
-    let mut s = settings();
-    s.capabilities.health_checks = false;
-    let mut b = bench(s);
-    b.list(&[1, 2, 3, 4, 5, 7, 9]);
-    let mut to_cut = 0;
+fn unreachable_zone_stays_ejected_though_it_is_more_than_half_the_fleet() {
+    let mut balancer = balancer(settings_without_health_checks());
+    balancer.list_endpoints(&[1, 2, 3, 4, 5, 7, 9]);
+    let mut attempts_at_unreachable = 0;
     for id in 1..=1_000u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else {
-                break;
-            };
-            let cut = server.0 % 2 == 1;
-            to_cut += usize::from(cut && id > 500);
-            b.end(
-                id,
-                attempt as u32,
-                if cut {
-                    AttemptOutcome::ConnectFailed
-                } else {
-                    AttemptOutcome::Ok
-                },
-                !cut,
-            );
-        }
-        b.run_to(b.now + 10 * MS);
+        balancer.read(id);
+        balancer.end_attempts(id, |endpoint| {
+            let is_unreachable = endpoint.0 % 2 == 1;
+            attempts_at_unreachable += usize::from(is_unreachable && id > 500);
+            ok_or(AttemptOutcome::ConnectFailed, is_unreachable)
+        });
+        balancer.run_for(10 * MS);
     }
-    // Five servers for 5 s: single trials, some seconds apart.
-    assert!(to_cut <= 20, "{to_cut}");
+    // Five endpoints for 5 s: single probes, some seconds apart.
+    assert!(attempts_at_unreachable <= 20, "{attempts_at_unreachable}");
 }
 
 #[test]
-fn nobody_is_ejected_when_everybody_fails() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4]);
-    for id in 1..=100u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        for attempt in 0..b.sends(id).len() {
-            b.end(id, attempt as u32, AttemptOutcome::Reset, false);
+fn no_endpoint_is_ejected_when_all_fail() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4]);
+    let reset_attempts = |balancer: &mut TestBalancer, id| {
+        for attempt in 0..balancer.sends(id).len() {
+            balancer.end(id, attempt as u32, AttemptOutcome::Reset);
         }
-        b.run_to(b.now + 100 * MS);
+        balancer.run_for(100 * MS);
+    };
+    for id in 1..=100u128 {
+        balancer.read(id);
+        reset_attempts(&mut balancer, id);
     }
-    // Most are turned away, for nothing is served; some go on finding a server, to see whether it works again.
+    // Most are rejected, as nothing is served; some still find an endpoint, to see whether it works
+    // again.
     for id in 1_000..1_100u128 {
-        b.request(id, SAFE, Some(3), 1_000 * MS);
-        for attempt in 0..b.sends(id).len() {
-            b.end(id, attempt as u32, AttemptOutcome::Reset, false);
-        }
-        b.run_to(b.now + 100 * MS);
+        balancer.request(id, IDEMPOTENT, Some(3), 1_000 * MS);
+        reset_attempts(&mut balancer, id);
     }
-    assert!((1_000..1_100).filter(|id| !b.sends(*id).is_empty()).count() >= 3);
+    let sent = (1_000..1_100).filter(|id| !balancer.sends(*id).is_empty());
+    assert!(sent.count() >= 3);
 }
 
 #[test]
-fn a_silent_server_is_suspected_though_its_late_reads_were_cancelled() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4]);
+fn silent_endpoint_is_ejected_though_its_overdue_reads_were_cancelled() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4]);
     let mut to_silent = 0;
     for id in 1..=400u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.run_to(b.now + 5 * MS);
-        if b.sends(id)[0] == EndpointId(1) && id > 200 {
+        balancer.read(id);
+        balancer.run_for(5 * MS);
+        if balancer.sends(id)[0] == ONE && id > 200 {
             to_silent += 1;
-            b.run_to(b.now + 600 * MS);
-            assert_eq!(b.sends(id).len(), 2, "a late read gets its copy");
-            b.end(id, 1, AttemptOutcome::Ok, true);
-            b.end(id, 0, AttemptOutcome::Cancelled, true);
+            balancer.run_for(600 * MS);
+            assert_eq!(balancer.sends(id).len(), 2, "an overdue read is hedged");
+            balancer.end(id, 1, AttemptOutcome::Ok);
+            balancer.end_finished(id, 0, AttemptOutcome::Cancelled);
         } else {
-            b.end(id, 0, AttemptOutcome::Ok, true);
+            balancer.end(id, 0, AttemptOutcome::Ok);
         }
     }
     assert!((1..=6).contains(&to_silent), "{to_silent}");
 }
 
 #[test]
-fn copies_stay_a_small_share_when_all_is_late() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4, 5, 6]);
+fn hedges_stay_a_small_share_when_all_attempts_are_overdue() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4, 5, 6]);
     for id in 1..=100u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.end(id, 0, AttemptOutcome::Ok, true);
+        balancer.read(id);
+        balancer.end(id, 0, AttemptOutcome::Ok);
     }
-    let mut copies = 0;
+    let mut hedges = 0;
     for id in 1_000..1_100u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.run_to(b.now + 1_000 * MS);
-        copies += b.sends(id).len().saturating_sub(1);
-        for attempt in 0..b.sends(id).len() {
-            b.end(id, attempt as u32, AttemptOutcome::Timeout, false);
+        balancer.read(id);
+        balancer.run_for(1_000 * MS);
+        hedges += balancer.sends(id).len().saturating_sub(1);
+        for attempt in 0..balancer.sends(id).len() {
+            balancer.end(id, attempt as u32, AttemptOutcome::Timeout);
         }
     }
-    assert!((1..=6).contains(&copies), "{copies}");
+    assert!((1..=6).contains(&hedges), "{hedges}");
 }
 
 #[test]
-fn copies_do_not_raise_t() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3]);
-    // One server is silent, the others answer within 10 ms: the copy's time counts from its own send.
-    let mut waits = Vec::new();
+fn hedges_do_not_raise_the_hedge_delay() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3]);
+    // One endpoint is silent, the others answer within 10 ms: a hedge's latency counts from its own
+    // start.
+    let mut delays = Vec::new();
     for id in 1..=600u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.run_to(b.now + 10 * MS);
-        if b.sends(id)[0] != EndpointId(2) || id < 100 {
-            b.end(id, 0, AttemptOutcome::Ok, true);
+        balancer.read(id);
+        balancer.run_for(10 * MS);
+        if balancer.sends(id)[0] != EndpointId(2) || id < 100 {
+            balancer.end(id, 0, AttemptOutcome::Ok);
             continue;
         }
-        let start = b.now - 10 * MS;
+        let start = balancer.now - 10 * MS;
         for _ in 0..600 {
-            if b.sends(id).len() < 2 {
-                b.run_to(b.now + MS);
+            if balancer.sends(id).len() < 2 {
+                balancer.run_for(MS);
             }
         }
-        assert_eq!(b.sends(id).len(), 2);
-        waits.push(b.now - start);
-        b.run_to(b.now + 10 * MS);
-        b.end(id, 1, AttemptOutcome::Ok, true);
-        b.end(id, 0, AttemptOutcome::Cancelled, true);
+        assert_eq!(balancer.sends(id).len(), 2);
+        delays.push(balancer.now - start);
+        balancer.run_for(10 * MS);
+        balancer.end(id, 1, AttemptOutcome::Ok);
+        balancer.end_finished(id, 0, AttemptOutcome::Cancelled);
     }
-    assert!(waits.len() >= 2);
-    assert!(waits.iter().all(|w| *w <= 15 * MS), "{waits:?}");
+    assert!(delays.len() >= 2);
+    assert!(delays.iter().all(|delay| *delay <= 15 * MS), "{delays:?}");
 }
 
 #[test]
-fn a_crowded_fleet_holds_and_then_turns_away() {
-    let mut b = bench(settings());
-    b.list(&[1]);
+fn fleet_at_capacity_queues_and_then_rejects() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1]);
     for id in 1..=50u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
+        balancer.read(id);
     }
-    let sent: usize = (1..=50).map(|id| b.sends(id).len()).sum();
+    let sent: usize = (1..=50).map(|id| balancer.sends(id).len()).sum();
     assert_eq!(sent, 5);
-    b.run_to(300 * MS);
-    let refused: usize = (1..=50).map(|id| b.finals(id)).sum();
-    assert_eq!(refused, 45);
-    assert!(
-        b.at.iter()
-            .all(|(t, a)| !matches!(a, Action::Reject { .. }) || *t <= 200 * MS)
-    );
+    balancer.run_until(300 * MS);
+    let rejected: usize = (1..=50).map(|id| balancer.final_answers(id)).sum();
+    assert_eq!(rejected, 45);
+    assert!(balancer.ordered.iter().all(|ordered| {
+        !matches!(ordered.action, Action::Reject { .. }) || ordered.at <= 200 * MS
+    }));
 }
 
 #[test]
-fn room_goes_to_the_most_worth_first() {
-    let mut b = bench(settings());
-    b.list(&[1]);
+fn capacity_goes_to_the_greatest_priority_weight_first() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1]);
     for id in 1..=10u128 {
-        b.request(
-            id,
-            if id == 10 { UNSAFE } else { SAFE },
-            Some(id as u64),
-            1_000 * MS,
-        );
+        let class = if id == 10 { NOT_IDEMPOTENT } else { IDEMPOTENT };
+        balancer.request(id, class, Some(id as u64), 1_000 * MS);
     }
-    let actions = b.end(1, 0, AttemptOutcome::Ok, true);
-    let sent = actions.iter().find_map(|a| match a {
+    let actions = balancer.end(1, 0, AttemptOutcome::Ok);
+    let sent = actions.iter().find_map(|action| match action {
         Action::Send { request, .. } => Some(*request),
         _ => None,
     });
-    assert_eq!(sent, Some(RequestId(10)), "before those that came earlier");
-    assert_eq!(b.sends(9).len(), 0, "there is no room for all");
+    assert_eq!(
+        sent,
+        Some(RequestId(10)),
+        "before those that arrived earlier"
+    );
+    assert_eq!(
+        balancer.sends(9).len(),
+        0,
+        "there is not enough capacity for all"
+    );
 }
 
 #[test]
-fn a_failed_list_call_is_repeated_with_growing_pauses() {
-    let mut s = settings();
-    s.discovery = DiscoveryMode::Poll {
-        staleness_limit: 10_000 * MS,
-    };
-    let mut b = bench(s);
-    b.event(Event::EndpointUpdate {
-        kind: UpdateKind::Stale,
-        endpoints: vec![entry(1, EndpointState::Active, 0)],
+fn failed_discovery_call_is_repeated_with_backoff() {
+    let mut balancer = balancer(Settings {
+        discovery: DiscoveryMode::Poll {
+            staleness_limit: 10_000 * MS,
+        },
+        ..settings()
     });
+    let entry = || vec![endpoint(1, EndpointState::Active, 0)];
+    balancer.update_endpoints(UpdateKind::Stale, entry());
     let mut calls = Vec::new();
     for _ in 0..600 {
-        let before = b.at.len();
-        b.run_to(b.now + 100 * MS);
-        if b.at[before..]
-            .iter()
-            .any(|(_, a)| *a == Action::QueryDiscovery)
-        {
-            calls.push(b.now);
-            b.event(Event::EndpointUpdate {
-                kind: UpdateKind::Failed,
-                endpoints: Vec::new(),
-            });
+        let before = balancer.ordered.len();
+        balancer.run_for(100 * MS);
+        if balancer.has_ordered_since(before, &Action::QueryDiscovery) {
+            calls.push(balancer.now);
+            balancer.update_endpoints(UpdateKind::Failed, Vec::new());
         }
     }
     assert!((16..40).contains(&calls.len()), "{calls:?}");
+    let intervals: Vec<u64> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
-        calls.windows(2).all(|c| c[1] - c[0] <= 4_000 * MS),
+        intervals.iter().all(|interval| *interval <= 4_000 * MS),
         "with a call that hangs within 6 s"
     );
-    assert!(calls[calls.len() - 1] - calls[calls.len() - 2] >= 1_200 * MS);
-    b.run_to(b.now + 10_000 * MS);
-    b.event(Event::EndpointUpdate {
-        kind: UpdateKind::Full,
-        endpoints: vec![entry(1, EndpointState::Active, 0)],
-    });
-    let before = b.at.len();
-    b.run_to(b.now + 60_000 * MS);
+    assert!(intervals[intervals.len() - 1] >= 1_200 * MS);
+    balancer.run_for(10_000 * MS);
+    balancer.update_endpoints(UpdateKind::Full, entry());
+    let before = balancer.ordered.len();
+    balancer.run_for(60_000 * MS);
     assert!(
-        b.at[before..]
-            .iter()
-            .all(|(_, a)| *a != Action::QueryDiscovery),
+        !balancer.has_ordered_since(before, &Action::QueryDiscovery),
         "no call while watching"
     );
 }
 
 #[test]
-fn aside_reads_go_once_to_the_origin_uncopied() {
-    let mut s = settings();
-    s.origin = OriginMode::CacheAside { kind: 9 };
-    let mut b = bench(s);
+fn cache_aside_reads_go_to_the_origin_once_and_are_not_hedged_there() {
+    let mut balancer = balancer(Settings {
+        origin: OriginMode::CacheAside { kind: 9 },
+        ..settings()
+    });
+    let origin = EndpointId(99);
     let mut entries: Vec<Endpoint> = (1..=4)
-        .map(|i| entry(i, EndpointState::Active, 0))
+        .map(|id| endpoint(id, EndpointState::Active, 0))
         .collect();
     entries.push(Endpoint {
         kind: 9,
-        ..entry(99, EndpointState::Active, 0)
-    });
-    b.event(Event::EndpointUpdate {
-        kind: UpdateKind::Full,
-        endpoints: entries,
+        ..endpoint(99, EndpointState::Active, 0)
     });
+    balancer.update_endpoints(UpdateKind::Full, entries);
     for id in 1..=200u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        assert_ne!(b.sends(id)[0], EndpointId(99));
-        b.end(id, 0, AttemptOutcome::CacheMiss, false);
-        assert_eq!(b.sends(id)[1], EndpointId(99));
-        b.run_to(b.now + 600 * MS);
-        assert_eq!(b.sends(id).len(), 2, "no copy beside the origin");
-        let failed = id == 200;
-        b.end(
-            id,
-            1,
-            if failed {
-                AttemptOutcome::Error
-            } else {
-                AttemptOutcome::Ok
-            },
-            !failed,
+        balancer.read(id);
+        assert_ne!(balancer.sends(id)[0], origin);
+        balancer.end(id, 0, AttemptOutcome::CacheMiss);
+        assert_eq!(balancer.sends(id)[1], origin);
+        balancer.run_for(600 * MS);
+        assert_eq!(balancer.sends(id).len(), 2, "no hedge beside the origin");
+        let fails = id == 200;
+        balancer.end(id, 1, ok_or(AttemptOutcome::Error, fails));
+        assert_eq!(
+            balancer.final_answers(id),
+            usize::from(fails),
+            "not retried"
         );
-        assert_eq!(b.finals(id), usize::from(failed), "not asked again");
     }
-    b.request(1_000, UNSAFE, Some(5), 1_000 * MS);
-    assert_eq!(b.sends(1_000), [EndpointId(99)]);
+    balancer.request(1_000, NOT_IDEMPOTENT, Some(5), 1_000 * MS);
+    assert_eq!(balancer.sends(1_000), [origin]);
 }
 
 #[test]
-fn the_few_that_seem_well_are_not_given_all_the_load() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4, 5]);
+fn few_healthy_endpoints_do_not_get_all_the_load() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4, 5]);
+    let healthy = EndpointId(5);
     for id in 1..=100u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        for attempt in 0..4 {
-            let Some(server) = b.sends(id).get(attempt).copied() else {
-                break;
-            };
-            let well = server == EndpointId(5);
-            b.end(
-                id,
-                attempt as u32,
-                if well {
-                    AttemptOutcome::Ok
-                } else {
-                    AttemptOutcome::Reset
-                },
-                well,
-            );
-        }
-        b.run_to(b.now + 20 * MS);
+        balancer.read(id);
+        balancer.end_attempts(id, |endpoint| {
+            ok_or(AttemptOutcome::Reset, endpoint != healthy)
+        });
+        balancer.run_for(20 * MS);
     }
-    let firsts = (80..=100)
-        .filter(|id| b.sends(*id).first().is_some_and(|s| *s != EndpointId(5)))
-        .count();
-    assert!(firsts > 10, "{firsts}");
+    let is_first_elsewhere = |id: &u128| {
+        let sends = balancer.sends(*id);
+        sends.first().is_some_and(|endpoint| *endpoint != healthy)
+    };
+    let first_elsewhere = (80..=100).filter(is_first_elsewhere).count();
+    assert!(first_elsewhere > 10, "{first_elsewhere}");
 }
 
 #[test]
-fn absurd_but_legal_values_are_borne() {
-    let mut s = settings();
-    s.rules.slow_start_duration = 0;
-    s.rules.slow_start_fraction = f64::NAN;
-    s.rules.overload_window = 0;
-    s.tenants[0].quota_per_second = f64::NAN;
-    let mut b = bench(s);
+fn extreme_but_valid_values_are_tolerated() {
+    let mut settings = settings();
+    settings.rules.slow_start_duration = 0;
+    settings.rules.slow_start_fraction = f64::NAN;
+    settings.rules.overload_window = 0;
+    settings.tenants[0].quota_per_second = f64::NAN;
+    let mut balancer = balancer(settings);
     let weights = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300];
-    let entries = (1..=3_000u64).map(|n| Endpoint {
-        weight: weights[n as usize % 5],
+    let entries = (1..=3_000u64).map(|id| Endpoint {
+        weight: weights[id as usize % 5],
         zone: usize::MAX,
-        started: u64::MAX * (n % 2),
-        ..entry(n, EndpointState::Active, 0)
-    });
-    b.event(Event::EndpointUpdate {
-        kind: UpdateKind::Full,
-        endpoints: entries.collect(),
+        started: u64::MAX * (id % 2),
+        ..endpoint(id, EndpointState::Active, 0)
     });
+    balancer.update_endpoints(UpdateKind::Full, entries.collect());
+    let clock_step = 3 * 3_600_000 * MS;
     for id in 1..=6u128 {
-        b.request(id, ClassId(id as usize % 3), Some(7), 1_000 * MS);
-        b.run_to(b.now + 1_100 * MS);
-        // The clock steps by hours, in which no timer came.
-        b.now += 3 * 3_600_000 * MS;
-        b.timers.iter_mut().for_each(|t| t.0 += 3 * 3_600_000 * MS);
-        assert_eq!(b.finals(id), 1);
+        balancer.request(id, ClassId(id as usize % 3), Some(7), 1_000 * MS);
+        balancer.run_for(1_100 * MS);
+        // The clock steps by hours, in which no timer fired.
+        balancer.now += clock_step;
+        balancer.timers.delay(clock_step);
+        assert_eq!(balancer.final_answers(id), 1);
     }
-    b.request(100, ClassId(9), None, 1_000 * MS);
-    assert_eq!(b.finals(100), 1);
-    b.request(101, SAFE, None, u64::MAX / 2);
-    b.event(Event::ClientDisconnected(RequestId(101)));
+    balancer.request(100, ClassId(9), None, 1_000 * MS);
+    assert_eq!(balancer.final_answers(100), 1);
+    balancer.request(101, IDEMPOTENT, None, u64::MAX / 2);
+    balancer.handle(Event::ClientDisconnected(RequestId(101)));
 }
 
 #[test]
-fn retries_stay_a_small_share_when_all_fails() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3, 4, 5, 6]);
-    play(&mut b, 1, 100, AttemptOutcome::Unreadable);
+fn retries_stay_a_small_share_when_all_attempts_fail() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3, 4, 5, 6]);
+    play_reads(&mut balancer, 1, 100, AttemptOutcome::Unreadable);
     let retries: usize = (1..=100)
-        .map(|id| b.sends(id).len().saturating_sub(1))
+        .map(|id| balancer.sends(id).len().saturating_sub(1))
         .sum();
     assert!((8..=29).contains(&retries), "{retries}");
 }
 
 #[test]
-fn the_loser_is_called_back() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3]);
-    b.request(1, SAFE, Some(1), 1_000 * MS);
-    b.run_to(600 * MS);
-    assert_eq!(b.sends(1).len(), 2);
-    let loser = Action::Cancel {
+fn attempt_that_a_hedge_beat_is_cancelled() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3]);
+    balancer.read(1);
+    balancer.run_until(600 * MS);
+    assert_eq!(balancer.sends(1).len(), 2);
+    let cancel = Action::Cancel {
         request: RequestId(1),
         attempt: AttemptNumber(0),
     };
-    assert!(b.end(1, 1, AttemptOutcome::Ok, true).contains(&loser));
+    let actions = balancer.end(1, 1, AttemptOutcome::Ok);
+    assert!(actions.contains(&cancel));
 }
 
 #[test]
-fn two_time_outs_of_a_server_not_heard_of_make_it_suspected() {
-    let mut b = bench(settings());
-    b.list(&[1]);
+fn two_timeouts_of_a_silent_endpoint_eject_it() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1]);
     let mut logs = 0;
     for id in 1..=2u128 {
-        b.request(id, SAFE, Some(id as u64), 1_000 * MS);
-        b.run_to(b.now + 10 * MS);
-        logs += b
-            .end(id, 0, AttemptOutcome::Timeout, true)
-            .iter()
-            .filter(|a| matches!(a, Action::Log(_)))
-            .count();
+        balancer.read(id);
+        balancer.run_for(10 * MS);
+        let actions = balancer.end_finished(id, 0, AttemptOutcome::Timeout);
+        let is_log = |action: &&Action| matches!(action, Action::Log(_));
+        logs += actions.iter().filter(is_log).count();
         assert_eq!(logs, usize::from(id == 2));
     }
 }
 
 #[test]
-fn a_keyed_attempt_ends_while_its_repeat_is_lawful() {
-    let mut b = bench(settings());
-    b.list(&[1, 2, 3]);
-    b.request(1, KEYED, Some(1), 1_000 * MS);
-    let timeouts: Vec<_> =
-        b.at.iter()
-            .filter_map(|(_, a)| match a {
-                Action::Send { timeout, .. } => Some(*timeout),
-                _ => None,
-            })
-            .collect();
-    // Three quarters of the window of 500 ms, which is less than the patience.
+fn keyed_attempt_times_out_while_its_repeat_is_permitted() {
+    let mut balancer = balancer(settings());
+    balancer.list_endpoints(&[1, 2, 3]);
+    balancer.request(1, KEYED, Some(1), 1_000 * MS);
+    let timeouts: Vec<_> = balancer
+        .actions()
+        .filter_map(|action| match action {
+            Action::Send { timeout, .. } => Some(*timeout),
+            _ => None,
+        })
+        .collect();
+    // Three quarters of the window of 500 ms, which is less than the client's timeout.
     assert_eq!(timeouts, [Some(375 * MS)]);
 }
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -1,41 +1,48 @@
-//! Random legal orders of events, from fixed seeds: the rules hold on all that is ordered, and the same events
-//! give the same actions.
+//! Random valid sequences of events, from fixed seeds: the rules hold for all actions, and the same
+//! events give the same actions.
 
 mod common;
-use common::{MS, entry, settings};
-use proptest::prelude::*;
+
+use common::{MS, TimerQueue, endpoint, settings};
+use proptest::prelude::{Just, Strategy, any, prop_oneof};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use routing::*;
+use routing::{
+    Action, AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, ClassId, DeduplicationScope,
+    DiscoveryMode, EndpointId, EndpointState, Engine, Event, Idempotency, Key, LoadReport, Nanos,
+    NewRequest, OriginMode, RequestId, Settings, TenantId, TimerToken, UpdateKind,
+};
 use std::collections::BTreeMap;
 
+/// One step of a sequence. A `selector` picks one of what there is, modulo its number.
 #[derive(Clone, Debug)]
 enum Step {
-    Request {
+    Arrive {
         class: usize,
         key: Option<u64>,
-        patience: u64,
+        timeout_ms: u64,
     },
-    End {
-        pick: usize,
+    EndAttempt {
+        selector: usize,
         outcome: usize,
-        note: bool,
+        is_hit: bool,
     },
-    Begin {
-        pick: usize,
+    StartResponse {
+        selector: usize,
     },
-    Gone {
-        pick: usize,
+    Disconnect {
+        selector: usize,
     },
-    List {
-        server: u64,
-        phase: usize,
-        fresh: bool,
+    ChangeEndpoint {
+        id: u64,
+        state: usize,
+        is_restart: bool,
     },
-    Whole {
-        servers: Vec<u64>,
+    ReplaceList {
+        ids: Vec<u64>,
     },
-    Failed,
-    Stray {
+    FailDiscovery,
+    /// Events about requests, endpoints and timers that do not exist.
+    Unknown {
         id: u128,
         token: u64,
     },
@@ -45,49 +52,24 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
+    let timeout_ms = prop_oneof![Just(0u64), 1..50u64, 50..2_000u64];
+    let key = proptest::option::of(0..40u64);
     prop_oneof![
-        6 => (0..3usize, proptest::option::of(0..40u64), prop_oneof![Just(0u64), 1..50u64, 50..2_000u64])
-            .prop_map(|(class, key, patience)| Step::Request { class, key, patience }),
+        6 => (0..3usize, key, timeout_ms)
+            .prop_map(|(class, key, timeout_ms)| Step::Arrive { class, key, timeout_ms }),
         8 => (any::<usize>(), 0..10usize, any::<bool>())
-            .prop_map(|(pick, outcome, note)| Step::End { pick, outcome, note }),
-        1 => any::<usize>().prop_map(|pick| Step::Begin { pick }),
-        1 => any::<usize>().prop_map(|pick| Step::Gone { pick }),
+            .prop_map(|(selector, outcome, is_hit)| Step::EndAttempt { selector, outcome, is_hit }),
+        1 => any::<usize>().prop_map(|selector| Step::StartResponse { selector }),
+        1 => any::<usize>().prop_map(|selector| Step::Disconnect { selector }),
         2 => (1..8u64, 0..3usize, any::<bool>())
-            .prop_map(|(server, phase, fresh)| Step::List { server, phase, fresh }),
-        1 => proptest::collection::vec(1..8u64, 0..7).prop_map(|servers| Step::Whole { servers }),
-        1 => Just(Step::Failed),
-        1 => (any::<u128>(), any::<u64>()).prop_map(|(id, token)| Step::Stray { id, token }),
+            .prop_map(|(id, state, is_restart)| Step::ChangeEndpoint { id, state, is_restart }),
+        1 => proptest::collection::vec(1..8u64, 0..7).prop_map(|ids| Step::ReplaceList { ids }),
+        1 => Just(Step::FailDiscovery),
+        1 => (any::<u128>(), any::<u64>()).prop_map(|(id, token)| Step::Unknown { id, token }),
         4 => (1..400u64).prop_map(|ms| Step::Wait { ms }),
     ]
 }
 
-/// One attempt as the outside sees it.
-struct Sent {
-    server: u64,
-    at: Nanos,
-    ended: Option<AttemptOutcome>,
-}
-
-struct Seen {
-    class: usize,
-    deadline: Nanos,
-    sent: Vec<Sent>,
-    finals: usize,
-    over: bool,
-    streaming: bool,
-}
-
-struct World {
-    settings: Settings,
-    brain: Engine,
-    now: Nanos,
-    next: u128,
-    requests: BTreeMap<u128, Seen>,
-    timers: Vec<(Nanos, TimerToken)>,
-    up: BTreeMap<u64, bool>,
-    log: Vec<Action>,
-}
-
 const OUTCOMES: [AttemptOutcome; 10] = [
     AttemptOutcome::Ok,
     AttemptOutcome::Error,
@@ -101,183 +83,237 @@
     AttemptOutcome::Unreadable,
 ];
 
+const STATES: [EndpointState; 3] = [
+    EndpointState::Active,
+    EndpointState::Draining,
+    EndpointState::Removed,
+];
+
+/// An attempt as the outside observes it.
+struct ObservedAttempt {
+    endpoint: u64,
+    sent_at: Nanos,
+    outcome: Option<AttemptOutcome>,
+}
+
+impl ObservedAttempt {
+    fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    fn may_have_run(&self) -> bool {
+        self.outcome
+            .is_none_or(|outcome| !outcome.proves_no_effect())
+    }
+}
+
+/// A request as the outside observes it.
+struct ObservedRequest {
+    class: usize,
+    deadline: Nanos,
+    attempts: Vec<ObservedAttempt>,
+    final_answers: usize,
+    is_finished: bool,
+    is_streaming: bool,
+}
+
+impl ObservedRequest {
+    fn is_answered(&self) -> bool {
+        self.is_finished || self.final_answers == 1 || self.is_streaming
+    }
+
+    fn is_open(&self) -> bool {
+        !self.is_finished && self.final_answers == 0
+    }
+}
+
+/// An attempt that is in flight.
+#[derive(Clone, Copy)]
+struct InFlight {
+    request: u128,
+    number: usize,
+}
+
+/// An engine and the world around it, which checks every action against the rules.
+struct World {
+    settings: Settings,
+    engine: Engine,
+    now: Nanos,
+    last_request: u128,
+    requests: BTreeMap<u128, ObservedRequest>,
+    timers: TimerQueue,
+    /// Whether each listed endpoint is active.
+    listed: BTreeMap<u64, bool>,
+    actions: Vec<Action>,
+}
+
 impl World {
     fn new(settings: Settings) -> Self {
-        let brain = Engine::new(settings.clone(), 9, 0).expect("settings make sense");
+        let engine = Engine::new(settings.clone(), 9, 0).expect("settings are consistent");
         World {
             settings,
-            brain,
+            engine,
             now: 0,
-            next: 0,
+            last_request: 0,
             requests: BTreeMap::new(),
-            timers: Vec::new(),
-            up: BTreeMap::new(),
-            log: Vec::new(),
+            timers: TimerQueue::default(),
+            listed: BTreeMap::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// Plays an event and holds every action it leads to against the rules.
-    fn event(&mut self, event: Event) {
+    fn request_mut(&mut self, id: u128) -> &mut ObservedRequest {
+        self.requests.get_mut(&id).expect("known")
+    }
+
+    /// Plays an event and checks every action that it leads to against the rules.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, event, &mut actions);
+        self.engine.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
                 Action::Send {
-                    request,
-                    endpoint: server,
-                    ..
-                } => self.check_send(request.0, server.0),
-                Action::Fail { request, .. } => self.final_answer(request.0),
+                    request, endpoint, ..
+                } => self.check_send(request.0, endpoint.0),
+                Action::Fail { request, .. } => self.check_final_answer(request.0),
                 Action::Reject {
                     request,
                     retry_after,
                     ..
-                } => {
-                    assert!(*retry_after <= self.settings.capabilities.max_retry_after);
-                    let r = &self.requests[&request.0];
-                    let ran = r
-                        .sent
-                        .iter()
-                        .any(|s| s.ended.is_none_or(|o| !o.proves_no_effect()));
-                    match self.settings.classes[r.class].idempotency {
-                        Idempotency::Idempotent
-                        | Idempotency::Keyed {
-                            scope: DeduplicationScope::All,
-                            ..
-                        } => {}
-                        _ => assert!(!ran, "refused what may have run"),
-                    }
-                    self.final_answer(request.0);
-                }
+                } => self.check_rejection(request.0, *retry_after),
                 Action::Cancel { request, attempt } => {
                     assert!(self.settings.capabilities.cancellation);
-                    assert!((attempt.0 as usize) < self.requests[&request.0].sent.len());
+                    let attempts = &self.requests[&request.0].attempts;
+                    assert!((attempt.0 as usize) < attempts.len());
+                }
+                Action::SetTimer { after, token } => self.timers.push(self.now + after, *token),
+                Action::HealthCheck(endpoint) => {
+                    assert!(self.listed.contains_key(&endpoint.0));
                 }
-                Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
-                Action::HealthCheck(server) => assert!(self.up.contains_key(&server.0)),
                 Action::CloseIdleConnections(_)
                 | Action::QueryDiscovery
                 | Action::Defer { .. }
                 | Action::Log(_) => {}
             }
         }
-        self.log.extend(actions);
+        self.actions.extend(actions);
+    }
+
+    fn check_rejection(&mut self, id: u128, retry_after: Nanos) {
+        assert!(retry_after <= self.settings.capabilities.max_retry_after);
+        let request = &self.requests[&id];
+        let may_have_run = request.attempts.iter().any(ObservedAttempt::may_have_run);
+        match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DeduplicationScope::All,
+                ..
+            } => {}
+            _ => assert!(!may_have_run, "rejected what may have run"),
+        }
+        self.check_final_answer(id);
     }
 
-    fn check_send(&mut self, id: u128, server: u64) {
+    fn check_send(&mut self, id: u128, endpoint: u64) {
         assert_eq!(
-            self.up.get(&server),
+            self.listed.get(&endpoint),
             Some(&true),
-            "sent to a server that drains or is gone"
+            "sent to an endpoint that is draining or removed"
         );
-        let limits = &self.settings.capabilities;
-        let r = self.requests.get_mut(&id).expect("known");
+        let now = self.now;
+        let capabilities = self.settings.capabilities.clone();
+        let idempotency = self.settings.classes[self.requests[&id].class].idempotency;
+        let request = self.request_mut(id);
         assert!(
-            !r.over && r.finals == 0 && !r.streaming,
+            request.is_open() && !request.is_streaming,
             "sent after the end"
         );
-        assert!(self.now < r.deadline, "sent too late");
+        assert!(now < request.deadline, "sent too late");
         assert!(
-            r.sent.len() < limits.max_attempts as usize,
+            request.attempts.len() < capabilities.max_attempts as usize,
             "too many attempts"
         );
-        let out = r.sent.iter().filter(|s| s.ended.is_none()).count();
-        let effect = self.settings.classes[r.class].idempotency;
-        assert!(
-            out == 0 || out == 1 && limits.hedging && effect == Idempotency::Idempotent,
-            "two at once"
-        );
-        let mut ran = r
-            .sent
-            .iter()
-            .filter(|s| s.ended.is_none_or(|o| !o.proves_no_effect()));
-        match effect {
-            Idempotency::Idempotent => {}
-            Idempotency::NotIdempotent => assert!(ran.next().is_none(), "an unsafe request twice"),
-            Idempotency::Keyed {
-                scope: group,
-                window,
-            } => {
-                for earlier in ran {
-                    assert!(self.now < earlier.at + window, "after the window");
-                    assert!(
-                        group == DeduplicationScope::All || earlier.server % 2 == server % 2,
-                        "outside the group"
-                    );
-                }
-            }
-        }
-        r.sent.push(Sent {
-            server,
-            at: self.now,
-            ended: None,
+        let attempts = request.attempts.iter();
+        let in_flight = attempts.filter(|attempt| attempt.is_in_flight()).count();
+        let may_hedge = capabilities.hedging && idempotency == Idempotency::Idempotent;
+        assert!(in_flight == 0 || in_flight == 1 && may_hedge, "two at once");
+        check_repeat(idempotency, request, endpoint, now);
+        request.attempts.push(ObservedAttempt {
+            endpoint,
+            sent_at: now,
+            outcome: None,
         });
     }
 
-    fn final_answer(&mut self, id: u128) {
-        let r = self.requests.get_mut(&id).expect("known");
-        assert!(!r.over && !r.streaming, "answered what was over");
-        r.finals += 1;
-        assert_eq!(r.finals, 1, "two final answers");
+    fn check_final_answer(&mut self, id: u128) {
+        let latest = self.requests[&id].deadline + self.settings.rules.final_answer_grace;
+        let now = self.now;
+        let request = self.request_mut(id);
         assert!(
-            self.now <= r.deadline + self.settings.rules.final_answer_grace,
-            "answered too late"
+            !request.is_finished && !request.is_streaming,
+            "answered what was finished"
         );
+        request.final_answers += 1;
+        assert_eq!(request.final_answers, 1, "two final answers");
+        assert!(now <= latest, "answered too late");
     }
 
-    fn out(&self) -> Vec<(u128, usize)> {
-        let all = self.requests.iter();
-        all.flat_map(|(id, r)| {
-            r.sent
-                .iter()
-                .enumerate()
-                .filter(|(_, s)| s.ended.is_none())
-                .map(|(n, _)| (*id, n))
-        })
-        .collect()
+    fn in_flight(&self) -> Vec<InFlight> {
+        let mut in_flight = Vec::new();
+        for (id, request) in &self.requests {
+            for (number, attempt) in request.attempts.iter().enumerate() {
+                if attempt.is_in_flight() {
+                    in_flight.push(InFlight {
+                        request: *id,
+                        number,
+                    });
+                }
+            }
+        }
+        in_flight
     }
 
-    fn end(&mut self, (id, number): (u128, usize), outcome: AttemptOutcome, note: bool) {
-        let r = self.requests.get_mut(&id).expect("known");
-        let own = r.streaming;
-        r.sent[number].ended = Some(outcome);
-        let finishes = outcome == AttemptOutcome::Ok || own;
-        r.over = r.over || finishes || r.finals > 0;
-        let (server, latency) = (
-            EndpointId(r.sent[number].server),
-            self.now - r.sent[number].at,
-        );
-        let end = AttemptResult {
-            request: RequestId(id),
-            attempt: AttemptNumber(number as u32),
-            endpoint: server,
+    fn select_in_flight(&self, selector: usize) -> Option<InFlight> {
+        let in_flight = self.in_flight();
+        let index = selector.checked_rem(in_flight.len())?;
+        Some(in_flight[index])
+    }
+
+    fn end_attempt(&mut self, ended: InFlight, outcome: AttemptOutcome, is_hit: bool) {
+        let now = self.now;
+        let request = self.request_mut(ended.request);
+        let finishes =
+            outcome == AttemptOutcome::Ok || request.is_streaming || request.final_answers > 0;
+        request.is_finished = request.is_finished || finishes;
+        let request_finished = request.is_finished;
+        let attempt = &mut request.attempts[ended.number];
+        attempt.outcome = Some(outcome);
+        let result = AttemptResult {
+            request: RequestId(ended.request),
+            attempt: AttemptNumber(ended.number as u32),
+            endpoint: EndpointId(attempt.endpoint),
             outcome,
-            latency,
-            request_finished: r.over,
-            cache_status: note.then_some(CacheStatus::Hit),
+            latency: now - attempt.sent_at,
+            request_finished,
+            cache_status: is_hit.then_some(CacheStatus::Hit),
             load_report: Some(LoadReport {
                 hit_ratio: Some(f64::NAN),
                 ..LoadReport::default()
             }),
         };
-        self.event(Event::AttemptEnded(end));
+        self.handle(Event::AttemptEnded(result));
     }
 
-    fn wait(&mut self, until: Nanos) {
-        loop {
-            self.timers.sort_by_key(|(at, token)| (*at, token.0));
-            let Some((at, token)) = self.timers.first().copied().filter(|t| t.0 <= until) else {
-                break;
-            };
-            self.timers.remove(0);
-            self.now = self.now.max(at);
-            self.event(Event::TimerFired(token));
+    fn wait_until(&mut self, until: Nanos) {
+        while let Some(timer) = self.timers.pop_due(until) {
+            self.now = self.now.max(timer.due);
+            self.handle(Event::TimerFired(timer.token));
         }
         self.now = self.now.max(until);
-        for (id, r) in &self.requests {
-            let late = self.now > r.deadline + self.settings.rules.final_answer_grace;
+        for (id, request) in &self.requests {
+            let is_late = self.now > request.deadline + self.settings.rules.final_answer_grace;
             assert!(
-                !late || r.over || r.finals == 1 || r.streaming,
+                !is_late || request.is_answered(),
                 "request {id} has no answer"
             );
         }
@@ -285,164 +321,197 @@
 
     fn play(&mut self, step: &Step) {
         match step {
-            Step::Request {
+            Step::Arrive {
                 class,
                 key,
-                patience,
-            } => {
-                self.next += 1;
-                let seen = Seen {
-                    class: *class,
-                    deadline: self.now + patience * MS,
-                    sent: Vec::new(),
-                    finals: 0,
-                    over: false,
-                    streaming: false,
-                };
-                self.requests.insert(self.next, seen);
-                self.event(Event::RequestArrived(NewRequest {
-                    id: RequestId(self.next),
-                    class: ClassId(*class),
-                    tenant: Some(TenantId((self.next % 3) as usize)),
-                    key: key.map(Key),
-                    client_timeout: patience * MS,
-                    estimated_work: None,
-                    is_write: *class > 0,
-                }));
-            }
-            Step::End {
-                pick,
+                timeout_ms,
+            } => self.arrive(*class, *key, timeout_ms * MS),
+            Step::EndAttempt {
+                selector,
                 outcome,
-                note,
+                is_hit,
             } => {
-                let out = self.out();
-                if !out.is_empty() {
-                    self.end(out[pick % out.len()], OUTCOMES[*outcome], *note);
-                }
-            }
-            Step::Begin { pick } => {
-                let out = self.out();
-                if out.is_empty() {
-                    return;
-                }
-                let (id, number) = out[pick % out.len()];
-                let r = self.requests.get_mut(&id).expect("known");
-                if r.over || r.finals > 0 || r.streaming || self.now >= r.deadline {
-                    return;
-                }
-                r.streaming = true;
-                self.event(Event::ResponseStarted {
-                    request: RequestId(id),
-                    attempt: AttemptNumber(number as u32),
-                });
-                for other in 0..self.requests[&id].sent.len() {
-                    if other != number && self.requests[&id].sent[other].ended.is_none() {
-                        self.requests.get_mut(&id).expect("known").sent[other].ended =
-                            Some(AttemptOutcome::Cancelled);
-                    }
+                if let Some(ended) = self.select_in_flight(*selector) {
+                    self.end_attempt(ended, OUTCOMES[*outcome], *is_hit);
                 }
             }
-            Step::Gone { pick } => {
-                let open: Vec<u128> = self
-                    .requests
-                    .iter()
-                    .filter(|(_, r)| !r.over && r.finals == 0)
-                    .map(|(id, _)| *id)
-                    .collect();
-                if !open.is_empty() {
-                    let id = open[pick % open.len()];
-                    self.requests.get_mut(&id).expect("known").over = true;
-                    self.event(Event::ClientDisconnected(RequestId(id)));
+            Step::StartResponse { selector } => {
+                if let Some(started) = self.select_in_flight(*selector) {
+                    self.start_response(started);
                 }
             }
-            Step::List {
-                server,
-                phase,
-                fresh,
+            Step::Disconnect { selector } => self.disconnect(*selector),
+            Step::ChangeEndpoint {
+                id,
+                state,
+                is_restart,
             } => {
-                let phase = [
-                    EndpointState::Active,
-                    EndpointState::Draining,
-                    EndpointState::Removed,
-                ][*phase];
-                match phase {
-                    EndpointState::Removed => drop(self.up.remove(server)),
-                    _ => drop(self.up.insert(*server, phase == EndpointState::Active)),
-                }
-                let started = if *fresh { self.now } else { 0 };
-                let entries = vec![entry(*server, phase, started)];
-                self.event(Event::EndpointUpdate {
-                    kind: UpdateKind::Delta,
-                    endpoints: entries,
-                });
-            }
-            Step::Whole { servers } => {
-                self.up = servers.iter().map(|s| (*s, true)).collect();
-                let entries = servers
-                    .iter()
-                    .map(|s| entry(*s, EndpointState::Active, 0))
-                    .collect();
-                self.event(Event::EndpointUpdate {
-                    kind: UpdateKind::Full,
-                    endpoints: entries,
-                });
+                let started = if *is_restart { self.now } else { 0 };
+                self.change_endpoint(*id, STATES[*state], started);
             }
-            Step::Failed => self.event(Event::EndpointUpdate {
+            Step::ReplaceList { ids } => self.replace_list(ids),
+            Step::FailDiscovery => self.handle(Event::EndpointUpdate {
                 kind: UpdateKind::Failed,
                 endpoints: Vec::new(),
             }),
-            Step::Stray { id, token } => {
-                let strange = RequestId(id.saturating_add(1 << 100));
-                self.event(Event::TimerFired(TimerToken(token.saturating_add(1 << 40))));
-                self.event(Event::ClientDisconnected(strange));
-                self.event(Event::ResponseStarted {
-                    request: strange,
-                    attempt: AttemptNumber(3),
-                });
-                self.event(Event::HealthCheckEnded {
-                    endpoint: EndpointId(77),
-                    outcome: AttemptOutcome::Ok,
-                    load_report: None,
-                });
-                self.event(Event::AttemptEnded(AttemptResult {
-                    request: strange,
-                    attempt: AttemptNumber(0),
-                    endpoint: EndpointId(1),
-                    outcome: AttemptOutcome::Ok,
-                    latency: 1,
-                    request_finished: false,
-                    cache_status: None,
-                    load_report: None,
-                }));
+            Step::Unknown { id, token } => self.play_unknown(*id, *token),
+            Step::Wait { ms } => self.wait_until(self.now + ms * MS),
+        }
+    }
+
+    fn arrive(&mut self, class: usize, key: Option<u64>, client_timeout: Nanos) {
+        self.last_request += 1;
+        let id = self.last_request;
+        let observed = ObservedRequest {
+            class,
+            deadline: self.now + client_timeout,
+            attempts: Vec::new(),
+            final_answers: 0,
+            is_finished: false,
+            is_streaming: false,
+        };
+        self.requests.insert(id, observed);
+        self.handle(Event::RequestArrived(NewRequest {
+            id: RequestId(id),
+            class: ClassId(class),
+            tenant: Some(TenantId((id % 3) as usize)),
+            key: key.map(Key),
+            client_timeout,
+            estimated_work: None,
+            is_write: class > 0,
+        }));
+    }
+
+    fn start_response(&mut self, started: InFlight) {
+        let now = self.now;
+        let request = self.request_mut(started.request);
+        if !request.is_open() || request.is_streaming || now >= request.deadline {
+            return;
+        }
+        request.is_streaming = true;
+        self.handle(Event::ResponseStarted {
+            request: RequestId(started.request),
+            attempt: AttemptNumber(started.number as u32),
+        });
+        let attempts = &mut self.request_mut(started.request).attempts;
+        for (number, attempt) in attempts.iter_mut().enumerate() {
+            if number != started.number && attempt.is_in_flight() {
+                attempt.outcome = Some(AttemptOutcome::Cancelled);
+            }
+        }
+    }
+
+    fn disconnect(&mut self, selector: usize) {
+        let requests = self.requests.iter();
+        let open: Vec<u128> = requests
+            .filter(|(_, request)| request.is_open())
+            .map(|(id, _)| *id)
+            .collect();
+        if let Some(index) = selector.checked_rem(open.len()) {
+            let id = open[index];
+            self.request_mut(id).is_finished = true;
+            self.handle(Event::ClientDisconnected(RequestId(id)));
+        }
+    }
+
+    fn change_endpoint(&mut self, id: u64, state: EndpointState, started: Nanos) {
+        if state == EndpointState::Removed {
+            self.listed.remove(&id);
+        } else {
+            self.listed.insert(id, state == EndpointState::Active);
+        }
+        self.handle(Event::EndpointUpdate {
+            kind: UpdateKind::Delta,
+            endpoints: vec![endpoint(id, state, started)],
+        });
+    }
+
+    fn replace_list(&mut self, ids: &[u64]) {
+        self.listed = ids.iter().map(|id| (*id, true)).collect();
+        let entries = ids.iter();
+        let endpoints = entries
+            .map(|id| endpoint(*id, EndpointState::Active, 0))
+            .collect();
+        self.handle(Event::EndpointUpdate {
+            kind: UpdateKind::Full,
+            endpoints,
+        });
+    }
+
+    fn play_unknown(&mut self, id: u128, token: u64) {
+        let unknown = RequestId(id.saturating_add(1 << 100));
+        let token = TimerToken(token.saturating_add(1 << 40));
+        self.handle(Event::TimerFired(token));
+        self.handle(Event::ClientDisconnected(unknown));
+        self.handle(Event::ResponseStarted {
+            request: unknown,
+            attempt: AttemptNumber(3),
+        });
+        self.handle(Event::HealthCheckEnded {
+            endpoint: EndpointId(77),
+            outcome: AttemptOutcome::Ok,
+            load_report: None,
+        });
+        self.handle(Event::AttemptEnded(AttemptResult {
+            request: unknown,
+            attempt: AttemptNumber(0),
+            endpoint: EndpointId(1),
+            outcome: AttemptOutcome::Ok,
+            latency: 1,
+            request_finished: false,
+            cache_status: None,
+            load_report: None,
+        }));
+    }
+}
+
+/// Checks that a request which may have run is not sent where it could run twice.
+fn check_repeat(idempotency: Idempotency, request: &ObservedRequest, endpoint: u64, now: Nanos) {
+    let attempts = request.attempts.iter();
+    let mut earlier = attempts.filter(|attempt| attempt.may_have_run());
+    match idempotency {
+        Idempotency::Idempotent => {}
+        Idempotency::NotIdempotent => {
+            assert!(
+                earlier.next().is_none(),
+                "a request that is not idempotent twice"
+            );
+        }
+        Idempotency::Keyed { scope, window } => {
+            for attempt in earlier {
+                assert!(now < attempt.sent_at + window, "after the window");
+                let is_in_scope =
+                    scope == DeduplicationScope::All || attempt.endpoint % 2 == endpoint % 2;
+                assert!(is_in_scope, "outside the deduplication scope");
             }
-            Step::Wait { ms } => self.wait(self.now + ms * MS),
         }
     }
 }
 
+/// Settings that differ in what the deployment supports.
 fn variant(n: usize) -> Settings {
-    let mut s = settings();
-    let group = [
+    let mut settings = settings();
+    let scope = [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ][n % 3];
-    s.classes[1].idempotency = Idempotency::Keyed {
-        scope: group,
+    settings.classes[1].idempotency = Idempotency::Keyed {
+        scope,
         window: 500 * MS,
     };
-    s.capabilities.hedging = n % 4 != 3;
-    s.capabilities.health_checks = n.is_multiple_of(2);
-    s.capabilities.max_attempts = 1 + (n % 5) as u32;
+    settings.capabilities.hedging = n % 4 != 3;
+    settings.capabilities.health_checks = n.is_multiple_of(2);
+    settings.capabilities.max_attempts = 1 + (n % 5) as u32;
     if n % 5 == 4 {
-        s.discovery = DiscoveryMode::Poll {
+        settings.discovery = DiscoveryMode::Poll {
             staleness_limit: 10_000 * MS,
         };
     }
     if n % 7 == 6 {
-        s.origin = OriginMode::CacheAside { kind: 0 };
+        settings.origin = OriginMode::CacheAside { kind: 0 };
     }
-    s
+    settings
 }
 
 fn runner(seed: u8) -> TestRunner {
@@ -458,27 +527,24 @@
 }
 
 #[test]
-fn the_rules_hold_in_any_order_of_events_and_every_request_is_answered() {
+fn rules_hold_in_any_order_of_events_and_every_request_is_answered() {
     let steps = (0..35usize, proptest::collection::vec(step(), 1..200));
     runner(1)
         .run(&steps, |(n, steps)| {
             let mut world = World::new(variant(n));
-            world.play(&Step::Whole {
-                servers: vec![1, 2, 3, 4, 5],
+            world.play(&Step::ReplaceList {
+                ids: vec![1, 2, 3, 4, 5],
             });
             for step in &steps {
                 world.play(step);
             }
-            world.wait(world.now + 5_000 * MS);
-            for (id, r) in &world.requests {
-                assert!(
-                    r.over || r.finals == 1 || r.streaming,
-                    "request {id} has no answer"
-                );
+            world.wait_until(world.now + 5_000 * MS);
+            for (id, request) in &world.requests {
+                assert!(request.is_answered(), "request {id} has no answer");
             }
-            // Late ends of what is over lead to nothing that breaks a rule.
-            for out in world.out() {
-                world.end(out, AttemptOutcome::Timeout, false);
+            // Late ends of what is finished lead to nothing that breaks a rule.
+            for in_flight in world.in_flight() {
+                world.end_attempt(in_flight, AttemptOutcome::Timeout, false);
             }
             Ok(())
         })
@@ -486,53 +552,19 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_the_same_actions() {
     let steps = (0..35usize, proptest::collection::vec(step(), 1..120));
     runner(2)
         .run(&steps, |(n, steps)| {
             let mut worlds = [World::new(variant(n)), World::new(variant(n))];
             for world in &mut worlds {
-                world.play(&Step::Whole {
-                    servers: vec![5, 3, 1, 2, 4],
+                world.play(&Step::ReplaceList {
+                    ids: vec![5, 3, 1, 2, 4],
                 });
                 steps.iter().for_each(|step| world.play(step));
             }
-            assert_eq!(worlds[0].log, worlds[1].log);
+            assert_eq!(worlds[0].actions, worlds[1].actions);
             Ok(())
         })
         .expect("the same");
 }
-
-/// Lines that a source file of this crate may have.
-const MAX_FILE_LINES: usize = 1_300;
-/// Characters that a line of this crate may have.
-const MAX_LINE_CHARACTERS: usize = 130;
-
-#[test]
-fn every_source_file_stays_short_and_narrow() {
-    let mut folders = vec![std::path::PathBuf::from(concat!(
-        env!("CARGO_MANIFEST_DIR"),
-        "/src"
-    ))];
-    while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).expect("the sources are there") {
-            let path = entry.expect("an entry").path();
-            if path.ends_with("tests.rs") {
-                continue;
-            }
-            if path.is_dir() {
-                folders.push(path);
-                continue;
-            }
-            let text = std::fs::read_to_string(&path).expect("a source file");
-            let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-            assert!(lines <= MAX_FILE_LINES, "{}: {lines} lines", path.display());
-            let is_narrow = |line: &str| line.chars().count() <= MAX_LINE_CHARACTERS;
-            assert!(
-                text.lines().all(is_narrow),
-                "{}: a wide line",
-                path.display()
-            );
-        }
-    }
-}
