--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -110,7 +110,7 @@
         404 => "Not Found",
         405 => "Method Not Allowed",
         408 => "Request Timeout",
-        409 => "ResumeConflict",
+        409 => "Conflict",
         431 => "Request Header Fields Too Large",
         _ => "Service Unavailable",
     }
