--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' door: HTTP/1.1, one call to a connection. What a call means is the life cycle's; this reads calls and
 //! writes answers, and lets nobody who says nothing keep others waiting.
 
-use super::LEAVE;
+use super::CLOSE_TIMEOUT;
 use crate::counters::Counters;
 use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::sockets::discard;
@@ -298,7 +298,7 @@
     pub fn reap(&mut self, now: Nanos, counters: &mut Counters) {
         // Closed at once, what still comes would reset the answer away.
         self.callers
-            .retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + LEAVE);
+            .retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + CLOSE_TIMEOUT);
         let late =
             |c: &AdminConnection| c.output.is_empty() && now.saturating_sub(c.since) >= UNFINISHED;
         let late: Vec<u64> = self
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -144,7 +144,7 @@
         caller.read_to_string(&mut text).unwrap();
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
     }
-    door.reap(UNFINISHED + LEAVE - 1, &mut counters);
+    door.reap(UNFINISHED + CLOSE_TIMEOUT - 1, &mut counters);
     assert_eq!(
         door.callers.len(),
         CONNECTIONS_MAX - 1,
@@ -168,9 +168,9 @@
     door.accept(0, &mut counters);
     assert_eq!(door.ready(readable(1), &mut counters), None);
     door.reap(UNFINISHED, &mut counters);
-    door.reap(UNFINISHED + LEAVE - 1, &mut counters);
+    door.reap(UNFINISHED + CLOSE_TIMEOUT - 1, &mut counters);
     assert_eq!(door.callers.len(), 2);
-    door.reap(UNFINISHED + LEAVE, &mut counters);
+    door.reap(UNFINISHED + CLOSE_TIMEOUT, &mut counters);
     assert!(door.callers.is_empty());
 }
 
--- a/crates/balancer/src/listener/mod.rs
+++ b/crates/balancer/src/listener/mod.rs
@@ -1,4 +1,4 @@
-//! The doors: RESP for clients, HTTP for the operators' calls.
+//! Listeners: RESP for clients, HTTP for admin calls.
 
 pub mod admin;
 pub mod resp;
@@ -6,6 +6,6 @@
 use crate::timers::MS;
 use routing::Nanos;
 
-/// Who is sent nothing more has this long to take what it was answered and to close: a far one needs a round trip, a slow
-/// one some more.
-const LEAVE: Nanos = 1_000 * MS;
+/// How long a peer that is sent nothing more has to read its last answer and to close: a distant one
+/// needs a round trip, a slow one some more.
+const CLOSE_TIMEOUT: Nanos = 1_000 * MS;
--- a/crates/balancer/src/listener/resp/commands.rs
+++ b/crates/balancer/src/listener/resp/commands.rs
@@ -1,142 +1,185 @@
-//! Commands of clients as requests, and final answers as RESP.
+//! Commands of clients: the words and field letters of the protocol become typed requests.
 
+use super::responses::encode_error;
 use crate::lifecycle::LifecyclePolicy;
-use crate::request::{CacheCommand, FinalAnswer, IncomingRequest, Ticket};
-use crate::resp;
+use crate::request::{CacheCommand, IncomingRequest, Ticket};
 use crate::timers::MS;
 use routing::Nanos;
-use std::ops::Range;
+use std::ops::{Range, RangeInclusive};
 
-/// The most work that a client may guess, in microseconds: more than an hour is no guess.
-const HINT_MAX: f64 = 3.6e9;
-/// No client waits longer than this.
-const PATIENCE_MAX: f64 = 3_600_000.0;
+/// The estimates of work that are taken, in microseconds: more than an hour is no estimate.
+const ESTIMATED_WORK_US: RangeInclusive<f64> = 1.0..=3.6e9;
+/// The longest client timeout, in milliseconds.
+const CLIENT_TIMEOUT_MAX_MS: f64 = 3_600_000.0;
+/// Of an unknown command's name this many bytes are repeated in the answer.
+const REPEATED_NAME_MAX: usize = 32;
 
-/// What a command turns out to be.
+/// The names of a request's fields on the wire.
+mod field {
+    pub(super) const CLASS: &str = "c";
+    pub(super) const TENANT: &str = "t";
+    /// In milliseconds; sent anew with each attempt.
+    pub(super) const CLIENT_TIMEOUT: &str = "d";
+    /// In microseconds.
+    pub(super) const ESTIMATED_WORK: &str = "h";
+}
+
+/// Why a request is malformed.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub(super) enum RequestError {
+    #[error("key or id is empty")]
+    EmptyKeyOrId,
+    #[error("fields are not UTF-8")]
+    FieldsNotUtf8,
+    #[error("field '{0}' has no value")]
+    FieldWithoutValue(String),
+    #[error("field '{0}' is missing")]
+    MissingField(&'static str),
+    #[error("field 'd': '{0}' is no time")]
+    NotATime(String),
+    #[error("field 'd': '{0}' is no number")]
+    NotANumber(String),
+    #[error("field 'd': '{0}' is too long a time")]
+    TooLongATime(String),
+}
+
+/// Why a command is malformed.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub(super) enum CommandError {
+    #[error("wrong number of arguments")]
+    ArgumentCount,
+    #[error("unknown command '{0}'")]
+    Unknown(String),
+    #[error(transparent)]
+    Request(#[from] RequestError),
+}
+
+/// What a command means.
 pub(super) enum ParsedCommand {
     Request(IncomingRequest),
-    /// Something the balancer answers itself.
+    /// The balancer answers it itself.
     Answer(Vec<u8>),
-    Malformed(String),
-    /// An empty command, which is not answered.
-    Nothing,
+    Malformed(CommandError),
+    /// A command without words, which is not answered.
+    Empty,
 }
 
-/// Reads a whole command of these words.
-pub(super) fn command(
+/// Interprets a whole command with words at these places of the input.
+pub(super) fn interpret(
     input: &[u8],
     words: &[Range<usize>],
     ticket: Ticket,
-    stance: LifecyclePolicy,
+    policy: LifecyclePolicy,
 ) -> ParsedCommand {
     let word = |i: usize| words.get(i).map_or(&[][..], |range| &input[range.clone()]);
     if words.is_empty() {
-        return ParsedCommand::Nothing;
+        return ParsedCommand::Empty;
     }
     let name = word(0).to_ascii_uppercase();
     match (name.as_slice(), words.len()) {
         (b"C.GET", 4) | (b"C.SET", 5) => {
             let value = (words.len() == 5).then(|| word(4).to_vec());
-            request([word(1), word(2), word(3)], value, ticket)
-                .map_or_else(ParsedCommand::Malformed, ParsedCommand::Request)
+            request([word(1), word(2), word(3)], value, ticket).map_or_else(
+                |e| ParsedCommand::Malformed(e.into()),
+                ParsedCommand::Request,
+            )
         }
-        (b"C.GET" | b"C.SET", _) => ParsedCommand::Malformed("wrong number of arguments".into()),
-        (b"PING", _) if stance.ready => ParsedCommand::Answer(b"+PONG\r\n".to_vec()),
-        (b"PING", _) => ParsedCommand::Answer(error(&format!("LOADING {}", stance.state))),
+        (b"C.GET" | b"C.SET", _) => ParsedCommand::Malformed(CommandError::ArgumentCount),
+        (b"PING", _) if policy.ready => ParsedCommand::Answer(b"+PONG\r\n".to_vec()),
+        (b"PING", _) => ParsedCommand::Answer(encode_error(&format!("LOADING {}", policy.state))),
         (b"CLIENT" | b"SELECT", _) => ParsedCommand::Answer(b"+OK\r\n".to_vec()),
-        _ => ParsedCommand::Malformed(format!(
-            "unknown command '{}'",
-            word(0)[..word(0).len().min(32)].escape_ascii()
-        )),
+        _ => {
+            let shown = &word(0)[..word(0).len().min(REPEATED_NAME_MAX)];
+            let name = shown.escape_ascii().to_string();
+            ParsedCommand::Malformed(CommandError::Unknown(name))
+        }
     }
 }
 
-/// Reads a request's key, id and fields.
+/// Parses a request's key, id and fields.
 pub(super) fn request(
     [key, id, fields]: [&[u8]; 3],
     value: Option<Vec<u8>>,
     ticket: Ticket,
-) -> Result<IncomingRequest, String> {
+) -> Result<IncomingRequest, RequestError> {
     if key.is_empty() || id.is_empty() {
-        return Err("key or id is empty".into());
-    }
-    let fields = std::str::from_utf8(fields).map_err(|_| "fields are not UTF-8".to_string())?;
-    let (mut class, mut tenant, mut patience, mut work, mut kept) =
-        (None, None, None, None, Vec::new());
-    for field in fields.split(',').filter(|f| !f.is_empty()) {
-        let (name, text) = field
-            .split_once('=')
-            .ok_or_else(|| format!("field '{field}' has no value"))?;
-        match name {
-            "c" => class = Some(text.to_string()),
-            "t" => tenant = Some(text.to_string()),
-            "d" => patience = Some(text),
-            // A guess, in microseconds: one that makes no sense is none.
-            "h" => {
-                let us = text
-                    .parse::<f64>()
-                    .ok()
-                    .filter(|us| (1.0..=HINT_MAX).contains(us));
-                work = us.map(|us| (us * 1_000.0) as Nanos);
-            }
-            _ => {}
-        }
-        if name != "d" {
-            kept.push((name.to_string(), text.to_string()));
-        }
-    }
-    let class = class.ok_or("field 'c' is missing")?;
-    let patience = patience.ok_or("field 'd' is missing")?;
-    // Whatever a client writes, no time may overflow or run backwards: digits alone, no sign, no "inf".
-    if !patience.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
-        return Err(format!("field 'd': '{patience}' is no time"));
+        return Err(RequestError::EmptyKeyOrId);
     }
-    let ms: f64 = patience
-        .parse()
-        .map_err(|_| format!("field 'd': '{patience}' is no number"))?;
-    if ms > PATIENCE_MAX {
-        return Err(format!("field 'd': '{patience}' is too long a time"));
-    }
-    let patience = (ms * MS as f64) as Nanos;
-    let order = CacheCommand {
-        value,
-        key: key.to_vec(),
-        request_id: id.to_vec(),
-        fields: kept,
-    };
+    let fields = std::str::from_utf8(fields).map_err(|_| RequestError::FieldsNotUtf8)?;
+    let fields = RequestFields::parse(fields)?;
     Ok(IncomingRequest {
         ticket,
-        class,
-        tenant,
+        class: fields
+            .class
+            .ok_or(RequestError::MissingField(field::CLASS))?,
+        tenant: fields.tenant,
         arrived_at: 0,
-        client_timeout: patience,
-        estimated_work: work,
-        command: order,
+        client_timeout: fields
+            .client_timeout
+            .ok_or(RequestError::MissingField(field::CLIENT_TIMEOUT))
+            .and_then(parse_client_timeout)?,
+        estimated_work: fields.estimated_work,
+        command: CacheCommand {
+            value,
+            key: key.to_vec(),
+            request_id: id.to_vec(),
+            fields: fields.forwarded,
+        },
     })
 }
 
-/// An error on the wire.
-pub(super) fn error(text: &str) -> Vec<u8> {
-    let mut out = Vec::new();
-    resp::write_error(&mut out, text);
-    out
+/// The fields of a request.
+#[derive(Default)]
+struct RequestFields<'a> {
+    class: Option<String>,
+    tenant: Option<String>,
+    client_timeout: Option<&'a str>,
+    estimated_work: Option<Nanos>,
+    /// What attempts repeat: all but the client timeout.
+    forwarded: Vec<(String, String)>,
 }
 
-/// A final answer on the wire.
-pub(super) fn encode(answer: FinalAnswer) -> Vec<u8> {
-    match answer {
-        FinalAnswer::Served(value) => {
-            let mut out = Vec::with_capacity(value.len() + 16);
-            resp::write_bulk(&mut out, &value);
-            out
-        }
-        // The value itself comes in parts.
-        FinalAnswer::Streaming(length) => format!("${length}\r\n").into_bytes(),
-        FinalAnswer::Rejected { retry_after: 0 } => error("BUSY"),
-        FinalAnswer::Rejected { retry_after } => {
-            error(&format!("BUSY {}", retry_after.div_ceil(MS)))
+impl<'a> RequestFields<'a> {
+    fn parse(text: &'a str) -> Result<Self, RequestError> {
+        let mut fields = RequestFields::default();
+        for field in text.split(',').filter(|field| !field.is_empty()) {
+            let (name, value) = field
+                .split_once('=')
+                .ok_or_else(|| RequestError::FieldWithoutValue(field.to_string()))?;
+            match name {
+                field::CLASS => fields.class = Some(value.to_string()),
+                field::TENANT => fields.tenant = Some(value.to_string()),
+                field::CLIENT_TIMEOUT => fields.client_timeout = Some(value),
+                field::ESTIMATED_WORK => fields.estimated_work = parse_estimated_work(value),
+                _ => {}
+            }
+            if name != field::CLIENT_TIMEOUT {
+                let forwarded = (name.to_string(), value.to_string());
+                fields.forwarded.push(forwarded);
+            }
         }
-        FinalAnswer::Failed => error("ERR failed"),
-        FinalAnswer::Invalid(problem) => error(&format!("ERR {problem}")),
+        Ok(fields)
+    }
+}
+
+/// An estimate that makes no sense counts as none.
+fn parse_estimated_work(text: &str) -> Option<Nanos> {
+    let us: f64 = text.parse().ok()?;
+    ESTIMATED_WORK_US
+        .contains(&us)
+        .then_some((us * 1_000.0) as Nanos)
+}
+
+/// Whatever a client sends, no time may overflow or run backwards: digits alone, no sign, no "inf".
+fn parse_client_timeout(text: &str) -> Result<Nanos, RequestError> {
+    if !text.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
+        return Err(RequestError::NotATime(text.to_string()));
+    }
+    let ms: f64 = text
+        .parse()
+        .map_err(|_| RequestError::NotANumber(text.to_string()))?;
+    if ms > CLIENT_TIMEOUT_MAX_MS {
+        return Err(RequestError::TooLongATime(text.to_string()));
     }
+    Ok((ms * MS as f64) as Nanos)
 }
--- /dev/null
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -0,0 +1,162 @@
+//! Which connections are accepted, and evicted for new ones.
+
+use super::{read_request, readable, start_listener};
+use crate::counters::Counters;
+use crate::listener::resp::connection::PendingResponse;
+use crate::listener::resp::connection_admission::{
+    EVICT_IDLE_AFTER, EVICT_SILENT_AFTER, EVICT_UNFINISHED_AFTER,
+};
+use crate::listener::resp::idle_reaper::CROWD_IDLE_MIN;
+use crate::listener::resp::{ListenerEvent, RespListener};
+use crate::poll::{EventSource, Readiness};
+use crate::request::FinalAnswer;
+use crate::resp::VALUE_MAX;
+use crate::sockets::has_unsent_output;
+use routing::{Nanos, RequestId};
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+#[test]
+fn client_with_an_unread_request_is_not_evicted() {
+    let (mut listener, connect) = start_listener(1);
+    let mut counters = Counters::default();
+    let mut first = connect();
+    listener.accept(0, &mut counters);
+    let _second = connect();
+    listener.accept(1, &mut counters);
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (1, 0),
+        "just taken"
+    );
+    assert!(!listener.accepting, "the newcomer waits");
+    listener.reap(2, &mut Vec::new(), &mut counters);
+    assert!(listener.accepting, "but not for good");
+    first.write_all(b"*1\r\n").unwrap();
+    listener.accept(CROWD_IDLE_MIN, &mut counters);
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (1, 0),
+        "something to read"
+    );
+    let ready = readable(0);
+    listener.ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
+    assert!(!listener.connections[&0].is_idle(), "half a command");
+    first.write_all(b"$4\r\nPING\r\n").unwrap();
+    listener.ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
+    listener.accept(2 * CROWD_IDLE_MIN, &mut counters);
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (2, 1),
+        "idle by now"
+    );
+}
+
+#[test]
+fn idle_then_unfinished_connections_are_evicted_at_the_limit() {
+    let (mut listener, connect) = start_listener(4);
+    let (mut counters, mut events) = (Counters::default(), Vec::new());
+    let mut clients: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
+    listener.accept(0, &mut counters);
+    listener
+        .connections
+        .get_mut(&3)
+        .unwrap()
+        .responses
+        .push_back(PendingResponse::Waiting(RequestId(8)));
+    let mut say = |listener: &mut RespListener, number: u64, now: Nanos, text: &[u8]| {
+        clients[number as usize].write_all(text).unwrap();
+        let ready = readable(number);
+        listener.ready(now, ready, &mut events, &mut Counters::default());
+    };
+    say(&mut listener, 0, 0, b"*1\r\n");
+    say(&mut listener, 1, 0, b"*1\r\n");
+    say(&mut listener, 2, 0, b"*1\r\n$4\r\nPING\r\n");
+    let _more: Vec<TcpStream> = (0..3).map(|_| connect()).collect();
+    listener.accept(EVICT_IDLE_AFTER - 1, &mut counters);
+    assert_eq!(counters.clients_closed, 0, "just answered");
+    listener.resume_accepting();
+    listener.accept(EVICT_IDLE_AFTER, &mut counters);
+    assert!(counters.clients_closed == 1 && !listener.connections.contains_key(&2));
+    // The one goes on, if slowly; the other stands still, and so does the mute one that came.
+    say(&mut listener, 0, EVICT_IDLE_AFTER + 1, b"$4\r\n");
+    listener.resume_accepting();
+    listener.accept(EVICT_IDLE_AFTER + EVICT_SILENT_AFTER, &mut counters);
+    assert_eq!(
+        listener.connections.keys().copied().collect::<Vec<_>>(),
+        [0, 1, 3, 5]
+    );
+    listener
+        .connections
+        .get_mut(&5)
+        .unwrap()
+        .responses
+        .push_back(PendingResponse::Waiting(RequestId(9)));
+    listener.resume_accepting();
+    listener.accept(EVICT_UNFINISHED_AFTER, &mut counters);
+    assert_eq!(
+        listener.connections.keys().copied().collect::<Vec<_>>(),
+        [0, 3, 5, 6]
+    );
+}
+
+#[test]
+fn silent_clients_do_not_evict_active_ones() {
+    let (mut listener, connect) = start_listener(2);
+    let mut counters = Counters::default();
+    let mut usual = connect();
+    listener.accept(0, &mut counters);
+    usual.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
+    let ready = readable(0);
+    listener.ready(0, ready, &mut Vec::new(), &mut counters);
+    let _mute: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
+    for turn in 1..9 {
+        listener.accept(turn * CROWD_IDLE_MIN, &mut counters);
+        listener.resume_accepting();
+    }
+    assert!(listener.connections.contains_key(&0) && counters.clients_accepted == 5);
+}
+
+#[test]
+fn client_that_still_receives_its_answer_is_not_evicted() {
+    let (mut listener, connect) = start_listener(1);
+    let (mut counters, mut events) = (Counters::default(), Vec::new());
+    let mut client = connect();
+    listener.accept(0, &mut counters);
+    client.write_all(&read_request(9)).unwrap();
+    let ready = Readiness {
+        source: EventSource::Client(0),
+        readable: true,
+        writable: true,
+    };
+    listener.ready(0, ready, &mut events, &mut counters);
+    let Some(ListenerEvent::Request(incoming)) = events.pop() else {
+        panic!("it is taken")
+    };
+    // More than the client's side takes unread: the kernel holds the rest for it.
+    listener.answer(
+        incoming.ticket,
+        FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]),
+    );
+    listener.flush(0, 0, &mut events, &mut counters);
+    while listener.connections[&0].unsent_bytes() > 0 {
+        let _ = client.read(&mut [0; 4_096]).unwrap();
+        listener.flush(0, 0, &mut events, &mut counters);
+    }
+    assert!(
+        listener.connections[&0].is_idle()
+            && has_unsent_output(listener.connections[&0].stream.socket())
+    );
+    let _newcomer = connect();
+    listener.accept(CROWD_IDLE_MIN, &mut counters);
+    assert_eq!((counters.clients_accepted, counters.clients_closed), (1, 0));
+    while has_unsent_output(listener.connections[&0].stream.socket()) {
+        let _ = client.read(&mut [0; 4_096]).unwrap();
+    }
+    listener.accept(2 * CROWD_IDLE_MIN, &mut counters);
+    assert_eq!(
+        (counters.clients_accepted, counters.clients_closed),
+        (2, 1),
+        "it has taken it by now"
+    );
+}
--- /dev/null
+++ b/crates/balancer/src/listener/resp/tests/commands.rs
@@ -0,0 +1,47 @@
+//! Commands and their fields.
+
+use super::{read_request, readable, start_listener};
+use crate::counters::Counters;
+use crate::listener::resp::commands::request;
+use crate::request::Ticket;
+use crate::timers::MS;
+use routing::RequestId;
+use std::io::Write;
+
+#[test]
+fn a_hundred_pipelined_commands_are_taken_without_waiting_for_answers() {
+    let (mut listener, connect) = start_listener(9);
+    let (mut counters, mut events) = (Counters::default(), Vec::new());
+    let mut client = connect();
+    listener.accept(0, &mut counters);
+    let command = read_request(9);
+    client.write_all(&command.repeat(100)).unwrap();
+    let ready = readable(0);
+    listener.ready(0, ready, &mut events, &mut counters);
+    assert_eq!(events.len(), 100);
+}
+
+#[test]
+fn estimated_work_is_taken_and_forwarded_and_nonsense_is_only_forwarded() {
+    let read = |h: &str| {
+        let fields = format!("c=read,h={h},d=480");
+        let ticket = Ticket {
+            request: RequestId(1),
+            connection: 0,
+        };
+        request([b"key", b"id", fields.as_bytes()], None, ticket).unwrap()
+    };
+    for (h, work) in [
+        ("48000", Some(48 * MS)),
+        ("0.5", None),
+        ("1.5", Some(1_500)),
+        ("3600000000", Some(3_600_000 * MS)),
+    ] {
+        assert_eq!(read(h).estimated_work, work, "{h}");
+    }
+    for h in ["", "0", "-5", "inf", "NaN", "3600000001", "soon"] {
+        let incoming = read(h);
+        assert_eq!(incoming.estimated_work, None, "{h}");
+        assert_eq!(incoming.command.fields[1], ("h".to_string(), h.to_string()));
+    }
+}
