--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -12,7 +12,7 @@
 use crate::engine_adapter::EngineAdapter;
 use crate::hot_restart::HotRestart;
 use crate::lifecycle::Lifecycle;
-use crate::listener::admin::AdminListener;
+use crate::listener::admin::{AdminListener, FleetEndpoint};
 use crate::listener::resp::RespListener;
 use crate::poll::Poll;
 use crate::poll_timestamps::PollTimestamps;
@@ -217,7 +217,11 @@
     let Some(address) = config.management else {
         return Ok(None);
     };
-    AdminListener::listen(poll, address, config.fleet.is_some())
+    let fleet = match config.fleet {
+        Some(_) => FleetEndpoint::Present,
+        None => FleetEndpoint::Absent,
+    };
+    AdminListener::listen(poll, address, fleet)
         .map(Some)
         .map_err(|source| StartupError::AdminListen { address, source })
 }
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -1,124 +1,145 @@
-//! The operators' door: HTTP/1.1, one call to a connection. What a call means is the life cycle's; this reads calls and
-//! writes answers, and lets nobody who says nothing keep others waiting.
+//! The admin listener: HTTP/1.1, one request to a connection. It reads requests and writes responses;
+//! what a command does is the lifecycle's. A silent connection keeps no other waiting.
+
+mod http;
+
+pub use http::FleetEndpoint;
 
 use super::CLOSE_TIMEOUT;
 use crate::counters::Counters;
 use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::sockets::discard;
 use crate::timers::MS;
+use http::{HEAD_MAX, HttpError, encode, parse_request, state_body};
 use routing::Nanos;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// Callers that are held at once; one more closes the one that is unfinished longest.
+/// Connections that are open at once; one more evicts the one that is unfinished longest.
 pub const CONNECTIONS_MAX: usize = 12;
-/// At most this many are taken in one turn of the loop.
+/// At most this many are accepted in one turn.
 const ACCEPT_MAX: usize = 64;
-/// The longest head of a call.
-const HEAD_MAX: usize = 8 * 1024;
-/// The most headers of a call.
-const HEADERS_MAX: usize = 64;
-/// A call must be whole this long after its connection came.
-const UNFINISHED: Nanos = 2_000 * MS;
-/// Of what comes behind a call this much is read, so that closing doesn't reset the answer away.
+/// A request has to be whole this long after its connection was accepted.
+const REQUEST_TIMEOUT: Nanos = 2_000 * MS;
+/// This much is read behind a request, so that closing doesn't reset the response away.
 const DISCARD_MAX: usize = 64 * 1024;
 
-/// What the operators ask for.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
     /// Whether this process is ready to serve.
     Health,
     /// Drain.
     Quiesce,
-    /// Back to work.
+    /// End the drain.
     Resume,
-    /// What is seen of the fleet.
+    /// The fleet as this member sees it.
     Fleet,
 }
 
-/// A call that waits for its answer, by its connection.
+/// A request that waits for its response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AdminRequest {
-    /// Which connection.
+    /// The number of its connection.
     pub connection: u64,
-    /// What is asked.
+    /// What is asked for.
     pub command: AdminCommand,
 }
 
 struct AdminConnection {
     stream: Registered<TcpStream>,
-    since: Nanos,
+    accepted_at: Nanos,
     input: Vec<u8>,
-    /// The answer, and how much of it is written; empty until there is one.
+    /// The response; empty until there is one.
     output: Vec<u8>,
+    /// How much of the response is written.
     written: usize,
 }
 
-/// The door and the callers at it.
-pub struct AdminListener {
-    poll: Poll,
-    listener: Registered<TcpListener>,
-    callers: BTreeMap<u64, AdminConnection>,
-    next_caller: u64,
-    fleet: bool,
-}
+impl AdminConnection {
+    fn new(stream: Registered<TcpStream>, now: Nanos) -> Self {
+        AdminConnection {
+            stream,
+            accepted_at: now,
+            input: Vec::new(),
+            output: Vec::new(),
+            written: 0,
+        }
+    }
 
-/// What a head turns out to be.
-#[derive(Debug, PartialEq, Eq)]
-enum ParsedHead {
-    More,
-    Command(AdminCommand),
-    /// A status, and the methods that are allowed where the method is what is wrong.
-    Wrong(u16, &'static str),
-}
+    fn is_answered(&self) -> bool {
+        !self.output.is_empty()
+    }
 
-/// `fleet`: there is a fleet to be asked for.
-fn read_head(input: &[u8], fleet: bool) -> ParsedHead {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    let mut request = httparse::Request::new(&mut headers);
-    match request.parse(input) {
-        Ok(httparse::Status::Complete(length)) if length > HEAD_MAX => {
-            return ParsedHead::Wrong(431, "");
-        }
-        Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) if input.len() < HEAD_MAX => return ParsedHead::More,
-        Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return ParsedHead::Wrong(431, "");
+    fn age(&self, now: Nanos) -> Nanos {
+        now.saturating_sub(self.accepted_at)
+    }
+
+    /// Reads once. Whether input came, or may still come.
+    fn read(&mut self) -> io::Result<ReadOutcome> {
+        let length = self.input.len();
+        self.input.resize(HEAD_MAX, 0);
+        let result = self.stream.socket().read(&mut self.input[length..]);
+        self.input.truncate(length + *result.as_ref().unwrap_or(&0));
+        match result {
+            Ok(0) => Ok(ReadOutcome::Ended),
+            Ok(_) => Ok(ReadOutcome::Input),
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                Ok(ReadOutcome::Nothing)
+            }
+            Err(e) => Err(e),
         }
-        Err(_) => return ParsedHead::Wrong(400, ""),
     }
-    let path = request.path.unwrap_or_default();
-    let (call, method) = match path.split_once('?').map_or(path, |(path, _)| path) {
-        "/admin/health" => (AdminCommand::Health, "GET"),
-        "/admin/quiesce" => (AdminCommand::Quiesce, "POST"),
-        "/admin/resume" => (AdminCommand::Resume, "POST"),
-        "/admin/fleet" if fleet => (AdminCommand::Fleet, "GET"),
-        _ => return ParsedHead::Wrong(404, ""),
-    };
-    if request.method == Some(method) {
-        ParsedHead::Command(call)
-    } else {
-        ParsedHead::Wrong(405, method)
+
+    /// Writes what the socket takes. Once all is written the peer has to close: closing over what it
+    /// still sends would reset the response away. False if the connection is of no further use.
+    fn write(&mut self) -> bool {
+        while self.written < self.output.len() {
+            match self.stream.socket().write(&self.output[self.written..]) {
+                Ok(count) if count > 0 => self.written += count,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
+                _ => return false,
+            }
+        }
+        let unsent = self.written < self.output.len();
+        if !unsent {
+            let socket = self.stream.socket();
+            if socket.shutdown(Shutdown::Write).is_err() || !discard(socket, DISCARD_MAX) {
+                return false;
+            }
+        }
+        self.stream
+            .set_interest(Interest::readable_and(unsent))
+            .is_ok()
     }
 }
 
-fn reason(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        400 => "Bad Request",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        408 => "Request Timeout",
-        409 => "Conflict",
-        431 => "Request Header Fields Too Large",
-        _ => "Service Unavailable",
-    }
+/// What a read yielded.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ReadOutcome {
+    Input,
+    Nothing,
+    Ended,
+}
+
+/// The admin socket and its connections.
+pub struct AdminListener {
+    poll: Poll,
+    listener: Registered<TcpListener>,
+    /// By number, and so in the order in which they were accepted.
+    connections: BTreeMap<u64, AdminConnection>,
+    next_connection: u64,
+    fleet: FleetEndpoint,
 }
 
 impl AdminListener {
-    /// Listens for calls; with a `fleet` also for those that ask for it.
-    pub fn listen(poll: &Poll, address: SocketAddr, fleet: bool) -> io::Result<Self> {
+    /// Listens on this address.
+    ///
+    /// # Errors
+    /// If the address can't be bound.
+    pub fn listen(poll: &Poll, address: SocketAddr, fleet: FleetEndpoint) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         log::info!("management listens on {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
@@ -126,190 +147,134 @@
         Ok(AdminListener {
             poll: poll.clone(),
             listener,
-            callers: BTreeMap::new(),
-            next_caller: 0,
+            connections: BTreeMap::new(),
+            next_connection: 0,
             fleet,
         })
     }
 
-    /// Takes the callers that wait.
+    /// Accepts the connections that wait.
     pub fn accept(&mut self, now: Nanos, counters: &mut Counters) {
         for _ in 0..ACCEPT_MAX {
-            let stream = match self.listener.socket().accept() {
-                Ok((stream, _)) => stream,
+            match self.listener.socket().accept() {
+                Ok((stream, _)) => self.add_connection(stream, now, counters),
                 Err(e)
                     if matches!(
                         e.kind(),
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
-                    ) =>
-                {
-                    continue;
-                }
+                    ) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) => return log::warn!("accepting management calls: {e}"),
-            };
-            if self.callers.len() >= CONNECTIONS_MAX {
-                // They are numbered as they came.
-                let unfinished = self.callers.iter().find(|(_, c)| c.output.is_empty());
-                if let Some((&number, _)) = unfinished.or(self.callers.first_key_value()) {
-                    counters.admin_calls_evicted += 1;
-                    self.callers.remove(&number);
-                }
             }
-            let number = self.next_caller;
-            let watched = stream.set_nonblocking(true).and_then(|()| {
-                self.poll.watch(
-                    stream,
-                    EventSource::AdminConnection(number),
-                    Interest::READABLE,
-                )
-            });
-            match watched {
-                Ok(stream) => {
-                    self.next_caller += 1;
-                    let (input, output) = (Vec::new(), Vec::new());
-                    let caller = AdminConnection {
-                        stream,
-                        since: now,
-                        input,
-                        output,
-                        written: 0,
-                    };
-                    self.callers.insert(number, caller);
-                }
-                Err(e) => log::warn!("management call: {e}"),
+        }
+    }
+
+    fn add_connection(&mut self, stream: TcpStream, now: Nanos, counters: &mut Counters) {
+        if self.connections.len() >= CONNECTIONS_MAX {
+            self.evict_one(counters);
+        }
+        let number = self.next_connection;
+        let watched = stream.set_nonblocking(true).and_then(|()| {
+            let source = EventSource::AdminConnection(number);
+            self.poll.watch(stream, source, Interest::READABLE)
+        });
+        match watched {
+            Ok(stream) => {
+                self.next_connection += 1;
+                self.connections
+                    .insert(number, AdminConnection::new(stream, now));
             }
+            Err(e) => log::warn!("management call: {e}"),
+        }
+    }
+
+    /// Closes the connection that is unfinished longest, or else the oldest.
+    fn evict_one(&mut self, counters: &mut Counters) {
+        let unfinished = self.connections.iter().find(|(_, c)| !c.is_answered());
+        if let Some((&number, _)) = unfinished.or(self.connections.first_key_value()) {
+            counters.admin_calls_evicted += 1;
+            self.connections.remove(&number);
         }
     }
 
-    /// Reads and writes what a caller is ready for. Tells of a call that waits for its answer.
+    /// Reads and writes what a connection is ready for. Returns a request that waits for its
+    /// response.
     pub fn ready(&mut self, ready: Readiness, counters: &mut Counters) -> Option<AdminRequest> {
         let EventSource::AdminConnection(number) = ready.source else {
             return None;
         };
-        let c = self.callers.get_mut(&number)?;
-        if !c.output.is_empty() {
-            if ready.readable && !discard(c.stream.socket(), DISCARD_MAX) {
-                self.callers.remove(&number);
-            } else if c.written < c.output.len() {
-                self.write(number);
+        let connection = self.connections.get_mut(&number)?;
+        if connection.is_answered() {
+            let stays_open = if ready.readable && !discard(connection.stream.socket(), DISCARD_MAX)
+            {
+                false
+            } else {
+                connection.written == connection.output.len() || connection.write()
+            };
+            if !stays_open {
+                self.connections.remove(&number);
             }
             return None;
         }
-        let held = c.input.len();
-        c.input.resize(HEAD_MAX, 0);
-        let got = c.stream.socket().read(&mut c.input[held..]);
-        c.input.truncate(held + *got.as_ref().unwrap_or(&0));
-        match got {
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-                return None;
-            }
-            Ok(n) if n > 0 => {}
-            _ => {
-                self.callers.remove(&number);
+        match connection.read() {
+            Ok(ReadOutcome::Input) => {}
+            Ok(ReadOutcome::Nothing) => return None,
+            Ok(ReadOutcome::Ended) | Err(_) => {
+                self.connections.remove(&number);
                 return None;
             }
         }
-        match read_head(&c.input, self.fleet) {
-            ParsedHead::More => None,
-            ParsedHead::Command(call) => {
+        match parse_request(&connection.input, self.fleet) {
+            Ok(command) => command.map(|command| {
                 counters.admin_calls += 1;
-                Some(AdminRequest {
+                AdminRequest {
                     connection: number,
-                    command: call,
-                })
-            }
-            ParsedHead::Wrong(status, allow) => {
+                    command,
+                }
+            }),
+            Err(error) => {
                 counters.admin_calls_invalid += 1;
-                self.put(number, status, reason(status), allow);
+                self.respond(number, error.response());
                 None
             }
         }
     }
 
-    /// Answers a call, with the state that the process is in.
-    pub fn answer(&mut self, caller: u64, status: u16, state: &str) {
-        self.put(caller, status, state, "");
+    /// Answers a request with the state that the process is in.
+    pub fn answer(&mut self, connection: u64, status: u16, state: &str) {
+        self.respond(connection, encode(status, "", &state_body(state)));
     }
 
-    /// Answers a call with JSON of its own.
-    pub fn answer_json(&mut self, caller: u64, body: &str) {
-        self.put_body(caller, 200, body, "");
+    /// Answers a request with a JSON body.
+    pub fn answer_json(&mut self, connection: u64, body: &str) {
+        self.respond(connection, encode(200, "", body));
     }
 
-    fn put(&mut self, number: u64, status: u16, state: &str, allow: &str) {
-        self.put_body(
-            number,
-            status,
-            &format!("{{\"state\":\"{state}\"}}\n"),
-            allow,
-        );
-    }
-
-    fn put_body(&mut self, number: u64, status: u16, body: &str, allow: &str) {
-        let Some(c) = self.callers.get_mut(&number) else {
-            return;
-        };
-        let allow = if allow.is_empty() {
-            String::new()
-        } else {
-            format!("Allow: {allow}\r\n")
-        };
-        c.output = format!(
-            "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\nCache-Control: no-store\r\n\
-             {allow}Connection: close\r\n\r\n{body}",
-            reason(status),
-            body.len()
-        )
-        .into_bytes();
-        self.write(number);
-    }
-
-    fn write(&mut self, number: u64) {
-        let Some(c) = self.callers.get_mut(&number) else {
+    fn respond(&mut self, number: u64, response: Vec<u8>) {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        while c.written < c.output.len() {
-            match c.stream.socket().write(&c.output[c.written..]) {
-                Ok(n) if n > 0 => c.written += n,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                _ => return drop(self.callers.remove(&number)),
-            }
-        }
-        let unsent = c.written < c.output.len();
-        if !unsent {
-            // The caller ends the connection: closing over what it still sends would reset the answer away.
-            let socket = c.stream.socket();
-            if socket.shutdown(std::net::Shutdown::Write).is_err() || !discard(socket, DISCARD_MAX)
-            {
-                return drop(self.callers.remove(&number));
-            }
-        }
-        if c.stream
-            .set_interest(Interest::readable_and(unsent))
-            .is_err()
-        {
-            self.callers.remove(&number);
+        connection.output = response;
+        if !connection.write() {
+            self.connections.remove(&number);
         }
     }
 
-    /// Ends calls that don't become whole, and answered ones whose callers stay.
+    /// Ends requests that were not whole in time, and answered connections that stay open.
     pub fn reap(&mut self, now: Nanos, counters: &mut Counters) {
-        // Closed at once, what still comes would reset the answer away.
-        self.callers
-            .retain(|_, c| now.saturating_sub(c.since) < UNFINISHED + CLOSE_TIMEOUT);
-        let late =
-            |c: &AdminConnection| c.output.is_empty() && now.saturating_sub(c.since) >= UNFINISHED;
+        // Not closed at once: what still comes would reset the response away.
+        self.connections
+            .retain(|_, connection| connection.age(now) < REQUEST_TIMEOUT + CLOSE_TIMEOUT);
+        let is_late = |c: &AdminConnection| !c.is_answered() && c.age(now) >= REQUEST_TIMEOUT;
         let late: Vec<u64> = self
-            .callers
+            .connections
             .iter()
-            .filter(|(_, c)| late(c))
-            .map(|(n, _)| *n)
+            .filter(|(_, connection)| is_late(connection))
+            .map(|(number, _)| *number)
             .collect();
         for number in late {
             counters.admin_calls_incomplete += 1;
-            self.put(number, 408, reason(408), "");
+            self.respond(number, HttpError::Timeout.response());
         }
     }
 }
