--- a/crates/balancer/src/event_loop/lifecycle.rs
+++ b/crates/balancer/src/event_loop/lifecycle.rs
@@ -42,7 +42,7 @@
 
     /// Whether a graceful shutdown is complete: no new clients, and every answer is written.
     pub(super) fn is_finished(&self) -> bool {
-        let now = self.clock.now();
-        self.lifecycle.is_finished(now, !self.listener.is_empty())
+        self.lifecycle
+            .is_finished(self.clock.now(), self.listener.open_connections())
     }
 }
--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -11,7 +11,7 @@
 use crate::discovery::{DiscoveryClient, EndpointList};
 use crate::engine_adapter::EngineAdapter;
 use crate::hot_restart::HotRestart;
-use crate::lifecycle::Lifecycle;
+use crate::lifecycle::{Lifecycle, SocketOwnership};
 use crate::listener::admin::{AdminListener, FleetEndpoint};
 use crate::listener::resp::RespListener;
 use crate::poll::Poll;
@@ -167,11 +167,12 @@
 }
 
 fn new_lifecycle(config: &Config) -> Lifecycle {
-    let deadlines = config.settings.classes.iter().map(|class| class.deadline);
-    Lifecycle::new(
-        config.socket_fd.is_some(),
-        deadlines.max().unwrap_or_default(),
-    )
+    let socket = match config.socket_fd {
+        Some(_) => SocketOwnership::Shared,
+        None => SocketOwnership::Exclusive,
+    };
+    let client_timeouts = config.settings.classes.iter().map(|class| class.deadline);
+    Lifecycle::new(socket, client_timeouts.max().unwrap_or_default())
 }
 
 /// The backoff between watches, where lists are pushed.
--- a/crates/balancer/src/lifecycle.rs
+++ b/crates/balancer/src/lifecycle.rs
@@ -1,40 +1,42 @@
-//! The life cycle, without I/O: it is told what happens and when, and what the doors say and do follows from it alone.
+//! The lifecycle of the process, without I/O: starting, serving, quiesced, ending. It is notified of
+//! what happens and when; what the listeners answer and do follows from it alone.
 
 use crate::timers::MS;
 use routing::Nanos;
 
-/// How long client connections stay open in a drain: a front that asks ten times a second and takes 0.2 s to turn away
-/// has done so by then, and whoever is sent away sooner only comes back.
+/// How long idle client connections stay open once the process drains: a load balancer in front that
+/// checks health ten times a second and takes 0.2 s to redirect clients has done so by then. A client
+/// that is disconnected sooner only comes back.
 const IDLE_CLOSE_DELAY: Nanos = 400 * MS;
-/// How long new connections are taken after a request to stop: they keep coming for up to 0.4 s. By the protocol what comes
-/// later than this must be answered before the process is killed.
+/// How long new connections are accepted after a request to stop: they keep coming for up to 0.4 s.
+/// By the protocol what comes later has to be answered before the process is killed.
 const ACCEPT_TIME_WHILE_ENDING: Nanos = 700 * MS;
-
-/// How long commands are taken from a connection that is to close, as long as it never stands idle: who sends without
-/// end would keep it open for good. An end may leave less time.
+/// How long commands are accepted on a connection that is to close as soon as it is idle: a client
+/// that sends without pause would keep it open for good. A shutdown may leave less time.
 const COMMAND_INTAKE_TIME: Nanos = 1_500 * MS;
-
-/// By the protocol a process is killed no sooner than `ACCEPT_TIME_WHILE_ENDING` and the longest deadline after the request to stop; a
-/// deadline that is longer than this counts as this.
+/// By the protocol a process is killed no sooner than `ACCEPT_TIME_WHILE_ENDING` and the longest client
+/// timeout after the request to stop. A longer client timeout than this counts as this.
 const CLIENT_TIMEOUT_MAX: Nanos = 3_000 * MS;
-/// All that is taken in an end is answered this long before that.
+/// The last answer is given this long before that.
 const KILL_MARGIN: Nanos = 100 * MS;
 
-/// What becomes of those who connect.
+/// What becomes of clients that connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerMode {
-    /// They are let in.
+    /// They are accepted.
     Open,
     /// They wait, or go to the other process that shares the socket.
     Paused,
-    /// The door is closed for good; who waits at it is let in before.
+    /// The socket is closed for good; those in its backlog are accepted before.
     Closed,
-    /// The door is left, with those who wait at it, to the other process; for good unless that one dies meanwhile.
+    /// The socket and its backlog are left to the other process; for good, unless that one dies
+    /// meanwhile.
     HandedOver,
 }
 
 impl ListenerMode {
-    /// Nobody is let in here: who comes waits, or is the other process's.
+    /// Nobody is accepted here: clients wait, or are the other process's.
+    #[must_use]
     pub fn is_left_to_other_process(self) -> bool {
         matches!(self, ListenerMode::Paused | ListenerMode::HandedOver)
     }
@@ -43,26 +45,35 @@
 /// What follows for client connections at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LifecyclePolicy {
-    /// The state's name, as logs, operators and clients read it.
+    /// The state's name in logs, admin responses and `PING`.
     pub state: &'static str,
-    /// `PING` is answered with a yes.
+    /// `PING` is answered with `PONG`.
     pub ready: bool,
-    /// New connections are taken, or not now, or never again.
+    /// Whether new connections are accepted.
     pub listener_mode: ListenerMode,
     /// A connection is closed once nothing is owed on it.
     pub closes_idle: bool,
-    /// Commands are taken from open connections.
+    /// Commands are accepted on open connections.
     pub accepts_commands: bool,
 }
 
+/// Whether other processes may accept from the client listener's socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SocketOwnership {
+    /// This process has opened it.
+    Exclusive,
+    /// The platform has opened it, and hands it to each process of this balancer.
+    Shared,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LifecycleState {
-    /// There is no list of caches yet, or there is but what another process knows is still waited for.
+    /// There is no endpoint list yet, or there is one but the state of another process is awaited.
     Starting {
         listed: bool,
     },
     Serving,
-    /// Drained by the operators since then; whether there is a list.
+    /// Drained by an operator since then; whether there is an endpoint list.
     Quiesced {
         since: Nanos,
         listed: bool,
@@ -77,37 +88,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
     state: LifecycleState,
-    /// The clients' socket is the platform's, and other processes may take from it.
-    shares_listening_socket: bool,
-    /// One that serves clients does so now.
+    socket: SocketOwnership,
+    /// Another process of this balancer serves clients.
     other_serves: bool,
-    /// What it knows is waited for.
+    /// The state of another process is awaited.
     awaiting_snapshot: bool,
     /// How long after a request to stop the last answer is given.
     longest_answer_time: Nanos,
 }
 
-/// Why a call of the operators changes nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The process is ending, and can't resume.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the process is ending")]
 pub struct ResumeConflict;
 
 impl Lifecycle {
-    /// A process that has just started, on a socket that is its own or shared; the longest time that a client waits for
-    /// an answer.
-    pub fn new(shared: bool, longest_deadline: Nanos) -> Self {
-        let last_answer =
-            longest_deadline.min(CLIENT_TIMEOUT_MAX) + ACCEPT_TIME_WHILE_ENDING - KILL_MARGIN;
-        let state = LifecycleState::Starting { listed: false };
+    /// A process that has just started; no client waits longer for an answer than
+    /// `longest_client_timeout`.
+    #[must_use]
+    pub fn new(socket: SocketOwnership, longest_client_timeout: Nanos) -> Self {
+        let client_timeout = longest_client_timeout.min(CLIENT_TIMEOUT_MAX);
         Lifecycle {
-            state,
-            shares_listening_socket: shared,
+            state: LifecycleState::Starting { listed: false },
+            socket,
             other_serves: false,
             awaiting_snapshot: false,
-            longest_answer_time: last_answer,
+            longest_answer_time: client_timeout + ACCEPT_TIME_WHILE_ENDING - KILL_MARGIN,
         }
     }
 
-    /// By when what is taken now is answered, whatever its client's patience: the process may be killed then.
+    /// While the process ends: by when open requests are answered, whatever their client timeouts.
+    /// The process may be killed then.
+    #[must_use]
     pub fn answer_deadline(&self) -> Option<Nanos> {
         match self.state {
             LifecycleState::Ending { since } => Some(since + self.longest_answer_time),
@@ -115,7 +127,7 @@
         }
     }
 
-    /// How long commands are taken from a connection that is to close.
+    /// How long commands are accepted on a connection that is to close.
     fn command_intake_time(&self) -> Nanos {
         match self.state {
             LifecycleState::Ending { .. } => COMMAND_INTAKE_TIME.min(self.longest_answer_time),
@@ -123,18 +135,18 @@
         }
     }
 
-    /// Whether another process that shares the socket serves clients.
+    /// Notes whether another process that shares the socket serves clients.
     pub fn set_other_serves(&mut self, serves: bool) {
         self.other_serves = serves;
     }
 
-    /// What another process knows is waited for, or no longer.
-    pub fn set_awaiting_snapshot(&mut self, waits: bool) {
-        self.awaiting_snapshot = waits;
+    /// Notes whether the state of another process is awaited.
+    pub fn set_awaiting_snapshot(&mut self, awaiting: bool) {
+        self.awaiting_snapshot = awaiting;
         self.serve_if_ready();
     }
 
-    /// There is a list of caches.
+    /// Notes that there is an endpoint list.
     pub fn endpoints_listed(&mut self) {
         if let LifecycleState::Starting { listed } | LifecycleState::Quiesced { listed, .. } =
             &mut self.state
@@ -150,7 +162,7 @@
         }
     }
 
-    /// The operators drain the process. Said again, it changes nothing.
+    /// Drains the process by an operator's command. A second time changes nothing.
     pub fn quiesce(&mut self, now: Nanos) {
         let listed = match self.state {
             LifecycleState::Starting { listed } => listed,
@@ -160,11 +172,14 @@
         self.state = LifecycleState::Quiesced { since: now, listed };
     }
 
-    /// The operators end the drain. An end can't be taken back: clients have been sent away for good.
+    /// Ends a drain by an operator's command.
+    ///
+    /// # Errors
+    /// If the process is ending: clients have been disconnected for good.
     pub fn resume(&mut self) -> Result<(), ResumeConflict> {
         match self.state {
             LifecycleState::Quiesced { listed, .. } => {
-                self.state = LifecycleState::Starting { listed }
+                self.state = LifecycleState::Starting { listed };
             }
             LifecycleState::Starting { .. } | LifecycleState::Serving => {}
             LifecycleState::Ending { .. } => return Err(ResumeConflict),
@@ -173,21 +188,23 @@
         Ok(())
     }
 
-    /// The process is asked to stop. Tells whether that is news.
+    /// Begins the end of the process. False if it is ending already.
     pub fn stop(&mut self, now: Nanos) -> bool {
-        let news = !matches!(self.state, LifecycleState::Ending { .. });
-        if news {
+        let is_first = !matches!(self.state, LifecycleState::Ending { .. });
+        if is_first {
             self.state = LifecycleState::Ending { since: now };
         }
-        news
+        is_first
     }
 
-    /// Whether `PING` and health say yes.
+    /// Whether `PING` and the health endpoint say that it serves.
+    #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == LifecycleState::Serving
     }
 
-    /// The state's name, as logs and operators read it.
+    /// The state's name in logs and admin responses.
+    #[must_use]
     pub fn name(&self) -> &'static str {
         match self.state {
             LifecycleState::Starting { .. } => "starting",
@@ -197,44 +214,49 @@
         }
     }
 
-    /// What follows for client connections. In a drain new ones are taken, for the front goes on asking.
+    /// What follows for client connections now.
+    #[must_use]
     pub fn policy(&self, now: Nanos) -> LifecyclePolicy {
-        let theirs = self.shares_listening_socket && self.other_serves;
-        let (door, closes_idle) = match self.state {
-            // On a shared socket a client that isn't answered yet is better off with the other, or in the queue.
-            LifecycleState::Starting { .. } if self.shares_listening_socket => {
-                (ListenerMode::Paused, false)
-            }
-            LifecycleState::Starting { .. } | LifecycleState::Serving => {
-                (ListenerMode::Open, false)
-            }
-            LifecycleState::Quiesced { since, .. } => (
-                if theirs {
-                    ListenerMode::Paused
-                } else {
-                    ListenerMode::Open
-                },
-                now >= since + IDLE_CLOSE_DELAY,
-            ),
-            LifecycleState::Ending { .. } if theirs => (ListenerMode::HandedOver, true),
-            LifecycleState::Ending { since } if now < since + ACCEPT_TIME_WHILE_ENDING => {
-                (ListenerMode::Open, true)
-            }
-            LifecycleState::Ending { .. } => (ListenerMode::Closed, true),
-        };
-        let takes = self
-            .draining_since()
-            .is_none_or(|since| now < since + self.command_intake_time());
         LifecyclePolicy {
             state: self.name(),
             ready: self.is_ready(),
-            listener_mode: door,
-            closes_idle,
-            accepts_commands: takes,
+            listener_mode: self.listener_mode(now),
+            closes_idle: self.closes_idle(now),
+            accepts_commands: self
+                .draining_since()
+                .is_none_or(|since| now < since + self.command_intake_time()),
+        }
+    }
+
+    fn listener_mode(&self, now: Nanos) -> ListenerMode {
+        let is_shared = self.socket == SocketOwnership::Shared;
+        let is_others = is_shared && self.other_serves;
+        match self.state {
+            // A client that can't be answered yet is better off with the other process, or in the
+            // backlog.
+            LifecycleState::Starting { .. } if is_shared => ListenerMode::Paused,
+            LifecycleState::Quiesced { .. } if is_others => ListenerMode::Paused,
+            // Quiesced it still accepts: health checks come on new connections.
+            LifecycleState::Starting { .. }
+            | LifecycleState::Serving
+            | LifecycleState::Quiesced { .. } => ListenerMode::Open,
+            LifecycleState::Ending { .. } if is_others => ListenerMode::HandedOver,
+            LifecycleState::Ending { since } if now < since + ACCEPT_TIME_WHILE_ENDING => {
+                ListenerMode::Open
+            }
+            LifecycleState::Ending { .. } => ListenerMode::Closed,
+        }
+    }
+
+    fn closes_idle(&self, now: Nanos) -> bool {
+        match self.state {
+            LifecycleState::Starting { .. } | LifecycleState::Serving => false,
+            LifecycleState::Quiesced { since, .. } => now >= since + IDLE_CLOSE_DELAY,
+            LifecycleState::Ending { .. } => true,
         }
     }
 
-    /// Since when clients are sent away, if they are.
+    /// Since when the process drains, if it does.
     fn draining_since(&self) -> Option<Nanos> {
         match self.state {
             LifecycleState::Starting { .. } | LifecycleState::Serving => None,
@@ -244,29 +266,30 @@
         }
     }
 
-    /// When, if at all, something changes by time alone.
+    /// When the policy changes next by time alone, if it does.
+    #[must_use]
     pub fn next_change(&self, now: Nanos) -> Option<Nanos> {
         let since = self.draining_since()?;
-        let mut parts = [
+        [
             IDLE_CLOSE_DELAY,
             ACCEPT_TIME_WHILE_ENDING,
             self.command_intake_time(),
-        ];
-        parts.sort_unstable();
-        parts
-            .into_iter()
-            .map(|part| since + part)
-            .find(|at| *at > now)
+        ]
+        .into_iter()
+        .map(|delay| since + delay)
+        .filter(|at| *at > now)
+        .min()
     }
 
-    /// Whether the process may end, with or without clients connected.
-    pub fn is_finished(&self, now: Nanos, clients: bool) -> bool {
+    /// Whether the process may exit, with this many client connections open.
+    #[must_use]
+    pub fn is_finished(&self, now: Nanos, open_connections: usize) -> bool {
         matches!(self.state, LifecycleState::Ending { .. })
             && matches!(
-                self.policy(now).listener_mode,
+                self.listener_mode(now),
                 ListenerMode::Closed | ListenerMode::HandedOver
             )
-            && !clients
+            && open_connections == 0
     }
 }
 
--- a/crates/balancer/src/lifecycle/tests.rs
+++ b/crates/balancer/src/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `life_cycle`.
+//! The states that each order of calls leads to, and what follows from them.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,30 +8,30 @@
 const LONGEST: Nanos = CLIENT_TIMEOUT_MAX;
 
 #[derive(Clone, Copy, Debug)]
-enum DecisionStep {
+enum Call {
     Listed,
     Quiesce,
     Resume,
     Stop,
 }
 
-fn play(steps: &[DecisionStep], now: Nanos) -> Lifecycle {
-    let mut life = Lifecycle::new(false, LONGEST);
+fn play(steps: &[Call], now: Nanos) -> Lifecycle {
+    let mut lifecycle = Lifecycle::new(SocketOwnership::Exclusive, LONGEST);
     for step in steps {
         match step {
-            DecisionStep::Listed => life.endpoints_listed(),
-            DecisionStep::Quiesce => life.quiesce(now),
-            DecisionStep::Resume => _ = life.resume(),
-            DecisionStep::Stop => _ = life.stop(now),
+            Call::Listed => lifecycle.endpoints_listed(),
+            Call::Quiesce => lifecycle.quiesce(now),
+            Call::Resume => _ = lifecycle.resume(),
+            Call::Stop => _ = lifecycle.stop(now),
         }
     }
-    life
+    lifecycle
 }
 
 #[test]
-fn each_order_of_calls_has_its_state() {
-    use DecisionStep::*;
-    let cases: [(&[DecisionStep], &str, bool); 12] = [
+fn each_order_of_calls_leads_to_its_state() {
+    use Call::*;
+    let cases: [(&[Call], &str, bool); 12] = [
         (&[], "starting", false),
         (&[Listed], "serving", true),
         (&[Listed, Quiesce], "quiesced", false),
@@ -46,36 +46,42 @@
         (&[Stop, Listed, Quiesce], "ending", false),
     ];
     for (steps, name, ready) in cases {
-        let life = play(steps, 5);
-        assert_eq!((life.name(), life.is_ready()), (name, ready), "{steps:?}");
+        let lifecycle = play(steps, 5);
+        assert_eq!(
+            (lifecycle.name(), lifecycle.is_ready()),
+            (name, ready),
+            "{steps:?}"
+        );
     }
     assert_eq!(play(&[Listed, Stop], 0).resume(), Err(ResumeConflict));
 }
 
 #[test]
-fn in_a_drain_connections_stay_until_the_front_has_turned_away() {
-    let mut life = play(&[DecisionStep::Listed], 0);
-    life.quiesce(1000);
-    life.quiesce(2000);
+fn idle_connections_stay_open_at_the_start_of_a_drain() {
+    let mut lifecycle = play(&[Call::Listed], 0);
+    lifecycle.quiesce(1000);
+    lifecycle.quiesce(2000);
     assert_eq!(
-        life.next_change(1000),
+        lifecycle.next_change(1000),
         Some(1000 + IDLE_CLOSE_DELAY),
         "said again it begins nothing anew"
     );
     assert!(
-        !life.policy(999 + IDLE_CLOSE_DELAY).closes_idle
-            && life.policy(1000 + IDLE_CLOSE_DELAY).closes_idle
+        !lifecycle.policy(999 + IDLE_CLOSE_DELAY).closes_idle
+            && lifecycle.policy(1000 + IDLE_CLOSE_DELAY).closes_idle
     );
     assert!(
-        life.policy(999 + COMMAND_INTAKE_TIME).accepts_commands
-            && !life.policy(1000 + COMMAND_INTAKE_TIME).accepts_commands
+        lifecycle.policy(999 + COMMAND_INTAKE_TIME).accepts_commands
+            && !lifecycle
+                .policy(1000 + COMMAND_INTAKE_TIME)
+                .accepts_commands
     );
     assert!(
-        life.policy(u64::MAX).listener_mode == ListenerMode::Open
-            && !life.is_finished(u64::MAX, false)
+        lifecycle.policy(u64::MAX).listener_mode == ListenerMode::Open
+            && !lifecycle.is_finished(u64::MAX, 0)
     );
-    assert_eq!(life.next_change(1000 + COMMAND_INTAKE_TIME), None);
-    life.resume().unwrap();
+    assert_eq!(lifecycle.next_change(1000 + COMMAND_INTAKE_TIME), None);
+    lifecycle.resume().unwrap();
     let serving = LifecyclePolicy {
         state: "serving",
         ready: true,
@@ -83,56 +89,62 @@
         closes_idle: false,
         accepts_commands: true,
     };
-    assert_eq!(life.policy(u64::MAX), serving);
+    assert_eq!(lifecycle.policy(u64::MAX), serving);
 }
 
 #[test]
-fn an_end_takes_clients_for_a_while_and_waits_for_the_last() {
-    let mut life = play(&[DecisionStep::Listed], 0);
-    assert!(life.stop(1000) && !life.stop(2000));
-    assert!(life.policy(1000).closes_idle);
+fn shutdown_accepts_clients_for_a_while_and_waits_for_the_last() {
+    let mut lifecycle = play(&[Call::Listed], 0);
+    assert!(lifecycle.stop(1000) && !lifecycle.stop(2000));
+    assert!(lifecycle.policy(1000).closes_idle);
     assert_eq!(
-        life.policy(999 + ACCEPT_TIME_WHILE_ENDING).listener_mode,
+        lifecycle
+            .policy(999 + ACCEPT_TIME_WHILE_ENDING)
+            .listener_mode,
         ListenerMode::Open
     );
     assert_eq!(
-        life.policy(1000 + ACCEPT_TIME_WHILE_ENDING).listener_mode,
+        lifecycle
+            .policy(1000 + ACCEPT_TIME_WHILE_ENDING)
+            .listener_mode,
         ListenerMode::Closed
     );
     assert!(
-        !life.is_finished(1000, false) && !life.is_finished(1000 + ACCEPT_TIME_WHILE_ENDING, true)
+        !lifecycle.is_finished(1000, 0)
+            && !lifecycle.is_finished(1000 + ACCEPT_TIME_WHILE_ENDING, 1)
     );
-    assert!(life.is_finished(1000 + ACCEPT_TIME_WHILE_ENDING, false));
+    assert!(lifecycle.is_finished(1000 + ACCEPT_TIME_WHILE_ENDING, 0));
 }
 
 #[test]
-fn what_an_end_still_takes_is_answered_before_the_kill_whatever_the_deadlines() {
+fn requests_during_shutdown_are_answered_before_the_kill_whatever_the_client_timeouts() {
     for (deadline, answered, takes) in [
         (100, 700, 700),
         (800, 1_400, 1_400),
         (2_500, 3_100, 1_500),
         (30_000, 3_600, 1_500),
     ] {
-        let mut life = Lifecycle::new(false, deadline * MS);
-        life.endpoints_listed();
-        assert_eq!(life.answer_deadline(), None);
-        life.stop(1_000 * MS);
+        let mut lifecycle = Lifecycle::new(SocketOwnership::Exclusive, deadline * MS);
+        lifecycle.endpoints_listed();
+        assert_eq!(lifecycle.answer_deadline(), None);
+        lifecycle.stop(1_000 * MS);
         assert_eq!(
-            life.answer_deadline(),
+            lifecycle.answer_deadline(),
             Some((1_000 + answered) * MS),
             "{deadline}"
         );
         let takes = (1_000 + takes) * MS;
         assert!(
-            life.policy(takes - 1).accepts_commands && !life.policy(takes).accepts_commands,
+            lifecycle.policy(takes - 1).accepts_commands
+                && !lifecycle.policy(takes).accepts_commands,
             "{deadline}"
         );
         assert!(
             (0..takes)
                 .step_by(50 * MS as usize)
-                .all(|now| life.next_change(now).is_some_and(|due| due <= takes))
+                .all(|now| lifecycle.next_change(now).is_some_and(|due| due <= takes))
         );
-        let mut drained = Lifecycle::new(false, deadline * MS);
+        let mut drained = Lifecycle::new(SocketOwnership::Exclusive, deadline * MS);
         drained.endpoints_listed();
         drained.quiesce(0);
         assert_eq!(
@@ -147,58 +159,58 @@
 }
 
 #[test]
-fn it_is_ready_once_there_is_a_list_and_nothing_is_waited_for() {
-    let mut life = Lifecycle::new(true, LONGEST);
-    life.set_awaiting_snapshot(true);
-    life.endpoints_listed();
-    assert!(!life.is_ready());
-    life.set_awaiting_snapshot(false);
-    assert!(life.is_ready());
-    life.set_awaiting_snapshot(true);
-    assert!(life.is_ready(), "too late to wait");
+fn ready_once_endpoints_are_listed_and_no_snapshot_is_awaited() {
+    let mut lifecycle = Lifecycle::new(SocketOwnership::Shared, LONGEST);
+    lifecycle.set_awaiting_snapshot(true);
+    lifecycle.endpoints_listed();
+    assert!(!lifecycle.is_ready());
+    lifecycle.set_awaiting_snapshot(false);
+    assert!(lifecycle.is_ready());
+    lifecycle.set_awaiting_snapshot(true);
+    assert!(lifecycle.is_ready(), "too late to wait");
 }
 
 #[test]
-fn on_a_shared_socket_the_door_is_left_to_the_one_that_serves() {
-    let mut life = Lifecycle::new(true, LONGEST);
+fn shared_listener_is_left_to_the_process_that_serves() {
+    let mut lifecycle = Lifecycle::new(SocketOwnership::Shared, LONGEST);
     assert_eq!(
-        life.policy(0).listener_mode,
+        lifecycle.policy(0).listener_mode,
         ListenerMode::Paused,
         "not ready: the queue is the other's"
     );
-    life.endpoints_listed();
-    assert_eq!(life.policy(0).listener_mode, ListenerMode::Open);
-    life.set_other_serves(true);
+    lifecycle.endpoints_listed();
+    assert_eq!(lifecycle.policy(0).listener_mode, ListenerMode::Open);
+    lifecycle.set_other_serves(true);
     assert_eq!(
-        life.policy(0).listener_mode,
+        lifecycle.policy(0).listener_mode,
         ListenerMode::Open,
         "both serve until one is asked to stop"
     );
-    let serving = life;
-    life.quiesce(0);
+    let serving = lifecycle;
+    lifecycle.quiesce(0);
     assert_eq!(
-        life.policy(0).listener_mode,
+        lifecycle.policy(0).listener_mode,
         ListenerMode::Paused,
         "the other answers"
     );
-    life = serving;
-    life.stop(0);
+    lifecycle = serving;
+    lifecycle.stop(0);
     assert!(
-        life.policy(0).listener_mode == ListenerMode::HandedOver
-            && life.is_finished(0, false)
-            && !life.is_finished(0, true)
+        lifecycle.policy(0).listener_mode == ListenerMode::HandedOver
+            && lifecycle.is_finished(0, 0)
+            && !lifecycle.is_finished(0, 1)
     );
     // Killed before it could take over: whoever comes is better off here.
-    life.set_other_serves(false);
+    lifecycle.set_other_serves(false);
     assert_eq!(
-        life.policy(ACCEPT_TIME_WHILE_ENDING - 1).listener_mode,
+        lifecycle.policy(ACCEPT_TIME_WHILE_ENDING - 1).listener_mode,
         ListenerMode::Open
     );
     assert_eq!(
-        life.policy(ACCEPT_TIME_WHILE_ENDING).listener_mode,
+        lifecycle.policy(ACCEPT_TIME_WHILE_ENDING).listener_mode,
         ListenerMode::Closed
     );
-    let mut alone = Lifecycle::new(false, LONGEST);
+    let mut alone = Lifecycle::new(SocketOwnership::Exclusive, LONGEST);
     alone.set_other_serves(true);
     alone.stop(0);
     assert_eq!(
@@ -216,19 +228,19 @@
     #[test]
     fn no_order_of_events_says_yes_while_sending_clients_away(
         steps in prop::collection::vec(
-            prop::sample::select(vec![DecisionStep::Listed, DecisionStep::Quiesce, DecisionStep::Resume, DecisionStep::Stop]), 0..20),
+            prop::sample::select(vec![Call::Listed, Call::Quiesce, Call::Resume, Call::Stop]), 0..20),
         now in 0..10 * IDLE_CLOSE_DELAY,
     ) {
-        let mut life = play(&steps, 0);
-        let stance = life.policy(now);
+        let mut lifecycle = play(&steps, 0);
+        let stance = lifecycle.policy(now);
         prop_assert!(!stance.ready || !stance.closes_idle && stance.listener_mode == ListenerMode::Open && stance.accepts_commands);
         prop_assert!(stance.closes_idle || stance.listener_mode == ListenerMode::Open, "who isn't taken is not kept either");
         // From everywhere but an end a resume and a list lead back to work; from there nothing does.
-        let ending = life.name() == "ending";
-        life.endpoints_listed();
-        prop_assert_eq!(life.resume().is_err(), ending);
-        prop_assert_eq!(life.is_ready(), !ending);
-        life.stop(now);
-        prop_assert!(life.is_finished(u64::MAX, false), "an end always comes");
+        let ending = lifecycle.name() == "ending";
+        lifecycle.endpoints_listed();
+        prop_assert_eq!(lifecycle.resume().is_err(), ending);
+        prop_assert_eq!(lifecycle.is_ready(), !ending);
+        lifecycle.stop(now);
+        prop_assert!(lifecycle.is_finished(u64::MAX, 0), "an end always comes");
     }
 }
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -137,10 +137,10 @@
             .sum()
     }
 
-    /// Whether no client connection is open.
+    /// How many client connections are open.
     #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.connections.is_empty()
+    pub fn open_connections(&self) -> usize {
+        self.connections.len()
     }
 
     /// The address on which clients are accepted, until the socket is closed.
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -107,7 +107,7 @@
         &mut counters,
     );
     assert!(
-        listener.is_empty()
+        listener.connections.is_empty()
             && matches!(events[..], [ListenerEvent::ClientDisconnected(r)] if r != request)
     );
 }
--- a/crates/balancer/src/listener/resp/tests/disconnects.rs
+++ b/crates/balancer/src/listener/resp/tests/disconnects.rs
@@ -78,7 +78,7 @@
         (
             events.len(),
             counters.disconnects_while_unread,
-            listener.is_empty()
+            listener.connections.is_empty()
         ),
         (taken, 1, true)
     );
--- a/crates/balancer/src/listener/resp/tests/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/tests/idle_reaper.rs
@@ -54,7 +54,7 @@
         [2]
     );
     listener.reap(IDLE_TIMEOUT + CLOSE_TIMEOUT, &mut events, &mut counters);
-    assert!(listener.is_empty());
+    assert!(listener.connections.is_empty());
 }
 
 #[test]
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -39,7 +39,7 @@
     listener.apply_policy(DRAINING, 0, &mut Vec::new(), &mut counters);
     let _late = connect();
     listener.accept(1, &mut counters);
-    assert!(!listener.is_empty());
+    assert!(!listener.connections.is_empty());
     let _later = connect();
     listener.apply_policy(
         LifecyclePolicy {
@@ -50,7 +50,7 @@
         &mut Vec::new(),
         &mut counters,
     );
-    assert!(listener.is_empty());
+    assert!(listener.connections.is_empty());
     assert_eq!(counters.clients_accepted, 2);
 }
 
@@ -92,7 +92,10 @@
         let ListenerEvent::Request(incoming) = event else {
             panic!("nobody has gone")
         };
-        assert!(!listener.is_empty(), "what was taken is answered first");
+        assert!(
+            !listener.connections.is_empty(),
+            "what was taken is answered first"
+        );
         listener.answer(incoming.ticket, FinalAnswer::Failed);
         listener.flush(1, IDLE_DRAINING + 5, &mut Vec::new(), &mut counters);
     }
@@ -106,7 +109,7 @@
     );
     drop(endless);
     listener.ready(IDLE_DRAINING + 6, ready, &mut events, &mut counters);
-    assert!(listener.is_empty());
+    assert!(listener.connections.is_empty());
 }
 
 #[rstest]
@@ -272,7 +275,7 @@
     listener.accept(0, &mut counters);
     listener.apply_policy(DRAINING, 1, &mut events, &mut counters);
     listener.reap(IDLE_DRAINING - 1, &mut events, &mut counters);
-    assert!(!listener.is_empty());
+    assert!(!listener.connections.is_empty());
     listener.reap(IDLE_DRAINING, &mut events, &mut counters);
-    assert!(listener.is_empty());
+    assert!(listener.connections.is_empty());
 }
