--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -6,7 +6,7 @@
 use super::{ListenerEvent, RespListener};
 use crate::counters::Counters;
 use crate::request::{FinalAnswer, IncomingRequest, Ticket};
-use crate::resp::{self, RespError, parse_command};
+use crate::resp::{self, Command, RespError, parse_command};
 use crate::sockets::has_peer_closed;
 use routing::{Nanos, RequestId};
 use std::io::{ErrorKind, Read};
@@ -80,7 +80,7 @@
         };
         let mut parsed = 0;
         while connection.takes_commands() {
-            let (words, length) = match parse_command(&connection.input[parsed..]) {
+            let Command { words, length } = match parse_command(&connection.input[parsed..]) {
                 Ok(None) => break,
                 Ok(Some(command)) => command,
                 Err(e) => {
--- /dev/null
+++ b/crates/balancer/src/resp/tests.rs
@@ -0,0 +1,110 @@
+//! What is parsed when, and what is found to be invalid.
+
+use super::*;
+
+#[test]
+fn command_is_parsed_once_it_is_complete() {
+    let whole = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
+    for cut in 0..whole.len() {
+        assert_eq!(parse_command(&whole[..cut]), Ok(None), "after {cut} bytes");
+    }
+    let Command { words, length } = parse_command(&whole).unwrap().unwrap();
+    assert_eq!(length, whole.len());
+    assert_eq!(
+        words.iter().map(|w| &whole[w.clone()]).collect::<Vec<_>>(),
+        [&b"C.GET"[..], b"7f", b"\r\n$"]
+    );
+}
+
+#[test]
+fn reply_is_parsed_once_it_is_complete() {
+    let whole = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
+    for cut in 0..whole.len() {
+        assert_eq!(parse_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
+    }
+    let inner = Reply::Array(Some(vec![
+        Reply::Integer(7),
+        Reply::Error("ERR failed".into()),
+    ]));
+    let reply = Reply::Array(Some(vec![
+        Reply::Bulk(Some(b"ab".to_vec())),
+        Reply::Bulk(None),
+        inner,
+    ]));
+    assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
+}
+
+#[test]
+fn invalid_response_is_detected_before_its_end() {
+    let invalid: [&[u8]; 12] = [
+        b"*3\r\n*3",
+        b"*1",
+        b"*2\r\n",
+        b"*3\r\n$-1\r\n",
+        b"*3\r\n$-7\r\n",
+        b"*3\r\n$3000000000\r\n",
+        b"*3\r\n$4x",
+        b"*3\r\n$4\r\nabcdef",
+        b"*3\r\n$1\r\nv\r\n+",
+        b"-ERR\xff",
+        b":5",
+        b"+O",
+    ];
+    for input in invalid {
+        // An array of another size is detected with its line.
+        let is_detected =
+            parse_response(input).is_err() || parse_response(&[input, b"\r\n"].concat()).is_err();
+        assert!(is_detected, "{}", input.escape_ascii());
+    }
+    let made = |load: Option<&[u8]>| {
+        let load = load.map(<[u8]>::to_vec);
+        Answer::Served {
+            value: b"v".to_vec(),
+            note: Some(b"hit".to_vec()),
+            load,
+        }
+    };
+    let head = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
+    type Case<'a> = (&'a [u8], Option<&'a [u8]>, bool);
+    let cases: [Case; 5] = [
+        (b"$-1\r\n", None, true),
+        (b"$3\r\nx=1\r\n", Some(b"x=1"), true),
+        (b"$3\r\nx=", None, false),
+        (b"!\x00", None, false),
+        (b"", None, false),
+    ];
+    for (tail, load, useful) in cases {
+        let (answer, length) = parse_response(&[head, tail].concat()).unwrap().unwrap();
+        assert_eq!(
+            (answer, length),
+            (made(load), useful.then_some(head.len() + tail.len()))
+        );
+    }
+    assert_eq!(parse_response(&head[..head.len() - 1]), Ok(None));
+}
+
+#[test]
+fn lost_framing_is_detected() {
+    let long = vec![b'1'; parser::LINE_MAX];
+    let cases: [(&[u8], RespError); 8] = [
+        (b"PING\r\n", RespError::UnexpectedByte(b'P')),
+        (b"*1\r\n+PING\r\n", RespError::UnexpectedByte(b'+')),
+        (b"*x\r\n", RespError::InvalidLength),
+        (b"*-2\r\n", RespError::InvalidLength),
+        (b"*99999999999\r\n", RespError::TooLong),
+        (b"*1\r\n$4097\r\n", RespError::TooLong),
+        (b"*1\r\n$-1\r\n", RespError::InvalidLength),
+        (b"*1\r\n$1\r\nabc", RespError::MissingLineEnd),
+    ];
+    for (input, error) in cases {
+        assert_eq!(parse_command(input), Err(error), "{}", input.escape_ascii());
+    }
+    assert_eq!(
+        parse_command(&[b"*", &long[..]].concat()),
+        Err(RespError::InvalidLength)
+    );
+    assert_eq!(
+        parse_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n"),
+        Err(RespError::TooLong)
+    );
+}
