--- a/crates/balancer/src/config/fleet.rs
+++ b/crates/balancer/src/config/fleet.rs
@@ -1,22 +1,30 @@
-//! The key `fleet`: the talk with other balancers. Off unless it is there.
+//! The key `fleet`: membership in a fleet. Off unless it is there.
 
-use super::{ConfigError, parse_address, wrong};
+use super::{ConfigError, ConfigProblem, parse_address};
 use membership::{LOCATION_NAME_MAX, Location, MS, MembershipSettings, Timing};
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
 /// The longest name of a fleet, in bytes.
-const NAME_MAX: usize = 64;
+const FLEET_NAME_MAX: usize = 64;
 /// The most join addresses.
-const JOIN_MAX: usize = 64;
-/// The members that are held where the key does not say, and at most.
+const JOIN_ADDRESSES_MAX: usize = 64;
+/// How many members are kept, where the key does not say.
 const MEMBERS_DEFAULT: usize = 1_024;
-const MEMBERS_MOST: usize = 8_192;
+/// How many members may be kept.
+const MEMBERS_RANGE: RangeInclusive<usize> = 2..=8_192;
+/// The suspicion timeout, in milliseconds.
+const SUSPECT_MS: RangeInclusive<u64> = 300..=60_000;
+/// The longest share retention, in milliseconds; at least it is the suspicion timeout.
+const HOLD_MS_MAX: u64 = 3_600_000;
+/// The longest tombstone retention, in milliseconds; at least it is twice the share retention.
+const FORGET_MS_MAX: u64 = 86_400_000;
 
-/// The key as it is written; times are in milliseconds.
+/// The key in the file; times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct FileFleet {
+pub(super) struct FleetFile {
     name: String,
     bind: String,
     advertise: Option<String>,
@@ -33,10 +41,10 @@
     site: Option<String>,
 }
 
-/// How this balancer talks with the others.
+/// This balancer's membership in a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// The one address that the talk is bound to.
+    /// The address that the gossip socket is bound to.
     pub bind: SocketAddr,
     name: String,
     advertise: SocketAddr,
@@ -44,12 +52,13 @@
     members_max: usize,
     timing: Timing,
     location: Location,
-    /// Load is shed by a level that all agree on.
+    /// Load is shed by a level that all members agree on.
     pub shed_together: bool,
 }
 
 impl FleetConfig {
-    /// What a member is told: this balancer's name, and the settings' number of balancers.
+    /// The settings of the member: this balancer's name, and the settings' number of balancers.
+    #[must_use]
     pub fn settings(&self, name: &str, configured: usize) -> MembershipSettings {
         MembershipSettings {
             fleet: self.name.clone(),
@@ -64,128 +73,147 @@
     }
 }
 
-impl FileFleet {
+impl FleetFile {
     pub(super) fn check(self) -> Result<FleetConfig, ConfigError> {
-        if self.name.is_empty() || self.name.len() > NAME_MAX {
-            let problem = format!(
-                "has {} bytes; 1 to {NAME_MAX} are expected",
-                self.name.len()
-            );
-            return Err(wrong("fleet.name", problem));
-        }
+        check_length("fleet.name", &self.name, FLEET_NAME_MAX)?;
         let bind = parse_address("fleet.bind", &self.bind)?;
+        let advertise = self.advertise_address()?;
+        let join = self.join_addresses()?;
+        let members_max = self.members_max.unwrap_or(MEMBERS_DEFAULT);
+        if !MEMBERS_RANGE.contains(&members_max) {
+            let problem = ConfigProblem::OutOfRange {
+                value: members_max,
+                minimum: *MEMBERS_RANGE.start(),
+                maximum: *MEMBERS_RANGE.end(),
+            };
+            return Err(ConfigError::new("fleet.members_max", problem));
+        }
+        let timing = self.timing()?;
+        let location = location(self.region, self.zone, self.site)?;
+        Ok(FleetConfig {
+            bind,
+            name: self.name,
+            advertise,
+            join,
+            members_max,
+            timing,
+            location,
+            shed_together: self.shed_together,
+        })
+    }
+
+    /// The address that other members send to.
+    fn advertise_address(&self) -> Result<SocketAddr, ConfigError> {
         let (key, text) = match &self.advertise {
             Some(text) => ("fleet.advertise", text),
             None => ("fleet.bind", &self.bind),
         };
-        let advertise = parse_address(key, text)?;
-        if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            let problem = format!(
-                "\"{text}\" is no address that others can send to; name one in fleet.advertise"
-            );
-            return Err(wrong(key, problem));
+        let address = parse_address(key, text)?;
+        if address.ip().is_unspecified() || address.port() == 0 {
+            let problem = ConfigProblem::NotReachable(text.clone());
+            return Err(ConfigError::new(key, problem));
         }
-        if self.join.len() > JOIN_MAX {
-            let problem = format!(
-                "names {} addresses; {JOIN_MAX} are the most",
-                self.join.len()
-            );
-            return Err(wrong("fleet.join", problem));
+        Ok(address)
+    }
+
+    fn join_addresses(&self) -> Result<Vec<SocketAddr>, ConfigError> {
+        if self.join.len() > JOIN_ADDRESSES_MAX {
+            let problem = ConfigProblem::TooManyAddresses {
+                count: self.join.len(),
+                maximum: JOIN_ADDRESSES_MAX,
+            };
+            return Err(ConfigError::new("fleet.join", problem));
         }
-        let join = self
-            .join
+        self.join
             .iter()
             .enumerate()
-            .map(|(i, text)| parse_address(&format!("fleet.join[{i}]"), text));
-        let join = join.collect::<Result<Vec<_>, _>>()?;
-        let members_max = self.members_max.unwrap_or(MEMBERS_DEFAULT);
-        if !(2..=MEMBERS_MOST).contains(&members_max) {
-            return Err(wrong(
-                "fleet.members_max",
-                format!("{members_max} is not in 2 to {MEMBERS_MOST}"),
-            ));
-        }
+            .map(|(index, text)| parse_address(&format!("fleet.join[{index}]"), text))
+            .collect()
+    }
+
+    fn timing(&self) -> Result<Timing, ConfigError> {
         let default = Timing::default();
-        let span = |key: &str, value: Option<u64>, default: u64, least: u64, most: u64| {
-            let value = value.unwrap_or(default / MS);
-            if (least..=most).contains(&value) {
-                return Ok(value * MS);
-            }
-            Err(wrong(
-                key,
-                format!("{value} ms is not in {least} to {most}"),
-            ))
-        };
-        let suspect = span(
+        let suspicion_timeout = time(
             "fleet.suspect_ms",
             self.suspect_ms,
             default.suspicion_timeout,
-            300,
-            60_000,
+            SUSPECT_MS,
         )?;
-        let hold = span(
+        let share_retention = time(
             "fleet.hold_ms",
             self.hold_ms,
             default.share_retention,
-            suspect / MS,
-            3_600_000,
+            suspicion_timeout / MS..=HOLD_MS_MAX,
         )?;
-        let forget = span(
+        let tombstone_retention = time(
             "fleet.forget_ms",
             self.forget_ms,
             default.tombstone_retention,
-            2 * hold / MS,
-            86_400_000,
+            2 * share_retention / MS..=FORGET_MS_MAX,
         )?;
-        let timing = Timing {
-            suspicion_timeout: suspect,
-            share_retention: hold,
-            tombstone_retention: forget,
+        Ok(Timing {
+            suspicion_timeout,
+            share_retention,
+            tombstone_retention,
             ..default
-        };
-        let location = location(self.region, self.zone, self.site)?;
-        Ok(FleetConfig {
-            bind,
-            name: self.name,
-            advertise,
-            join,
-            members_max,
-            timing,
-            location,
-            shed_together: self.shed_together,
         })
     }
 }
 
-/// The place of this balancer; without `region` there is none, and nothing may be told of one.
+/// A time that is given in milliseconds, in nanoseconds.
+fn time(
+    key: &str,
+    value_ms: Option<u64>,
+    default: u64,
+    range_ms: RangeInclusive<u64>,
+) -> Result<u64, ConfigError> {
+    let value = value_ms.unwrap_or(default / MS);
+    if range_ms.contains(&value) {
+        return Ok(value * MS);
+    }
+    let problem = ConfigProblem::TimeOutOfRange {
+        value,
+        minimum: *range_ms.start(),
+        maximum: *range_ms.end(),
+    };
+    Err(ConfigError::new(key, problem))
+}
+
+fn check_length(key: &str, name: &str, maximum: usize) -> Result<(), ConfigError> {
+    if (1..=maximum).contains(&name.len()) {
+        return Ok(());
+    }
+    let problem = ConfigProblem::NameLength {
+        length: name.len(),
+        maximum,
+    };
+    Err(ConfigError::new(key, problem))
+}
+
+/// The location of this balancer; without a region there is none, and no part of one may be named.
 fn location(
     region: Option<String>,
     zone: Option<String>,
     site: Option<String>,
 ) -> Result<Location, ConfigError> {
-    let name = |key: &str, value: Option<String>| match value {
-        Some(name) if name.is_empty() || name.len() > LOCATION_NAME_MAX => {
-            let problem = format!(
-                "has {} bytes; 1 to {LOCATION_NAME_MAX} are expected",
-                name.len()
-            );
-            Err(wrong(key, problem))
-        }
-        value => Ok(value.unwrap_or_default()),
-    };
-    let region = name("fleet.region", region)?;
-    let zone = name("fleet.zone", zone)?;
-    let site = name("fleet.site", site)?;
+    let region = location_name("fleet.region", region)?;
+    let zone = location_name("fleet.zone", zone)?;
+    let site = location_name("fleet.site", site)?;
     for (key, value) in [("fleet.zone", &zone), ("fleet.site", &site)] {
         if region.is_empty() && !value.is_empty() {
-            return Err(wrong(
-                key,
-                "says where in a region, and fleet.region is not set",
-            ));
+            return Err(ConfigError::new(key, ConfigProblem::WithoutRegion));
         }
     }
     Ok(Location { region, zone, site })
 }
 
+fn location_name(key: &str, name: Option<String>) -> Result<String, ConfigError> {
+    let Some(name) = name else {
+        return Ok(String::new());
+    };
+    check_length(key, &name, LOCATION_NAME_MAX)?;
+    Ok(name)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/config/fleet/tests.rs
+++ b/crates/balancer/src/config/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `config::fleet`.
+//! Which `fleet` keys are accepted, and which key is named otherwise.
 
 use super::super::Config;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_good_key_is_read_and_a_missing_one_is_off() {
+fn valid_key_is_read_and_a_missing_one_is_off() {
     let config =
         parse(r#"{"name":"a","bind":"127.0.0.1:7946","join":["127.0.0.2:7946"]}"#).unwrap();
     let settings = config.fleet.unwrap().settings("n1", 3);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_faulty_key_is_named() {
+fn faulty_key_is_named() {
     let good = r#""name":"a","bind":"127.0.0.1:7946""#;
     let cases = [
         (
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `config`.
+//! Which configurations are accepted, and which key is named otherwise.
 
 use super::*;
 use routing::DiscoveryMode;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_good_configuration_is_read_and_the_environment_goes_before_it() {
+fn valid_configuration_is_read_and_overridden_by_the_environment() {
     let variable = |name: &str| (name == "GW_LISTEN").then(|| "127.0.0.9:1".to_string());
     let config = Config::parse(GOOD, variable).unwrap();
     assert_eq!(
@@ -22,15 +22,19 @@
         ("127.0.0.9:1", 255)
     );
     assert_eq!(
-        (config.sockets, config.memory, config.name.as_str()),
+        (
+            config.descriptors_max,
+            config.memory_max,
+            config.name.as_str()
+        ),
         (512, 128 << 20, "n3")
     );
     assert_eq!(config.settings.capabilities.max_attempts, 3);
 }
 
 #[test]
-fn settings_that_are_borne_and_should_be_known_are_named() {
-    let told = |settings: &str| {
+fn doubtful_settings_yield_warnings() {
+    let load_with = |settings: &str| {
         let text = GOOD.replace("\"settings\":{", &format!("\"settings\":{{{settings}"));
         Config::parse(&text, |_| None).unwrap()
     };
@@ -40,37 +44,37 @@
         ("subscribe", DiscoveryMode::Poll { staleness_limit: 0 }),
         ("carrier", DiscoveryMode::Poll { staleness_limit: 0 }),
     ] {
-        let config = told(&format!("{sound}\"{mode}\","));
+        let config = load_with(&format!("{sound}\"{mode}\","));
         assert_eq!(config.settings.discovery, discovery);
         let named = config
-            .remarks
+            .warnings
             .iter()
             .filter(|r| r.contains("membership_mode: \"carrier\""))
             .count();
         assert_eq!(
-            (named, config.remarks.len()),
+            (named, config.warnings.len()),
             if mode == "carrier" { (1, 1) } else { (0, 0) }
         );
     }
-    let bare = told("");
+    let bare = load_with("");
     let keys = [
         "membership_mode: \"\"",
         "group_size: 0",
         "obligations.drain_grace_ns: 0",
     ];
     assert!(
-        bare.remarks
+        bare.warnings
             .iter()
             .zip(keys)
             .all(|(r, key)| r.starts_with(key)),
         "{:?}",
-        bare.remarks
+        bare.warnings
     );
-    assert_eq!((bare.remarks.len(), bare.settings.balancers), (3, 1));
+    assert_eq!((bare.warnings.len(), bare.settings.balancers), (3, 1));
 }
 
 #[test]
-fn the_inherited_socket_is_told_by_number() {
+fn inherited_socket_is_named_by_its_descriptor() {
     let fd = |text: &str| {
         let variable = |name: &str| (name == "GW_SOCKET_FD").then(|| text.to_string());
         Config::parse(GOOD, variable)
@@ -83,11 +87,11 @@
 }
 
 #[test]
-fn a_new_address_of_discovery_in_the_file_goes_before_the_environment_at_a_reload() {
+fn new_discovery_address_in_the_file_overrides_the_environment_at_a_reload() {
     let variable = |name: &str| (name == "GW_DISCOVERY").then(|| "127.0.0.9:1".to_string());
     let first = Config::parse(GOOD, variable).unwrap();
     let same = first
-        .follow(Config::parse(GOOD, variable).unwrap())
+        .successor(Config::parse(GOOD, variable).unwrap())
         .unwrap();
     assert_eq!(
         same.discovery.to_string(),
@@ -98,12 +102,12 @@
         .replace("127.0.0.2:8500", "127.0.0.4:8500")
         .replace("\"ff\"", "\"fe\"");
     let moved = same
-        .follow(Config::parse(&moved, variable).unwrap())
+        .successor(Config::parse(&moved, variable).unwrap())
         .unwrap();
     assert_eq!(moved.discovery.to_string(), "127.0.0.4:8500");
     assert_eq!(moved.start_only(&first), ["seed"]);
     let again = moved
-        .follow(Config::parse(GOOD, variable).unwrap())
+        .successor(Config::parse(GOOD, variable).unwrap())
         .unwrap();
     assert_eq!(
         again.discovery.to_string(),
@@ -111,7 +115,7 @@
         "moved back, in the file"
     );
     let bad = Config::parse(&GOOD.replace("127.0.0.2:8500", "there"), variable).unwrap();
-    let error = again.follow(bad).unwrap_err().to_string();
+    let error = again.successor(bad).unwrap_err().to_string();
     assert_eq!(
         error,
         "configuration: discovery: \"there\" is no address with a port"
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn a_faulty_key_is_named() {
+fn faulty_key_is_named() {
     let cases = [
         (
             "\"listen\":\"127.0.0.1:6379\",",
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -1,18 +1,18 @@
-//! What the balancer took in, sent and answered.
+//! Counters, printed on `SIGUSR1` and at the end of the process.
 
 use routing::DecisionReason;
 use std::fmt;
 
-/// A step that the module took, or left out, for a reason.
+/// A decision of the engine that has a reason.
 #[derive(Clone, Copy)]
 pub enum DecisionStep {
-    /// The request was turned away.
+    /// The request was rejected.
     Rejected,
-    /// The request was given up.
+    /// The request failed.
     Failed,
-    /// The request waits for room.
+    /// The request waits for capacity.
     Queued,
-    /// The request was late and got no copy.
+    /// The request was late and got no hedge.
     HedgeSuppressed,
 }
 
@@ -24,7 +24,8 @@
         DecisionStep::HedgeSuppressed,
     ];
 
-    /// The name by which logs and counters call it.
+    /// Its name in logs and counters.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             DecisionStep::Rejected => "rejected",
@@ -46,7 +47,7 @@
     }
 }
 
-/// Those that happened, as `refused.origin=3`.
+/// Those that occurred, as `rejected.origin=3`.
 impl fmt::Display for DecisionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for step in DecisionStep::ALL {
@@ -67,7 +68,7 @@
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
-            /// Why requests were refused, failed or held, and copies not sent.
+            /// Why requests were rejected, failed or queued, and hedges suppressed.
             pub steps: DecisionCounts,
         }
 
@@ -82,116 +83,117 @@
 }
 
 counters! {
-    /// Requests taken from clients.
+    /// Requests that arrived from clients.
     requests,
-    /// Commands that were no request: malformed, or lacking a field.
+    /// Commands that are no request: malformed, or lacking a field.
     malformed_commands,
-    /// Requests with a class that the settings don't name.
+    /// Requests of a class that the settings don't name.
     unknown_class,
     /// Requests with the id of one that is still open.
     duplicate_id,
-    /// Requests turned away for want of memory or places, without asking the module.
+    /// Requests rejected without asking the engine: the limit of memory or of open requests.
     rejected_at_limits,
-    /// Requests whose time was over when they were read.
+    /// Requests whose client timeout was over when they were read.
     expired_when_read,
-    /// Clients that were asked for right before something was sent for them, since the last look was too long ago.
+    /// Clients whose connection was checked right before something was sent for them, as the last
+    /// poll was too long ago.
     client_checks,
-    /// Of these, clients that had left.
+    /// Of these, clients that had disconnected.
     client_checks_disconnected,
-    /// Attempts that waited for the next look at the sockets, since the last was too long ago.
+    /// Attempts that waited for the next poll, as the last was too long ago.
     attempts_postponed,
-    /// Times that the process was held up between two looks at the sockets.
+    /// Stalls of the process between two polls.
     stalls,
     /// The longest of these, in milliseconds.
     longest_stall_ms,
-    /// Turns of the loop that took long.
+    /// Turns of the event loop that took long.
     long_turns,
     /// The longest turn, in microseconds.
     longest_turn_us,
-    /// Attempts sent, the first of each request included.
+    /// Attempts, the first of each request included.
     attempts,
-    /// Attempts sent while another of the request was out.
+    /// Attempts made while another of the request was in flight.
     hedges,
-    /// Probes sent.
+    /// Health checks.
     health_checks,
     /// Attempts that were answered.
     attempts_ok,
-    /// Attempts that the peer answered with an error.
+    /// Attempts that the cache answered with an error.
     attempts_error,
-    /// Attempts that the peer turned away.
+    /// Attempts that the cache rejected.
     attempts_rejected,
-    /// Attempts that ran out of time.
+    /// Attempts that timed out.
     attempts_timeout,
-    /// Attempts whose connection never came up or broke before all was written.
+    /// Attempts whose connection was never established, or broke before all was written.
     attempts_connect_failed,
     /// Attempts whose connection broke after that.
     attempts_reset,
-    /// Attempts whose answer can't be read.
+    /// Attempts whose answer is unreadable.
     attempts_unreadable,
-    /// Attempts that the peer answered with an error that speaks against the request itself.
+    /// Attempts that the cache answered with an error about the request itself.
     attempts_invalid,
-    /// Attempts called back by the module.
+    /// Attempts cancelled by the engine.
     attempts_cancelled,
     /// Attempts never sent, for want of time or of a connection.
     attempts_not_sent,
     /// Requests answered with a value or receipt.
     served,
-    /// Requests refused.
+    /// Requests rejected.
     rejected,
     /// Requests failed.
     failed,
-    /// Requests whose client left before the answer.
+    /// Requests whose client disconnected before the answer.
     client_disconnects,
-    /// Attempts that were never sent because the client had left before.
+    /// Attempts never sent because the client had disconnected before.
     unsent_after_disconnect,
     /// The longest time between the two, in milliseconds, rounded up.
     longest_unsent_after_disconnect_ms,
-    /// Clients that were found to have left while their connections were not read.
+    /// Clients found to be disconnected while their connections were not read.
     disconnects_while_unread,
     /// Client connections accepted.
     clients_accepted,
     /// Client connections closed, by either side.
     clients_closed,
-    /// Replies of peers that can't be read.
+    /// Unreadable answers of caches.
     upstream_unreadable,
-    /// Of these, for standing still before their end.
+    /// Of these, those that stalled before their end.
     upstream_stalled,
-    /// Long values passed on as they came.
+    /// Long values that were streamed.
     streamed,
-    /// Of these, broken off by the cache: the client's connection was ended.
+    /// Of these, aborted by the cache: the client's connection was closed.
     streams_aborted,
-    /// Attempts and probes without a place for another connection.
+    /// Attempts and health checks without a slot for another connection.
     upstream_slots_exhausted,
-    /// Of these, for saying nothing, or half a command, for too long.
+    /// Client connections closed for sending nothing, or half a command, for too long.
     clients_incomplete,
-    /// Of these, for having nothing open for long.
+    /// Client connections closed for being idle.
     clients_idle,
-    /// Connections to peers begun.
+    /// Upstream connections begun.
     upstream_opened,
-    /// Connections to peers closed, by either side.
+    /// Upstream connections closed, by either side.
     upstream_closed,
-    /// Messages of discovery taken.
+    /// Messages of discovery.
     discovery_messages,
-    /// Lines of the list that were left: of an older version than the line before.
+    /// Lines of the endpoint list that were skipped: of an older version than the line before.
     discovery_outdated_lines,
-    /// Calls of discovery begun.
+    /// Calls to discovery.
     discovery_calls,
-    /// Calls of discovery that failed or ended.
+    /// Calls to discovery that failed or ended.
     discovery_failed,
-    /// Of these, given up for saying nothing.
+    /// Of these, given up for being silent.
     discovery_silent,
     /// The longest silence before that, in milliseconds.
     longest_discovery_silence_ms,
-    /// Calls of the operators.
+    /// Admin calls.
     admin_calls,
-    /// Calls that were none: no HTTP, an unknown path, a wrong method, too long.
+    /// Invalid ones: no HTTP, an unknown path, a wrong method, too long.
     admin_calls_invalid,
-    /// Callers that sent no whole call in time.
+    /// Admin connections on which no whole call came in time.
     admin_calls_incomplete,
-    /// Unfinished callers closed for newcomers.
+    /// Unfinished admin connections closed for new ones.
     admin_calls_evicted,
-    /// Configurations read again and taken over.
+    /// Configurations reloaded.
     reloads,
-    /// Configurations read again and found faulty; the old one stayed.
+    /// Configurations that were faulty when reloaded; the old one stayed.
     reloads_failed,
 }
--- a/crates/balancer/src/event_loop/configuration.rs
+++ b/crates/balancer/src/event_loop/configuration.rs
@@ -21,7 +21,7 @@
         self.counters.reloads += 1;
         log::info!("the configuration was read again");
         // What discovery has sent since is newer.
-        config.known = None;
+        config.known_endpoints = None;
         let start_only = config.start_only(&self.config);
         if !start_only.is_empty() {
             log::warn!(
--- a/crates/balancer/src/event_loop/limits.rs
+++ b/crates/balancer/src/event_loop/limits.rs
@@ -53,10 +53,10 @@
             1
         };
         let descriptors = DescriptorBudget::new(
-            self.config.sockets / processes,
+            self.config.descriptors_max / processes,
             admin_descriptors(self.admin_listener.as_ref()),
         );
-        self.memory_limit = self.config.memory / processes / REQUEST_MEMORY_SHARE;
+        self.memory_limit = self.config.memory_max / processes / REQUEST_MEMORY_SHARE;
         self.upstream_pool.set_most(descriptors.upstream);
         self.upstream_pool.set_coming_most(self.memory_limit / 2);
         self.listener.set_connections_max(descriptors.clients);
--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -90,7 +90,7 @@
         let clock = Clock::start();
         let now = clock.now();
         let poll = Poll::new().map_err(StartupError::Poller)?;
-        let known_list = config.known.take();
+        let known_list = config.known_endpoints.take();
         let mut event_loop = EventLoop::open(config, clock, poll, now)?;
         event_loop.begin(known_list, now)?;
         Ok(event_loop)
@@ -101,7 +101,7 @@
         let lifecycle = new_lifecycle(&config);
         let poll_timestamps = PollTimestamps::start(now);
         let admin_descriptors = config.management.map_or(0, |_| ADMIN_DESCRIPTORS);
-        let descriptors = DescriptorBudget::new(config.sockets, admin_descriptors);
+        let descriptors = DescriptorBudget::new(config.descriptors_max, admin_descriptors);
         let listen_error = |source| StartupError::Listen {
             address: config.listen,
             source,
@@ -207,10 +207,10 @@
 /// it were alone.
 fn take_process_slot(config: &Config, now: Nanos) -> Option<ProcessSlots> {
     config.socket_fd?;
-    let folder = config.folder.as_ref()?;
+    let directory = config.hot_restart_directory.as_ref()?;
     let process = format!("{}-{now}", std::process::id());
-    ProcessSlots::take(folder, process)
-        .map_err(|e| log::warn!("process slot in $TMPDIR {}: {e}", folder.display()))
+    ProcessSlots::take(directory, process)
+        .map_err(|e| log::warn!("process slot in $TMPDIR {}: {e}", directory.display()))
         .ok()
 }
 
--- a/crates/balancer/src/event_loop/tests/discovery.rs
+++ b/crates/balancer/src/event_loop/tests/discovery.rs
@@ -116,7 +116,7 @@
 #[test]
 fn idle_clients_at_the_limit_leave_discovery_its_descriptor() {
     const SOCKETS: usize = 64;
-    let mut harness = Harness::with_config(DEFAULTS, |config| config.sockets = SOCKETS);
+    let mut harness = Harness::with_config(DEFAULTS, |config| config.descriptors_max = SOCKETS);
     let places = DescriptorBudget::new(SOCKETS, 0).clients;
     harness.run_until(|event_loop| event_loop.counters.discovery_calls == 1);
     harness.turn(&[EventSource::Discovery(0)]);
--- a/crates/balancer/src/event_loop/tests/hot_restart.rs
+++ b/crates/balancer/src/event_loop/tests/hot_restart.rs
@@ -33,7 +33,7 @@
         let socket = self.listener.try_clone().unwrap();
         Harness::with_config(DEFAULTS, |config| {
             config.socket_fd = Some(socket.into_raw_fd());
-            config.folder = Some(self.folder.clone());
+            config.hot_restart_directory = Some(self.folder.clone());
         })
     }
 
@@ -155,7 +155,7 @@
         (alone / 2, alone / 2)
     );
     let mut reloaded = old.event_loop.config.clone();
-    reloaded.memory *= 2;
+    reloaded.memory_max *= 2;
     old.event_loop.apply_config(reloaded, now);
     assert_eq!(
         old.event_loop.memory_limit, alone,
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -47,8 +47,8 @@
 fn run() -> Result<(), Box<dyn Error>> {
     let config = Config::load(|name| std::env::var(name).ok())?;
     log::info!("{}: discovery is at {}", config.name, config.discovery);
-    for remark in &config.remarks {
-        log::warn!("configuration: settings.{remark}");
+    for warning in &config.warnings {
+        log::warn!("configuration: settings.{warning}");
     }
     log::debug!("{:?}", config.settings);
     EventLoop::new(config)?.run()?;
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,11 +1,11 @@
-//! The neutral request context: what every front's requests have in common, whatever protocol they came by.
+//! Requests: what all of them have in common, whichever listener they came by.
 
 use crate::resp::write_command;
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::BTreeMap;
 
-/// The right to answer one request, and the duty. It can't be copied, and answering uses it up: so nothing is
-/// answered twice.
+/// The right and the duty to answer one request. It can't be copied, and answering consumes it, so that
+/// no request is answered twice.
 #[derive(Debug)]
 pub struct Ticket {
     /// The request.
@@ -14,130 +14,130 @@
     pub connection: u64,
 }
 
-/// A request as a front hands it in.
+/// A request as the listener hands it over.
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// The duty to answer it.
     pub ticket: Ticket,
-    /// Its class, by name.
+    /// The name of its class.
     pub class: String,
-    /// Its tenant, by name.
+    /// The name of its tenant.
     pub tenant: Option<String>,
-    /// The earliest time at which it can have come.
+    /// The earliest time at which it can have arrived.
     pub arrived_at: Nanos,
     /// How long the client waits from then on.
     pub client_timeout: Nanos,
-    /// The client's guess at the work on a standard core, if it gives one.
+    /// The client's estimate of the work on a standard core, if it gives one.
     pub estimated_work: Option<Nanos>,
-    /// What is passed on.
+    /// What is forwarded.
     pub command: CacheCommand,
 }
 
-/// What a peer is to do, in the client's words.
+/// What a cache is to do, in the client's words.
 #[derive(Debug)]
 pub struct CacheCommand {
     /// The value of a write; a read has none.
     pub value: Option<Vec<u8>>,
-    /// What it concerns.
+    /// The key.
     pub key: Vec<u8>,
-    /// The client's id for it.
+    /// The client's id for the request.
     pub request_id: Vec<u8>,
-    /// The client's names and values but for its patience, which is told anew with each try.
+    /// The client's fields but for its timeout, which is sent anew with each attempt.
     pub fields: Vec<(String, String)>,
 }
 
 impl CacheCommand {
-    /// The command for a peer that is waited for so many milliseconds.
-    pub fn encode(&self, ms: u64) -> Vec<u8> {
+    /// Encodes the command for an attempt with this timeout.
+    #[must_use]
+    pub fn encode(&self, timeout_ms: u64) -> Vec<u8> {
         let mut fields = String::new();
         for (name, value) in &self.fields {
             fields.push_str(&format!("{name}={value},"));
         }
-        fields.push_str(&format!("d={ms}"));
+        fields.push_str(&format!("d={timeout_ms}"));
+        let fields = fields.as_bytes();
         match &self.value {
-            None => write_command(&[b"C.GET", &self.key, &self.request_id, fields.as_bytes()]),
-            Some(value) => write_command(&[
-                b"C.SET",
-                &self.key,
-                &self.request_id,
-                fields.as_bytes(),
-                value,
-            ]),
+            None => write_command(&[b"C.GET", &self.key, &self.request_id, fields]),
+            Some(value) => write_command(&[b"C.SET", &self.key, &self.request_id, fields, value]),
         }
     }
 
     /// Bytes that it holds.
+    #[must_use]
     pub fn byte_size(&self) -> usize {
         let fields: usize = self
             .fields
             .iter()
             .map(|(name, value)| name.len() + value.len())
             .sum();
-        self.value.as_ref().map_or(0, Vec::len) + self.key.len() + self.request_id.len() + fields
+        let value = self.value.as_ref().map_or(0, Vec::len);
+        value + self.key.len() + self.request_id.len() + fields
     }
 }
 
-/// The final answer of a request.
+/// The final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The value or receipt that a peer gave for this request.
+    /// The value or receipt that a cache gave for this request.
     Served(Vec<u8>),
-    /// The same, of this length; the value comes in parts and may still break off.
+    /// The same, of this length; the value arrives in parts and may still break off.
     Streaming(usize),
-    /// Turned away: trying again is harmless, after this long if it is not 0.
+    /// Rejected: a retry is harmless.
     Rejected {
-        /// The advice.
+        /// How long the client should wait before it; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Failed.
+    /// Failed: the request may have had an effect.
     Failed,
-    /// The request makes no sense, so it was passed on to nobody; why.
+    /// The request makes no sense and was forwarded to no cache; why.
     Invalid(&'static str),
 }
 
-/// One attempt at a peer.
+/// One attempt.
 #[derive(Debug)]
 pub struct AttemptRecord {
-    /// Where it went.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// When.
+    /// When it was sent.
     pub sent_at: Nanos,
-    /// For how long the process had been held up by then, in all.
+    /// For how long the process had stalled by then, in all.
     pub stalled_before: Nanos,
-    /// When it has had its time.
+    /// When it times out.
     pub deadline: Nanos,
     /// Its first byte is written by then or never.
     pub write_deadline: Nanos,
 }
 
-/// A request from its arrival until it is answered and nothing of it is out any more.
+/// A request from its arrival until it is answered and none of its attempts is in flight.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Until it is answered or the client has left.
+    /// Until it is answered or its client has disconnected.
     pub ticket: Option<Ticket>,
-    /// When its client left.
+    /// When its client disconnected.
     pub client_left_at: Option<Nanos>,
-    /// What is passed on.
+    /// What is forwarded.
     pub command: CacheCommand,
-    /// When the client gives up.
+    /// When the client times out.
     pub deadline: Nanos,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub attempts: BTreeMap<AttemptNumber, AttemptRecord>,
 }
 
 impl RequestContext {
-    /// The context of a request that has just come.
-    pub fn new(ticket: Ticket, order: CacheCommand, deadline: Nanos) -> Self {
+    /// The context of a request that has just arrived.
+    #[must_use]
+    pub fn new(ticket: Ticket, command: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
             ticket: Some(ticket),
             client_left_at: None,
-            command: order,
+            command,
             deadline,
             attempts: BTreeMap::new(),
         }
     }
 
-    /// Nothing is owed and nothing expected any more.
+    /// Whether no answer is owed and no attempt is in flight.
+    #[must_use]
     pub fn is_finished(&self) -> bool {
         self.ticket.is_none() && self.attempts.is_empty()
     }
