--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration: the only place where the environment and the configuration file are read, checked
-//! and given defaults.
+//! The configuration: the only place where the environment and the configuration file are read,
+//! checked and given defaults.
 
 mod error;
 mod fleet;
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -51,7 +51,8 @@
 
 /// The balancer at run time: all state that a turn reads and changes.
 pub struct EventLoop {
-    /// The configuration in force, but for the known endpoint list, which is taken out at the start.
+    /// The configuration in force, but for the known endpoint list, which is taken out at the
+    /// start.
     config: Config,
     clock: Clock,
     poll: Poll,
--- a/crates/balancer/src/event_loop/decisions.rs
+++ b/crates/balancer/src/event_loop/decisions.rs
@@ -79,9 +79,10 @@
                 self.upstream_pool.close_idle(endpoint, &mut self.counters)
             }
             Action::QueryDiscovery => self.start_watch(now),
-            Action::SetTimer { after, token } => self
-                .timers
-                .set(now.saturating_add(after), TimerKind::Engine(token)),
+            Action::SetTimer { after, token } => {
+                let at = now.saturating_add(after);
+                self.timers.set(at, TimerKind::Engine(token));
+            }
             Action::Log(text) => log::info!("{text}"),
         }
     }
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -1,4 +1,5 @@
-//! Endpoint updates: what discovery sends goes to the engine and to the upstream pool, a part at a time.
+//! Endpoint updates: what discovery sends goes to the engine and to the upstream pool, a part at a
+//! time.
 
 use super::EventLoop;
 use crate::discovery::messages::ListPart;
@@ -80,9 +81,9 @@
     }
 
     /// Applies a list that is known from before, in one turn: no client is served before it.
-    pub(super) fn load_known_list(&mut self, list: EndpointList) {
-        self.discovery.learn(&list);
-        self.apply_list(&list, ListSource::Remembered);
+    pub(super) fn load_known_list(&mut self, list: &EndpointList) {
+        self.discovery.learn(list);
+        self.apply_list(list, ListSource::Remembered);
         if !list.hosts.is_empty() {
             self.endpoints_listed();
         }
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -18,6 +18,7 @@
 const POSTPONED_TURNS_MAX: u32 = 3;
 
 /// An attempt as the engine wants it sent.
+#[derive(Clone, Copy)]
 pub(super) struct AttemptOrder {
     pub(super) request: RequestId,
     pub(super) attempt: AttemptNumber,
--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Hot restart: the event loop checks on the other process of this balancer, and hands its state over
-//! or takes that of the other.
+//! Hot restart: the event loop checks on the other process of this balancer, and hands its state
+//! over or takes that of the other.
 
 use super::EventLoop;
 use crate::state_transfer::StateTransfer;
@@ -33,7 +33,7 @@
             self.apply_limits();
         }
         match received {
-            Some(Ok(state)) => self.restore_state(state),
+            Some(Ok(state)) => self.restore_state(&state),
             Some(Err(e)) => log::warn!("notes of the other process: {e}; going on without"),
             None => {}
         }
@@ -66,14 +66,14 @@
 
     /// Takes over the state of the other process; its endpoint list only if discovery has sent no
     /// newer one.
-    fn restore_state(&mut self, state: StateTransfer) {
+    fn restore_state(&mut self, state: &StateTransfer) {
         let known = self.discovery.seq().unwrap_or(0);
         log::info!(
             "notes of the other process: list {}, {known} is known",
             state.endpoint_list.seq,
         );
         if state.endpoint_list.seq > known {
-            self.load_known_list(state.endpoint_list);
+            self.load_known_list(&state.endpoint_list);
         }
         // The list goes first: the snapshot is of endpoints that are listed.
         self.run_decisions();
--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -1,6 +1,6 @@
 //! Processing of ready sockets, in the order in which their news matters to each other: endpoint
-//! updates first, outcomes before new requests, so that the engine decides by the latest state. What
-//! waits to be written goes last, behind disconnects and endpoint updates of the same poll.
+//! updates first, outcomes before new requests, so that the engine decides by the latest state.
+//! What waits to be written goes last, behind disconnects and endpoint updates of the same poll.
 
 use super::EventLoop;
 use super::dispatch::PollState;
@@ -98,7 +98,8 @@
         self.handle_upstream_events(now, events);
     }
 
-    /// A timeout for something to come counts until the last poll that did not report it, no longer.
+    /// A timeout for something to come counts until the last poll that did not report it, no
+    /// longer.
     fn process_timers(&mut self, now: Nanos) {
         self.turn_meter.step(TurnStep::Timers, self.clock.now());
         while let Some(timer) = self.timers.pop_expired(self.poll_timestamps.quiet()) {
--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -154,9 +154,10 @@
         self.check_other_process(now);
         self.join_fleet(now)?;
         match known {
-            Some(list) => self.load_known_list(list),
+            Some(list) => self.load_known_list(&list),
             // The engine asks discovery on its first event. Without a list there would be none
-            // before the first client comes, and clients are not sent to a process that isn't ready.
+            // before the first client comes, and clients are not sent to a process that isn't
+            // ready.
             None => self.pending_events.push(Event::TimerFired(TimerToken(0))),
         }
         if self.discovery.is_pushed() {
--- a/crates/balancer/src/event_loop/tests/discovery.rs
+++ b/crates/balancer/src/event_loop/tests/discovery.rs
@@ -112,7 +112,8 @@
     }
 }
 
-/// Idle clients fill the places while calls of discovery fail: the descriptors that are kept stay free, and the call goes out again.
+/// Idle clients fill the places while calls of discovery fail: the descriptors that are kept stay
+/// free, and the call goes out again.
 #[test]
 fn idle_clients_at_the_limit_leave_discovery_its_descriptor() {
     const SOCKETS: usize = 64;
--- a/crates/balancer/src/event_loop/tests/harness.rs
+++ b/crates/balancer/src/event_loop/tests/harness.rs
@@ -1,5 +1,5 @@
-//! An event loop between caches, a discovery service and clients that the test plays. The test decides
-//! which sockets are reported in a turn, and in which order.
+//! An event loop between caches, a discovery service and clients that the test plays. The test
+//! decides which sockets are reported in a turn, and in which order.
 
 use crate::config::Config;
 use crate::event_loop::EventLoop;
@@ -131,15 +131,16 @@
         self.process(vec![ready]);
     }
 
-    /// One turn in which just these are ready, in this order. Each is waited for, however long the kernel takes.
+    /// One turn in which just these are ready, in this order. Each is waited for, however long the
+    /// kernel takes.
     pub(super) fn turn(&mut self, sources: &[EventSource]) {
         self.event_loop.run_decisions();
         let ready: Vec<Readiness> = sources.iter().map(|source| self.wait(*source)).collect();
         self.process(ready);
     }
 
-    /// A turn behind a look that reports just these, and as many more without any as attempts wait for, however slow the
-    /// machine is.
+    /// A turn behind a look that reports just these, and as many more without any as attempts wait
+    /// for, however slow the machine is.
     pub(super) fn process(&mut self, mut ready: Vec<Readiness>) {
         loop {
             let now = self.event_loop.clock.now();
--- a/crates/balancer/src/event_loop/tests/hot_restart.rs
+++ b/crates/balancer/src/event_loop/tests/hot_restart.rs
@@ -5,7 +5,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::IntoRawFd;
 
-/// Two processes of one balancer on one listening socket, with a folder for what they tell each other.
+/// Two processes of one balancer on one listening socket, with a folder for what they tell each
+/// other.
 struct Pair {
     folder: std::path::PathBuf,
     listener: TcpListener,
--- a/crates/balancer/src/lifecycle.rs
+++ b/crates/balancer/src/lifecycle.rs
@@ -1,12 +1,12 @@
-//! The lifecycle of the process, without I/O: starting, serving, quiesced, ending. It is notified of
-//! what happens and when; what the listeners answer and do follows from it alone.
+//! The lifecycle of the process, without I/O: starting, serving, quiesced, ending. It is notified
+//! of what happens and when; what the listeners answer and do follows from it alone.
 
 use crate::timers::MS;
 use routing::Nanos;
 
-/// How long idle client connections stay open once the process drains: a load balancer in front that
-/// checks health ten times a second and takes 0.2 s to redirect clients has done so by then. A client
-/// that is disconnected sooner only comes back.
+/// How long idle client connections stay open once the process drains: a load balancer in front
+/// that checks health ten times a second and takes 0.2 s to redirect clients has done so by then. A
+/// client that is disconnected sooner only comes back.
 const IDLE_CLOSE_DELAY: Nanos = 400 * MS;
 /// How long new connections are accepted after a request to stop: they keep coming for up to 0.4 s.
 /// By the protocol what comes later has to be answered before the process is killed.
@@ -14,8 +14,8 @@
 /// How long commands are accepted on a connection that is to close as soon as it is idle: a client
 /// that sends without pause would keep it open for good. A shutdown may leave less time.
 const COMMAND_INTAKE_TIME: Nanos = 1_500 * MS;
-/// By the protocol a process is killed no sooner than `ACCEPT_TIME_WHILE_ENDING` and the longest client
-/// timeout after the request to stop. A longer client timeout than this counts as this.
+/// By the protocol a process is killed no sooner than `ACCEPT_TIME_WHILE_ENDING` and the longest
+/// client timeout after the request to stop. A longer client timeout than this counts as this.
 const CLIENT_TIMEOUT_MAX: Nanos = 3_000 * MS;
 /// The last answer is given this long before that.
 const KILL_MARGIN: Nanos = 100 * MS;
--- a/crates/balancer/src/lifecycle/tests.rs
+++ b/crates/balancer/src/lifecycle/tests.rs
@@ -235,7 +235,8 @@
         let stance = lifecycle.policy(now);
         prop_assert!(!stance.ready || !stance.closes_idle && stance.listener_mode == ListenerMode::Open && stance.accepts_commands);
         prop_assert!(stance.closes_idle || stance.listener_mode == ListenerMode::Open, "who isn't taken is not kept either");
-        // From everywhere but an end a resume and a list lead back to work; from there nothing does.
+        // From everywhere but an end a resume and a list lead back to work; from there nothing
+        // does.
         let ending = lifecycle.name() == "ending";
         lifecycle.endpoints_listed();
         prop_assert_eq!(lifecycle.resume().is_err(), ending);
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -1,5 +1,5 @@
-//! The admin listener: HTTP/1.1, one request to a connection. It reads requests and writes responses;
-//! what a command does is the lifecycle's. A silent connection keeps no other waiting.
+//! The admin listener: HTTP/1.1, one request to a connection. It reads requests and writes
+//! responses; what a command does is the lifecycle's. A silent connection keeps no other waiting.
 
 mod http;
 
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Writes what the socket takes. Once all is written the peer has to close: closing over what it
-    /// still sends would reset the response away. False if the connection is of no further use.
+    /// Writes what the socket takes. Once all is written the peer has to close: closing over what
+    /// it still sends would reset the response away. False if the connection is of no further use.
     fn write(&mut self) -> bool {
         while self.written < self.output.len() {
             match self.stream.socket().write(&self.output[self.written..]) {
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -186,8 +186,8 @@
     }
 
     /// Applies what follows from the lifecycle now. Clients that wait in the backlog of a socket
-    /// that is about to close are accepted first, and what has arrived is read before its connection
-    /// is closed: otherwise it would be lost.
+    /// that is about to close are accepted first, and what has arrived is read before its
+    /// connection is closed: otherwise it would be lost.
     pub fn apply_policy(
         &mut self,
         policy: LifecyclePolicy,
--- a/crates/balancer/src/listener/resp/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/back_pressure.rs
@@ -1,4 +1,5 @@
-//! Long values that arrive in parts: a client that takes them slowly stops the reading of their cache.
+//! Long values that arrive in parts: a client that takes them slowly stops the reading of their
+//! cache.
 
 use super::connection::PendingResponse;
 use super::{ListenerEvent, RespListener};
@@ -67,9 +68,9 @@
         pending.unwrap_or(0)
     }
 
-    /// Whether the cache of a streamed value must not be read until the client has taken more, which
-    /// [`ListenerEvent::CapacityAvailable`] tells. Under memory pressure that is as soon as anything
-    /// waits.
+    /// Whether the cache of a streamed value must not be read until the client has taken more,
+    /// which [`ListenerEvent::CapacityAvailable`] tells. Under memory pressure that is as soon as
+    /// anything waits.
     pub fn apply_back_pressure(
         &mut self,
         connection: u64,
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -1,5 +1,5 @@
-//! Connection admission: which clients are accepted, and which connection is closed for a new one when
-//! all are taken.
+//! Connection admission: which clients are accepted, and which connection is closed for a new one
+//! when all are taken.
 
 use super::connection::ClientConnection;
 use super::idle_reaper::IDLE_CROWDED;
@@ -16,8 +16,8 @@
 /// At most this many connections are accepted in one turn: a flood of them must not delay the rest.
 pub(super) const ACCEPT_MAX: usize = 64;
 /// At the connection limit a connection that is idle this long is closed for a new one, those that
-/// are idle longest first: what clients with one command a connection leave behind makes room at the
-/// pace at which they come.
+/// are idle longest first: what clients with one command a connection leave behind makes room at
+/// the pace at which they come.
 pub(super) const EVICT_IDLE_AFTER: Nanos = 20 * MS;
 /// The same for a connection on which nothing ever arrived.
 pub(super) const EVICT_SILENT_AFTER: Nanos = 20 * MS;
@@ -27,8 +27,8 @@
 /// If more than one in so many connections is silent, those alone are closed for new ones.
 const SILENT_SHARE: usize = 4;
 
-/// The order in which connections are closed for new ones. Connections on which nothing ever arrived
-/// go before those that are idle, or silent clients would evict the others.
+/// The order in which connections are closed for new ones. Connections on which nothing ever
+/// arrived go before those that are idle, or silent clients would evict the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     Closing,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Accepts everyone who waits, in as many rounds as it takes. Connections that were just accepted
-    /// are too new to be evicted, so the connection limit ends it.
+    /// Accepts everyone who waits, in as many rounds as it takes. Connections that were just
+    /// accepted are too new to be evicted, so the connection limit ends it.
     pub(super) fn accept_all(&mut self, now: Nanos, counters: &mut Counters) {
         let mut accepted_before = None;
         while accepted_before.replace(counters.clients_accepted) != Some(counters.clients_accepted)
--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -91,7 +91,8 @@
                 }
             };
             // A connection that has sent no command yet may still send one; one that never ends
-            // must not stay open for good. Commands beyond that are answered, or they would be lost.
+            // must not stay open for good. Commands beyond that are answered, or they would be
+            // lost.
             let is_accepted = self.policy.accepts_commands || !connection.has_sent_command;
             (connection.has_sent_command, connection.command_since) = (true, now);
             let ticket = Ticket {
--- a/crates/balancer/src/listener/resp/output.rs
+++ b/crates/balancer/src/listener/resp/output.rs
@@ -1,4 +1,5 @@
-//! Writing of client connections: answers in the order of the commands, and the end of a connection.
+//! Writing of client connections: answers in the order of the commands, and the end of a
+//! connection.
 
 use super::connection::PendingResponse;
 use super::responses::encode;
@@ -18,17 +19,24 @@
 
 impl RespListener {
     /// Gives the final answer for a ticket; it is sent once those before it on its connection are.
+    // Answering consumes the ticket.
+    #[allow(clippy::needless_pass_by_value)]
     pub fn answer(&mut self, ticket: Ticket, answer: FinalAnswer) {
-        let Some(connection) = self.connections.get_mut(&ticket.connection) else {
+        let Ticket {
+            request,
+            connection,
+        } = ticket;
+        let Some(connection) = self.connections.get_mut(&connection) else {
             return;
         };
-        let response = connection.responses.iter_mut().find(
-            |response| matches!(response, PendingResponse::Waiting(id) if *id == ticket.request),
-        );
+        let response = connection
+            .responses
+            .iter_mut()
+            .find(|response| matches!(response, PendingResponse::Waiting(id) if *id == request));
         if let Some(response) = response {
             *response = match answer {
                 FinalAnswer::Streaming(_) => PendingResponse::Streaming {
-                    request: ticket.request,
+                    request,
                     bytes: encode(answer),
                     paused: false,
                 },
@@ -130,7 +138,8 @@
     }
 
     /// Discards what still arrives on a closing connection, where its framing is lost. A command
-    /// that can be read stays unread: its client learns of that by the reset, and sends it elsewhere.
+    /// that can be read stays unread: its client learns of that by the reset, and sends it
+    /// elsewhere.
     pub(super) fn drain_closing(
         &mut self,
         number: u64,
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -54,7 +54,8 @@
     (listener, connect)
 }
 
-/// The connections that do not leave: to the others nothing more is sent, and they close once the client has.
+/// The connections that do not leave: to the others nothing more is sent, and they close once the
+/// client has.
 fn open_connections(listener: &RespListener) -> Vec<u64> {
     listener
         .connections
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -10,6 +10,9 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
+/// The length of a streamed value, far over what the sockets buffer.
+const LENGTH: usize = 64 << 20;
+
 /// A listener with two requests taken on one connection, and that connection.
 fn two_requests() -> (RespListener, TcpStream, Vec<Ticket>, Counters) {
     let (mut listener, connect) = start_listener(9);
@@ -71,7 +74,6 @@
     let (mut listener, mut client, mut tickets, mut counters) = two_requests();
     let first = tickets.remove(0);
     let (request, mut events) = (first.request, Vec::new());
-    const LENGTH: usize = 64 << 20;
     listener.answer(first, FinalAnswer::Streaming(LENGTH));
     let mut sent = 0;
     while !listener.apply_back_pressure(0, request, MemoryPressure::Low) {
@@ -96,7 +98,8 @@
     }
     assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
     assert_eq!(listener.buffered(), 0);
-    // The cache breaks off: the client must be able to tell, and the request behind has nobody to wait for.
+    // The cache breaks off: the client must be able to tell, and the request behind has nobody to
+    // wait for.
     events.clear();
     listener.finish_streaming(
         0,
--- a/crates/balancer/src/listener/resp/tests/disconnects.rs
+++ b/crates/balancer/src/listener/resp/tests/disconnects.rs
@@ -35,7 +35,8 @@
                 .unwrap();
             1
         }
-        // Behind the most that may be owed more has come than is kept, and the rest is in the socket.
+        // Behind the most that may be owed more has come than is kept, and the rest is in the
+        // socket.
         Unread::Full => {
             client
                 .write_all(&command.repeat(PENDING_RESPONSES_MAX + INPUT_MAX / command.len() + 100))
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -119,7 +119,8 @@
     let (mut listener, connect) = start_listener(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
-    // It takes little at a time: most of the answer is still on its way when the connection is closed.
+    // It takes little at a time: most of the answer is still on its way when the connection is
+    // closed.
     SockRef::from(&client).set_recv_buffer_size(4_096).unwrap();
     listener.accept(0, &mut counters);
     let command = read_request(9);
@@ -239,7 +240,8 @@
             listener.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(rest).unwrap();
         }
-        // It comes behind the look at what there is to read, and before the answer that would have the connection end.
+        // It comes behind the look at what there is to read, and before the answer that would have
+        // the connection end.
         Crosses::BehindAnAnswer => {
             client.write_all(&command).unwrap();
             listener.ready(1, ready, &mut events, &mut counters);
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,9 +1,9 @@
 //! `pipitrun`, a load balancer for tile caches: the daemon round the decision engine of `routing`.
 //!
 //! A request passes these modules: `listener` parses the client's command, `event_loop::admission`
-//! admits it, `event_loop::decisions` asks the engine, `event_loop::dispatch` and `upstream_pool` send
-//! attempts, `attempt_tracker` matches their outcomes to the request, and `event_loop::responses` has
-//! the listener answer it. All decisions are the engine's.
+//! admits it, `event_loop::decisions` asks the engine, `event_loop::dispatch` and `upstream_pool`
+//! send attempts, `attempt_tracker` matches their outcomes to the request, and
+//! `event_loop::responses` has the listener answer it. All decisions are the engine's.
 #![deny(unsafe_code)]
 
 mod attempt_tracker;
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -1,5 +1,5 @@
-//! Readiness of sockets: a wrapper round `polling` in which a socket is watched exactly as long as its
-//! guard lives.
+//! Readiness of sockets: a wrapper round `polling` in which a socket is watched exactly as long as
+//! its guard lives.
 
 use polling::{AsSource, Event, Events, PollMode, Poller};
 use std::io;
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -4,8 +4,8 @@
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::BTreeMap;
 
-/// The right and the duty to answer one request. It can't be copied, and answering consumes it, so that
-/// no request is answered twice.
+/// The right and the duty to answer one request. It can't be copied, and answering consumes it, so
+/// that no request is answered twice.
 #[derive(Debug)]
 pub struct Ticket {
     /// The request.
--- a/crates/balancer/src/resp.rs
+++ b/crates/balancer/src/resp.rs
@@ -1,8 +1,8 @@
-//! RESP2, as both sides speak it: clients send commands and get replies; towards caches it is the other
-//! way round.
+//! RESP2, as both sides speak it: clients send commands and get replies; towards caches it is the
+//! other way round.
 //!
-//! The parser works on what has arrived so far: `Ok(None)` means that more has to arrive, an error that
-//! the framing is lost and the connection of no further use.
+//! The parser works on what has arrived so far: `Ok(None)` means that more has to arrive, an error
+//! that the framing is lost and the connection of no further use.
 
 mod encoder;
 mod parser;
@@ -16,8 +16,8 @@
 
 /// The longest value of a write, by the protocol, in bytes.
 pub const VALUE_MAX: usize = 64 * 1024;
-/// The longest value taken from a cache, in bytes; one over [`VALUE_MAX`] is streamed. A response that
-/// claims a longer value is unreadable.
+/// The longest value taken from a cache, in bytes; one over [`VALUE_MAX`] is streamed. A response
+/// that claims a longer value is unreadable.
 pub const RESPONSE_VALUE_MAX: usize = 4 << 20;
 /// The largest whole message, in bytes: no command or reply is longer.
 pub const MESSAGE_MAX: usize = 2 * VALUE_MAX;
--- a/crates/balancer/src/resp/parser.rs
+++ b/crates/balancer/src/resp/parser.rs
@@ -232,9 +232,10 @@
     completed(Parser::new(input).command())
 }
 
-/// Parses a cache's response to a request: three members in an array, or an error. With it comes its
-/// length, or none if the connection is of no further use. An invalid response is detected at the first
-/// byte that shows it, as the rest may never arrive. A value is good without the report behind it.
+/// Parses a cache's response to a request: three members in an array, or an error. With it comes
+/// its length, or none if the connection is of no further use. An invalid response is detected at
+/// the first byte that shows it, as the rest may never arrive. A value is good without the report
+/// behind it.
 ///
 /// # Errors
 /// If the input is no response.
--- a/crates/balancer/src/resp/tests.rs
+++ b/crates/balancer/src/resp/tests.rs
@@ -34,6 +34,10 @@
     assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
 }
 
+/// What follows the cache status, the load report read from it, and whether the connection stays
+/// of use.
+type TailCase<'a> = (&'a [u8], Option<&'a [u8]>, bool);
+
 #[test]
 fn invalid_response_is_detected_before_its_end() {
     let invalid: [&[u8]; 12] = [
@@ -65,8 +69,7 @@
         }
     };
     let head = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
-    type Case<'a> = (&'a [u8], Option<&'a [u8]>, bool);
-    let cases: [Case; 5] = [
+    let cases: [TailCase; 5] = [
         (b"$-1\r\n", None, true),
         (b"$3\r\nx=1\r\n", Some(b"x=1"), true),
         (b"$3\r\nx=", None, false),
--- a/crates/balancer/src/sockets.rs
+++ b/crates/balancer/src/sockets.rs
@@ -8,7 +8,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 
-/// What a non-blocking connect answers while it is under way (Linux; std has no stable name for it).
+/// What a non-blocking connect answers while it is under way (Linux; std has no stable name for
+/// it).
 const EINPROGRESS: i32 = 115;
 
 /// Why an inherited descriptor can't be used as a listener.
--- a/crates/balancer/tests/deployments.rs
+++ b/crates/balancer/tests/deployments.rs
@@ -1,6 +1,7 @@
-//! The settings of either deployment's shape, through the program: lists asked for or pushed, a short or a long grace,
-//! with and without tenants, guesses at the work, probes and marks of retries. By each a read is served, with its fields
-//! passed on, and a cache that drains gets nothing new from the news on.
+//! The settings of either deployment's shape, through the program: lists asked for or pushed, a
+//! short or a long grace, with and without tenants, guesses at the work, probes and marks of
+//! retries. By each a read is served, with its fields passed on, and a cache that drains gets
+//! nothing new from the news on.
 
 mod common;
 
@@ -103,7 +104,8 @@
     let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (cache, discovery) = (listen(), listen());
     let address = |l: &TcpListener| l.local_addr().expect("an address").to_string();
-    // All before the last have another effect, and their times go from a tenth of a second to half a minute.
+    // All before the last have another effect, and their times go from a tenth of a second to half
+    // a minute.
     let other = if repeated { "unsafe" } else { "safe" };
     let profiles: Vec<_> = (1..=classes)
         .map(|n| {
--- a/crates/balancer/tests/exchanges.rs
+++ b/crates/balancer/tests/exchanges.rs
@@ -16,8 +16,9 @@
 //! | `log TEXT` | the program's next log line with this text comes |
 //! | `exit` | the program must end with exit code 0 |
 //!
-//! Names with `client` connect to the program, those with `admin` to its management door; `cache`, `discovery` and `registry` are connected to. `\r`, `\n` and `\\` are
-//! escapes, `{N*x}` is N times the letter, `#` begins a comment line,
+//! Names with `client` connect to the program, those with `admin` to its management door; `cache`,
+//! `discovery` and `registry` are connected to. `\r`, `\n` and `\\` are escapes, `{N*x}` is N times
+//! the letter, `#` begins a comment line,
 //! `DISCOVERY`, `REGISTRY` (a second one) and `CACHE` are their addresses. Waits have no bound but [`PATIENCE`].
 
 mod common;
@@ -156,7 +157,8 @@
                 }
             }
             (_, ("do", "wn")) => {
-                // Its port stays taken: set free, it might soon be somebody else's, who takes connections.
+                // Its port stays taken: set free, it might soon be somebody else's, who takes
+                // connections.
                 let listener = self.listeners.remove(name).expect("it listens");
                 SockRef::from(&listener)
                     .shutdown(Shutdown::Both)
--- a/crates/balancer/tests/hold_ups.rs
+++ b/crates/balancer/tests/hold_ups.rs
@@ -1,5 +1,6 @@
-//! The process is held up by SIGSTOP while events cross. Once it goes on, nothing is sent by what it knew before: not for
-//! a client that has closed, nor once the request's time is over, whichever way the attempt takes.
+//! The process is held up by SIGSTOP while events cross. Once it goes on, nothing is sent by what
+//! it knew before: not for a client that has closed, nor once the request's time is over, whichever
+//! way the attempt takes.
 
 mod common;
 
@@ -80,7 +81,8 @@
         self.program.signal("CONT");
     }
 
-    /// Has the loop pass all that was ready when the process went on: an answer of its own comes behind that.
+    /// Has the loop pass all that was ready when the process went on: an answer of its own comes
+    /// behind that.
     fn settled(&self) {
         for _ in 0..5 {
             let mut client = self.client(b"*1\r\n$4\r\nPING\r\n");
@@ -129,7 +131,8 @@
     .into_bytes()
 }
 
-/// A cache at which no connection comes up until [`FullCache::make_room`]: its queue of connections is full.
+/// A cache at which no connection comes up until [`FullCache::make_room`]: its queue of connections
+/// is full.
 struct FullCache {
     listener: TcpListener,
     queued: Vec<TcpStream>,
@@ -150,7 +153,8 @@
         FullCache { listener, queued }
     }
 
-    /// Takes all that were queued, and waits until the program's own connection is up: the kernel asks again within 3 s.
+    /// Takes all that were queued, and waits until the program's own connection is up: the kernel
+    /// asks again within 3 s.
     fn make_room(listener: &TcpListener, queued: usize) {
         (0..queued).for_each(|_| drop(accept(listener)));
         let mut next = [PollFd::new(listener, PollFlags::IN)];
@@ -205,7 +209,8 @@
     came
 }
 
-/// A request whose second attempt falls due during the hold-up; what came to the caches besides the first attempt.
+/// A request whose second attempt falls due during the hold-up; what came to the caches besides the
+/// first attempt.
 fn as_a_second_attempt(name: &str, command: &[u8], closes: bool) -> String {
     let setting = Setting::new(name, vec![listen(), listen()]);
     let client = setting.client(command);
@@ -234,7 +239,8 @@
     poll(&mut next, Some(&Timespec::default())) == Ok(1)
 }
 
-/// The ways of an attempt: of a request as it comes, on a connection that came up late, as a hedge, as a retry.
+/// The ways of an attempt: of a request as it comes, on a connection that came up late, as a hedge,
+/// as a retry.
 fn by_each_way(name: &str, closes: bool, d: u64) -> [String; 4] {
     let second = d.min(800);
     [
--- a/crates/balancer/tests/long_values.rs
+++ b/crates/balancer/tests/long_values.rs
@@ -1,4 +1,5 @@
-//! Many long values before clients that do not read: the process holds little of them, and each comes whole once it is read.
+//! Many long values before clients that do not read: the process holds little of them, and each
+//! comes whole once it is read.
 
 mod common;
 
@@ -8,7 +9,8 @@
 
 const LENGTH: usize = 4 << 20;
 const CLIENTS: usize = 16;
-/// Commands of each client, at once: what stands behind the first value waits in the process, not in the sockets' buffers.
+/// Commands of each client, at once: what stands behind the first value waits in the process, not
+/// in the sockets' buffers.
 const COMMANDS: usize = 4;
 /// What the process may use, in MB: far less than the values together (256).
 const MEMORY: usize = 16;
--- a/crates/balancer/tests/start.rs
+++ b/crates/balancer/tests/start.rs
@@ -1,4 +1,5 @@
-//! A start without any list: discovery is asked at once, and the process is ready when it has answered, though no client has come.
+//! A start without any list: discovery is asked at once, and the process is ready when it has
+//! answered, though no client has come.
 
 mod common;
 
--- a/crates/balancer/tests/upgrade.rs
+++ b/crates/balancer/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Two processes of one balancer on a listening socket that both inherit, under a stream of requests: a new version takes over,
-//! and either of them is killed.
+//! Two processes of one balancer on a listening socket that both inherit, under a stream of
+//! requests: a new version takes over, and either of them is killed.
 
 mod common;
 
@@ -19,8 +19,8 @@
     "settings":{"group_size":1,"membership_mode":"subscribe","caps":{"max_attempts":1},
         "profiles":[{"name":"read","repeat":"safe","goal_time_ns":3000000000,"give_up_ns":9000000000}]}}"#;
 
-// One attempt: with more, a try is given up after some 15 ms here, and a cache that a busy machine halts for that long has
-// requests refused, which is none of the hand-over's doing.
+// One attempt: with more, a try is given up after some 15 ms here, and a cache that a busy machine
+// halts for that long has requests refused, which is none of the hand-over's doing.
 
 /// Reads one RESP command; none at the end.
 fn command(from: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
@@ -51,7 +51,8 @@
                 let mut from = BufReader::new(stream.try_clone().unwrap());
                 let mut to = stream;
                 while let Some(words) = command(&mut from) {
-                    // As a cache does; answers within microseconds have tries given up after one millisecond.
+                    // As a cache does; answers within microseconds have tries given up after one
+                    // millisecond.
                     std::thread::sleep(Duration::from_millis(5));
                     let id = String::from_utf8(words[2].clone()).unwrap();
                     let answer = format!("*3\r\n${}\r\n{id}\r\n$3\r\nhit\r\n$-1\r\n", id.len());
@@ -117,7 +118,8 @@
     }
 }
 
-/// One request on this connection; false if the connection has ended without an answer. Whatever comes must be the whole answer.
+/// One request on this connection; false if the connection has ended without an answer. Whatever
+/// comes must be the whole answer.
 fn ask(stream: &mut TcpStream, id: &str) -> bool {
     let fields = "c=read,d=9000";
     let command = format!(
@@ -165,7 +167,8 @@
                     let used: Option<TcpStream> = kept.take();
                     let fresh = used.is_none();
                     let mut stream = used.unwrap_or_else(|| connect(&address));
-                    // A kept connection may end between two requests: the one that crosses that is asked again.
+                    // A kept connection may end between two requests: the one that crosses that is
+                    // asked again.
                     let mut done = ask(&mut stream, &id);
                     if !done && !fresh {
                         stream = connect(&address);
@@ -286,7 +289,8 @@
     );
 }
 
-/// The fleet's talk has one address: the newer process serves without it until the older one has left.
+/// The fleet's talk has one address: the newer process serves without it until the older one has
+/// left.
 #[test]
 fn the_newer_process_takes_the_talk_over_once_the_older_has_left() {
     let stage = Stage::set("fleet");
