--- a/crates/balancer/src/event_loop/decisions.rs
+++ b/crates/balancer/src/event_loop/decisions.rs
@@ -76,7 +76,7 @@
             Action::Cancel { request, attempt } => self.cancel_attempt(now, request, attempt),
             Action::HealthCheck(endpoint) => self.start_health_check(now, endpoint),
             Action::CloseIdleConnections(endpoint) => {
-                self.upstream_pool.close_idle(endpoint, &mut self.counters)
+                self.upstream_pool.close_idle(endpoint, &mut self.counters);
             }
             Action::QueryDiscovery => self.start_watch(now),
             Action::SetTimer { after, token } => {
--- a/crates/balancer/tests/deployments.rs
+++ b/crates/balancer/tests/deployments.rs
@@ -1,38 +1,31 @@
-//! The settings of either deployment's shape, through the program: lists asked for or pushed, a
-//! short or a long grace, with and without tenants, guesses at the work, probes and marks of
-//! retries. By each a read is served, with its fields passed on, and a cache that drains gets
-//! nothing new from the news on.
+//! The settings of either deployment's shape, through the program: lists that are polled or pushed, a
+//! short or a long grace, with and without tenants, estimates of work, health checks and marks of
+//! retries. With each a read is served, with its fields forwarded, and a draining cache gets nothing new
+//! from the update on.
 
 mod common;
 
-use common::{Program, accept, read_until};
+use common::{ConfigFile, Program, accept, listen, local, read_until, resp_command};
 use rstest::rstest;
 use serde_json::json;
 use std::io::{Read, Write};
-use std::net::TcpListener;
 
 const MS: u64 = 1_000_000;
 
 fn get(id: u32, fields: &str) -> String {
-    let (id, length) = (id.to_string(), fields.len());
-    format!(
-        "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n${}\r\n{id}\r\n${length}\r\n{fields}\r\n",
-        id.len()
-    )
+    resp_command(&["C.GET", "a", &id.to_string(), fields])
 }
 
 #[rstest]
-fn a_read_is_served_and_a_drain_is_heeded(
+fn read_is_served_and_a_draining_cache_gets_no_more(
     #[values("automatic", "subscribe")] mode: &str,
     #[values(500, 2_500)] grace_ms: u64,
     #[values("t=acme,", "")] tenant: &str,
-    #[values("h=48211,", "")] guess: &str,
+    #[values("h=48211,", "")] estimate: &str,
     #[values((true, ",r=1"), (false, ""))] (probes, mark): (bool, &str),
 ) {
-    let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (cache, discovery) = (listen(), listen());
-    let address = |l: &TcpListener| l.local_addr().expect("an address").to_string();
-    let host = json!({"host": "s-1", "dial": address(&cache)});
+    let host = json!({"host": "s-1", "dial": local(&cache)});
     let accounts = if tenant.is_empty() {
         json!([])
     } else {
@@ -44,7 +37,7 @@
         (300, 600)
     };
     let config = json!({
-        "listen": "127.0.0.1:0", "discovery": address(&discovery), "seed": "2a",
+        "listen": "127.0.0.1:0", "discovery": local(&discovery), "seed": "2a",
         "known": {"seq": 7, "whole": true, "hosts": [host]},
         "settings": {
             "membership_mode": mode, "group_size": 3, "accounts": accounts, "step_ns": 5 * MS,
@@ -54,22 +47,19 @@
         },
     });
     let name = format!(
-        "pipitrun-{}-{mode}-{grace_ms}-{}-{}-{probes}.json",
-        std::process::id(),
+        "{mode}-{grace_ms}-{}-{}-{probes}",
         tenant.len(),
-        guess.len()
+        estimate.len()
     );
-    let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, config.to_string()).expect("a place for the configuration");
-    let program = Program::start(&path, &[]);
-    std::fs::remove_file(&path).expect("it was read");
+    let file = ConfigFile::write(&name, &config.to_string());
+    let program = Program::start(file.path(), &[]);
 
     let mut watch = accept(&discovery);
     assert!(
         read_until(&mut watch, "\r\n\r\n").starts_with("GET /registry/instances?follow=1&since=7 ")
     );
     let mut client = program.client();
-    let fields = |d: &str| format!("c=read,{tenant}{guess}size=0.4{mark},d={d}");
+    let fields = |d: &str| format!("c=read,{tenant}{estimate}size=0.4{mark},d={d}");
     client
         .write_all(get(1, &fields("900000")).as_bytes())
         .expect("it reads");
@@ -84,7 +74,7 @@
         .expect("it reads");
     assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
 
-    let news = json!({"seq": 8, "hosts": [{"host": "s-1", "dial": address(&cache), "health": "terminating"}]});
+    let news = json!({"seq": 8, "hosts": [{"host": "s-1", "dial": local(&cache), "health": "terminating"}]});
     write!(watch, "HTTP/1.1 200 OK\r\n\r\n{news}\n").expect("it reads");
     // The idle connection is closed with the news; whatever else was unread there is passed over.
     let mut rest = Vec::new();
@@ -96,14 +86,12 @@
 }
 
 #[rstest]
-fn a_class_has_its_own_effect_whatever_stands_before_it_and_however_many_there_are(
+fn class_has_its_own_idempotency_among_any_number_of_others(
     #[values(1, 12)] classes: usize,
     #[values(("safe", true), ("keyed", true), ("unsafe", false))] (repeat, repeated): (&str, bool),
     #[values(0, 3)] tenants: usize,
 ) {
-    let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (cache, discovery) = (listen(), listen());
-    let address = |l: &TcpListener| l.local_addr().expect("an address").to_string();
     // All before the last have another effect, and their times go from a tenth of a second to half
     // a minute.
     let other = if repeated { "unsafe" } else { "safe" };
@@ -118,22 +106,17 @@
         .map(|n| json!({"name": format!("t{n}"), "allowance_per_s": 9.0}))
         .collect();
     let config = json!({
-        "listen": "127.0.0.1:0", "discovery": address(&discovery), "seed": "2a",
-        "known": {"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": address(&cache)}]},
+        "listen": "127.0.0.1:0", "discovery": local(&discovery), "seed": "2a",
+        "known": {"seq": 7, "whole": true, "hosts": [{"host": "s-1", "dial": local(&cache)}]},
         "settings": {
             "membership_mode": "automatic", "group_size": 2, "accounts": accounts, "step_ns": MS,
             "caps": {"max_attempts": 2, "may_cancel": true},
             "obligations": {"drain_grace_ns": 500 * MS, "grace_to_answer_ns": 20 * MS}, "profiles": profiles,
         },
     });
-    let name = format!(
-        "pipitrun-{}-{classes}-{repeat}-{tenants}.json",
-        std::process::id()
-    );
-    let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, config.to_string()).expect("a place for the configuration");
-    let program = Program::start(&path, &[]);
-    std::fs::remove_file(&path).expect("it was read");
+    let name = format!("{classes}-{repeat}-{tenants}");
+    let file = ConfigFile::write(&name, &config.to_string());
+    let program = Program::start(file.path(), &[]);
     let mut client = program.client();
     client
         .write_all(get(1, &format!("c=class-{classes},d=19000")).as_bytes())
--- a/crates/balancer/tests/exchanges.rs
+++ b/crates/balancer/tests/exchanges.rs
@@ -1,6 +1,6 @@
 //! Plays recorded byte exchanges against the program and compares what it sends.
 //!
-//! Each file in `exchanges/` is one story, a step a line:
+//! Each file in `exchanges/` is one scenario, a step a line:
 //!
 //! | step | meaning |
 //! | --- | --- |
@@ -16,14 +16,14 @@
 //! | `log TEXT` | the program's next log line with this text comes |
 //! | `exit` | the program must end with exit code 0 |
 //!
-//! Names with `client` connect to the program, those with `admin` to its management door; `cache`,
+//! Names with `client` connect to the program, those with `admin` to its admin listener; `cache`,
 //! `discovery` and `registry` are connected to. `\r`, `\n` and `\\` are escapes, `{N*x}` is N times
 //! the letter, `#` begins a comment line,
-//! `DISCOVERY`, `REGISTRY` (a second one) and `CACHE` are their addresses. Waits have no bound but [`PATIENCE`].
+//! `DISCOVERY`, `REGISTRY` (a second one) and `CACHE` are their addresses. Waits have no bound but [`TEST_TIMEOUT`].
 
 mod common;
 
-use common::{PATIENCE, Program, accept, connect};
+use common::{ConfigFile, Program, TEST_TIMEOUT, accept, connect, listen, local};
 use rstest::rstest;
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
 use std::time::Duration;
 
 /// Longer than a connection rests behind an answer.
-const REST: Duration = Duration::from_millis(30);
+const REUSE_DELAY: Duration = Duration::from_millis(30);
 
 const CONFIG: &str = r#"{"name":"n1","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"2a",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -50,24 +50,17 @@
                 "give_up_ns":1000000000,"worth":3.0},
             {"name":"once","repeat":"unsafe","goal_time_ns":300000000,"give_up_ns":2500000000,"worth":3.0}]}}"#;
 
-/// The program under test with all that it talks to.
-struct Stage {
+/// The program under test with all its peers.
+struct Exchange {
     program: Program,
     listeners: HashMap<&'static str, TcpListener>,
     down: Vec<TcpListener>,
     streams: HashMap<String, TcpStream>,
-    config: PathBuf,
+    config: ConfigFile,
 }
 
-impl Drop for Stage {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.config);
-    }
-}
-
-impl Stage {
-    fn set(story: &Path, given: &[(&str, &str)]) -> Stage {
-        let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
+impl Exchange {
+    fn start(scenario: &Path, changes: &[(&str, &str)]) -> Exchange {
         let listeners = HashMap::from([
             ("cache", listen()),
             ("discovery", listen()),
@@ -76,20 +69,18 @@
         let mut text = CONFIG
             .replace("DISCOVERY", &local(&listeners["discovery"]))
             .replace("CACHE", &local(&listeners["cache"]));
-        for (old, new) in given {
+        for (old, new) in changes {
             assert!(text.contains(old), "{old} in {text}");
             text = text.replace(old, new);
         }
-        let story = story
+        let scenario = scenario
             .file_stem()
-            .expect("a story")
+            .expect("a scenario")
             .to_string_lossy()
             .into_owned();
-        let config =
-            std::env::temp_dir().join(format!("pipitrun-{}-{story}.json", std::process::id()));
-        std::fs::write(&config, text).expect("a place for the configuration");
-        let program = Program::start(&config, &[]);
-        Stage {
+        let config = ConfigFile::write(&scenario, &text);
+        let program = Program::start(config.path(), &[]);
+        Exchange {
             program,
             listeners,
             down: Vec::new(),
@@ -103,10 +94,12 @@
         if !self.streams.contains_key(name) {
             let stream = match self.listeners.get(name) {
                 Some(listener) => accept(listener),
-                None if name.contains("admin") => connect(&self.program.management),
+                None if name.contains("admin") => connect(&self.program.admin_address),
                 None => self.program.client(),
             };
-            stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+            stream
+                .set_read_timeout(Some(TEST_TIMEOUT))
+                .expect("a time-out");
             self.streams.insert(name.into(), stream);
         }
         self.streams.get_mut(name).expect("just made")
@@ -116,16 +109,17 @@
         let (name, step) = line.split_once(' ').unwrap_or((line, ""));
         match (name, step.split_at(step.len().min(2))) {
             ("exit", _) => assert!(
-                self.program.child.wait().expect("it ends").success(),
+                self.program.process.wait().expect("it ends").success(),
                 "exit code"
             ),
-            ("rest", _) => std::thread::sleep(REST),
+            ("rest", _) => std::thread::sleep(REUSE_DELAY),
             ("signal", _) => self.program.signal(step),
             ("file", _) => {
                 let (old, new) = step.split_once(" => ").expect("what for what");
-                let text = std::fs::read_to_string(&self.config).expect("the configuration");
+                let text = std::fs::read_to_string(self.config.path()).expect("the configuration");
                 assert!(text.contains(old), "{text}");
-                std::fs::write(&self.config, text.replace(old, new)).expect("it can be written");
+                std::fs::write(self.config.path(), text.replace(old, new))
+                    .expect("it can be written");
             }
             ("log", _) => self.program.wait_log(step),
             (_, ("> ", bytes)) => self
@@ -170,10 +164,6 @@
     }
 }
 
-fn local(listener: &TcpListener) -> String {
-    listener.local_addr().expect("an address").to_string()
-}
-
 fn unescape(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     let mut rest = text;
@@ -206,24 +196,24 @@
 }
 
 #[rstest]
-fn the_program_keeps_to_the_record(#[files("tests/exchanges/*.txt")] story: PathBuf) {
-    let text = std::fs::read_to_string(&story).expect("the story can be read");
+fn program_follows_the_recorded_exchange(#[files("tests/exchanges/*.txt")] scenario: PathBuf) {
+    let text = std::fs::read_to_string(&scenario).expect("the scenario can be read");
     let steps: Vec<_> = text
         .lines()
         .enumerate()
         .filter(|(_, l)| !l.is_empty() && !l.starts_with('#'))
         .collect();
-    let given = steps
+    let changes = steps
         .iter()
         .map_while(|(_, line)| line.strip_prefix("file ")?.split_once(" => "));
-    let given: Vec<_> = given.collect();
-    let mut stage = Stage::set(&story, &given);
+    let changes: Vec<_> = changes.collect();
+    let mut exchange = Exchange::start(&scenario, &changes);
     let address = |(name, listener): (&&str, &TcpListener)| (name.to_uppercase(), local(listener));
-    let addresses: Vec<_> = stage.listeners.iter().map(address).collect();
-    for (at, line) in &steps[given.len()..] {
+    let addresses: Vec<_> = exchange.listeners.iter().map(address).collect();
+    for (at, line) in &steps[changes.len()..] {
         // The step is printed first, so that a failure names its line.
         println!("line {}: {line}", at + 1);
-        stage.step(
+        exchange.step(
             &addresses
                 .iter()
                 .fold(line.to_string(), |line, (name, at)| line.replace(name, at)),
--- a/crates/balancer/tests/upgrade.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Program, connect, wait};
+use common::{Program, connect, resp_command, wait};
 use socket2::Socket;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -67,35 +67,35 @@
 }
 
 /// What the processes share.
-struct Stage {
+struct Pair {
     socket: Socket,
     address: String,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
-impl Drop for Stage {
+impl Drop for Pair {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-impl Stage {
-    fn set(name: &str) -> Self {
+impl Pair {
+    fn new(name: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let socket = Socket::from(listener);
         socket.set_cloexec(false).unwrap();
-        let folder =
+        let directory =
             std::env::temp_dir().join(format!("pipitrun-upgrade-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
+        std::fs::create_dir_all(&directory).unwrap();
         let config = CONFIG
             .replace("LISTEN", &address)
             .replace("CACHE", &cache());
-        std::fs::write(folder.join("config.json"), config).unwrap();
-        Stage {
+        std::fs::write(directory.join("config.json"), config).unwrap();
+        Pair {
             socket,
             address,
-            folder,
+            directory,
         }
     }
 
@@ -103,9 +103,9 @@
         let socket = self.socket.as_raw_fd().to_string();
         let variables = [
             ("GW_SOCKET_FD", socket.as_ref()),
-            ("TMPDIR", self.folder.as_os_str()),
+            ("TMPDIR", self.directory.as_os_str()),
         ];
-        Program::start(&self.folder.join("config.json"), &variables)
+        Program::start(&self.directory.join("config.json"), &variables)
     }
 
     /// A process that serves clients, who ask without a pause.
@@ -121,12 +121,7 @@
 /// One request on this connection; false if the connection has ended without an answer. Whatever
 /// comes must be the whole answer.
 fn ask(stream: &mut TcpStream, id: &str) -> bool {
-    let fields = "c=read,d=9000";
-    let command = format!(
-        "*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n${}\r\n{id}\r\n${}\r\n{fields}\r\n",
-        id.len(),
-        fields.len()
-    );
+    let command = resp_command(&["C.GET", "k", id, "c=read,d=9000"]);
     if stream.write_all(command.as_bytes()).is_err() {
         return false;
     }
@@ -215,18 +210,18 @@
 }
 
 #[test]
-fn a_new_version_takes_over_and_no_request_is_lost() {
-    let stage = Stage::set("over");
-    let (mut old, clients) = stage.under_load();
+fn new_process_takes_over_and_no_request_is_lost() {
+    let pair = Pair::new("over");
+    let (mut old, clients) = pair.under_load();
     clients.wait(100);
     for _ in 0..2 {
-        let new = stage.start();
+        let new = pair.start();
         new.wait_ready();
         old.wait_log("bytes of notes left for");
         new.wait_log("notes of the other process: list 41, 41 is known");
         clients.wait(50);
         old.signal("TERM");
-        assert!(old.child.wait().unwrap().success(), "it leaves by itself");
+        assert!(old.process.wait().unwrap().success(), "it leaves by itself");
         clients.wait(200);
         new.wait_log("another process of this balancer: false");
         old = new;
@@ -235,19 +230,19 @@
 }
 
 #[test]
-fn a_newcomer_that_is_killed_leaves_the_other_as_it_was() {
-    let stage = Stage::set("newcomer");
-    let (old, clients) = stage.under_load();
+fn killed_new_process_leaves_the_old_one_as_it_was() {
+    let pair = Pair::new("newcomer");
+    let (old, clients) = pair.under_load();
     // As soon as it has begun, and once both serve.
     for ready in [false, true] {
-        let mut new = stage.start();
+        let mut new = pair.start();
         old.wait_log("another process of this balancer: true");
         if ready {
             new.wait_ready();
             clients.wait(100);
         }
-        new.child.kill().unwrap();
-        new.child.wait().unwrap();
+        new.process.kill().unwrap();
+        new.process.wait().unwrap();
         old.wait_log("another process of this balancer: false");
         clients.wait(200);
     }
@@ -257,44 +252,43 @@
 }
 
 #[test]
-fn who_finds_the_other_killed_serves_alone() {
-    let stage = Stage::set("old");
-    let (mut old, clients) = stage.under_load();
-    let new = stage.start();
+fn new_process_serves_alone_once_the_old_one_is_killed() {
+    let pair = Pair::new("old");
+    let (mut old, clients) = pair.under_load();
+    let new = pair.start();
     new.wait_ready();
-    old.child.kill().unwrap();
-    old.child.wait().unwrap();
+    old.process.kill().unwrap();
+    old.process.wait().unwrap();
     new.wait_log("another process of this balancer: false");
     clients.wait(200);
     assert!(clients.end().len() <= 4);
 }
 
 #[test]
-fn the_one_that_ends_takes_clients_itself_while_the_other_does_not_serve() {
-    let stage = Stage::set("drained");
-    let mut old = stage.start();
+fn ending_process_accepts_clients_while_the_other_is_quiesced() {
+    let pair = Pair::new("drained");
+    let mut old = pair.start();
     old.wait_ready();
-    let new = stage.start();
+    let new = pair.start();
     new.wait_ready();
-    let text = new.call("POST /admin/quiesce");
+    let text = new.admin_call("POST /admin/quiesce");
     assert!(text.ends_with("{\"state\":\"quiesced\"}\n"), "{text}");
-    assert!(ask(&mut connect(&stage.address), "1"));
+    assert!(ask(&mut connect(&pair.address), "1"));
     old.signal("TERM");
     old.wait_log("asked to stop");
-    assert!(ask(&mut connect(&stage.address), "2"));
-    assert!(old.child.wait().unwrap().success());
+    assert!(ask(&mut connect(&pair.address), "2"));
+    assert!(old.process.wait().unwrap().success());
     assert!(
-        ask(&mut connect(&stage.address), "3"),
+        ask(&mut connect(&pair.address), "3"),
         "drained, it still serves who comes"
     );
 }
 
-/// The fleet's talk has one address: the newer process serves without it until the older one has
-/// left.
+/// Gossip has one address: the new process serves without it until the old one has left.
 #[test]
-fn the_newer_process_takes_the_talk_over_once_the_older_has_left() {
-    let stage = Stage::set("fleet");
-    let file = stage.folder.join("config.json");
+fn new_process_takes_the_gossip_address_once_the_old_one_has_left() {
+    let pair = Pair::new("fleet");
+    let file = pair.directory.join("config.json");
     let address = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -304,10 +298,10 @@
         .unwrap()
         .replace("\"settings\"", &fleet);
     std::fs::write(&file, config).unwrap();
-    let older = stage.start();
+    let older = pair.start();
     older.wait_ready();
     older.wait_log("fleet: a talks at");
-    let newer = stage.start();
+    let newer = pair.start();
     newer.wait_log("is held by the other process");
     newer.wait_ready();
     older.signal("TERM");
--- a/crates/balancer/tests/long_values.rs
+++ b/crates/balancer/tests/long_values.rs
@@ -3,10 +3,11 @@
 
 mod common;
 
-use common::Program;
+use common::{ConfigFile, Program, resp_command};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpListener;
 
+/// The length of each value, in bytes.
 const LENGTH: usize = 4 << 20;
 const CLIENTS: usize = 16;
 /// Commands of each client, at once: what stands behind the first value waits in the process, not
@@ -41,9 +42,7 @@
 }
 
 #[test]
-fn many_long_values_before_clients_that_do_not_read_hold_little_memory_and_come_whole() {
-    let config =
-        std::env::temp_dir().join(format!("pipitrun-long-values-{}.json", std::process::id()));
+fn long_values_for_clients_that_do_not_read_hold_little_memory_and_arrive_whole() {
     let hosts = (0..4).map(|n| format!(r#"{{"host":"s-{n}","dial":"{}"}}"#, cache()));
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"memory_mb":{MEMORY},"sockets":512}},
@@ -51,19 +50,16 @@
         "profiles":[{{"name":"read","repeat":"safe","goal_time_ns":9000000000,"give_up_ns":30000000000}}]}}}}"#,
         hosts.collect::<Vec<_>>().join(",")
     );
-    std::fs::write(&config, text).unwrap();
-    let program = Program::start(&config, &[]);
+    let config = ConfigFile::write("long-values", &text);
+    let program = Program::start(config.path(), &[]);
     let head = format!("${LENGTH}\r\n");
     // Each has begun before any is read on.
     let clients = (0..CLIENTS).map(|n| {
         let mut client = program.client();
         for command in 0..COMMANDS {
             let id = format!("{n:02}{command:02}");
-            write!(
-                client,
-                "*4\r\n$5\r\nC.GET\r\n$4\r\n{id}\r\n$4\r\n{id}\r\n$14\r\nc=read,d=30000\r\n"
-            )
-            .unwrap();
+            let command = resp_command(&["C.GET", &id, &id, "c=read,d=30000"]);
+            client.write_all(command.as_bytes()).unwrap();
         }
         let mut got = vec![0; head.len()];
         client.read_exact(&mut got).unwrap();
@@ -84,11 +80,10 @@
             assert!(value[..LENGTH].iter().all(|b| *b == b'v') && value.ends_with(b"\r\n"));
         }
     }
-    let status = std::fs::read_to_string(format!("/proc/{}/status", program.child.id())).unwrap();
+    let status = std::fs::read_to_string(format!("/proc/{}/status", program.process.id())).unwrap();
     let peak = status
         .lines()
         .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
     let peak: usize = peak.expect("its peak").parse().unwrap();
-    std::fs::remove_file(&config).unwrap();
     assert!(peak < MEMORY << 10, "{peak} kB at the peak");
 }
--- a/crates/balancer/tests/hold_ups.rs
+++ b/crates/balancer/tests/stalls.rs
@@ -1,10 +1,12 @@
-//! The process is held up by SIGSTOP while events cross. Once it goes on, nothing is sent by what
-//! it knew before: not for a client that has closed, nor once the request's time is over, whichever
-//! way the attempt takes.
+//! The process is stalled by SIGSTOP while events cross. Once it goes on, nothing is sent by what it knew
+//! before: not for a client that has disconnected, nor once the request's time is over, whichever kind of
+//! attempt it is.
 
 mod common;
 
-use common::{PATIENCE, Program, accept, read_until, wait};
+use common::{
+    ConfigFile, Program, TEST_TIMEOUT, accept, listen, local, read_until, resp_command, wait,
+};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -14,35 +16,30 @@
 
 const MS: u64 = 1_000_000;
 /// How long the process stands still; far beyond [`SHORT`].
-const HOLD_UP: Duration = Duration::from_millis(650);
-/// A time, in milliseconds, that ends during the hold-up.
+const STALL: Duration = Duration::from_millis(650);
+/// A time, in milliseconds, that ends during the stall.
 const SHORT: u64 = 284;
 /// A time, in milliseconds, that ends long after the test.
 const LONG: u64 = 60_000;
 
 /// The program between caches, a discovery and clients that the test plays.
-struct Setting {
+struct Setup {
     program: Program,
     caches: Vec<TcpListener>,
     _discovery: TcpListener,
 }
 
-fn listen() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
-}
-
 fn class(name: &str, repeat: &str, window_ms: u64) -> Value {
     json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": window_ms * MS,
         "goal_time_ns": LONG * MS, "give_up_ns": LONG * MS, "worth": 1})
 }
 
-impl Setting {
+impl Setup {
     fn new(test: &str, caches: Vec<TcpListener>) -> Self {
         let discovery = listen();
-        let address = |l: &TcpListener| l.local_addr().expect("an address").to_string();
-        let host = |(n, cache): (usize, &TcpListener)| json!({"host": format!("s-{n}"), "dial": address(cache)});
+        let host = |(n, cache): (usize, &TcpListener)| json!({"host": format!("s-{n}"), "dial": local(cache)});
         let config = json!({
-            "listen": "127.0.0.1:0", "discovery": address(&discovery), "seed": "2a",
+            "listen": "127.0.0.1:0", "discovery": local(&discovery), "seed": "2a",
             "known": {"seq": 7, "whole": true, "hosts": caches.iter().enumerate().map(host).collect::<Vec<_>>()},
             "settings": {
                 "membership_mode": "automatic", "group_size": 1, "step_ns": MS,
@@ -52,15 +49,10 @@
                 "profiles": [class("read", "safe", 0), class("put", "keyed", 400)],
             },
         });
-        let path = std::env::temp_dir().join(format!(
-            "pipitrun-hold-up-{}-{test}.json",
-            std::process::id()
-        ));
-        std::fs::write(&path, config.to_string()).expect("a place for the configuration");
-        let program = Program::start(&path, &[]);
+        let file = ConfigFile::write(&format!("stall-{test}"), &config.to_string());
+        let program = Program::start(file.path(), &[]);
         program.wait_ready();
-        std::fs::remove_file(&path).expect("it was read");
-        Setting {
+        Setup {
             program,
             caches,
             _discovery: discovery,
@@ -73,17 +65,17 @@
         client
     }
 
-    /// Holds the process up while this happens, and for [`HOLD_UP`] behind it.
-    fn held_up(&self, meanwhile: impl FnOnce()) {
+    /// Stalls the process while this happens, and for [`STALL`] after it.
+    fn stalled(&self, meanwhile: impl FnOnce()) {
         self.program.signal("STOP");
         meanwhile();
-        std::thread::sleep(HOLD_UP);
+        std::thread::sleep(STALL);
         self.program.signal("CONT");
     }
 
     /// Has the loop pass all that was ready when the process went on: an answer of its own comes
     /// behind that.
-    fn settled(&self) {
+    fn settle(&self) {
         for _ in 0..5 {
             let mut client = self.client(b"*1\r\n$4\r\nPING\r\n");
             client.read_exact(&mut [0; 7]).expect("+PONG");
@@ -91,8 +83,8 @@
     }
 
     /// All that comes on connections to caches until the process has settled.
-    fn came_to_caches(&self) -> String {
-        self.settled();
+    fn received_by_caches(&self) -> String {
+        self.settle();
         let mut text = Vec::new();
         for cache in &self.caches {
             cache.set_nonblocking(true).expect("it can be asked");
@@ -113,22 +105,14 @@
     }
 }
 
-fn read_command(id: u64, d: u64) -> Vec<u8> {
-    let fields = format!("c=read,d={d}");
-    format!(
-        "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n{id}\r\n${}\r\n{fields}\r\n",
-        fields.len()
-    )
-    .into_bytes()
+fn read_command(id: u64, timeout_ms: u64) -> Vec<u8> {
+    let fields = format!("c=read,d={timeout_ms}");
+    resp_command(&["C.GET", "a", &id.to_string(), &fields]).into_bytes()
 }
 
-fn write_command(id: u64, d: u64) -> Vec<u8> {
-    let fields = format!("c=put,k=1,d={d}");
-    format!(
-        "*5\r\n$5\r\nC.SET\r\n$1\r\na\r\n$1\r\n{id}\r\n${}\r\n{fields}\r\n$1\r\nv\r\n",
-        fields.len()
-    )
-    .into_bytes()
+fn write_command(id: u64, timeout_ms: u64) -> Vec<u8> {
+    let fields = format!("c=put,k=1,d={timeout_ms}");
+    resp_command(&["C.SET", "a", &id.to_string(), &fields, "v"]).into_bytes()
 }
 
 /// A cache at which no connection comes up until [`FullCache::make_room`]: its queue of connections
@@ -159,7 +143,7 @@
         (0..queued).for_each(|_| drop(accept(listener)));
         let mut next = [PollFd::new(listener, PollFlags::IN)];
         let timeout = Timespec {
-            tv_sec: PATIENCE.as_secs() as i64,
+            tv_sec: TEST_TIMEOUT.as_secs() as i64,
             tv_nsec: 0,
         };
         assert_eq!(
@@ -170,31 +154,31 @@
     }
 }
 
-/// A request on its way to a cache whose connection comes up during the hold-up; what came there.
+/// A request on its way to a cache whose connection comes up during the stall; what came there.
 fn over_a_late_connection(name: &str, d: u64, closes: bool) -> String {
     let FullCache { listener, queued } = FullCache::new();
-    let setting = Setting::new(name, vec![listener]);
-    let client = setting.client(&read_command(1, d));
-    setting.settled();
+    let setup = Setup::new(name, vec![listener]);
+    let client = setup.client(&read_command(1, d));
+    setup.settle();
     let mut kept = Some(client);
-    setting.held_up(|| {
+    setup.stalled(|| {
         if closes {
             kept = None;
         }
-        FullCache::make_room(&setting.caches[0], queued.len());
+        FullCache::make_room(&setup.caches[0], queued.len());
     });
-    let came = setting.came_to_caches();
+    let came = setup.received_by_caches();
     drop((kept, queued));
     came
 }
 
-/// A request that comes during the hold-up; what came to its cache.
-fn as_it_comes(name: &str, d: u64, closes: bool) -> String {
-    let setting = Setting::new(name, vec![listen()]);
-    let client = setting.client(b"");
-    setting.settled();
+/// A request that comes during the stall; what came to its cache.
+fn as_a_first_attempt(name: &str, d: u64, closes: bool) -> String {
+    let setup = Setup::new(name, vec![listen()]);
+    let client = setup.client(b"");
+    setup.settle();
     let mut kept = Some(client);
-    setting.held_up(|| {
+    setup.stalled(|| {
         let client = kept.as_mut().expect("it is there");
         client
             .write_all(&read_command(1, d))
@@ -204,32 +188,32 @@
             kept = None;
         }
     });
-    let came = setting.came_to_caches();
+    let came = setup.received_by_caches();
     drop(kept);
     came
 }
 
-/// A request whose second attempt falls due during the hold-up; what came to the caches besides the
+/// A request whose second attempt falls due during the stall; what came to the caches besides the
 /// first attempt.
 fn as_a_second_attempt(name: &str, command: &[u8], closes: bool) -> String {
-    let setting = Setting::new(name, vec![listen(), listen()]);
-    let client = setting.client(command);
+    let setup = Setup::new(name, vec![listen(), listen()]);
+    let client = setup.client(command);
     let mut first = None;
     wait("the first attempt", || {
-        setting.caches.iter().any(has_connection)
+        setup.caches.iter().any(has_connection)
     });
-    for cache in setting.caches.iter().filter(|cache| has_connection(cache)) {
+    for cache in setup.caches.iter().filter(|cache| has_connection(cache)) {
         let mut stream = accept(cache);
         read_until(&mut stream, ",d=");
         first = Some(stream);
     }
     let mut kept = Some(client);
-    setting.held_up(|| {
+    setup.stalled(|| {
         if closes {
             kept = None;
         }
     });
-    let came = setting.came_to_caches();
+    let came = setup.received_by_caches();
     drop((kept, first));
     came
 }
@@ -241,10 +225,10 @@
 
 /// The ways of an attempt: of a request as it comes, on a connection that came up late, as a hedge,
 /// as a retry.
-fn by_each_way(name: &str, closes: bool, d: u64) -> [String; 4] {
+fn by_each_kind_of_attempt(name: &str, closes: bool, d: u64) -> [String; 4] {
     let second = d.min(800);
     [
-        as_it_comes(&format!("{name}-first"), d, closes),
+        as_a_first_attempt(&format!("{name}-first"), d, closes),
         over_a_late_connection(&format!("{name}-late"), d, closes),
         as_a_second_attempt(&format!("{name}-hedge"), &read_command(1, second), closes),
         as_a_second_attempt(&format!("{name}-retry"), &write_command(1, second), closes),
@@ -252,11 +236,17 @@
 }
 
 #[test]
-fn a_client_that_closed_while_the_process_was_held_up_is_not_sent_on() {
-    assert_eq!(by_each_way("closed", true, LONG), ["", "", "", ""]);
+fn request_of_a_client_that_disconnected_during_a_stall_is_not_forwarded() {
+    assert_eq!(
+        by_each_kind_of_attempt("closed", true, LONG),
+        ["", "", "", ""]
+    );
 }
 
 #[test]
-fn what_ran_out_of_time_while_the_process_was_held_up_is_not_sent_on() {
-    assert_eq!(by_each_way("over", false, SHORT), ["", "", "", ""]);
+fn request_that_timed_out_during_a_stall_is_not_forwarded() {
+    assert_eq!(
+        by_each_kind_of_attempt("over", false, SHORT),
+        ["", "", "", ""]
+    );
 }
