--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -11,8 +11,8 @@
 use crate::discovery::{DiscoveryClient, EndpointList};
 use crate::engine_adapter::EngineAdapter;
 use crate::hot_restart::HotRestart;
-use crate::lifecycle::Lifecycle;
-use crate::listener::admin::AdminListener;
+use crate::lifecycle::{Lifecycle, SocketOwnership};
+use crate::listener::admin::{AdminListener, FleetEndpoint};
 use crate::listener::resp::RespListener;
 use crate::poll::Poll;
 use crate::poll_timestamps::PollTimestamps;
@@ -90,7 +90,7 @@
         let clock = Clock::start();
         let now = clock.now();
         let poll = Poll::new().map_err(StartupError::Poller)?;
-        let known_list = config.known.take();
+        let known_list = config.known_endpoints.take();
         let mut event_loop = EventLoop::open(config, clock, poll, now)?;
         event_loop.begin(known_list, now)?;
         Ok(event_loop)
@@ -101,7 +101,7 @@
         let lifecycle = new_lifecycle(&config);
         let poll_timestamps = PollTimestamps::start(now);
         let admin_descriptors = config.management.map_or(0, |_| ADMIN_DESCRIPTORS);
-        let descriptors = DescriptorBudget::new(config.sockets, admin_descriptors);
+        let descriptors = DescriptorBudget::new(config.descriptors_max, admin_descriptors);
         let listen_error = |source| StartupError::Listen {
             address: config.listen,
             source,
@@ -154,9 +154,10 @@
         self.check_other_process(now);
         self.join_fleet(now)?;
         match known {
-            Some(list) => self.load_known_list(list),
+            Some(list) => self.load_known_list(&list),
             // The engine asks discovery on its first event. Without a list there would be none
-            // before the first client comes, and clients are not sent to a process that isn't ready.
+            // before the first client comes, and clients are not sent to a process that isn't
+            // ready.
             None => self.pending_events.push(Event::TimerFired(TimerToken(0))),
         }
         if self.discovery.is_pushed() {
@@ -167,11 +168,12 @@
 }
 
 fn new_lifecycle(config: &Config) -> Lifecycle {
-    let deadlines = config.settings.classes.iter().map(|class| class.deadline);
-    Lifecycle::new(
-        config.socket_fd.is_some(),
-        deadlines.max().unwrap_or_default(),
-    )
+    let socket = match config.socket_fd {
+        Some(_) => SocketOwnership::Shared,
+        None => SocketOwnership::Exclusive,
+    };
+    let client_timeouts = config.settings.classes.iter().map(|class| class.deadline);
+    Lifecycle::new(socket, client_timeouts.max().unwrap_or_default())
 }
 
 /// The backoff between watches, where lists are pushed.
@@ -206,10 +208,10 @@
 /// it were alone.
 fn take_process_slot(config: &Config, now: Nanos) -> Option<ProcessSlots> {
     config.socket_fd?;
-    let folder = config.folder.as_ref()?;
+    let directory = config.hot_restart_directory.as_ref()?;
     let process = format!("{}-{now}", std::process::id());
-    ProcessSlots::take(folder, process)
-        .map_err(|e| log::warn!("process slot in $TMPDIR {}: {e}", folder.display()))
+    ProcessSlots::take(directory, process)
+        .map_err(|e| log::warn!("process slot in $TMPDIR {}: {e}", directory.display()))
         .ok()
 }
 
@@ -217,7 +219,11 @@
     let Some(address) = config.management else {
         return Ok(None);
     };
-    AdminListener::listen(poll, address, config.fleet.is_some())
+    let fleet = match config.fleet {
+        Some(_) => FleetEndpoint::Present,
+        None => FleetEndpoint::Absent,
+    };
+    AdminListener::listen(poll, address, fleet)
         .map(Some)
         .map_err(|source| StartupError::AdminListen { address, source })
 }
