--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,47 +1,50 @@
-//! Lists of members compared: what rumours have missed is found and told.
+//! Anti-entropy of member lists: finds what broadcasts have missed.
 //!
-//! A rumour is passed on a bounded number of times, so now and then one dies out before it has reached all, and nothing
-//! of the talk would ever name the one pair of members of which one lacks the other. So each member sums up whom it takes
-//! for living, by the life they live and by what they say of themselves, in [`BUCKETS`] parts by address. Two whose sums
-//! differ tell each other what they hold in the parts that differ, and both end with the later word of each. Equal lists
-//! cost one small question and one smaller answer.
+//! A broadcast is passed on a bounded number of times, so now and then one dies out before it has reached everyone. So
+//! each member keeps a digest of the members that it believes alive: their generations and metadata, in [`BUCKETS`]
+//! buckets by address. Two members whose digests differ exchange the entries of the differing buckets, and both end
+//! with the later version of each. Equal lists cost one small message and one smaller reply.
 
 use crate::envelope::PAYLOAD_MAX;
+use crate::payload::{PayloadError, PayloadRoom, decode, encode};
 use crate::{Identity, MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Into so many parts a list is summed up; a part of a thousand members fits into one datagram.
+/// The buckets of a digest; one bucket of a list of a thousand members fits into one datagram.
 pub const BUCKETS: usize = 32;
-/// While the lists are not known to agree, one member is asked this often,
-const EVERY: Nanos = 50 * MS;
-/// as long as that is new; lists that differ for longer are cut apart, or hold different numbers of members.
-const EVERY_LATER: Nanos = 1_000 * MS;
-const NEW: Nanos = 5_000 * MS;
-/// A calm member asks one other all the same.
-const EVERY_CALM: Nanos = 2_000 * MS;
-/// So many others in a row must hold the same before a member is sure.
-const AGREED: u8 = 3;
+const DIGEST_LENGTH: usize = 4 * BUCKETS;
+/// How often a digest is sent while the lists are not known to agree, during [`FAST_PERIOD`],
+const FAST_INTERVAL: Nanos = 50 * MS;
+/// and after it: lists that differ for longer belong to partitions, or have different capacities.
+const SLOW_INTERVAL: Nanos = 1_000 * MS;
+const FAST_PERIOD: Nanos = 5_000 * MS;
+/// How often a digest is sent while the lists agree.
+const IDLE_INTERVAL: Nanos = 2_000 * MS;
+/// This many agreeing replies in a row make the lists known to agree.
+const AGREEMENTS: u8 = 3;
 
-/// What one member holds of another, or of itself.
+/// What one member knows of another, or of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Who, and which of its lives.
+pub struct MemberEntry {
+    /// The member and its generation.
     pub id: Identity,
-    /// How often it refuted.
+    /// Its incarnation.
     pub incarnation: u16,
-    /// It left or died.
+    /// Whether it left or died.
     pub down: bool,
-    /// A checksum of what it said last of itself; 0 where nothing is known.
-    pub record: u32,
+    /// The checksum of its metadata; 0 where none is known.
+    pub metadata_checksum: u32,
 }
 
-/// The longest that an entry gets on the wire: an address of IPv6, numbers of full length.
-const ENTRY_MAX: usize = 20 + 10 + 3 + 1 + 5;
+/// The longest encoding of an entry, in bytes: an IPv6 address and numbers of full length.
+const ENTRY_LENGTH_MAX: usize = 20 + 10 + 3 + 1 + 5;
+/// Bytes for the fields of a delta besides its entries.
+const DELTA_HEADER_MAX: usize = 10;
 
-/// An address as bytes, the same length for all; a text of it would cost more than all else here.
-pub(crate) fn bytes_of(address: SocketAddr) -> [u8; 18] {
+/// An address as bytes of fixed length, for checksums.
+pub(crate) fn address_bytes(address: SocketAddr) -> [u8; 18] {
     let mut bytes = [0; 18];
     match address.ip() {
         IpAddr::V4(ip) => bytes[..4].copy_from_slice(&ip.octets()),
@@ -51,218 +54,245 @@
     bytes
 }
 
-/// The part that an address is in.
+/// The bucket of an address.
+#[must_use]
 pub fn bucket(address: SocketAddr) -> usize {
-    xxh3_64(&bytes_of(address)) as usize % BUCKETS
+    xxh3_64(&address_bytes(address)) as usize % BUCKETS
 }
 
-/// A list, summed up.
+/// The digest of a member list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sums([u32; BUCKETS]);
+pub struct ListDigest([u32; BUCKETS]);
 
-impl Sums {
-    /// Of these; only the living count. How often they refuted doesn't: where datagrams get lost that changes all the time.
-    pub fn of(entries: impl Iterator<Item = Entry>) -> Self {
-        let mut sums = Sums::default();
+impl ListDigest {
+    /// The digest of the live members among these. Incarnations do not count: with lossy links they change all the
+    /// time.
+    pub fn of(entries: impl Iterator<Item = MemberEntry>) -> Self {
+        let mut digest = ListDigest::default();
         for entry in entries.filter(|entry| !entry.down) {
             let mut bytes = [0; 30];
-            bytes[..18].copy_from_slice(&bytes_of(entry.id.address));
+            bytes[..18].copy_from_slice(&address_bytes(entry.id.address));
             bytes[18..26].copy_from_slice(&entry.id.generation.to_le_bytes());
-            bytes[26..].copy_from_slice(&entry.record.to_le_bytes());
-            sums.0[bucket(entry.id.address)] ^= xxh3_64(&bytes) as u32;
+            bytes[26..].copy_from_slice(&entry.metadata_checksum.to_le_bytes());
+            digest.0[bucket(entry.id.address)] ^= xxh3_64(&bytes) as u32;
         }
-        sums
+        digest
     }
 
-    /// The parts in which two differ, a bit each.
-    fn differing(&self, other: &Sums) -> u32 {
+    /// The buckets in which two digests differ, one bit each.
+    fn differing_buckets(&self, other: &ListDigest) -> u32 {
         (0..BUCKETS)
             .filter(|b| self.0[*b] != other.0[*b])
-            .fold(0, |parts, b| parts | 1 << b)
+            .fold(0, |buckets, b| buckets | 1 << b)
     }
 
-    fn read(bytes: &[u8]) -> Option<Self> {
-        let mut sums = Sums::default();
-        if bytes.len() != 4 * BUCKETS {
-            return None;
+    fn to_bytes(&self) -> Vec<u8> {
+        self.0.iter().flat_map(|sum| sum.to_le_bytes()).collect()
+    }
+
+    fn from_bytes(bytes: &[u8]) -> Result<Self, PayloadError> {
+        if bytes.len() != DIGEST_LENGTH {
+            return Err(PayloadError::DigestLength {
+                expected: DIGEST_LENGTH,
+                actual: bytes.len(),
+            });
         }
-        for (sum, bytes) in sums.0.iter_mut().zip(bytes.chunks_exact(4)) {
-            *sum = u32::from_le_bytes(bytes.try_into().ok()?);
+        let mut digest = ListDigest::default();
+        for (sum, bytes) in digest.0.iter_mut().zip(bytes.chunks_exact(4)) {
+            *sum = bytes
+                .iter()
+                .rev()
+                .fold(0, |sum, byte| sum << 8 | u32::from(*byte));
         }
-        Some(sums)
+        Ok(digest)
     }
 }
 
+/// A member's digest, as it is sent.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Question {
+pub(crate) struct DigestMessage {
     pub(crate) by: Identity,
-    pub(crate) sums: Vec<u8>,
+    pub(crate) digest: Vec<u8>,
 }
 
-/// What one holds in the parts that differ, as far as a datagram bears it.
+/// The entries of the buckets that differ, as far as they fit into a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ListDelta {
     /// Whose list it is.
     pub by: Identity,
-    /// The parts that are told whole; none if the lists agree.
-    pub parts: u32,
-    /// It answers an answer, and is not answered.
-    pub last: bool,
-    /// What is held.
-    pub entries: Vec<Entry>,
+    /// The buckets that are contained whole, one bit each; none if the lists agree.
+    pub whole_buckets: u32,
+    /// Whether it replies to a delta, and is not replied to.
+    pub is_reply: bool,
+    /// The entries.
+    pub entries: Vec<MemberEntry>,
 }
 
-/// Asks another whether its list is the same.
-pub fn question(by: Identity, sums: &Sums) -> Vec<u8> {
-    let sums = sums.0.iter().flat_map(|sum| sum.to_le_bytes()).collect();
-    postcard::to_stdvec(&Question { by, sums }).unwrap_or_default()
+/// Encodes the message that asks another member whether its list is the same.
+#[must_use]
+pub fn digest_payload(by: Identity, digest: &ListDigest) -> Vec<u8> {
+    let digest = digest.to_bytes();
+    encode(&DigestMessage { by, digest })
 }
 
-/// Answers a question by the own list. `from` picks the part that is told first: where not all fit, others come next time.
-/// `None` for what can't be read. The answer, and who asked.
-pub fn answer(
+/// Compares a received digest with the own list; returns the delta and the sender. `first_bucket` is contained first:
+/// where not all fit, others come the next time.
+///
+/// # Errors
+///
+/// If the payload is no digest.
+pub fn compare_digest(
     payload: &[u8],
     by: Identity,
-    sums: &Sums,
-    entries: impl Iterator<Item = Entry>,
-    from: usize,
-) -> Option<(Answer, Identity)> {
-    let question: Question = postcard::from_bytes(payload).ok()?;
-    let differing = sums.differing(&Sums::read(&question.sums)?);
-    Some((told(by, differing, entries, from, false), question.by))
-}
-
-fn told(
-    by: Identity,
-    differing: u32,
-    entries: impl Iterator<Item = Entry>,
-    from: usize,
-    last: bool,
-) -> Answer {
-    let mut answer = Answer {
+    digest: &ListDigest,
+    entries: impl Iterator<Item = MemberEntry>,
+    first_bucket: usize,
+) -> Result<(ListDelta, Identity), PayloadError> {
+    let message: DigestMessage = decode(payload)?;
+    let differing = digest.differing_buckets(&ListDigest::from_bytes(&message.digest)?);
+    let delta = ListDelta {
         by,
-        parts: 0,
-        last,
+        whole_buckets: 0,
+        is_reply: false,
         entries: Vec::new(),
     };
-    // As it is most of the time.
-    if differing == 0 {
-        return answer;
-    }
-    let mut parts: Vec<Vec<Entry>> = vec![Vec::new(); BUCKETS];
-    for entry in entries {
-        let part = bucket(entry.id.address);
-        if differing & (1 << part) != 0 {
-            parts[part].push(entry);
+    Ok((delta.filled(differing, entries, first_bucket), message.by))
+}
+
+impl ListDelta {
+    /// Adds the entries of these buckets, as far as they fit.
+    fn filled(
+        mut self,
+        buckets: u32,
+        entries: impl Iterator<Item = MemberEntry>,
+        first_bucket: usize,
+    ) -> Self {
+        if buckets == 0 {
+            return self;
         }
-    }
-    let mut room = PAYLOAD_MAX - ENTRY_MAX - 10;
-    for part in (0..BUCKETS)
-        .map(|n| (n + from) % BUCKETS)
-        .filter(|part| differing & (1 << part) != 0)
-    {
-        let mut whole = true;
-        // The living first, should one part not fit.
-        parts[part].sort_by_key(|entry| entry.down);
-        for entry in &parts[part] {
-            let length = postcard::to_stdvec(entry).map_or(ENTRY_MAX, |bytes| bytes.len());
-            if length > room {
-                whole = false;
-                break;
+        let mut by_bucket: Vec<Vec<MemberEntry>> = vec![Vec::new(); BUCKETS];
+        for entry in entries {
+            let bucket = bucket(entry.id.address);
+            if buckets & (1 << bucket) != 0 {
+                by_bucket[bucket].push(entry);
             }
-            room -= length;
-            answer.entries.push(*entry);
         }
-        if !whole {
-            break;
+        let mut room = PayloadRoom::new(PAYLOAD_MAX - ENTRY_LENGTH_MAX - DELTA_HEADER_MAX);
+        let order = (0..BUCKETS).map(|n| (n + first_bucket) % BUCKETS);
+        for bucket in order.filter(|bucket| buckets & (1 << bucket) != 0) {
+            // Live members come first, should the bucket not fit.
+            by_bucket[bucket].sort_by_key(|entry| entry.down);
+            for entry in &by_bucket[bucket] {
+                if !room.push(&mut self.entries, *entry) {
+                    return self;
+                }
+            }
+            self.whole_buckets |= 1 << bucket;
         }
-        answer.parts |= 1 << part;
+        self
     }
-    answer
-}
 
-/// Reads an answer.
-pub fn read(payload: &[u8]) -> Option<Answer> {
-    postcard::from_bytes(payload).ok()
-}
+    /// Decodes a delta.
+    ///
+    /// # Errors
+    ///
+    /// If the payload is no delta.
+    pub fn decode(payload: &[u8]) -> Result<Self, PayloadError> {
+        decode(payload)
+    }
 
-/// Puts an answer on the wire.
-pub fn write(answer: &Answer) -> Vec<u8> {
-    postcard::to_stdvec(answer).unwrap_or_default()
-}
+    /// Encodes the delta.
+    #[must_use]
+    pub fn encode(&self) -> Vec<u8> {
+        encode(self)
+    }
 
-impl Answer {
     /// Whether both lists are the same.
+    #[must_use]
     pub fn agrees(&self) -> bool {
-        self.parts == 0 && self.entries.is_empty()
+        self.whole_buckets == 0 && self.entries.is_empty()
     }
 
-    /// What the other lacks, or holds otherwise, of the own list: in the parts that it told whole.
-    pub fn lacks(&self, by: Identity, own: impl Iterator<Item = Entry>) -> Option<Answer> {
-        let same = |entry: &Entry| {
-            self.entries.iter().any(|e| {
-                (e.id, e.down, e.record) == (entry.id, entry.down, entry.record)
-                    && e.incarnation >= entry.incarnation
+    /// What the sender lacks, or knows otherwise, of the own list, in the buckets that are contained whole.
+    pub fn reply(
+        &self,
+        by: Identity,
+        own_entries: impl Iterator<Item = MemberEntry>,
+    ) -> Option<ListDelta> {
+        let is_known = |entry: &MemberEntry| {
+            self.entries.iter().any(|other| {
+                (other.id, other.down, other.metadata_checksum)
+                    == (entry.id, entry.down, entry.metadata_checksum)
+                    && other.incarnation >= entry.incarnation
             })
         };
-        // Of the dead it is told where it takes them for living only: each forgets them in its own time.
-        let unlike = own.filter(|entry| {
-            !same(entry)
-                && (!entry.down
-                    || self
-                        .entries
-                        .iter()
-                        .any(|e| e.id.address == entry.id.address && !e.down))
+        let is_believed_alive = |address: SocketAddr| {
+            self.entries
+                .iter()
+                .any(|other| other.id.address == address && !other.down)
+        };
+        // Of dead members only those count that the sender believes alive: tombstones expire at different times.
+        let missing = own_entries.filter(|entry| {
+            !is_known(entry) && (!entry.down || is_believed_alive(entry.id.address))
         });
-        let back = told(by, self.parts, unlike, 0, true);
-        (!back.entries.is_empty()).then_some(back)
+        let reply = ListDelta {
+            by,
+            whole_buckets: 0,
+            is_reply: true,
+            entries: Vec::new(),
+        };
+        let reply = reply.filled(self.whole_buckets, missing, 0);
+        (!reply.entries.is_empty()).then_some(reply)
     }
 }
 
-/// When the next question is due.
+/// When the next digest is due.
 #[derive(Debug)]
-pub struct Pace {
-    /// So many others must still agree.
-    open: u8,
-    since: Nanos,
+pub struct AntiEntropySchedule {
+    /// Agreeing replies that are still missing.
+    pending_agreements: u8,
+    differing_since: Nanos,
     next: Nanos,
 }
 
-impl Pace {
-    /// A member that has just started is not sure.
+impl AntiEntropySchedule {
+    /// The schedule of a member that has just started: its list is not known to agree.
+    #[must_use]
     pub fn new(now: Nanos) -> Self {
-        Pace {
-            open: AGREED,
-            since: now,
+        AntiEntropySchedule {
+            pending_agreements: AGREEMENTS,
+            differing_since: now,
             next: now,
         }
     }
 
-    /// Something changed, or another holds something else.
-    pub fn stir(&mut self, now: Nanos) {
-        if self.open == 0 {
-            self.since = now;
-            self.next = self.next.min(now + EVERY);
+    /// The own list changed, or another one differs.
+    pub fn mark_differing(&mut self, now: Nanos) {
+        if self.pending_agreements == 0 {
+            self.differing_since = now;
+            self.next = self.next.min(now + FAST_INTERVAL);
         }
-        self.open = AGREED;
+        self.pending_agreements = AGREEMENTS;
     }
 
-    /// Another holds the same.
-    pub fn agreed(&mut self) {
-        self.open = self.open.saturating_sub(1);
+    /// Another list is the same.
+    pub fn record_agreement(&mut self) {
+        self.pending_agreements = self.pending_agreements.saturating_sub(1);
     }
 
-    /// Whether somebody is to be asked now.
-    pub fn due(&mut self, now: Nanos) -> bool {
+    /// Whether a digest is due now; schedules the next one.
+    pub fn is_due(&mut self, now: Nanos) -> bool {
         if now < self.next {
             return false;
         }
-        self.next = now
-            + match self.open {
-                0 => EVERY_CALM,
-                _ if now.saturating_sub(self.since) < NEW => EVERY,
-                _ => EVERY_LATER,
-            };
+        let interval = if self.pending_agreements == 0 {
+            IDLE_INTERVAL
+        } else if now.saturating_sub(self.differing_since) < FAST_PERIOD {
+            FAST_INTERVAL
+        } else {
+            SLOW_INTERVAL
+        };
+        self.next = now + interval;
         true
     }
 }
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,79 +1,81 @@
-//! Tests of `compare`.
+//! Tests of `anti_entropy`.
 
 use super::*;
 use std::collections::BTreeMap;
 
-fn entry(n: u16, generation: u64, record: u32) -> Entry {
+fn entry(n: u16, generation: u64, metadata_checksum: u32) -> MemberEntry {
     let address = SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7_946));
-    Entry {
+    MemberEntry {
         id: Identity {
             address,
             generation,
         },
         incarnation: 0,
         down: false,
-        record,
+        metadata_checksum,
     }
 }
 
-/// One exchange as two members hold it; the later life, then the later record is taken over.
+/// One exchange between two members; the later generation, then the later metadata is taken over.
 fn exchange(
-    a: &mut BTreeMap<SocketAddr, Entry>,
-    b: &mut BTreeMap<SocketAddr, Entry>,
+    a: &mut BTreeMap<SocketAddr, MemberEntry>,
+    b: &mut BTreeMap<SocketAddr, MemberEntry>,
     from: usize,
 ) -> usize {
     let by = entry(0, 0, 0).id;
-    let all = |list: &BTreeMap<SocketAddr, Entry>| list.values().copied().collect::<Vec<_>>();
-    let asked = question(by, &Sums::of(all(a).into_iter()));
-    let (answer, _) = answer(
-        &asked,
+    let all = |list: &BTreeMap<SocketAddr, MemberEntry>| list.values().copied().collect::<Vec<_>>();
+    let message = digest_payload(by, &ListDigest::of(all(a).into_iter()));
+    let (delta, _) = compare_digest(
+        &message,
         by,
-        &Sums::of(all(b).into_iter()),
+        &ListDigest::of(all(b).into_iter()),
         all(b).into_iter(),
         from,
     )
     .unwrap();
     assert!(
-        write(&answer).len() <= PAYLOAD_MAX,
+        delta.encode().len() <= PAYLOAD_MAX,
         "{}",
-        write(&answer).len()
+        delta.encode().len()
     );
-    let answer = read(&write(&answer)).unwrap();
-    let back = answer.lacks(by, all(a).into_iter());
-    let take = |list: &mut BTreeMap<SocketAddr, Entry>, told: &[Entry]| {
-        for e in told {
-            let held = list.entry(e.id.address).or_insert(*e);
-            if (held.id.generation, held.record) < (e.id.generation, e.record) {
-                *held = *e;
+    let delta = ListDelta::decode(&delta.encode()).unwrap();
+    let reply = delta.reply(by, all(a).into_iter());
+    let take = |list: &mut BTreeMap<SocketAddr, MemberEntry>, received: &[MemberEntry]| {
+        for e in received {
+            let known = list.entry(e.id.address).or_insert(*e);
+            if (known.id.generation, known.metadata_checksum)
+                < (e.id.generation, e.metadata_checksum)
+            {
+                *known = *e;
             }
         }
     };
-    take(a, &answer.entries);
-    if let Some(back) = back {
-        assert!(write(&back).len() <= PAYLOAD_MAX && back.last);
-        take(b, &back.entries);
+    take(a, &delta.entries);
+    if let Some(reply) = reply {
+        assert!(reply.encode().len() <= PAYLOAD_MAX && reply.is_reply);
+        take(b, &reply.entries);
     }
-    answer.entries.len()
+    delta.entries.len()
 }
 
-fn list(entries: impl Iterator<Item = Entry>) -> BTreeMap<SocketAddr, Entry> {
+fn list(entries: impl Iterator<Item = MemberEntry>) -> BTreeMap<SocketAddr, MemberEntry> {
     entries.map(|e| (e.id.address, e)).collect()
 }
 
 #[test]
-fn one_pair_that_rumours_have_missed_is_found_by_one_exchange() {
+fn one_exchange_finds_what_broadcasts_have_missed() {
     let mut a = list((1..=300).filter(|n| *n != 77).map(|n| entry(n, 5, 9)));
     let mut b = list((1..=300).filter(|n| *n != 201).map(|n| entry(n, 5, 9)));
     b.insert(entry(33, 6, 1).id.address, entry(33, 6, 1));
-    let told = exchange(&mut a, &mut b, 0);
+    let sent = exchange(&mut a, &mut b, 0);
     assert_eq!(a, b);
     assert_eq!(a.len(), 300);
-    assert!(told < 60, "{told}: of three parts only");
+    assert!(sent < 60, "{sent}: of three buckets only");
     assert_eq!(exchange(&mut a, &mut b, 0), 0, "they agree");
 }
 
 #[test]
-fn who_knows_nobody_learns_a_thousand_by_a_bounded_number_of_datagrams() {
+fn an_empty_list_learns_a_thousand_members_in_a_bounded_number_of_datagrams() {
     let mut a = list(std::iter::once(entry(1, 5, 9)));
     let mut b = list((1..=1_000).map(|n| entry(n, 1_700_000_000_000, u32::MAX)));
     let mut exchanges = 0;
@@ -86,34 +88,43 @@
 }
 
 #[test]
-fn refutations_and_the_dead_make_no_difference() {
-    let a: Vec<Entry> = (1..=9).map(|n| entry(n, 5, 9)).collect();
+fn incarnations_and_dead_members_do_not_change_the_digest() {
+    let a: Vec<MemberEntry> = (1..=9).map(|n| entry(n, 5, 9)).collect();
     let mut b = a.clone();
     b[3].incarnation = 7;
-    b.push(Entry {
+    b.push(MemberEntry {
         down: true,
         ..entry(10, 5, 9)
     });
-    assert_eq!(Sums::of(a.iter().copied()), Sums::of(b.into_iter()));
-    let mut c = a.clone();
-    c[3].record += 1;
-    assert_ne!(Sums::of(a.iter().copied()), Sums::of(c.into_iter()));
     assert_eq!(
-        answer(b"\xff\xff", a[0].id, &Sums::default(), a.into_iter(), 0),
-        None
+        ListDigest::of(a.iter().copied()),
+        ListDigest::of(b.into_iter())
+    );
+    let mut c = a.clone();
+    c[3].metadata_checksum += 1;
+    assert_ne!(
+        ListDigest::of(a.iter().copied()),
+        ListDigest::of(c.into_iter())
     );
+    let garbage = b"\xff\xff";
+    let result = compare_digest(garbage, a[0].id, &ListDigest::default(), a.into_iter(), 0);
+    assert!(matches!(result, Err(PayloadError::Undecodable(_))));
 }
 
 #[test]
-fn questions_go_out_often_while_it_is_new_that_lists_differ_and_seldom_else() {
-    let asked = |pace: &mut Pace, from: u64, until: u64| {
-        (from..until).filter(|ms| pace.due(ms * MS)).count()
+fn digests_are_frequent_while_a_difference_is_new_and_rare_otherwise() {
+    let sent = |schedule: &mut AntiEntropySchedule, from: u64, until: u64| {
+        (from..until).filter(|ms| schedule.is_due(ms * MS)).count()
     };
-    let mut pace = Pace::new(0);
-    assert_eq!(asked(&mut pace, 0, 1_000), 20);
-    (0..AGREED).for_each(|_| pace.agreed());
-    assert_eq!(asked(&mut pace, 1_000, 21_000), 10, "sure");
-    pace.stir(21_000 * MS);
-    assert_eq!(asked(&mut pace, 21_000, 26_000), 100, "a change");
-    assert_eq!(asked(&mut pace, 26_000, 36_000), 10, "they go on differing");
+    let mut schedule = AntiEntropySchedule::new(0);
+    assert_eq!(sent(&mut schedule, 0, 1_000), 20);
+    (0..AGREEMENTS).for_each(|_| schedule.record_agreement());
+    assert_eq!(sent(&mut schedule, 1_000, 21_000), 10, "agreed");
+    schedule.mark_differing(21_000 * MS);
+    assert_eq!(sent(&mut schedule, 21_000, 26_000), 100, "a change");
+    assert_eq!(
+        sent(&mut schedule, 26_000, 36_000),
+        10,
+        "they go on differing"
+    );
 }
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -1,11 +1,12 @@
-//! Who listens for whom.
+//! Heartbeats between members and a few watchers each.
 //!
-//! SWIM's probes go round at random: a death is found after a time that is short in the mean and has no bound worth the
-//! name. So each member is also listened for by a few watchers. They are drawn by rendezvous hashing over the living, so
-//! all members name the same ones, and a death moves few. A member sends its watchers a beat, often; a watcher that hears
-//! nothing of it asks, and goes on asking; after [`SILENT`] without a word it tells the others of a suspect
-//! ([`crate::suspicion`]). Beats and questions a member are as many in a small fleet as in a large one.
+//! SWIM's random probes find a death in a time that is short in the mean but has no bound. So each member also has
+//! [`WATCHERS`] watchers, drawn by rendezvous hashing over the live members: all members compute the same ones, and a
+//! death moves few. A member sends its watchers heartbeats. A watcher that hears nothing probes, and after
+//! [`SUSPECT_AFTER`] of silence broadcasts a suspicion ([`crate::suspicion`]). The datagrams of a member are as many in
+//! a small fleet as in a large one.
 
+use crate::local_health::SuspicionPolicy;
 use crate::{MS, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,176 +14,194 @@
 
 /// How many members watch one.
 pub const WATCHERS: usize = 5;
-/// Who watches one goes on as long as it is among so many: where datagrams get lost members are suspect now and then,
-/// and the draw without them changes back and forth.
-const KEPT: usize = WATCHERS + 3;
-/// A member sends its watchers a beat this often.
-pub const BEAT: Nanos = 250 * MS;
-/// A watcher that has heard nothing for this long asks, and again after [`ASK_EVERY`].
-const QUIET: Nanos = 500 * MS;
-/// How often a silent member is asked by each of its watchers.
-pub const ASK_EVERY: Nanos = 100 * MS;
-/// A watcher that has heard nothing for this long, though it asked, suspects.
-pub const SILENT: Nanos = 900 * MS;
-/// The lists of watchers are drawn anew at most this often: it costs a step for each pair of members.
-const DRAW_EVERY: Nanos = 300 * MS;
-
-/// The number of a member in the draw. Its generation counts for nothing: who returns watches as before.
-fn number(address: SocketAddr) -> u64 {
+/// A watcher keeps watching while it ranks among this many: with lossy links members are suspect now and then, and the
+/// draw without them would change back and forth.
+const RETAINED_RANKS: usize = WATCHERS + 3;
+/// How often a member sends its watchers a heartbeat.
+pub const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
+/// After this much silence a watcher probes.
+const PROBE_AFTER: Nanos = 500 * MS;
+/// How often a silent member is probed by each of its watchers.
+pub const PROBE_INTERVAL: Nanos = 100 * MS;
+/// After this much silence, in spite of probes, a watcher suspects.
+pub const SUSPECT_AFTER: Nanos = 900 * MS;
+/// Watchers are drawn at most this often: a draw takes a step for each pair of members.
+const DRAW_INTERVAL: Nanos = 300 * MS;
+
+/// The number of a member in the draw; independent of its generation, so that a returning member watches as before.
+fn draw_number(address: SocketAddr) -> u64 {
     xxh3_64(address.to_string().as_bytes())
 }
 
-/// The weight of one as a watcher of another; the greatest few watch.
+/// The weight of a member as a watcher of another; those with the greatest weights watch.
 fn weight(watcher: u64, watched: u64) -> u64 {
     let mixed = (watcher ^ watched.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// Which of these, by their places, the member at `own` watches, or would watch if it were there, among these living.
-pub fn drawn_for(of: &[SocketAddr], own: SocketAddr, living: &[SocketAddr]) -> Vec<usize> {
-    let own = number(own);
-    let others: Vec<u64> = living.iter().map(|address| number(*address)).collect();
+/// The indices in `candidates` of the members that `own` watches, or would watch, among these live members.
+#[must_use]
+pub fn drawn_for(candidates: &[SocketAddr], own: SocketAddr, alive: &[SocketAddr]) -> Vec<usize> {
+    let own = draw_number(own);
+    let others: Vec<u64> = alive.iter().copied().map(draw_number).collect();
     let is_drawn = |watched: u64| {
-        let mine = weight(own, watched);
-        others
+        let own_weight = weight(own, watched);
+        let heavier = others
             .iter()
-            .filter(|other| weight(**other, watched) > mine)
-            .take(WATCHERS)
-            .count()
-            < WATCHERS
+            .filter(|other| weight(**other, watched) > own_weight);
+        heavier.take(WATCHERS).count() < WATCHERS
     };
-    (0..of.len()).filter(|n| is_drawn(number(of[*n]))).collect()
+    (0..candidates.len())
+        .filter(|index| is_drawn(draw_number(candidates[*index])))
+        .collect()
 }
 
-struct Watched {
+struct WatchedMember {
     /// Silence counts from here at the earliest.
-    since: Nanos,
-    ask: Nanos,
-    told: bool,
+    silent_since: Nanos,
+    next_probe: Nanos,
+    suspected: bool,
 }
 
 /// Whom one member watches, and who watches it.
-pub struct Watch {
+pub struct HeartbeatMonitor {
     own: SocketAddr,
-    living: Vec<SocketAddr>,
+    alive: Vec<SocketAddr>,
     watchers: Vec<SocketAddr>,
-    watched: BTreeMap<SocketAddr, Watched>,
-    drawn: Nanos,
-    beat: Nanos,
+    watched: BTreeMap<SocketAddr, WatchedMember>,
+    last_draw: Nanos,
+    next_heartbeat: Nanos,
 }
 
-/// What is due.
+/// An action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Send a beat to a watcher.
-    Beat(SocketAddr),
-    /// Ask a silent member.
-    Ask(SocketAddr),
-    /// Tell the others that it is suspect.
+pub enum HeartbeatAction {
+    /// Send a heartbeat to a watcher.
+    SendHeartbeat(SocketAddr),
+    /// Probe a silent member.
+    Probe(SocketAddr),
+    /// Broadcast that a member is suspect.
     Suspect(SocketAddr),
 }
 
-impl Watch {
-    /// A member at this address that knows nobody.
+impl HeartbeatMonitor {
+    /// The monitor of the member at `own`, which knows no others.
+    #[must_use]
     pub fn new(own: SocketAddr) -> Self {
-        Watch {
+        HeartbeatMonitor {
             own,
-            living: Vec::new(),
+            alive: Vec::new(),
             watchers: Vec::new(),
             watched: BTreeMap::new(),
-            drawn: 0,
-            beat: 0,
+            last_draw: 0,
+            next_heartbeat: 0,
         }
     }
 
-    /// Draws the lists anew if the living have changed: `living` are the others that are not suspect, in order.
-    pub fn draw(&mut self, now: Nanos, living: &[SocketAddr], held: impl Fn(SocketAddr) -> bool) {
-        if living == self.living
-            || (now.saturating_sub(self.drawn) < DRAW_EVERY && !self.living.is_empty())
-        {
+    /// Draws the watchers again if the live members have changed. `alive` are the others that are not suspect, sorted.
+    pub fn draw(
+        &mut self,
+        now: Nanos,
+        alive: &[SocketAddr],
+        is_suspect: impl Fn(SocketAddr) -> bool,
+    ) {
+        let recent = now.saturating_sub(self.last_draw) < DRAW_INTERVAL && !self.alive.is_empty();
+        if alive == self.alive || recent {
             return;
         }
-        self.drawn = now;
-        self.living = living.to_vec();
-        let numbers: Vec<u64> = living.iter().map(|a| number(*a)).collect();
-        let own = number(self.own);
-        let mut all: Vec<(u64, SocketAddr)> = numbers
+        self.last_draw = now;
+        self.alive = alive.to_vec();
+        let numbers: Vec<u64> = alive.iter().copied().map(draw_number).collect();
+        self.draw_watchers(&numbers);
+        // Suspects stay watched until confirmed or refuted. Silence that was counted is kept, or each draw during a
+        // mass death would delay the other suspicions.
+        self.watched
+            .retain(|address, _| is_suspect(*address) || alive.binary_search(address).is_ok());
+        self.draw_watched(now, &numbers);
+    }
+
+    fn draw_watchers(&mut self, numbers: &[u64]) {
+        let own = draw_number(self.own);
+        let mut ranked: Vec<(u64, SocketAddr)> = numbers
             .iter()
-            .zip(living)
-            .map(|(n, a)| (weight(*n, own), *a))
+            .zip(&self.alive)
+            .map(|(number, address)| (weight(*number, own), *address))
             .collect();
-        all.sort_unstable_by(|a, b| b.cmp(a));
-        self.watchers = all.into_iter().take(WATCHERS).map(|(_, a)| a).collect();
-        // Who is suspect is listened for as before, until it is given up or refutes; who is not keeps the silence that
-        // has been counted, or each draw during a mass death would put the others' suspicions off.
-        self.watched
-            .retain(|address, _| held(*address) || living.binary_search(address).is_ok());
-        for (i, address) in living.iter().enumerate() {
-            let mine = weight(own, numbers[i]);
-            let heavier = |(j, n): (usize, &u64)| j != i && weight(*n, numbers[i]) > mine;
-            let rank = numbers
-                .iter()
-                .enumerate()
-                .filter(|(j, n)| heavier((*j, n)))
-                .take(KEPT)
-                .count();
+        ranked.sort_unstable_by(|a, b| b.cmp(a));
+        let addresses = ranked.into_iter().map(|(_, address)| address);
+        self.watchers = addresses.take(WATCHERS).collect();
+    }
+
+    fn draw_watched(&mut self, now: Nanos, numbers: &[u64]) {
+        let own = draw_number(self.own);
+        for (index, address) in self.alive.iter().enumerate() {
+            let own_weight = weight(own, numbers[index]);
+            let is_heavier = |(other, number): &(usize, &u64)| {
+                *other != index && weight(**number, numbers[index]) > own_weight
+            };
+            let heavier = numbers.iter().enumerate().filter(is_heavier);
+            let rank = heavier.take(RETAINED_RANKS).count();
             if rank < WATCHERS {
-                // Whoever watched it before may have died with it: it is asked at once.
-                let since = now.saturating_sub(QUIET);
-                self.watched.entry(*address).or_insert(Watched {
-                    since,
-                    ask: now,
-                    told: false,
+                // Its former watchers may have died with others: it is probed at once.
+                self.watched.entry(*address).or_insert(WatchedMember {
+                    silent_since: now.saturating_sub(PROBE_AFTER),
+                    next_probe: now,
+                    suspected: false,
                 });
-            } else if rank >= KEPT {
+            } else if rank >= RETAINED_RANKS {
                 self.watched.remove(address);
             }
         }
     }
 
     /// Whether this member watches that one.
+    #[must_use]
     pub fn watches(&self, address: SocketAddr) -> bool {
         self.watched.contains_key(&address)
     }
 
-    /// Silence counts from now: this member stood still, or was cut off, itself.
-    pub fn begin_anew(&mut self, now: Nanos) {
+    /// Silence counts from now on: this member itself stalled or was isolated.
+    pub fn restart(&mut self, now: Nanos) {
         for watched in self.watched.values_mut() {
-            watched.since = now;
-            watched.told = false;
+            watched.silent_since = now;
+            watched.suspected = false;
         }
     }
 
-    /// What is due now. `heard` tells when a member was last heard itself, `patience` stretches the time, and without
-    /// `may_accuse` nobody is suspected.
+    /// The actions that are due. `last_heard` tells when a member was last heard directly.
     pub fn due(
         &mut self,
         now: Nanos,
-        patience: u64,
-        may_accuse: bool,
-        heard: impl Fn(SocketAddr) -> Nanos,
-    ) -> Vec<Step> {
-        let mut steps = Vec::new();
-        if now >= self.beat {
-            self.beat = now + BEAT;
-            steps.extend(self.watchers.iter().map(|watcher| Step::Beat(*watcher)));
+        policy: SuspicionPolicy,
+        last_heard: impl Fn(SocketAddr) -> Nanos,
+    ) -> Vec<HeartbeatAction> {
+        let mut actions = Vec::new();
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            actions.extend(
+                self.watchers
+                    .iter()
+                    .copied()
+                    .map(HeartbeatAction::SendHeartbeat),
+            );
         }
         for (address, watched) in &mut self.watched {
-            let silent = now.saturating_sub(watched.since.max(heard(*address)));
-            if silent < QUIET {
-                watched.told = false;
+            let silence = now.saturating_sub(watched.silent_since.max(last_heard(*address)));
+            if silence < PROBE_AFTER {
+                watched.suspected = false;
                 continue;
             }
-            if now >= watched.ask {
-                watched.ask = now + ASK_EVERY;
-                steps.push(Step::Ask(*address));
+            if now >= watched.next_probe {
+                watched.next_probe = now + PROBE_INTERVAL;
+                actions.push(HeartbeatAction::Probe(*address));
             }
-            if silent >= SILENT * patience && may_accuse && !watched.told {
-                watched.told = true;
-                steps.push(Step::Suspect(*address));
+            let timed_out = silence >= SUSPECT_AFTER * policy.timeout_multiplier;
+            if timed_out && policy.may_suspect && !watched.suspected {
+                watched.suspected = true;
+                actions.push(HeartbeatAction::Suspect(*address));
             }
         }
-        steps
+        actions
     }
 }
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,21 +1,31 @@
-//! Who a member is, and how its older selves are told from it.
+//! Who a member is, and how a restarted member is told from its former processes.
 
-use crate::fault_injection::{self, InjectedFault};
+use crate::fault_injection::{InjectedFault, is_injected};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A member: the address it is reached at, and which of its lives this is.
+/// A member: the address it is reached at, and its generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
     /// Where the others send datagrams.
     pub address: SocketAddr,
-    /// Unix time in milliseconds of its start, raised by one with each return from a false death: the greater wins.
+    /// Unix time in milliseconds of its start, raised by one with each rejoin after a false death; the greater wins.
     pub generation: u64,
 }
 
+impl Identity {
+    /// The identity by which a member of unknown generation is announced to.
+    pub(crate) fn of_unknown_generation(address: SocketAddr) -> Self {
+        Identity {
+            address,
+            generation: 0,
+        }
+    }
+}
+
 impl foca::Identity for Identity {
     type Addr = SocketAddr;
 
@@ -31,37 +41,37 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        if fault_injection::is_injected(InjectedFault::PrefersOlderGeneration) {
+        if is_injected(InjectedFault::PrefersOlderGeneration) {
             return self.generation < adversary.generation;
         }
         self.generation > adversary.generation
     }
 }
 
-/// The greatest generation that anybody has named for this address. It is more than one's own where the clock was
-/// stepped back between two starts; returning by steps of one would take as many returns as milliseconds.
+/// The greatest generation that anybody reported for the own address. It exceeds the own generation where the clock
+/// was stepped back between two starts; rejoining by steps of one would then take as many rejoins as milliseconds.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Named(Rc<Cell<u64>>);
+pub(crate) struct ObservedGeneration(Rc<Cell<u64>>);
 
-impl Named {
+impl ObservedGeneration {
     pub(crate) fn get(&self) -> u64 {
         self.0.get()
     }
 
-    pub(crate) fn note(&self, generation: u64) {
+    pub(crate) fn observe(&self, generation: u64) {
         self.0.set(self.0.get().max(generation));
     }
 }
 
-/// The addresses that the membership holds. What a datagram says of others is left once there are enough of them.
+/// The addresses of the membership, of bounded number. Entries of others are ignored once it is full.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Held(Rc<RefCell<BTreeSet<SocketAddr>>>);
+pub(crate) struct KnownAddresses(Rc<RefCell<BTreeSet<SocketAddr>>>);
 
-impl Held {
-    pub(crate) fn set(&self, addresses: impl Iterator<Item = SocketAddr>) {
-        let mut held = self.0.borrow_mut();
-        held.clear();
-        held.extend(addresses);
+impl KnownAddresses {
+    pub(crate) fn replace(&self, addresses: impl Iterator<Item = SocketAddr>) {
+        let mut known = self.0.borrow_mut();
+        known.clear();
+        known.extend(addresses);
     }
 
     pub(crate) fn insert(&self, address: SocketAddr) {
@@ -72,48 +82,54 @@
         self.0.borrow_mut().remove(&address);
     }
 
-    /// A place for this address, if there is one.
-    pub(crate) fn admit(&self, address: SocketAddr, most: usize) -> Result<(), ()> {
-        let mut held = self.0.borrow_mut();
-        if held.contains(&address) || held.len() < most {
-            held.insert(address);
-            return Ok(());
+    /// Adds an address if it is known or there is capacity; whether it is known then.
+    #[must_use]
+    pub(crate) fn admit(&self, address: SocketAddr, capacity: usize) -> bool {
+        let mut known = self.0.borrow_mut();
+        let admitted = known.contains(&address) || known.len() < capacity;
+        if admitted {
+            known.insert(address);
         }
-        Err(())
+        admitted
     }
 }
 
-/// `postcard`, which also notes what is said of the own address.
-pub(crate) struct Wire {
+/// The `postcard` codec, which also observes the generations reported for the own address and bounds the membership.
+pub(crate) struct MembershipCodec {
     own: SocketAddr,
-    named: Named,
-    held: Held,
+    observed_generation: ObservedGeneration,
+    known_addresses: KnownAddresses,
     members_max: usize,
-    /// Who sent the datagram that is read.
-    from: Option<SocketAddr>,
+    /// The sender of the datagram that is decoded.
+    sender: Option<SocketAddr>,
     inner: foca::PostcardCodec,
 }
 
-impl Wire {
-    pub(crate) fn new(own: SocketAddr, named: Named, held: Held, members_max: usize) -> Self {
-        Wire {
+impl MembershipCodec {
+    pub(crate) fn new(
+        own: SocketAddr,
+        observed_generation: ObservedGeneration,
+        known_addresses: KnownAddresses,
+        members_max: usize,
+    ) -> Self {
+        MembershipCodec {
             own,
-            named,
-            held,
+            observed_generation,
+            known_addresses,
             members_max,
-            from: None,
+            sender: None,
             inner: foca::PostcardCodec,
         }
     }
 
-    fn note(&self, id: &Identity) {
+    fn observe(&self, id: &Identity) {
         if id.address == self.own {
-            self.named.note(id.generation);
+            self.observed_generation.observe(id.generation);
         }
     }
 }
 
-impl foca::Codec<Identity> for Wire {
+impl foca::Codec<Identity> for MembershipCodec {
     type Error = <foca::PostcardCodec as foca::Codec<Identity>>::Error;
 
     fn encode_header(
@@ -129,8 +145,8 @@
         buf: impl bytes::Buf,
     ) -> Result<foca::Header<Identity>, Self::Error> {
         let header: foca::Header<Identity> = self.inner.decode_header(buf)?;
-        self.note(&header.dst);
-        self.from = Some(header.src.address);
+        self.observe(&header.dst);
+        self.sender = Some(header.src.address);
         Ok(header)
     }
 
@@ -148,25 +164,24 @@
     ) -> Result<foca::Member<Identity>, Self::Error> {
         let member: foca::Member<Identity> = self.inner.decode_member(buf)?;
         let id = *member.id();
-        self.note(&id);
+        self.observe(&id);
         if id.address == self.own {
-            if member.state() == foca::State::Suspect
-                && fault_injection::is_injected(InjectedFault::NeverRefutes)
-            {
-                return Ok(foca::Member::alive(id));
-            }
-            return Ok(member);
+            let drops_suspicion = is_injected(InjectedFault::NeverRefutes);
+            return Ok(
+                if drops_suspicion && member.state() == foca::State::Suspect {
+                    foca::Member::alive(id)
+                } else {
+                    member
+                },
+            );
         }
-        match self.held.admit(id.address, self.members_max) {
-            Ok(()) => Ok(member),
-            // An older life of the sender, which counts as there by its datagram, says nothing; the other news counts.
-            Err(()) => {
-                let address = self.from.unwrap_or(id.address);
-                Ok(foca::Member::alive(Identity {
-                    address,
-                    generation: 0,
-                }))
-            }
+        if self.known_addresses.admit(id.address, self.members_max) {
+            return Ok(member);
         }
+        // An update of an older generation of the sender has no effect; the other updates of the datagram count.
+        let address = self.sender.unwrap_or(id.address);
+        Ok(foca::Member::alive(Identity::of_unknown_generation(
+            address,
+        )))
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,33 +1,33 @@
-//! The fleet's own view: which balancers there are, which of them stall, left or died, and by how many the shares
-//! of room, probes and retries are divided.
+//! The membership of the fleet: which balancers there are, which of them stall, left or died, and the share count that
+//! quotas, limits and budgets are divided by.
 //!
-//! A [`Member`] speaks for one balancer. It does no I/O and has no clock: it is told of datagrams and of the time, and
-//! hands out datagrams, the time at which it wants to be woken, and the changes of its [`View`]. Who is there is found
-//! out by SWIM (the library `foca`); what this crate decides beyond that is in modules of its own:
+//! A [`Member`] stands for one balancer. It does no I/O and has no clock: its caller passes datagrams and the time, and
+//! takes datagrams to send, the time of the next tick, and the changes of its [`View`]. Membership is SWIM (the library
+//! `foca`); what this crate adds has a module for each protocol:
 //!
-//! - [`envelope`]: whose datagrams are read at all;
-//! - [`heartbeat`]: who listens for whom, and when silence becomes a suspicion;
-//! - [`suspicion`]: when a suspect is given up, and by whom;
-//! - [`health`]: when a member distrusts itself and accuses nobody;
-//! - [`anti_entropy`]: what rumours have missed is found by comparing lists;
-//! - [`metadata`]: soft state of bounded size, spread and asked for;
-//! - [`shedding`]: one level of admission for the whole fleet;
-//! - [`share_count`]: how many balancers the rest is shared among, through splits and deaths;
-//! - [`regions`]: a fleet of several regions, in which members know only summaries of the others.
+//! - [`envelope`]: the frame of all datagrams, by fleet and format version;
+//! - failure detection: [`heartbeat`]s to watchers, [`suspicion`] timers, [`local_health`] as in Lifeguard;
+//! - dissemination: [`metadata`] of bounded size, broadcast and requested by the [`metadata_store`];
+//! - [`anti_entropy`] of member lists, for what broadcasts have missed;
+//! - [`shedding`]: one shedding level for the whole fleet;
+//! - [`share_count`]: the share count, through partitions and deaths;
+//! - [`regions`]: the federation of regions, whose members know only summaries of each other's region.
 //!
-//! Times are nanoseconds on the caller's own monotonic clock; spans are nanoseconds too. Nothing is encrypted or signed:
-//! the talk belongs on a network that is trusted.
+//! Times are nanoseconds of the caller's monotonic clock. Nothing is encrypted or signed: the datagrams belong on a
+//! trusted network.
 #![forbid(unsafe_code)]
 
 pub mod anti_entropy;
 pub mod envelope;
 pub mod fault_injection;
-pub mod health;
 pub mod heartbeat;
 mod identity;
+pub mod local_health;
 mod location;
 mod member;
 pub mod metadata;
+pub mod metadata_store;
+mod payload;
 #[cfg(test)]
 mod recorded_gossip_tests;
 pub mod regions;
@@ -41,6 +41,7 @@
 pub use location::{LOCATION_NAME_MAX, Location};
 pub use member::{Member, MemberStatistics};
 pub use metadata::{MemberMetadata, MetadataRecord, ServingPhase};
+pub use payload::PayloadError;
 pub use settings::{MembershipSettings, Timing};
 pub use view::{MemberStatus, MemberView, MembershipEvent, RegionView, View};
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,6 +1,7 @@
-//! One member: datagrams and time in; datagrams, wake-ups and changes of the view out.
+//! One member: dispatches datagrams and ticks to its protocols, each of which owns its state.
 
 mod anti_entropy;
+mod context;
 mod dissemination;
 mod failure_detection;
 mod federation;
@@ -9,97 +10,74 @@
 mod region_overview;
 mod roster;
 mod send_budget;
+mod shedding;
 mod statistics;
 mod swim;
 
-use crate::anti_entropy::{Pace, Sums};
-use crate::envelope::{self, EnvelopeError, EnvelopeScope, MessageKind};
-use crate::health::Health;
-use crate::heartbeat::Watch;
-use crate::identity::{Held, Named, Wire};
-use crate::metadata::{MemberMetadata, MetadataRecord, MetadataStore};
-use crate::share_count::Count;
-use crate::shedding::SharedShedding;
-use crate::suspicion::Suspicions;
-use crate::{Identity, MS, MemberView, MembershipEvent, MembershipSettings, Nanos, View};
 #[cfg(test)]
-pub(crate) use failure_detection::Ask;
-use federation::Regional;
-use foca::{Foca, Timer};
-use membership_table::{Sources, Table};
-use rand::{RngExt, SeedableRng};
-use rand_xoshiro::Xoshiro256PlusPlus;
+pub(crate) use failure_detection::WatcherProbe;
 #[cfg(test)]
-pub(crate) use region_delegate::Referral;
-use roster::Roster;
-use send_budget::Budget;
+pub(crate) use region_delegate::RegionReferral;
 pub use statistics::MemberStatistics;
-use std::collections::BTreeMap;
+
+use crate::envelope::{self, EnvelopeError, EnvelopeScope, MessageKind};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::metadata::{MemberMetadata, ServingPhase};
+use crate::payload::{PayloadError, decode};
+use crate::regions::announcement_store::DroppedAnnouncements;
+use crate::regions::overview::{PARTS, RegionStatus};
+use crate::regions::share_count::RegionSize;
+use crate::share_count::ShareCounter;
+use crate::shedding::{AdmissionCounts, SharedShedding};
+use crate::{
+    Identity, Location, MS, MemberView, MembershipEvent, MembershipSettings, Nanos, RegionView,
+    View,
+};
+use anti_entropy::AntiEntropy;
+use context::Context;
+use dissemination::MetadataGossip;
+use failure_detection::FailureDetector;
+use federation::{Federation, OwnRegion};
+use membership_table::{MembershipTable, Sources, UpdateScope};
+use rand::{RngExt, SeedableRng};
+use rand_xoshiro::Xoshiro256PlusPlus;
+use send_budget::SendBudget;
+use shedding::SheddingGossip;
 use std::net::SocketAddr;
-use swim::Swim;
+use swim::SwimProtocol;
 
-/// A member wakes at least this often.
-const TURN: Nanos = 50 * MS;
-/// Without a word from anybody for this long the view is stale.
-const STALE: Nanos = 10_000 * MS;
+/// The longest time between two ticks.
+const TICK_INTERVAL_MAX: Nanos = 50 * MS;
+/// The view is stale after this long without a datagram of any member.
+const STALE_AFTER: Nanos = 10_000 * MS;
 
 /// One member of a fleet.
 pub struct Member {
     settings: MembershipSettings,
-    numbers: EnvelopeScope,
-    swim: Swim,
-    roster: Roster,
-    named: Named,
-    held: Held,
-    /// What `foca` wants to be woken for; at most a handful, and one for each dead member.
-    timers: BTreeMap<(Nanos, u64), Timer<Identity>>,
-    set: u64,
-    suspicions: Suspicions,
-    watch: Watch,
-    health: Health,
-    records: MetadataStore,
-    own: MetadataRecord,
-    count: Count,
-    table: Table,
-    /// When each member was last heard itself.
-    heard: BTreeMap<SocketAddr, Nanos>,
-    rng: Xoshiro256PlusPlus,
-    gossip: Nanos,
-    round: Nanos,
-    /// What it holds, summed up at the last look.
-    sums: Sums,
-    pace: Pace,
-    /// The level that all shed load by, where it is agreed on, and when it is told again.
-    overload: Option<SharedShedding>,
-    tell_load: Nanos,
-    /// A death came in: it is passed on at once, from then on.
-    pass_on: Option<Nanos>,
-    passed_on: Nanos,
-    join: (Nanos, Nanos),
-    leapt: Nanos,
-    ask_dead_due: Nanos,
+    context: Context,
+    swim: SwimProtocol,
+    failure_detector: FailureDetector,
+    metadata: MetadataGossip,
+    anti_entropy: AntiEntropy,
+    shedding: SheddingGossip,
+    /// Where the fleet has regions.
+    federation: Option<Federation>,
+    table: MembershipTable,
+    share_counter: ShareCounter,
+    /// The share count of the whole fleet.
+    share_count: usize,
     next_tick: Nanos,
-    now: Nanos,
     started: Nanos,
-    met: bool,
-    gone: bool,
-    outputs: Vec<(SocketAddr, Vec<u8>)>,
-    changes: Vec<MembershipEvent>,
-    statistics: MemberStatistics,
-    /// The other regions, where the fleet has regions.
-    regional: Option<Regional>,
-    /// What it sends at most, where the fleet has regions.
-    budget: Option<Budget>,
-    /// By how many the whole fleet's shares are divided.
-    total: usize,
+    has_left: bool,
 }
 
 impl Member {
-    /// A member that starts at `now`, which is also its first generation if the clock is Unix time: `unix_ms` is that in
-    /// milliseconds. `soft` is what it tells of itself; names that are too long are cut.
+    /// A member that starts at `now`. `unix_ms`, the Unix time in milliseconds, is its first generation. Names in
+    /// `metadata` that are too long are truncated.
+    #[must_use]
     pub fn new(
         settings: MembershipSettings,
-        soft: MemberMetadata,
+        metadata: MemberMetadata,
         unix_ms: u64,
         seed: u64,
         now: Nanos,
@@ -109,302 +87,440 @@
             address: settings.address,
             generation: unix_ms,
         };
-        let (named, held) = (Named::default(), Held::default());
-        let wire = Wire::new(
-            settings.address,
-            named.clone(),
-            held.clone(),
-            settings.members_max,
-        );
         let swim_rng = Xoshiro256PlusPlus::seed_from_u64(rng.random());
-        let mut own = MetadataRecord {
-            member: id,
-            version: 1,
-            metadata: dissemination::bounded(soft),
-        };
-        if !settings.location.is_none() {
-            own.metadata.extension = settings.location.encode();
-        }
+        let first_join = now + SwimProtocol::join_delay(&mut rng);
         let timing = settings.timing;
-        let mut records = MetadataStore::new(own.clone());
-        if !settings.location.is_none() {
-            records.bound_rumours(swim::RUMOURS_IN_REGIONS);
-        }
-        let join_delay = rng.random_range(0..swim::JOIN_FIRST / 2);
-        Member {
-            numbers: EnvelopeScope::new(&settings.fleet, &settings.location.region),
-            regional: Regional::new(&settings, unix_ms, now),
-            swim: Foca::new(id, swim::config(&settings), swim_rng, wire),
-            roster: Roster::new(),
-            named,
-            held,
-            timers: BTreeMap::new(),
-            set: 0,
-            suspicions: Suspicions::new(timing.suspicion_timeout),
-            watch: Watch::new(settings.address),
-            health: Health::new(now),
-            records,
-            own,
-            count: Count::new(timing.share_retention, timing.tombstone_retention),
-            table: Table::default(),
-            heard: BTreeMap::new(),
+        let has_regions = !settings.location.is_none();
+        let context = Context {
+            now,
             rng,
-            gossip: now,
-            round: now,
-            sums: Sums::default(),
-            pace: Pace::new(now),
-            overload: None,
-            tell_load: now,
-            pass_on: None,
-            passed_on: 0,
-            // All of a fleet that start at once don't ask in step.
-            join: (now + join_delay, swim::JOIN_FIRST),
-            leapt: 0,
-            ask_dead_due: now + join_delay,
+            scope: EnvelopeScope::new(&settings.fleet, &settings.location.region),
+            statistics: MemberStatistics::default(),
+            datagrams: Vec::new(),
+            events: Vec::new(),
+            budget: has_regions.then(|| SendBudget::new(now)),
+        };
+        Member {
+            context,
+            swim: SwimProtocol::new(&settings, id, swim_rng, first_join),
+            failure_detector: FailureDetector::new(&settings, now),
+            metadata: MetadataGossip::new(&settings, id, metadata, now),
+            anti_entropy: AntiEntropy::new(now),
+            shedding: SheddingGossip::new(now),
+            federation: Federation::new(&settings, unix_ms, now),
+            table: MembershipTable::default(),
+            share_counter: ShareCounter::new(timing.share_retention, timing.tombstone_retention),
+            share_count: 0,
             next_tick: now,
-            now,
             started: now,
-            met: false,
-            gone: false,
-            outputs: Vec::new(),
-            changes: Vec::new(),
-            statistics: MemberStatistics::default(),
-            budget: (!settings.location.is_none()).then(|| Budget::new(now)),
-            total: 0,
+            has_left: false,
             settings,
         }
     }
 
-    /// Who it is now.
+    /// Its identity now.
+    #[must_use]
     pub fn id(&self) -> Identity {
-        *self.swim.identity()
+        self.swim.id()
     }
 
-    /// What it tells of itself.
+    /// The metadata that it publishes.
+    #[must_use]
     pub fn metadata(&self) -> &MemberMetadata {
-        &self.own.metadata
+        self.metadata.own()
     }
 
     /// The fleet's name.
+    #[must_use]
     pub fn fleet_name(&self) -> &str {
         &self.settings.fleet
     }
 
-    /// Datagrams since the start.
+    /// Where this balancer runs.
+    #[must_use]
+    pub fn location(&self) -> &Location {
+        &self.settings.location
+    }
+
+    /// Counters since the start.
+    #[must_use]
     pub fn statistics(&self) -> MemberStatistics {
+        let detector = &self.failure_detector;
         MemberStatistics {
-            suspicions: self.suspicions.begun,
-            confirmed_dead: self.suspicions.given_up,
-            stalls: self.health.gaps,
-            ..self.statistics
+            suspicions: detector.suspicions.begun,
+            confirmed_dead: detector.suspicions.confirmed_dead,
+            stalls: detector.health.stalls,
+            ..self.context.statistics
         }
     }
 
-    /// When it wants its next [`Member::turn`].
+    /// When the next [`Member::tick`] is due.
+    #[must_use]
     pub fn next_tick(&self) -> Nanos {
         self.next_tick
     }
 
-    /// Datagrams that are to be sent, since the last call.
+    /// The datagrams to send since the last call.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        std::mem::take(&mut self.outputs)
+        std::mem::take(&mut self.context.datagrams)
     }
 
-    /// Changes of the view, since the last call.
+    /// The changes of the view since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
-        std::mem::take(&mut self.changes)
+        std::mem::take(&mut self.context.events)
     }
 
-    /// The others as it sees them, by address.
+    /// The other members as it sees them, by address.
     pub fn members(&self) -> impl Iterator<Item = &MemberView> {
         self.table.members()
     }
 
-    /// What it sees.
+    /// The delegates of the own region, the leader first; empty where there are no regions.
+    #[must_use]
+    pub fn delegates(&self) -> &[SocketAddr] {
+        self.federation
+            .as_ref()
+            .map_or(&[], |federation| &federation.delegates)
+    }
+
+    /// The other regions by the overview, and since when a silent one has been silent.
+    pub fn region_rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
+        self.federation.iter().flat_map(Federation::other_regions)
+    }
+
+    /// Announcements that were dropped, and parts of the overview that were unsound.
+    #[must_use]
+    pub fn regions_dropped(&self) -> (DroppedAnnouncements, u64) {
+        let federation = self.federation.as_ref();
+        federation.map_or_else(Default::default, |federation| {
+            (federation.dropped(), federation.unsound_parts)
+        })
+    }
+
+    /// The number of announcements that it stores as a delegate.
+    #[must_use]
+    pub fn announcements(&self) -> usize {
+        let federation = self.federation.as_ref();
+        let announcements = federation.and_then(|federation| federation.announcements.as_ref());
+        announcements.map_or(0, |announcements| announcements.len())
+    }
+
+    /// Its view of the fleet.
+    #[must_use]
     pub fn view(&self) -> View {
+        let regions = self.region_rows().map(|(row, silent_since)| RegionView {
+            overview: row.clone(),
+            silent_since,
+        });
+        let places_elsewhere = self.region_rows().map(|(row, _)| row.places as usize);
         View {
             members: self.table.members().cloned().collect(),
-            regions: self.regions_seen(),
+            regions: regions.collect(),
             delegates: self.delegates().to_vec(),
-            share_count: self.total,
-            alive: self.count.living() + self.living_elsewhere(),
-            places: self.count.places() + self.places_elsewhere(),
-            isolated: self.is_cut_off(),
+            share_count: self.share_count,
+            alive: self.alive(),
+            places: self.share_counter.places() + places_elsewhere.sum::<usize>(),
+            isolated: self.is_isolated(),
+        }
+    }
+
+    /// Live members in all reachable regions, this one included.
+    fn alive(&self) -> usize {
+        let reachable = self
+            .region_rows()
+            .filter(|(_, silent_since)| silent_since.is_none());
+        let elsewhere = reachable.map(|(row, _)| row.alive as usize);
+        self.share_counter.alive() + elsewhere.sum::<usize>()
+    }
+
+    /// The size of the own region, as this member counts it.
+    fn own_region_size(&self) -> RegionSize {
+        let alive = self.share_counter.alive();
+        RegionSize {
+            alive,
+            places: self.table.share_count().max(alive),
         }
     }
 
-    fn is_cut_off(&self) -> bool {
-        self.swim.num_members() > 0 && self.health.is_cut_off(self.now)
+    fn is_isolated(&self) -> bool {
+        self.swim.alive() > 0 && self.failure_detector.health.is_isolated(self.context.now)
     }
 
-    /// By how many shares are divided: the count while somebody was heard lately; before the first meeting the settings'
-    /// figure; the greater of both in a member's first seconds (as long as a place is held), when it has not met all, and
-    /// once nobody is heard for 10 s, since either may be far too small for a fleet that goes on elsewhere.
+    /// The number that shares are divided by. Before any other member is known it is the configured number; while this
+    /// member is new, or hears nobody, at least that: the fleet may be larger than what it has met.
+    #[must_use]
     pub fn share_count(&self) -> usize {
         let configured = self.settings.configured_balancers.max(1);
-        if !self.met {
+        if !self.swim.has_met() {
             return configured;
         }
-        let count = self.total;
-        let new = self.now.saturating_sub(self.started) < self.settings.timing.share_retention;
-        let stale = self.now.saturating_sub(self.health.last_heard()) > STALE;
-        if new || stale {
-            count.max(configured)
+        let now = self.context.now;
+        let is_new = now.saturating_sub(self.started) < self.settings.timing.share_retention;
+        let silence = now.saturating_sub(self.failure_detector.health.last_heard());
+        if is_new || silence > STALE_AFTER {
+            self.share_count.max(configured)
         } else {
-            count
+            self.share_count
         }
     }
 
-    /// Takes a datagram in. Whatever is in it, it is counted and never ends the member.
+    /// Enables shared shedding; `tiers` is how many tiers `routing` has.
+    pub fn enable_shared_shedding(&mut self, tiers: usize) {
+        self.shedding
+            .enable(tiers, self.swim.id(), self.context.now);
+    }
+
+    /// Adds counts of admitted requests and of those rejected for capacity.
+    pub fn add_admission_counts(&mut self, counts: AdmissionCounts) {
+        if let Some(shared) = &mut self.shedding.shared {
+            shared.add_counts(counts);
+        }
+    }
+
+    /// The shedding level; 0 where nothing is shed or shared shedding is not enabled.
+    #[must_use]
+    pub fn shedding_level(&self) -> f64 {
+        let shared = self.shedding.shared.as_ref();
+        shared.map_or(0.0, SharedShedding::level)
+    }
+
+    /// Changes the metadata that it publishes.
+    pub fn update_metadata(&mut self, change: impl FnOnce(&mut MemberMetadata)) {
+        self.metadata.update(&self.swim, change);
+    }
+
+    /// Receives a datagram; one that cannot be read is counted and dropped.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, datagram: &[u8]) {
-        self.now = self.now.max(now);
-        self.statistics.received += 1;
-        self.statistics.received_bytes += datagram.len() as u64;
-        let (kind, payload) = match envelope::open(self.numbers, datagram) {
+        let context = &mut self.context;
+        context.now = context.now.max(now);
+        let statistics = &mut context.statistics;
+        statistics.received += 1;
+        statistics.received_bytes += datagram.len() as u64;
+        let (kind, payload) = match envelope::open(context.scope, datagram) {
             Ok(opened) => opened,
-            Err(EnvelopeError::Corrupt) => return self.statistics.corrupt += 1,
-            Err(EnvelopeError::Foreign) => return self.statistics.foreign += 1,
+            Err(EnvelopeError::Corrupt) => return statistics.corrupt += 1,
+            Err(EnvelopeError::Foreign) => return statistics.foreign += 1,
             Err(EnvelopeError::UnsupportedVersion) => {
-                return self.statistics.unsupported_version += 1;
+                return statistics.unsupported_version += 1;
             }
         };
-        if self.gone {
+        if self.has_left {
             return;
         }
-        let taken = match kind {
-            MessageKind::Swim => self.take_swim(from, payload),
-            MessageKind::MetadataRecords => self.take_records(payload),
-            MessageKind::MetadataRequest => self.take_want(from, payload),
-            MessageKind::MemberListDigest => self.take_compare(from, payload),
-            MessageKind::MemberListDelta => self.take_told(from, payload),
-            MessageKind::LevelReports => self.take_load(payload),
-            MessageKind::WatcherProbe => self.take_ask(payload),
-            // That it came is all it says.
-            MessageKind::Heartbeat => postcard::from_bytes::<Identity>(payload).is_ok(),
-            MessageKind::RegionDigest => self.take_region_question(from, payload),
-            MessageKind::RegionDelta => self.take_region_answer(from, payload),
-            MessageKind::RegionAnnouncements => self.take_region_news(payload),
-            MessageKind::RegionReferral => self.take_region_referral(from, payload),
-            MessageKind::Overview => self.take_overview(from, payload),
-            MessageKind::OverviewDigest => self.take_overview_question(from, payload),
-        };
-        if !taken {
-            return self.statistics.malformed += 1;
+        let result = self.dispatch(kind, from, payload);
+        self.after_swim();
+        if result.is_err() {
+            self.context.statistics.malformed += 1;
+            return;
         }
-        if self.is_cut_off() {
-            // The silence was its own.
-            self.suspicions.begin_anew(self.now);
-            self.watch.begin_anew(self.now);
+        let now = self.context.now;
+        if self.is_isolated() {
+            // The silence so far was this member's own.
+            self.failure_detector.restart(now);
         }
-        self.health.heard(self.now);
-        if self.table.knows(&from) {
-            self.heard.insert(from, self.now);
+        self.failure_detector.health.record_heard(now);
+        if self.table.contains(&from) {
+            self.failure_detector.record_heard(now, from);
         }
     }
 
-    /// A turn of the member's own clock: what is due is done.
-    pub fn tick(&mut self, now: Nanos) {
-        self.now = self.now.max(now);
-        if self.gone {
-            self.next_tick = self.now + TURN;
-            return;
-        }
-        if self.health.turn(self.now) {
-            self.changes.push(MembershipEvent::Stalled);
-            self.begin_anew();
-        }
-        self.swim_timers();
-        self.listen();
-        self.join();
-        self.ask_drawn_dead();
-        self.pass_on();
-        self.spread();
-        self.look();
-        self.regional();
-        self.recount();
-        self.compare();
-        self.shed();
-        let next = self
-            .timers
-            .first_key_value()
-            .map_or(Nanos::MAX, |((at, _), _)| *at);
-        let pass_on = self.pass_on.unwrap_or(Nanos::MAX);
-        self.next_tick = next.min(pass_on).clamp(self.now + MS, self.now + TURN);
-        self.health.expect(self.next_tick);
-    }
-
-    /// Compares what `foca` and the records say with what was seen before.
-    fn look(&mut self) {
-        self.met |= self.swim.num_members() > 0;
-        self.roster.refresh(&self.swim);
-        let own = self.id();
+    fn dispatch(
+        &mut self,
+        kind: MessageKind,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
         let Member {
-            now,
+            context,
             swim,
-            records,
-            count,
+            metadata,
+            table,
             ..
         } = self;
-        let sources = Sources {
-            now: *now,
-            own,
+        match kind {
+            MessageKind::Swim => swim.receive(context, table, from, payload),
+            MessageKind::MetadataRecords => {
+                if metadata.receive_records(swim, payload)? > 0 {
+                    self.anti_entropy.schedule.mark_differing(context.now);
+                }
+                Ok(())
+            }
+            MessageKind::MetadataRequest => metadata.receive_request(context, from, payload),
+            MessageKind::WatcherProbe => {
+                self.failure_detector.receive_probe(context, swim, payload)
+            }
+            // Its arrival is all that counts.
+            MessageKind::Heartbeat => decode::<Identity>(payload).map(|_| ()),
+            MessageKind::MemberListDigest => {
+                self.anti_entropy
+                    .receive_digest(context, swim, &metadata.store, from, payload)
+            }
+            MessageKind::MemberListDelta => self.receive_list_delta(from, payload),
+            MessageKind::LevelReports => self.shedding.receive(context, table, payload),
+            MessageKind::RegionDigest
+            | MessageKind::RegionDelta
+            | MessageKind::RegionAnnouncements
+            | MessageKind::RegionReferral
+            | MessageKind::Overview
+            | MessageKind::OverviewDigest => self.dispatch_regional(kind, from, payload),
+        }
+    }
+
+    /// Dispatches the messages of the federation.
+    fn dispatch_regional(
+        &mut self,
+        kind: MessageKind,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let Member {
+            context,
             swim,
-            records,
-            count,
-        };
-        self.table
-            .look(self.roster.mark(), sources, &mut self.changes);
-        let places = self.count.places().min(usize::from(u16::MAX)) as u16;
-        if places != self.own.metadata.places {
-            self.update_metadata(|soft| soft.places = places);
+            table,
+            ..
+        } = self;
+        let federation = self.federation.as_mut().ok_or(PayloadError::NoRegion)?;
+        match kind {
+            MessageKind::RegionDigest => federation.receive_digest(context, from, payload),
+            MessageKind::RegionDelta => federation.receive_delta(context, swim, from, payload),
+            MessageKind::RegionAnnouncements => {
+                federation.receive_announcements(context, swim, payload)
+            }
+            MessageKind::RegionReferral => {
+                federation.receive_referral(context, swim, from, payload)
+            }
+            MessageKind::Overview => federation.receive_overview(context, table, from, payload),
+            _ => {
+                let first_part = context.rng.random_range(0..PARTS);
+                federation.receive_overview_digest(context, table, from, payload, first_part)
+            }
+        }
+    }
+
+    /// Takes over what `foca` asked for: a new generation is published, and an earlier tick is scheduled.
+    fn after_swim(&mut self) {
+        for _ in 0..self.swim.take_rejoins() {
+            self.metadata.publish(&self.swim);
+        }
+        if let Some(wake_up) = self.swim.take_wake_up() {
+            self.next_tick = self.next_tick.min(wake_up);
         }
-        if self.table.turned() {
-            self.held
-                .set(self.swim.iter_membership_state().map(|m| m.id().address));
+    }
+
+    /// Does what is due, and schedules the next tick.
+    pub fn tick(&mut self, now: Nanos) {
+        let now = self.context.now.max(now);
+        self.context.now = now;
+        if self.has_left {
+            self.next_tick = now + TICK_INTERVAL_MAX;
+            return;
+        }
+        if self.failure_detector.health.begin_tick(now) {
+            self.context.events.push(MembershipEvent::Stalled);
+            self.failure_detector.restart(now);
+            self.swim.restart_timers(now);
+        }
+        self.tick_membership();
+        self.metadata.tick(&mut self.context, &self.swim);
+        self.update_table();
+        self.tick_federation();
+        self.update_share_count();
+        self.anti_entropy.tick(&mut self.context, &self.swim);
+        self.shedding
+            .tick(&mut self.context, &self.swim, &self.table);
+        self.after_swim();
+        let next_due = self.swim.next_due();
+        self.next_tick = next_due.clamp(now + MS, now + TICK_INTERVAL_MAX);
+        self.failure_detector.health.schedule_tick(self.next_tick);
+    }
+
+    /// SWIM, failure detection and joins.
+    fn tick_membership(&mut self) {
+        let Member { context, swim, .. } = self;
+        swim.handle_timers(context);
+        self.failure_detector.tick(context, swim);
+        let federation = self.federation.as_ref();
+        swim.join(context, |address| {
+            federation.is_some_and(|federation| federation.is_foreign_join_address(address))
+        });
+        swim.announce_to_drawn_dead(context);
+        swim.gossip_early(context);
+        self.after_swim();
+    }
+
+    /// Takes over changes of membership and metadata into the table, and what depends on it.
+    fn update_table(&mut self) {
+        self.swim.update_has_met();
+        self.swim.refreshed_roster();
+        let scope = self.table.update(Sources {
+            now: self.context.now,
+            swim: &self.swim,
+            metadata: &mut self.metadata.store,
+            share_counter: &mut self.share_counter,
+            events: &mut self.context.events,
+        });
+        let places = u16::try_from(self.share_counter.places()).unwrap_or(u16::MAX);
+        if places != self.metadata.own().places {
+            self.update_metadata(|metadata| metadata.places = places);
+        }
+        if scope == UpdateScope::Full {
             let table = &self.table;
-            self.heard.retain(|address, _| table.knows(address));
-            let own = self.settings.address;
-            self.records
-                .retain(|address| address == own || table.knows(&address));
-            let sums = Sums::of(self.entries());
-            if sums != self.sums {
-                self.sums = sums;
-                self.pace.stir(self.now);
-            }
+            self.swim.update_known(table.dead());
+            self.failure_detector
+                .retain(|address| table.contains(address));
+            let own_address = self.settings.address;
+            self.metadata
+                .store
+                .retain(|address| address == own_address || table.contains(&address));
+            self.anti_entropy
+                .update_digest(self.context.now, &self.swim, &self.metadata.store);
         }
     }
 
-    /// By how many shares are divided in the whole fleet.
-    fn recount(&mut self) {
-        let was = self.total;
-        self.total = self.total_count();
-        if self.total != was {
-            let living = self.count.living() + self.living_elsewhere();
-            self.changes.push(MembershipEvent::ShareCountChanged {
-                was,
-                is: self.total,
-                alive: living,
-            });
+    fn tick_federation(&mut self) {
+        let size = self.own_region_size();
+        if let Some(federation) = &mut self.federation {
+            let mut own_region = OwnRegion {
+                swim: &mut self.swim,
+                table: &self.table,
+                metadata: self.metadata.own(),
+                size,
+            };
+            federation.tick(&mut self.context, &mut own_region);
         }
     }
 
-    /// Whether rumours and comparisons may be sent now; without regions always.
-    fn may_send(&mut self) -> bool {
-        let allowed = self
-            .budget
-            .as_mut()
-            .is_none_or(|budget| budget.allows(self.now));
-        self.statistics.deferred += u64::from(!allowed);
-        allowed
+    /// Counts the balancers of the whole fleet.
+    fn update_share_count(&mut self) {
+        let size = self.own_region_size();
+        let was = self.share_count;
+        self.share_count = match &mut self.federation {
+            Some(federation) => federation.share_count(self.context.now, size),
+            None => self.table.share_count(),
+        };
+        if self.share_count != was {
+            let event = MembershipEvent::ShareCountChanged {
+                was,
+                is: self.share_count,
+                alive: self.alive(),
+            };
+            self.context.events.push(event);
+        }
     }
 
-    fn send(&mut self, to: SocketAddr, kind: MessageKind, payload: &[u8]) {
-        let datagram = envelope::seal(self.numbers, kind, payload);
-        self.statistics.sent += 1;
-        self.statistics.sent_bytes += datagram.len() as u64;
-        if let Some(budget) = &mut self.budget {
-            budget.spend(datagram.len());
+    /// Leaves the fleet gracefully. The member reads nothing from then on; its last datagrams are to be sent.
+    pub fn leave(&mut self, now: Nanos) {
+        self.context.now = self.context.now.max(now);
+        if self.has_left {
+            return;
+        }
+        self.has_left = true;
+        if is_injected(InjectedFault::LeavesSilently) {
+            return;
         }
-        self.outputs.push((to, datagram));
+        self.update_metadata(|metadata| metadata.phase = ServingPhase::Leaving);
+        self.metadata.broadcast_leave(&mut self.context, &self.swim);
+        self.swim.leave(&mut self.context);
+        self.after_swim();
     }
 }
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -1,204 +1,187 @@
-//! What members agree on beyond who is there: lists compared with those of others ([`crate::anti_entropy`]), and the level by
-//! which all shed load.
+//! Anti-entropy of member lists at one member ([`crate::anti_entropy`]).
 
 use super::Member;
-use super::swim::{GOSSIP, GOSSIP_TO, Runtime};
-use crate::anti_entropy::{self as compare, Entry};
+use super::context::Context;
+use super::swim::SwimProtocol;
+use crate::Nanos;
+use crate::anti_entropy::{
+    AntiEntropySchedule, BUCKETS, ListDelta, ListDigest, MemberEntry, compare_digest,
+    digest_payload,
+};
 use crate::envelope::MessageKind;
-use crate::fault_injection::{self, InjectedFault};
-use crate::shedding::{AdmissionCounts, LevelReport, SharedShedding};
-use crate::{Identity, MS, Nanos};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::metadata_store::{MetadataStore, REQUEST_MAX};
+use crate::payload::PayloadError;
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Who was heard itself within this needs no question.
-const HEARD: Nanos = 1_000 * MS;
+/// A member that was heard directly within this span is alive, whatever a delta says.
+const RECENTLY_HEARD: Nanos = 1_000 * crate::MS;
+/// The most requests for metadata records after one delta.
+const REQUESTS_MAX: usize = 2;
 
-impl Member {
-    /// What it holds of all others, and of itself.
-    pub(super) fn entries(&self) -> impl Iterator<Item = Entry> {
-        let own = Entry {
-            id: self.id(),
-            incarnation: 0,
-            down: false,
-            record: self.records.sum(&self.id()),
-        };
-        let others = self.swim.iter_membership_state().map(|m| Entry {
-            id: *m.id(),
-            incarnation: m.incarnation(),
-            down: m.state() == foca::State::Down,
-            record: self.records.sum(m.id()),
-        });
-        std::iter::once(own).chain(others)
+/// The digest of the own member list, and when it is sent.
+pub(super) struct AntiEntropy {
+    digest: ListDigest,
+    pub(super) schedule: AntiEntropySchedule,
+}
+
+/// All others as this member knows them, and itself.
+fn local_entries(
+    swim: &SwimProtocol,
+    metadata: &MetadataStore,
+) -> impl Iterator<Item = MemberEntry> {
+    let own = MemberEntry {
+        id: swim.id(),
+        incarnation: 0,
+        down: false,
+        metadata_checksum: metadata.checksum(&swim.id()),
+    };
+    let others = swim.all_members().map(|member| MemberEntry {
+        id: *member.id(),
+        incarnation: member.incarnation(),
+        down: member.state() == foca::State::Down,
+        metadata_checksum: metadata.checksum(member.id()),
+    });
+    std::iter::once(own).chain(others)
+}
+
+impl AntiEntropy {
+    pub(super) fn new(now: Nanos) -> Self {
+        AntiEntropy {
+            digest: ListDigest::default(),
+            schedule: AntiEntropySchedule::new(now),
+        }
     }
 
-    /// Whether it takes this one for there, in this life. Itself it is not among those.
-    fn is_there(&self, id: &Identity) -> bool {
-        self.swim.iter_members().any(|m| m.id() == id)
+    /// Computes the digest again after the list may have changed.
+    pub(super) fn update_digest(
+        &mut self,
+        now: Nanos,
+        swim: &SwimProtocol,
+        metadata: &MetadataStore,
+    ) {
+        let digest = ListDigest::of(local_entries(swim, metadata));
+        if digest != self.digest {
+            self.digest = digest;
+            self.schedule.mark_differing(now);
+        }
     }
 
-    /// Asks one of the others whether it holds the same, if it is time.
-    pub(super) fn compare(&mut self) {
-        if fault_injection::is_injected(InjectedFault::GossipsRecordsOnce)
-            || fault_injection::is_injected(InjectedFault::SkipsAntiEntropy)
-            || !self.pace.due(self.now)
-        {
+    /// Sends the digest to a random member if it is due.
+    pub(super) fn tick(&mut self, context: &mut Context, swim: &SwimProtocol) {
+        let disabled = is_injected(InjectedFault::GossipsRecordsOnce)
+            || is_injected(InjectedFault::SkipsAntiEntropy);
+        if disabled || !self.schedule.is_due(context.now) || !context.may_send() {
             return;
         }
-        if !self.may_send() {
-            return;
+        if let Some(to) = swim.random_member(context) {
+            context.statistics.digests += 1;
+            let payload = digest_payload(swim.id(), &self.digest);
+            context.send(to, MessageKind::MemberListDigest, &payload);
         }
-        let Some(to) = self.somebody() else { return };
-        self.statistics.digests += 1;
-        let question = compare::question(self.id(), &self.sums);
-        self.send(to, MessageKind::MemberListDigest, &question);
     }
 
-    /// Another asks.
-    pub(super) fn take_compare(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let first = self.rng.random_range(0..compare::BUCKETS);
-        let answer = compare::answer(payload, self.id(), &self.sums, self.entries(), first);
-        let Some((answer, by)) = answer else {
-            return false;
-        };
-        // Who is not held for living is not told of others: it hears by `foca` that it was given up.
-        if !self.is_there(&by) || !answer.agrees() && !self.may_send() {
-            return true;
+    /// Answers another member's digest by the entries that differ.
+    pub(super) fn receive_digest(
+        &mut self,
+        context: &mut Context,
+        swim: &SwimProtocol,
+        metadata: &MetadataStore,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let first_bucket = context.rng.random_range(0..BUCKETS);
+        let entries = local_entries(swim, metadata);
+        let (delta, by) = compare_digest(payload, swim.id(), &self.digest, entries, first_bucket)?;
+        // A sender that is not alive here gets no entries: it learns by SWIM that it was declared dead.
+        if !swim.is_alive_as(&by) || !delta.agrees() && !context.may_send() {
+            return Ok(());
         }
-        if !answer.agrees() {
-            self.pace.stir(self.now);
+        if !delta.agrees() {
+            self.schedule.mark_differing(context.now);
         }
-        self.send(from, MessageKind::MemberListDelta, &compare::write(&answer));
-        true
+        context.send(from, MessageKind::MemberListDelta, &delta.encode());
+        Ok(())
     }
+}
 
-    /// What another holds is taken over as far as it is later, and it is told what it lacks.
-    pub(super) fn take_told(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Some(told) = compare::read(payload) else {
-            return false;
-        };
-        if !self.is_there(&told.by) {
-            return true;
+impl Member {
+    /// Applies what is later in another member's delta, and replies with what that member lacks.
+    pub(super) fn receive_list_delta(
+        &mut self,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let delta = ListDelta::decode(payload)?;
+        if !self.swim.is_alive_as(&delta.by) {
+            return Ok(());
         }
-        if told.agrees() {
-            self.pace.agreed();
-            return true;
+        if delta.agrees() {
+            self.anti_entropy.schedule.record_agreement();
+            return Ok(());
         }
-        self.pace.stir(self.now);
-        if !told.last
-            && self.may_send()
-            && let Some(back) = told.lacks(self.id(), self.entries())
+        let context = &mut self.context;
+        self.anti_entropy.schedule.mark_differing(context.now);
+        if !delta.is_reply
+            && context.may_send()
+            && let Some(reply) = delta.reply(
+                self.swim.id(),
+                local_entries(&self.swim, &self.metadata.store),
+            )
         {
-            self.send(from, MessageKind::MemberListDelta, &compare::write(&back));
+            context.send(from, MessageKind::MemberListDelta, &reply.encode());
         }
-        let (own, most) = (self.settings.address, self.settings.members_max);
-        let mut news = Vec::new();
-        let mut want = Vec::new();
-        for entry in &told.entries {
-            let address = entry.id.address;
-            if address == own {
-                self.named.note(entry.id.generation);
-            } else if entry.down && !self.table.knows(&address)
-                || self.held.admit(address, most).is_err()
-            {
-                // A death of somebody unknown is no news; beyond the bound nobody is taken in.
-                continue;
-            } else if entry.record != 0 && entry.record != self.records.sum(&entry.id) {
-                want.push(address);
+        let mut updates = Vec::new();
+        let mut missing_metadata = Vec::new();
+        for entry in delta.entries.iter().filter(|entry| self.admits(entry)) {
+            if self.misses_metadata_of(entry) {
+                missing_metadata.push(entry.id.address);
+            }
+            if let Some(state) = self.accepted_state(entry) {
+                updates.push(foca::Member::new(entry.id, entry.incarnation, state));
             }
-            // A death that another holds may be one that it saw across a split: whoever is taken for living here is asked
-            // first, and refutes. Who was heard just now lives, and of itself a member knows best: it returns.
-            let state = match entry.down {
-                false => foca::State::Alive,
-                true if address == own => foca::State::Down,
-                true if self
-                    .heard
-                    .get(&address)
-                    .is_some_and(|at| self.now - *at < HEARD) =>
-                {
-                    continue;
-                }
-                true => foca::State::Suspect,
-            };
-            news.push(foca::Member::new(entry.id, entry.incarnation, state));
         }
-        let mut runtime = Runtime::default();
-        // Its errors are those of sending.
-        let _ = self.swim.apply_many(news.into_iter(), true, &mut runtime);
-        self.roster.touch();
-        self.carry_out(runtime);
-        self.leap();
-        for wanted in want.chunks(crate::metadata::WANT_MAX).take(2) {
-            let payload = postcard::to_stdvec(wanted).unwrap_or_default();
-            self.send(from, MessageKind::MetadataRequest, &payload);
+        self.swim.apply(&mut self.context, updates);
+        self.swim.raise_generation(&mut self.context);
+        for request in missing_metadata.chunks(REQUEST_MAX).take(REQUESTS_MAX) {
+            self.context
+                .send_message(from, MessageKind::MetadataRequest, request);
         }
-        true
+        Ok(())
     }
-}
 
-/// The level that all shed load by together ([`crate::shedding`]).
-impl Member {
-    /// Begins to agree on a level with the others; `tiers` is how many the module has.
-    pub fn enable_shared_shedding(&mut self, tiers: usize) {
-        let id = self.id();
-        self.overload = Some(SharedShedding::new(
-            tiers,
-            id.address,
-            id.generation,
-            self.now,
-        ));
-    }
-
-    /// Counts what the module let in and what of it found no room.
-    pub fn add_admission_counts(&mut self, tally: AdmissionCounts) {
-        if let Some(overload) = &mut self.overload {
-            overload.count(tally);
+    /// Whether an entry counts here: not the death of an unknown member, nor a member beyond the capacity.
+    fn admits(&self, entry: &MemberEntry) -> bool {
+        let address = entry.id.address;
+        if address == self.swim.id().address {
+            self.swim.observed_generation().observe(entry.id.generation);
+            return true;
         }
+        let is_unknown_death = entry.down && !self.table.contains(&address);
+        !is_unknown_death && self.swim.admit(address)
     }
 
-    /// The level, 0 where nothing is shed or none is agreed on.
-    pub fn shedding_level(&self) -> f64 {
-        self.overload.as_ref().map_or(0.0, SharedShedding::level)
+    fn misses_metadata_of(&self, entry: &MemberEntry) -> bool {
+        entry.id.address != self.swim.id().address
+            && entry.metadata_checksum != 0
+            && entry.metadata_checksum != self.metadata.store.checksum(&entry.id)
     }
 
-    /// Moves the level, and tells some of the others while there is something to tell.
-    pub(super) fn shed(&mut self) {
-        let jitter = self.rng.random();
-        let Some(overload) = &mut self.overload else {
-            return;
-        };
-        if overload.turn(self.now, jitter) {
-            let table = &self.table;
-            overload.retain(|address| table.knows(&address));
+    /// The state to apply. A death may have been seen across a partition: a member that is believed alive here becomes
+    /// suspect and can refute, unless it was heard just now. This member itself rejoins.
+    fn accepted_state(&self, entry: &MemberEntry) -> Option<foca::State> {
+        let address = entry.id.address;
+        if !entry.down {
+            return Some(foca::State::Alive);
         }
-        if self.now < self.tell_load
-            || !overload.is_loud()
-            || fault_injection::is_injected(InjectedFault::WithholdsShedLevel)
-        {
-            return;
-        }
-        self.tell_load = self.now + GOSSIP;
-        let words = postcard::to_stdvec(&overload.words(self.now)).unwrap_or_default();
-        for _ in 0..GOSSIP_TO.min(self.swim.num_members()) {
-            let Some(to) = self.somebody() else { return };
-            self.statistics.level_reports += 1;
-            self.send(to, MessageKind::LevelReports, &words);
+        if address == self.swim.id().address {
+            return Some(foca::State::Down);
         }
-    }
-
-    /// Others tell of their load, and of what they heard.
-    pub(super) fn take_load(&mut self, payload: &[u8]) -> bool {
-        let Some(overload) = &mut self.overload else {
-            return true;
-        };
-        let Ok(words) = postcard::from_bytes::<Vec<LevelReport>>(payload) else {
-            return false;
-        };
-        let table = &self.table;
-        // One that makes no sense says nothing of the rest.
-        words
-            .into_iter()
-            .filter(|word| table.knows(&word.of))
-            .all(|word| overload.hear(self.now, word))
+        let is_recently_heard = self
+            .failure_detector
+            .last_heard(&address)
+            .is_some_and(|at| self.context.now - at < RECENTLY_HEARD);
+        (!is_recently_heard).then_some(foca::State::Suspect)
     }
 }
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -1,144 +1,158 @@
-//! Metadata records of members: told, passed on and asked for.
+//! Dissemination of metadata: broadcasts, rotation, and requests for what is missing.
 
-use super::Member;
-use super::swim::{GOSSIP, GOSSIP_TO, Runtime};
+use super::context::{Context, GOSSIP_FANOUT, GOSSIP_INTERVAL};
+use super::swim::SwimProtocol;
 use crate::envelope::MessageKind;
-use crate::fault_injection::{self, InjectedFault};
-use crate::metadata::{BUILD_MAX, EXTRA_MAX, MemberMetadata, NAME_MAX, ServingPhase, cut};
-use crate::{MS, Nanos};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::metadata::{MemberMetadata, MetadataRecord};
+use crate::metadata_store::{MetadataStore, RecordSelection};
+use crate::payload::PayloadError;
+use crate::{Identity, MS, MembershipSettings, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Records that are no news are told once more this often, to one member.
-const ROUND: Nanos = 500 * MS;
-/// So many members are told of a leave at once; the others hear of it from them.
-const LEAVE_TOLD: usize = 12;
+/// How often records that are no broadcasts are sent to one member, in rotation.
+const ROTATION_INTERVAL: Nanos = 500 * MS;
+/// How many members are told of a leave directly; the others learn of it by gossip.
+const LEAVE_FANOUT: usize = 12;
+/// How often a record is transmitted in a fleet with regions, at most.
+const REGIONAL_TRANSMISSIONS_MAX: u32 = 4;
 
-impl Member {
-    /// Tells something new of itself, if it is new.
-    pub fn update_metadata(&mut self, change: impl FnOnce(&mut MemberMetadata)) {
-        let mut soft = self.own.metadata.clone();
-        change(&mut soft);
-        let soft = bounded(soft);
-        if soft != self.own.metadata {
-            self.own.metadata = soft;
-            self.put_own();
+/// The metadata that one member stores and publishes.
+pub(super) struct MetadataGossip {
+    pub(super) store: MetadataStore,
+    own: MetadataRecord,
+    next_broadcast: Nanos,
+    next_rotation: Nanos,
+}
+
+impl MetadataGossip {
+    pub(super) fn new(
+        settings: &MembershipSettings,
+        id: Identity,
+        metadata: MemberMetadata,
+        now: Nanos,
+    ) -> Self {
+        let mut own = MetadataRecord {
+            member: id,
+            version: 1,
+            metadata: metadata.truncated(),
+        };
+        let has_regions = !settings.location.is_none();
+        if has_regions {
+            own.metadata.extension = settings.location.encode();
+        }
+        let mut store = MetadataStore::new(own.clone());
+        if has_regions {
+            store.limit_transmissions(REGIONAL_TRANSMISSIONS_MAX);
+        }
+        MetadataGossip {
+            store,
+            own,
+            next_broadcast: now,
+            next_rotation: now,
         }
     }
 
-    pub(super) fn put_own(&mut self) {
-        self.own.version += 1;
-        self.own.member = self.id();
-        self.records.put(self.own.clone(), self.swim.num_members());
+    /// The own metadata.
+    pub(super) fn own(&self) -> &MemberMetadata {
+        &self.own.metadata
     }
 
-    pub(super) fn take_records(&mut self, payload: &[u8]) -> bool {
-        let swim = &self.swim;
-        let known = |address: SocketAddr| {
-            let mut all = swim.iter_membership_state();
-            all.find(|m| m.id().address == address)
-                .map(|m| m.id().generation)
-        };
-        let taken = self
-            .records
-            .take(self.settings.address, payload, known, swim.num_members());
-        let Some(unknown) = taken else { return false };
-        if unknown > 0 {
-            self.pace.stir(self.now);
+    /// Changes the own metadata, and publishes it if it differs.
+    pub(super) fn update(&mut self, swim: &SwimProtocol, change: impl FnOnce(&mut MemberMetadata)) {
+        let mut metadata = self.own.metadata.clone();
+        change(&mut metadata);
+        let metadata = metadata.truncated();
+        if metadata != self.own.metadata {
+            self.own.metadata = metadata;
+            self.publish(swim);
         }
-        true
     }
 
-    /// Another asks for records that it lacks.
-    pub(super) fn take_want(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Some(answers) = self.records.answer(payload) else {
-            return false;
-        };
-        for answer in answers {
-            if self.may_send() {
-                self.send(from, MessageKind::MetadataRecords, &answer);
-            }
-        }
-        true
+    /// Publishes the own metadata under the next version and the own generation.
+    pub(super) fn publish(&mut self, swim: &SwimProtocol) {
+        self.own.version += 1;
+        self.own.member = swim.id();
+        self.store.insert(self.own.clone(), swim.alive());
     }
 
-    /// One of the others who are there, at random.
-    pub(super) fn somebody(&mut self) -> Option<SocketAddr> {
-        let others = self.swim.num_members();
-        let chosen = (others > 0).then(|| self.rng.random_range(0..others))?;
-        self.swim.iter_members().nth(chosen).map(|m| m.id().address)
+    /// Merges records of others; returns how many members are unknown here.
+    pub(super) fn receive_records(
+        &mut self,
+        swim: &SwimProtocol,
+        payload: &[u8],
+    ) -> Result<usize, PayloadError> {
+        let known_generation = |address| swim.known_generation(address);
+        let own_address = self.own.member.address;
+        self.store
+            .merge(own_address, payload, known_generation, swim.alive())
     }
 
-    /// Passes records on.
-    pub(super) fn spread(&mut self) {
-        if self.swim.num_members() == 0 {
+    /// Answers a request for records.
+    pub(super) fn receive_request(
+        &self,
+        context: &mut Context,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        for response in self.store.respond(payload)? {
+            if context.may_send() {
+                context.send(from, MessageKind::MetadataRecords, &response);
+            }
+        }
+        Ok(())
+    }
+
+    /// Sends what is due.
+    pub(super) fn tick(&mut self, context: &mut Context, swim: &SwimProtocol) {
+        if swim.alive() == 0 {
             return;
         }
-        if self.now >= self.gossip {
-            self.gossip = self.now + GOSSIP;
-            for _ in 0..GOSSIP_TO {
-                if self.records.has_news()
-                    && self.may_send()
-                    && let Some(to) = self.somebody()
-                {
-                    self.tell_records(to, false);
-                }
-            }
+        if context.now >= self.next_broadcast {
+            self.next_broadcast = context.now + GOSSIP_INTERVAL;
+            self.broadcast(context, swim);
         }
-        if self.now >= self.round
-            && !fault_injection::is_injected(InjectedFault::GossipsRecordsOnce)
-        {
-            self.round = self.now + ROUND;
-            if let Some(to) = self.somebody() {
-                self.tell_records(to, true);
+        if context.now >= self.next_rotation && !is_injected(InjectedFault::GossipsRecordsOnce) {
+            self.next_rotation = context.now + ROTATION_INTERVAL;
+            if let Some(to) = swim.random_member(context) {
+                self.send_records(context, to, RecordSelection::BroadcastsAndRotation);
             }
         }
-        let members = self.roster.mark();
-        if let Some(want) =
-            self.records
-                .want(self.now, members, self.swim.iter_members().map(|m| m.id()))
-            && let Some(to) = self.somebody()
+        let alive = swim.live_members().map(foca::Member::id);
+        let checksum = swim.roster().checksum();
+        let request = self
+            .store
+            .missing_records_request(context.now, checksum, alive);
+        if let Some(request) = request
+            && let Some(to) = swim.random_member(context)
         {
-            self.send(to, MessageKind::MetadataRequest, &want);
+            context.send(to, MessageKind::MetadataRequest, &request);
         }
     }
 
-    pub(super) fn tell_records(&mut self, to: SocketAddr, with_round: bool) {
-        let payload = self.records.tell(self.settings.address, with_round);
-        self.send(to, MessageKind::MetadataRecords, &payload);
+    fn broadcast(&mut self, context: &mut Context, swim: &SwimProtocol) {
+        for _ in 0..GOSSIP_FANOUT {
+            if self.store.has_broadcasts()
+                && context.may_send()
+                && let Some(to) = swim.random_member(context)
+            {
+                self.send_records(context, to, RecordSelection::Broadcasts);
+            }
+        }
     }
 
-    /// Goes, and says so. The member answers nothing from then on; its last outputs are to be sent.
-    pub fn leave(&mut self, now: Nanos) {
-        self.now = self.now.max(now);
-        if self.gone {
-            return;
-        }
-        self.gone = true;
-        if fault_injection::is_injected(InjectedFault::LeavesSilently) {
-            return;
-        }
-        self.update_metadata(|soft| soft.phase = ServingPhase::Leaving);
-        let own = self.own.member.address;
-        let mut others: Vec<SocketAddr> =
-            self.swim.iter_members().map(|m| m.id().address).collect();
-        for _ in 0..LEAVE_TOLD.min(others.len()) {
-            let to = others.swap_remove(self.rng.random_range(0..others.len()));
-            let payload = self.records.tell(own, true);
-            self.send(to, MessageKind::MetadataRecords, &payload);
-        }
-        let mut runtime = Runtime::default();
-        // The word that it is down goes to a few at a time; some of it gets lost.
-        let _ = self.swim.leave_cluster(&mut runtime);
-        self.roster.touch();
-        self.carry_out(runtime);
+    fn send_records(&mut self, context: &mut Context, to: SocketAddr, selection: RecordSelection) {
+        let payload = self.store.next_payload(self.own.member.address, selection);
+        context.send(to, MessageKind::MetadataRecords, &payload);
     }
-}
 
-/// Cuts what is too long.
-pub(super) fn bounded(mut soft: MemberMetadata) -> MemberMetadata {
-    soft.name = cut(&soft.name, NAME_MAX);
-    soft.build = cut(&soft.build, BUILD_MAX);
-    soft.extension.truncate(EXTRA_MAX);
-    soft
+    /// Sends the own record to some members at once, when this member leaves.
+    pub(super) fn broadcast_leave(&mut self, context: &mut Context, swim: &SwimProtocol) {
+        let mut others: Vec<SocketAddr> = swim.live_members().map(|m| m.id().address).collect();
+        for _ in 0..LEAVE_FANOUT.min(others.len()) {
+            let to = others.swap_remove(context.rng.random_range(0..others.len()));
+            self.send_records(context, to, RecordSelection::BroadcastsAndRotation);
+        }
+    }
 }
--- a/crates/membership/src/member/failure_detection.rs
+++ b/crates/membership/src/member/failure_detection.rs
@@ -1,110 +1,133 @@
-//! Watchers: beats, questions to silent members, and suspects given up.
+//! Failure detection at one member: heartbeats, probes by watchers, suspicions and refutations.
 
-use super::Member;
-use super::swim::Runtime;
+use super::context::Context;
+use super::swim::SwimProtocol;
 use crate::envelope::MessageKind;
-use crate::fault_injection::{self, InjectedFault};
-use crate::{Identity, heartbeat, suspicion};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::heartbeat::{HeartbeatAction, HeartbeatMonitor};
+use crate::local_health::LocalHealth;
+use crate::payload::{PayloadError, decode};
+use crate::suspicion::{SuspicionAction, SuspicionTimers};
+use crate::{Identity, MembershipSettings, Nanos};
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A question of a watcher.
+/// A probe by a watcher.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Ask {
+pub(crate) struct WatcherProbe {
     pub(crate) by: Identity,
-    /// Who is suspect, and by which incarnation; without it only a word is wanted.
+    /// The suspect and the incarnation in which it is suspect; without it a heartbeat is the answer.
     pub(crate) suspect: Option<(Identity, u16)>,
 }
 
-impl Member {
-    /// A watcher asks whether this member lives. One that is suspect raises its incarnation.
-    pub(super) fn take_ask(&mut self, payload: &[u8]) -> bool {
-        let Ok(ask) = postcard::from_bytes::<Ask>(payload) else {
-            return false;
-        };
-        if ask.by.address == self.settings.address {
-            return true;
+/// The failure detector of one member.
+pub(super) struct FailureDetector {
+    monitor: HeartbeatMonitor,
+    pub(super) suspicions: SuspicionTimers,
+    pub(super) health: LocalHealth,
+    /// When each member was last heard directly.
+    last_heard: BTreeMap<SocketAddr, Nanos>,
+}
+
+impl FailureDetector {
+    pub(super) fn new(settings: &MembershipSettings, now: Nanos) -> Self {
+        FailureDetector {
+            monitor: HeartbeatMonitor::new(settings.address),
+            suspicions: SuspicionTimers::new(settings.timing.suspicion_timeout),
+            health: LocalHealth::new(now),
+            last_heard: BTreeMap::new(),
         }
-        let Some((suspect, incarnation)) = ask.suspect else {
-            self.beat(ask.by.address);
-            return true;
+    }
+
+    /// Silence counts from now on: this member itself stalled or was isolated.
+    pub(super) fn restart(&mut self, now: Nanos) {
+        self.suspicions.restart(now);
+        self.monitor.restart(now);
+    }
+
+    pub(super) fn record_heard(&mut self, now: Nanos, member: SocketAddr) {
+        self.last_heard.insert(member, now);
+    }
+
+    pub(super) fn last_heard(&self, member: &SocketAddr) -> Option<Nanos> {
+        self.last_heard.get(member).copied()
+    }
+
+    /// Forgets members that are no longer known.
+    pub(super) fn retain(&mut self, is_known: impl Fn(&SocketAddr) -> bool) {
+        self.last_heard.retain(|address, _| is_known(address));
+    }
+
+    /// Answers the probe of a watcher. A suspect refutes.
+    pub(super) fn receive_probe(
+        &self,
+        context: &mut Context,
+        swim: &mut SwimProtocol,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let probe: WatcherProbe = decode(payload)?;
+        let own = swim.id();
+        if probe.by.address == own.address {
+            return Ok(());
+        }
+        let Some((suspect, incarnation)) = probe.suspect else {
+            context.send_message(probe.by.address, MessageKind::Heartbeat, &own);
+            return Ok(());
         };
-        if suspect != self.id() || fault_injection::is_injected(InjectedFault::NeverRefutes) {
-            return true;
+        if suspect == own && !is_injected(InjectedFault::NeverRefutes) {
+            let suspicion = foca::Member::new(suspect, incarnation, foca::State::Suspect);
+            swim.refute(context, suspicion, probe.by);
         }
-        let mut runtime = Runtime::default();
-        let said = foca::Member::new(suspect, incarnation, foca::State::Suspect);
-        let _ = self
-            .swim
-            .apply_many(std::iter::once(said), true, &mut runtime);
-        self.roster.touch();
-        self.statistics.refutations += 1;
-        // Its header carries the new incarnation; the gossip that goes on tells the others.
-        let _ = self.swim.announce(ask.by, &mut runtime);
-        self.carry_out(runtime);
-        true
+        Ok(())
     }
 
-    /// Listens for whom it watches, and asks and gives up who is suspect.
-    pub(super) fn listen(&mut self) {
-        self.roster.refresh(&self.swim);
-        let (living, suspects) = (self.roster.living(), self.roster.suspects());
-        self.watch
-            .draw(self.now, living, |address| suspects.contains_key(&address));
-        self.suspicions.hold(self.now, suspects);
-        let heard = |address: SocketAddr| self.heard.get(&address).copied().unwrap_or(0);
-        let (patience, may) = (self.health.patience(), self.health.may_accuse(self.now));
-        let steps = self.watch.due(self.now, patience, may, heard);
-        let watch = &self.watch;
-        let verdicts = self
-            .suspicions
-            .due(self.now, patience, may, |a| watch.watches(a), heard);
-        for step in steps {
-            match step {
-                heartbeat::Step::Beat(to) => self.beat(to),
-                // A suspect is asked below.
-                heartbeat::Step::Ask(of) if self.roster.suspects().contains_key(&of) => {}
-                heartbeat::Step::Ask(of) => self.ask(of, None),
-                heartbeat::Step::Suspect(of) => self.say(of, foca::State::Suspect),
+    /// Sends heartbeats and probes, and declares members suspect or dead.
+    pub(super) fn tick(&mut self, context: &mut Context, swim: &mut SwimProtocol) {
+        let now = context.now;
+        let roster = swim.refreshed_roster();
+        let suspects = roster.suspects();
+        self.monitor.draw(now, roster.alive(), |address| {
+            suspects.contains_key(&address)
+        });
+        self.suspicions.update(now, suspects);
+        let last_heard = |address| self.last_heard.get(&address).copied().unwrap_or(0);
+        let policy = self.health.suspicion_policy(now);
+        let monitor_actions = self.monitor.due(now, policy, last_heard);
+        let watches = |address| self.monitor.watches(address);
+        let suspicion_actions = self.suspicions.due(now, policy, watches, last_heard);
+        for action in monitor_actions {
+            match action {
+                HeartbeatAction::SendHeartbeat(to) => {
+                    context.send_message(to, MessageKind::Heartbeat, &swim.id());
+                }
+                // Suspects are probed below.
+                HeartbeatAction::Probe(of) if swim.roster().suspects().contains_key(&of) => {}
+                HeartbeatAction::Probe(of) => send_probe(context, swim, of, None),
+                HeartbeatAction::Suspect(of) => swim.declare(context, of, foca::State::Suspect),
             }
         }
-        for step in verdicts {
-            match step {
-                suspicion::Step::Ask(suspect, incarnation) => {
-                    self.ask(suspect.address, Some((suspect, incarnation)));
+        for action in suspicion_actions {
+            match action {
+                SuspicionAction::Probe(suspect, incarnation) => {
+                    let suspicion = Some((suspect, incarnation));
+                    send_probe(context, swim, suspect.address, suspicion);
+                }
+                SuspicionAction::ConfirmDead(suspect, _) => {
+                    swim.declare(context, suspect.address, foca::State::Down);
                 }
-                suspicion::Step::GiveUp(suspect, _) => self.say(suspect.address, foca::State::Down),
             }
         }
     }
+}
 
-    pub(super) fn beat(&mut self, to: SocketAddr) {
-        let payload = postcard::to_stdvec(&self.id()).unwrap_or_default();
-        self.send(to, MessageKind::Heartbeat, &payload);
-    }
-
-    pub(super) fn ask(&mut self, of: SocketAddr, suspect: Option<(Identity, u16)>) {
-        let payload = postcard::to_stdvec(&Ask {
-            by: self.id(),
-            suspect,
-        })
-        .unwrap_or_default();
-        self.statistics.watcher_probes += 1;
-        self.send(of, MessageKind::WatcherProbe, &payload);
-    }
-
-    /// Tells all of what a member is, by the word of this one.
-    pub(super) fn say(&mut self, of: SocketAddr, state: foca::State) {
-        let Some(member) = self.swim.iter_members().find(|m| m.id().address == of) else {
-            return;
-        };
-        let said = foca::Member::new(*member.id(), member.incarnation(), state);
-        let mut runtime = Runtime::default();
-        // Its errors are those of sending.
-        let _ = self
-            .swim
-            .apply_many(std::iter::once(said), true, &mut runtime);
-        self.roster.touch();
-        self.carry_out(runtime);
-    }
+fn send_probe(
+    context: &mut Context,
+    swim: &SwimProtocol,
+    to: SocketAddr,
+    suspect: Option<(Identity, u16)>,
+) {
+    let by = swim.id();
+    context.statistics.watcher_probes += 1;
+    context.send_message(to, MessageKind::WatcherProbe, &WatcherProbe { by, suspect });
 }
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -1,107 +1,129 @@
-//! The upper level at one member: who speaks for its region, what delegates tell those of other regions, and what all
-//! members of the region hold of the others ([`crate::regions`]).
+//! Federation at one member ([`crate::regions`]): the delegates of its region, the overview of the others, and the
+//! share count over all regions.
 
-use super::Member;
-use crate::fault_injection::{self, InjectedFault};
-use crate::regions::exchange::{DroppedAnnouncements, Exchange};
-use crate::regions::overview::{Overview, RegionStatus};
-use crate::regions::share_count::{Figures, RegionCount};
-use crate::regions::{SILENT_AFTER, delegates};
-use crate::{Location, MS, MembershipEvent, MembershipSettings, Nanos, RegionView};
+use super::context::Context;
+use super::membership_table::MembershipTable;
+use super::swim::SwimProtocol;
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::metadata::MemberMetadata;
+use crate::regions::announcement_store::{AnnouncementStore, DroppedAnnouncements};
+use crate::regions::overview::{RegionOverview, RegionStatus};
+use crate::regions::share_count::{RegionShareCounter, RegionSize};
+use crate::regions::{SILENT_AFTER, delegates, elapsed_seconds};
+use crate::{Location, MS, MembershipEvent, MembershipSettings, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A member leads only after so long: it would speak for a region that it has not met yet.
-const LEAD_AFTER: Nanos = 3_000 * MS;
-const NEW: Nanos = 3_000 * MS;
-/// The count is taken anew this often, and at each news.
-const RECOUNT: Nanos = 200 * MS;
+/// A member leads only after this long: it would otherwise speak for a region whose members it has not met yet.
+const LEAD_DELAY: Nanos = 3_000 * MS;
+/// For this long after the start the overview is compared often.
+const STARTUP_PERIOD: Nanos = 3_000 * MS;
+/// The regions are counted this often, and after each change of the overview.
+const RECOUNT_INTERVAL: Nanos = 200 * MS;
 
-/// When something is due next.
+/// When each periodic action is due.
 #[derive(Debug)]
-pub(super) struct Due {
-    pub(super) ask: Nanos,
-    pub(super) ask_join: Nanos,
+pub(super) struct FederationSchedule {
+    pub(super) digest: Nanos,
+    pub(super) join_address_digest: Nanos,
     pub(super) publish: Nanos,
-    pub(super) compare: Nanos,
-    pub(super) gossip: Nanos,
+    pub(super) overview_digest: Nanos,
+    pub(super) overview_broadcast: Nanos,
     pub(super) recount: Nanos,
     pub(super) rejoin: Nanos,
 }
 
-/// The upper level of one member.
-pub(super) struct Regional {
-    pub(super) own: SocketAddr,
+/// A delegate of any region.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Delegate {
+    pub(super) address: SocketAddr,
+    pub(super) is_region_silent: bool,
+}
+
+/// What the federation uses of the member's own region.
+pub(super) struct OwnRegion<'a> {
+    pub(super) swim: &'a mut SwimProtocol,
+    pub(super) table: &'a MembershipTable,
+    pub(super) metadata: &'a MemberMetadata,
+    pub(super) size: RegionSize,
+}
+
+/// The federation at one member.
+pub(super) struct Federation {
+    pub(super) own_address: SocketAddr,
     pub(super) location: Location,
-    pub(super) forget: Nanos,
-    /// Unix time in milliseconds when this member's clock showed 0.
-    pub(super) epoch_ms: u64,
-    pub(super) started: Nanos,
+    pub(super) join_addresses: Vec<SocketAddr>,
+    tombstone_retention: Nanos,
+    /// Unix time in milliseconds at time 0 of this member's clock.
+    epoch_ms: u64,
+    started: Nanos,
+    /// The delegates of the own region, the leader first.
     pub(super) delegates: Vec<SocketAddr>,
-    /// The membership that they were drawn of.
-    pub(super) drawn_of: Option<u64>,
+    /// The checksum of the membership that they were drawn from.
+    drawn_from: Option<u64>,
     /// While this member is a delegate.
-    pub(super) exchange: Option<Exchange>,
-    pub(super) leads_since: Option<Nanos>,
+    pub(super) announcements: Option<AnnouncementStore>,
+    leads_since: Option<Nanos>,
     pub(super) former_leader: Option<SocketAddr>,
-    pub(super) published: Nanos,
-    /// When the overview was last looked at.
-    pub(super) written: Nanos,
-    pub(super) overview: Overview,
+    pub(super) last_announcement: Nanos,
+    pub(super) last_overview_write: Nanos,
+    pub(super) overview: RegionOverview,
     /// Until then the overview is compared often.
-    pub(super) unsure_until: Nanos,
-    pub(super) count: RegionCount,
-    /// The regions that are heard, as it was last reported.
-    pub(super) heard: BTreeMap<String, bool>,
+    pub(super) unsettled_until: Nanos,
+    share_counter: RegionShareCounter,
+    /// Whether each region was reachable when it was last reported.
+    reachable: BTreeMap<String, bool>,
     /// Join addresses that answered from another region.
-    pub(super) foreign: BTreeSet<SocketAddr>,
+    pub(super) foreign_join_addresses: BTreeSet<SocketAddr>,
     /// Delegates of other regions that this member was referred to.
     pub(super) referred: Vec<SocketAddr>,
-    pub(super) dropped: DroppedAnnouncements,
-    pub(super) refused_parts: u64,
-    pub(super) due: Due,
+    /// Dropped by stores of former times as a delegate.
+    former_dropped: DroppedAnnouncements,
+    pub(super) unsound_parts: u64,
+    pub(super) schedule: FederationSchedule,
 }
 
-impl Regional {
-    /// The upper level, where the fleet has regions.
+impl Federation {
+    /// The federation, where the fleet has regions.
     pub(super) fn new(settings: &MembershipSettings, unix_ms: u64, now: Nanos) -> Option<Self> {
         if settings.location.is_none() {
             return None;
         }
-        let due = Due {
-            ask: now,
-            ask_join: now,
-            publish: now,
-            compare: now,
-            gossip: now,
-            recount: now,
-            rejoin: now,
-        };
-        Some(Regional {
-            own: settings.address,
+        let timing = &settings.timing;
+        Some(Federation {
+            own_address: settings.address,
             location: settings.location.clone(),
-            forget: settings.timing.tombstone_retention,
+            join_addresses: settings.join.clone(),
+            tombstone_retention: timing.tombstone_retention,
             epoch_ms: unix_ms.saturating_sub(now / MS),
             started: now,
             delegates: Vec::new(),
-            drawn_of: None,
-            exchange: None,
+            drawn_from: None,
+            announcements: None,
             leads_since: None,
             former_leader: None,
-            published: 0,
-            written: 0,
-            overview: Overview::default(),
-            unsure_until: now + NEW,
-            count: RegionCount::new(
-                settings.timing.share_retention,
-                settings.timing.tombstone_retention,
+            last_announcement: 0,
+            last_overview_write: 0,
+            overview: RegionOverview::default(),
+            unsettled_until: now + STARTUP_PERIOD,
+            share_counter: RegionShareCounter::new(
+                timing.share_retention,
+                timing.tombstone_retention,
             ),
-            heard: BTreeMap::new(),
-            foreign: BTreeSet::new(),
+            reachable: BTreeMap::new(),
+            foreign_join_addresses: BTreeSet::new(),
             referred: Vec::new(),
-            dropped: DroppedAnnouncements::default(),
-            refused_parts: 0,
-            due,
+            former_dropped: DroppedAnnouncements::default(),
+            unsound_parts: 0,
+            schedule: FederationSchedule {
+                digest: now,
+                join_address_digest: now,
+                publish: now,
+                overview_digest: now,
+                overview_broadcast: now,
+                recount: now,
+                rejoin: now,
+            },
         })
     }
 
@@ -109,256 +131,194 @@
         self.epoch_ms + now / MS
     }
 
-    /// Draws the delegates anew among these members and the own one.
-    fn draw(&mut self, now: Nanos, members: u64, living: &[SocketAddr]) {
-        if self.drawn_of == Some(members) {
+    /// Does what is due.
+    pub(super) fn tick(&mut self, context: &mut Context, own_region: &mut OwnRegion<'_>) {
+        let roster = own_region.swim.refreshed_roster();
+        self.draw_delegates(context.now, roster.checksum(), roster.alive());
+        if let Some(announcements) = &mut self.announcements {
+            announcements.tick(context.now);
+        }
+        self.lead(context, own_region);
+        self.send_digests(context, own_region);
+        self.broadcast_overview(context, own_region.swim);
+        self.send_overview_digest(context, own_region.swim);
+        if context.now >= self.schedule.recount {
+            self.schedule.recount = context.now + RECOUNT_INTERVAL;
+            self.update_share_counter(context.now, &mut context.events);
+        }
+    }
+
+    /// Draws the delegates among these members and the own one, if the membership changed.
+    fn draw_delegates(&mut self, now: Nanos, membership: u64, alive: &[SocketAddr]) {
+        if self.drawn_from == Some(membership) {
             return;
         }
-        let first = self.drawn_of.is_none() || living.is_empty();
-        self.drawn_of = Some(members);
-        if fault_injection::is_injected(InjectedFault::NeverReplacesDelegates)
-            && !first
-            && now - self.started > 2 * LEAD_AFTER
+        let is_first = self.drawn_from.is_none() || alive.is_empty();
+        self.drawn_from = Some(membership);
+        if is_injected(InjectedFault::NeverReplacesDelegates)
+            && !is_first
+            && now - self.started > 2 * LEAD_DELAY
         {
             return;
         }
-        let former = self.delegates.first().copied();
-        self.delegates = delegates::draw(
-            &self.location.region,
-            living.iter().copied().chain([self.own]),
-        );
-        if former != self.delegates.first().copied() {
-            self.former_leader = former;
+        let former_leader = self.delegates.first().copied();
+        let members = alive.iter().copied().chain([self.own_address]);
+        self.delegates = delegates::draw(&self.location.region, members);
+        let leader = self.delegates.first().copied();
+        if former_leader != leader {
+            self.former_leader = former_leader;
         }
-        if !self.delegates.contains(&self.own) {
-            self.dropped = self.dropped();
-            self.exchange = None;
-        } else if self.exchange.is_none() {
-            self.exchange = Some(Exchange::new(self.own, &self.location.region, self.forget));
+        if !self.delegates.contains(&self.own_address) {
+            self.former_dropped = self.dropped();
+            self.announcements = None;
+        } else if self.announcements.is_none() {
+            self.announcements = Some(AnnouncementStore::new(
+                self.own_address,
+                &self.location.region,
+                self.tombstone_retention,
+            ));
         }
-        self.leads_since =
-            (self.delegates.first() == Some(&self.own)).then(|| self.leads_since.unwrap_or(now));
+        let is_leader = leader == Some(self.own_address);
+        self.leads_since = is_leader.then(|| self.leads_since.unwrap_or(now));
     }
 
-    /// What was dropped since the start.
+    /// The announcements dropped since the start.
     pub(super) fn dropped(&self) -> DroppedAnnouncements {
-        let now = self
-            .exchange
-            .as_ref()
-            .map(Exchange::dropped)
-            .unwrap_or_default();
+        let current = self.announcements.as_ref();
+        let current = current.map(AnnouncementStore::dropped).unwrap_or_default();
         DroppedAnnouncements {
-            unsound: self.dropped.unsound + now.unsound,
-            outdated: self.dropped.outdated + now.outdated,
-            over_capacity: self.dropped.over_capacity + now.over_capacity,
+            unsound: self.former_dropped.unsound + current.unsound,
+            outdated: self.former_dropped.outdated + current.outdated,
+            over_capacity: self.former_dropped.over_capacity + current.over_capacity,
         }
     }
 
-    pub(super) fn leads(&self, now: Nanos) -> bool {
-        self.leads_since.is_some() && now.saturating_sub(self.started) >= LEAD_AFTER
+    pub(super) fn is_leader(&self, now: Nanos) -> bool {
+        self.leads_since.is_some() && now.saturating_sub(self.started) >= LEAD_DELAY
     }
 
-    /// The rows of the overview as its leader knows them. Regions that the leader before knew, and this one has not heard
-    /// of, are kept: it may just not have been told yet.
-    pub(super) fn rows(&self, now: Nanos) -> Vec<RegionStatus> {
-        let Some(exchange) = &self.exchange else {
+    /// The rows of the overview as the leader knows them.
+    pub(super) fn known_rows(&self, now: Nanos) -> Vec<RegionStatus> {
+        let Some(announcements) = &self.announcements else {
             return Vec::new();
         };
-        let known = exchange.regions(now);
-        let mut rows: BTreeMap<String, RegionStatus> = BTreeMap::new();
-        let led_for = self
-            .leads_since
-            .map_or(0, |since| now.saturating_sub(since));
-        let unknown = self
+        let known = announcements.regions(now);
+        let mut rows: BTreeMap<String, RegionStatus> = self
             .overview
             .rows()
-            .filter(|(row, _)| !known.contains_key(row.region.as_str()));
-        for (row, silent_since) in unknown {
-            let since = match (silent_since, self.leads_since) {
-                (Some(since), _) => Some(since),
-                (None, Some(since)) if led_for >= SILENT_AFTER => Some(since),
-                _ => None,
-            };
-            if since.is_some_and(|since| now.saturating_sub(since) >= self.forget) {
-                continue;
-            }
-            let silent_s = since.map(|since| (now.saturating_sub(since) / (1_000 * MS)) as u32);
-            let authors = if since.is_some() { 0 } else { row.authors };
-            rows.insert(
-                row.region.clone(),
-                RegionStatus {
-                    silent_seconds: silent_s,
-                    authors,
-                    ..row.clone()
-                },
-            );
+            .filter(|(row, _)| !known.contains_key(row.region.as_str()))
+            .filter_map(|(row, silent_since)| self.inherited_row(now, row, silent_since))
+            .map(|row| (row.region.clone(), row))
+            .collect();
+        for (region, knowledge) in known {
+            let row = RegionStatus::of(region, &knowledge, now);
+            rows.insert(region.to_string(), row);
         }
-        rows.extend(
-            known
-                .iter()
-                .map(|(region, known)| (region.to_string(), RegionStatus::of(region, known, now))),
-        );
         rows.into_values().collect()
     }
 
+    /// A row that the former leader wrote, of a region that this leader has not heard of: it may not have been told
+    /// yet. After a while the region counts as silent, and in the end it is forgotten.
+    fn inherited_row(
+        &self,
+        now: Nanos,
+        row: &RegionStatus,
+        silent_since: Option<Nanos>,
+    ) -> Option<RegionStatus> {
+        let leads_since = self.leads_since;
+        let long_lead = leads_since.filter(|since| now.saturating_sub(*since) >= SILENT_AFTER);
+        let silent_since = silent_since.or(long_lead);
+        let is_expired = |since: Nanos| now.saturating_sub(since) >= self.tombstone_retention;
+        if silent_since.is_some_and(is_expired) {
+            return None;
+        }
+        Some(RegionStatus {
+            silent_seconds: silent_since.map(|since| elapsed_seconds(now, since)),
+            authors: if silent_since.is_some() {
+                0
+            } else {
+                row.authors
+            },
+            ..row.clone()
+        })
+    }
+
     /// Whether any other region is known.
-    pub(super) fn knows_others(&self, now: Nanos) -> bool {
-        let by_exchange = self
-            .exchange
-            .as_ref()
-            .is_some_and(|exchange| !exchange.regions(now).is_empty());
-        by_exchange || self.overview.rows().next().is_some()
+    pub(super) fn knows_other_regions(&self, now: Nanos) -> bool {
+        let announcements = self.announcements.as_ref();
+        announcements.is_some_and(|announcements| !announcements.regions(now).is_empty())
+            || self.overview.rows().next().is_some()
     }
 
-    /// Delegates of other regions and of the own one, with whether their region is silent.
-    pub(super) fn targets(&self, now: Nanos) -> Vec<(SocketAddr, bool)> {
-        let mut targets: BTreeMap<SocketAddr, bool> = BTreeMap::new();
+    /// The known delegates of all regions but this member.
+    pub(super) fn all_delegates(&self, now: Nanos) -> Vec<Delegate> {
+        let mut silent: BTreeMap<SocketAddr, bool> = BTreeMap::new();
         for (row, silent_since) in self.overview.rows() {
-            targets.extend(
-                row.delegates
-                    .iter()
-                    .map(|delegate| (*delegate, silent_since.is_some())),
-            );
+            let delegates = row.delegates.iter().copied();
+            silent.extend(delegates.map(|delegate| (delegate, silent_since.is_some())));
         }
-        if let Some(exchange) = &self.exchange {
-            let known = exchange.regions(now);
-            for (region, delegates) in exchange.delegates() {
-                let silent = known
+        if let Some(announcements) = &self.announcements {
+            let known = announcements.regions(now);
+            for (region, delegates) in announcements.delegates() {
+                let is_silent = known
                     .get(region)
                     .is_some_and(|known| known.silent_since.is_some());
-                targets.extend(delegates.into_iter().map(|delegate| (delegate, silent)));
+                silent.extend(delegates.into_iter().map(|delegate| (delegate, is_silent)));
             }
         }
-        targets.extend(self.referred.iter().map(|delegate| (*delegate, false)));
-        targets.extend(self.delegates.iter().map(|delegate| (*delegate, false)));
-        targets.remove(&self.own);
-        targets.into_iter().collect()
+        let reachable = self.referred.iter().chain(&self.delegates);
+        silent.extend(reachable.map(|delegate| (*delegate, false)));
+        silent.remove(&self.own_address);
+        silent
+            .into_iter()
+            .map(|(address, is_region_silent)| Delegate {
+                address,
+                is_region_silent,
+            })
+            .collect()
     }
 
-    /// Takes the overview into the count, and reports regions that fell silent or are heard again.
-    fn recount(&mut self, now: Nanos, changes: &mut Vec<MembershipEvent>) {
-        let mut heard = BTreeMap::new();
-        for (row, silent_since) in self
-            .overview
+    /// The rows of the other regions.
+    pub(super) fn other_regions(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
+        self.overview
             .rows()
             .filter(|(row, _)| row.region != self.location.region)
-        {
-            let figures = Figures {
-                living: row.alive as usize,
+    }
+
+    /// The share count over all regions.
+    pub(super) fn share_count(&mut self, now: Nanos, own: RegionSize) -> usize {
+        self.share_counter.count(now, own)
+    }
+
+    /// Takes the overview into the share count, and reports regions that became reachable or silent.
+    fn update_share_counter(&mut self, now: Nanos, events: &mut Vec<MembershipEvent>) {
+        let mut reachable = BTreeMap::new();
+        let own_region = &self.location.region;
+        let rows = self.overview.rows();
+        for (row, silent_since) in rows.filter(|(row, _)| row.region != *own_region) {
+            let size = RegionSize {
+                alive: row.alive as usize,
                 places: row.places as usize,
             };
-            self.count.set(now, &row.region, figures, silent_since);
-            let is_heard = silent_since.is_none();
-            if self.heard.get(&row.region) != Some(&is_heard) {
-                changes.push(MembershipEvent::RegionReachability {
+            self.share_counter
+                .update(now, &row.region, size, silent_since);
+            let is_reachable = silent_since.is_none();
+            if self.reachable.get(&row.region) != Some(&is_reachable) {
+                events.push(MembershipEvent::RegionReachability {
                     region: row.region.clone(),
-                    reachable: is_heard,
+                    reachable: is_reachable,
                     alive: row.alive,
                 });
             }
-            heard.insert(row.region.clone(), is_heard);
+            reachable.insert(row.region.clone(), is_reachable);
         }
-        self.count
-            .silence_all_but(now, |region| heard.contains_key(region));
-        self.heard = heard;
-    }
-}
-
-impl Member {
-    /// Where this balancer runs.
-    pub fn location(&self) -> &Location {
-        &self.settings.location
-    }
-
-    /// Who speaks for the own region, first the leader; empty where there are no regions.
-    pub fn delegates(&self) -> &[SocketAddr] {
-        self.regional
-            .as_ref()
-            .map_or(&[], |regional| &regional.delegates)
+        self.share_counter
+            .silence_unreported(now, |region| reachable.contains_key(region));
+        self.reachable = reachable;
     }
 
-    /// The other regions by the overview.
-    pub fn region_rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
-        let rows = self
-            .regional
-            .iter()
-            .flat_map(|regional| regional.overview.rows());
-        rows.filter(|(row, _)| row.region != self.settings.location.region)
-    }
-
-    /// Announcements that were dropped, and parts of the overview that were refused.
-    pub fn regions_dropped(&self) -> (DroppedAnnouncements, u64) {
-        let regional = self.regional.as_ref();
-        regional.map_or_else(Default::default, |regional| {
-            (regional.dropped(), regional.refused_parts)
-        })
-    }
-
-    /// Announcements held, by a delegate.
-    pub fn announcements(&self) -> usize {
-        let exchange = self
-            .regional
-            .as_ref()
-            .and_then(|regional| regional.exchange.as_ref());
-        exchange.map_or(0, Exchange::len)
-    }
-
-    pub(super) fn regions_seen(&self) -> Vec<RegionView> {
-        let seen = |(row, silent_since): (&RegionStatus, Option<Nanos>)| RegionView {
-            overview: row.clone(),
-            silent_since,
-        };
-        self.region_rows().map(seen).collect()
-    }
-
-    pub(super) fn living_elsewhere(&self) -> usize {
-        let heard = self
-            .region_rows()
-            .filter(|(_, silent_since)| silent_since.is_none());
-        heard.map(|(row, _)| row.alive as usize).sum()
-    }
-
-    pub(super) fn places_elsewhere(&self) -> usize {
-        self.region_rows().map(|(row, _)| row.places as usize).sum()
-    }
-
-    /// The figures of the own region, as this member counts them.
-    pub(super) fn own_figures(&self) -> Figures {
-        let living = self.count.living();
-        Figures {
-            living,
-            places: self.table.count().max(living),
-        }
-    }
-
-    pub(super) fn total_count(&mut self) -> usize {
-        let own = self.own_figures();
-        match &mut self.regional {
-            None => self.table.count(),
-            Some(regional) => regional.count.now(self.now, own),
-        }
-    }
-
-    /// The upper level's turn: what is due is done.
-    pub(super) fn regional(&mut self) {
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        self.roster.refresh(&self.swim);
-        regional.draw(self.now, self.roster.mark(), self.roster.living());
-        if let Some(exchange) = &mut regional.exchange {
-            exchange.turn(self.now);
-        }
-        self.lead();
-        self.ask_regions();
-        self.spread_overview();
-        self.compare_overview();
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if self.now >= regional.due.recount {
-            regional.due.recount = self.now + RECOUNT;
-            regional.recount(self.now, &mut self.changes);
-        }
+    /// Whether a join address is known to be in another region.
+    pub(super) fn is_foreign_join_address(&self, address: &SocketAddr) -> bool {
+        self.foreign_join_addresses.contains(address)
     }
 }
--- a/crates/membership/src/member/membership_table.rs
+++ b/crates/membership/src/member/membership_table.rs
@@ -1,38 +1,45 @@
-//! The members as they were last seen, and what changed since.
+//! The members as the view shows them, and what changed since the last update.
 
-use super::swim::Swim;
-use crate::metadata::{MetadataStore, ServingPhase};
-use crate::share_count::Count;
+use super::swim::SwimProtocol;
+use crate::metadata::{MemberMetadata, ServingPhase};
+use crate::metadata_store::MetadataStore;
+use crate::share_count::ShareCounter;
 use crate::{Identity, MemberStatus, MemberView, MembershipEvent, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The view's members, by address; as many as `foca` holds.
+/// The other members by address, at most as many as `foca` stores.
 #[derive(Default)]
-pub(super) struct Table {
-    seen: BTreeMap<SocketAddr, MemberView>,
-    /// Names of which two members were told of.
-    twice: BTreeSet<String>,
-    count: usize,
-    /// The most places that any living member tells of.
-    told: usize,
-    /// The membership that the last full look was taken of.
-    mark: u64,
-    turned: bool,
+pub(super) struct MembershipTable {
+    members: BTreeMap<SocketAddr, MemberView>,
+    /// Names that two members were found to have.
+    duplicate_names: BTreeSet<String>,
+    share_count: usize,
+    /// The greatest number of places that a live member publishes.
+    reported_places: usize,
+    /// The checksum of the membership at the last full update.
+    checksum: u64,
 }
 
-/// What a look is taken of.
+/// Whether an update has read the whole membership again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum UpdateScope {
+    MetadataOnly,
+    Full,
+}
+
+/// What the table is updated from.
 pub(super) struct Sources<'a> {
     pub(super) now: Nanos,
-    pub(super) own: Identity,
-    pub(super) swim: &'a Swim,
-    pub(super) records: &'a mut MetadataStore,
-    pub(super) count: &'a mut Count,
+    pub(super) swim: &'a SwimProtocol,
+    pub(super) metadata: &'a mut MetadataStore,
+    pub(super) share_counter: &'a mut ShareCounter,
+    pub(super) events: &'a mut Vec<MembershipEvent>,
 }
 
-/// What a member is, by what `foca` and its own record say.
-fn state(swim: foca::State, phase: Option<ServingPhase>) -> MemberStatus {
-    match (swim, phase) {
+/// The status of a member, by its state in SWIM and its own phase.
+fn status(state: foca::State, phase: Option<ServingPhase>) -> MemberStatus {
+    match (state, phase) {
         (foca::State::Down, Some(ServingPhase::Leaving)) => MemberStatus::Left,
         (foca::State::Down, _) => MemberStatus::Dead,
         (foca::State::Suspect, _) => MemberStatus::Stalled,
@@ -44,154 +51,163 @@
     }
 }
 
-impl Table {
+impl MembershipTable {
     pub(super) fn members(&self) -> impl Iterator<Item = &MemberView> {
-        self.seen.values()
+        self.members.values()
     }
 
-    pub(super) fn knows(&self, address: &SocketAddr) -> bool {
-        self.seen.contains_key(address)
+    /// The metadata of the live members.
+    pub(super) fn live_metadata(&self) -> impl Iterator<Item = &MemberMetadata> {
+        self.members()
+            .filter(|member| member.status.is_present())
+            .filter_map(|member| member.metadata.as_ref())
     }
 
-    /// Whether the last look was a close one.
-    pub(super) fn turned(&self) -> bool {
-        self.turned
+    pub(super) fn dead(&self) -> Vec<Identity> {
+        self.members()
+            .filter(|member| member.status == MemberStatus::Dead)
+            .map(|member| member.id)
+            .collect()
     }
 
-    /// By how many shares are divided in the region.
-    pub(super) fn count(&self) -> usize {
-        self.count
+    pub(super) fn contains(&self, address: &SocketAddr) -> bool {
+        self.members.contains_key(address)
     }
 
-    /// Takes over what is known now, and says what changed. `mark` is the membership's checksum.
-    pub(super) fn look(
-        &mut self,
-        mark: u64,
-        sources: Sources<'_>,
-        changes: &mut Vec<MembershipEvent>,
-    ) {
+    /// The share count within the region.
+    pub(super) fn share_count(&self) -> usize {
+        self.share_count
+    }
+
+    /// Takes over what changed, and reports it.
+    pub(super) fn update(&mut self, sources: Sources<'_>) -> UpdateScope {
         let Sources {
             now,
-            own,
             swim,
-            records,
-            count,
+            metadata,
+            share_counter,
+            events,
         } = sources;
-        let (told_anew, urgent) = records.take_touched();
-        let members_changed = mark != self.mark;
-        self.turned = members_changed || urgent;
-        if self.turned {
-            self.mark = mark;
-            self.look_closely(
-                Sources {
-                    now,
-                    own,
-                    swim,
-                    records,
-                    count,
-                },
-                changes,
-            );
-        } else if !told_anew.is_empty() {
-            self.take_over_soft(&told_anew, records);
+        let changes = metadata.take_changes();
+        let checksum = swim.roster().checksum();
+        let scope = if checksum != self.checksum || changes.urgent {
+            UpdateScope::Full
+        } else {
+            UpdateScope::MetadataOnly
+        };
+        if scope == UpdateScope::Full {
+            self.checksum = checksum;
+            self.update_members(now, swim, metadata, share_counter, events);
+            self.report_duplicate_names(events);
+        } else if !changes.addresses.is_empty() {
+            self.update_metadata(&changes.addresses, metadata);
         }
-        self.count = count.now(now, self.told);
+        self.share_count = share_counter.count(now, self.reported_places);
+        scope
     }
 
-    /// Takes over what these members said last; nothing of it changes what they are.
-    fn take_over_soft(&mut self, told_anew: &BTreeSet<SocketAddr>, records: &MetadataStore) {
-        for address in told_anew {
-            let Some(seen) = self.seen.get_mut(address) else {
-                continue;
-            };
-            if let Some(record) = records.of(&seen.id) {
-                seen.metadata = Some(record.metadata.clone());
+    /// Takes over metadata that does not affect any status.
+    fn update_metadata(&mut self, addresses: &BTreeSet<SocketAddr>, metadata: &MetadataStore) {
+        for address in addresses {
+            if let Some(member) = self.members.get_mut(address)
+                && let Some(record) = metadata.get(&member.id)
+            {
+                member.metadata = Some(record.metadata.clone());
             }
         }
-        let there = self.seen.values().filter(|seen| seen.status.is_present());
-        let places = there
-            .filter_map(|seen| seen.metadata.as_ref())
-            .map(|soft| usize::from(soft.places));
-        self.told = places.max().unwrap_or(0);
+        let places = self
+            .live_metadata()
+            .map(|metadata| usize::from(metadata.places));
+        self.reported_places = places.max().unwrap_or(0);
     }
 
-    fn look_closely(&mut self, sources: Sources<'_>, changes: &mut Vec<MembershipEvent>) {
-        let Sources {
-            now,
-            own,
-            swim,
-            records,
-            count,
-        } = sources;
-        let mut here = BTreeSet::new();
-        let mut told = 0;
-        for member in swim
-            .iter_membership_state()
-            .filter(|m| m.id().address != own.address)
-        {
+    fn update_members(
+        &mut self,
+        now: Nanos,
+        swim: &SwimProtocol,
+        metadata: &MetadataStore,
+        share_counter: &mut ShareCounter,
+        events: &mut Vec<MembershipEvent>,
+    ) {
+        let own_address = swim.id().address;
+        let mut present = BTreeSet::new();
+        let mut reported_places = 0;
+        let others = swim.all_members();
+        for member in others.filter(|m| m.id().address != own_address) {
             let id = *member.id();
-            here.insert(id.address);
-            let soft = records.of(&id).map(|record| &record.metadata);
-            let is = state(member.state(), soft.map(|soft| soft.phase));
+            present.insert(id.address);
+            let published = metadata.get(&id).map(|record| &record.metadata);
+            let is = status(member.state(), published.map(|metadata| metadata.phase));
             if is.is_present() {
-                told = told.max(soft.map_or(0, |soft| usize::from(soft.places)));
-            }
-            let former = self.seen.get_mut(&id.address);
-            let was = former.as_ref().map(|seen| seen.status);
-            let since = former
-                .as_ref()
-                .filter(|seen| seen.status == is)
-                .map_or(now, |seen| seen.since);
-            match former {
-                Some(seen) => {
-                    seen.id = id;
-                    seen.incarnation = member.incarnation();
-                    (seen.status, seen.since) = (is, since);
-                    if let Some(soft) = soft.filter(|soft| seen.metadata.as_ref() != Some(*soft)) {
-                        seen.metadata = Some(soft.clone());
-                    }
-                }
-                None => {
-                    let (incarnation, soft) = (member.incarnation(), soft.cloned());
-                    self.seen.insert(
-                        id.address,
-                        MemberView {
-                            id,
-                            incarnation,
-                            status: is,
-                            since,
-                            metadata: soft,
-                        },
-                    );
-                }
+                let places = published.map_or(0, |metadata| usize::from(metadata.places));
+                reported_places = reported_places.max(places);
             }
             match is {
-                MemberStatus::Left => count.left(id.address),
-                MemberStatus::Dead => count.vanished(now, id.address),
-                _ => count.appeared(id.address),
+                MemberStatus::Left => share_counter.record_left(id.address),
+                MemberStatus::Dead => share_counter.record_vanished(now, id.address),
+                _ => share_counter.record_present(id.address),
             }
+            let was = self.update_member(now, member, is, published);
             if was != Some(is) {
-                let name = self.seen[&id.address].name();
-                changes.push(MembershipEvent::StatusChanged { name, id, was, is });
+                let name = self.members[&id.address].name();
+                events.push(MembershipEvent::StatusChanged { name, id, was, is });
             }
         }
-        self.seen.retain(|address, _| here.contains(address));
-        self.told = told;
-        self.names(changes);
+        self.members.retain(|address, _| present.contains(address));
+        self.reported_places = reported_places;
+    }
+
+    /// Takes over one member; returns its former status.
+    fn update_member(
+        &mut self,
+        now: Nanos,
+        member: &foca::Member<Identity>,
+        status: MemberStatus,
+        published: Option<&MemberMetadata>,
+    ) -> Option<MemberStatus> {
+        let id = *member.id();
+        let Some(known) = self.members.get_mut(&id.address) else {
+            let view = MemberView {
+                id,
+                incarnation: member.incarnation(),
+                status,
+                since: now,
+                metadata: published.cloned(),
+            };
+            self.members.insert(id.address, view);
+            return None;
+        };
+        let was = known.status;
+        known.id = id;
+        known.incarnation = member.incarnation();
+        if was != status {
+            known.status = status;
+            known.since = now;
+        }
+        if let Some(published) = published.filter(|new| known.metadata.as_ref() != Some(*new)) {
+            known.metadata = Some(published.clone());
+        }
+        Some(was)
     }
 
-    fn names(&mut self, changes: &mut Vec<MembershipEvent>) {
+    fn report_duplicate_names(&mut self, events: &mut Vec<MembershipEvent>) {
         let mut names: BTreeMap<&str, SocketAddr> = BTreeMap::new();
-        for seen in self.seen.values().filter(|seen| seen.status.is_present()) {
-            let Some(soft) = &seen.metadata else { continue };
-            if let Some(other) = names.insert(&soft.name, seen.id.address)
-                && !self.twice.contains(&soft.name)
-                && self.twice.len() < self.seen.len()
+        let present = self
+            .members
+            .values()
+            .filter(|member| member.status.is_present());
+        for member in present {
+            let Some(metadata) = &member.metadata else {
+                continue;
+            };
+            if let Some(other) = names.insert(&metadata.name, member.id.address)
+                && !self.duplicate_names.contains(&metadata.name)
+                && self.duplicate_names.len() < self.members.len()
             {
-                self.twice.insert(soft.name.clone());
-                changes.push(MembershipEvent::DuplicateName {
-                    name: soft.name.clone(),
-                    addresses: [other, seen.id.address],
+                self.duplicate_names.insert(metadata.name.clone());
+                events.push(MembershipEvent::DuplicateName {
+                    name: metadata.name.clone(),
+                    addresses: [other, member.id.address],
                 });
             }
         }
--- a/crates/membership/src/member/region_delegate.rs
+++ b/crates/membership/src/member/region_delegate.rs
@@ -1,11 +1,15 @@
-//! What a delegate says of its region and asks of the others, and how members find their region.
+//! The delegates of regions: the leader announces its region, delegates exchange announcements, and a member that has
+//! met nobody is referred to its region.
 
-use super::Member;
-use super::swim::Runtime;
+use super::context::Context;
+use super::federation::{Delegate, Federation, OwnRegion};
+use super::swim::SwimProtocol;
 use crate::envelope::{MessageKind, PAYLOAD_MAX};
-use crate::fault_injection::{self, InjectedFault};
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::metadata::ServingPhase;
-use crate::regions::exchange::{AgedAnnouncement, Answer, Exchange, Question};
+use crate::payload::{PayloadError, decode};
+use crate::regions::announcement_store::AnnouncementStore;
+use crate::regions::exchange::{AgedAnnouncement, DigestSender, RegionDelta, RegionDigest};
 use crate::regions::{DELEGATES, RegionSummary};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
@@ -13,414 +17,355 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A delegate asks one of the others this often.
-const ASK: Nanos = 500 * MS;
-/// One question in so many goes to a region that is silent, while there is one.
-const ASK_SILENT_OF: u32 = 4;
-/// A join address is asked this often, in case all delegates that are known of a region have died.
-const ASK_JOIN: Nanos = 5_000 * MS;
-/// News of other regions is written into the overview at most this often.
-const WRITE: Nanos = 200 * MS;
-/// A new summary is announced at most this often, and the overview looked at,
-const PUBLISH: Nanos = 500 * MS;
-/// and one that differs in the requests alone this often.
-const PUBLISH_REQUESTS: Nanos = 30_000 * MS;
-/// Delegates of the own region that are not known are asked to let this member in this often.
-const REJOIN: Nanos = 500 * MS;
-/// Join addresses that are known to be in other regions, at most.
-const FOREIGN_MAX: usize = 64;
+/// How often a delegate sends a digest to one of the others.
+const DIGEST_INTERVAL: Nanos = 500 * MS;
+/// One digest in this many goes to a silent region, while there is one.
+const SILENT_REGION_ONE_IN: u32 = 4;
+/// How often a digest goes to a join address, in case all known delegates of a region have died.
+const JOIN_ADDRESS_INTERVAL: Nanos = 5_000 * MS;
+/// The overview is written at most this often after new announcements,
+const OVERVIEW_WRITE_INTERVAL: Nanos = 200 * MS;
+/// otherwise, like a changed summary, this often;
+const PUBLISH_INTERVAL: Nanos = 500 * MS;
+/// and a summary that differs in the request rate alone this often.
+const REQUEST_RATE_INTERVAL: Nanos = 30_000 * MS;
+/// How often unknown delegates of the own region are announced to.
+const REJOIN_INTERVAL: Nanos = 500 * MS;
+/// The most join addresses that are noted as being in other regions.
+const FOREIGN_JOIN_ADDRESSES_MAX: usize = 64;
 
-/// Who speaks for the regions, by a member that does not.
+/// Names the delegates, by a member that is none.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Referral {
-    /// The region of who answers.
+pub(crate) struct RegionReferral {
+    /// The region of the sender.
     pub(crate) region: String,
-    /// Who speaks for it.
+    /// The delegates of the sender's region.
     pub(crate) delegates: Vec<SocketAddr>,
-    /// Who speaks for the asker's region, as far as it is known.
-    pub(crate) yours: Vec<SocketAddr>,
+    /// The delegates of the receiver's region, as far as they are known.
+    pub(crate) your_delegates: Vec<SocketAddr>,
 }
 
-impl Member {
-    /// Announces the region and writes the overview, as its leader.
-    pub(super) fn lead(&mut self) {
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if !regional.leads(self.now) {
-            if let Some(exchange) = &mut regional.exchange {
-                exchange.retire();
+impl Federation {
+    /// Publishes the own region and writes the overview, as its leader.
+    pub(super) fn lead(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
+        let now = context.now;
+        if !self.is_leader(now) {
+            if let Some(announcements) = &mut self.announcements {
+                announcements.withdraw();
             }
             return;
         }
-        if self.now < regional.due.publish {
+        if now < self.schedule.publish {
             return;
         }
-        regional.due.publish = self.now + PUBLISH;
-        regional.written = self.now;
-        self.publish();
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        let rows = regional.rows(self.now);
-        let unix_ms = regional.unix_ms(self.now);
-        regional
-            .overview
-            .write(self.now, unix_ms, regional.own, rows);
+        self.schedule.publish = now + PUBLISH_INTERVAL;
+        self.last_overview_write = now;
+        self.publish_summary(context, own_region);
+        let rows = self.known_rows(now);
+        let unix_ms = self.unix_ms(now);
+        self.overview.write(now, unix_ms, self.own_address, rows);
     }
 
-    /// Announces the region if its figures have changed, to one delegate of each other region and to those of its own.
-    fn publish(&mut self) {
-        let summary = self.summary();
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        let Some(exchange) = &mut regional.exchange else {
+    /// Publishes the own region if its summary has changed.
+    fn publish_summary(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
+        let summary = self.summary(own_region);
+        let now = context.now;
+        let unix_ms = self.unix_ms(now);
+        let Some(announcements) = &mut self.announcements else {
             return;
         };
-        let former = exchange.own_summary();
-        let same = former.is_some_and(|former| former.says_the_same(&summary));
-        let busier =
-            former.is_some_and(|former| former.request_rate_tenths != summary.request_rate_tenths);
-        let due = busier && self.now.saturating_sub(regional.published) >= PUBLISH_REQUESTS;
-        let early = former.is_some() && self.now.saturating_sub(regional.published) < PUBLISH;
-        if same && !due || early {
-            return;
+        if let Some(former) = announcements.own_summary() {
+            let age = now.saturating_sub(self.last_announcement);
+            let rate_is_due = former.request_rate_tenths != summary.request_rate_tenths
+                && age >= REQUEST_RATE_INTERVAL;
+            let is_due = !former.is_equivalent(&summary) || rate_is_due;
+            if !is_due || age < PUBLISH_INTERVAL {
+                return;
+            }
         }
-        regional.published = self.now;
-        let unix_ms = regional.epoch_ms + self.now / MS;
-        let told = exchange.publish(self.now, unix_ms, summary);
-        self.tell_regions(&[told]);
+        self.last_announcement = now;
+        let announcement = announcements.publish(now, unix_ms, summary);
+        self.send_announcement(context, announcement);
     }
 
-    /// What the own region tells of itself.
-    fn summary(&self) -> RegionSummary {
-        let own = self.own_figures();
-        let there = self.table.members().filter(|seen| seen.status.is_present());
-        let others = there.filter_map(|seen| seen.metadata.as_ref());
-        let mut configs: BTreeMap<u64, u32> = BTreeMap::new();
-        let mut requests = 0u32;
-        for soft in others
-            .chain([&self.own.metadata])
-            .filter(|soft| soft.phase != ServingPhase::Leaving)
+    /// The summary of the own region.
+    fn summary(&self, own_region: &OwnRegion<'_>) -> RegionSummary {
+        let mut config_counts: BTreeMap<u64, u32> = BTreeMap::new();
+        let mut request_rate_tenths = 0u32;
+        let members = own_region.table.live_metadata();
+        for metadata in members
+            .chain([own_region.metadata])
+            .filter(|metadata| metadata.phase != ServingPhase::Leaving)
         {
-            *configs.entry(soft.config_checksum).or_default() += 1;
-            requests = requests.saturating_add(soft.request_rate_tenths);
+            *config_counts.entry(metadata.config_checksum).or_default() += 1;
+            request_rate_tenths = request_rate_tenths.saturating_add(metadata.request_rate_tenths);
         }
-        let most = configs
+        let (config_checksum, majority) = config_counts
             .iter()
             .max_by_key(|(_, count)| **count)
             .map_or((0, 0), |(config, count)| (*config, *count));
-        let regional = self.regional.as_ref();
-        let is_own = |former: &SocketAddr| *former == self.settings.address;
         RegionSummary {
-            alive: own.living as u32,
-            places: own.places as u32,
-            config_checksum: most.0,
-            config_minority: configs.values().sum::<u32>() - most.1,
-            request_rate_tenths: two_figures(requests),
-            delegates: self.delegates().to_vec(),
-            replaces: regional
-                .and_then(|regional| regional.former_leader)
-                .filter(|former| !is_own(former)),
+            alive: own_region.size.alive as u32,
+            places: own_region.size.places as u32,
+            config_checksum,
+            config_minority: config_counts.values().sum::<u32>() - majority,
+            request_rate_tenths: two_digits(request_rate_tenths),
+            delegates: self.delegates.clone(),
+            replaces: self
+                .former_leader
+                .filter(|former| *former != self.own_address),
         }
     }
 
-    /// Tells one delegate of each other region, and the other delegates of the own one.
-    fn tell_regions(&mut self, told: &[AgedAnnouncement]) {
-        let Some(regional) = &self.regional else {
-            return;
-        };
+    /// Sends an announcement to one delegate of each other region, and to the other delegates of the own one.
+    fn send_announcement(&self, context: &mut Context, announcement: AgedAnnouncement) {
         let mut by_region: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
-        for (row, _) in regional.overview.rows() {
+        for (row, _) in self.overview.rows() {
             by_region
                 .entry(&row.region)
                 .or_default()
                 .extend(&row.delegates);
         }
-        if let Some(exchange) = &regional.exchange {
-            for (region, delegates) in exchange.delegates() {
+        if let Some(announcements) = &self.announcements {
+            for (region, delegates) in announcements.delegates() {
                 by_region.entry(region).or_default().extend(delegates);
             }
         }
-        by_region.remove(regional.location.region.as_str());
+        by_region.remove(self.location.region.as_str());
         let mut targets: Vec<SocketAddr> = Vec::new();
-        for delegates in by_region
-            .into_values()
-            .filter(|delegates| !delegates.is_empty())
-        {
-            let chosen = self.rng.random_range(0..delegates.len());
-            targets.extend(delegates.into_iter().nth(chosen));
+        for delegates in by_region.into_values() {
+            let delegates: Vec<SocketAddr> = delegates.into_iter().collect();
+            targets.extend(context.choose(&delegates));
         }
-        targets.extend(
-            regional
-                .delegates
-                .iter()
-                .filter(|delegate| **delegate != regional.own),
-        );
-        let payload = AgedAnnouncement::encode(told);
+        let own_delegates = self.delegates.iter().copied();
+        targets.extend(own_delegates.filter(|delegate| *delegate != self.own_address));
+        let payload = AgedAnnouncement::encode(&[announcement]);
         for target in targets {
-            self.send(target, MessageKind::RegionAnnouncements, &payload);
+            context.send(target, MessageKind::RegionAnnouncements, &payload);
         }
     }
 
-    /// Asks a delegate of any region what it holds, if it is time.
-    pub(super) fn ask_regions(&mut self) {
-        let alone = self.swim.num_members() == 0;
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if self.now < regional.due.ask || (regional.exchange.is_none() && !alone) {
+    /// Sends a digest to a delegate of any region if it is due. A member that has met nobody does so as well, to find
+    /// its region.
+    pub(super) fn send_digests(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
+        let now = context.now;
+        let alone = own_region.swim.alive() == 0;
+        if now < self.schedule.digest || (self.announcements.is_none() && !alone) {
             return;
         }
-        regional.due.ask = self.now + ASK;
-        let targets = regional.targets(self.now);
-        let mut to: Vec<SocketAddr> = self.chosen_target(&targets).into_iter().collect();
-        let own_region =
-            |address: &SocketAddr| self.table.knows(address) || *address == self.settings.address;
-        let elsewhere: Vec<SocketAddr> = self
-            .settings
-            .join
-            .iter()
-            .copied()
-            .filter(|address| !own_region(address))
-            .collect();
-        let Some(regional) = &mut self.regional else {
-            return;
+        self.schedule.digest = now + DIGEST_INTERVAL;
+        let delegates = self.all_delegates(now);
+        let mut targets: Vec<SocketAddr> =
+            choose_delegate(context, &delegates).into_iter().collect();
+        let is_in_own_region = |address: &SocketAddr| {
+            own_region.table.contains(address) || *address == self.own_address
         };
-        if !regional.knows_others(self.now) {
-            // Nobody has been met in another region yet: all of them are asked.
-            to.extend(elsewhere);
-        } else if self.now >= regional.due.ask_join && !elsewhere.is_empty() {
-            regional.due.ask_join = self.now + ASK_JOIN;
-            to.push(elsewhere[self.rng.random_range(0..elsewhere.len())]);
+        let join_addresses = self.join_addresses.iter().copied();
+        let elsewhere: Vec<SocketAddr> = join_addresses
+            .filter(|address| !is_in_own_region(address))
+            .collect();
+        if !self.knows_other_regions(now) {
+            targets.extend(elsewhere);
+        } else if now >= self.schedule.join_address_digest && !elsewhere.is_empty() {
+            self.schedule.join_address_digest = now + JOIN_ADDRESS_INTERVAL;
+            targets.extend(context.choose(&elsewhere));
         }
-        to.into_iter().for_each(|to| self.ask_region(to));
-    }
-
-    /// One of these at random; while regions are silent, one in so many times one of theirs.
-    fn chosen_target(&mut self, targets: &[(SocketAddr, bool)]) -> Option<SocketAddr> {
-        let silent: Vec<&(SocketAddr, bool)> =
-            targets.iter().filter(|(_, silent)| *silent).collect();
-        if !silent.is_empty() && self.rng.random_range(0..ASK_SILENT_OF) == 0 {
-            return Some(silent[self.rng.random_range(0..silent.len())].0);
+        for target in targets {
+            self.send_digest(context, target);
         }
-        let chosen = (!targets.is_empty()).then(|| self.rng.random_range(0..targets.len()))?;
-        Some(targets[chosen].0)
     }
 
-    fn ask_region(&mut self, to: SocketAddr) {
-        let from = self.rng.random_range(0..usize::from(u16::MAX));
-        let Some(regional) = &self.regional else {
-            return;
+    fn send_digest(&self, context: &mut Context, to: SocketAddr) {
+        let first = context.rng.random_range(0..usize::from(u16::MAX));
+        let now = context.now;
+        let digest = match &self.announcements {
+            Some(announcements) => announcements.digest(now, DigestSender::Delegate, first),
+            None => AnnouncementStore::new(self.own_address, &self.location.region, 0).digest(
+                now,
+                DigestSender::Newcomer,
+                0,
+            ),
         };
-        let question = match &regional.exchange {
-            Some(exchange) => exchange.question(self.now, true, from),
-            None => Exchange::new(regional.own, &regional.location.region, 0)
-                .question(self.now, false, 0),
-        };
-        self.statistics.region_digests += 1;
-        let payload = postcard::to_stdvec(&question).unwrap_or_default();
-        self.send(to, MessageKind::RegionDigest, &payload);
+        context.statistics.region_digests += 1;
+        context.send_message(to, MessageKind::RegionDigest, &digest);
     }
 
-    pub(super) fn take_region_question(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(question) = postcard::from_bytes::<Question>(payload) else {
-            return false;
-        };
-        self.note_region_of(from, &question.region);
-        let Some(regional) = &mut self.regional else {
-            return false;
-        };
-        let (kind, payload) = match &mut regional.exchange {
-            Some(exchange) => {
-                let answer = exchange.answer(self.now, &question);
-                (MessageKind::RegionDelta, postcard::to_stdvec(&answer))
-            }
-            None => {
-                let yours = regional
-                    .overview
-                    .rows()
-                    .find(|(row, _)| row.region == question.region);
-                let referral = Referral {
-                    region: regional.location.region.clone(),
-                    delegates: regional.delegates.clone(),
-                    yours: yours
-                        .map(|(row, _)| row.delegates.clone())
-                        .unwrap_or_default(),
-                };
-                (MessageKind::RegionReferral, postcard::to_stdvec(&referral))
-            }
+    /// Answers a digest: a delegate by a delta, any other member by a referral.
+    pub(super) fn receive_digest(
+        &mut self,
+        context: &mut Context,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let digest: RegionDigest = decode(payload)?;
+        self.note_region_of(from, &digest.region);
+        if let Some(announcements) = &mut self.announcements {
+            let delta = announcements.delta(context.now, &digest);
+            context.send_message(from, MessageKind::RegionDelta, &delta);
+            return Ok(());
+        }
+        let their_row = self
+            .overview
+            .rows()
+            .find(|(row, _)| row.region == digest.region);
+        let referral = RegionReferral {
+            region: self.location.region.clone(),
+            delegates: self.delegates.clone(),
+            your_delegates: their_row
+                .map(|(row, _)| row.delegates.clone())
+                .unwrap_or_default(),
         };
-        self.send(from, kind, &payload.unwrap_or_default());
-        true
+        context.send_message(from, MessageKind::RegionReferral, &referral);
+        Ok(())
     }
 
-    pub(super) fn take_region_answer(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(answer) = postcard::from_bytes::<Answer>(payload) else {
-            return false;
-        };
-        self.note_region_of(from, &answer.region);
-        let Some(regional) = &mut self.regional else {
-            return false;
-        };
-        let own = own_delegates(&regional.location.region, &answer.told);
-        self.join_own(own);
-        let Some(regional) = &mut self.regional else {
-            return false;
-        };
-        let unix_ms = regional.unix_ms(self.now);
-        let Some(exchange) = &mut regional.exchange else {
-            return true;
+    /// Merges a delta, and sends the announcements that it requests.
+    pub(super) fn receive_delta(
+        &mut self,
+        context: &mut Context,
+        swim: &mut SwimProtocol,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let delta: RegionDelta = decode(payload)?;
+        self.note_region_of(from, &delta.region);
+        let own_delegates = self.announced_own_delegates(&delta.announcements);
+        self.join_own_region(context, swim, own_delegates);
+        let unix_ms = self.unix_ms(context.now);
+        let Some(announcements) = &mut self.announcements else {
+            return Ok(());
         };
-        let (wanted, new) = exchange.take_answer(self.now, unix_ms, &answer);
-        regional.referred.clear();
-        if !wanted.is_empty() {
-            let payload = AgedAnnouncement::encode(&wanted);
-            self.send(from, MessageKind::RegionAnnouncements, &payload);
+        let merged = announcements.merge_delta(context.now, unix_ms, &delta);
+        self.referred.clear();
+        if !merged.requested.is_empty() {
+            let payload = AgedAnnouncement::encode(&merged.requested);
+            context.send(from, MessageKind::RegionAnnouncements, &payload);
         }
-        self.heard_of(&new);
-        true
+        self.pass_on(context, &merged.new);
+        Ok(())
     }
 
-    pub(super) fn take_region_news(&mut self, payload: &[u8]) -> bool {
-        let Ok(told) = postcard::from_bytes::<Vec<AgedAnnouncement>>(payload) else {
-            return false;
+    /// Merges announcements.
+    pub(super) fn receive_announcements(
+        &mut self,
+        context: &mut Context,
+        swim: &mut SwimProtocol,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let received: Vec<AgedAnnouncement> = decode(payload)?;
+        let own_delegates = self.announced_own_delegates(&received);
+        let unix_ms = self.unix_ms(context.now);
+        let Some(announcements) = &mut self.announcements else {
+            return Ok(());
         };
-        let Some(regional) = &mut self.regional else {
-            return false;
-        };
-        let own = own_delegates(&regional.location.region, &told);
-        let unix_ms = regional.unix_ms(self.now);
-        let Some(exchange) = &mut regional.exchange else {
-            return true;
-        };
-        let new = exchange.take(self.now, unix_ms, &told);
-        self.heard_of(&new);
-        self.join_own(own);
-        true
+        let new = announcements.merge(context.now, unix_ms, &received);
+        self.pass_on(context, &new);
+        self.join_own_region(context, swim, own_delegates);
+        Ok(())
     }
 
-    /// News of other regions is written into the overview at the leader's next turn; other delegates of the region that
-    /// have not heard of it are told by it.
-    fn heard_of(&mut self, new: &[AgedAnnouncement]) {
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
+    /// The leader writes new announcements into the overview soon; other delegates pass them on to the leader.
+    fn pass_on(&mut self, context: &mut Context, new: &[AgedAnnouncement]) {
         if new.is_empty() {
             return;
         }
-        if regional.leads(self.now) {
-            regional.due.publish = regional.due.publish.min(regional.written + WRITE);
+        if self.is_leader(context.now) {
+            let soon = self.last_overview_write + OVERVIEW_WRITE_INTERVAL;
+            self.schedule.publish = self.schedule.publish.min(soon);
             return;
         }
-        let leader = regional
-            .delegates
-            .first()
-            .copied()
-            .filter(|leader| *leader != regional.own);
+        let leader = self.delegates.first().copied();
         let payload = AgedAnnouncement::encode(new);
-        if let Some(leader) = leader
+        if let Some(leader) = leader.filter(|leader| *leader != self.own_address)
             && payload.len() <= PAYLOAD_MAX
         {
-            self.send(leader, MessageKind::RegionAnnouncements, &payload);
+            context.send(leader, MessageKind::RegionAnnouncements, &payload);
         }
     }
 
-    pub(super) fn take_region_referral(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(referral) = postcard::from_bytes::<Referral>(payload) else {
-            return false;
-        };
-        if referral.delegates.len() > DELEGATES || referral.yours.len() > DELEGATES {
-            return false;
+    /// Follows a referral to the delegates of the own region, or notes those of another.
+    pub(super) fn receive_referral(
+        &mut self,
+        context: &mut Context,
+        swim: &mut SwimProtocol,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let referral: RegionReferral = decode(payload)?;
+        let longest = referral.delegates.len().max(referral.your_delegates.len());
+        if longest > DELEGATES {
+            return Err(PayloadError::OverLimit {
+                what: "delegates",
+                limit: DELEGATES,
+            });
         }
         self.note_region_of(from, &referral.region);
-        let Some(regional) = &mut self.regional else {
-            return false;
-        };
-        if referral.region == regional.location.region {
-            self.join_own(referral.delegates);
-            return true;
+        if referral.region == self.location.region {
+            self.join_own_region(context, swim, referral.delegates);
+        } else {
+            self.referred = referral.delegates;
+            self.join_own_region(context, swim, referral.your_delegates);
         }
-        regional.referred = referral.delegates;
-        self.join_own(referral.yours);
-        true
+        Ok(())
     }
 
-    /// A join address in another region is not asked to let this member into its own.
+    /// Notes which join addresses are in other regions: they cannot let this member into its own.
     fn note_region_of(&mut self, from: SocketAddr, region: &str) {
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if region == regional.location.region {
-            regional.foreign.remove(&from);
-        } else if self.settings.join.contains(&from) && regional.foreign.len() < FOREIGN_MAX {
-            regional.foreign.insert(from);
+        if region == self.location.region {
+            self.foreign_join_addresses.remove(&from);
+        } else if self.join_addresses.contains(&from)
+            && self.foreign_join_addresses.len() < FOREIGN_JOIN_ADDRESSES_MAX
+        {
+            self.foreign_join_addresses.insert(from);
         }
     }
 
-    /// Whether this join address is known to be in another region.
-    pub(super) fn is_foreign(&self, address: &SocketAddr) -> bool {
-        self.regional
-            .as_ref()
-            .is_some_and(|regional| regional.foreign.contains(address))
+    /// The delegates of the own region by these announcements.
+    fn announced_own_delegates(&self, announcements: &[AgedAnnouncement]) -> Vec<SocketAddr> {
+        let all = announcements.iter().map(|aged| &aged.announcement);
+        all.filter(|announcement| announcement.region == self.location.region)
+            .flat_map(|announcement| announcement.summary().delegates.iter().take(DELEGATES))
+            .copied()
+            .collect()
     }
 
-    /// Asks delegates of the own region that are not known to let this member in: it has met nobody of its region yet, or
-    /// the region is split.
-    fn join_own(&mut self, delegates: Vec<SocketAddr>) {
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if fault_injection::is_injected(InjectedFault::IgnoresReferrals)
-            || self.now < regional.due.rejoin
-        {
+    /// Announces to unknown delegates of the own region: this member has met nobody of it yet, or it is partitioned.
+    fn join_own_region(
+        &mut self,
+        context: &mut Context,
+        swim: &mut SwimProtocol,
+        delegates: Vec<SocketAddr>,
+    ) {
+        let early = context.now < self.schedule.rejoin;
+        if early || is_injected(InjectedFault::IgnoresReferrals) {
             return;
         }
-        let known =
-            |address: &SocketAddr| self.swim.iter_members().any(|m| m.id().address == *address);
-        let unknown: Vec<SocketAddr> = delegates
-            .into_iter()
-            .filter(|address| *address != regional.own && !known(address))
-            .collect();
+        let is_unknown =
+            |address: &SocketAddr| *address != self.own_address && !swim.is_alive(*address);
+        let unknown: Vec<SocketAddr> = delegates.into_iter().filter(is_unknown).collect();
         if unknown.is_empty() {
             return;
         }
-        regional.due.rejoin = self.now + REJOIN;
-        let mut runtime = Runtime::default();
-        for address in unknown.into_iter().take(DELEGATES + 1) {
-            // Its errors are those of sending.
-            let _ = self.swim.announce(
-                Identity {
-                    address,
-                    generation: 0,
-                },
-                &mut runtime,
-            );
-        }
-        self.carry_out(runtime);
+        self.schedule.rejoin = context.now + REJOIN_INTERVAL;
+        let targets = unknown.into_iter().take(DELEGATES + 1);
+        swim.announce(context, targets.map(Identity::of_unknown_generation));
     }
 }
 
-/// Who speaks for this region, by these announcements.
-fn own_delegates(region: &str, told: &[AgedAnnouncement]) -> Vec<SocketAddr> {
-    let own = told
+/// A random delegate; while regions are silent, one time in [`SILENT_REGION_ONE_IN`] one of theirs.
+fn choose_delegate(context: &mut Context, delegates: &[Delegate]) -> Option<SocketAddr> {
+    let silent: Vec<Delegate> = delegates
         .iter()
-        .map(|told| &told.announcement)
-        .filter(|announcement| announcement.region == region);
-    own.flat_map(|announcement| {
-        announcement
-            .summary()
-            .delegates
-            .iter()
-            .copied()
-            .take(DELEGATES)
-    })
-    .collect()
+        .copied()
+        .filter(|delegate| delegate.is_region_silent)
+        .collect();
+    let from_silent = !silent.is_empty() && context.rng.random_range(0..SILENT_REGION_ONE_IN) == 0;
+    let pool = if from_silent { &silent } else { delegates };
+    context.choose(pool).map(|delegate| delegate.address)
 }
 
-/// To two figures: what changes less is not worth telling a whole fleet.
-fn two_figures(value: u32) -> u32 {
+/// Rounds down to two significant digits, so that small changes need not be published.
+fn two_digits(value: u32) -> u32 {
     let step = 10u32.pow(value.max(1).ilog10().saturating_sub(1));
     value / step * step
 }
--- a/crates/membership/src/member/region_overview.rs
+++ b/crates/membership/src/member/region_overview.rs
@@ -1,108 +1,108 @@
-//! The overview of the other regions at one member: passed on and compared within its region.
+//! Dissemination and anti-entropy of the overview within a region.
 
-use super::Member;
-use super::swim::GOSSIP;
+use super::context::{Context, GOSSIP_INTERVAL};
+use super::federation::Federation;
+use super::membership_table::MembershipTable;
+use super::swim::SwimProtocol;
 use crate::envelope::MessageKind;
-use crate::fault_injection::{self, InjectedFault};
-use crate::regions::overview::{PARTS, Part, Taken};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::payload::{PayloadError, decode};
+use crate::regions::overview::{OverviewPart, PARTS, PartMerge};
 use crate::{MS, Nanos};
-use rand::RngExt;
 use std::net::SocketAddr;
 
-/// The overview is compared with that of one other member this often,
-const COMPARE: Nanos = 2_000 * MS;
-/// and this often while it has just begun, or differed.
-pub(super) const COMPARE_NEW: Nanos = 200 * MS;
-/// The overview is passed on to so many members at a time.
-const GOSSIP_TO: usize = 2;
+/// How often the digest of the overview is sent to a random member,
+const DIGEST_INTERVAL: Nanos = 2_000 * MS;
+/// and how often while the overview is new or was found to differ.
+const UNSETTLED_DIGEST_INTERVAL: Nanos = 200 * MS;
+/// Parts are broadcast to this many random members at a time.
+const OVERVIEW_FANOUT: usize = 2;
 
-impl Member {
-    /// Passes news of the overview on.
-    pub(super) fn spread_overview(&mut self) {
-        let others = self.swim.num_members();
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if self.now < regional.due.gossip || others == 0 || !regional.overview.has_news() {
+impl Federation {
+    /// Broadcasts new parts of the overview.
+    pub(super) fn broadcast_overview(&mut self, context: &mut Context, swim: &SwimProtocol) {
+        let others = swim.alive();
+        let early = context.now < self.schedule.overview_broadcast;
+        if early || others == 0 || !self.overview.has_broadcasts() {
             return;
         }
-        regional.due.gossip = self.now + GOSSIP;
-        for _ in 0..GOSSIP_TO.min(others) {
-            let Some(to) = self.somebody() else { return };
-            let Some(regional) = &mut self.regional else {
+        self.schedule.overview_broadcast = context.now + GOSSIP_INTERVAL;
+        for _ in 0..OVERVIEW_FANOUT.min(others) {
+            let Some(to) = swim.random_member(context) else {
                 return;
             };
-            let parts = regional.overview.news(self.now);
+            let parts = self.overview.next_broadcast(context.now);
             if !parts.is_empty() {
-                self.tell_overview(to, &parts);
+                context.send_message(to, MessageKind::Overview, &parts);
             }
         }
     }
 
-    fn tell_overview(&mut self, to: SocketAddr, parts: &[Part]) {
-        let payload = postcard::to_stdvec(parts).unwrap_or_default();
-        self.send(to, MessageKind::Overview, &payload);
-    }
-
-    /// Asks one of the others whether it holds the same overview, if it is time.
-    pub(super) fn compare_overview(&mut self) {
-        let Some(regional) = &mut self.regional else {
-            return;
-        };
-        if self.now < regional.due.compare
-            || fault_injection::is_injected(InjectedFault::WithholdsOverview)
-        {
+    /// Sends the digest of the overview to a random member if it is due.
+    pub(super) fn send_overview_digest(&mut self, context: &mut Context, swim: &SwimProtocol) {
+        let early = context.now < self.schedule.overview_digest;
+        if early || is_injected(InjectedFault::WithholdsOverview) {
             return;
         }
-        let unsure = self.now < regional.unsure_until;
-        regional.due.compare = self.now + if unsure { COMPARE_NEW } else { COMPARE };
-        let sums = regional.overview.sums();
-        if let Some(to) = self.somebody() {
-            self.send(to, MessageKind::OverviewDigest, &sums);
+        let interval = if context.now < self.unsettled_until {
+            UNSETTLED_DIGEST_INTERVAL
+        } else {
+            DIGEST_INTERVAL
+        };
+        self.schedule.overview_digest = context.now + interval;
+        if let Some(to) = swim.random_member(context) {
+            context.send(to, MessageKind::OverviewDigest, &self.overview.digest());
         }
     }
 
-    pub(super) fn take_overview_question(&mut self, from: SocketAddr, sums: &[u8]) -> bool {
-        let first = self.rng.random_range(0..PARTS);
-        let Some(regional) = &self.regional else {
-            return false;
-        };
-        let Some(parts) = regional.overview.differing(self.now, sums, first) else {
-            return false;
-        };
-        if !parts.is_empty() && self.table.knows(&from) {
-            self.tell_overview(from, &parts);
+    /// Answers a digest by the parts that differ, from `first_part` on.
+    pub(super) fn receive_overview_digest(
+        &self,
+        context: &mut Context,
+        table: &MembershipTable,
+        from: SocketAddr,
+        digest: &[u8],
+        first_part: usize,
+    ) -> Result<(), PayloadError> {
+        debug_assert!(first_part < PARTS);
+        let parts = self.overview.differing(context.now, digest, first_part)?;
+        if !parts.is_empty() && table.contains(&from) {
+            context.send_message(from, MessageKind::Overview, &parts);
         }
-        true
+        Ok(())
     }
 
-    pub(super) fn take_overview(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        let Ok(parts) = postcard::from_bytes::<Vec<Part>>(payload) else {
-            return false;
-        };
-        if !self.table.knows(&from) {
-            return true;
+    /// Merges parts of a known member's overview.
+    pub(super) fn receive_overview(
+        &mut self,
+        context: &mut Context,
+        table: &MembershipTable,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let parts: Vec<OverviewPart> = decode(payload)?;
+        if !table.contains(&from) {
+            return Ok(());
         }
-        let Some(regional) = &mut self.regional else {
-            return false;
-        };
-        let unix_ms = regional.unix_ms(self.now);
-        let mut older = Vec::new();
+        let now = context.now;
+        let unix_ms = self.unix_ms(now);
+        let mut newer_here = None;
         for part in parts {
-            match regional.overview.take(self.now, unix_ms, part) {
-                Taken::New => {
-                    regional.due.recount = self.now;
-                    regional.unsure_until = regional.unsure_until.max(self.now + COMPARE_NEW);
+            match self.overview.merge(now, unix_ms, part) {
+                PartMerge::New => {
+                    self.schedule.recount = now;
+                    self.unsettled_until =
+                        self.unsettled_until.max(now + UNSETTLED_DIGEST_INTERVAL);
                 }
-                Taken::Same => {}
-                Taken::Older(part) => older.push(part),
-                Taken::Refused => regional.refused_parts += 1,
+                PartMerge::Same => {}
+                PartMerge::Outdated(stored) => newer_here = Some(stored),
+                PartMerge::Unsound => self.unsound_parts += 1,
             }
         }
-        // One at a time: what else is older is told at the next comparison.
-        if let Some(part) = older.pop() {
-            self.tell_overview(from, &[part]);
+        // One at a time; the next digest finds the others.
+        if let Some(part) = newer_here {
+            context.send_message(from, MessageKind::Overview, [part].as_slice());
         }
-        true
+        Ok(())
     }
 }
