--- a/crates/membership/src/member/roster.rs
+++ b/crates/membership/src/member/roster.rs
@@ -1,87 +1,85 @@
-//! The membership as the last look at `foca` found it.
+//! A snapshot of the membership in `foca`.
 //!
-//! A member turns some thirty times a second, and a calm membership changes seldom. Going through all members in each
-//! turn made calm cost more the larger the fleet was. So whoever calls `foca` in a way that may change the membership
-//! says so ([`Roster::touch`]), and only then it is gone through again.
+//! A member ticks some thirty times a second, and a membership seldom changes. So whoever calls `foca` in a way that
+//! may change it calls [`Roster::invalidate`], and only then the membership is read again.
 
 use super::swim::Swim;
 use crate::Identity;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Who is there, by the last look.
+/// The live members and suspects of the last refresh.
 pub(super) struct Roster {
-    touched: bool,
-    mark: u64,
-    living: Vec<SocketAddr>,
+    stale: bool,
+    checksum: u64,
+    alive: Vec<SocketAddr>,
     suspects: BTreeMap<SocketAddr, (Identity, u16)>,
 }
 
 impl Roster {
-    /// Nobody, and not looked at yet.
     pub(super) fn new() -> Self {
         Roster {
-            touched: true,
-            mark: 0,
-            living: Vec::new(),
+            stale: true,
+            checksum: 0,
+            alive: Vec::new(),
             suspects: BTreeMap::new(),
         }
     }
 
     /// The membership may have changed.
-    pub(super) fn touch(&mut self) {
-        self.touched = true;
+    pub(super) fn invalidate(&mut self) {
+        self.stale = true;
     }
 
-    /// Differs, as good as surely, where anything of the membership does.
-    pub(super) fn mark(&self) -> u64 {
-        self.mark
+    /// A checksum of the membership; 0 before the first refresh.
+    pub(super) fn checksum(&self) -> u64 {
+        self.checksum
     }
 
-    /// The others that are there and not suspect, in order.
-    pub(super) fn living(&self) -> &[SocketAddr] {
-        &self.living
+    /// The others that are alive and not suspect, sorted.
+    pub(super) fn alive(&self) -> &[SocketAddr] {
+        &self.alive
     }
 
-    /// The suspects, by which incarnation.
+    /// The suspects and the incarnations in which they are suspect.
     pub(super) fn suspects(&self) -> &BTreeMap<SocketAddr, (Identity, u16)> {
         &self.suspects
     }
 
-    /// Looks again if the membership may have changed.
+    /// Reads the membership again if it may have changed.
     pub(super) fn refresh(&mut self, swim: &Swim) {
-        if !std::mem::take(&mut self.touched) {
+        if !std::mem::take(&mut self.stale) {
             return;
         }
-        let mark = mark(swim);
-        if mark == self.mark {
+        let checksum = membership_checksum(swim);
+        if checksum == self.checksum {
             return;
         }
-        self.mark = mark;
-        self.living.clear();
+        self.checksum = checksum;
+        self.alive.clear();
         self.suspects.clear();
         for member in swim.iter_members() {
             let id = *member.id();
-            match member.state() {
-                foca::State::Alive => self.living.push(id.address),
-                _ => {
-                    self.suspects.insert(id.address, (id, member.incarnation()));
-                }
+            if member.state() == foca::State::Alive {
+                self.alive.push(id.address);
+            } else {
+                self.suspects.insert(id.address, (id, member.incarnation()));
             }
         }
-        self.living.sort_unstable();
+        self.alive.sort_unstable();
     }
 }
 
-/// A checksum of the membership; never 0, which stands for none.
-fn mark(swim: &Swim) -> u64 {
-    let mut mark = 1u64;
+/// Never 0.
+fn membership_checksum(swim: &Swim) -> u64 {
+    let mut checksum = 1u64;
     for member in swim.iter_membership_state() {
-        let of = (member.id().generation << 18)
+        let state = (member.id().generation << 18)
             ^ (u64::from(member.incarnation()) << 2)
             ^ member.state() as u64;
         let port = u64::from(member.id().address.port());
-        mark = (mark.rotate_left(5) ^ of ^ (port << 48)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        checksum =
+            (checksum.rotate_left(5) ^ state ^ (port << 48)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
-    mark.max(1)
+    checksum.max(1)
 }
--- a/crates/membership/src/member/send_budget.rs
+++ b/crates/membership/src/member/send_budget.rs
@@ -1,48 +1,48 @@
-//! How much a member of a fleet in regions sends: a token bucket of bytes.
+//! The send budget of a member of a fleet with regions: a token bucket of bytes.
 //!
-//! Rumours and comparisons go out as fast as there is news, and when hundreds of members die or return at once there is
-//! news of each. What waits for the bucket is told a little later; beats, probes, questions to suspects and their answers
-//! never wait, so that no member is taken for dead for want of bytes.
+//! When hundreds of members die or return at once there is a broadcast for each. Broadcasts and digests wait for the
+//! bucket; heartbeats, probes and their answers never do, so that no member is suspected for want of bytes.
 
 use crate::Nanos;
 
-/// What is sent on and on, at most.
-const BYTES_PER_S: u64 = 14_000;
-/// What is sent at once, at most.
-const BURST: u64 = 150_000;
+const BYTES_PER_SECOND: u64 = 14_000;
+const BURST_BYTES: u64 = 150_000;
 const SECOND: Nanos = 1_000_000_000;
 
-/// Bytes that may still be sent.
+/// The bytes that may still be sent.
 #[derive(Debug)]
-pub(super) struct Budget {
-    left: i64,
-    at: Nanos,
+pub(super) struct SendBudget {
+    available: i64,
+    refilled_at: Nanos,
 }
 
-impl Budget {
+impl SendBudget {
     pub(super) fn new(now: Nanos) -> Self {
-        Budget {
-            left: BURST as i64,
-            at: now,
+        SendBudget {
+            available: BURST_BYTES as i64,
+            refilled_at: now,
         }
     }
 
-    /// Bytes were sent, whatever they were for.
+    /// Counts bytes that were sent, deferrable or not.
     pub(super) fn spend(&mut self, bytes: usize) {
-        self.left = self
-            .left
+        self.available = self
+            .available
             .saturating_sub_unsigned(bytes as u64)
-            .max(-(BURST as i64));
+            .max(-(BURST_BYTES as i64));
     }
 
-    /// Whether what can wait may be sent now.
+    /// Whether deferrable datagrams may be sent now.
     pub(super) fn allows(&mut self, now: Nanos) -> bool {
-        let span = now.saturating_sub(self.at).min(SECOND);
-        let gained = BYTES_PER_S * span / SECOND;
-        if gained > 0 {
-            self.left = self.left.saturating_add_unsigned(gained).min(BURST as i64);
-            self.at = now;
+        let span = now.saturating_sub(self.refilled_at).min(SECOND);
+        let refill = BYTES_PER_SECOND * span / SECOND;
+        if refill > 0 {
+            self.available = self
+                .available
+                .saturating_add_unsigned(refill)
+                .min(BURST_BYTES as i64);
+            self.refilled_at = now;
         }
-        self.left > 0
+        self.available > 0
     }
 }
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -1,59 +1,61 @@
-//! Membership by SWIM: the library `foca`, its timers, and what it hands out.
+//! SWIM by the library `foca`: its timers, joins, rejoins and the messages that it sends.
 
-use super::Member;
+use super::context::{Context, GOSSIP_FANOUT, GOSSIP_INTERVAL};
+use super::membership_table::MembershipTable;
+use super::roster::Roster;
 use crate::envelope::{self, MessageKind};
-use crate::fault_injection::{self, InjectedFault};
-use crate::identity::Wire;
-use crate::{
-    Identity, MS, MemberStatus, MemberView, MembershipEvent, MembershipSettings, Nanos, heartbeat,
-};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::heartbeat;
+use crate::identity::{KnownAddresses, MembershipCodec, ObservedGeneration};
+use crate::payload::PayloadError;
+use crate::{Identity, MS, MembershipEvent, MembershipSettings, Nanos};
 use foca::{Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, Timer};
 use rand::RngExt;
 use rand_xoshiro::Xoshiro256PlusPlus;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// News is passed on this often, to so many members.
-pub(super) const GOSSIP: Nanos = 100 * MS;
-pub(super) const GOSSIP_TO: usize = 3;
-/// A death is passed on at once, yet at most this often.
-const PASS_ON: Nanos = 20 * MS;
-/// Members believed dead are asked this often, each by a few that are drawn: a healed split settles by it.
-const ASK_DEAD: Nanos = 500 * MS;
-/// Besides, so many of all members ask one of the dead each time, whoever is drawn: the drawn may be cut off from it.
-const ASK_DEAD_AT_RANDOM: usize = 4;
-/// So many of them are asked at once by who returns itself.
-const RETURN_TO: usize = 6;
-/// Join addresses that do not answer are asked again after this, doubled each time up to the second.
-pub(super) const JOIN_FIRST: Nanos = 200 * MS;
-const JOIN_MOST: Nanos = 5_000 * MS;
-/// A generation that stands behind another of the same address is raised at most this often: two processes at one
-/// address would raise each other without end.
-const LEAP_EVERY: Nanos = 1_000 * MS;
-/// `foca` spreads each update so many times, and once more for each doubling of the fleet.
-const SPREAD: u32 = 6;
-/// In a fleet of regions so often at most, and each record this often.
-const SPREAD_IN_REGIONS: u32 = 10;
-pub(super) const RUMOURS_IN_REGIONS: u32 = 4;
-
-pub(super) type Swim = Foca<Identity, Wire, Xoshiro256PlusPlus, NoCustomBroadcast>;
+/// A death is gossiped at once, yet at most this often.
+const EARLY_GOSSIP_INTERVAL: Nanos = 20 * MS;
+/// How often dead members are announced to, each by a few drawn members; this is how a healed partition merges.
+const DEAD_ANNOUNCEMENT_INTERVAL: Nanos = 500 * MS;
+/// Each time about this many random members announce to a dead one as well: the drawn ones may be cut off from it.
+const RANDOM_DEAD_ANNOUNCERS: usize = 4;
+/// A member that rejoins announces to this many dead members at once.
+const REJOIN_ANNOUNCEMENTS: usize = 6;
+/// Join addresses are announced to again after this, doubled each time up to [`JOIN_BACKOFF_MAX`].
+const JOIN_BACKOFF_MIN: Nanos = 200 * MS;
+const JOIN_BACKOFF_MAX: Nanos = 5_000 * MS;
+/// The own generation is raised past a greater one of the same address at most this often: two processes at one
+/// address would raise each other's without end.
+const GENERATION_RAISE_INTERVAL: Nanos = 1_000 * MS;
+/// `foca` transmits each update this often, and once more for each doubling of the fleet;
+const BASE_TRANSMISSIONS: u32 = 6;
+/// in a fleet with regions at most this often.
+const REGIONAL_TRANSMISSIONS_MAX: u32 = 10;
+const INDIRECT_PROBES: usize = 3;
+const ANNOUNCE_INTERVAL: Nanos = 5_000 * MS;
+
+/// `foca`, as this crate uses it.
+pub(super) type Swim = Foca<Identity, MembershipCodec, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
 /// What `foca` hands out in one call.
 #[derive(Default)]
-pub(super) struct Runtime {
-    sends: Vec<(Identity, Vec<u8>)>,
+struct Runtime {
+    datagrams: Vec<(Identity, Vec<u8>)>,
     timers: Vec<(Duration, Timer<Identity>)>,
-    news: Vec<OwnedNotification<Identity>>,
+    notifications: Vec<OwnedNotification<Identity>>,
 }
 
 impl foca::Runtime<Identity> for &mut Runtime {
     fn notify(&mut self, notification: foca::Notification<'_, Identity>) {
-        self.news.push(notification.to_owned());
+        self.notifications.push(notification.to_owned());
     }
 
     fn send_to(&mut self, to: Identity, data: &[u8]) {
-        self.sends.push((to, data.to_vec()));
+        self.datagrams.push((to, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
@@ -61,293 +63,501 @@
     }
 }
 
-/// How often `foca` spreads each update. Where the fleet has regions bytes are bounded, and a rumour that dies out is found
-/// by comparing lists.
+/// How often `foca` transmits each update. With regions the bytes are bounded, and anti-entropy finds what is missed.
 fn transmissions(settings: &MembershipSettings) -> u8 {
-    let spread = SPREAD + settings.members_max.max(2).ilog2();
-    if settings.location.is_none() {
-        spread as u8
+    let transmissions = BASE_TRANSMISSIONS + settings.members_max.max(2).ilog2();
+    let limit = if settings.location.is_none() {
+        u32::from(u8::MAX)
     } else {
-        spread.min(SPREAD_IN_REGIONS) as u8
-    }
+        REGIONAL_TRANSMISSIONS_MAX
+    };
+    transmissions.min(limit) as u8
 }
 
-/// What `foca` is told of the times and bounds.
-pub(super) fn config(settings: &MembershipSettings) -> foca::Config {
+fn foca_config(settings: &MembershipSettings) -> foca::Config {
+    let timing = &settings.timing;
     let span = Duration::from_nanos;
-    let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let every = |nanos, num| {
+    let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+    let every = |interval, members| {
         Some(PeriodicParams {
-            frequency: span(nanos),
-            num_members: some(num),
+            frequency: span(interval),
+            num_members: non_zero(members),
         })
     };
     foca::Config {
-        probe_period: span(settings.timing.probe_interval),
-        probe_rtt: span(settings.timing.ack_timeout),
-        num_indirect_probes: some(3),
+        probe_period: span(timing.probe_interval),
+        probe_rtt: span(timing.ack_timeout),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
         max_transmissions: NonZeroU8::new(transmissions(settings)).unwrap_or(NonZeroU8::MIN),
-        // Not heeded: see `suspicion`.
-        suspect_to_down_after: span(settings.timing.suspicion_timeout),
-        remove_down_after: Some(span(settings.timing.tombstone_retention)),
-        max_packet_size: some(envelope::PAYLOAD_MAX),
+        // Unused: `suspicion` decides.
+        suspect_to_down_after: span(timing.suspicion_timeout),
+        remove_down_after: Some(span(timing.tombstone_retention)),
+        max_packet_size: non_zero(envelope::PAYLOAD_MAX),
         notify_down_members: true,
-        periodic_announce: every(5_000 * MS, 1),
-        // Not by all members: see `ask_drawn_dead`.
+        periodic_announce: every(ANNOUNCE_INTERVAL, 1),
+        // Unused: see `announce_to_drawn_dead`.
         periodic_announce_to_down_members: None,
-        periodic_gossip: every(GOSSIP, GOSSIP_TO),
+        periodic_gossip: every(GOSSIP_INTERVAL, GOSSIP_FANOUT),
     }
 }
 
-impl Member {
-    pub(super) fn take_swim(&mut self, from: SocketAddr, payload: &[u8]) -> bool {
-        // The dead are let go of first where there is no place for a newcomer.
-        let held = self.swim.iter_membership_state().len();
-        if held >= self.settings.members_max && !self.knows(from) {
-            let Some(dead) = self.oldest_dead() else {
-                self.statistics.over_capacity += 1;
-                return true;
+/// SWIM at one member. Errors of `foca` are those of sending or of outdated timers, and are ignored but for datagrams.
+pub(super) struct SwimProtocol {
+    foca: Swim,
+    roster: Roster,
+    observed_generation: ObservedGeneration,
+    known_addresses: KnownAddresses,
+    own_address: SocketAddr,
+    members_max: usize,
+    probe_interval: Nanos,
+    /// Timers of `foca` by due time: a handful, and one for each dead member.
+    timers: BTreeMap<(Nanos, u64), Timer<Identity>>,
+    timer_sequence: u64,
+    join_addresses: Vec<SocketAddr>,
+    next_join: Nanos,
+    join_backoff: Nanos,
+    /// Whether any other member was ever known.
+    has_met: bool,
+    last_generation_raise: Nanos,
+    next_dead_announcement: Nanos,
+    /// The dead members of the table's last update.
+    dead: Vec<Identity>,
+    /// A death is to be gossiped without waiting for the next periodic gossip.
+    early_gossip_due: Option<Nanos>,
+    last_early_gossip: Nanos,
+    /// Set when a tick is wanted earlier than scheduled.
+    wake_up: Option<Nanos>,
+    pending_rejoins: usize,
+}
+
+impl SwimProtocol {
+    pub(super) fn new(
+        settings: &MembershipSettings,
+        id: Identity,
+        rng: Xoshiro256PlusPlus,
+        first_join: Nanos,
+    ) -> Self {
+        let observed_generation = ObservedGeneration::default();
+        let known_addresses = KnownAddresses::default();
+        let codec = MembershipCodec::new(
+            settings.address,
+            observed_generation.clone(),
+            known_addresses.clone(),
+            settings.members_max,
+        );
+        SwimProtocol {
+            foca: Foca::new(id, foca_config(settings), rng, codec),
+            roster: Roster::new(),
+            observed_generation,
+            known_addresses,
+            own_address: settings.address,
+            members_max: settings.members_max,
+            probe_interval: settings.timing.probe_interval,
+            timers: BTreeMap::new(),
+            timer_sequence: 0,
+            join_addresses: settings.join.clone(),
+            next_join: first_join,
+            join_backoff: JOIN_BACKOFF_MIN,
+            has_met: false,
+            last_generation_raise: 0,
+            next_dead_announcement: first_join,
+            dead: Vec::new(),
+            early_gossip_due: None,
+            last_early_gossip: 0,
+            wake_up: None,
+            pending_rejoins: 0,
+        }
+    }
+
+    /// A random delay before the first join, so that members that start at once do not join in step.
+    pub(super) fn join_delay(rng: &mut Xoshiro256PlusPlus) -> Nanos {
+        rng.random_range(0..JOIN_BACKOFF_MIN / 2)
+    }
+
+    pub(super) fn id(&self) -> Identity {
+        *self.foca.identity()
+    }
+
+    /// The number of the others that are alive, suspects included.
+    pub(super) fn alive(&self) -> usize {
+        self.foca.num_members()
+    }
+
+    /// The others that are alive, suspects included.
+    pub(super) fn live_members(&self) -> impl Iterator<Item = &foca::Member<Identity>> {
+        self.foca.iter_members()
+    }
+
+    /// All others, dead ones included.
+    pub(super) fn all_members(&self) -> impl Iterator<Item = &foca::Member<Identity>> {
+        self.foca.iter_membership_state()
+    }
+
+    pub(super) fn is_alive(&self, address: SocketAddr) -> bool {
+        self.live_members().any(|m| m.id().address == address)
+    }
+
+    /// Whether a member is alive in this very generation.
+    pub(super) fn is_alive_as(&self, id: &Identity) -> bool {
+        self.live_members().any(|m| m.id() == id)
+    }
+
+    /// The generation by which a member is known, dead or alive.
+    pub(super) fn known_generation(&self, address: SocketAddr) -> Option<u64> {
+        self.all_members()
+            .find(|m| m.id().address == address)
+            .map(|m| m.id().generation)
+    }
+
+    pub(super) fn observed_generation(&self) -> &ObservedGeneration {
+        &self.observed_generation
+    }
+
+    /// Whether an address is known, or there is capacity for it.
+    pub(super) fn admit(&self, address: SocketAddr) -> bool {
+        self.known_addresses.admit(address, self.members_max)
+    }
+
+    pub(super) fn has_met(&self) -> bool {
+        self.has_met
+    }
+
+    pub(super) fn update_has_met(&mut self) {
+        self.has_met |= self.alive() > 0;
+    }
+
+    /// The snapshot of the membership, read again if it may have changed.
+    pub(super) fn refreshed_roster(&mut self) -> &Roster {
+        self.roster.refresh(&self.foca);
+        &self.roster
+    }
+
+    pub(super) fn roster(&self) -> &Roster {
+        &self.roster
+    }
+
+    /// One of the others that are alive, at random.
+    pub(super) fn random_member(&self, context: &mut Context) -> Option<SocketAddr> {
+        let others = self.alive();
+        let chosen = (others > 0).then(|| context.rng.random_range(0..others))?;
+        self.live_members().nth(chosen).map(|m| m.id().address)
+    }
+
+    /// Takes over what the table found: the dead, and which addresses are known.
+    pub(super) fn update_known(&mut self, dead: Vec<Identity>) {
+        self.dead = dead;
+        let addresses = self.foca.iter_membership_state();
+        self.known_addresses
+            .replace(addresses.map(|m| m.id().address));
+    }
+
+    /// How often this member rejoined since the last call.
+    pub(super) fn take_rejoins(&mut self) -> usize {
+        std::mem::take(&mut self.pending_rejoins)
+    }
+
+    /// An earlier time for the next tick, if one is wanted since the last call.
+    pub(super) fn take_wake_up(&mut self) -> Option<Nanos> {
+        self.wake_up.take()
+    }
+
+    /// When a timer or an early gossip is due.
+    pub(super) fn next_due(&self) -> Nanos {
+        let timer = self.timers.first_key_value();
+        let timer = timer.map_or(Nanos::MAX, |((at, _), _)| *at);
+        timer.min(self.early_gossip_due.unwrap_or(Nanos::MAX))
+    }
+
+    /// Receives a datagram of SWIM.
+    pub(super) fn receive(
+        &mut self,
+        context: &mut Context,
+        table: &MembershipTable,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let is_full = self.all_members().count() >= self.members_max;
+        if is_full && self.known_generation(from).is_none() {
+            // The oldest dead member makes room for a new one.
+            let Some(dead) = self.oldest_dead(table) else {
+                context.statistics.over_capacity += 1;
+                return Ok(());
             };
-            self.swim_timer(Timer::RemoveDown(dead));
-            self.held.remove(dead.address);
+            self.handle_timer(context, Timer::RemoveDown(dead));
+            self.known_addresses.remove(dead.address);
         }
-        self.held.insert(from);
+        self.known_addresses.insert(from);
         let mut runtime = Runtime::default();
-        let result = self.swim.handle_data(payload, &mut runtime);
-        self.roster.touch();
-        self.carry_out(runtime);
-        self.leap();
-        result.is_ok()
+        let result = self.foca.handle_data(payload, &mut runtime);
+        self.roster.invalidate();
+        self.process(context, runtime);
+        self.raise_generation(context);
+        result.map_err(|error| PayloadError::Swim(error.to_string()))
     }
 
-    pub(super) fn knows(&self, address: SocketAddr) -> bool {
-        self.swim
-            .iter_membership_state()
-            .any(|m| m.id().address == address)
+    fn oldest_dead(&self, table: &MembershipTable) -> Option<Identity> {
+        // The table may still contain members that `foca` has removed since its last update.
+        let is_down = |id: &Identity| {
+            self.all_members()
+                .any(|m| m.id() == id && m.state() == foca::State::Down)
+        };
+        table
+            .members()
+            .filter(|member| is_down(&member.id))
+            .min_by_key(|member| member.since)
+            .map(|member| member.id)
     }
 
-    pub(super) fn oldest_dead(&self) -> Option<Identity> {
-        // The table may still show one that was let go of since the last look.
-        let down = |seen: &&MemberView| {
-            let mut all = self.swim.iter_membership_state();
-            all.any(|m| *m.id() == seen.id && m.state() == foca::State::Down)
+    /// Raises the own generation past a greater one that others know of this address.
+    pub(super) fn raise_generation(&mut self, context: &mut Context) {
+        let observed = self.observed_generation.get();
+        let recent =
+            context.now.saturating_sub(self.last_generation_raise) < GENERATION_RAISE_INTERVAL;
+        if observed <= self.id().generation || recent {
+            return;
+        }
+        self.last_generation_raise = context.now;
+        let id = Identity {
+            generation: observed + 1,
+            ..self.id()
         };
-        let dead = self.table.members().filter(down);
-        dead.min_by_key(|seen| seen.since).map(|seen| seen.id)
-    }
-
-    /// Another life of this address is said to be later than this one: the clock was stepped back between the two.
-    pub(super) fn leap(&mut self) {
-        let named = self.named.get();
-        let own = self.id().generation;
-        if named > own && self.now.saturating_sub(self.leapt) >= LEAP_EVERY {
-            self.leapt = self.now;
-            let id = Identity {
-                generation: named + 1,
-                ..self.id()
-            };
-            let mut runtime = Runtime::default();
-            self.roster.touch();
-            if self.swim.change_identity(id, &mut runtime).is_ok() {
-                self.carry_out(runtime);
-                self.returned();
-            }
+        let mut runtime = Runtime::default();
+        self.roster.invalidate();
+        if self.foca.change_identity(id, &mut runtime).is_ok() {
+            self.process(context, runtime);
+            self.rejoined(context);
         }
     }
 
-    pub(super) fn returned(&mut self) {
-        self.statistics.rejoins += 1;
-        self.changes.push(MembershipEvent::Rejoined {
+    fn rejoined(&mut self, context: &mut Context) {
+        context.statistics.rejoins += 1;
+        context.events.push(MembershipEvent::Rejoined {
             generation: self.id().generation,
         });
-        self.put_own();
-        self.ask_dead(RETURN_TO);
+        self.pending_rejoins += 1;
+        self.announce_to_random_dead(context);
     }
 
-    fn dead(&self) -> Vec<Identity> {
-        self.table
-            .members()
-            .filter(|seen| seen.status == MemberStatus::Dead)
-            .map(|seen| seen.id)
-            .collect()
+    /// Applies updates of members, and broadcasts them.
+    pub(super) fn apply(&mut self, context: &mut Context, updates: Vec<foca::Member<Identity>>) {
+        let mut runtime = Runtime::default();
+        let _ = self
+            .foca
+            .apply_many(updates.into_iter(), true, &mut runtime);
+        self.roster.invalidate();
+        self.process(context, runtime);
     }
 
-    /// Asks those believed dead whom this member is drawn to ask. If all members asked each of the dead, who returns would
-    /// have to answer as many as there are members, each with a datagram of the longest.
-    pub(super) fn ask_drawn_dead(&mut self) {
-        if self.now < self.ask_dead_due
-            || fault_injection::is_injected(InjectedFault::NeverContactsDeadMembers)
-        {
-            return;
+    /// Refutes a suspicion of this member; `prober` learns of it first.
+    pub(super) fn refute(
+        &mut self,
+        context: &mut Context,
+        suspicion: foca::Member<Identity>,
+        prober: Identity,
+    ) {
+        let mut runtime = Runtime::default();
+        let updates = std::iter::once(suspicion);
+        let _ = self.foca.apply_many(updates, true, &mut runtime);
+        self.roster.invalidate();
+        context.statistics.refutations += 1;
+        // The header carries the new incarnation; gossip spreads it to the others.
+        let _ = self.foca.announce(prober, &mut runtime);
+        self.process(context, runtime);
+    }
+
+    /// Broadcasts the state of a live member, by this member's own judgement.
+    pub(super) fn declare(&mut self, context: &mut Context, of: SocketAddr, state: foca::State) {
+        let member = self.live_members().find(|m| m.id().address == of);
+        if let Some(member) = member {
+            let update = foca::Member::new(*member.id(), member.incarnation(), state);
+            self.apply(context, vec![update]);
+        }
+    }
+
+    /// Asks members to let this one in.
+    pub(super) fn announce(
+        &mut self,
+        context: &mut Context,
+        to: impl IntoIterator<Item = Identity>,
+    ) {
+        let mut runtime = Runtime::default();
+        for id in to {
+            let _ = self.foca.announce(id, &mut runtime);
         }
-        self.ask_dead_due = self.now + ASK_DEAD;
-        let dead = self.dead();
-        if dead.is_empty() {
+        self.process(context, runtime);
+    }
+
+    /// Broadcasts that this member leaves.
+    pub(super) fn leave(&mut self, context: &mut Context) {
+        let mut runtime = Runtime::default();
+        let _ = self.foca.leave_cluster(&mut runtime);
+        self.roster.invalidate();
+        self.process(context, runtime);
+    }
+
+    /// Announces to those dead members for which this one is drawn. If all members announced to each, one that returns
+    /// would have to answer as many as there are members, each with a datagram of the greatest length.
+    pub(super) fn announce_to_drawn_dead(&mut self, context: &mut Context) {
+        let early = context.now < self.next_dead_announcement;
+        if early || is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
-        let addresses: Vec<SocketAddr> = dead.iter().map(|id| id.address).collect();
-        let mut drawn =
-            heartbeat::drawn_for(&addresses, self.settings.address, self.roster.living());
-        let living = self.roster.living().len() + 1;
-        if self.rng.random_range(0..living) < ASK_DEAD_AT_RANDOM {
-            drawn.push(self.rng.random_range(0..dead.len()));
+        self.next_dead_announcement = context.now + DEAD_ANNOUNCEMENT_INTERVAL;
+        if self.dead.is_empty() {
+            return;
         }
-        let mut runtime = Runtime::default();
-        for chosen in drawn {
-            let _ = self.swim.announce(dead[chosen], &mut runtime);
+        let addresses: Vec<SocketAddr> = self.dead.iter().map(|id| id.address).collect();
+        let alive = self.roster.alive();
+        let mut drawn = heartbeat::drawn_for(&addresses, self.own_address, alive);
+        let members = alive.len() + 1;
+        if context.rng.random_range(0..members) < RANDOM_DEAD_ANNOUNCERS {
+            drawn.push(context.rng.random_range(0..self.dead.len()));
         }
-        self.carry_out(runtime);
+        let targets: Vec<Identity> = drawn.into_iter().map(|index| self.dead[index]).collect();
+        self.announce(context, targets);
     }
 
-    /// Asks some of those believed dead: who was given up was cut off from more than one, most likely.
-    pub(super) fn ask_dead(&mut self, most: usize) {
-        if fault_injection::is_injected(InjectedFault::NeverContactsDeadMembers) {
+    /// Announces to some dead members: a member that was declared dead was most likely cut off from more than one.
+    fn announce_to_random_dead(&mut self, context: &mut Context) {
+        if is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
-        let mut dead = self.dead();
-        let mut runtime = Runtime::default();
-        for _ in 0..most.min(dead.len()) {
-            let id = dead.swap_remove(self.rng.random_range(0..dead.len()));
-            let _ = self.swim.announce(id, &mut runtime);
+        let mut dead = self.dead.clone();
+        let mut targets = Vec::new();
+        for _ in 0..REJOIN_ANNOUNCEMENTS.min(dead.len()) {
+            targets.push(dead.swap_remove(context.rng.random_range(0..dead.len())));
         }
-        self.carry_out(runtime);
+        self.announce(context, targets);
     }
 
-    /// After a stall of its own: what was waited for gets its whole time again.
-    pub(super) fn begin_anew(&mut self) {
-        self.suspicions.begin_anew(self.now);
-        self.watch.begin_anew(self.now);
-        let late: Vec<(Nanos, u64)> = self
+    /// After a stall of this member: what was due during it gets its whole time again.
+    pub(super) fn restart_timers(&mut self, now: Nanos) {
+        let due: Vec<(Nanos, u64)> = self
             .timers
-            .range(..=(self.now, u64::MAX))
+            .range(..=(now, u64::MAX))
             .map(|(key, _)| *key)
             .collect();
-        for key in late {
+        for key in due {
             let Some(timer) = self.timers.remove(&key) else {
                 continue;
             };
-            let after = match timer {
-                // The answer may have come meanwhile, and is read before this.
-                Timer::ProbeRandomMember(_) => self.settings.timing.probe_interval,
+            let delay = match timer {
+                // The acknowledgement may have come meanwhile, and is read first.
+                Timer::ProbeRandomMember(_) => self.probe_interval,
                 Timer::SendIndirectProbe { .. } => MS,
                 _ => 0,
             };
-            self.set += 1;
-            self.timers.insert((self.now + after, self.set), timer);
+            self.set_timer(now + delay, timer);
         }
     }
 
-    pub(super) fn swim_timers(&mut self) {
+    fn set_timer(&mut self, at: Nanos, timer: Timer<Identity>) {
+        self.timer_sequence += 1;
+        self.timers.insert((at, self.timer_sequence), timer);
+    }
+
+    /// Handles the timers that are due.
+    pub(super) fn handle_timers(&mut self, context: &mut Context) {
         while let Some(entry) = self
             .timers
             .first_entry()
-            .filter(|entry| entry.key().0 <= self.now)
+            .filter(|entry| entry.key().0 <= context.now)
         {
             let timer = entry.remove();
-            if matches!(timer, Timer::PeriodicGossip(_)) && !self.may_send() {
-                self.set += 1;
-                self.timers.insert((self.now + GOSSIP, self.set), timer);
+            if matches!(timer, Timer::PeriodicGossip(_)) && !context.may_send() {
+                self.set_timer(context.now + GOSSIP_INTERVAL, timer);
                 continue;
             }
-            self.swim_timer(timer);
+            self.handle_timer(context, timer);
         }
     }
 
-    pub(super) fn swim_timer(&mut self, timer: Timer<Identity>) {
+    fn handle_timer(&mut self, context: &mut Context, timer: Timer<Identity>) {
         // The other timers send, and change nothing.
         if matches!(
             timer,
             Timer::ProbeRandomMember(_) | Timer::ChangeSuspectToDown { .. } | Timer::RemoveDown(_)
         ) {
-            self.roster.touch();
+            self.roster.invalidate();
         }
         let mut runtime = Runtime::default();
-        // Its errors say that a timer came too late for a cycle; it has begun the next one by itself.
-        let _ = self.swim.handle_timer(timer, &mut runtime);
-        self.carry_out(runtime);
+        let _ = self.foca.handle_timer(timer, &mut runtime);
+        self.process(context, runtime);
     }
 
-    /// Asks the join addresses: soon while nobody is known, ever more seldom while some of them are not.
-    pub(super) fn join(&mut self) {
-        if self.now < self.join.0 {
+    /// Announces to join addresses: all of them while no other member is known, later one at a time, in case two parts
+    /// of the fleet never met. Those in other regions are left out.
+    pub(super) fn join(
+        &mut self,
+        context: &mut Context,
+        is_in_other_region: impl Fn(&SocketAddr) -> bool,
+    ) {
+        if context.now < self.next_join {
             return;
         }
-        let alone = self.swim.num_members() == 0;
-        let own = self.settings.address;
-        let there =
-            |address: &SocketAddr| self.swim.iter_members().any(|m| m.id().address == *address);
-        let missing: Vec<SocketAddr> = self
-            .settings
-            .join
-            .iter()
-            .copied()
-            .filter(|a| *a != own && !there(a) && !self.is_foreign(a))
-            .collect();
-        if self.met && fault_injection::is_injected(InjectedFault::NeverContactsDeadMembers) {
+        let alone = self.alive() == 0;
+        let is_missing = |address: &SocketAddr| {
+            *address != self.own_address && !self.is_alive(*address) && !is_in_other_region(address)
+        };
+        let addresses = self.join_addresses.iter().copied();
+        let missing: Vec<SocketAddr> = addresses.filter(is_missing).collect();
+        if self.has_met && is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
-        let mut runtime = Runtime::default();
-        // While alone all are asked; later one is enough, in case two parts of the fleet never met.
-        let chosen = if alone || missing.is_empty() {
+        let targets = if alone {
             missing
         } else {
-            vec![missing[self.rng.random_range(0..missing.len())]]
+            context.choose(&missing).into_iter().collect()
         };
-        for address in chosen {
-            let _ = self.swim.announce(
-                Identity {
-                    address,
-                    generation: 0,
-                },
-                &mut runtime,
-            );
-        }
-        self.carry_out(runtime);
-        let wait = self.join.1;
-        self.join = (
-            self.now + wait / 2 + self.rng.random_range(0..wait),
-            (wait * 2).min(JOIN_MOST),
+        self.announce(
+            context,
+            targets.into_iter().map(Identity::of_unknown_generation),
         );
+        let backoff = self.join_backoff;
+        self.next_join = context.now + backoff / 2 + context.rng.random_range(0..backoff);
+        self.join_backoff = (backoff * 2).min(JOIN_BACKOFF_MAX);
         if alone {
-            self.join.1 = self.join.1.min(JOIN_MOST / 2);
+            self.join_backoff = self.join_backoff.min(JOIN_BACKOFF_MAX / 2);
         }
     }
 
-    /// Passes a death on without waiting for the next round of gossip.
-    pub(super) fn pass_on(&mut self) {
-        if self.pass_on.is_none_or(|at| self.now < at) {
+    /// Gossips a death without waiting for the next periodic gossip.
+    pub(super) fn gossip_early(&mut self, context: &mut Context) {
+        if self.early_gossip_due.is_none_or(|at| context.now < at) {
             return;
         }
-        if !self.may_send() {
-            self.pass_on = Some(self.now + GOSSIP);
+        if !context.may_send() {
+            self.early_gossip_due = Some(context.now + GOSSIP_INTERVAL);
             return;
         }
-        (self.pass_on, self.passed_on) = (None, self.now);
+        self.early_gossip_due = None;
+        self.last_early_gossip = context.now;
         let mut runtime = Runtime::default();
-        let _ = self.swim.gossip(&mut runtime);
-        self.carry_out(runtime);
+        let _ = self.foca.gossip(&mut runtime);
+        self.process(context, runtime);
     }
 
-    pub(super) fn carry_out(&mut self, runtime: Runtime) {
-        for (to, payload) in runtime.sends {
-            self.send(to.address, MessageKind::Swim, &payload);
+    /// Carries out what `foca` hands out.
+    fn process(&mut self, context: &mut Context, runtime: Runtime) {
+        for (to, payload) in runtime.datagrams {
+            context.send(to.address, MessageKind::Swim, &payload);
         }
-        for (after, timer) in runtime.timers {
-            // Who gives a suspect up is decided in `suspicion`.
-            if matches!(timer, Timer::ChangeSuspectToDown { .. }) {
-                continue;
+        for (delay, timer) in runtime.timers {
+            // `suspicion` decides when a suspect is dead.
+            if !matches!(timer, Timer::ChangeSuspectToDown { .. }) {
+                self.set_timer(context.now + delay.as_nanos() as Nanos, timer);
             }
-            self.set += 1;
-            self.timers
-                .insert((self.now + after.as_nanos() as Nanos, self.set), timer);
         }
-        for news in runtime.news {
-            match news {
-                OwnedNotification::Rejoin(_) => self.returned(),
+        for notification in runtime.notifications {
+            match notification {
+                OwnedNotification::Rejoin(_) => self.rejoined(context),
                 OwnedNotification::MemberDown(_) => {
-                    let at = self.now.max(self.passed_on + PASS_ON);
-                    self.pass_on.get_or_insert(at);
-                    self.next_tick = self.next_tick.min(at + MS);
+                    let at = context
+                        .now
+                        .max(self.last_early_gossip + EARLY_GOSSIP_INTERVAL);
+                    self.early_gossip_due.get_or_insert(at);
+                    let wake_up = at + MS;
+                    self.wake_up = Some(self.wake_up.map_or(wake_up, |due| due.min(wake_up)));
                 }
                 _ => {}
             }
--- /dev/null
+++ b/crates/membership/src/metadata_store.rs
@@ -0,0 +1,335 @@
+//! The metadata records that one member stores: broadcast while new, repeated in rotation, requested where missing.
+
+use crate::envelope::PAYLOAD_MAX;
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::metadata::{MetadataRecord, ServingPhase};
+use crate::payload::{PayloadError, decode, encode, encoded_length};
+use crate::{Identity, MS, Nanos};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::ops::Bound::{Excluded, Included, Unbounded};
+use xxhash_rust::xxh3::xxh3_64;
+
+/// A new record is transmitted this often, and once more for each doubling of the fleet.
+const BASE_TRANSMISSIONS: u32 = 3;
+/// The most members in one request; an answer or two hold their records.
+pub const REQUEST_MAX: usize = 24;
+/// The most datagrams that answer a request.
+const RESPONSES_MAX: usize = 3;
+/// Missing records are requested this often.
+pub const REQUEST_INTERVAL: Nanos = 150 * MS;
+/// The longest encoding of the count of records that stands before them, in bytes.
+const COUNT_LENGTH_MAX: usize = 2;
+
+struct StoredRecord {
+    record: MetadataRecord,
+    transmissions_left: u32,
+    /// Of the urgent fields; never 0.
+    checksum: u32,
+    encoded_length: usize,
+}
+
+impl StoredRecord {
+    fn new(record: MetadataRecord, transmissions_left: u32) -> Self {
+        let checksum = xxh3_64(&encode(&record.metadata.urgent_fields())) as u32;
+        StoredRecord {
+            transmissions_left,
+            checksum: checksum.max(1),
+            encoded_length: encoded_length(&record),
+            record,
+        }
+    }
+}
+
+/// Which records a payload is filled with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecordSelection {
+    /// Records that are still to be broadcast.
+    Broadcasts,
+    /// Those, then the own one, then all others in rotation.
+    BroadcastsAndRotation,
+}
+
+/// The records that changed since the last call of [`MetadataStore::take_changes`].
+#[derive(Debug, Default)]
+pub struct MetadataChanges {
+    /// Whose records changed.
+    pub addresses: BTreeSet<SocketAddr>,
+    /// Whether one changed in what all members should learn soon.
+    pub urgent: bool,
+}
+
+/// The records that one member stores, its own included.
+pub struct MetadataStore {
+    records: BTreeMap<SocketAddr, StoredRecord>,
+    /// The last record of the rotation.
+    rotation: Option<SocketAddr>,
+    last_request: Nanos,
+    broadcasts: BTreeSet<SocketAddr>,
+    changes: MetadataChanges,
+    /// The checksum of the membership of which no record was missing.
+    complete_for: Option<u64>,
+    transmissions_max: u32,
+}
+
+impl MetadataStore {
+    /// A store with the member's own record, which is to be broadcast.
+    #[must_use]
+    pub fn new(own: MetadataRecord) -> Self {
+        let address = own.member.address;
+        let own = StoredRecord::new(own, BASE_TRANSMISSIONS);
+        MetadataStore {
+            records: BTreeMap::from([(address, own)]),
+            rotation: None,
+            last_request: 0,
+            broadcasts: BTreeSet::from([address]),
+            changes: MetadataChanges {
+                addresses: BTreeSet::from([address]),
+                urgent: true,
+            },
+            complete_for: None,
+            transmissions_max: u32::MAX,
+        }
+    }
+
+    /// Limits how often a new record is transmitted; who misses it requests it.
+    pub fn limit_transmissions(&mut self, limit: u32) {
+        self.transmissions_max = limit;
+    }
+
+    fn stored(&self, id: &Identity) -> Option<&StoredRecord> {
+        let stored = self.records.get(&id.address)?;
+        (stored.record.member.generation >= id.generation).then_some(stored)
+    }
+
+    /// The record of a member, of this generation or a later one.
+    #[must_use]
+    pub fn get(&self, id: &Identity) -> Option<&MetadataRecord> {
+        self.stored(id).map(|stored| &stored.record)
+    }
+
+    /// The checksum of a member's urgent fields; 0 where no record of this generation or a later one is stored.
+    #[must_use]
+    pub fn checksum(&self, id: &Identity) -> u32 {
+        self.stored(id).map_or(0, |stored| stored.checksum)
+    }
+
+    /// Stores a record; one that is new in what all should learn soon is broadcast among so many live members.
+    pub fn insert(&mut self, record: MetadataRecord, alive: usize) {
+        let address = record.member.address;
+        let predecessor = self.records.get(&address);
+        let urgent = record.is_urgent(predecessor.map(|stored| &stored.record));
+        // A broadcast that still runs goes on with the newer record.
+        let transmissions = if urgent {
+            transmissions(alive).min(self.transmissions_max)
+        } else {
+            predecessor.map_or(0, |stored| stored.transmissions_left)
+        };
+        if transmissions > 0 {
+            self.broadcasts.insert(address);
+        }
+        self.changes.addresses.insert(address);
+        self.changes.urgent |= urgent;
+        self.records
+            .insert(address, StoredRecord::new(record, transmissions));
+    }
+
+    /// The records that changed since the last call.
+    pub fn take_changes(&mut self) -> MetadataChanges {
+        std::mem::take(&mut self.changes)
+    }
+
+    /// Merges records of others. `known_generation` tells by which generation a member is known; records of unknown
+    /// members are dropped. Returns how many members are unknown, or known by an older generation only: their
+    /// membership broadcasts died out before they reached this member.
+    ///
+    /// # Errors
+    ///
+    /// If the payload cannot be decoded, or a record exceeds a bound.
+    pub fn merge(
+        &mut self,
+        own: SocketAddr,
+        payload: &[u8],
+        known_generation: impl Fn(SocketAddr) -> Option<u64>,
+        alive: usize,
+    ) -> Result<usize, PayloadError> {
+        let records: Vec<MetadataRecord> = decode(payload)?;
+        if !records.iter().all(MetadataRecord::is_bounded) {
+            return Err(PayloadError::OverLimit {
+                what: "bytes of metadata",
+                limit: PAYLOAD_MAX,
+            });
+        }
+        let mut unknown = 0;
+        // The own record is only written by this member.
+        for record in records
+            .into_iter()
+            .filter(|record| record.member.address != own)
+        {
+            let address = record.member.address;
+            let generation = known_generation(address);
+            let is_new_member =
+                generation.is_none_or(|generation| generation < record.member.generation);
+            if is_new_member && record.metadata.phase != ServingPhase::Leaving {
+                unknown += 1;
+            }
+            let stored = self.records.get(&address);
+            if generation.is_some() && stored.is_none_or(|stored| record.supersedes(&stored.record))
+            {
+                self.insert(record, alive);
+            }
+        }
+        Ok(unknown)
+    }
+
+    /// Forgets members that are no longer known.
+    pub fn retain(&mut self, is_known: impl Fn(SocketAddr) -> bool) {
+        let before = self.records.len();
+        self.records.retain(|address, _| is_known(*address));
+        if self.records.len() != before {
+            self.broadcasts.retain(|address| is_known(*address));
+            self.complete_for = None;
+        }
+    }
+
+    /// Whether a record is still to be broadcast.
+    #[must_use]
+    pub fn has_broadcasts(&self) -> bool {
+        !self.broadcasts.is_empty()
+    }
+
+    /// Fills a payload, and counts the transmissions.
+    pub fn next_payload(&mut self, own: SocketAddr, selection: RecordSelection) -> Vec<u8> {
+        let rotates = selection == RecordSelection::BroadcastsAndRotation;
+        let mut order = self.broadcast_order();
+        if rotates {
+            order.push(own);
+            order.extend(self.rotation_order());
+        }
+        let (payload, packed) = self.pack(&order);
+        for address in packed {
+            if let Some(stored) = self.records.get_mut(&address) {
+                stored.transmissions_left = stored.transmissions_left.saturating_sub(1);
+                if stored.transmissions_left == 0 {
+                    self.broadcasts.remove(&address);
+                }
+            }
+            if rotates && address != own {
+                self.rotation = Some(address);
+            }
+        }
+        payload
+    }
+
+    /// Those to be broadcast, the least transmitted first.
+    fn broadcast_order(&self) -> Vec<SocketAddr> {
+        let transmissions_left = |address: &SocketAddr| {
+            self.records
+                .get(address)
+                .map_or(0, |stored| stored.transmissions_left)
+        };
+        let mut ranked: Vec<(u32, SocketAddr)> = self
+            .broadcasts
+            .iter()
+            .map(|address| (transmissions_left(address), *address))
+            .collect();
+        ranked.sort_unstable_by(|a, b| b.cmp(a));
+        ranked.into_iter().map(|(_, address)| address).collect()
+    }
+
+    /// All records from the one after the last rotated on, as many as may fit.
+    fn rotation_order(&self) -> impl Iterator<Item = SocketAddr> {
+        let (begin, end) = match self.rotation {
+            Some(last) => (Excluded(last), Included(last)),
+            None => (Unbounded, Unbounded),
+        };
+        let after = self.records.range((begin, Unbounded));
+        let up_to = self
+            .records
+            .range((Unbounded, end))
+            .filter(|_| self.rotation.is_some());
+        after
+            .chain(up_to)
+            .map(|(address, _)| *address)
+            .take(REQUEST_MAX)
+    }
+
+    /// The payloads that answer a request, at most [`RESPONSES_MAX`].
+    ///
+    /// # Errors
+    ///
+    /// If the payload is no request, or names too many members.
+    pub fn respond(&self, payload: &[u8]) -> Result<Vec<Vec<u8>>, PayloadError> {
+        let mut requested: Vec<SocketAddr> = decode(payload)?;
+        if requested.len() > REQUEST_MAX {
+            return Err(PayloadError::OverLimit {
+                what: "requested records",
+                limit: REQUEST_MAX,
+            });
+        }
+        let mut responses = Vec::new();
+        while responses.len() < RESPONSES_MAX && !requested.is_empty() {
+            let (payload, packed) = self.pack(&requested);
+            if packed.is_empty() {
+                break;
+            }
+            requested.retain(|address| !packed.contains(address));
+            responses.push(payload);
+        }
+        Ok(responses)
+    }
+
+    /// The request for the records of live members that are missing, if it is time. `membership` is a checksum of the
+    /// membership: nothing is searched while it is one of which nothing was missing.
+    pub fn missing_records_request<'a>(
+        &mut self,
+        now: Nanos,
+        membership: u64,
+        alive: impl Iterator<Item = &'a Identity>,
+    ) -> Option<Vec<u8>> {
+        let early = now.saturating_sub(self.last_request) < REQUEST_INTERVAL;
+        if early
+            || self.complete_for == Some(membership)
+            || is_injected(InjectedFault::GossipsRecordsOnce)
+        {
+            return None;
+        }
+        let missing: Vec<SocketAddr> = alive
+            .filter(|id| self.get(id).is_none())
+            .map(|id| id.address)
+            .take(REQUEST_MAX)
+            .collect();
+        if missing.is_empty() {
+            self.complete_for = Some(membership);
+            return None;
+        }
+        self.last_request = now;
+        Some(encode(&missing))
+    }
+
+    /// Packs these records as far as they fit; returns the payload and whose records are in it.
+    fn pack(&self, order: &[SocketAddr]) -> (Vec<u8>, Vec<SocketAddr>) {
+        let mut records: Vec<&MetadataRecord> = Vec::new();
+        let mut packed = Vec::new();
+        let mut length = COUNT_LENGTH_MAX;
+        for address in order {
+            let Some(stored) = self.records.get(address) else {
+                continue;
+            };
+            if length + stored.encoded_length > PAYLOAD_MAX || packed.contains(address) {
+                continue;
+            }
+            length += stored.encoded_length;
+            packed.push(*address);
+            records.push(&stored.record);
+        }
+        (encode(&records), packed)
+    }
+}
+
+fn transmissions(alive: usize) -> u32 {
+    BASE_TRANSMISSIONS + alive.max(1).ilog2()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -1,11 +1,11 @@
 //! Datagrams that version cab609d sent are read with today's types, and written again byte for byte.
 
-use crate::anti_entropy as compare;
+use crate::anti_entropy::{BUCKETS, DigestMessage, ListDelta};
 use crate::envelope::{EnvelopeScope, MessageKind, open, seal};
-use crate::member::{Ask, Referral};
+use crate::member::{RegionReferral, WatcherProbe};
 use crate::regions::AnnouncementPayload;
-use crate::regions::exchange::{AgedAnnouncement, Answer, Question};
-use crate::regions::overview::Part;
+use crate::regions::exchange::{AgedAnnouncement, RegionDelta, RegionDigest};
+use crate::regions::overview::OverviewPart;
 use crate::shedding::LevelReport;
 use crate::{Identity, Location, MetadataRecord, ServingPhase};
 use bytes::Buf;
@@ -159,22 +159,22 @@
 }
 
 #[test]
-fn record_requests_are_read_and_written_as_recorded() {
-    let wanted: Vec<SocketAddr> =
+fn metadata_requests_are_read_and_written_as_recorded() {
+    let requested: Vec<SocketAddr> =
         message(WITHOUT_REGIONS, MessageKind::MetadataRequest, "shortest");
-    assert_eq!(wanted, [address(3)]);
-    let wanted: Vec<SocketAddr> = message(WITH_REGIONS, MessageKind::MetadataRequest, "longest");
-    assert_eq!(wanted, [1, 4, 3, 2].map(address));
+    assert_eq!(requested, [address(3)]);
+    let requested: Vec<SocketAddr> = message(WITH_REGIONS, MessageKind::MetadataRequest, "longest");
+    assert_eq!(requested, [1, 4, 3, 2].map(address));
 }
 
 #[test]
-fn watchers_questions_are_read_and_written_as_recorded() {
+fn watcher_probes_are_read_and_written_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        let ask: Ask = message(file, MessageKind::WatcherProbe, "shortest");
-        assert_eq!(ask.by.generation, GENERATION);
-        assert_eq!(ask.suspect, None);
-        let ask: Ask = message(file, MessageKind::WatcherProbe, "longest");
-        assert_eq!(ask.suspect, Some((identity(2), 0)));
+        let probe: WatcherProbe = message(file, MessageKind::WatcherProbe, "shortest");
+        assert_eq!(probe.by.generation, GENERATION);
+        assert_eq!(probe.suspect, None);
+        let probe: WatcherProbe = message(file, MessageKind::WatcherProbe, "longest");
+        assert_eq!(probe.suspect, Some((identity(2), 0)));
     }
 }
 
@@ -189,15 +189,20 @@
 #[test]
 fn anti_entropy_messages_are_read_and_written_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        let question: compare::Question = message(file, MessageKind::MemberListDigest, "longest");
-        assert_eq!(question.by, identity(1));
-        assert_eq!(question.sums.len(), 4 * compare::BUCKETS);
-        let equal: compare::Answer = message(file, MessageKind::MemberListDelta, "shortest");
-        assert!(equal.agrees() && !equal.last);
-        let differing: compare::Answer = message(file, MessageKind::MemberListDelta, "longest");
+        let digest: DigestMessage = message(file, MessageKind::MemberListDigest, "longest");
+        assert_eq!(digest.by, identity(1));
+        assert_eq!(digest.digest.len(), 4 * BUCKETS);
+        let equal: ListDelta = message(file, MessageKind::MemberListDelta, "shortest");
+        assert!(equal.agrees() && !equal.is_reply);
+        let differing: ListDelta = message(file, MessageKind::MemberListDelta, "longest");
         assert!(!differing.agrees());
-        assert!(differing.entries.iter().any(|entry| entry.record != 0));
-        assert_ne!(differing.parts, 0);
+        assert!(
+            differing
+                .entries
+                .iter()
+                .any(|entry| entry.metadata_checksum != 0)
+        );
+        assert_ne!(differing.whole_buckets, 0);
     }
 }
 
@@ -205,9 +210,9 @@
 fn level_reports_are_read_and_written_as_recorded() {
     let own: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "shortest");
     assert_eq!(own.len(), 1);
-    assert_eq!((own[0].of, own[0].generation), (address(1), GENERATION));
-    assert_eq!(own[0].tally.admitted[..5], [40, 30, 20, 10, 0]);
-    assert_eq!(own[0].tally.capacity_rejections, 35);
+    assert_eq!((own[0].member, own[0].generation), (address(1), GENERATION));
+    assert_eq!(own[0].counts.admitted[..5], [40, 30, 20, 10, 0]);
+    assert_eq!(own[0].counts.capacity_rejections, 35);
     let many: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "longest");
     assert_eq!(many.len(), 6);
     assert!(many.iter().any(|report| report.level > 0.0));
@@ -217,26 +222,26 @@
 }
 
 #[test]
-fn region_exchanges_are_read_and_written_as_recorded() {
-    let empty: Question = message(WITH_REGIONS, MessageKind::RegionDigest, "shortest");
+fn region_digests_and_deltas_are_read_and_written_as_recorded() {
+    let empty: RegionDigest = message(WITH_REGIONS, MessageKind::RegionDigest, "shortest");
     assert_eq!(empty.region, "north");
-    assert!(empty.delegate);
-    let full: Question = message(WITH_REGIONS, MessageKind::RegionDigest, "longest");
+    assert!(empty.from_delegate);
+    let full: RegionDigest = message(WITH_REGIONS, MessageKind::RegionDigest, "longest");
     assert_eq!(full.region, "north");
-    let equal: Answer = message(WITH_REGIONS, MessageKind::RegionDelta, "shortest");
+    let equal: RegionDelta = message(WITH_REGIONS, MessageKind::RegionDelta, "shortest");
     assert_eq!(equal.region, "south");
-    assert!(equal.told.is_empty());
-    let differing: Answer = message(WITH_REGIONS, MessageKind::RegionDelta, "longest");
+    assert!(equal.announcements.is_empty());
+    let differing: RegionDelta = message(WITH_REGIONS, MessageKind::RegionDelta, "longest");
     assert_eq!(differing.region, "north");
-    assert!(!differing.told.is_empty());
+    assert!(!differing.announcements.is_empty());
 }
 
 #[test]
 fn region_announcements_are_read_and_written_as_recorded() {
-    let told: Vec<AgedAnnouncement> =
+    let announcements: Vec<AgedAnnouncement> =
         message(WITH_REGIONS, MessageKind::RegionAnnouncements, "shortest");
-    assert_eq!(told.len(), 1);
-    let announcement = &told[0].announcement;
+    assert_eq!(announcements.len(), 1);
+    let announcement = &announcements[0].announcement;
     assert_eq!(announcement.region, "south");
     assert_eq!(announcement.author, address(7));
     let AnnouncementPayload::Summary(summary) = &announcement.payload;
@@ -248,20 +253,20 @@
 
 #[test]
 fn referrals_are_read_and_written_as_recorded() {
-    let south: Referral = message(WITH_REGIONS, MessageKind::RegionReferral, "shortest");
+    let south: RegionReferral = message(WITH_REGIONS, MessageKind::RegionReferral, "shortest");
     assert_eq!(south.region, "south");
     assert_eq!(south.delegates, [7, 8, 9].map(address));
-    let north: Referral = message(WITH_REGIONS, MessageKind::RegionReferral, "longest");
+    let north: RegionReferral = message(WITH_REGIONS, MessageKind::RegionReferral, "longest");
     assert_eq!(north.region, "north");
-    assert!(!north.yours.is_empty());
+    assert!(!north.your_delegates.is_empty());
 }
 
 #[test]
 fn overviews_are_read_and_written_as_recorded() {
-    let one: Vec<Part> = message(WITH_REGIONS, MessageKind::Overview, "shortest");
+    let one: Vec<OverviewPart> = message(WITH_REGIONS, MessageKind::Overview, "shortest");
     assert_eq!(one.len(), 1);
     assert_eq!(one[0].author, Some(address(4)));
-    message::<Vec<Part>>(WITH_REGIONS, MessageKind::Overview, "longest");
+    message::<Vec<OverviewPart>>(WITH_REGIONS, MessageKind::Overview, "longest");
     let (_, sums) = payload(WITH_REGIONS, MessageKind::OverviewDigest, "longest");
     assert_eq!(sums.len(), 4 * crate::regions::overview::PARTS);
 }
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -1,581 +1,190 @@
-//! What the delegates of all regions tell each other: announcements, and proof that their authors still live.
+//! Anti-entropy between the delegates of all regions.
 //!
-//! Each delegate holds the latest announcement of each author. An author counts up its beats, so that a region whose
-//! figures don't change is told from one that can't be heard. Two delegates compare what they hold: the question lists
-//! each entry's version and beats, the answer brings what the asker lacks and asks for what the other lacks.
+//! The digest lists the version and heartbeats of each announcement that the sender stores. The delta contains what the
+//! sender of the digest lacks, and requests what the replying delegate lacks.
 
-use super::{Announcement, AnnouncementPayload, RegionSummary, add};
-use super::{AnnouncementKey, REGIONS_MAX, SILENT_AFTER};
+use super::announcement::{Announcement, AnnouncementKey};
+use super::announcement_store::{AnnouncementId, AnnouncementStore, StoredAnnouncement};
+use super::seconds_ago;
+use crate::Nanos;
 use crate::envelope::PAYLOAD_MAX;
-use crate::fault_injection::{self, InjectedFault};
-use crate::{MS, Nanos};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::payload::{PayloadRoom, encode};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 
-/// Authors of one region that are held: where a region is split, each part has one.
-const AUTHORS_MAX: usize = 4;
-/// Authors that are remembered after they were forgotten.
-const FORGOTTEN_MAX: usize = REGIONS_MAX * AUTHORS_MAX;
-/// An author shows that it lives this often.
-const BEAT: Nanos = 1_000 * MS;
-/// So many beats of an author that was replaced may still have been on their way.
-const LATE_BEATS: u32 = 3;
-/// The most rows of one question: as many as fit into a datagram.
-const ROWS_MAX: usize = 64;
-const SECOND: Nanos = 1_000 * MS;
+/// The most versions in one digest, as many as fit into a datagram.
+const DIGEST_VERSIONS_MAX: usize = 64;
+/// Bytes for the names and the list lengths of a message.
+const MESSAGE_HEADER_MAX: usize = 40;
 
-/// What one holds of one entry.
+/// The state in which one delegate stores an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
-    key: u32,
-    version: u64,
-    beats: u32,
-    /// Seconds since something new was heard of its author.
-    age_s: u32,
+pub struct AnnouncementVersion {
+    pub(super) key: u32,
+    pub(super) version: u64,
+    pub(super) heartbeats: u32,
+    /// Seconds since the author's last new heartbeat.
+    pub(super) age_seconds: u32,
 }
 
-/// An announcement with what is known of its author's life.
+/// An announcement with the liveness of its author.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedAnnouncement {
     /// The announcement.
     pub announcement: Announcement,
-    beats: u32,
-    age_s: u32,
+    pub(super) heartbeats: u32,
+    pub(super) age_seconds: u32,
 }
 
 impl AgedAnnouncement {
     /// An announcement that its author has just made.
+    #[must_use]
     pub fn new(announcement: Announcement) -> Self {
         AgedAnnouncement {
             announcement,
-            beats: 0,
-            age_s: 0,
+            heartbeats: 0,
+            age_seconds: 0,
         }
     }
 
-    /// Announcements as they stand in a datagram.
-    pub fn encode(told: &[AgedAnnouncement]) -> Vec<u8> {
-        postcard::to_stdvec(told).unwrap_or_default()
+    /// Encodes announcements as the payload of a datagram.
+    #[must_use]
+    pub fn encode(announcements: &[AgedAnnouncement]) -> Vec<u8> {
+        encode(announcements)
+    }
+
+    /// When its author was last known to be alive.
+    pub(super) fn last_heard(&self, now: Nanos) -> Nanos {
+        seconds_ago(now, self.age_seconds)
     }
 }
 
-/// Asks another what it holds.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct Question {
-    /// The asker's region.
-    pub region: String,
-    /// It speaks for its region; of others nothing is wanted.
-    pub delegate: bool,
-    /// All that the asker holds stands in the rows.
-    whole: bool,
-    rows: Vec<Row>,
+/// Who sends a digest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DigestSender {
+    /// A delegate of its region.
+    Delegate,
+    /// A member that looks for its region; nothing is requested of it.
+    Newcomer,
 }
 
-/// What the asker lacks, and what the other lacks.
+/// The versions of the announcements that the sender stores.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Answer {
-    /// The region of who answers.
+pub struct RegionDigest {
+    /// The sender's region.
     pub region: String,
-    rows: Vec<Row>,
-    /// Announcements that are newer than the asker's.
-    pub told: Vec<AgedAnnouncement>,
-    wanted: Vec<u32>,
+    /// Whether the sender is a delegate of its region; of others no announcement is requested.
+    pub from_delegate: bool,
+    /// Whether all stored announcements are listed.
+    complete: bool,
+    versions: Vec<AnnouncementVersion>,
 }
 
-/// Announcements that were dropped, as counts since the start.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct DroppedAnnouncements {
-    /// Beyond a bound: figures, names, a version from the future.
-    pub unsound: u64,
-    /// An older version of the same author.
-    pub outdated: u64,
-    /// Of more regions than are held.
-    pub over_capacity: u64,
-}
-
-#[derive(Clone, Debug)]
-struct Held {
-    announcement: Announcement,
-    beats: u32,
-    heard: Nanos,
-    /// Another says that it took its author's place, by when this one had so many beats.
-    replaced_at: Option<u32>,
-}
-
-impl Held {
-    fn row(&self, now: Nanos) -> Row {
-        Row {
-            key: AnnouncementKey::of(&self.announcement).0,
-            version: self.announcement.version,
-            beats: self.beats,
-            age_s: self.age_s(now),
-        }
-    }
-
-    fn age_s(&self, now: Nanos) -> u32 {
-        u32::try_from(now.saturating_sub(self.heard) / SECOND).unwrap_or(u32::MAX)
-    }
-
-    fn told(&self, now: Nanos) -> AgedAnnouncement {
-        AgedAnnouncement {
-            announcement: self.announcement.clone(),
-            beats: self.beats,
-            age_s: self.age_s(now),
-        }
-    }
-
-    fn is_silent(&self, now: Nanos) -> bool {
-        now.saturating_sub(self.heard) >= SILENT_AFTER
-    }
-
-    /// Whether another took its author's place, and it has not shown since that it lives.
-    fn is_replaced(&self) -> bool {
-        self.replaced_at
-            .is_some_and(|beats| self.beats <= beats + LATE_BEATS)
-    }
-}
-
-/// The last that was known of an author that was forgotten.
-#[derive(Clone, Copy, Debug)]
-struct Forgotten {
-    version: u64,
-    beats: u32,
-    at: Nanos,
-}
-
-/// What a delegate knows of one region, from all its authors.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
-    /// What it last said.
-    pub summary: RegionSummary,
-    /// That version.
-    pub version: u64,
-    /// The most places that any author who lives tells of: in a region that is split each part may tell of fewer.
-    pub places: u32,
-    /// Authors who live; more than one where a region is split.
-    pub authors: usize,
-    /// When something new was last heard of it, if that is long ago.
-    pub silent_since: Option<Nanos>,
+/// What the sender of a digest lacks, and what the replying delegate lacks.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct RegionDelta {
+    /// The region of the replying delegate.
+    pub region: String,
+    /// Later heartbeats of announcements that both store in the same version.
+    versions: Vec<AnnouncementVersion>,
+    /// Announcements that are newer than the sender's.
+    pub announcements: Vec<AgedAnnouncement>,
+    /// Keys of the announcements that are requested.
+    requested: Vec<u32>,
 }
 
-/// The announcements that one delegate holds.
-pub struct Exchange {
-    own: SocketAddr,
-    region: String,
-    forget: Nanos,
-    held: BTreeMap<(String, SocketAddr), Held>,
-    /// What was forgotten of authors lately. Others may still tell it: without this it would go round for good.
-    forgotten: BTreeMap<(String, SocketAddr), Forgotten>,
-    beat: Nanos,
-    dropped: DroppedAnnouncements,
+/// What became of a delta.
+#[derive(Debug, Default)]
+pub struct MergedDelta {
+    /// Announcements that the replying delegate requested.
+    pub requested: Vec<AgedAnnouncement>,
+    /// Announcements that are new here.
+    pub new: Vec<AgedAnnouncement>,
 }
 
-impl Exchange {
-    /// Nothing yet, at a member of this region. What was silent for `forget` is forgotten.
-    pub fn new(own: SocketAddr, region: &str, forget: Nanos) -> Self {
-        Exchange {
-            own,
-            region: region.into(),
-            forget,
-            held: BTreeMap::new(),
-            forgotten: BTreeMap::new(),
-            beat: 0,
-            dropped: DroppedAnnouncements::default(),
-        }
-    }
-
-    /// What was dropped.
-    pub fn dropped(&self) -> DroppedAnnouncements {
-        self.dropped
-    }
-
-    /// Entries held.
-    pub fn len(&self) -> usize {
-        self.held.len()
-    }
-
-    /// Whether nothing is held.
-    pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
-    }
-
-    fn own_key(&self) -> (String, SocketAddr) {
-        (self.region.clone(), self.own)
-    }
-
-    /// What this member last announced itself.
-    pub fn own_summary(&self) -> Option<&RegionSummary> {
-        self.held
-            .get(&self.own_key())
-            .map(|held| held.announcement.summary())
-    }
-
-    /// Announces the own region, by a version above any that is known of this author.
-    pub fn publish(
-        &mut self,
-        now: Nanos,
-        unix_ms: u64,
-        summary: RegionSummary,
-    ) -> AgedAnnouncement {
-        let former = self
-            .held
-            .get(&self.own_key())
-            .map_or(0, |held| held.announcement.version);
-        let announcement = Announcement {
+impl AnnouncementStore {
+    /// The digest of what is stored. `first` picks the first version where not all fit.
+    #[must_use]
+    pub fn digest(&self, now: Nanos, sender: DigestSender, first: usize) -> RegionDigest {
+        let all: Vec<&StoredAnnouncement> = self.stored.values().collect();
+        let order = (0..all.len().min(DIGEST_VERSIONS_MAX)).map(|n| (n + first) % all.len());
+        RegionDigest {
             region: self.region.clone(),
-            author: self.own,
-            version: unix_ms.max(former + 1),
-            payload: AnnouncementPayload::Summary(summary),
-        };
-        let held = Held {
-            announcement,
-            beats: 0,
-            heard: now,
-            replaced_at: None,
-        };
-        let told = held.told(now);
-        self.held.insert(self.own_key(), held);
-        told
-    }
-
-    /// Gives up announcing: another leads.
-    pub fn retire(&mut self) {
-        self.held.remove(&self.own_key());
-    }
-
-    /// Shows that this author lives, and forgets those that do not.
-    pub fn turn(&mut self, now: Nanos) {
-        let key = self.own_key();
-        if let Some(own) = self.held.get_mut(&key) {
-            own.heard = now;
-            if now >= self.beat {
-                self.beat = now + BEAT;
-                own.beats += 1;
-            }
-        }
-        let living: BTreeSet<String> = self
-            .held
-            .iter()
-            .filter(|(_, held)| !held.is_silent(now))
-            .map(|(key, _)| key.0.clone())
-            .collect();
-        let forget = self.forget;
-        let is_over = |(region, _): &(String, SocketAddr), held: &Held| {
-            let replaced = held.is_silent(now) && living.contains(region);
-            replaced || now.saturating_sub(held.heard) >= forget
-        };
-        let over: Vec<(String, SocketAddr)> = self
-            .held
-            .iter()
-            .filter(|(place, held)| is_over(place, held))
-            .map(|(place, _)| place.clone())
-            .collect();
-        over.into_iter()
-            .for_each(|place| self.forget_author(now, place));
-        self.forgotten
-            .retain(|_, forgotten| now.saturating_sub(forgotten.at) < forget);
-    }
-
-    fn forget_author(&mut self, now: Nanos, place: (String, SocketAddr)) {
-        let Some(held) = self.held.remove(&place) else {
-            return;
-        };
-        if self.forgotten.len() >= FORGOTTEN_MAX {
-            let oldest = self
-                .forgotten
-                .iter()
-                .min_by_key(|(_, forgotten)| forgotten.at);
-            oldest
-                .map(|(place, _)| place.clone())
-                .and_then(|place| self.forgotten.remove(&place));
-        }
-        let forgotten = Forgotten {
-            version: held.announcement.version,
-            beats: held.beats,
-            at: now,
-        };
-        self.forgotten.insert(place, forgotten);
-    }
-
-    /// The regions other than the own one.
-    pub fn regions(&self, now: Nanos) -> BTreeMap<&str, Known> {
-        let mut regions: BTreeMap<&str, Vec<&Held>> = BTreeMap::new();
-        for ((region, _), held) in self
-            .held
-            .iter()
-            .filter(|((region, _), _)| *region != self.region)
-        {
-            regions.entry(region).or_default().push(held);
-        }
-        regions
-            .into_iter()
-            .filter_map(|(region, held)| Some((region, known(&held, now)?)))
-            .collect()
-    }
-
-    /// The delegates of all authors, by region, the own region's included.
-    pub fn delegates(&self) -> BTreeMap<&str, BTreeSet<SocketAddr>> {
-        let mut delegates: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
-        for ((region, author), held) in &self.held {
-            let of_region = delegates.entry(region).or_default();
-            of_region.insert(*author);
-            of_region.extend(&held.announcement.summary().delegates);
-        }
-        delegates
-    }
-
-    /// Asks another what it holds. `from` picks the first row where not all fit.
-    pub fn question(&self, now: Nanos, delegate: bool, from: usize) -> Question {
-        let count = self.held.len();
-        let rows = (0..count.min(ROWS_MAX)).map(|n| (n + from) % count);
-        let all: Vec<&Held> = self.held.values().collect();
-        Question {
-            region: self.region.clone(),
-            delegate,
-            whole: count <= ROWS_MAX,
-            rows: rows.map(|n| all[n].row(now)).collect(),
+            from_delegate: sender == DigestSender::Delegate,
+            complete: all.len() <= DIGEST_VERSIONS_MAX,
+            versions: order.map(|n| all[n].version(now)).collect(),
         }
     }
 
-    fn by_key(&self) -> BTreeMap<u32, (String, SocketAddr)> {
-        let key = |held: &Held| AnnouncementKey::of(&held.announcement).0;
-        self.held
+    fn ids_by_key(&self) -> BTreeMap<u32, AnnouncementId> {
+        let key = |stored: &StoredAnnouncement| AnnouncementKey::of(&stored.announcement).0;
+        self.stored
             .iter()
-            .map(|(place, held)| (key(held), place.clone()))
+            .map(|(id, stored)| (key(stored), id.clone()))
             .collect()
     }
 
-    /// Answers a question, as far as a datagram bears it.
-    pub fn answer(&mut self, now: Nanos, question: &Question) -> Answer {
-        let mut answer = Answer {
+    /// Answers a digest, as far as a datagram holds it.
+    pub fn delta(&mut self, now: Nanos, digest: &RegionDigest) -> RegionDelta {
+        let mut delta = RegionDelta {
             region: self.region.clone(),
-            rows: Vec::new(),
-            told: Vec::new(),
-            wanted: Vec::new(),
+            versions: Vec::new(),
+            announcements: Vec::new(),
+            requested: Vec::new(),
         };
-        if fault_injection::is_injected(InjectedFault::SkipsRegionAntiEntropy) {
-            return answer;
-        }
-        let mut room = PAYLOAD_MAX - LENGTHS_MAX;
-        let places = self.by_key();
-        let mut named = BTreeSet::new();
-        for row in question.rows.iter().take(ROWS_MAX) {
-            named.insert(row.key);
-            let Some(held) = places
-                .get(&row.key)
-                .and_then(|place| self.held.get_mut(place))
-            else {
-                if question.delegate {
-                    add(&mut answer.wanted, row.key, &mut room);
+        if is_injected(InjectedFault::SkipsRegionAntiEntropy) {
+            return delta;
+        }
+        let mut room = PayloadRoom::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
+        let ids = self.ids_by_key();
+        let mut listed = BTreeSet::new();
+        for theirs in digest.versions.iter().take(DIGEST_VERSIONS_MAX) {
+            listed.insert(theirs.key);
+            let stored = ids.get(&theirs.key).and_then(|id| self.stored.get_mut(id));
+            let Some(stored) = stored else {
+                if digest.from_delegate {
+                    room.push(&mut delta.requested, theirs.key);
                 }
                 continue;
             };
-            let version = held.announcement.version;
-            if row.version > version && question.delegate {
-                add(&mut answer.wanted, row.key, &mut room);
-            } else if row.version == version && row.beats >= held.beats {
-                hear(held, now, row.beats, row.age_s);
-            } else if row.version == version {
-                add(&mut answer.rows, held.row(now), &mut room);
-            } else if row.version < version {
-                add(&mut answer.told, held.told(now), &mut room);
-            }
-        }
-        if question.whole {
-            let unnamed = places.iter().filter(|(key, _)| !named.contains(key));
-            for held in unnamed.filter_map(|(_, place)| self.held.get(place)) {
-                add(&mut answer.told, held.told(now), &mut room);
+            let version = stored.announcement.version;
+            if theirs.version > version && digest.from_delegate {
+                room.push(&mut delta.requested, theirs.key);
+            } else if theirs.version == version && theirs.heartbeats >= stored.heartbeats {
+                stored.record_heartbeats(now, theirs.heartbeats, theirs.age_seconds);
+            } else if theirs.version == version {
+                room.push(&mut delta.versions, stored.version(now));
+            } else if theirs.version < version {
+                room.push(&mut delta.announcements, stored.aged(now));
             }
         }
-        answer
-    }
-
-    /// Takes an answer over; returns what the other wants to be told, and the announcements that are new here.
-    pub fn take_answer(
-        &mut self,
-        now: Nanos,
-        unix_ms: u64,
-        answer: &Answer,
-    ) -> (Vec<AgedAnnouncement>, Vec<AgedAnnouncement>) {
-        let places = self.by_key();
-        for row in &answer.rows {
-            if let Some(held) = places
-                .get(&row.key)
-                .and_then(|place| self.held.get_mut(place))
-                && row.version == held.announcement.version
-            {
-                hear(held, now, row.beats, row.age_s);
+        if digest.complete {
+            let unlisted = ids.iter().filter(|(key, _)| !listed.contains(key));
+            for stored in unlisted.filter_map(|(_, id)| self.stored.get(id)) {
+                room.push(&mut delta.announcements, stored.aged(now));
             }
         }
-        let new = self.take(now, unix_ms, &answer.told);
-        let wanted = answer.wanted.iter().filter_map(|key| places.get(key));
-        let mut room = PAYLOAD_MAX - LENGTHS_MAX;
-        let mut told = Vec::new();
-        for held in wanted.filter_map(|place| self.held.get(place)) {
-            add(&mut told, held.told(now), &mut room);
-        }
-        (told, new)
-    }
-
-    /// Takes announcements over; returns those that are new here.
-    pub fn take(
-        &mut self,
-        now: Nanos,
-        unix_ms: u64,
-        told: &[AgedAnnouncement],
-    ) -> Vec<AgedAnnouncement> {
-        let is_new = |told: &&AgedAnnouncement| self.take_one(now, unix_ms, told);
-        told.iter().filter(is_new).cloned().collect()
+        delta
     }
 
-    fn take_one(&mut self, now: Nanos, unix_ms: u64, told: &AgedAnnouncement) -> bool {
-        let announcement = &told.announcement;
-        if !announcement.is_sound(unix_ms)
-            && !fault_injection::is_injected(InjectedFault::AcceptsUnsoundAnnouncements)
-        {
-            self.dropped.unsound += 1;
-            return false;
-        }
-        let place = (announcement.region.clone(), announcement.author);
-        let heard = now.saturating_sub(Nanos::from(told.age_s) * SECOND);
-        // Of oneself one knows best; but an earlier life may have told a later time, which the next version goes beyond.
-        if place == self.own_key() {
-            if let Some(own) = self
-                .held
-                .get_mut(&place)
-                .filter(|own| own.announcement.version < announcement.version)
+    /// Merges a delta.
+    pub fn merge_delta(&mut self, now: Nanos, unix_ms: u64, delta: &RegionDelta) -> MergedDelta {
+        let ids = self.ids_by_key();
+        for theirs in &delta.versions {
+            if let Some(stored) = ids.get(&theirs.key).and_then(|id| self.stored.get_mut(id))
+                && theirs.version == stored.announcement.version
             {
-                own.announcement.version = announcement.version + 1;
-            }
-            return false;
-        }
-        if let Some(held) = self.held.get_mut(&place) {
-            let older = announcement.version < held.announcement.version;
-            if older && !fault_injection::is_injected(InjectedFault::AcceptsOlderAnnouncements) {
-                self.dropped.outdated += 1;
-                return false;
+                stored.record_heartbeats(now, theirs.heartbeats, theirs.age_seconds);
             }
-            if announcement.version == held.announcement.version {
-                hear(held, now, told.beats, told.age_s);
-                return false;
-            }
-        } else if self.is_forgotten(&place, told) || !self.has_room(&place, told, now) {
-            return false;
-        }
-        self.forgotten.remove(&place);
-        let replaces = |announcement: &Announcement| announcement.summary().replaces;
-        let before = self
-            .held
-            .get(&place)
-            .and_then(|held| replaces(&held.announcement));
-        let former = replaces(announcement).filter(|former| *former != announcement.author);
-        let replaced_at = self.held.get(&place).and_then(|held| held.replaced_at);
-        let held = Held {
-            announcement: announcement.clone(),
-            beats: told.beats,
-            heard,
-            replaced_at,
-        };
-        self.held.insert(place, held);
-        // Said once it is known: where a region is split each part says so of the other's leader.
-        if let Some(former) = former.filter(|former| Some(*former) != before)
-            && let Some(held) = self.held.get_mut(&(announcement.region.clone(), former))
-        {
-            held.replaced_at = Some(held.beats);
-        }
-        true
-    }
-
-    /// Whether this is no later word of an author than the last one before it was forgotten.
-    fn is_forgotten(&self, place: &(String, SocketAddr), told: &AgedAnnouncement) -> bool {
-        let last = self
-            .forgotten
-            .get(place)
-            .map(|forgotten| (forgotten.version, forgotten.beats));
-        last.is_some_and(|last| (told.announcement.version, told.beats) <= last)
-    }
-
-    /// Whether one more author is taken in, for which one that says less may have to go. One that is silent is none that
-    /// others have replaced.
-    fn has_room(
-        &mut self,
-        place: &(String, SocketAddr),
-        told: &AgedAnnouncement,
-        now: Nanos,
-    ) -> bool {
-        let heard = now.saturating_sub(Nanos::from(told.age_s) * SECOND);
-        let silent = now.saturating_sub(heard) >= SILENT_AFTER;
-        let authors = self
-            .held
-            .iter()
-            .filter(|((region, _), _)| *region == place.0);
-        let authors: Vec<(&(String, SocketAddr), &Held)> = authors.collect();
-        let replaced = silent && authors.iter().any(|(_, held)| !held.is_silent(now));
-        if replaced || now.saturating_sub(heard) >= self.forget {
-            return false;
         }
-        if authors.is_empty() {
-            let regions: BTreeSet<&String> = self.held.keys().map(|(region, _)| region).collect();
-            let full = regions.len() >= REGIONS_MAX;
-            self.dropped.over_capacity += u64::from(full);
-            return !full;
+        let new = self.merge(now, unix_ms, &delta.announcements);
+        let mut room = PayloadRoom::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
+        let mut requested = Vec::new();
+        let requested_ids = delta.requested.iter().filter_map(|key| ids.get(key));
+        for stored in requested_ids.filter_map(|id| self.stored.get(id)) {
+            room.push(&mut requested, stored.aged(now));
         }
-        if authors.len() < AUTHORS_MAX {
-            return true;
-        }
-        let says = |held: &Held| (!held.is_silent(now), held.announcement.summary().alive);
-        let least = authors.iter().min_by_key(|(_, held)| says(held));
-        let least =
-            least.filter(|(_, held)| says(held) < (!silent, told.announcement.summary().alive));
-        let Some(least) = least.map(|(place, _)| (*place).clone()) else {
-            self.dropped.over_capacity += 1;
-            return false;
-        };
-        self.forget_author(now, least);
-        true
-    }
-}
-
-/// What the authors of one region say, taken together: the word of the one with the most living members. In a region that
-/// is split it is the same one each time, whoever spoke last.
-fn known(authors: &[&Held], now: Nanos) -> Option<Known> {
-    let mut living: Vec<&Held> = authors
-        .iter()
-        .copied()
-        .filter(|held| !held.is_silent(now))
-        .collect();
-    if living.iter().any(|held| !held.is_replaced()) {
-        living.retain(|held| !held.is_replaced());
-    }
-    let considered = if living.is_empty() { authors } else { &living };
-    let rank = |held: &&&Held| (held.announcement.summary().alive, held.announcement.version);
-    let first = if living.is_empty() {
-        considered.iter().max_by_key(|held| held.heard)?
-    } else {
-        considered.iter().max_by_key(rank)?
-    };
-    let places = considered
-        .iter()
-        .map(|held| held.announcement.summary().places)
-        .max()?;
-    Some(Known {
-        summary: first.announcement.summary().clone(),
-        version: first.announcement.version,
-        places,
-        authors: living.len(),
-        silent_since: living.is_empty().then_some(first.heard),
-    })
-}
-
-/// Takes a sign of life over, if it is a later one.
-fn hear(held: &mut Held, now: Nanos, beats: u32, age_s: u32) {
-    let heard = now.saturating_sub(Nanos::from(age_s) * SECOND);
-    if beats > held.beats {
-        held.beats = beats;
-        held.heard = held.heard.max(heard);
+        MergedDelta { requested, new }
     }
 }
-
-/// What the names and the lengths of the lists of a message take at most.
-const LENGTHS_MAX: usize = 40;
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -1,25 +1,27 @@
-//! What the members of a region know of the other regions: written by the region's leader, spread as a rumour, compared.
+//! The overview: what the members of a region know of the other regions. The region's leader writes it, broadcasts
+//! spread it, and anti-entropy finds what they miss.
 //!
-//! The overview stands in [`PARTS`] parts by the region's name, each with a version of its own, so that a change of one
-//! region moves a few rows and not all.
+//! It is divided into [`PARTS`] by the regions' names, each with a version of its own, so that a change of one region
+//! sends few rows.
 
-use super::exchange::Known;
-use super::{CLOCK_SKEW_MAX_MS, REGIONS_MAX, add};
+use super::announcement_store::RegionKnowledge;
+use super::{CLOCK_SKEW_MAX_MS, REGIONS_MAX, elapsed_seconds, seconds_ago};
+use crate::Nanos;
 use crate::envelope::PAYLOAD_MAX;
-use crate::fault_injection::{self, InjectedFault};
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::location::LOCATION_NAME_MAX;
-use crate::{MS, Nanos};
+use crate::payload::{PayloadError, PayloadRoom};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Into so many parts the overview is divided.
+/// The parts of the overview.
 pub const PARTS: usize = 32;
-/// A part that is new is passed on so often by each member that hears of it; who is missed finds out by comparing.
-const RUMOURS: u32 = 6;
-/// The room that the lengths and the head of a message take.
-const HEAD_MAX: usize = 60;
-const SECOND: Nanos = 1_000 * MS;
+const DIGEST_LENGTH: usize = 4 * PARTS;
+/// How often each member transmits a new part.
+const TRANSMISSIONS: u32 = 6;
+/// Bytes for the list lengths and the head of a message.
+const MESSAGE_HEADER_MAX: usize = 60;
 
 /// What is known of one region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,269 +30,282 @@
     pub region: String,
     /// The version of its summary.
     pub version: u64,
-    /// Members that are there.
+    /// Live members.
     pub alive: u32,
-    /// Members that count.
+    /// The share count within the region.
     pub places: u32,
     /// The checksum of the configuration that most members have.
     pub config_checksum: u64,
-    /// How many members have another one.
+    /// How many members have another configuration.
     pub config_minority: u32,
-    /// Requests that it takes a second, in tenths.
+    /// Requests that it accepts a second, in tenths.
     pub request_rate_tenths: u32,
-    /// Who speaks for it.
+    /// Its delegates.
     pub delegates: Vec<SocketAddr>,
-    /// How many speak for it in contradiction; 1 unless it is split, 0 while it is silent.
+    /// How many authors contradict each other; 1 unless it is partitioned, 0 while it is silent.
     pub authors: u8,
     /// For how many seconds it has been silent.
     pub silent_seconds: Option<u32>,
 }
 
 impl RegionStatus {
-    /// The row of a region that a delegate knows.
-    pub fn of(region: &str, known: &Known, now: Nanos) -> Self {
-        let summary = &known.summary;
+    /// The status of a region as a delegate knows it.
+    #[must_use]
+    pub fn of(region: &str, knowledge: &RegionKnowledge, now: Nanos) -> Self {
+        let summary = &knowledge.summary;
         RegionStatus {
             region: region.into(),
-            version: known.version,
+            version: knowledge.version,
             alive: summary.alive,
-            places: known.places,
+            places: knowledge.places,
             config_checksum: summary.config_checksum,
             config_minority: summary.config_minority,
             request_rate_tenths: summary.request_rate_tenths,
             delegates: summary.delegates.clone(),
-            authors: u8::try_from(known.authors).unwrap_or(u8::MAX),
-            silent_seconds: known.silent_since.map(|since| seconds(now, since)),
+            authors: u8::try_from(knowledge.authors).unwrap_or(u8::MAX),
+            silent_seconds: knowledge
+                .silent_since
+                .map(|since| elapsed_seconds(now, since)),
         }
     }
 
-    /// Whether another says the same; how long a silence has lasted each member counts for itself.
-    fn says_the_same(&self, other: &RegionStatus) -> bool {
-        self.silent_seconds.is_some() == other.silent_seconds.is_some()
-            && self.without_silence() == other.without_silence()
-    }
-
-    fn without_silence(&self) -> RegionStatus {
-        RegionStatus {
-            silent_seconds: None,
-            ..self.clone()
-        }
+    /// Whether another status is equal but for the length of a silence, which each member counts itself.
+    fn is_equivalent(&self, other: &RegionStatus) -> bool {
+        let without_length = |status: &RegionStatus| RegionStatus {
+            silent_seconds: status.silent_seconds.map(|_| 0),
+            ..status.clone()
+        };
+        without_length(self) == without_length(other)
     }
 }
 
-fn seconds(now: Nanos, since: Nanos) -> u32 {
-    u32::try_from(now.saturating_sub(since) / SECOND).unwrap_or(u32::MAX)
-}
-
-/// One part, as it travels.
+/// One part of the overview, as it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
-    /// Which one.
+pub struct OverviewPart {
     number: u8,
-    /// Who wrote it; none if nobody has.
+    /// The member that wrote it; none if nobody has.
     pub author: Option<SocketAddr>,
-    /// Unix time in milliseconds at the author, and more than any version before.
+    /// Unix time in milliseconds at the author, and greater than any version before.
     version: u64,
     rows: Vec<RegionStatus>,
 }
 
+impl OverviewPart {
+    fn rank(&self) -> (u64, Option<SocketAddr>) {
+        (self.version, self.author)
+    }
+
+    fn is_sound(&self, unix_ms: u64) -> bool {
+        let is_sound_row = |row: &RegionStatus| {
+            (1..=LOCATION_NAME_MAX).contains(&row.region.len())
+                && part_of(&row.region) == usize::from(self.number)
+        };
+        self.version <= unix_ms + CLOCK_SKEW_MAX_MS
+            && self.author.is_some()
+            && self.rows.len() <= REGIONS_MAX
+            && self.rows.iter().all(is_sound_row)
+    }
+}
+
 #[derive(Clone, Debug, Default)]
-struct Held {
-    part: Part,
-    /// The rows' silence counts from here.
-    taken: Nanos,
-    rumours: u32,
+struct StoredPart {
+    part: OverviewPart,
+    /// The silences of the rows are counted from here.
+    stored_at: Nanos,
+    transmissions_left: u32,
 }
 
-impl Held {
-    fn sum(&self) -> u32 {
+impl StoredPart {
+    fn checksum(&self) -> u32 {
         if self.part.version == 0 {
             return 0;
         }
         xxh3_64(format!("{:?} {}", self.part.author, self.part.version).as_bytes()) as u32
     }
 
-    /// The part as it is told now: silences have gone on since it was taken.
-    fn told(&self, now: Nanos) -> Part {
+    /// The part as it is sent now: silences have lasted longer since it was stored.
+    fn aged(&self, now: Nanos) -> OverviewPart {
         let mut part = self.part.clone();
-        for silent_s in part
-            .rows
-            .iter_mut()
-            .filter_map(|row| row.silent_seconds.as_mut())
-        {
-            *silent_s = silent_s.saturating_add(seconds(now, self.taken));
+        for row in &mut part.rows {
+            if let Some(seconds) = &mut row.silent_seconds {
+                *seconds = seconds.saturating_add(elapsed_seconds(now, self.stored_at));
+            }
         }
         part
     }
 }
 
-/// What became of a part that another told.
+/// What became of a received part.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum PartMerge {
     /// It is new here.
     New,
-    /// It is the one that is held.
+    /// It is the stored one.
     Same,
-    /// It is older than the one that is held, which is told back.
-    Older(Part),
-    /// It makes no sense.
-    Refused,
+    /// It is older than the stored one, which is to be sent back.
+    Outdated(OverviewPart),
+    /// It is beyond a bound.
+    Unsound,
 }
 
-/// The overview that one member holds.
+/// The overview that one member stores.
 #[derive(Debug)]
-pub struct Overview {
-    held: Vec<Held>,
+pub struct RegionOverview {
+    parts: Vec<StoredPart>,
 }
 
-impl Default for Overview {
+impl Default for RegionOverview {
     fn default() -> Self {
-        let part = |number| Part {
-            number: number as u8,
-            ..Part::default()
-        };
-        let held = |number| Held {
-            part: part(number),
-            ..Held::default()
+        let empty = |number| StoredPart {
+            part: OverviewPart {
+                number: number as u8,
+                ..OverviewPart::default()
+            },
+            ..StoredPart::default()
         };
-        Overview {
-            held: (0..PARTS).map(held).collect(),
+        RegionOverview {
+            parts: (0..PARTS).map(empty).collect(),
         }
     }
 }
 
-/// The part that a region stands in.
+/// The part in which a region's row is.
 fn part_of(region: &str) -> usize {
     xxh3_64(region.as_bytes()) as usize % PARTS
 }
 
-impl Overview {
+impl RegionOverview {
     /// All rows, and since when a silent region has been silent.
     pub fn rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
-        self.held.iter().flat_map(|held| {
-            let since = |silent_s: u32| held.taken.saturating_sub(Nanos::from(silent_s) * SECOND);
-            held.part
-                .rows
-                .iter()
-                .map(move |row| (row, row.silent_seconds.map(since)))
+        self.parts.iter().flat_map(|stored| {
+            let since = |seconds: u32| seconds_ago(stored.stored_at, seconds);
+            let rows = stored.part.rows.iter();
+            rows.map(move |row| (row, row.silent_seconds.map(since)))
         })
     }
 
-    /// Writes what is known now, as the leader; parts that say the same as before stay as they are.
+    /// Writes what the leader knows now; parts that are equivalent to the stored ones are kept.
     pub fn write(&mut self, now: Nanos, unix_ms: u64, author: SocketAddr, rows: Vec<RegionStatus>) {
         let mut parts: Vec<Vec<RegionStatus>> = vec![Vec::new(); PARTS];
-        let mut room = [PAYLOAD_MAX - HEAD_MAX; PARTS];
+        let mut rooms: Vec<PayloadRoom> = (0..PARTS).map(|_| message_room()).collect();
         for row in rows.into_iter().take(REGIONS_MAX) {
             let number = part_of(&row.region);
-            add(&mut parts[number], row, &mut room[number]);
+            rooms[number].push(&mut parts[number], row);
         }
-        for (held, rows) in self.held.iter_mut().zip(parts) {
-            let same = held.part.rows.len() == rows.len()
-                && held
-                    .part
+        for (stored, rows) in self.parts.iter_mut().zip(parts) {
+            let former = &stored.part;
+            let is_equivalent = former.rows.len() == rows.len()
+                && former
                     .rows
                     .iter()
                     .zip(&rows)
-                    .all(|(former, row)| former.says_the_same(row));
-            if same {
+                    .all(|(former, row)| former.is_equivalent(row));
+            if is_equivalent {
                 continue;
             }
-            let version = unix_ms.max(held.part.version + 1);
-            let part = Part {
-                number: held.part.number,
+            let part = OverviewPart {
+                number: former.number,
                 author: Some(author),
-                version,
+                version: unix_ms.max(former.version + 1),
                 rows,
             };
-            *held = Held {
+            *stored = StoredPart {
                 part,
-                taken: now,
-                rumours: RUMOURS,
+                stored_at: now,
+                transmissions_left: TRANSMISSIONS,
             };
         }
     }
 
-    /// Takes a part that another told.
-    pub fn take(&mut self, now: Nanos, unix_ms: u64, part: Part) -> Taken {
-        let bounded = |row: &RegionStatus| (1..=LOCATION_NAME_MAX).contains(&row.region.len());
-        let sound = part.version <= unix_ms + CLOCK_SKEW_MAX_MS
-            && part.author.is_some()
-            && part.rows.len() <= REGIONS_MAX
-            && part
-                .rows
-                .iter()
-                .all(|row| bounded(row) && part_of(&row.region) == usize::from(part.number));
-        let Some(held) = self
-            .held
+    /// Merges a received part.
+    pub fn merge(&mut self, now: Nanos, unix_ms: u64, part: OverviewPart) -> PartMerge {
+        let is_sound = part.is_sound(unix_ms);
+        let Some(stored) = self
+            .parts
             .get_mut(usize::from(part.number))
-            .filter(|_| sound)
+            .filter(|_| is_sound)
         else {
-            return Taken::Refused;
+            return PartMerge::Unsound;
         };
-        let rank = |part: &Part| (part.version, part.author);
-        if rank(&part) == rank(&held.part) {
-            return Taken::Same;
+        if part.rank() == stored.part.rank() {
+            return PartMerge::Same;
         }
-        if rank(&part) < rank(&held.part) {
-            return Taken::Older(held.told(now));
+        if part.rank() < stored.part.rank() {
+            return PartMerge::Outdated(stored.aged(now));
         }
-        let rumours = if fault_injection::is_injected(InjectedFault::WithholdsOverview) {
-            0
-        } else {
-            RUMOURS
-        };
-        *held = Held {
+        let withheld = is_injected(InjectedFault::WithholdsOverview);
+        *stored = StoredPart {
             part,
-            taken: now,
-            rumours,
+            stored_at: now,
+            transmissions_left: if withheld { 0 } else { TRANSMISSIONS },
         };
-        Taken::New
+        PartMerge::New
     }
 
-    /// Whether something is to be passed on.
-    pub fn has_news(&self) -> bool {
-        self.held.iter().any(|held| held.rumours > 0)
+    /// Whether a part is still to be broadcast.
+    #[must_use]
+    pub fn has_broadcasts(&self) -> bool {
+        self.parts
+            .iter()
+            .any(|stored| stored.transmissions_left > 0)
     }
 
-    /// The parts that are to be passed on, as many as a datagram bears.
-    pub fn news(&mut self, now: Nanos) -> Vec<Part> {
-        let mut room = PAYLOAD_MAX - HEAD_MAX;
-        let mut news = Vec::new();
-        let mut order: Vec<usize> = (0..PARTS).filter(|n| self.held[*n].rumours > 0).collect();
-        order.sort_by_key(|n| std::cmp::Reverse(self.held[*n].rumours));
+    /// The parts to broadcast, as many as fit into a datagram; counts the transmissions.
+    pub fn next_broadcast(&mut self, now: Nanos) -> Vec<OverviewPart> {
+        let mut room = message_room();
+        let mut broadcast = Vec::new();
+        let mut order: Vec<usize> = (0..PARTS)
+            .filter(|number| self.parts[*number].transmissions_left > 0)
+            .collect();
+        order.sort_by_key(|number| std::cmp::Reverse(self.parts[*number].transmissions_left));
         for number in order {
-            let part = self.held[number].told(now);
-            if add(&mut news, part, &mut room) {
-                self.held[number].rumours -= 1;
+            let part = self.parts[number].aged(now);
+            if room.push(&mut broadcast, part) {
+                self.parts[number].transmissions_left -= 1;
             }
         }
-        news
+        broadcast
     }
 
-    /// What is held, summed up: four bytes a part.
-    pub fn sums(&self) -> Vec<u8> {
-        self.held
+    /// The digest: four bytes for each part.
+    #[must_use]
+    pub fn digest(&self) -> Vec<u8> {
+        self.parts
             .iter()
-            .flat_map(|held| held.sum().to_le_bytes())
+            .flat_map(|stored| stored.checksum().to_le_bytes())
             .collect()
     }
 
-    /// The parts in which another holds something else, as many as a datagram bears, from this one on; `None` if the sums
-    /// can't be read.
-    pub fn differing(&self, now: Nanos, sums: &[u8], from: usize) -> Option<Vec<Part>> {
-        if sums.len() != 4 * PARTS {
-            return None;
+    /// The parts that differ from a received digest, as many as fit into a datagram, from `first` on.
+    ///
+    /// # Errors
+    ///
+    /// If the digest has another length than this version's.
+    pub fn differing(
+        &self,
+        now: Nanos,
+        digest: &[u8],
+        first: usize,
+    ) -> Result<Vec<OverviewPart>, PayloadError> {
+        if digest.len() != DIGEST_LENGTH {
+            return Err(PayloadError::DigestLength {
+                expected: DIGEST_LENGTH,
+                actual: digest.len(),
+            });
         }
-        let mut room = PAYLOAD_MAX - HEAD_MAX;
+        let mut room = message_room();
         let mut parts = Vec::new();
-        for number in (0..PARTS).map(|n| (n + from) % PARTS) {
-            let held = &self.held[number];
-            let same = held.sum().to_le_bytes() == sums[4 * number..4 * number + 4];
-            if same || held.part.author.is_none() {
-                continue;
+        for number in (0..PARTS).map(|n| (n + first) % PARTS) {
+            let stored = &self.parts[number];
+            let theirs = &digest[4 * number..4 * number + 4];
+            if stored.checksum().to_le_bytes() != theirs && stored.part.author.is_some() {
+                room.push(&mut parts, stored.aged(now));
             }
-            add(&mut parts, held.told(now), &mut room);
         }
-        Some(parts)
+        Ok(parts)
     }
 }
+
+fn message_room() -> PayloadRoom {
+    PayloadRoom::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX)
+}
--- a/crates/membership/src/regions/share_count.rs
+++ b/crates/membership/src/regions/share_count.rs
@@ -1,135 +1,155 @@
-//! By how many balancers shares are divided in a fleet of regions: the rule of [`crate::share_count`], with regions for places.
+//! The share count of a fleet with regions: the rules of [`crate::share_count`], with regions for members.
 //!
-//! 1. A region that is heard counts with the places that it tells of.
-//! 2. One that is silent keeps its places for `hold`.
-//! 3. After that they count no more only where the living of all regions that are heard are more than half of all
-//!    places that were told of within `forget`. Of any split only one side can be that; the others go on dividing by
-//!    what they last divided by.
-//! 4. A region that was silent for `forget` is forgotten.
+//! 1. A reachable region counts with the places of its summary.
+//! 2. A silent region keeps its places for `share_retention`.
+//! 3. After that its places are dropped only where the live members of all reachable regions are more than half of all
+//!    places published within `tombstone_retention`. At most one side of a partition has this majority; the others keep
+//!    dividing by their last count.
+//! 4. A region that was silent for `tombstone_retention` is forgotten.
 //!
-//! Within its region a member counts by the rule for members. Whoever is not on the side that holds more than half of all
-//! places divides by half of them at least, whether regions were cut apart or one was cut in two. The sum of all shares
-//! is then under 2 through splits shorter than `forget`: 1 on the side with the majority, under 1 on all others.
+//! Within its region a member counts by the rules for members. A side without the majority divides by half of all
+//! places at least, whether regions were cut from each other or one was cut in two. The sum of all shares is then under
+//! 2 through partitions shorter than `tombstone_retention`: 1 on the side with the majority, and under 1 on all others.
 
 use crate::Nanos;
-use crate::fault_injection::{self, InjectedFault};
+use crate::fault_injection::{InjectedFault, is_injected};
 use std::collections::BTreeMap;
 
-/// What a region last told of itself.
+/// The sizes of a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Figures {
-    /// Members that are there.
-    pub living: usize,
-    /// Members that count.
+pub struct RegionSize {
+    /// Live members.
+    pub alive: usize,
+    /// Places that count.
     pub places: usize,
 }
 
-/// The most places within `forget`, and when they were told.
+/// The most places within `tombstone_retention`, and when they were published.
 #[derive(Clone, Copy, Debug, Default)]
-struct Peak {
+struct PeakPlaces {
     places: usize,
     at: Nanos,
 }
 
-impl Peak {
-    fn note(&mut self, now: Nanos, places: usize, forget: Nanos) {
-        if places >= self.places || now.saturating_sub(self.at) >= forget {
-            *self = Peak { places, at: now };
+impl PeakPlaces {
+    fn update(&mut self, now: Nanos, places: usize, tombstone_retention: Nanos) {
+        if places >= self.places || now.saturating_sub(self.at) >= tombstone_retention {
+            *self = PeakPlaces { places, at: now };
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Region {
-    figures: Figures,
-    peak: Peak,
+struct CountedRegion {
+    size: RegionSize,
+    peak: PeakPlaces,
     silent_since: Option<Nanos>,
 }
 
-/// One member's count of the whole fleet.
+/// One member's count of the balancers in all regions.
 #[derive(Clone, Debug)]
-pub struct RegionCount {
-    others: BTreeMap<String, Region>,
-    own_peak: Peak,
-    hold: Nanos,
-    forget: Nanos,
-    /// What was last divided by.
-    last: usize,
+pub struct RegionShareCounter {
+    others: BTreeMap<String, CountedRegion>,
+    own_peak: PeakPlaces,
+    share_retention: Nanos,
+    tombstone_retention: Nanos,
+    last_count: usize,
 }
 
-impl RegionCount {
-    /// The own region alone.
-    pub fn new(hold: Nanos, forget: Nanos) -> Self {
-        RegionCount {
+impl RegionShareCounter {
+    /// A counter that knows the own region alone.
+    #[must_use]
+    pub fn new(share_retention: Nanos, tombstone_retention: Nanos) -> Self {
+        RegionShareCounter {
             others: BTreeMap::new(),
-            own_peak: Peak::default(),
-            hold,
-            forget,
-            last: 1,
+            own_peak: PeakPlaces::default(),
+            share_retention,
+            tombstone_retention,
+            last_count: 1,
         }
     }
 
-    /// Another region is there, or silent since a time.
-    pub fn set(&mut self, now: Nanos, region: &str, figures: Figures, silent_since: Option<Nanos>) {
-        let forget = self.forget;
-        if silent_since.is_some_and(|since| now.saturating_sub(since) >= forget) {
+    /// Updates another region, which is reachable or has been silent since a time.
+    pub fn update(
+        &mut self,
+        now: Nanos,
+        region: &str,
+        size: RegionSize,
+        silent_since: Option<Nanos>,
+    ) {
+        let retention = self.tombstone_retention;
+        if silent_since.is_some_and(|since| now.saturating_sub(since) >= retention) {
             return;
         }
-        let known = self.others.entry(region.to_string()).or_insert(Region {
-            figures,
-            peak: Peak::default(),
-            silent_since,
-        });
-        known.figures = figures;
-        known.peak.note(now, figures.places, forget);
-        // Its places are kept from the beginning of its silence, whoever told of it first.
-        known.silent_since =
-            silent_since.map(|since| known.silent_since.map_or(since, |former| former.min(since)));
+        let counted = self
+            .others
+            .entry(region.to_string())
+            .or_insert(CountedRegion {
+                size,
+                peak: PeakPlaces::default(),
+                silent_since,
+            });
+        counted.size = size;
+        counted.peak.update(now, size.places, retention);
+        // Retention runs from the earliest report of this silence.
+        let earliest = |since: Nanos| {
+            counted
+                .silent_since
+                .map_or(since, |former| former.min(since))
+        };
+        counted.silent_since = silent_since.map(earliest);
     }
 
-    /// Regions that are told of no more are silent from now on.
-    pub fn silence_all_but(&mut self, now: Nanos, told: impl Fn(&str) -> bool) {
-        for (_, region) in self.others.iter_mut().filter(|(name, _)| !told(name)) {
-            region.silent_since.get_or_insert(now);
+    /// Regions of which there are no more reports are silent from now on.
+    pub fn silence_unreported(&mut self, now: Nanos, is_reported: impl Fn(&str) -> bool) {
+        for (name, region) in &mut self.others {
+            if !is_reported(name) {
+                region.silent_since.get_or_insert(now);
+            }
         }
     }
 
-    /// By how many to divide now. `own` are the figures of the own region.
-    pub fn now(&mut self, now: Nanos, own: Figures) -> usize {
-        let (hold, forget) = (self.hold, self.forget);
-        self.own_peak.note(now, own.places, forget);
-        let mut forgotten = 0;
-        self.others.retain(|_, region| {
-            let keep = region
-                .silent_since
-                .is_none_or(|since| now.saturating_sub(since) < forget);
-            forgotten += if keep { 0 } else { region.figures.places };
-            keep
-        });
-        self.last = self.last.saturating_sub(forgotten).max(1);
-        let (mut living, mut counted, mut all) = (own.living, own.places, self.own_peak.places);
+    /// The share count now; `own` is the size of the own region.
+    pub fn count(&mut self, now: Nanos, own: RegionSize) -> usize {
+        self.own_peak
+            .update(now, own.places, self.tombstone_retention);
+        self.forget_silent_regions(now);
+        let drops_at_once = is_injected(InjectedFault::DropsSilentRegionsImmediately);
+        let mut alive = own.alive;
+        let mut counted = own.places;
+        let mut all_places = self.own_peak.places;
         for region in self.others.values() {
-            all += region.peak.places;
+            all_places += region.peak.places;
             match region.silent_since {
                 None => {
-                    living += region.figures.living;
-                    counted += region.figures.places;
+                    alive += region.size.alive;
+                    counted += region.size.places;
                 }
-                Some(since) if now.saturating_sub(since) < hold => {
-                    let at_once =
-                        fault_injection::is_injected(InjectedFault::DropsSilentRegionsImmediately);
-                    counted += if at_once { 0 } else { region.figures.places };
+                Some(since) if now.saturating_sub(since) < self.share_retention => {
+                    counted += if drops_at_once { 0 } else { region.size.places };
                 }
                 Some(_) => {}
             }
         }
-        let majority = 2 * living > all
-            || fault_injection::is_injected(InjectedFault::DropsSilentRegionsImmediately);
-        self.last = if majority {
+        let has_majority = 2 * alive > all_places || drops_at_once;
+        self.last_count = if has_majority {
             counted
         } else {
-            self.last.max(counted)
+            self.last_count.max(counted)
         };
-        self.last
+        self.last_count
+    }
+
+    fn forget_silent_regions(&mut self, now: Nanos) {
+        let retention = self.tombstone_retention;
+        let mut forgotten_places = 0;
+        self.others.retain(|_, region| {
+            let is_kept = region
+                .silent_since
+                .is_none_or(|since| now.saturating_sub(since) < retention);
+            forgotten_places += if is_kept { 0 } else { region.size.places };
+            is_kept
+        });
+        self.last_count = self.last_count.saturating_sub(forgotten_places).max(1);
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,41 +1,41 @@
-//! By what a member works.
+//! The settings of one member.
 
 use crate::{Location, MS, Nanos};
 use std::net::SocketAddr;
 
-/// What one member is told at its start.
+/// The settings of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// The fleet's name; datagrams of another are dropped.
     pub fleet: String,
-    /// This balancer's name; at most [`crate::metadata::NAME_MAX`] bytes are told.
+    /// This balancer's name; truncated to [`crate::metadata::NAME_MAX`] bytes.
     pub name: String,
     /// Where the others reach this member.
     pub address: SocketAddr,
-    /// Members to ask at first; may be empty, or dead.
+    /// Members to join; may be empty or dead.
     pub join: Vec<SocketAddr>,
-    /// The most members that are held, dead ones included.
+    /// The most members that are stored, dead ones included.
     pub members_max: usize,
-    /// The number of balancers by the operators' settings, told while the view is none or stale.
+    /// The configured number of balancers, the share count while the view is empty or stale.
     pub configured_balancers: usize,
-    /// The times.
+    /// Timeouts and intervals.
     pub timing: Timing,
-    /// Where this balancer runs; without a region the whole fleet is one.
+    /// Where this balancer runs; without a region name the whole fleet is one region.
     pub location: Location,
 }
 
-/// The times by which members are found dead and counted out.
+/// Timeouts and intervals of failure detection and of the share count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Each member asks another once in this span.
+    /// SWIM's protocol period: each member probes another once in it.
     pub probe_interval: Nanos,
-    /// A direct answer takes at most this long; then others are asked to ask.
+    /// A direct acknowledgement takes at most this long; then others probe indirectly.
     pub ack_timeout: Nanos,
-    /// A suspect that says nothing to those who watch it for this long is dead.
+    /// A suspect whose watchers hear nothing of it for this long is dead.
     pub suspicion_timeout: Nanos,
-    /// Who vanished untold keeps its place in the count for this long.
+    /// A member that vanished without a leave keeps its place in the share count for this long.
     pub share_retention: Nanos,
-    /// What is dead this long is forgotten, whatever its side of a split.
+    /// Dead members are forgotten after this long, on either side of a partition.
     pub tombstone_retention: Nanos,
 }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,120 +1,130 @@
-//! When a suspect is given up, and by whom.
+//! Suspicion timers: when a suspect is confirmed dead, and by whom.
 //!
-//! A suspicion runs at every member that hears of it. The suspect's watchers ([`crate::heartbeat`]) ask the suspect itself,
-//! again and again; whoever of them hears nothing of it for the whole time gives it up and says so. All others wait much
-//! longer, in case its watchers are gone. So a death rests on several members' own ears, not on a probe that was lost,
-//! and a suspect hears of its suspicion at once, and from several sides.
+//! Every member that learns of a suspicion starts a timer. The suspect's watchers ([`crate::heartbeat`]) probe it until
+//! it refutes; a watcher that hears nothing for the whole timeout confirms the death and broadcasts it. All others wait
+//! [`NON_WATCHER_MULTIPLIER`] times as long, in case the watchers are gone. A death thus rests on direct silence at
+//! several members, not on one lost probe.
 
-use crate::fault_injection::{self, InjectedFault};
-use crate::heartbeat::ASK_EVERY;
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::heartbeat::PROBE_INTERVAL;
+use crate::local_health::SuspicionPolicy;
 use crate::{Identity, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Who doesn't watch waits so many times as long.
-const OTHERS_WAIT: u64 = 3;
+/// The timeout of a member that does not watch the suspect, as a multiple of a watcher's.
+const NON_WATCHER_MULTIPLIER: u64 = 3;
 
-/// A suspicion that runs.
 #[derive(Clone, Debug)]
-struct Running {
+struct SuspicionTimer {
     suspect: Identity,
     incarnation: u16,
     since: Nanos,
-    ask: Nanos,
+    next_probe: Nanos,
 }
 
-/// The suspicions of one member; at most one for each member it knows.
+/// The suspicion timers of one member; at most one for each member that it knows.
 #[derive(Debug)]
-pub struct Suspicions {
-    running: BTreeMap<SocketAddr, Running>,
-    span: Nanos,
-    /// Suspicions that began.
+pub struct SuspicionTimers {
+    running: BTreeMap<SocketAddr, SuspicionTimer>,
+    timeout: Nanos,
+    /// Suspicions begun.
     pub begun: u64,
-    /// Suspects given up.
-    pub given_up: u64,
+    /// Suspects confirmed dead.
+    pub confirmed_dead: u64,
 }
 
-/// What is due.
+/// An action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Ask the suspect itself.
-    Ask(Identity, u16),
-    /// Give it up.
-    GiveUp(Identity, u16),
+pub enum SuspicionAction {
+    /// Probe the suspect in this incarnation, so that it can refute.
+    Probe(Identity, u16),
+    /// Confirm that the suspect in this incarnation is dead.
+    ConfirmDead(Identity, u16),
 }
 
-impl Suspicions {
-    /// None yet; a watcher gives its suspect up after `span`.
-    pub fn new(span: Nanos) -> Self {
-        Suspicions {
+impl SuspicionTimers {
+    /// No timers yet; a watcher confirms a death after `timeout`.
+    #[must_use]
+    pub fn new(timeout: Nanos) -> Self {
+        SuspicionTimers {
             running: BTreeMap::new(),
-            span,
+            timeout,
             begun: 0,
-            given_up: 0,
+            confirmed_dead: 0,
         }
     }
 
-    /// These are suspect now: a suspicion that is new begins, one that no longer holds ends.
-    pub fn hold(&mut self, now: Nanos, suspects: &BTreeMap<SocketAddr, (Identity, u16)>) {
-        self.running
-            .retain(|address, r| suspects.get(address) == Some(&(r.suspect, r.incarnation)));
+    /// Starts timers for new suspects, and stops those of members that are suspect no more.
+    pub fn update(&mut self, now: Nanos, suspects: &BTreeMap<SocketAddr, (Identity, u16)>) {
+        self.running.retain(|address, timer| {
+            suspects.get(address) == Some(&(timer.suspect, timer.incarnation))
+        });
         for (address, (suspect, incarnation)) in suspects {
             self.running.entry(*address).or_insert_with(|| {
                 self.begun += 1;
-                Running {
+                SuspicionTimer {
                     suspect: *suspect,
                     incarnation: *incarnation,
                     since: now,
-                    ask: now,
+                    next_probe: now,
                 }
             });
         }
     }
 
-    /// Begins all anew: after a stall of its own nothing that it timed counts.
-    pub fn begin_anew(&mut self, now: Nanos) {
-        for r in self.running.values_mut() {
-            r.since = now;
-            r.ask = now;
+    /// Restarts all timers: nothing that was timed across a stall of this member counts.
+    pub fn restart(&mut self, now: Nanos) {
+        for timer in self.running.values_mut() {
+            timer.since = now;
+            timer.next_probe = now;
         }
     }
 
-    /// What is due now. `watches` tells whom this member watches, `heard` when a member was last heard itself, `patience`
-    /// stretches the time, and without `may_accuse` nobody is given up.
+    /// The actions that are due. `watches` tells whom this member watches, `last_heard` when a member was last heard
+    /// directly.
     pub fn due(
         &mut self,
         now: Nanos,
-        patience: u64,
-        may_accuse: bool,
+        policy: SuspicionPolicy,
         watches: impl Fn(SocketAddr) -> bool,
-        heard: impl Fn(SocketAddr) -> Nanos,
-    ) -> Vec<Step> {
-        let mut steps = Vec::new();
-        let mut over = Vec::new();
-        let last_question = !fault_injection::is_injected(InjectedFault::SkipsFinalProbe);
-        for (address, r) in &mut self.running {
-            let watched = watches(*address);
-            // A word of its own proves that it lives, whatever others say; it is asked on until it refutes.
-            let quiet_since = if last_question {
-                r.since.max(heard(*address))
+        last_heard: impl Fn(SocketAddr) -> Nanos,
+    ) -> Vec<SuspicionAction> {
+        let mut actions = Vec::new();
+        let mut expired = Vec::new();
+        let probes = !is_injected(InjectedFault::SkipsFinalProbe);
+        for (address, timer) in &mut self.running {
+            let is_watcher = watches(*address);
+            // A datagram of the suspect proves that it is alive; it is probed on until it refutes.
+            let silent_since = if probes {
+                timer.since.max(last_heard(*address))
             } else {
-                r.since
+                timer.since
             };
-            let wait = self.span * patience * if watched { 1 } else { OTHERS_WAIT };
-            if may_accuse && now.saturating_sub(quiet_since) >= wait {
-                over.push(*address);
-            } else if watched && now >= r.ask && last_question {
-                r.ask = now + ASK_EVERY;
-                steps.push(Step::Ask(r.suspect, r.incarnation));
+            let role_multiplier = if is_watcher {
+                1
+            } else {
+                NON_WATCHER_MULTIPLIER
+            };
+            let timeout = self.timeout * policy.timeout_multiplier * role_multiplier;
+            if policy.may_suspect && now.saturating_sub(silent_since) >= timeout {
+                expired.push(*address);
+            } else if is_watcher && now >= timer.next_probe && probes {
+                timer.next_probe = now + PROBE_INTERVAL;
+                actions.push(SuspicionAction::Probe(timer.suspect, timer.incarnation));
             }
         }
-        for address in over {
-            if let Some(r) = self.running.remove(&address) {
-                self.given_up += 1;
-                steps.push(Step::GiveUp(r.suspect, r.incarnation));
-            }
+        for timer in expired
+            .iter()
+            .filter_map(|address| self.running.remove(address))
+        {
+            self.confirmed_dead += 1;
+            actions.push(SuspicionAction::ConfirmDead(
+                timer.suspect,
+                timer.incarnation,
+            ));
         }
-        steps
+        actions
     }
 }
 
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -10,6 +10,13 @@
     }
 }
 
+fn policy(timeout_multiplier: u64, may_suspect: bool) -> SuspicionPolicy {
+    SuspicionPolicy {
+        timeout_multiplier,
+        may_suspect,
+    }
+}
+
 fn suspects(of: &[(u8, u16)]) -> BTreeMap<SocketAddr, (Identity, u16)> {
     of.iter()
         .map(|(n, incarnation)| (id(*n).address, (id(*n), *incarnation)))
@@ -17,42 +24,42 @@
 }
 
 #[test]
-fn a_watcher_asks_and_gives_up_after_its_time_and_others_after_three() {
-    let mut mine = Suspicions::new(1_000 * MS);
-    mine.hold(0, &suspects(&[(1, 7), (2, 0)]));
-    let mut due = |now: u64| mine.due(now * MS, 1, true, |a| a == id(1).address, |_| 0);
-    assert_eq!(due(0), [Step::Ask(id(1), 7)]);
+fn a_watcher_probes_and_confirms_after_the_timeout_and_others_after_three() {
+    let mut mine = SuspicionTimers::new(1_000 * MS);
+    mine.update(0, &suspects(&[(1, 7), (2, 0)]));
+    let mut due = |now: u64| mine.due(now * MS, policy(1, true), |a| a == id(1).address, |_| 0);
+    assert_eq!(due(0), [SuspicionAction::Probe(id(1), 7)]);
     assert_eq!(due(99), []);
-    assert_eq!(due(1_000), [Step::GiveUp(id(1), 7)]);
+    assert_eq!(due(1_000), [SuspicionAction::ConfirmDead(id(1), 7)]);
     assert_eq!(due(2_999), []);
-    assert_eq!(due(3_000), [Step::GiveUp(id(2), 0)]);
-    assert_eq!((mine.begun, mine.given_up), (2, 2));
+    assert_eq!(due(3_000), [SuspicionAction::ConfirmDead(id(2), 0)]);
+    assert_eq!((mine.begun, mine.confirmed_dead), (2, 2));
 }
 
 #[test]
-fn a_word_a_stall_or_doubt_put_it_off_and_a_refutation_ends_it() {
-    let mut mine = Suspicions::new(1_000 * MS);
-    mine.hold(0, &suspects(&[(1, 7)]));
-    let gives_up = |mine: &mut Suspicions, now: u64, patience, may, heard: u64| {
-        let steps = mine.due(now * MS, patience, may, |_| true, |_| heard * MS);
-        steps.iter().any(|s| matches!(s, Step::GiveUp(..)))
+fn a_datagram_a_stall_or_poor_health_delay_a_suspicion_and_a_refutation_ends_it() {
+    let mut mine = SuspicionTimers::new(1_000 * MS);
+    mine.update(0, &suspects(&[(1, 7)]));
+    let confirms = |mine: &mut SuspicionTimers, now: u64, multiplier, may_suspect, heard: u64| {
+        let policy = policy(multiplier, may_suspect);
+        let actions = mine.due(now * MS, policy, |_| true, |_| heard * MS);
+        actions
+            .iter()
+            .any(|s| matches!(s, SuspicionAction::ConfirmDead(..)))
     };
-    assert!(!gives_up(&mut mine, 1_500, 1, true, 501), "heard since");
-    assert!(
-        !gives_up(&mut mine, 1_999, 2, true, 0),
-        "in doubt of itself"
-    );
-    assert!(!gives_up(&mut mine, 5_000, 1, false, 0), "cut off itself");
-    mine.begin_anew(5_000 * MS);
+    assert!(!confirms(&mut mine, 1_500, 1, true, 501), "heard since");
     assert!(
-        !gives_up(&mut mine, 5_999, 1, true, 0),
-        "stood still until 5 s"
+        !confirms(&mut mine, 1_999, 2, true, 0),
+        "degraded local health"
     );
-    mine.hold(5_999 * MS, &suspects(&[(1, 8)]));
+    assert!(!confirms(&mut mine, 5_000, 1, false, 0), "isolated");
+    mine.restart(5_000 * MS);
+    assert!(!confirms(&mut mine, 5_999, 1, true, 0), "stalled until 5 s");
+    mine.update(5_999 * MS, &suspects(&[(1, 8)]));
     assert!(
-        !gives_up(&mut mine, 6_900, 1, true, 0),
-        "refuted once, and suspect anew"
+        !confirms(&mut mine, 6_900, 1, true, 0),
+        "refuted once, and suspect again"
     );
-    mine.hold(6_950 * MS, &suspects(&[]));
-    assert!(!gives_up(&mut mine, 99_000, 1, true, 0));
+    mine.update(6_950 * MS, &suspects(&[]));
+    assert!(!confirms(&mut mine, 99_000, 1, true, 0));
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,30 +1,31 @@
-//! What a member sees of the others.
+//! The view that one member has of the fleet.
 
 use crate::regions::overview::RegionStatus;
 use crate::{Identity, MemberMetadata, Nanos};
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// What a member is, as another sees it.
+/// The status of a member, as another sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberStatus {
-    /// It is there and not ready yet, or has not said what it does.
+    /// It is alive and not ready yet, or its metadata is not known yet.
     Joining,
     /// It serves clients.
     Serving,
-    /// It does not answer, and is not given up yet.
+    /// It is suspect: it does not answer, and is not confirmed dead.
     Stalled,
     /// It is drained or about to end.
     Draining,
-    /// It went and said so.
+    /// It left gracefully.
     Left,
-    /// It was given up.
+    /// It was confirmed dead.
     Dead,
 }
 
 impl MemberStatus {
-    /// The name by which logs and the operators' door call it.
+    /// The name in logs and on the admin listener.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             MemberStatus::Joining => "joining",
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Whether it is there.
+    /// Whether it is a live member, suspects included.
+    #[must_use]
     pub fn is_present(self) -> bool {
         !matches!(self, MemberStatus::Left | MemberStatus::Dead)
     }
@@ -47,69 +49,71 @@
 pub struct MemberView {
     /// Who it is.
     pub id: Identity,
-    /// Raised by the member itself each time it refutes a suspicion.
+    /// Raised by the member each time it refutes a suspicion.
     pub incarnation: u16,
-    /// What it is.
+    /// Its status.
     pub status: MemberStatus,
-    /// Since when.
+    /// When the status last changed.
     pub since: Nanos,
-    /// What it last said of itself, if anything was heard.
+    /// Its metadata, once it is known.
     pub metadata: Option<MemberMetadata>,
 }
 
 impl MemberView {
-    /// Its name, or its address where it has not told one.
+    /// Its name, or its address while its metadata is not known.
+    #[must_use]
     pub fn name(&self) -> String {
-        self.metadata
-            .as_ref()
-            .map_or_else(|| self.id.address.to_string(), |soft| soft.name.clone())
+        self.metadata.as_ref().map_or_else(
+            || self.id.address.to_string(),
+            |metadata| metadata.name.clone(),
+        )
     }
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A member is something else than before; `None`: it was not known.
+    /// The status of a member changed.
     StatusChanged {
         /// Its name.
         name: String,
         /// Who it is.
         id: Identity,
-        /// What it was.
+        /// The former status; `None` for a new member.
         was: Option<MemberStatus>,
-        /// What it is.
+        /// The new status.
         is: MemberStatus,
     },
-    /// The count that shares are divided by.
+    /// The share count changed.
     ShareCountChanged {
-        /// What it was.
+        /// The former count.
         was: usize,
-        /// What it is.
+        /// The new count.
         is: usize,
-        /// Those who are there, this one included.
+        /// Live members, this one included.
         alive: usize,
     },
-    /// Two living members have one name; said once for each pair.
+    /// Two live members have the same name; reported once.
     DuplicateName {
         /// The name.
         name: String,
-        /// Where the two are.
+        /// The addresses of the two.
         addresses: [SocketAddr; 2],
     },
-    /// This member was given up by others, or stood behind an older self, and returns under this generation.
+    /// Others had declared this member dead, or know a later generation of it; it rejoins.
     Rejoined {
         /// Its new generation.
         generation: u64,
     },
-    /// This member stood still, and begins its suspicions anew.
+    /// This member itself stalled, and restarts its suspicion timers.
     Stalled,
-    /// Another region is heard, or can't be heard any more.
+    /// Another region became reachable or unreachable.
     RegionReachability {
         /// Its name.
         region: String,
-        /// Whether it is heard.
+        /// Whether it is reachable.
         reachable: bool,
-        /// Members that are there, by its last word.
+        /// Its live members, by its last summary.
         alive: u32,
     },
 }
@@ -117,27 +121,27 @@
 /// Another region as a member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionView {
-    /// What its delegates told of it.
+    /// Its status by the overview.
     pub overview: RegionStatus,
-    /// Since when nothing was heard of it.
+    /// Since when it has been silent.
     pub silent_since: Option<Nanos>,
 }
 
-/// What one member sees.
+/// The view that one member has of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The others of its region, or of the whole fleet where there are no regions, by address.
     pub members: Vec<MemberView>,
     /// The other regions.
     pub regions: Vec<RegionView>,
-    /// Who speaks for the own region, first the leader; empty where there are no regions.
+    /// The delegates of the own region, the leader first; empty where there are no regions.
     pub delegates: Vec<SocketAddr>,
-    /// By how many shares are divided.
+    /// The share count.
     pub share_count: usize,
-    /// Those who are there, this one included, in all regions that are heard.
+    /// Live members in all reachable regions, this one included.
     pub alive: usize,
-    /// Places counted in all, those of the vanished included.
+    /// Places counted in all, those of vanished members included.
     pub places: usize,
-    /// Nobody is heard though there are others: this member may be the one that is cut off.
+    /// No member is heard though others are known: this one may be isolated.
     pub isolated: bool,
 }
