--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,9 +1,10 @@
 //! Anti-entropy of member lists: finds what broadcasts have missed.
 //!
-//! A broadcast is passed on a bounded number of times, so now and then one dies out before it has reached everyone. So
-//! each member keeps a digest of the members that it believes alive: their generations and metadata, in [`BUCKETS`]
-//! buckets by address. Two members whose digests differ exchange the entries of the differing buckets, and both end
-//! with the later version of each. Equal lists cost one small message and one smaller reply.
+//! A broadcast is passed on a bounded number of times, so now and then one dies out before it has
+//! reached everyone. So each member keeps a digest of the members that it believes alive: their
+//! generations and metadata, in [`BUCKETS`] buckets by address. Two members whose digests differ
+//! exchange the entries of the differing buckets, and both end with the later version of each.
+//! Equal lists cost one small message and one smaller reply.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::payload::{PayloadError, PayloadRoom, decode, encode};
@@ -65,8 +66,8 @@
 pub struct ListDigest([u32; BUCKETS]);
 
 impl ListDigest {
-    /// The digest of the live members among these. Incarnations do not count: with lossy links they change all the
-    /// time.
+    /// The digest of the live members among these. Incarnations do not count: with lossy links they
+    /// change all the time.
     pub fn of(entries: impl Iterator<Item = MemberEntry>) -> Self {
         let mut digest = ListDigest::default();
         for entry in entries.filter(|entry| !entry.down) {
@@ -135,8 +136,8 @@
     encode(&DigestMessage { by, digest })
 }
 
-/// Compares a received digest with the own list; returns the delta and the sender. `first_bucket` is contained first:
-/// where not all fit, others come the next time.
+/// Compares a received digest with the own list; returns the delta and the sender. `first_bucket`
+/// is contained first: where not all fit, others come the next time.
 ///
 /// # Errors
 ///
@@ -213,7 +214,8 @@
         self.whole_buckets == 0 && self.entries.is_empty()
     }
 
-    /// What the sender lacks, or knows otherwise, of the own list, in the buckets that are contained whole.
+    /// What the sender lacks, or knows otherwise, of the own list, in the buckets that are
+    /// contained whole.
     pub fn reply(
         &self,
         by: Identity,
@@ -231,7 +233,8 @@
                 .iter()
                 .any(|other| other.id.address == address && !other.down)
         };
-        // Of dead members only those count that the sender believes alive: tombstones expire at different times.
+        // Of dead members only those count that the sender believes alive: tombstones expire at
+        // different times.
         let missing = own_entries.filter(|entry| {
             !is_known(entry) && (!entry.down || is_believed_alive(entry.id.address))
         });
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,4 +1,5 @@
-//! The envelope of each datagram: fleet or region, format version, message kind, payload and checksum.
+//! The envelope of each datagram: fleet or region, format version, message kind, payload and
+//! checksum.
 //!
 //! | bytes | content |
 //! | --- | --- |
--- a/crates/membership/src/fault_injection.rs
+++ b/crates/membership/src/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Faults that the testbed's mutation check injects, one at a time: a trial or a test must detect each. Without the
-//! cargo feature `fault-injection` there are none, and the compiler drops every branch on them.
+//! Faults that the testbed's mutation check injects, one at a time: a trial or a test must detect
+//! each. Without the cargo feature `fault-injection` there are none, and the compiler drops every
+//! branch on them.
 
 /// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -1,10 +1,11 @@
 //! Heartbeats between members and a few watchers each.
 //!
-//! SWIM's random probes find a death in a time that is short in the mean but has no bound. So each member also has
-//! [`WATCHERS`] watchers, drawn by rendezvous hashing over the live members: all members compute the same ones, and a
-//! death moves few. A member sends its watchers heartbeats. A watcher that hears nothing probes, and after
-//! [`SUSPECT_AFTER`] of silence broadcasts a suspicion ([`crate::suspicion`]). The datagrams of a member are as many in
-//! a small fleet as in a large one.
+//! SWIM's random probes find a death in a time that is short in the mean but has no bound. So each
+//! member also has [`WATCHERS`] watchers, drawn by rendezvous hashing over the live members: all
+//! members compute the same ones, and a death moves few. A member sends its watchers heartbeats. A
+//! watcher that hears nothing probes, and after [`SUSPECT_AFTER`] of silence broadcasts a suspicion
+//! ([`crate::suspicion`]). The datagrams of a member are as many in a small fleet as in a large
+//! one.
 
 use crate::local_health::SuspicionPolicy;
 use crate::{MS, Nanos};
@@ -14,8 +15,8 @@
 
 /// How many members watch one.
 pub const WATCHERS: usize = 5;
-/// A watcher keeps watching while it ranks among this many: with lossy links members are suspect now and then, and the
-/// draw without them would change back and forth.
+/// A watcher keeps watching while it ranks among this many: with lossy links members are suspect
+/// now and then, and the draw without them would change back and forth.
 const RETAINED_RANKS: usize = WATCHERS + 3;
 /// How often a member sends its watchers a heartbeat.
 pub const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
@@ -28,7 +29,8 @@
 /// Watchers are drawn at most this often: a draw takes a step for each pair of members.
 const DRAW_INTERVAL: Nanos = 300 * MS;
 
-/// The number of a member in the draw; independent of its generation, so that a returning member watches as before.
+/// The number of a member in the draw; independent of its generation, so that a returning member
+/// watches as before.
 fn draw_number(address: SocketAddr) -> u64 {
     xxh3_64(address.to_string().as_bytes())
 }
@@ -39,7 +41,8 @@
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// The indices in `candidates` of the members that `own` watches, or would watch, among these live members.
+/// The indices in `candidates` of the members that `own` watches, or would watch, among these live
+/// members.
 #[must_use]
 pub fn drawn_for(candidates: &[SocketAddr], own: SocketAddr, alive: &[SocketAddr]) -> Vec<usize> {
     let own = draw_number(own);
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Draws the watchers again if the live members have changed. `alive` are the others that are not suspect, sorted.
+    /// Draws the watchers again if the live members have changed. `alive` are the others that are
+    /// not suspect, sorted.
     pub fn draw(
         &mut self,
         now: Nanos,
@@ -113,8 +117,8 @@
         self.alive = alive.to_vec();
         let numbers: Vec<u64> = alive.iter().copied().map(draw_number).collect();
         self.draw_watchers(&numbers);
-        // Suspects stay watched until confirmed or refuted. Silence that was counted is kept, or each draw during a
-        // mass death would delay the other suspicions.
+        // Suspects stay watched until confirmed or refuted. Silence that was counted is kept, or
+        // each draw during a mass death would delay the other suspicions.
         self.watched
             .retain(|address, _| is_suspect(*address) || alive.binary_search(address).is_ok());
         self.draw_watched(now, &numbers);
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -12,7 +12,8 @@
 pub struct Identity {
     /// Where the others send datagrams.
     pub address: SocketAddr,
-    /// Unix time in milliseconds of its start, raised by one with each rejoin after a false death; the greater wins.
+    /// Unix time in milliseconds of its start, raised by one with each rejoin after a false death;
+    /// the greater wins.
     pub generation: u64,
 }
 
@@ -48,8 +49,9 @@
     }
 }
 
-/// The greatest generation that anybody reported for the own address. It exceeds the own generation where the clock
-/// was stepped back between two starts; rejoining by steps of one would then take as many rejoins as milliseconds.
+/// The greatest generation that anybody reported for the own address. It exceeds the own generation
+/// where the clock was stepped back between two starts; rejoining by steps of one would then take
+/// as many rejoins as milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedGeneration(Rc<Cell<u64>>);
 
@@ -63,7 +65,8 @@
     }
 }
 
-/// The addresses of the membership, of bounded number. Entries of others are ignored once it is full.
+/// The addresses of the membership, of bounded number. Entries of others are ignored once it is
+/// full.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownAddresses(Rc<RefCell<BTreeSet<SocketAddr>>>);
 
@@ -94,7 +97,8 @@
     }
 }
 
-/// The `postcard` codec, which also observes the generations reported for the own address and bounds the membership.
+/// The `postcard` codec, which also observes the generations reported for the own address and
+/// bounds the membership.
 pub(crate) struct MembershipCodec {
     own: SocketAddr,
     observed_generation: ObservedGeneration,
@@ -178,7 +182,8 @@
         if self.known_addresses.admit(id.address, self.members_max) {
             return Ok(member);
         }
-        // An update of an older generation of the sender has no effect; the other updates of the datagram count.
+        // An update of an older generation of the sender has no effect; the other updates of the
+        // datagram count.
         let address = self.sender.unwrap_or(id.address);
         Ok(foca::Member::alive(Identity::of_unknown_generation(
             address,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,24 @@
-//! The membership of the fleet: which balancers there are, which of them stall, left or died, and the share count that
-//! quotas, limits and budgets are divided by.
+//! The membership of the fleet: which balancers there are, which of them stall, left or died, and
+//! the share count that quotas, limits and budgets are divided by.
 //!
-//! A [`Member`] stands for one balancer. It does no I/O and has no clock: its caller passes datagrams and the time, and
-//! takes datagrams to send, the time of the next tick, and the changes of its [`View`]. Membership is SWIM (the library
-//! `foca`); what this crate adds has a module for each protocol:
+//! A [`Member`] stands for one balancer. It does no I/O and has no clock: its caller passes
+//! datagrams and the time, and takes datagrams to send, the time of the next tick, and the changes
+//! of its [`View`]. Membership is SWIM (the library `foca`); what this crate adds has a module for
+//! each protocol:
 //!
 //! - [`envelope`]: the frame of all datagrams, by fleet and format version;
-//! - failure detection: [`heartbeat`]s to watchers, [`suspicion`] timers, [`local_health`] as in Lifeguard;
-//! - dissemination: [`metadata`] of bounded size, broadcast and requested by the [`metadata_store`];
+//! - failure detection: [`heartbeat`]s to watchers, [`suspicion`] timers, [`local_health`] as in
+//!   Lifeguard;
+//! - dissemination: [`metadata`] of bounded size, broadcast and requested by the
+//!   [`metadata_store`];
 //! - [`anti_entropy`] of member lists, for what broadcasts have missed;
 //! - [`shedding`]: one shedding level for the whole fleet;
 //! - [`share_count`]: the share count, through partitions and deaths;
-//! - [`regions`]: the federation of regions, whose members know only summaries of each other's region.
+//! - [`regions`]: the federation of regions, whose members know only summaries of each other's
+//!   region.
 //!
-//! Times are nanoseconds of the caller's monotonic clock. Nothing is encrypted or signed: the datagrams belong on a
-//! trusted network.
+//! Times are nanoseconds of the caller's monotonic clock. Nothing is encrypted or signed: the
+//! datagrams belong on a trusted network.
 #![forbid(unsafe_code)]
 
 pub mod anti_entropy;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,5 +1,6 @@
-//! Local health as in Lifeguard: a member that stalled or is isolated sees others as silent though the fault is its
-//! own. It suspects nobody until it has had time to hear them, and for a while doubles or triples its timeouts.
+//! Local health as in Lifeguard: a member that stalled or is isolated sees others as silent though
+//! the fault is its own. It suspects nobody until it has had time to hear them, and for a while
+//! doubles or triples its timeouts.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{MS, Nanos};
@@ -10,8 +11,8 @@
 const TIMEOUT_MULTIPLIER_MAX: u32 = 3;
 /// The local health score recovers by one step after this long without a stall.
 const RECOVERY_INTERVAL: Nanos = 2_000 * MS;
-/// A member that hears nobody for this long counts as isolated: before any one member's silence is a suspicion
-/// ([`crate::heartbeat::SUSPECT_AFTER`]).
+/// A member that hears nobody for this long counts as isolated: before any one member's silence is
+/// a suspicion ([`crate::heartbeat::SUSPECT_AFTER`]).
 const ISOLATED_AFTER: Nanos = 800 * MS;
 /// After this long the silence counts all the same: the others may be dead.
 const ISOLATED_UNTIL: Nanos = 10_000 * MS;
@@ -85,8 +86,8 @@
         self.score_changed = now;
     }
 
-    /// Whether this member may be the one that is cut off: it heard nobody lately, though not for so long that all
-    /// others must be dead.
+    /// Whether this member may be the one that is cut off: it heard nobody lately, though not for
+    /// so long that all others must be dead.
     #[must_use]
     pub fn is_isolated(&self, now: Nanos) -> bool {
         let silence = now.saturating_sub(self.last_heard);
--- a/crates/membership/src/location.rs
+++ b/crates/membership/src/location.rs
@@ -1,11 +1,12 @@
-//! Where a balancer runs: its region, zone and site. Encoded in the extension of its metadata, so that versions without
-//! regions pass it on unread.
+//! Where a balancer runs: its region, zone and site. Encoded in the extension of its metadata, so
+//! that versions without regions pass it on unread.
 
 use crate::metadata::EXTENSION_MAX;
 use crate::payload::encode;
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a region, zone or site, in bytes: three of them fit into the extension of the metadata.
+/// The longest name of a region, zone or site, in bytes: three of them fit into the extension of
+/// the metadata.
 pub const LOCATION_NAME_MAX: usize = 20;
 
 /// Where a balancer runs; without a region name the whole fleet is one region.
@@ -37,7 +38,8 @@
         bytes
     }
 
-    /// Decodes the extension of metadata; `None` where it contains no location, or one that is too long.
+    /// Decodes the extension of metadata; `None` where it contains no location, or one that is too
+    /// long.
     #[must_use]
     pub fn decode(extension: &[u8]) -> Option<Self> {
         let (location, rest): (Location, _) = postcard::take_from_bytes(extension).ok()?;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -2,9 +2,11 @@
 
 mod anti_entropy;
 mod context;
+mod dispatch;
 mod dissemination;
 mod failure_detection;
 mod federation;
+mod foca_adapter;
 mod membership_table;
 mod region_delegate;
 mod region_overview;
@@ -20,12 +22,11 @@
 pub(crate) use region_delegate::RegionReferral;
 pub use statistics::MemberStatistics;
 
-use crate::envelope::{self, EnvelopeError, EnvelopeScope, MessageKind};
+use crate::envelope::EnvelopeScope;
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::metadata::{MemberMetadata, ServingPhase};
-use crate::payload::{PayloadError, decode};
-use crate::regions::announcement_store::DroppedAnnouncements;
-use crate::regions::overview::{PARTS, RegionStatus};
+use crate::regions::announcement_store::{AnnouncementStore, DroppedAnnouncements};
+use crate::regions::overview::RegionStatus;
 use crate::regions::share_count::RegionSize;
 use crate::share_count::ShareCounter;
 use crate::shedding::{AdmissionCounts, SharedShedding};
@@ -72,8 +73,8 @@
 }
 
 impl Member {
-    /// A member that starts at `now`. `unix_ms`, the Unix time in milliseconds, is its first generation. Names in
-    /// `metadata` that are too long are truncated.
+    /// A member that starts at `now`. `unix_ms`, the Unix time in milliseconds, is its first
+    /// generation. Names in `metadata` that are too long are truncated.
     #[must_use]
     pub fn new(
         settings: MembershipSettings,
@@ -202,7 +203,7 @@
     pub fn announcements(&self) -> usize {
         let federation = self.federation.as_ref();
         let announcements = federation.and_then(|federation| federation.announcements.as_ref());
-        announcements.map_or(0, |announcements| announcements.len())
+        announcements.map_or(0, AnnouncementStore::len)
     }
 
     /// Its view of the fleet.
@@ -246,8 +247,9 @@
         self.swim.alive() > 0 && self.failure_detector.health.is_isolated(self.context.now)
     }
 
-    /// The number that shares are divided by. Before any other member is known it is the configured number; while this
-    /// member is new, or hears nobody, at least that: the fleet may be larger than what it has met.
+    /// The number that shares are divided by. Before any other member is known it is the configured
+    /// number; while this member is new, or hears nobody, at least that: the fleet may be larger
+    /// than what it has met.
     #[must_use]
     pub fn share_count(&self) -> usize {
         let configured = self.settings.configured_balancers.max(1);
@@ -289,115 +291,8 @@
         self.metadata.update(&self.swim, change);
     }
 
-    /// Receives a datagram; one that cannot be read is counted and dropped.
-    pub fn receive(&mut self, now: Nanos, from: SocketAddr, datagram: &[u8]) {
-        let context = &mut self.context;
-        context.now = context.now.max(now);
-        let statistics = &mut context.statistics;
-        statistics.received += 1;
-        statistics.received_bytes += datagram.len() as u64;
-        let (kind, payload) = match envelope::open(context.scope, datagram) {
-            Ok(opened) => opened,
-            Err(EnvelopeError::Corrupt) => return statistics.corrupt += 1,
-            Err(EnvelopeError::Foreign) => return statistics.foreign += 1,
-            Err(EnvelopeError::UnsupportedVersion) => {
-                return statistics.unsupported_version += 1;
-            }
-        };
-        if self.has_left {
-            return;
-        }
-        let result = self.dispatch(kind, from, payload);
-        self.after_swim();
-        if result.is_err() {
-            self.context.statistics.malformed += 1;
-            return;
-        }
-        let now = self.context.now;
-        if self.is_isolated() {
-            // The silence so far was this member's own.
-            self.failure_detector.restart(now);
-        }
-        self.failure_detector.health.record_heard(now);
-        if self.table.contains(&from) {
-            self.failure_detector.record_heard(now, from);
-        }
-    }
-
-    fn dispatch(
-        &mut self,
-        kind: MessageKind,
-        from: SocketAddr,
-        payload: &[u8],
-    ) -> Result<(), PayloadError> {
-        let Member {
-            context,
-            swim,
-            metadata,
-            table,
-            ..
-        } = self;
-        match kind {
-            MessageKind::Swim => swim.receive(context, table, from, payload),
-            MessageKind::MetadataRecords => {
-                if metadata.receive_records(swim, payload)? > 0 {
-                    self.anti_entropy.schedule.mark_differing(context.now);
-                }
-                Ok(())
-            }
-            MessageKind::MetadataRequest => metadata.receive_request(context, from, payload),
-            MessageKind::WatcherProbe => {
-                self.failure_detector.receive_probe(context, swim, payload)
-            }
-            // Its arrival is all that counts.
-            MessageKind::Heartbeat => decode::<Identity>(payload).map(|_| ()),
-            MessageKind::MemberListDigest => {
-                self.anti_entropy
-                    .receive_digest(context, swim, &metadata.store, from, payload)
-            }
-            MessageKind::MemberListDelta => self.receive_list_delta(from, payload),
-            MessageKind::LevelReports => self.shedding.receive(context, table, payload),
-            MessageKind::RegionDigest
-            | MessageKind::RegionDelta
-            | MessageKind::RegionAnnouncements
-            | MessageKind::RegionReferral
-            | MessageKind::Overview
-            | MessageKind::OverviewDigest => self.dispatch_regional(kind, from, payload),
-        }
-    }
-
-    /// Dispatches the messages of the federation.
-    fn dispatch_regional(
-        &mut self,
-        kind: MessageKind,
-        from: SocketAddr,
-        payload: &[u8],
-    ) -> Result<(), PayloadError> {
-        let Member {
-            context,
-            swim,
-            table,
-            ..
-        } = self;
-        let federation = self.federation.as_mut().ok_or(PayloadError::NoRegion)?;
-        match kind {
-            MessageKind::RegionDigest => federation.receive_digest(context, from, payload),
-            MessageKind::RegionDelta => federation.receive_delta(context, swim, from, payload),
-            MessageKind::RegionAnnouncements => {
-                federation.receive_announcements(context, swim, payload)
-            }
-            MessageKind::RegionReferral => {
-                federation.receive_referral(context, swim, from, payload)
-            }
-            MessageKind::Overview => federation.receive_overview(context, table, from, payload),
-            _ => {
-                let first_part = context.rng.random_range(0..PARTS);
-                federation.receive_overview_digest(context, table, from, payload, first_part)
-            }
-        }
-    }
-
-    /// Takes over what `foca` asked for: a new generation is published, and an earlier tick is scheduled.
+    /// Takes over what `foca` asked for: a new generation is published, and an earlier tick is
+    /// scheduled.
     fn after_swim(&mut self) {
         for _ in 0..self.swim.take_rejoins() {
             self.metadata.publish(&self.swim);
@@ -508,7 +403,8 @@
         }
     }
 
-    /// Leaves the fleet gracefully. The member reads nothing from then on; its last datagrams are to be sent.
+    /// Leaves the fleet gracefully. The member reads nothing from then on; its last datagrams are
+    /// to be sent.
     pub fn leave(&mut self, now: Nanos) {
         self.context.now = self.context.now.max(now);
         if self.has_left {
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -94,7 +94,8 @@
         let first_bucket = context.rng.random_range(0..BUCKETS);
         let entries = local_entries(swim, metadata);
         let (delta, by) = compare_digest(payload, swim.id(), &self.digest, entries, first_bucket)?;
-        // A sender that is not alive here gets no entries: it learns by SWIM that it was declared dead.
+        // A sender that is not alive here gets no entries: it learns by SWIM that it was declared
+        // dead.
         if !swim.is_alive_as(&by) || !delta.agrees() && !context.may_send() {
             return Ok(());
         }
@@ -151,7 +152,8 @@
         Ok(())
     }
 
-    /// Whether an entry counts here: not the death of an unknown member, nor a member beyond the capacity.
+    /// Whether an entry counts here: not the death of an unknown member, nor a member beyond the
+    /// capacity.
     fn admits(&self, entry: &MemberEntry) -> bool {
         let address = entry.id.address;
         if address == self.swim.id().address {
@@ -168,8 +170,9 @@
             && entry.metadata_checksum != self.metadata.store.checksum(&entry.id)
     }
 
-    /// The state to apply. A death may have been seen across a partition: a member that is believed alive here becomes
-    /// suspect and can refute, unless it was heard just now. This member itself rejoins.
+    /// The state to apply. A death may have been seen across a partition: a member that is believed
+    /// alive here becomes suspect and can refute, unless it was heard just now. This member itself
+    /// rejoins.
     fn accepted_state(&self, entry: &MemberEntry) -> Option<foca::State> {
         let address = entry.id.address;
         if !entry.down {
--- a/crates/membership/src/member/failure_detection.rs
+++ b/crates/membership/src/member/failure_detection.rs
@@ -17,7 +17,8 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) struct WatcherProbe {
     pub(crate) by: Identity,
-    /// The suspect and the incarnation in which it is suspect; without it a heartbeat is the answer.
+    /// The suspect and the incarnation in which it is suspect; without it a heartbeat is the
+    /// answer.
     pub(crate) suspect: Option<(Identity, u16)>,
 }
 
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -1,5 +1,5 @@
-//! Federation at one member ([`crate::regions`]): the delegates of its region, the overview of the others, and the
-//! share count over all regions.
+//! Federation at one member ([`crate::regions`]): the delegates of its region, the overview of the
+//! others, and the share count over all regions.
 
 use super::context::Context;
 use super::membership_table::MembershipTable;
@@ -14,7 +14,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A member leads only after this long: it would otherwise speak for a region whose members it has not met yet.
+/// A member leads only after this long: it would otherwise speak for a region whose members it has
+/// not met yet.
 const LEAD_DELAY: Nanos = 3_000 * MS;
 /// For this long after the start the overview is compared often.
 const STARTUP_PERIOD: Nanos = 3_000 * MS;
@@ -217,8 +218,9 @@
         rows.into_values().collect()
     }
 
-    /// A row that the former leader wrote, of a region that this leader has not heard of: it may not have been told
-    /// yet. After a while the region counts as silent, and in the end it is forgotten.
+    /// A row that the former leader wrote, of a region that this leader has not heard of: it may
+    /// not have been told yet. After a while the region counts as silent, and in the end it is
+    /// forgotten.
     fn inherited_row(
         &self,
         now: Nanos,
@@ -290,7 +292,8 @@
         self.share_counter.count(now, own)
     }
 
-    /// Takes the overview into the share count, and reports regions that became reachable or silent.
+    /// Takes the overview into the share count, and reports regions that became reachable or
+    /// silent.
     fn update_share_counter(&mut self, now: Nanos, events: &mut Vec<MembershipEvent>) {
         let mut reachable = BTreeMap::new();
         let own_region = &self.location.region;
--- a/crates/membership/src/member/region_delegate.rs
+++ b/crates/membership/src/member/region_delegate.rs
@@ -1,5 +1,5 @@
-//! The delegates of regions: the leader announces its region, delegates exchange announcements, and a member that has
-//! met nobody is referred to its region.
+//! The delegates of regions: the leader announces its region, delegates exchange announcements, and
+//! a member that has met nobody is referred to its region.
 
 use super::context::Context;
 use super::federation::{Delegate, Federation, OwnRegion};
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Sends an announcement to one delegate of each other region, and to the other delegates of the own one.
+    /// Sends an announcement to one delegate of each other region, and to the other delegates of
+    /// the own one.
     fn send_announcement(&self, context: &mut Context, announcement: AgedAnnouncement) {
         let mut by_region: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
         for (row, _) in self.overview.rows() {
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Sends a digest to a delegate of any region if it is due. A member that has met nobody does so as well, to find
-    /// its region.
+    /// Sends a digest to a delegate of any region if it is due. A member that has met nobody does
+    /// so as well, to find its region.
     pub(super) fn send_digests(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
         let now = context.now;
         let alone = own_region.swim.alive() == 0;
@@ -264,7 +265,8 @@
         Ok(())
     }
 
-    /// The leader writes new announcements into the overview soon; other delegates pass them on to the leader.
+    /// The leader writes new announcements into the overview soon; other delegates pass them on to
+    /// the leader.
     fn pass_on(&mut self, context: &mut Context, new: &[AgedAnnouncement]) {
         if new.is_empty() {
             return;
@@ -329,7 +331,8 @@
             .collect()
     }
 
-    /// Announces to unknown delegates of the own region: this member has met nobody of it yet, or it is partitioned.
+    /// Announces to unknown delegates of the own region: this member has met nobody of it yet, or
+    /// it is partitioned.
     fn join_own_region(
         &mut self,
         context: &mut Context,
--- a/crates/membership/src/member/roster.rs
+++ b/crates/membership/src/member/roster.rs
@@ -1,9 +1,10 @@
 //! A snapshot of the membership in `foca`.
 //!
-//! A member ticks some thirty times a second, and a membership seldom changes. So whoever calls `foca` in a way that
-//! may change it calls [`Roster::invalidate`], and only then the membership is read again.
+//! A member ticks some thirty times a second, and a membership seldom changes. So whoever calls
+//! `foca` in a way that may change it calls [`Roster::invalidate`], and only then the membership is
+//! read again.
 
-use super::swim::Swim;
+use super::foca_adapter::Swim;
 use crate::Identity;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/membership/src/member/send_budget.rs
+++ b/crates/membership/src/member/send_budget.rs
@@ -1,7 +1,8 @@
 //! The send budget of a member of a fleet with regions: a token bucket of bytes.
 //!
-//! When hundreds of members die or return at once there is a broadcast for each. Broadcasts and digests wait for the
-//! bucket; heartbeats, probes and their answers never do, so that no member is suspected for want of bytes.
+//! When hundreds of members die or return at once there is a broadcast for each. Broadcasts and
+//! digests wait for the bucket; heartbeats, probes and their answers never do, so that no member is
+//! suspected for want of bytes.
 
 use crate::Nanos;
 
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -1,107 +1,29 @@
-//! SWIM by the library `foca`: its timers, joins, rejoins and the messages that it sends.
+//! SWIM by the library `foca`: its datagrams, timers, rejoins and updates.
 
-use super::context::{Context, GOSSIP_FANOUT, GOSSIP_INTERVAL};
+mod joining;
+
+use super::context::{Context, GOSSIP_INTERVAL};
+use super::foca_adapter::{Runtime, Swim, foca_config};
 use super::membership_table::MembershipTable;
 use super::roster::Roster;
-use crate::envelope::{self, MessageKind};
-use crate::fault_injection::{InjectedFault, is_injected};
-use crate::heartbeat;
+use crate::envelope::MessageKind;
 use crate::identity::{KnownAddresses, MembershipCodec, ObservedGeneration};
 use crate::payload::PayloadError;
 use crate::{Identity, MS, MembershipEvent, MembershipSettings, Nanos};
-use foca::{Foca, NoCustomBroadcast, OwnedNotification, PeriodicParams, Timer};
+use foca::{Foca, OwnedNotification, Timer};
 use rand::RngExt;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::num::{NonZeroU8, NonZeroUsize};
-use std::time::Duration;
 
 /// A death is gossiped at once, yet at most this often.
 const EARLY_GOSSIP_INTERVAL: Nanos = 20 * MS;
-/// How often dead members are announced to, each by a few drawn members; this is how a healed partition merges.
-const DEAD_ANNOUNCEMENT_INTERVAL: Nanos = 500 * MS;
-/// Each time about this many random members announce to a dead one as well: the drawn ones may be cut off from it.
-const RANDOM_DEAD_ANNOUNCERS: usize = 4;
-/// A member that rejoins announces to this many dead members at once.
-const REJOIN_ANNOUNCEMENTS: usize = 6;
-/// Join addresses are announced to again after this, doubled each time up to [`JOIN_BACKOFF_MAX`].
-const JOIN_BACKOFF_MIN: Nanos = 200 * MS;
-const JOIN_BACKOFF_MAX: Nanos = 5_000 * MS;
-/// The own generation is raised past a greater one of the same address at most this often: two processes at one
-/// address would raise each other's without end.
+/// The own generation is raised past a greater one of the same address at most this often: two
+/// processes at one address would raise each other's without end.
 const GENERATION_RAISE_INTERVAL: Nanos = 1_000 * MS;
-/// `foca` transmits each update this often, and once more for each doubling of the fleet;
-const BASE_TRANSMISSIONS: u32 = 6;
-/// in a fleet with regions at most this often.
-const REGIONAL_TRANSMISSIONS_MAX: u32 = 10;
-const INDIRECT_PROBES: usize = 3;
-const ANNOUNCE_INTERVAL: Nanos = 5_000 * MS;
-
-/// `foca`, as this crate uses it.
-pub(super) type Swim = Foca<Identity, MembershipCodec, Xoshiro256PlusPlus, NoCustomBroadcast>;
-
-/// What `foca` hands out in one call.
-#[derive(Default)]
-struct Runtime {
-    datagrams: Vec<(Identity, Vec<u8>)>,
-    timers: Vec<(Duration, Timer<Identity>)>,
-    notifications: Vec<OwnedNotification<Identity>>,
-}
-
-impl foca::Runtime<Identity> for &mut Runtime {
-    fn notify(&mut self, notification: foca::Notification<'_, Identity>) {
-        self.notifications.push(notification.to_owned());
-    }
-
-    fn send_to(&mut self, to: Identity, data: &[u8]) {
-        self.datagrams.push((to, data.to_vec()));
-    }
-
-    fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
-        self.timers.push((after, event));
-    }
-}
-
-/// How often `foca` transmits each update. With regions the bytes are bounded, and anti-entropy finds what is missed.
-fn transmissions(settings: &MembershipSettings) -> u8 {
-    let transmissions = BASE_TRANSMISSIONS + settings.members_max.max(2).ilog2();
-    let limit = if settings.location.is_none() {
-        u32::from(u8::MAX)
-    } else {
-        REGIONAL_TRANSMISSIONS_MAX
-    };
-    transmissions.min(limit) as u8
-}
 
-fn foca_config(settings: &MembershipSettings) -> foca::Config {
-    let timing = &settings.timing;
-    let span = Duration::from_nanos;
-    let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let every = |interval, members| {
-        Some(PeriodicParams {
-            frequency: span(interval),
-            num_members: non_zero(members),
-        })
-    };
-    foca::Config {
-        probe_period: span(timing.probe_interval),
-        probe_rtt: span(timing.ack_timeout),
-        num_indirect_probes: non_zero(INDIRECT_PROBES),
-        max_transmissions: NonZeroU8::new(transmissions(settings)).unwrap_or(NonZeroU8::MIN),
-        // Unused: `suspicion` decides.
-        suspect_to_down_after: span(timing.suspicion_timeout),
-        remove_down_after: Some(span(timing.tombstone_retention)),
-        max_packet_size: non_zero(envelope::PAYLOAD_MAX),
-        notify_down_members: true,
-        periodic_announce: every(ANNOUNCE_INTERVAL, 1),
-        // Unused: see `announce_to_drawn_dead`.
-        periodic_announce_to_down_members: None,
-        periodic_gossip: every(GOSSIP_INTERVAL, GOSSIP_FANOUT),
-    }
-}
-
-/// SWIM at one member. Errors of `foca` are those of sending or of outdated timers, and are ignored but for datagrams.
+/// SWIM at one member. Errors of `foca` are those of sending or of outdated timers, and are ignored
+/// but for datagrams.
 pub(super) struct SwimProtocol {
     foca: Swim,
     roster: Roster,
@@ -157,7 +79,7 @@
             timer_sequence: 0,
             join_addresses: settings.join.clone(),
             next_join: first_join,
-            join_backoff: JOIN_BACKOFF_MIN,
+            join_backoff: joining::JOIN_BACKOFF_MIN,
             has_met: false,
             last_generation_raise: 0,
             next_dead_announcement: first_join,
@@ -169,11 +91,6 @@
         }
     }
 
-    /// A random delay before the first join, so that members that start at once do not join in step.
-    pub(super) fn join_delay(rng: &mut Xoshiro256PlusPlus) -> Nanos {
-        rng.random_range(0..JOIN_BACKOFF_MIN / 2)
-    }
-
     pub(super) fn id(&self) -> Identity {
         *self.foca.identity()
     }
@@ -395,41 +312,6 @@
         self.process(context, runtime);
     }
 
-    /// Announces to those dead members for which this one is drawn. If all members announced to each, one that returns
-    /// would have to answer as many as there are members, each with a datagram of the greatest length.
-    pub(super) fn announce_to_drawn_dead(&mut self, context: &mut Context) {
-        let early = context.now < self.next_dead_announcement;
-        if early || is_injected(InjectedFault::NeverContactsDeadMembers) {
-            return;
-        }
-        self.next_dead_announcement = context.now + DEAD_ANNOUNCEMENT_INTERVAL;
-        if self.dead.is_empty() {
-            return;
-        }
-        let addresses: Vec<SocketAddr> = self.dead.iter().map(|id| id.address).collect();
-        let alive = self.roster.alive();
-        let mut drawn = heartbeat::drawn_for(&addresses, self.own_address, alive);
-        let members = alive.len() + 1;
-        if context.rng.random_range(0..members) < RANDOM_DEAD_ANNOUNCERS {
-            drawn.push(context.rng.random_range(0..self.dead.len()));
-        }
-        let targets: Vec<Identity> = drawn.into_iter().map(|index| self.dead[index]).collect();
-        self.announce(context, targets);
-    }
-
-    /// Announces to some dead members: a member that was declared dead was most likely cut off from more than one.
-    fn announce_to_random_dead(&mut self, context: &mut Context) {
-        if is_injected(InjectedFault::NeverContactsDeadMembers) {
-            return;
-        }
-        let mut dead = self.dead.clone();
-        let mut targets = Vec::new();
-        for _ in 0..REJOIN_ANNOUNCEMENTS.min(dead.len()) {
-            targets.push(dead.swap_remove(context.rng.random_range(0..dead.len())));
-        }
-        self.announce(context, targets);
-    }
-
     /// After a stall of this member: what was due during it gets its whole time again.
     pub(super) fn restart_timers(&mut self, now: Nanos) {
         let due: Vec<(Nanos, u64)> = self
@@ -485,42 +367,6 @@
         self.process(context, runtime);
     }
 
-    /// Announces to join addresses: all of them while no other member is known, later one at a time, in case two parts
-    /// of the fleet never met. Those in other regions are left out.
-    pub(super) fn join(
-        &mut self,
-        context: &mut Context,
-        is_in_other_region: impl Fn(&SocketAddr) -> bool,
-    ) {
-        if context.now < self.next_join {
-            return;
-        }
-        let alone = self.alive() == 0;
-        let is_missing = |address: &SocketAddr| {
-            *address != self.own_address && !self.is_alive(*address) && !is_in_other_region(address)
-        };
-        let addresses = self.join_addresses.iter().copied();
-        let missing: Vec<SocketAddr> = addresses.filter(is_missing).collect();
-        if self.has_met && is_injected(InjectedFault::NeverContactsDeadMembers) {
-            return;
-        }
-        let targets = if alone {
-            missing
-        } else {
-            context.choose(&missing).into_iter().collect()
-        };
-        self.announce(
-            context,
-            targets.into_iter().map(Identity::of_unknown_generation),
-        );
-        let backoff = self.join_backoff;
-        self.next_join = context.now + backoff / 2 + context.rng.random_range(0..backoff);
-        self.join_backoff = (backoff * 2).min(JOIN_BACKOFF_MAX);
-        if alone {
-            self.join_backoff = self.join_backoff.min(JOIN_BACKOFF_MAX / 2);
-        }
-    }
-
     /// Gossips a death without waiting for the next periodic gossip.
     pub(super) fn gossip_early(&mut self, context: &mut Context) {
         if self.early_gossip_due.is_none_or(|at| context.now < at) {
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -61,8 +61,8 @@
             && self.extension.len() <= EXTENSION_MAX
     }
 
-    /// The fields that all members should learn soon. Request rate and places change all the time, and broadcasts of
-    /// them would grow with the fleet.
+    /// The fields that all members should learn soon. Request rate and places change all the time,
+    /// and broadcasts of them would grow with the fleet.
     pub(crate) fn urgent_fields(&self) -> impl PartialEq + Serialize + '_ {
         (
             self.phase,
--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -1,4 +1,5 @@
-//! The metadata records that one member stores: broadcast while new, repeated in rotation, requested where missing.
+//! The metadata records that one member stores: broadcast while new, repeated in rotation,
+//! requested where missing.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -108,13 +109,15 @@
         self.stored(id).map(|stored| &stored.record)
     }
 
-    /// The checksum of a member's urgent fields; 0 where no record of this generation or a later one is stored.
+    /// The checksum of a member's urgent fields; 0 where no record of this generation or a later
+    /// one is stored.
     #[must_use]
     pub fn checksum(&self, id: &Identity) -> u32 {
         self.stored(id).map_or(0, |stored| stored.checksum)
     }
 
-    /// Stores a record; one that is new in what all should learn soon is broadcast among so many live members.
+    /// Stores a record; one that is new in what all should learn soon is broadcast among so many
+    /// live members.
     pub fn insert(&mut self, record: MetadataRecord, alive: usize) {
         let address = record.member.address;
         let predecessor = self.records.get(&address);
@@ -139,9 +142,9 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Merges records of others. `known_generation` tells by which generation a member is known; records of unknown
-    /// members are dropped. Returns how many members are unknown, or known by an older generation only: their
-    /// membership broadcasts died out before they reached this member.
+    /// Merges records of others. `known_generation` tells by which generation a member is known;
+    /// records of unknown members are dropped. Returns how many members are unknown, or known by an
+    /// older generation only: their membership broadcasts died out before they reached this member.
     ///
     /// # Errors
     ///
@@ -279,8 +282,9 @@
         Ok(responses)
     }
 
-    /// The request for the records of live members that are missing, if it is time. `membership` is a checksum of the
-    /// membership: nothing is searched while it is one of which nothing was missing.
+    /// The request for the records of live members that are missing, if it is time. `membership` is
+    /// a checksum of the membership: nothing is searched while it is one of which nothing was
+    /// missing.
     pub fn missing_records_request<'a>(
         &mut self,
         now: Nanos,
--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -1,4 +1,5 @@
-//! Datagrams that version cab609d sent are read with today's types, and written again byte for byte.
+//! Datagrams that version cab609d sent are read with today's types, and written again byte for
+//! byte.
 
 use crate::anti_entropy::{BUCKETS, DigestMessage, ListDelta};
 use crate::envelope::{EnvelopeScope, MessageKind, open, seal};
--- a/crates/membership/src/regions.rs
+++ b/crates/membership/src/regions.rs
@@ -1,10 +1,11 @@
 //! Federation: the upper level of a fleet with regions.
 //!
-//! Within a region the members know each other by SWIM, as in a fleet without regions. Between regions a few
-//! [`delegates`] of each exchange [`announcement`]s by anti-entropy ([`exchange`]) and store them
-//! ([`announcement_store`]). The first delegate, the leader, writes what they know into an [`overview`], which is
-//! gossiped within its region. So a member's cost follows the size of its region and the number of regions, and not
-//! the size of the fleet. The share count is summed over the regions ([`share_count`]).
+//! Within a region the members know each other by SWIM, as in a fleet without regions. Between
+//! regions a few [`delegates`] of each exchange [`announcement`]s by anti-entropy ([`exchange`])
+//! and store them ([`announcement_store`]). The first delegate, the leader, writes what they know
+//! into an [`overview`], which is gossiped within its region. So a member's cost follows the size
+//! of its region and the number of regions, and not the size of the fleet. The share count is
+//! summed over the regions ([`share_count`]).
 
 pub mod announcement;
 pub mod announcement_store;
@@ -23,8 +24,8 @@
 pub const REGIONS_MAX: usize = 64;
 /// The most places of a region: twice the members that one may have.
 pub const REGION_PLACES_MAX: u32 = 8_192;
-/// Versions further in the future of the own clock are dropped: one wrong clock would otherwise supersede all others
-/// for years.
+/// Versions further in the future of the own clock are dropped: one wrong clock would otherwise
+/// supersede all others for years.
 pub const CLOCK_SKEW_MAX_MS: u64 = 600_000;
 /// An author is silent after this long without a new heartbeat of it.
 pub const SILENT_AFTER: Nanos = 5_000 * MS;
--- a/crates/membership/src/regions/announcement.rs
+++ b/crates/membership/src/regions/announcement.rs
@@ -22,7 +22,8 @@
     pub request_rate_tenths: u32,
     /// The delegates, the leader first.
     pub delegates: Vec<SocketAddr>,
-    /// The former leader, if the author took its place: its announcement counts no more unless it proves to be alive.
+    /// The former leader, if the author took its place: its announcement counts no more unless it
+    /// proves to be alive.
     pub replaces: Option<SocketAddr>,
 }
 
--- a/crates/membership/src/regions/announcement_store.rs
+++ b/crates/membership/src/regions/announcement_store.rs
@@ -1,6 +1,8 @@
-//! The announcements that one delegate stores: the latest of each author, with proof that the author is alive.
+//! The announcements that one delegate stores: the latest of each author, with proof that the
+//! author is alive.
 //!
-//! An author counts up heartbeats, by which a region whose figures do not change is told from one that is silent.
+//! An author counts up heartbeats, by which a region whose figures do not change is told from one
+//! that is silent.
 
 use super::announcement::{Announcement, AnnouncementKey, AnnouncementPayload, RegionSummary};
 use super::exchange::{AgedAnnouncement, AnnouncementVersion};
@@ -96,14 +98,15 @@
             .is_some_and(|heartbeats| self.heartbeats <= heartbeats + LATE_HEARTBEATS)
     }
 
-    /// The preference among the authors of a region: live ones, then those with the most live members.
+    /// The preference among the authors of a region: live ones, then those with the most live
+    /// members.
     fn preference(&self, now: Nanos) -> (bool, u32) {
         (!self.is_silent(now), self.summary().alive)
     }
 }
 
-/// The last state of an author that was forgotten. Others may still send its announcement, which would otherwise
-/// circulate for ever.
+/// The last state of an author that was forgotten. Others may still send its announcement, which
+/// would otherwise circulate for ever.
 #[derive(Clone, Copy, Debug)]
 struct AuthorTombstone {
     version: u64,
@@ -118,7 +121,8 @@
     pub summary: RegionSummary,
     /// Its version.
     pub version: u64,
-    /// The most places that a live author publishes: each part of a partitioned region may publish fewer.
+    /// The most places that a live author publishes: each part of a partitioned region may publish
+    /// fewer.
     pub places: u32,
     /// Live authors; more than one where a region is partitioned.
     pub authors: usize,
@@ -138,7 +142,8 @@
 }
 
 impl AnnouncementStore {
-    /// An empty store of a member of this region. Authors that were silent for `tombstone_retention` are forgotten.
+    /// An empty store of a member of this region. Authors that were silent for
+    /// `tombstone_retention` are forgotten.
     #[must_use]
     pub fn new(own: SocketAddr, region: &str, tombstone_retention: Nanos) -> Self {
         AnnouncementStore {
@@ -345,8 +350,8 @@
         true
     }
 
-    /// The own announcement is only written by this member. A former process of it may have published a later time,
-    /// above which the next version has to be.
+    /// The own announcement is only written by this member. A former process of it may have
+    /// published a later time, above which the next version has to be.
     fn pass_own_version(&mut self, version: u64) {
         let id = self.own_id();
         if let Some(own) = self.stored.get_mut(&id)
@@ -356,7 +361,8 @@
         }
     }
 
-    /// Stores an announcement in place of the author's former one, and notes whom its author replaced.
+    /// Stores an announcement in place of the author's former one, and notes whom its author
+    /// replaced.
     fn replace(&mut self, now: Nanos, id: AnnouncementId, aged: &AgedAnnouncement) {
         self.tombstones.remove(&id);
         let former = self.stored.get(&id);
@@ -373,7 +379,8 @@
             .filter(|author| *author != id.author && Some(*author) != former_claim);
         let region = id.region.clone();
         self.stored.insert(id, stored);
-        // Only a new claim counts: each part of a partitioned region keeps claiming to replace the other's leader.
+        // Only a new claim counts: each part of a partitioned region keeps claiming to replace the
+        // other's leader.
         if let Some(author) = replaced_author
             && let Some(replaced) = self.stored.get_mut(&AnnouncementId { region, author })
         {
@@ -389,8 +396,8 @@
         })
     }
 
-    /// Whether there is room for one more author, for which a less preferred one of its region may be forgotten. A
-    /// silent author gets none while its region has a live one.
+    /// Whether there is room for one more author, for which a less preferred one of its region may
+    /// be forgotten. A silent author gets none while its region has a live one.
     fn make_room(&mut self, id: &AnnouncementId, aged: &AgedAnnouncement, now: Nanos) -> bool {
         let silence = now.saturating_sub(aged.last_heard(now));
         let is_silent = silence >= SILENT_AFTER;
@@ -427,8 +434,8 @@
     }
 }
 
-/// What the authors of one region say together: the summary of the one with the most live members, which in a
-/// partitioned region is the same one each time.
+/// What the authors of one region say together: the summary of the one with the most live members,
+/// which in a partitioned region is the same one each time.
 fn combine(authors: &[&StoredAnnouncement], now: Nanos) -> Option<RegionKnowledge> {
     let is_live = |stored: &&StoredAnnouncement| !stored.is_silent(now);
     let mut live: Vec<&StoredAnnouncement> = authors.iter().copied().filter(is_live).collect();
--- a/crates/membership/src/regions/delegates.rs
+++ b/crates/membership/src/regions/delegates.rs
@@ -1,5 +1,6 @@
-//! The delegates of a region: drawn by rendezvous hashing over its live members, so that all members compute the same
-//! ones, a dead delegate is replaced by the next in rank, and nothing else changes.
+//! The delegates of a region: drawn by rendezvous hashing over its live members, so that all
+//! members compute the same ones, a dead delegate is replaced by the next in rank, and nothing else
+//! changes.
 
 use super::DELEGATES;
 use crate::anti_entropy::address_bytes;
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -1,7 +1,8 @@
 //! Anti-entropy between the delegates of all regions.
 //!
-//! The digest lists the version and heartbeats of each announcement that the sender stores. The delta contains what the
-//! sender of the digest lacks, and requests what the replying delegate lacks.
+//! The digest lists the version and heartbeats of each announcement that the sender stores. The
+//! delta contains what the sender of the digest lacks, and requests what the replying delegate
+//! lacks.
 
 use super::announcement::{Announcement, AnnouncementKey};
 use super::announcement_store::{AnnouncementId, AnnouncementStore, StoredAnnouncement};
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -1,8 +1,8 @@
-//! The overview: what the members of a region know of the other regions. The region's leader writes it, broadcasts
-//! spread it, and anti-entropy finds what they miss.
+//! The overview: what the members of a region know of the other regions. The region's leader writes
+//! it, broadcasts spread it, and anti-entropy finds what they miss.
 //!
-//! It is divided into [`PARTS`] by the regions' names, each with a version of its own, so that a change of one region
-//! sends few rows.
+//! It is divided into [`PARTS`] by the regions' names, each with a version of its own, so that a
+//! change of one region sends few rows.
 
 use super::announcement_store::RegionKnowledge;
 use super::{CLOCK_SKEW_MAX_MS, REGIONS_MAX, elapsed_seconds, seconds_ago};
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Whether another status is equal but for the length of a silence, which each member counts itself.
+    /// Whether another status is equal but for the length of a silence, which each member counts
+    /// itself.
     fn is_equivalent(&self, other: &RegionStatus) -> bool {
         let without_length = |status: &RegionStatus| RegionStatus {
             silent_seconds: status.silent_seconds.map(|_| 0),
@@ -276,7 +277,8 @@
             .collect()
     }
 
-    /// The parts that differ from a received digest, as many as fit into a datagram, from `first` on.
+    /// The parts that differ from a received digest, as many as fit into a datagram, from `first`
+    /// on.
     ///
     /// # Errors
     ///
--- a/crates/membership/src/regions/share_count.rs
+++ b/crates/membership/src/regions/share_count.rs
@@ -1,15 +1,17 @@
-//! The share count of a fleet with regions: the rules of [`crate::share_count`], with regions for members.
+//! The share count of a fleet with regions: the rules of [`crate::share_count`], with regions for
+//! members.
 //!
 //! 1. A reachable region counts with the places of its summary.
 //! 2. A silent region keeps its places for `share_retention`.
-//! 3. After that its places are dropped only where the live members of all reachable regions are more than half of all
-//!    places published within `tombstone_retention`. At most one side of a partition has this majority; the others keep
-//!    dividing by their last count.
+//! 3. After that its places are dropped only where the live members of all reachable regions are
+//!    more than half of all places published within `tombstone_retention`. At most one side of a
+//!    partition has this majority; the others keep dividing by their last count.
 //! 4. A region that was silent for `tombstone_retention` is forgotten.
 //!
-//! Within its region a member counts by the rules for members. A side without the majority divides by half of all
-//! places at least, whether regions were cut from each other or one was cut in two. The sum of all shares is then under
-//! 2 through partitions shorter than `tombstone_retention`: 1 on the side with the majority, and under 1 on all others.
+//! Within its region a member counts by the rules for members. A side without the majority divides
+//! by half of all places at least, whether regions were cut from each other or one was cut in two.
+//! The sum of all shares is then under 2 through partitions shorter than `tombstone_retention`: 1
+//! on the side with the majority, and under 1 on all others.
 
 use crate::Nanos;
 use crate::fault_injection::{InjectedFault, is_injected};
--- a/crates/membership/src/share_count.rs
+++ b/crates/membership/src/share_count.rs
@@ -1,18 +1,21 @@
-//! The share count within a region: the number of balancers that quotas, limits and budgets are divided by.
+//! The share count within a region: the number of balancers that quotas, limits and budgets are
+//! divided by.
 //!
-//! A partition looks like a mass death, and caches may be reachable from both of its sides. If each side divided by its
-//! own members alone, the sum of all shares would be the number of sides. So:
+//! A partition looks like a mass death, and caches may be reachable from both of its sides. If each
+//! side divided by its own members alone, the sum of all shares would be the number of sides. So:
 //!
 //! 1. A new member counts at once, and so does a graceful leave.
 //! 2. A member that vanished keeps its place for `share_retention`.
-//! 3. After that its place is dropped only where the live members are more than half of all places. At most one side
-//!    of a partition has this majority; the others keep dividing by their last count.
+//! 3. After that its place is dropped only where the live members are more than half of all places.
+//!    At most one side of a partition has this majority; the others keep dividing by their last
+//!    count.
 //! 4. A place that was empty for `tombstone_retention` is dropped on either side.
 //!
-//! The sum of shares through one partition shorter than `tombstone_retention` is then at most 1.5: 1 on the larger
-//! side, and under a half on all others together. Through any sequence of partitions within `tombstone_retention` it is
-//! under 1 + ln 2 = 1.7: members that are cut off one by one, each after the former was dropped, keep the shares of
-//! their time. A longer partition is taken for deaths: each side then divides by its own members.
+//! The sum of shares through one partition shorter than `tombstone_retention` is then at most 1.5:
+//! 1 on the larger side, and under a half on all others together. Through any sequence of
+//! partitions within `tombstone_retention` it is under 1 + ln 2 = 1.7: members that are cut off one
+//! by one, each after the former was dropped, keep the shares of their time. A longer partition is
+//! taken for deaths: each side then divides by its own members.
 
 use crate::Nanos;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -63,8 +66,8 @@
         }
     }
 
-    /// How many places there are, the own one included. Members publish it, so that newcomers on either side of a
-    /// partition divide as the others do.
+    /// How many places there are, the own one included. Members publish it, so that newcomers on
+    /// either side of a partition divide as the others do.
     #[must_use]
     pub fn places(&self) -> usize {
         1 + self.present.len() + self.vanished.len()
@@ -76,7 +79,8 @@
         1 + self.present.len()
     }
 
-    /// The share count now. `reported_places` is the greatest number of places that a live member publishes.
+    /// The share count now. `reported_places` is the greatest number of places that a live member
+    /// publishes.
     pub fn count(&mut self, now: Nanos, reported_places: usize) -> usize {
         self.forget_old_tombstones(now);
         let alive = self.alive();
--- a/crates/membership/src/share_count/tests.rs
+++ b/crates/membership/src/share_count/tests.rs
@@ -33,9 +33,9 @@
         for (i, count) in self.counts.iter_mut().enumerate() {
             for j in (0..self.side.len()).filter(|j| *j != i) {
                 if self.side[i] == self.side[j] {
-                    count.record_present(at(j))
+                    count.record_present(at(j));
                 } else {
-                    count.record_vanished(self.now, at(j))
+                    count.record_vanished(self.now, at(j));
                 }
             }
         }
@@ -127,7 +127,8 @@
         for (sides, seconds) in steps {
             // A partition only splits further unless everything heals: the worst sequence.
             let heals = sides[0] == 0;
-            let next: Vec<u8> = (0..n).map(|i| if heals { 0 } else { fleet.side[i].wrapping_mul(4).wrapping_add(sides[i]) }).collect();
+            let split = |i: usize| fleet.side[i].wrapping_mul(4).wrapping_add(sides[i]);
+            let next: Vec<u8> = (0..n).map(|i| if heals { 0 } else { split(i) }).collect();
             fleet.side = next;
             fleet.observe();
             let at_once = fleet.sum();
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -1,14 +1,17 @@
-//! Shared shedding: all members shed load by one level when more is asked for than the caches have capacity for.
+//! Shared shedding: all members shed load by one level when more is asked for than the caches have
+//! capacity for.
 //!
-//! Each member counts, round by round, how many requests it admitted and how many of these were then rejected for lack
-//! of capacity. It reports that and its level to a few others at random, and passes on the recent reports of the rest.
-//! All thus judge by nearly the same sums. Each sets its level to the mean of the levels that it knows, raises it at
-//! once by the fraction rejected for capacity, and lowers it slowly at first and then faster. An isolated member goes
-//! by its own counts alone.
+//! Each member counts, round by round, how many requests it admitted and how many of these were
+//! then rejected for lack of capacity. It reports that and its level to a few others at random, and
+//! passes on the recent reports of the rest. All thus judge by nearly the same sums. Each sets its
+//! level to the mean of the levels that it knows, raises it at once by the fraction rejected for
+//! capacity, and lowers it slowly at first and then faster. An isolated member goes by its own
+//! counts alone.
 //!
-//! The level is a number of tiers. The configured classes, each within and beyond its tenant's quota, are the tiers, in
-//! the order of their priority weights (`routing` orders them). Of all tiers under the level [`MAX_SHED_FRACTION`] is
-//! shed, and of the tier in which it lies the level's fractional part, the same requests at all members.
+//! The level is a number of tiers. The configured classes, each within and beyond its tenant's
+//! quota, are the tiers, in the order of their priority weights (`routing` orders them). Of all
+//! tiers under the level [`MAX_SHED_FRACTION`] is shed, and of the tier in which it lies the
+//! level's fractional part, the same requests at all members.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -25,7 +28,8 @@
 pub const REPORT_TTL: Nanos = 1_500 * MS;
 /// The level rises if more than this fraction of the admitted requests is rejected for capacity,
 const RAISE_ABOVE: f64 = 0.15;
-/// so that this fraction remains: without some excess the members' own limits would never be reached and never grow.
+/// so that this fraction remains: without some excess the members' own limits would never be
+/// reached and never grow.
 const TARGET_EXCESS: f64 = 0.1;
 /// The level falls if less than this fraction is rejected for capacity.
 const LOWER_BELOW: f64 = 0.08;
@@ -37,7 +41,8 @@
 const RECOVERY_FRACTION: f64 = 0.35;
 /// Fewer admitted requests than this in a round, over the fleet, do not raise the level.
 const RAISE_MIN_REQUESTS: u32 = 20;
-/// The first lowerings admit this fraction more: less than lies between the two thresholds, so that the level settles.
+/// The first lowerings admit this fraction more: less than lies between the two thresholds, so that
+/// the level settles.
 const LOWER_FRACTION: f64 = 0.03;
 /// After this many lowerings in a row each admits [`LOWER_GROWTH`] times as much as the one before,
 const SLOW_LOWERINGS: u32 = 3;
@@ -46,7 +51,8 @@
 const LOWER_GROWTH_STEPS_MAX: u32 = 9;
 /// and at most this fraction.
 const LOWER_FRACTION_MAX: f64 = 0.5;
-/// Lowerings vary from this factor on, by up to [`JITTER_RANGE`], so that members do not move in step.
+/// Lowerings vary from this factor on, by up to [`JITTER_RANGE`], so that members do not move in
+/// step.
 const JITTER_MIN: f64 = 0.75;
 const JITTER_RANGE: f64 = 0.5;
 /// Rounds without another raise after one: the reports of others were counted before it.
@@ -180,7 +186,8 @@
         self.received.retain(|address, _| is_known(*address));
     }
 
-    /// Whether there is something to report: a level, or a round with requests rejected for capacity.
+    /// Whether there is something to report: a level, or a round with requests rejected for
+    /// capacity.
     #[must_use]
     pub fn has_report(&self) -> bool {
         self.level > 0.0 || self.own.counts.capacity_rejections > 0
@@ -280,7 +287,8 @@
         }
     }
 
-    /// Raises the level so that `excess` fewer requests are admitted, those of the least priority weight first.
+    /// Raises the level so that `excess` fewer requests are admitted, those of the least priority
+    /// weight first.
     fn raise(&mut self, excess: f64, admitted: &[u32; COUNTED_TIERS]) {
         if is_injected(InjectedFault::ShedsAllTiersAtOnce) {
             self.level = self.tiers as f64 - 0.5;
@@ -306,7 +314,8 @@
         self.level = level_max;
     }
 
-    /// Lowers the level so that `more` requests are admitted, those of the greatest priority weight first.
+    /// Lowers the level so that `more` requests are admitted, those of the greatest priority weight
+    /// first.
     fn lower(&mut self, mut more: f64, counts: &AdmissionCounts) {
         while self.level > 0.0 {
             let tier = (self.level.ceil() - 1.0).max(0.0);
--- a/crates/membership/src/shedding/tests.rs
+++ b/crates/membership/src/shedding/tests.rs
@@ -45,8 +45,8 @@
     (level - tier).clamp(0.0, MAX_SHED_FRACTION)
 }
 
-/// Members that receive all reports, under a load of which `capacity` a round can be served; a tenth are writes. The
-/// reads and writes that are admitted in each round.
+/// Members that receive all reports, under a load of which `capacity` a round can be served; a
+/// tenth are writes. The reads and writes that are admitted in each round.
 fn play(
     members: &mut [SharedShedding],
     offered: impl Fn(u64) -> f64,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,9 +1,10 @@
 //! Suspicion timers: when a suspect is confirmed dead, and by whom.
 //!
-//! Every member that learns of a suspicion starts a timer. The suspect's watchers ([`crate::heartbeat`]) probe it until
-//! it refutes; a watcher that hears nothing for the whole timeout confirms the death and broadcasts it. All others wait
-//! [`NON_WATCHER_MULTIPLIER`] times as long, in case the watchers are gone. A death thus rests on direct silence at
-//! several members, not on one lost probe.
+//! Every member that learns of a suspicion starts a timer. The suspect's watchers
+//! ([`crate::heartbeat`]) probe it until it refutes; a watcher that hears nothing for the whole
+//! timeout confirms the death and broadcasts it. All others wait [`NON_WATCHER_MULTIPLIER`] times
+//! as long, in case the watchers are gone. A death thus rests on direct silence at several members,
+//! not on one lost probe.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::heartbeat::PROBE_INTERVAL;
@@ -81,8 +82,8 @@
         }
     }
 
-    /// The actions that are due. `watches` tells whom this member watches, `last_heard` when a member was last heard
-    /// directly.
+    /// The actions that are due. `watches` tells whom this member watches, `last_heard` when a
+    /// member was last heard directly.
     pub fn due(
         &mut self,
         now: Nanos,
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,11 +1,13 @@
-//! Datagrams as version cab609d wrote them: members of this version send the same bytes in the same seeded runs.
+//! Datagrams as version cab609d wrote them: members of this version send the same bytes in the same
+//! seeded runs.
 
 #[path = "wire_format/network.rs"]
 mod network;
 
 use network::{Network, with_regions, without_regions};
 
-/// Checks a run against its recording; with `RECORD_GOSSIP` set to a directory, writes the recording there instead.
+/// Checks a run against its recording; with `RECORD_GOSSIP` set to a directory, writes the
+/// recording there instead.
 fn assert_recorded(name: &str, network: &Network, recorded: &str) {
     let recording = network.recording();
     if let Ok(directory) = std::env::var("RECORD_GOSSIP") {
--- a/crates/membership/tests/wire_format/network.rs
+++ b/crates/membership/tests/wire_format/network.rs
@@ -99,7 +99,7 @@
     }
 
     pub fn leave(&mut self, number: u16) {
-        self.with(number, |member, now| member.leave(now));
+        self.with(number, Member::leave);
         self.collect(address(number));
     }
 
@@ -192,7 +192,8 @@
         format!("all {} {bytes} {:016x}\n", self.sent.len(), xxh3_64(&all))
     }
 
-    /// The shortest and the longest datagram of each kind, one a line: kind, which, from, to, bytes in hexadecimal.
+    /// The shortest and the longest datagram of each kind, one a line: kind, which, from, to, bytes
+    /// in hexadecimal.
     pub fn recording(&self) -> String {
         let mut lines = self.summary();
         for kind in 1..=14 {
@@ -223,8 +224,8 @@
     network
 }
 
-/// Two regions of five and four members, cut from each other for a while; a newcomer knows only a member that is no
-/// delegate of the other region.
+/// Two regions of five and four members, cut from each other for a while; a newcomer knows only a
+/// member that is no delegate of the other region.
 pub fn with_regions() -> Network {
     let mut network = Network::new(|number| if number <= 5 { "north" } else { "south" });
     for number in 1..=9 {
