--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -233,6 +233,7 @@
 
 impl CapacityRow {
     /// The need in the worst hour over what is allowed.
+    #[must_use]
     pub fn over(&self) -> Option<f64> {
         self.budget.map(|budget| self.worst / budget)
     }
--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -11,6 +11,10 @@
 pub type Settled = BTreeMap<(String, u64), Vec<f64>>;
 
 /// Reads all reports of a folder.
+///
+/// # Errors
+///
+/// If the file can't be read or drawn, or holds nothing to draw.
 pub fn reports(folder: &Path) -> Result<Vec<Value>, TestbedError> {
     let problem = |e| TestbedError::file(folder, e);
     let mut files: Vec<_> = std::fs::read_dir(folder)
@@ -29,6 +33,7 @@
 }
 
 /// Gathers the times of all reports.
+#[must_use]
 pub fn settled(reports: &[Value]) -> Settled {
     let mut all = Settled::new();
     for report in reports {
@@ -52,6 +57,7 @@
 }
 
 /// A table of medians and worst cases, as Markdown.
+#[must_use]
 pub fn table(settled: &Settled) -> String {
     let mut text = String::from(
         "| all views true after | processes | plays | median s | worst s |\n| --- | --- | --- | --- | --- |\n",
@@ -75,6 +81,10 @@
 ];
 
 /// Draws each play as a dot, a row for each thing that was waited for.
+///
+/// # Errors
+///
+/// If the file can't be read or drawn, or holds nothing to draw.
 pub fn draw_settled(settled: &Settled, aim: f64, file: &Path) -> Result<(), TestbedError> {
     let problem = |e: &dyn std::fmt::Display| TestbedError::Chart {
         path: file.into(),
@@ -105,7 +115,9 @@
     let label = |y: &f64| {
         let row = y.floor() as usize;
         if (y - y.floor() - 0.5).abs() < 0.01 {
-            names.get(row).map_or(String::new(), |n| n.to_string())
+            names
+                .get(row)
+                .map_or(String::new(), std::string::ToString::to_string)
         } else {
             String::new()
         }
@@ -145,6 +157,10 @@
 }
 
 /// Draws one figure of the measured rows over the number of members, a line for each rate of loss.
+///
+/// # Errors
+///
+/// If the file can't be read or drawn, or holds nothing to draw.
 pub fn draw_measured(
     rows: &[Value],
     figure: &str,
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -154,17 +154,17 @@
     /// The caches; `None` while one is down.
     pub caches: Vec<Option<Cache>>,
     /// The list that discovery tells.
-    pub list: EndpointList,
+    pub endpoint_list: EndpointList,
     /// The origin, if there is one.
     pub origin: Option<Origin>,
     /// Requests a second of all clients.
-    pub load: RequestRate,
+    pub request_rate: RequestRate,
     /// What came to caches that have died since.
-    past: CacheCounts,
+    counts_of_ended_caches: CacheCounts,
     clients: Option<Clients>,
-    switch: DatagramProxy,
+    datagram_proxy: DatagramProxy,
     /// `relays[member][cache]`.
-    relays: Vec<Vec<StreamProxy>>,
+    stream_proxies: Vec<Vec<StreamProxy>>,
     _discovery: Vec<Discovery>,
     network: LoopbackNetwork,
     folder: PathBuf,
@@ -180,9 +180,9 @@
 }
 
 fn add(sum: &mut CacheCounts, more: CacheCounts) {
-    sum.tries += more.tries;
-    sum.turned_away += more.turned_away;
-    sum.probes += more.probes;
+    sum.attempts += more.attempts;
+    sum.rejected += more.rejected;
+    sum.health_checks += more.health_checks;
     sum.connections += more.connections;
     sum.hits += more.hits;
     sum.misses += more.misses;
@@ -194,6 +194,10 @@
 
 impl Cluster {
     /// Lays it out; no process runs yet.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has no room on the loopback network, or a socket or process can't be started.
     pub fn lay_out(plan: ClusterPlan) -> Result<Self, TestbedError> {
         if !(1..=INSTANCES_MAX).contains(&plan.instances)
             || !(1..=CACHES_MAX).contains(&plan.caches)
@@ -265,7 +269,7 @@
                 program: program.clone(),
                 folder: folder.clone(),
                 listen: network.member(i, 6_379),
-                management: network.member(i, 9_000),
+                admin: network.member(i, 9_000),
                 discovery: network.member(i, 8_500),
                 fleet,
                 advertised: advertised[i],
@@ -279,13 +283,13 @@
             begun: Instant::now(),
             members,
             caches,
-            list,
+            endpoint_list: list,
             origin,
-            load: RequestRate::default(),
-            past: CacheCounts::default(),
+            request_rate: RequestRate::default(),
+            counts_of_ended_caches: CacheCounts::default(),
             clients: None,
-            switch,
-            relays,
+            datagram_proxy: switch,
+            stream_proxies: relays,
             _discovery: discovery,
             network,
             folder,
@@ -293,6 +297,10 @@
     }
 
     /// Starts all processes at once.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has no room on the loopback network, or a socket or process can't be started.
     pub fn start_all(&mut self) -> Result<(), TestbedError> {
         self.members.iter_mut().try_for_each(MemberProcess::start)
     }
@@ -305,10 +313,15 @@
                 .collect();
             // More at a time than the slowest class keeps out; each has one request out.
             let workers = (self.plan.rate.max(self.plan.rate_most).ceil() as usize).clamp(8, 1_000);
-            self.load.set(self.plan.rate);
+            self.request_rate.set(self.plan.rate);
             let (seed, behaviour) = (self.plan.seed, self.plan.clients);
             self.clients = Some(Clients::start(
-                &doors, workers, &self.load, behaviour, seed, self.begun,
+                &doors,
+                workers,
+                &self.request_rate,
+                behaviour,
+                seed,
+                self.begun,
             ));
         }
     }
@@ -319,19 +332,22 @@
     }
 
     /// The link for datagrams from one member to another.
+    #[must_use]
     pub fn link(&self, from: usize, to: usize) -> &Link {
-        self.switch.link(from, to)
+        self.datagram_proxy.link(from, to)
     }
 
     /// The links between a member and a cache, there and back.
+    #[must_use]
     pub fn cache_links(&self, member: usize, cache: usize) -> [&Link; 2] {
-        let relay = &self.relays[member][cache];
-        [&relay.there, &relay.back]
+        let relay = &self.stream_proxies[member][cache];
+        [&relay.to_target, &relay.from_target]
     }
 
     /// Datagrams that the switch passed on, and those lost by faults.
+    #[must_use]
     pub fn datagrams(&self) -> (u64, u64) {
-        self.switch.counts()
+        self.datagram_proxy.counts()
     }
 
     /// Sets the faults of all links between two sets of members, in one direction.
@@ -346,16 +362,20 @@
     /// Ends a cache, and takes it from nobody's list: that comes later, as it does in service.
     pub fn kill_cache(&mut self, n: usize) {
         if let Some(cache) = self.caches[n].take() {
-            add(&mut self.past, cache.counts());
+            add(&mut self.counts_of_ended_caches, cache.counts());
         }
     }
 
     /// Takes a cache from the list.
     pub fn unlist_cache(&self, n: usize) {
-        self.list.remove(&cache_name(n));
+        self.endpoint_list.remove(&cache_name(n));
     }
 
     /// Starts a cache again, cold and holding nothing; the list says so later.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has no room on the loopback network, or a socket or process can't be started.
     pub fn start_cache(&mut self, n: usize) -> Result<(), TestbedError> {
         let cache = Cache::start(
             &cache_name(n),
@@ -369,7 +389,7 @@
 
     /// Puts a cache on the list.
     pub fn list_cache(&self, n: usize, born_ms: u64) {
-        self.list.put(
+        self.endpoint_list.put(
             &cache_name(n),
             ListedHost {
                 health: "in_service",
@@ -379,8 +399,9 @@
     }
 
     /// What came to all caches, those that have died included.
+    #[must_use]
     pub fn cache_counts(&self) -> CacheCounts {
-        let mut sum = self.past;
+        let mut sum = self.counts_of_ended_caches;
         self.caches
             .iter()
             .flatten()
@@ -390,6 +411,7 @@
 
     /// The members' counters, summed over all their lives. Those that are asked now answer by the
     /// next call.
+    #[must_use]
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
         let mut sum = std::collections::BTreeMap::new();
         for member in &self.members {
@@ -402,6 +424,7 @@
     }
 
     /// What each member sees, of those that answer; `None` of the others.
+    #[must_use]
     pub fn views(&self) -> Vec<Option<MemberView>> {
         // Side by side: one after the other takes long enough among many for the first to be out of
         // date.
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -110,7 +110,7 @@
         "{} with {} instances, seed {}",
         report.scenario, report.instances, report.seed
     );
-    for (at, what) in &report.done {
+    for (at, what) in &report.timeline {
         println!("  {at:7.2} s  {what}");
     }
     for (what, seconds) in &report.settled {
@@ -118,7 +118,7 @@
     }
     println!(
         "  greatest sum of shares {:.2}; requests {:?}",
-        report.shares_most, report.requests
+        report.max_share_sum, report.requests
     );
     for (name, span) in &report.spans {
         print_span(name, span);
@@ -142,27 +142,27 @@
 fn print_span(name: &str, span: &SpanMetrics) {
     println!(
         "  {name}: worth {:.2}, of perfect {:.2}; tries {:.2}, copies {:.2}, connections {:.2} a request; probes {:.2} a cache a second",
-        span.worth_share,
-        span.of_perfect,
-        span.tries_per_request,
-        span.copies_per_request,
-        span.connects_per_request,
-        span.probes_per_cache_s
+        span.served_weight_share,
+        span.share_of_optimum,
+        span.attempts_per_request,
+        span.hedges_per_request,
+        span.connections_per_request,
+        span.health_checks_per_cache_s
     );
     for (class, of) in &span.classes {
         println!(
             "    {class}: asked {}, served {}, late {}, refused {}, failed {}, unanswered {}; refused {:.2} to {:.2} by balancer",
-            of.asked,
+            of.requests,
             of.served,
             of.late,
-            of.refused,
+            of.rejected,
             of.failed,
             of.unanswered,
-            of.refused_least,
-            of.refused_most
+            of.rejected_share_min,
+            of.rejected_share_max
         );
     }
-    println!("    refused for {:?}", span.refused_by_reason);
+    println!("    refused for {:?}", span.rejections_by_reason);
 }
 
 fn write_report(out: &Path, report: &ScenarioReport) -> Result<(), TestbedError> {
@@ -195,7 +195,7 @@
             all.len()
         );
     }
-    let shares = reports.iter().map(|r| r.shares_most).fold(0.0, f64::max);
+    let shares = reports.iter().map(|r| r.max_share_sum).fold(0.0, f64::max);
     let passed = reports.iter().filter(|r| r.failed == 0).count();
     println!(
         "greatest sum of shares {shares:.2}; {passed} of {} passed",
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -43,7 +43,8 @@
     /// A message by which one cache goes or comes, in milliseconds.
     pub change_ms: f64,
     /// A message with the whole list, in milliseconds.
-    pub whole_list_ms: f64,
+    #[serde(rename = "whole_list_ms")]
+    pub full_list_ms: f64,
     /// One round of housekeeping, ten a second, in milliseconds.
     pub housekeeping_ms: f64,
     /// All of it at this rate, as a share of a core in percent.
@@ -55,7 +56,7 @@
         self.request_us = self.request_us.min(other.request_us);
         self.first_request_us = self.first_request_us.min(other.first_request_us);
         self.change_ms = self.change_ms.min(other.change_ms);
-        self.whole_list_ms = self.whole_list_ms.min(other.whole_list_ms);
+        self.full_list_ms = self.full_list_ms.min(other.full_list_ms);
         self.housekeeping_ms = self.housekeeping_ms.min(other.housekeeping_ms);
         self.core_percent = self.core_percent.min(other.core_percent);
     }
@@ -79,7 +80,7 @@
 }
 
 struct EngineDriver {
-    brain: Engine,
+    engine: Engine,
     rng: Xoshiro256PlusPlus,
     due: BTreeMap<(Nanos, u64), DueEvent>,
     set: u64,
@@ -141,7 +142,7 @@
     fn new(caches: usize, seed: u64) -> Result<Self, SettingsError> {
         let brain = Engine::new(settings(), seed, 0)?;
         let mut driver = EngineDriver {
-            brain,
+            engine: brain,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             due: BTreeMap::new(),
             set: 0,
@@ -156,7 +157,7 @@
             .iter()
             .map(|cache| entry(*cache, EndpointState::Active))
             .collect();
-        driver.tell(
+        driver.handle(
             0,
             Event::EndpointUpdate {
                 kind: UpdateKind::Full,
@@ -175,10 +176,10 @@
     }
 
     /// Hands an event to the module, books its time, and plays what it asks for.
-    fn tell(&mut self, now: Nanos, event: Event, account: CostAccount) {
+    fn handle(&mut self, now: Nanos, event: Event, account: CostAccount) {
         let mut actions = Vec::new();
         let begun = Instant::now();
-        self.brain.handle(now, event, &mut actions);
+        self.engine.handle(now, event, &mut actions);
         let spent = self.spent.entry(account).or_default();
         spent.0 += begun.elapsed().as_secs_f64();
         spent.1 += 1;
@@ -213,7 +214,7 @@
             is_write: false,
         };
         self.push(now + S / REQUESTS_PER_S, DueEvent::Arrival);
-        self.tell(now, Event::RequestArrived(read), CostAccount::Request);
+        self.handle(now, Event::RequestArrived(read), CostAccount::Request);
     }
 
     fn answer(
@@ -231,7 +232,7 @@
             cache_status: Some(CacheStatus::Hit),
             load_report: None,
         };
-        self.tell(now, Event::AttemptEnded(end), CostAccount::Request);
+        self.handle(now, Event::AttemptEnded(end), CostAccount::Request);
     }
 
     /// One cache goes, or another comes in the place of the one that went before.
@@ -245,7 +246,7 @@
             entry(self.next_cache - 1, EndpointState::Active)
         };
         self.push(now + CHANGE_EVERY, DueEvent::Change);
-        self.tell(
+        self.handle(
             now,
             Event::EndpointUpdate {
                 kind: UpdateKind::Delta,
@@ -256,13 +257,13 @@
     }
 
     /// The list is told whole again.
-    fn whole_list(&mut self, now: Nanos) {
+    fn send_full_list(&mut self, now: Nanos) {
         let entries = self
             .caches
             .iter()
             .map(|cache| entry(*cache, EndpointState::Active))
             .collect();
-        self.tell(
+        self.handle(
             now,
             Event::EndpointUpdate {
                 kind: UpdateKind::Full,
@@ -272,7 +273,7 @@
         );
     }
 
-    fn play(&mut self, until: Nanos) {
+    fn advance_to(&mut self, until: Nanos) {
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 < until) {
             let ((now, _), due) = entry.remove_entry();
             match due {
@@ -289,7 +290,7 @@
                     } else {
                         CostAccount::Request
                     };
-                    self.tell(now, Event::TimerFired(token), account);
+                    self.handle(now, Event::TimerFired(token), account);
                 }
             }
         }
@@ -343,13 +344,13 @@
 
 fn measure_once(caches: usize, seconds: u64, seed: u64) -> Result<DecisionCost, SettingsError> {
     let mut driver = EngineDriver::new(caches, seed)?;
-    driver.play(S);
+    driver.advance_to(S);
     let first_request_us = driver.seconds(CostAccount::Request) / driver.requests as f64 * 1e6;
-    driver.play(WARM_UP);
+    driver.advance_to(WARM_UP);
     driver.spent.clear();
     let before = driver.requests;
-    driver.whole_list(WARM_UP);
-    driver.play(WARM_UP + seconds * S);
+    driver.send_full_list(WARM_UP);
+    driver.advance_to(WARM_UP + seconds * S);
     let requests = (driver.requests - before) as f64;
     let all: f64 = driver.spent.values().map(|(seconds, _)| seconds).sum();
     Ok(DecisionCost {
@@ -357,7 +358,7 @@
         request_us: driver.seconds(CostAccount::Request) / requests * 1e6,
         first_request_us,
         change_ms: driver.mean(CostAccount::Change) * 1e3,
-        whole_list_ms: driver.mean(CostAccount::WholeList) * 1e3,
+        full_list_ms: driver.mean(CostAccount::WholeList) * 1e3,
         housekeeping_ms: driver.mean(CostAccount::Housekeeping) * 1e3,
         core_percent: all / seconds as f64 * 100.0,
     })
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -115,7 +115,7 @@
     #[error("the program does not say where it listens")]
     NoListenAddress,
     /// Fault injection is not compiled in.
-    #[error("built without the feature planted")]
+    #[error("built without the feature fault-injection")]
     NoFaultInjection,
     /// A trial in a process of its own printed nothing.
     #[error("{trial}: no verdict")]
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -99,6 +99,7 @@
 }
 
 /// The address of the n-th member of a region.
+#[must_use]
 pub fn address(region: usize, n: usize) -> SocketAddr {
     SocketAddr::from((
         [127, 1 + region as u8, (n / 250) as u8, (n % 250) as u8 + 1],
@@ -295,13 +296,13 @@
         interrupted,
         memory_most_kb,
     };
-    let result = run.play();
+    let result = run.measure();
     run.processes.end();
     result
 }
 
 impl Run<'_> {
-    fn play(&mut self) -> Result<HollowMeasurement, HollowError> {
+    fn measure(&mut self) -> Result<HollowMeasurement, HollowError> {
         let empty_kb = self.processes.resident_kb();
         self.start(0..self.places.len())?;
         let joined = self.until_settled()?;
@@ -316,11 +317,11 @@
         Ok(HollowMeasurement {
             members: self.plan.members,
             regions: self.plan.regions,
-            cpu_percent: calm.busy.as_secs_f64() / span / members * 100.0,
+            cpu_percent: calm.cpu_time.as_secs_f64() / span / members * 100.0,
             memory_kb,
             datagrams_per_s: calm.datagrams as f64 / span / members,
             bytes_per_s: calm.bytes as f64 / span / members,
-            bytes_per_s_worst: calm.worst.max(event),
+            bytes_per_s_worst: calm.max_bytes_per_s.max(event),
             joined_s: seconds(joined),
             settled_s: seconds(settled),
             false_deaths: before.max(self.processes.false_deaths()),
@@ -336,38 +337,38 @@
         match self.plan.event {
             HollowEvent::None => return Ok((0, joined)),
             HollowEvent::Rack => {
-                self.kill(&largest[largest.len().saturating_sub(RACK.min(largest.len() / 2))..])?
+                self.kill(&largest[largest.len().saturating_sub(RACK.min(largest.len() / 2))..])?;
             }
             HollowEvent::Zone => self.kill(&largest[largest.len().div_ceil(2)..])?,
             HollowEvent::Cut => {
-                self.tell_cut(Some(0))?;
+                self.set_cut(Some(0))?;
                 self.wait(Duration::from_secs(10))?;
-                self.tell_cut(None)?;
+                self.set_cut(None)?;
             }
         }
         self.processes.reset();
         let settled = self.until_settled()?;
         let rest = Duration::from_secs(10).saturating_sub(settled.unwrap_or_default());
         self.wait(rest)?;
-        Ok((self.processes.worst(), settled))
+        Ok((self.processes.max_bytes_per_s(), settled))
     }
 
     fn start(&mut self, who: std::ops::Range<usize>) -> Result<(), HollowError> {
         who.clone().for_each(|n| self.alive[n] = true);
         self.expect()?;
-        self.processes.tell(&MemberCommand::Start(who.collect()))
+        self.processes.send(&MemberCommand::Start(who.collect()))
     }
 
     fn kill(&mut self, who: &[usize]) -> Result<(), HollowError> {
         who.iter().for_each(|n| self.alive[*n] = false);
         self.expect()?;
-        self.processes.tell(&MemberCommand::Kill(who.to_vec()))
+        self.processes.send(&MemberCommand::Kill(who.to_vec()))
     }
 
-    fn tell_cut(&mut self, region: Option<usize>) -> Result<(), HollowError> {
+    fn set_cut(&mut self, region: Option<usize>) -> Result<(), HollowError> {
         self.cut = region;
         self.expect()?;
-        self.processes.tell(&MemberCommand::Cut(region))
+        self.processes.send(&MemberCommand::Cut(region))
     }
 
     /// Tells all what is true from now on.
@@ -402,10 +403,10 @@
         let last = self.processes.sums();
         Ok(Calm {
             span: begun.elapsed(),
-            busy: Duration::from_nanos(last.busy_ns.saturating_sub(first.busy_ns)),
+            cpu_time: Duration::from_nanos(last.busy_ns.saturating_sub(first.busy_ns)),
             datagrams: last.datagrams - first.datagrams,
             bytes: last.bytes - first.bytes,
-            worst: self.processes.worst(),
+            max_bytes_per_s: self.processes.max_bytes_per_s(),
         })
     }
 
@@ -434,10 +435,10 @@
 
 struct Calm {
     span: Duration,
-    busy: Duration,
+    cpu_time: Duration,
     datagrams: u64,
     bytes: u64,
-    worst: u64,
+    max_bytes_per_s: u64,
 }
 
 fn seconds(span: Option<Duration>) -> Option<f64> {
@@ -448,6 +449,10 @@
 const REPORT: u64 = 100 * MS;
 
 /// Runs a share of the members, as a process of its own; ends when standard input does.
+///
+/// # Errors
+///
+/// If a socket or the standard streams fail.
 pub fn serve(plan: HollowPlan, share: usize) -> Result<(), HollowError> {
     let places = layout(&plan);
     let own = (share..places.len()).step_by(plan.processes).collect();
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -47,7 +47,7 @@
     living: BTreeMap<usize, usize>,
     report: MemberReport,
     /// Processor time of the look at the views.
-    look_ns: u64,
+    check_ns: u64,
     second: Nanos,
     next_report: Nanos,
     /// The place whose view was last found untrue.
@@ -101,7 +101,7 @@
         cut: None,
         living: BTreeMap::new(),
         report: MemberReport::default(),
-        look_ns: 0,
+        check_ns: 0,
         second: 0,
         next_report: 0,
         untrue: 0,
@@ -142,8 +142,8 @@
             for event in &events[..ready] {
                 self.read(event.data() as usize);
             }
-            self.turns();
-            self.tell_report()
+            self.run_due_members();
+            self.send_report()
                 .map_err(|e| HollowError::io("reporting", e))?;
         }
     }
@@ -254,10 +254,10 @@
                 Err(_) => break,
             }
         }
-        self.after(n);
+        self.collect_output(n);
     }
 
-    fn turns(&mut self) {
+    fn run_due_members(&mut self) {
         let now = self.now();
         while let Some(Reverse((_, n))) = self
             .due
@@ -274,12 +274,12 @@
             }
             let due = hollow.member.next_tick();
             self.due.push(Reverse((due, n)));
-            self.after(n);
+            self.collect_output(n);
         }
     }
 
     /// Sends what the member hands out, and counts whom it takes for dead wrongly.
-    fn after(&mut self, n: usize) {
+    fn collect_output(&mut self, n: usize) {
         let Some(hollow) = self.members.get_mut(&n) else {
             return;
         };
@@ -350,7 +350,7 @@
         untrue.is_none()
     }
 
-    fn tell_report(&mut self) -> std::io::Result<()> {
+    fn send_report(&mut self) -> std::io::Result<()> {
         let now = self.now();
         if now < self.next_report {
             return Ok(());
@@ -376,8 +376,8 @@
         }
         self.report.resident_kb = process::own_resident_kb().unwrap_or(0) as usize;
         let after = busy_ns();
-        self.look_ns += after.saturating_sub(before);
-        self.report.busy_ns = after.saturating_sub(self.look_ns);
+        self.check_ns += after.saturating_sub(before);
+        self.report.busy_ns = after.saturating_sub(self.check_ns);
         let line = serde_json::to_string(&self.report)?;
         let mut output = std::io::stdout().lock();
         writeln!(output, "{line}")?;
--- a/crates/testbed/src/hollow/processes.rs
+++ b/crates/testbed/src/hollow/processes.rs
@@ -14,7 +14,7 @@
     report: MemberReport,
     /// When its views were first true, by the last expectation.
     settled: Option<Instant>,
-    worst: u64,
+    max_bytes_per_s: u64,
 }
 
 struct Process {
@@ -68,7 +68,7 @@
         Ok(processes)
     }
 
-    pub(super) fn tell(&mut self, command: &MemberCommand) -> Result<(), HollowError> {
+    pub(super) fn send(&mut self, command: &MemberCommand) -> Result<(), HollowError> {
         let line = serde_json::to_string(command)?;
         for process in &mut self.all {
             let Some(input) = &mut process.input else {
@@ -82,7 +82,7 @@
     /// What is true from now on.
     pub(super) fn expect(&mut self, living: BTreeMap<usize, usize>) -> Result<(), HollowError> {
         self.epoch += 1;
-        self.tell(&MemberCommand::Expect {
+        self.send(&MemberCommand::Expect {
             epoch: self.epoch,
             living,
         })
@@ -131,12 +131,15 @@
     }
 
     /// The most that a member sent in a second since the last reset.
-    pub(super) fn worst(&self) -> u64 {
-        self.lasts().map(|last| last.worst).max().unwrap_or(0)
+    pub(super) fn max_bytes_per_s(&self) -> u64 {
+        self.lasts()
+            .map(|last| last.max_bytes_per_s)
+            .max()
+            .unwrap_or(0)
     }
 
     pub(super) fn reset(&mut self) {
-        self.lasts().for_each(|mut last| last.worst = 0);
+        self.lasts().for_each(|mut last| last.max_bytes_per_s = 0);
     }
 
     /// Ends all and waits for them.
@@ -169,7 +172,7 @@
             (true, Some(since)) => Some(since),
             (true, None) => Some(Instant::now()),
         };
-        last.worst = last.worst.max(report.worst);
+        last.max_bytes_per_s = last.max_bytes_per_s.max(report.worst);
         last.report = report;
     }
 }
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -39,13 +39,13 @@
 #[derive(Default)]
 pub struct InvariantChecker {
     /// By member: when it was down, stopped or leaving.
-    away: HashMap<usize, Vec<TimeSpan>>,
+    away_spans: HashMap<usize, Vec<TimeSpan>>,
     /// By pair, in one direction: when it was cut.
-    cut: HashMap<(usize, usize), Vec<TimeSpan>>,
+    cut_spans: HashMap<(usize, usize), Vec<TimeSpan>>,
     failures: Vec<InvariantViolation>,
     count: usize,
     /// The greatest sum of shares that was seen.
-    pub shares: f64,
+    pub max_share_sum: f64,
 }
 
 fn begin(spans: &mut Vec<TimeSpan>, at: f64) {
@@ -71,22 +71,22 @@
 
 impl InvariantChecker {
     /// A member is away from now on, or back.
-    pub fn away(&mut self, at: f64, member: usize, away: bool) {
-        let spans = self.away.entry(member).or_default();
+    pub fn set_away(&mut self, at: f64, member: usize, away: bool) {
+        let spans = self.away_spans.entry(member).or_default();
         if away {
-            begin(spans, at)
+            begin(spans, at);
         } else {
-            end(spans, at)
+            end(spans, at);
         }
     }
 
     /// A link is cut from now on, or open.
-    pub fn cut(&mut self, at: f64, from: usize, to: usize, cut: bool) {
-        let spans = self.cut.entry((from, to)).or_default();
+    pub fn set_cut(&mut self, at: f64, from: usize, to: usize, cut: bool) {
+        let spans = self.cut_spans.entry((from, to)).or_default();
         if cut {
-            begin(spans, at)
+            begin(spans, at);
         } else {
-            end(spans, at)
+            end(spans, at);
         }
     }
 
@@ -103,12 +103,13 @@
     }
 
     /// What broke, and how often in all.
+    #[must_use]
     pub fn failures(&self) -> (&[InvariantViolation], usize) {
         (&self.failures, self.count)
     }
 
-    fn open(&self, from: usize, to: usize) -> bool {
-        self.cut
+    fn is_open(&self, from: usize, to: usize) -> bool {
+        self.cut_spans
             .get(&(from, to))
             .and_then(|spans| spans.last())
             .is_none_or(|span| span.to.is_some())
@@ -116,13 +117,14 @@
 
     /// Who is reached from whom, over others too, by ways that are open in both directions: a
     /// number for each side.
+    #[must_use]
     pub fn sides(&self, n: usize) -> Vec<usize> {
         let mut side: Vec<usize> = (0..n).collect();
         loop {
             let mut changed = false;
             for i in 0..n {
                 for j in 0..n {
-                    if side[j] < side[i] && self.open(i, j) && self.open(j, i) {
+                    if side[j] < side[i] && self.is_open(i, j) && self.is_open(j, i) {
                         side[i] = side[j];
                         changed = true;
                     }
@@ -135,25 +137,26 @@
     }
 
     /// The first thing in which a member's view is not true, if any.
-    pub fn untrue(
+    #[must_use]
+    pub fn first_wrong_view(
         &self,
-        ground: &Cluster,
+        cluster: &Cluster,
         views: &[Option<MemberView>],
         suspicions: bool,
     ) -> Option<String> {
-        let n = ground.members.len();
+        let n = cluster.members.len();
         let side = self.sides(n);
         for (i, view) in views.iter().enumerate() {
-            if ground.members[i].meant != IntendedState::Up {
+            if cluster.members[i].intended != IntendedState::Up {
                 continue;
             }
             let Some(view) = view else {
                 return Some(format!("n{i} does not answer"));
             };
             let seen: HashMap<_, _> = view.members.iter().map(|m| (m.address, m)).collect();
-            for (j, other) in ground.members.iter().enumerate().filter(|(j, _)| *j != i) {
+            for (j, other) in cluster.members.iter().enumerate().filter(|(j, _)| *j != i) {
                 let state = seen.get(&other.spec.advertised).map(|m| m.state.as_str());
-                let right = match other.meant {
+                let right = match other.intended {
                     IntendedState::Up if side[i] != side[j] => matches!(state, Some("dead") | None),
                     IntendedState::Up => {
                         let same = views[j].as_ref().map(|v| v.generation);
@@ -169,7 +172,7 @@
                     return Some(format!(
                         "n{i} sees n{j} as {}, which is {:?}",
                         state.unwrap_or("unknown"),
-                        other.meant
+                        other.intended
                     ));
                 }
             }
@@ -178,15 +181,15 @@
     }
 
     /// Holds the sum of all shares against its bound.
-    pub fn shares(&mut self, at: f64, views: &[Option<MemberView>], most: f64) {
+    pub fn check_shares(&mut self, at: f64, views: &[Option<MemberView>], most: f64) {
         let sum: f64 = views
             .iter()
             .flatten()
-            .map(|v| 1.0 / v.shared_by.max(1) as f64)
+            .map(|v| 1.0 / v.share_count.max(1) as f64)
             .sum();
-        self.shares = self.shares.max(sum);
+        self.max_share_sum = self.max_share_sum.max(sum);
         if sum > most {
-            let divisors: Vec<usize> = views.iter().flatten().map(|v| v.shared_by).collect();
+            let divisors: Vec<usize> = views.iter().flatten().map(|v| v.share_count).collect();
             self.fail(
                 at,
                 "shares",
@@ -197,10 +200,13 @@
 
     /// Reads the members' logs for deaths that were none: of a member that was there, stood not
     /// still, and could be reached, for as long as it takes to find a death.
-    pub fn false_deaths(&mut self, ground: &Cluster) -> usize {
-        let n = ground.members.len();
-        let logs: Vec<Vec<crate::member_process::LogLine>> =
-            ground.members.iter().map(|m| m.log()).collect();
+    pub fn check_false_deaths(&mut self, cluster: &Cluster) -> usize {
+        let n = cluster.members.len();
+        let logs: Vec<Vec<crate::member_process::LogLine>> = cluster
+            .members
+            .iter()
+            .map(super::member_process::MemberProcess::log)
+            .collect();
         let stood: Vec<Vec<f64>> = logs
             .iter()
             .map(|log| {
@@ -217,16 +223,16 @@
                 .filter(|l| l.text.contains("fleet: ") && l.text.contains(" is dead"))
             {
                 let Some(j) = (0..n).find(|j| {
-                    let address = ground.members[*j].spec.advertised;
+                    let address = cluster.members[*j].spec.advertised;
                     line.text.contains(&format!("address={address} "))
                 }) else {
                     continue;
                 };
                 let (from, to) = (line.at - NEAR, line.at);
-                let excused = near(self.away.get(&j), from, to)
-                    || near(self.away.get(&i), from, to)
-                    || near(self.cut.get(&(i, j)), from, to)
-                    || near(self.cut.get(&(j, i)), from, to)
+                let excused = near(self.away_spans.get(&j), from, to)
+                    || near(self.away_spans.get(&i), from, to)
+                    || near(self.cut_spans.get(&(i, j)), from, to)
+                    || near(self.cut_spans.get(&(j, i)), from, to)
                     || stood[j]
                         .iter()
                         .chain(&stood[i])
@@ -249,7 +255,7 @@
 
     /// Judges what the clients saw: one answer at most, a true one, and in time unless its balancer
     /// was away.
-    pub fn clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
+    pub fn check_clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
         let mut ends: BTreeMap<String, usize> = BTreeMap::new();
         for one in asked {
             *ends
@@ -258,7 +264,7 @@
             let what = || {
                 format!(
                     "{} ({}) at n{}: {:?} after {:.3} s",
-                    one.id, one.class, one.balancer, one.end, one.took
+                    one.id, one.class, one.balancer, one.end, one.latency_s
                 )
             };
             if one.extra {
@@ -272,15 +278,15 @@
                 self.fail(one.at, "true-answer", what());
             }
             let away = near(
-                self.away.get(&one.balancer),
+                self.away_spans.get(&one.balancer),
                 one.at - 1.0,
-                one.at + one.took,
+                one.at + one.latency_s,
             );
             let answered = matches!(
                 one.end,
                 RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed
             );
-            if answered && one.took > deadline(one.class) + SLACK && !away {
+            if answered && one.latency_s > deadline(one.class) + SLACK && !away {
                 *ends.entry("late".into()).or_default() += 1;
             }
             if matches!(
@@ -295,9 +301,9 @@
     }
 
     /// Judges what the caches did: a write that must not run twice ran at most once.
-    pub fn caches(&mut self, at: f64, ground: &Cluster) {
+    pub fn check_caches(&mut self, at: f64, cluster: &Cluster) {
         let mut effects: HashMap<String, u32> = HashMap::new();
-        for cache in ground.caches.iter().flatten() {
+        for cache in cluster.caches.iter().flatten() {
             for (id, done) in cache.executed() {
                 if done.class == "map-publish" {
                     *effects.entry(id).or_default() += done.effects;
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -4,20 +4,20 @@
 
 #[test]
 fn sides_follow_the_ways_that_are_open_in_both_directions() {
-    let mut referee = InvariantChecker::default();
-    assert_eq!(referee.sides(4), [0; 4]);
-    referee.cut(1.0, 0, 1, true);
+    let mut checker = InvariantChecker::default();
+    assert_eq!(checker.sides(4), [0; 4]);
+    checker.set_cut(1.0, 0, 1, true);
     assert_eq!(
-        referee.sides(4),
+        checker.sides(4),
         [0; 4],
         "over others they reach each other"
     );
     for (from, to) in [(0, 2), (0, 3), (2, 1)] {
-        referee.cut(1.0, from, to, true);
+        checker.set_cut(1.0, from, to, true);
     }
-    assert_eq!(referee.sides(4), [0, 1, 1, 1]);
-    referee.cut(2.0, 0, 3, false);
-    assert_eq!(referee.sides(4), [0; 4]);
+    assert_eq!(checker.sides(4), [0, 1, 1, 1]);
+    checker.set_cut(2.0, 0, 3, false);
+    assert_eq!(checker.sides(4), [0; 4]);
 }
 
 #[test]
@@ -27,22 +27,22 @@
         class: "tile-read",
         balancer: 2,
         at,
-        took,
+        latency_s: took,
         end,
         extra,
-        again: false,
+        is_retry: false,
         wait_ms: None,
     };
-    let mut referee = InvariantChecker::default();
-    referee.away(10.0, 2, true);
-    referee.away(12.0, 2, false);
+    let mut checker = InvariantChecker::default();
+    checker.set_away(10.0, 2, true);
+    checker.set_away(12.0, 2, false);
     let fine = [
         one(1.0, RequestEnd::Served, 0.1, false),
         one(10.5, RequestEnd::Broken, 0.1, false),
         one(11.0, RequestEnd::NoDoor, 0.0, false),
     ];
-    assert_eq!(referee.clients(&fine)["served"], 1);
-    assert_eq!(referee.failures().1, 0);
+    assert_eq!(checker.check_clients(&fine)["served"], 1);
+    assert_eq!(checker.failures().1, 0);
     let bad = [
         one(1.0, RequestEnd::Broken, 0.1, false),
         one(1.0, RequestEnd::Wrong, 0.1, false),
@@ -50,10 +50,10 @@
         one(1.0, RequestEnd::Served, 0.1, true),
     ];
     assert_eq!(
-        referee.clients(&[one(1.0, RequestEnd::Served, 1.7, false)])["late"],
+        checker.check_clients(&[one(1.0, RequestEnd::Served, 1.7, false)])["late"],
         1
     );
-    assert_eq!(referee.failures().1, 0, "a busy machine is no failure");
-    referee.clients(&bad);
-    assert_eq!(referee.failures().1, 4);
+    assert_eq!(checker.failures().1, 0, "a busy machine is no failure");
+    checker.check_clients(&bad);
+    assert_eq!(checker.failures().1, 4);
 }
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -30,7 +30,7 @@
     /// Where its clients connect.
     pub listen: SocketAddr,
     /// Where the operators call.
-    pub management: SocketAddr,
+    pub admin: SocketAddr,
     /// Where it finds discovery.
     pub discovery: SocketAddr,
     /// The key `fleet`, if it is set.
@@ -62,11 +62,13 @@
     /// Its life.
     pub generation: u64,
     /// By how many shares are divided.
-    pub shared_by: usize,
+    #[serde(rename = "shared_by")]
+    pub share_count: usize,
     /// Those who are there.
     pub living: usize,
     /// It hears nobody.
-    pub cut_off: bool,
+    #[serde(rename = "cut_off")]
+    pub isolated: bool,
     /// The level that load is shed by.
     pub level: f64,
     /// The others.
@@ -106,7 +108,7 @@
     /// How it is started.
     pub spec: MemberSpec,
     /// What it is meant to do.
-    pub meant: IntendedState,
+    pub intended: IntendedState,
     child: Option<ChildGuard>,
     begun: Instant,
     lines: Arc<Mutex<Vec<LogLine>>>,
@@ -123,11 +125,12 @@
 
 impl MemberProcess {
     /// A process that is not started yet.
+    #[must_use]
     pub fn new(spec: MemberSpec) -> Self {
         let (begun, lines, counters) = (Instant::now(), Arc::default(), Arc::default());
         MemberProcess {
             spec,
-            meant: IntendedState::Down,
+            intended: IntendedState::Down,
             child: None,
             begun,
             lines,
@@ -137,12 +140,16 @@
     }
 
     /// Starts it, under the same name and addresses each time.
+    ///
+    /// # Errors
+    ///
+    /// If the configuration can't be written, or the program not be started.
     pub fn start(&mut self) -> Result<(), TestbedError> {
         self.kill();
         self.starts += 1;
         let spec = &self.spec;
         let mut config = serde_json::json!({
-            "name": spec.name, "listen": spec.listen, "discovery": spec.discovery, "management": spec.management,
+            "name": spec.name, "listen": spec.listen, "discovery": spec.discovery, "management": spec.admin,
             "seed": format!("{:x}", spec.seed.wrapping_add(self.starts * 7_919)),
             "settings": settings(spec.group_size),
         });
@@ -187,13 +194,13 @@
             });
         }
         self.child = Some(child);
-        self.meant = IntendedState::Up;
+        self.intended = IntendedState::Up;
         Ok(())
     }
 
     /// Has it print its counters, if it is at work.
     pub fn ask_counters(&self) {
-        if self.meant == IntendedState::Up {
+        if self.intended == IntendedState::Up {
             self.signal(Signal::SIGUSR1);
         }
     }
@@ -231,26 +238,26 @@
     /// Ends it without a word.
     pub fn kill(&mut self) {
         if self.child.take().is_some() {
-            self.meant = IntendedState::Down;
+            self.intended = IntendedState::Down;
         }
     }
 
     /// It stands still.
     pub fn stop(&mut self) {
         self.signal(Signal::SIGSTOP);
-        self.meant = IntendedState::Stopped;
+        self.intended = IntendedState::Stopped;
     }
 
     /// It goes on.
     pub fn go_on(&mut self) {
         self.signal(Signal::SIGCONT);
-        self.meant = IntendedState::Up;
+        self.intended = IntendedState::Up;
     }
 
     /// It is asked to end.
     pub fn term(&mut self) {
         self.signal(Signal::SIGTERM);
-        self.meant = IntendedState::Left;
+        self.intended = IntendedState::Left;
     }
 
     /// How it ended, if it has; it is waited for that long.
@@ -267,18 +274,21 @@
     }
 
     /// Descriptors that the process holds open.
+    #[must_use]
     pub fn descriptors(&self) -> Option<usize> {
         process::open_descriptors(self.child.as_ref()?.id())
     }
 
     /// Resident memory of the process, in bytes.
+    #[must_use]
     pub fn memory(&self) -> Option<u64> {
         Some(process::resident_kb(self.child.as_ref()?.id())? * 1_024)
     }
 
     /// A call of the operators, and the body of its answer if it is 200.
+    #[must_use]
     pub fn call(&self, path: &str) -> Option<String> {
-        let mut stream = TcpStream::connect_timeout(&self.spec.management, CALL).ok()?;
+        let mut stream = TcpStream::connect_timeout(&self.spec.admin, CALL).ok()?;
         stream.set_read_timeout(Some(CALL)).ok()?;
         write!(stream, "GET {path} HTTP/1.1\r\n\r\n").ok()?;
         let mut text = String::new();
@@ -288,8 +298,9 @@
     }
 
     /// What it sees of the fleet, if it is at work and answers.
+    #[must_use]
     pub fn view(&self) -> Option<MemberView> {
-        if self.meant != IntendedState::Up {
+        if self.intended != IntendedState::Up {
             return None;
         }
         serde_json::from_str(&self.call("/admin/fleet")?).ok()
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -53,6 +53,10 @@
 }
 
 /// Plays each mistake's trial without and with it, by this very command in processes of its own.
+///
+/// # Errors
+///
+/// If a trial can't be started, or faults can't be injected.
 pub fn check(own: &Path, program: Option<&Path>) -> Result<Vec<MutationResult>, TestbedError> {
     if !cfg!(feature = "fault-injection") {
         return Err(TestbedError::NoFaultInjection);
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -52,7 +52,7 @@
 
 #[derive(Default)]
 struct DelayQueue {
-    held: BinaryHeap<DelayedDatagram>,
+    datagrams: BinaryHeap<DelayedDatagram>,
     number: u64,
 }
 
@@ -77,6 +77,10 @@
 
 impl DatagramProxy {
     /// A switch for members that are known to the others by `advertised` and bound to `own`.
+    ///
+    /// # Errors
+    ///
+    /// If an address can't be bound.
     pub fn start(advertised: &[SocketAddr], own: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let sockets = advertised
             .iter()
@@ -103,19 +107,21 @@
         for to in 0..n {
             let shared = Arc::clone(&shared);
             let rng = Xoshiro256PlusPlus::seed_from_u64(seed.wrapping_add(to as u64));
-            threads.push(std::thread::spawn(move || shared.take(to, rng)));
+            threads.push(std::thread::spawn(move || shared.receive(to, rng)));
         }
         let later = Arc::clone(&shared);
-        threads.push(std::thread::spawn(move || later.pass_held()));
+        threads.push(std::thread::spawn(move || later.send_delayed()));
         Ok(DatagramProxy { shared, threads })
     }
 
     /// The link from one member to another.
+    #[must_use]
     pub fn link(&self, from: usize, to: usize) -> &Link {
         &self.shared.links[from][to]
     }
 
     /// Datagrams passed on, and lost by faults.
+    #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (
             self.shared.passed.load(Ordering::Relaxed),
@@ -125,7 +131,7 @@
 }
 
 impl ProxyState {
-    fn take(&self, to: usize, mut rng: Xoshiro256PlusPlus) {
+    fn receive(&self, to: usize, mut rng: Xoshiro256PlusPlus) {
         let mut bytes = [0; 2_048];
         while !self.end.load(Ordering::Relaxed) {
             let Ok((length, source)) = self.sockets[to].recv_from(&mut bytes) else {
@@ -164,10 +170,10 @@
 
     fn hold(&self, at: Instant, from: usize, to: usize, bytes: &[u8]) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        if queue.held.len() < HELD_MAX {
+        if queue.datagrams.len() < HELD_MAX {
             queue.number += 1;
             let number = queue.number;
-            queue.held.push(DelayedDatagram {
+            queue.datagrams.push(DelayedDatagram {
                 at,
                 number,
                 from,
@@ -178,13 +184,13 @@
         }
     }
 
-    fn pass_held(&self) {
+    fn send_delayed(&self) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         while !self.end.load(Ordering::Relaxed) {
             let now = Instant::now();
-            let wait = match queue.held.peek() {
+            let wait = match queue.datagrams.peek() {
                 Some(held) if held.at <= now => {
-                    if let Some(held) = queue.held.pop() {
+                    if let Some(held) = queue.datagrams.pop() {
                         drop(queue);
                         // What was cut meanwhile is lost on its way.
                         if !self.links[held.from][held.to].get().cut {
--- a/crates/testbed/src/network_emulation/datagram_proxy/tests.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy/tests.rs
@@ -65,7 +65,7 @@
         ..LinkFaults::default()
     });
     own[0].send_to(b"first", advertised[1]).unwrap();
-    while switch.shared.queue.lock().unwrap().held.is_empty() {
+    while switch.shared.queue.lock().unwrap().datagrams.is_empty() {
         std::thread::yield_now();
     }
     switch.link(0, 1).set(LinkFaults::default());
--- a/crates/testbed/src/network_emulation/stream_proxy.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy.rs
@@ -20,25 +20,29 @@
     end: Arc<AtomicBool>,
     listen: SocketAddr,
     /// From who connects to who is called.
-    pub there: Link,
+    pub to_target: Link,
     /// The way back.
-    pub back: Link,
+    pub from_target: Link,
 }
 
 impl StreamProxy {
     /// Takes connections at one address and passes them on to another.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound.
     pub fn start(listen: SocketAddr, target: SocketAddr, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
         let relay = StreamProxy {
             end: Arc::default(),
             listen: listener.local_addr()?,
-            there: Link::default(),
-            back: Link::default(),
+            to_target: Link::default(),
+            from_target: Link::default(),
         };
         let (end, there, back) = (
             Arc::clone(&relay.end),
-            relay.there.clone(),
-            relay.back.clone(),
+            relay.to_target.clone(),
+            relay.from_target.clone(),
         );
         std::thread::spawn(move || {
             let mut number = seed;
--- a/crates/testbed/src/network_emulation/stream_proxy/tests.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy/tests.rs
@@ -18,7 +18,7 @@
     near.write_all(b"there").unwrap();
     let mut bytes = [0; 5];
     far.read_exact(&mut bytes).unwrap();
-    relay.back.set(LinkFaults {
+    relay.from_target.set(LinkFaults {
         cut: true,
         ..LinkFaults::default()
     });
@@ -28,13 +28,13 @@
     assert!(near.read(&mut bytes).is_err(), "nothing passes");
     near.set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
-    relay.back.set(LinkFaults {
+    relay.from_target.set(LinkFaults {
         drip_ms: 1,
         ..LinkFaults::default()
     });
     near.read_exact(&mut bytes).unwrap();
     assert_eq!(&bytes, b"later", "nothing is lost of a stream");
-    relay.there.set(LinkFaults {
+    relay.to_target.set(LinkFaults {
         reset: true,
         ..LinkFaults::default()
     });
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -33,47 +33,60 @@
     /// Since the start of the timeline.
     pub at: u64,
     /// Requests of clients, without returns; and returns.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// See `asked`.
-    pub again: u64,
+    #[serde(rename = "again")]
+    pub client_retries: u64,
     /// Tries at caches, and those turned away there.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     /// See `tries`.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected_by_caches: u64,
     /// Copies that members sent.
-    pub copies: u64,
+    #[serde(rename = "hedges")]
+    pub hedges: u64,
     /// Probes at caches.
-    pub probes: u64,
+    #[serde(rename = "probes")]
+    pub health_checks: u64,
     /// Connections at caches.
-    pub connects: u64,
+    #[serde(rename = "connects")]
+    pub connections: u64,
     /// Fetches and writes at the origin.
     pub fetches: u64,
     /// Worth asked for by first requests, and worth served in time.
-    pub worth_asked: f64,
+    #[serde(rename = "worth_asked")]
+    pub requested_weight: f64,
     /// See `worth_asked`.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub served_weight: f64,
 }
 
 /// What one class got, in the span that is judged.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassMetrics {
     /// First requests.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Of all requests, those served in time, served late, refused, failed, and without an answer.
     pub served: u64,
     /// See `served`.
     pub late: u64,
     /// See `served`.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// See `served`.
     pub failed: u64,
     /// See `served`.
     pub unanswered: u64,
     /// The share that was refused at the balancer that refused least, and at the one that refused
     /// most; of those with twenty requests or more.
-    pub refused_least: f64,
+    #[serde(rename = "refused_least")]
+    pub rejected_share_min: f64,
     /// See `refused_least`.
-    pub refused_most: f64,
+    #[serde(rename = "refused_most")]
+    pub rejected_share_max: f64,
 }
 
 /// The judgement of one span.
@@ -84,21 +97,28 @@
     /// See `from`.
     pub to: f64,
     /// Worth served in time over worth asked for.
-    pub worth_share: f64,
+    #[serde(rename = "worth_share")]
+    pub served_weight_share: f64,
     /// Worth served in time over what the caches' room would bear with perfect choice.
-    pub of_perfect: f64,
+    #[serde(rename = "of_perfect")]
+    pub share_of_optimum: f64,
     /// Tries at caches for each first request.
-    pub tries_per_request: f64,
+    #[serde(rename = "tries_per_request")]
+    pub attempts_per_request: f64,
     /// Copies for each first request.
-    pub copies_per_request: f64,
+    #[serde(rename = "copies_per_request")]
+    pub hedges_per_request: f64,
     /// Probes a cache a second.
-    pub probes_per_cache_s: f64,
+    #[serde(rename = "probes_per_cache_s")]
+    pub health_checks_per_cache_s: f64,
     /// Connections for each first request.
-    pub connects_per_request: f64,
+    #[serde(rename = "connects_per_request")]
+    pub connections_per_request: f64,
     /// By class.
     pub classes: BTreeMap<String, ClassMetrics>,
     /// Why members refused, by their counters.
-    pub refused_by_reason: BTreeMap<String, u64>,
+    #[serde(rename = "refused_by_reason")]
+    pub rejections_by_reason: BTreeMap<String, u64>,
 }
 
 fn class_of(name: &str) -> (f64, f64) {
@@ -109,7 +129,7 @@
 }
 
 fn in_time(one: &ClientRequest) -> bool {
-    one.end == RequestEnd::Served && one.took <= class_of(one.class).1
+    one.end == RequestEnd::Served && one.latency_s <= class_of(one.class).1
 }
 
 fn delta(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, name: &str) -> u64 {
@@ -118,6 +138,7 @@
 }
 
 /// The fleet second by second; `begun` is the start of the timeline in the clients' time.
+#[must_use]
 pub fn seconds(
     samples: &[ClusterSample],
     asked: &[ClientRequest],
@@ -129,11 +150,14 @@
             let (a, b) = (&pair[0], &pair[1]);
             SecondMetrics {
                 at: a.at.round() as u64,
-                tries: b.caches.tries.saturating_sub(a.caches.tries),
-                turned_away: b.caches.turned_away.saturating_sub(a.caches.turned_away),
-                copies: delta(&a.members, &b.members, "copies"),
-                probes: b.caches.probes.saturating_sub(a.caches.probes),
-                connects: b.caches.connections.saturating_sub(a.caches.connections),
+                attempts: b.caches.attempts.saturating_sub(a.caches.attempts),
+                rejected_by_caches: b.caches.rejected.saturating_sub(a.caches.rejected),
+                hedges: delta(&a.members, &b.members, "hedges"),
+                health_checks: b
+                    .caches
+                    .health_checks
+                    .saturating_sub(a.caches.health_checks),
+                connections: b.caches.connections.saturating_sub(a.caches.connections),
                 fetches: b.origin.0.saturating_sub(a.origin.0),
                 ..SecondMetrics::default()
             }
@@ -148,14 +172,14 @@
             continue;
         };
         let worth = class_of(one.class).0;
-        if one.again {
-            seconds[i].again += 1;
+        if one.is_retry {
+            seconds[i].client_retries += 1;
         } else {
-            seconds[i].asked += 1;
-            seconds[i].worth_asked += worth;
+            seconds[i].requests += 1;
+            seconds[i].requested_weight += worth;
         }
         if in_time(one) {
-            seconds[i].worth += worth;
+            seconds[i].served_weight += worth;
         }
     }
     seconds
@@ -163,10 +187,11 @@
 
 /// What so much room would earn with perfect choice: the dearest first. A request takes one unit of
 /// it.
+#[must_use]
 pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, room: f64) -> f64 {
     let mut classes: Vec<(f64, f64)> = asked
         .iter()
-        .map(|(name, class)| (class_of(name).0, class.asked as f64))
+        .map(|(name, class)| (class_of(name).0, class.requests as f64))
         .collect();
     classes.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut left = room;
@@ -196,8 +221,8 @@
         .filter(|one| (from..to).contains(&(one.at - begun)))
     {
         let class = classes.entry(one.class.into()).or_default();
-        if !one.again {
-            class.asked += 1;
+        if !one.is_retry {
+            class.requests += 1;
             first += 1;
             worth_asked += class_of(one.class).0;
         }
@@ -207,7 +232,7 @@
                 worth += class_of(one.class).0;
             }
             RequestEnd::Served => class.late += 1,
-            RequestEnd::Refused => class.refused += 1,
+            RequestEnd::Refused => class.rejected += 1,
             RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
             RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never => class.unanswered += 1,
         }
@@ -224,8 +249,8 @@
         let shares: Vec<f64> = shares
             .map(|(_, (all, refused))| *refused as f64 / *all as f64)
             .collect();
-        class.refused_least = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
-        class.refused_most = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
+        class.rejected_share_min = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
+        class.rejected_share_max = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
     }
     let sample = |at: f64| {
         samples
@@ -241,25 +266,28 @@
     let reasons = b
         .members
         .keys()
-        .filter_map(|name| name.strip_prefix("refused."));
+        .filter_map(|name| name.strip_prefix("rejected."));
     SpanMetrics {
         from,
         to,
-        worth_share: worth / worth_asked.max(0.001),
-        of_perfect: worth / perfect(&classes, room * (to - from)).max(0.001),
-        tries_per_request: per_request(b.caches.tries.saturating_sub(a.caches.tries)),
-        copies_per_request: per_request(delta(&a.members, &b.members, "copies")),
-        probes_per_cache_s: b.caches.probes.saturating_sub(a.caches.probes) as f64
+        served_weight_share: worth / worth_asked.max(0.001),
+        share_of_optimum: worth / perfect(&classes, room * (to - from)).max(0.001),
+        attempts_per_request: per_request(b.caches.attempts.saturating_sub(a.caches.attempts)),
+        hedges_per_request: per_request(delta(&a.members, &b.members, "hedges")),
+        health_checks_per_cache_s: b
+            .caches
+            .health_checks
+            .saturating_sub(a.caches.health_checks) as f64
             / length
             / caches as f64,
-        connects_per_request: per_request(
+        connections_per_request: per_request(
             b.caches.connections.saturating_sub(a.caches.connections),
         ),
-        refused_by_reason: reasons
+        rejections_by_reason: reasons
             .map(|reason| {
                 (
                     reason.to_string(),
-                    delta(&a.members, &b.members, &format!("refused.{reason}")),
+                    delta(&a.members, &b.members, &format!("rejected.{reason}")),
                 )
             })
             .filter(|(_, count)| *count > 0)
@@ -270,10 +298,11 @@
 
 /// Seconds from `end` until, for two seconds on end, at least nine tenths of the worth share from
 /// before the trouble is served; `None` if that never comes.
+#[must_use]
 pub fn recovery(seconds: &[SecondMetrics], before: (f64, f64), end: f64) -> Option<f64> {
     let share = |of: &[&SecondMetrics]| {
         let (worth, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
-            (sum.0 + s.worth, sum.1 + s.worth_asked)
+            (sum.0 + s.served_weight, sum.1 + s.requested_weight)
         });
         if asked > 0.0 { worth / asked } else { 1.0 }
     };
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -8,25 +8,25 @@
         class,
         balancer,
         at,
-        took,
+        latency_s: took,
         end,
         extra: false,
-        again: false,
+        is_retry: false,
         wait_ms: None,
     }
 }
 
-fn sample(at: f64, tries: u64, refused: u64) -> ClusterSample {
+fn sample(at: f64, attempts: u64, refused: u64) -> ClusterSample {
     let members = [
-        ("refused.limit".to_string(), refused),
-        ("copies".to_string(), tries / 10),
+        ("rejected.limit".to_string(), refused),
+        ("hedges".to_string(), attempts / 10),
     ]
     .into();
     ClusterSample {
         at,
         caches: CacheCounts {
-            tries,
-            probes: tries,
+            attempts,
+            health_checks: attempts,
             ..CacheCounts::default()
         },
         origin: (0, 0),
@@ -53,28 +53,28 @@
     assert_eq!(span.classes["status-set"].late, 1, "past its aim");
     assert_eq!(
         (
-            span.classes["tile-read"].refused_least,
-            span.classes["tile-read"].refused_most
+            span.classes["tile-read"].rejected_share_min,
+            span.classes["tile-read"].rejected_share_max
         ),
         (0.0, 1.0)
     );
     // Room for 20: the one status-set and 19 reads.
     assert!(
-        (span.of_perfect - 60.0 / 67.0).abs() < 1e-9,
+        (span.share_of_optimum - 60.0 / 67.0).abs() < 1e-9,
         "{}",
-        span.of_perfect
+        span.share_of_optimum
     );
-    assert!((span.tries_per_request - 120.0 / 41.0).abs() < 1e-9);
-    assert_eq!(span.refused_by_reason["limit"], 20);
-    assert!((span.probes_per_cache_s - 15.0).abs() < 1e-9);
+    assert!((span.attempts_per_request - 120.0 / 41.0).abs() < 1e-9);
+    assert_eq!(span.rejections_by_reason["limit"], 20);
+    assert!((span.health_checks_per_cache_s - 15.0).abs() < 1e-9);
 }
 
 #[test]
 fn recovery_is_the_first_two_good_seconds_after_the_end() {
-    let second = |at: u64, worth: f64| SecondMetrics {
+    let second = |at: u64, weight: f64| SecondMetrics {
         at,
-        worth,
-        worth_asked: 10.0,
+        served_weight: weight,
+        requested_weight: 10.0,
         ..SecondMetrics::default()
     };
     let seconds: Vec<SecondMetrics> = [10.0, 10.0, 2.0, 2.0, 9.0, 4.0, 9.0, 9.5, 10.0]
@@ -94,17 +94,17 @@
 fn seconds_gather_what_clients_asked_and_caches_saw() {
     let samples: Vec<ClusterSample> = (0..=2).map(|s| sample(s as f64, 30 * s, 0)).collect();
     let mut again = one(101.2, "tile-read", RequestEnd::Served, 0.1, 0);
-    again.again = true;
+    again.is_retry = true;
     let asked = [one(100.2, "tile-read", RequestEnd::Refused, 0.1, 0), again];
     let seconds = seconds(&samples, &asked, 100.0);
     assert_eq!(
         (
-            seconds[0].asked,
-            seconds[0].worth,
-            seconds[1].again,
-            seconds[1].worth
+            seconds[0].requests,
+            seconds[0].served_weight,
+            seconds[1].client_retries,
+            seconds[1].served_weight
         ),
         (1, 0.0, 1, 3.0)
     );
-    assert_eq!(seconds[1].tries, 30);
+    assert_eq!(seconds[1].attempts, 30);
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -37,8 +37,8 @@
     #[serde(default)]
     pub suspicions: bool,
     /// The greatest sum of all balancers' shares that is borne.
-    #[serde(default = "bound")]
-    pub shares_most: f64,
+    #[serde(default = "bound", rename = "shares_most")]
+    pub max_share_sum: f64,
     /// The longest any `settles` may take, in seconds: a wide ceiling, no aim.
     #[serde(default = "ceiling")]
     pub ceiling: f64,
@@ -52,7 +52,8 @@
     pub clients: ClientOptions,
     /// The trouble lasts from then to then, in seconds of the timeline: what the fleet does is
     /// metered second by second and judged before, in and after it.
-    pub trouble: Option<(f64, f64)>,
+    #[serde(rename = "trouble")]
+    pub disturbance: Option<(f64, f64)>,
     /// The timeline, in order.
     #[serde(default, rename = "step")]
     pub steps: Vec<ScenarioStep>,
@@ -92,19 +93,21 @@
 
 impl CacheProfile {
     /// As a cache takes them: one that has been there for long, or one that has just started.
+    #[must_use]
     pub fn options(&self, cold: bool) -> CacheOptions {
         CacheOptions {
             slots: self.slots,
             queue: self.queue,
             service: Duration::from_millis(self.service_ms),
-            cold_from: if cold { self.cold_from } else { 1.0 },
-            warm_after: Duration::from_secs_f64(self.warm_s),
+            slow_start_fraction: if cold { self.cold_from } else { 1.0 },
+            slow_start_duration: Duration::from_secs_f64(self.warm_s),
             ..CacheOptions::default()
         }
     }
 
     /// Requests a second that one warm cache serves.
-    pub fn room(&self) -> f64 {
+    #[must_use]
+    pub fn capacity(&self) -> f64 {
         self.slots as f64 * 1_000.0 / self.service_ms.max(1) as f64
     }
 }
@@ -118,16 +121,18 @@
     /// What one takes.
     pub service_ms: u64,
     /// One that has waited so long fails.
-    pub patience_ms: u64,
+    #[serde(rename = "patience_ms")]
+    pub timeout_ms: u64,
 }
 
 impl OriginProfile {
     /// As the origin takes them.
+    #[must_use]
     pub fn options(&self) -> OriginOptions {
         OriginOptions {
             slots: self.slots,
             service: Duration::from_millis(self.service_ms),
-            patience: Duration::from_millis(self.patience_ms),
+            timeout: Duration::from_millis(self.timeout_ms),
         }
     }
 }
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{Cluster, ClusterPlan};
 use crate::error::TestbedError;
 use crate::invariants::{InvariantChecker, InvariantViolation};
-use crate::member_process::IntendedState;
+use crate::member_process::{IntendedState, MemberProcess};
 use crate::network_emulation::faults::LinkFaults;
 use crate::overload_metrics::{self, ClusterSample, SecondMetrics, SpanMetrics};
 use crate::scenario::{Scenario, ScenarioAction, ScenarioStep, members};
@@ -38,7 +38,8 @@
     /// Seconds from each measured step until all views agreed and were true.
     pub settled: BTreeMap<String, f64>,
     /// The greatest sum of shares that was seen.
-    pub shares_most: f64,
+    #[serde(rename = "shares_most")]
+    pub max_share_sum: f64,
     /// Deaths that were none.
     pub false_deaths: usize,
     /// How requests ended.
@@ -55,7 +56,8 @@
     /// never came.
     pub recovered_s: Option<f64>,
     /// What was done, and when, in seconds.
-    pub done: Vec<(f64, String)>,
+    #[serde(rename = "done")]
+    pub timeline: Vec<(f64, String)>,
     /// What broke; at most fifty are told.
     pub failures: Vec<InvariantViolation>,
     /// How much broke in all.
@@ -64,6 +66,7 @@
 
 impl ScenarioReport {
     /// The verdict's line.
+    #[must_use]
     pub fn verdict(&self) -> String {
         match self.failures.first() {
             None => "verdict: passed".into(),
@@ -76,10 +79,10 @@
 }
 
 struct ScenarioRun<'a> {
-    ground: Cluster,
-    referee: InvariantChecker,
+    cluster: Cluster,
+    invariants: InvariantChecker,
     scenario: &'a Scenario,
-    done: Vec<(f64, String)>,
+    timeline: Vec<(f64, String)>,
     settled: BTreeMap<String, f64>,
     requests: BTreeMap<String, usize>,
     interrupted: &'a AtomicBool,
@@ -94,18 +97,22 @@
 }
 
 /// Plays a scenario on a ground by this plan. `interrupted` ends it early.
+///
+/// # Errors
+///
+/// If the trial can't be played to its end; what it finds wrong stands in the report.
 pub fn play(
     scenario: &Scenario,
     plan: ClusterPlan,
     interrupted: &AtomicBool,
 ) -> Result<ScenarioReport, TestbedError> {
-    let ground = Cluster::lay_out(plan)?;
-    let (referee, done, settled) = (InvariantChecker::default(), Vec::new(), BTreeMap::new());
+    let cluster = Cluster::lay_out(plan)?;
+    let (checker, done, settled) = (InvariantChecker::default(), Vec::new(), BTreeMap::new());
     let mut play = ScenarioRun {
-        ground,
-        referee,
+        cluster,
+        invariants: checker,
         scenario,
-        done,
+        timeline: done,
         settled,
         requests: BTreeMap::new(),
         interrupted,
@@ -117,7 +124,7 @@
         recovered_s: None,
     };
     let played = play.run();
-    if let Some(folder) = &play.ground.plan.logs {
+    if let Some(folder) = &play.cluster.plan.logs {
         play.write_logs(folder)?;
     }
     played?;
@@ -128,14 +135,14 @@
     /// What all members logged, by the time at which it came.
     fn write_logs(&self, folder: &Path) -> Result<(), TestbedError> {
         let mut lines: Vec<(f64, String)> = Vec::new();
-        for member in &self.ground.members {
+        for member in &self.cluster.members {
             let of = |line: crate::member_process::LogLine| {
                 (line.at, format!("{} {}", member.spec.name, line.text))
             };
             lines.extend(member.log().into_iter().map(of));
         }
         lines.extend(
-            self.done
+            self.timeline
                 .iter()
                 .map(|(at, what)| (*at, format!("TRIAL {what}"))),
         );
@@ -144,7 +151,7 @@
             .iter()
             .map(|(at, text)| format!("{at:8.3} {text}\n"))
             .collect();
-        let plan = &self.ground.plan;
+        let plan = &self.cluster.plan;
         let file = folder.join(format!(
             "{}-{}-{}.log",
             self.scenario.name, plan.instances, plan.seed
@@ -155,38 +162,38 @@
     }
 
     fn now(&self) -> f64 {
-        self.ground.begun.elapsed().as_secs_f64()
+        self.cluster.begun.elapsed().as_secs_f64()
     }
 
     fn run(&mut self) -> Result<(), TestbedError> {
-        let n = self.ground.plan.instances;
+        let n = self.cluster.plan.instances;
         let everyone: Vec<usize> = (0..n).collect();
-        self.ground
+        self.cluster
             .set_links(&everyone, &everyone, self.scenario.links);
-        (0..n).for_each(|i| self.referee.away(0.0, i, true));
+        (0..n).for_each(|i| self.invariants.set_away(0.0, i, true));
         // Members of two fleets are to each other as if there were no way.
-        let fleets = self.ground.plan.fleets;
+        let fleets = self.cluster.plan.fleets;
         for (i, j) in (0..n)
             .flat_map(|i| (0..n).map(move |j| (i, j)))
             .filter(|(i, j)| i % fleets != j % fleets)
         {
-            self.referee.cut(0.0, i, j, true);
+            self.invariants.set_cut(0.0, i, j, true);
         }
-        self.ground.start_all()?;
+        self.cluster.start_all()?;
         self.note("all started".into());
         let started = Instant::now();
         self.settle("join", started);
         let now = self.now();
-        (0..n).for_each(|i| self.referee.away(now, i, false));
-        self.ground.start_clients();
+        (0..n).for_each(|i| self.invariants.set_away(now, i, false));
+        self.cluster.start_clients();
         self.begun = Instant::now();
         let offset = self.now();
         for step in &self.scenario.steps {
             while self.begun.elapsed().as_secs_f64() < step.at {
-                if self.scenario.trouble.is_some() {
+                if self.scenario.disturbance.is_some() {
                     self.sample();
                 } else {
-                    self.look();
+                    self.observe();
                 }
                 self.listings()?;
                 std::thread::sleep(LOOK);
@@ -194,11 +201,11 @@
             }
             self.step(step)?;
         }
-        let (at, asked) = (self.now(), self.ground.stop_clients());
-        self.referee.caches(at, &self.ground);
-        self.referee.false_deaths(&self.ground);
-        self.requests = self.referee.clients(&asked);
-        self.judge(&asked, offset);
+        let (at, asked) = (self.now(), self.cluster.stop_clients());
+        self.invariants.check_caches(at, &self.cluster);
+        self.invariants.check_false_deaths(&self.cluster);
+        self.requests = self.invariants.check_clients(&asked);
+        self.evaluate_spans(&asked, offset);
         Ok(())
     }
 
@@ -208,12 +215,12 @@
         if at < self.samples.len() as f64 {
             return;
         }
-        let (caches, members) = (self.ground.cache_counts(), self.ground.member_counts());
+        let (caches, members) = (self.cluster.cache_counts(), self.cluster.member_counts());
         let origin = self
-            .ground
+            .cluster
             .origin
             .as_ref()
-            .map(|o| o.counts())
+            .map(super::simulated_services::origin::Origin::counts)
             .unwrap_or_default();
         self.samples.push(ClusterSample {
             at,
@@ -234,22 +241,26 @@
             if there {
                 let age = now.saturating_duration_since(at) + LISTED_AFTER;
                 let born = SystemTime::now().duration_since(UNIX_EPOCH)? - age;
-                self.ground.list_cache(cache, born.as_millis() as u64);
+                self.cluster.list_cache(cache, born.as_millis() as u64);
             } else {
-                self.ground.unlist_cache(cache);
+                self.cluster.unlist_cache(cache);
             }
         }
         Ok(())
     }
 
     /// Judges the spans before, in and after the trouble, where there is one.
-    fn judge(&mut self, asked: &[crate::simulated_services::clients::ClientRequest], offset: f64) {
-        let Some((from, to)) = self.scenario.trouble else {
+    fn evaluate_spans(
+        &mut self,
+        asked: &[crate::simulated_services::clients::ClientRequest],
+        offset: f64,
+    ) {
+        let Some((from, to)) = self.scenario.disturbance else {
             return;
         };
         let last = self.samples.last().map_or(to, |sample| sample.at);
-        let caches = self.ground.plan.caches;
-        let room = self.scenario.cache.room() * caches as f64;
+        let caches = self.cluster.plan.caches;
+        let room = self.scenario.cache.capacity() * caches as f64;
         let before = (WARM_UP.min(from), from);
         for (name, span) in [
             ("before", before),
@@ -272,14 +283,15 @@
     }
 
     fn note(&mut self, what: String) {
-        self.done.push((self.now(), what));
+        self.timeline.push((self.now(), what));
     }
 
     /// Holds what members see now against the invariants that always hold.
-    fn look(&mut self) -> Vec<Option<crate::member_process::MemberView>> {
-        let views = self.ground.views();
+    fn observe(&mut self) -> Vec<Option<crate::member_process::MemberView>> {
+        let views = self.cluster.views();
         let at = self.now();
-        self.referee.shares(at, &views, self.scenario.shares_most);
+        self.invariants
+            .check_shares(at, &views, self.scenario.max_share_sum);
         views
     }
 
@@ -287,17 +299,17 @@
     fn settle(&mut self, name: &str, since: Instant) {
         let ceiling = Duration::from_secs_f64(self.scenario.ceiling);
         loop {
-            let views = self.look();
+            let views = self.observe();
             // What was true when the last member was asked was so a little earlier.
             let took = since.elapsed();
-            let untrue = if self.ground.plan.fleet {
-                self.referee
-                    .untrue(&self.ground, &views, self.scenario.suspicions)
+            let untrue = if self.cluster.plan.fleet {
+                self.invariants
+                    .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
             } else {
-                let away = |m: &&crate::member_process::MemberProcess| {
-                    m.meant == IntendedState::Up && m.call("/admin/health").is_none()
+                let away = |m: &&MemberProcess| {
+                    m.intended == IntendedState::Up && m.call("/admin/health").is_none()
                 };
-                self.ground
+                self.cluster
                     .members
                     .iter()
                     .find(away)
@@ -313,14 +325,14 @@
                     "{name}: not settled after {:.0} s: {untrue}",
                     took.as_secs_f64()
                 );
-                return self.referee.fail(at, "settles", what);
+                return self.invariants.fail(at, "settles", what);
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     fn step(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
-        let n = self.ground.plan.instances;
+        let n = self.cluster.plan.instances;
         let (from, to) = (members(&step.members, n)?, members(&step.to, n)?);
         self.note(format!(
             "{:?} {} {}",
@@ -329,20 +341,20 @@
             if step.both { "both ways" } else { "" }
         ));
         match step.act {
-            ScenarioAction::Kill => self.each(&from, true, |m| m.kill()),
-            ScenarioAction::Stop => self.each(&from, true, |m| m.stop()),
-            ScenarioAction::GoOn => self.each(&from, false, |m| m.go_on()),
-            ScenarioAction::Term => self.each(&from, true, |m| m.term()),
+            ScenarioAction::Kill => self.apply(&from, true, MemberProcess::kill),
+            ScenarioAction::Stop => self.apply(&from, true, MemberProcess::stop),
+            ScenarioAction::GoOn => self.apply(&from, false, MemberProcess::go_on),
+            ScenarioAction::Term => self.apply(&from, true, MemberProcess::term),
             ScenarioAction::Start => {
                 for i in &from {
-                    self.ground.members[*i].start()?;
+                    self.cluster.members[*i].start()?;
                 }
-                self.back(&from);
+                self.wait_until_ready(&from);
             }
             ScenarioAction::Roll => {
                 for i in &from {
-                    self.roll(*i)?;
-                    self.look();
+                    self.restart_gracefully(*i)?;
+                    self.observe();
                 }
             }
             ScenarioAction::Cut => self.links(
@@ -357,25 +369,25 @@
             ScenarioAction::Link => self.links(&from, &to, step.both, step.faults),
             ScenarioAction::Heal => self.links(&from, &to, step.both, self.scenario.links),
             ScenarioAction::Load => self
-                .ground
-                .load
+                .cluster
+                .request_rate
                 .set(step.rate.unwrap_or(self.scenario.rate)),
             ScenarioAction::KillCaches => {
-                for cache in members(&step.members, self.ground.plan.caches)? {
-                    self.ground.kill_cache(cache);
+                for cache in members(&step.members, self.cluster.plan.caches)? {
+                    self.cluster.kill_cache(cache);
                     self.listings
                         .push((Instant::now() + UNLISTED_AFTER, cache, false));
                 }
             }
             ScenarioAction::StartCaches => {
-                for cache in members(&step.members, self.ground.plan.caches)? {
-                    self.ground.start_cache(cache)?;
+                for cache in members(&step.members, self.cluster.plan.caches)? {
+                    self.cluster.start_cache(cache)?;
                     self.listings
                         .push((Instant::now() + LISTED_AFTER, cache, true));
                 }
             }
             ScenarioAction::SlowOrigin => {
-                if let Some(origin) = &self.ground.origin {
+                if let Some(origin) = &self.cluster.origin {
                     origin.slow(step.slow.unwrap_or(1.0));
                 }
             }
@@ -389,47 +401,43 @@
         self.check_interrupted()
     }
 
-    fn each(
-        &mut self,
-        who: &[usize],
-        away: bool,
-        act: impl Fn(&mut crate::member_process::MemberProcess),
-    ) {
+    fn apply(&mut self, who: &[usize], away: bool, act: impl Fn(&mut MemberProcess)) {
         for i in who {
             // What is seen of it lies between the two, whatever else the machine does.
             let before = self.now();
-            act(&mut self.ground.members[*i]);
+            act(&mut self.cluster.members[*i]);
             let at = if away { before } else { self.now() };
-            self.referee.away(at, *i, away);
+            self.invariants.set_away(at, *i, away);
         }
     }
 
     /// They were started: until they are ready they count as away.
-    fn back(&mut self, who: &[usize]) {
-        let ready = |ground: &Cluster| {
+    fn wait_until_ready(&mut self, who: &[usize]) {
+        let ready = |cluster: &Cluster| {
             who.iter()
-                .all(|i| ground.members[*i].call("/admin/health").is_some())
+                .all(|i| cluster.members[*i].call("/admin/health").is_some())
         };
-        if self.ground.wait(END_MOST, ready).is_none() {
+        if self.cluster.wait(END_MOST, ready).is_none() {
             let at = self.now();
-            self.referee
+            self.invariants
                 .fail(at, "starts", format!("{who:?}: not ready in time"));
         }
         let at = self.now();
-        who.iter().for_each(|i| self.referee.away(at, *i, false));
+        who.iter()
+            .for_each(|i| self.invariants.set_away(at, *i, false));
     }
 
-    fn roll(&mut self, i: usize) -> Result<(), TestbedError> {
+    fn restart_gracefully(&mut self, i: usize) -> Result<(), TestbedError> {
         let at = self.now();
-        self.referee.away(at, i, true);
-        self.ground.members[i].term();
-        let ended = self.ground.members[i].ended(END_MOST);
+        self.invariants.set_away(at, i, true);
+        self.cluster.members[i].term();
+        let ended = self.cluster.members[i].ended(END_MOST);
         if !ended.is_some_and(|status| status.success()) {
-            self.referee
+            self.invariants
                 .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
         }
-        self.ground.members[i].start()?;
-        self.back(&[i]);
+        self.cluster.members[i].start()?;
+        self.wait_until_ready(&[i]);
         Ok(())
     }
 
@@ -437,11 +445,11 @@
         let at = self.now();
         for i in from {
             for j in to.iter().filter(|j| *j != i) {
-                self.ground.link(*i, *j).set(faults);
-                self.referee.cut(at, *i, *j, faults.cut);
+                self.cluster.link(*i, *j).set(faults);
+                self.invariants.set_cut(at, *i, *j, faults.cut);
                 if both {
-                    self.ground.link(*j, *i).set(faults);
-                    self.referee.cut(at, *j, *i, faults.cut);
+                    self.cluster.link(*j, *i).set(faults);
+                    self.invariants.set_cut(at, *j, *i, faults.cut);
                 }
             }
         }
@@ -449,7 +457,7 @@
 
     fn report(self) -> ScenarioReport {
         let mut member: BTreeMap<String, f64> = BTreeMap::new();
-        let views: Vec<_> = self.ground.views().into_iter().flatten().collect();
+        let views: Vec<_> = self.cluster.views().into_iter().flatten().collect();
         let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
         for name in [
             "sent",
@@ -468,32 +476,32 @@
             member.insert(name.into(), mean(figures));
         }
         let memory = self
-            .ground
+            .cluster
             .members
             .iter()
-            .filter_map(|m| m.memory())
+            .filter_map(MemberProcess::memory)
             .map(|b| b as f64)
             .collect();
         member.insert("memory".into(), mean(memory));
-        let (failures, failed) = self.referee.failures();
+        let (failures, failed) = self.invariants.failures();
         ScenarioReport {
             scenario: self.scenario.name.clone(),
-            instances: self.ground.plan.instances,
-            seed: self.ground.plan.seed,
-            planted: self.ground.plan.planted.clone(),
+            instances: self.cluster.plan.instances,
+            seed: self.cluster.plan.seed,
+            planted: self.cluster.plan.planted.clone(),
             settled: self.settled,
-            shares_most: self.referee.shares,
+            max_share_sum: self.invariants.max_share_sum,
             false_deaths: failures
                 .iter()
                 .filter(|f| f.invariant == "false-death")
                 .count(),
             requests: self.requests,
-            datagrams: self.ground.datagrams(),
+            datagrams: self.cluster.datagrams(),
             seconds: self.seconds,
             spans: self.spans,
             recovered_s: self.recovered_s,
             member,
-            done: self.done,
+            timeline: self.timeline,
             failures: failures.to_vec(),
             failed,
         }
--- a/crates/testbed/src/simulated_services.rs
+++ b/crates/testbed/src/simulated_services.rs
@@ -22,6 +22,10 @@
 
 impl TcpService {
     /// Takes connections at an address, each in a thread of its own.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound.
     pub fn open(
         address: SocketAddr,
         serve: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -21,11 +21,11 @@
     /// What a miss takes beyond that.
     pub fetch: Duration,
     /// The share of its speed that it starts with.
-    pub cold_from: f64,
+    pub slow_start_fraction: f64,
     /// It is warm after this.
-    pub warm_after: Duration,
+    pub slow_start_duration: Duration,
     /// A repeat of a keyed write is dropped for this long.
-    pub window: Duration,
+    pub deduplication_window: Duration,
 }
 
 impl Default for CacheOptions {
@@ -35,9 +35,9 @@
             queue: 32,
             service: Duration::from_millis(8),
             fetch: Duration::from_millis(20),
-            cold_from: 1.0,
-            warm_after: Duration::ZERO,
-            window: Duration::from_secs(2),
+            slow_start_fraction: 1.0,
+            slow_start_duration: Duration::ZERO,
+            deduplication_window: Duration::from_secs(2),
         }
     }
 }
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheCounts {
     /// Requests, those turned away included.
-    pub tries: u64,
+    pub attempts: u64,
     /// Requests turned away.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Probes.
-    pub probes: u64,
+    pub health_checks: u64,
     /// Connections.
     pub connections: u64,
     /// Reads that it held, and those that it had to fetch.
@@ -74,15 +74,15 @@
 
 #[derive(Default)]
 struct CacheState {
-    tries: u64,
-    probes: u64,
+    attempts: u64,
+    health_checks: u64,
     connections: u64,
     hits: u64,
     misses: u64,
-    at_work: usize,
+    in_service: usize,
     waiting: usize,
-    turned_away: u64,
-    held: HashSet<Vec<u8>>,
+    rejected: u64,
+    cached_keys: HashSet<Vec<u8>>,
     written: HashMap<Vec<u8>, Vec<u8>>,
     seen: HashMap<String, Instant>,
     executed: HashMap<String, Executed>,
@@ -104,14 +104,14 @@
 
     /// How much slower than warm it is now, 1 or more.
     fn slowness(&self) -> f64 {
-        let warm = self.options.warm_after.as_secs_f64();
+        let warm = self.options.slow_start_duration.as_secs_f64();
         let age = self.started.elapsed().as_secs_f64();
         let part = if warm > 0.0 {
             (age / warm).min(1.0)
         } else {
             1.0
         };
-        1.0 / (self.options.cold_from + (1.0 - self.options.cold_from) * part)
+        1.0 / (self.options.slow_start_fraction + (1.0 - self.options.slow_start_fraction) * part)
     }
 }
 
@@ -124,6 +124,10 @@
 impl Cache {
     /// Starts it at an address; without an origin a miss takes `fetch`, and a write no longer than
     /// a hit.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound.
     pub fn start(
         name: &str,
         address: SocketAddr,
@@ -147,22 +151,25 @@
     }
 
     /// What it did, by request id.
+    #[must_use]
     pub fn executed(&self) -> HashMap<String, Executed> {
         self.shared.state().executed.clone()
     }
 
     /// Requests that it turned away.
+    #[must_use]
     pub fn turned_away(&self) -> u64 {
-        self.shared.state().turned_away
+        self.shared.state().rejected
     }
 
     /// What came to it so far.
+    #[must_use]
     pub fn counts(&self) -> CacheCounts {
         let state = self.shared.state();
         CacheCounts {
-            tries: state.tries,
-            turned_away: state.turned_away,
-            probes: state.probes,
+            attempts: state.attempts,
+            rejected: state.rejected,
+            health_checks: state.health_checks,
             connections: state.connections,
             hits: state.hits,
             misses: state.misses,
@@ -185,7 +192,7 @@
                 answer(shared, &mut output, key, id, options, Some(value))?;
             }
             [b"PING", ..] => {
-                shared.state().probes += 1;
+                shared.state().health_checks += 1;
                 output.write_all(b"+PONG\r\n")?;
             }
             _ => output.write_all(b"-SYNTAX\r\n")?,
@@ -220,15 +227,15 @@
     let k = field(&options, "k");
     let (note, word) = {
         let mut state = shared.state();
-        state.tries += 1;
-        if state.at_work >= shared.options.slots {
+        state.attempts += 1;
+        if state.in_service >= shared.options.slots {
             if state.waiting >= shared.options.queue {
-                state.turned_away += 1;
+                state.rejected += 1;
                 drop(state);
                 return output.write_all(b"-BUSY\r\n");
             }
             state.waiting += 1;
-            while state.at_work >= shared.options.slots {
+            while state.in_service >= shared.options.slots {
                 state = shared
                     .freed
                     .wait(state)
@@ -236,11 +243,11 @@
             }
             state.waiting -= 1;
         }
-        state.at_work += 1;
+        state.in_service += 1;
         let dropped = value.is_some()
             && k.as_ref().is_some_and(|k| {
                 let seen = state.seen.insert(k.clone(), Instant::now());
-                seen.is_some_and(|at| at.elapsed() < shared.options.window)
+                seen.is_some_and(|at| at.elapsed() < shared.options.deduplication_window)
             });
         let executed = state.executed.entry(id).or_default();
         executed.times += 1;
@@ -249,12 +256,12 @@
         executed.key = k;
         match value {
             Some(value) => {
-                state.held.remove(key);
+                state.cached_keys.remove(key);
                 state.written.insert(key.to_vec(), value.to_vec());
                 (None, b"stored".to_vec())
             }
             None => {
-                let hit = state.held.contains(key);
+                let hit = state.cached_keys.contains(key);
                 state.hits += u64::from(hit);
                 state.misses += u64::from(!hit);
                 let made = || {
@@ -267,7 +274,7 @@
     };
     std::thread::sleep(shared.options.service.mul_f64(shared.slowness()));
     // The slot is the cache's own work; what waits for the origin holds none.
-    shared.state().at_work -= 1;
+    shared.state().in_service -= 1;
     shared.freed.notify_one();
     let fetched = match &shared.origin {
         _ if note == Some("hit") => true,
@@ -285,7 +292,7 @@
         return output.write_all(b"-ERR failed\r\n");
     }
     if note == Some("miss") {
-        shared.state().held.insert(key.to_vec());
+        shared.state().cached_keys.insert(key.to_vec());
     }
     let mut bytes = format!("*3\r\n${}\r\n", word.len()).into_bytes();
     bytes.extend(word);
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -50,13 +50,13 @@
     /// When it was sent, and how long its answer took, in seconds.
     pub at: f64,
     /// See `at`.
-    pub took: f64,
+    pub latency_s: f64,
     /// How it ended.
     pub end: RequestEnd,
     /// More came on the connection than was asked for.
     pub extra: bool,
     /// It was said again for one that was refused or failed.
-    pub again: bool,
+    pub is_retry: bool,
     /// How long the refusal asked the client to stay away, in milliseconds.
     pub wait_ms: Option<u64>,
 }
@@ -70,6 +70,7 @@
 ];
 
 /// How long a client of this class waits, in seconds; 0 of one that is not asked for.
+#[must_use]
 pub fn deadline(class: &str) -> f64 {
     let found = CLASSES.iter().find(|(name, ..)| *name == class);
     found.map_or(0.0, |(_, _, ms, ..)| *ms as f64 / 1e3)
@@ -80,20 +81,23 @@
 #[serde(default, deny_unknown_fields)]
 pub struct ClientOptions {
     /// How often a request that was refused or failed is said again, where that is harmless.
-    pub returns: u32,
+    #[serde(rename = "returns")]
+    pub retries: u32,
     /// Whether a return waits as long as the refusal says; else it comes at once, at another
     /// balancer.
-    pub obey: bool,
+    #[serde(rename = "obey")]
+    pub honors_retry_after: bool,
     /// The first balancer gets so many times the mean of the others' traffic.
-    pub first: f64,
+    #[serde(rename = "first")]
+    pub first_balancer_share: f64,
 }
 
 impl Default for ClientOptions {
     fn default() -> Self {
         ClientOptions {
-            returns: 0,
-            obey: true,
-            first: 1.0,
+            retries: 0,
+            honors_retry_after: true,
+            first_balancer_share: 1.0,
         }
     }
 }
@@ -149,6 +153,7 @@
 impl Clients {
     /// `workers` clients that together send as many requests a second as `load` says, to these
     /// doors, as seen from `begun`.
+    #[must_use]
     pub fn start(
         doors: &[SocketAddr],
         workers: usize,
@@ -164,7 +169,7 @@
         // Of workers in turn so many stay with the first balancer that it gets its multiple of the
         // mean.
         let others = doors.len() as f64 - 1.0;
-        let first = behaviour.first / (behaviour.first + others);
+        let first = behaviour.first_balancer_share / (behaviour.first_balancer_share + others);
         let threads = (0..workers)
             .map(|worker| {
                 let (end, asked) = (Arc::clone(&end), Arc::clone(&asked));
@@ -263,11 +268,11 @@
             // is harmless.
             let harmless = end == RequestEnd::Refused
                 || end == RequestEnd::Failed && order.class != "map-publish";
-            if !harmless || again >= self.behaviour.returns {
+            if !harmless || again >= self.behaviour.retries {
                 break;
             }
             again += 1;
-            if self.behaviour.obey {
+            if self.behaviour.honors_retry_after {
                 let wait =
                     wait_ms.map_or(WAIT_USUAL, |ms| Duration::from_millis(ms.min(OBEYED_MOST)));
                 std::thread::sleep(wait);
@@ -277,7 +282,7 @@
                     % self.doors.len();
             }
         }
-        if self.at != self.home && self.stream.is_some() && !self.behaviour.obey {
+        if self.at != self.home && self.stream.is_some() && !self.behaviour.honors_retry_after {
             self.stream = None;
             self.at = self.home;
         }
@@ -353,10 +358,10 @@
             class,
             balancer,
             at,
-            took: sent.elapsed().as_secs_f64(),
+            latency_s: sent.elapsed().as_secs_f64(),
             end,
             extra,
-            again,
+            is_retry: again,
             wait_ms,
         }
     }
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -81,6 +81,10 @@
 
 impl Discovery {
     /// Tells the list at an address; `dial` is where a cache is reached from there.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound.
     pub fn start(
         address: SocketAddr,
         list: EndpointList,
--- a/crates/testbed/src/simulated_services/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -12,12 +12,12 @@
     /// What one takes.
     pub service: Duration,
     /// One that has waited this long for a slot fails.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 #[derive(Default)]
 struct OriginState {
-    at_work: usize,
+    in_service: usize,
     fetches: u64,
     failed: u64,
     /// 1 or more; 0 stands for 1.
@@ -33,6 +33,7 @@
 
 impl Origin {
     /// An origin that works like this.
+    #[must_use]
     pub fn new(options: OriginOptions) -> Self {
         Origin {
             options,
@@ -50,6 +51,7 @@
     }
 
     /// Fetches and writes it did, and those that waited in vain.
+    #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         let state = self.state();
         (state.fetches, state.failed)
@@ -57,9 +59,9 @@
 
     /// One fetch or write, from its beginning to its end; false if it waited in vain.
     pub fn work(&self) -> bool {
-        let until = Instant::now() + self.options.patience;
+        let until = Instant::now() + self.options.timeout;
         let mut state = self.state();
-        while state.at_work >= self.options.slots {
+        while state.in_service >= self.options.slots {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 state.failed += 1;
@@ -72,12 +74,12 @@
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
-        state.at_work += 1;
+        state.in_service += 1;
         state.fetches += 1;
         let slowness = state.slowness.max(1.0);
         drop(state);
         std::thread::sleep(self.options.service.mul_f64(slowness));
-        self.state().at_work -= 1;
+        self.state().in_service -= 1;
         self.state.1.notify_one();
         true
     }
--- a/crates/testbed/src/simulated_services/origin/tests.rs
+++ b/crates/testbed/src/simulated_services/origin/tests.rs
@@ -7,7 +7,7 @@
     let options = OriginOptions {
         slots: 1,
         service: Duration::from_millis(200),
-        patience: Duration::from_millis(1),
+        timeout: Duration::from_millis(1),
     };
     let origin = Origin::new(options);
     let other = origin.clone();
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -43,6 +43,10 @@
 }
 
 /// The next command: its words.
+///
+/// # Errors
+///
+/// If the connection fails, or the input breaks the protocol.
 pub fn command(input: &mut impl BufRead) -> io::Result<Vec<Vec<u8>>> {
     let head = line(input)?;
     let words = number(head.strip_prefix('*').unwrap_or_default(), WORDS_MAX)?;
@@ -56,6 +60,7 @@
 }
 
 /// A command on the wire.
+#[must_use]
 pub fn write_command(words: &[&[u8]]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
@@ -67,6 +72,10 @@
 }
 
 /// The next answer.
+///
+/// # Errors
+///
+/// If the connection fails, or the input breaks the protocol.
 pub fn answer(input: &mut impl BufRead) -> io::Result<RespReply> {
     let head = line(input)?;
     let (kind, rest) = head.split_at_checked(1).unwrap_or(("", ""));
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -22,7 +22,7 @@
     /// See `delay`; more than the spacing of datagrams reorders them.
     pub jitter: Nanos,
     /// The share that comes twice.
-    pub twice: f64,
+    pub duplicates: f64,
     /// The share of words of load that is lost besides.
     pub load_loss: f64,
 }
@@ -33,7 +33,7 @@
             loss: 0.0,
             delay: MS / 2,
             jitter: MS / 2,
-            twice: 0.0,
+            duplicates: 0.0,
             load_loss: 0.0,
         }
     }
@@ -42,16 +42,16 @@
 struct MemberSlot {
     member: Option<Member>,
     /// Stands still until then.
-    stalled: Nanos,
+    stalled_until: Nanos,
     /// Datagrams that wait while it stands still; the oldest ones beyond the bound are lost.
     inbox: Vec<(SocketAddr, Vec<u8>)>,
-    traffic: MemberStatistics,
+    statistics: MemberStatistics,
     sent_max: u64,
     false_deaths: u64,
     /// Its region, by number; 0 where there is one only.
     region: usize,
     /// Processor time of its own calls.
-    busy: Duration,
+    cpu_time: Duration,
 }
 
 enum QueuedEvent {
@@ -61,14 +61,14 @@
 
 /// A fleet in virtual time.
 pub struct SimulatedFleet {
-    places: Vec<MemberSlot>,
+    slots: Vec<MemberSlot>,
     queue: BTreeMap<(Nanos, u64), QueuedEvent>,
     set: u64,
     rng: Xoshiro256PlusPlus,
     /// What happens to datagrams.
     pub network: NetworkConditions,
     /// What happens to those that go from one region to another; as all others if not told.
-    pub between: Option<NetworkConditions>,
+    pub between_regions: Option<NetworkConditions>,
     /// Whether the way from one to another is cut.
     cut: Vec<Vec<bool>>,
     /// The time.
@@ -85,9 +85,9 @@
     joins_at: Vec<usize>,
     /// What members say that they take a second, in tenths; differs from member to member and moves
     /// on.
-    busy_members: bool,
+    request_rates_vary: bool,
     /// Where the last look for views that are not true stopped.
-    untrue_at: Cell<usize>,
+    last_wrong_view: Cell<usize>,
     /// Datagrams that were sent, for replays; the first of them.
     tape: Vec<(SocketAddr, Vec<u8>)>,
 }
@@ -100,35 +100,38 @@
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
 /// The address of the n-th member.
+#[must_use]
 pub fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7_946))
 }
 
 /// The name of a region, by number.
+#[must_use]
 pub fn region_name(region: usize) -> String {
     format!("region-{region}")
 }
 
 impl SimulatedFleet {
     /// `n` places, all empty, by this seed; each member asks the first `joins` places.
+    #[must_use]
     pub fn new(n: usize, joins: usize, seed: u64) -> Self {
         let empty = || MemberSlot {
             member: None,
-            stalled: 0,
+            stalled_until: 0,
             inbox: Vec::new(),
-            traffic: MemberStatistics::default(),
+            statistics: MemberStatistics::default(),
             sent_max: 0,
             false_deaths: 0,
             region: 0,
-            busy: Duration::ZERO,
+            cpu_time: Duration::ZERO,
         };
         SimulatedFleet {
-            places: (0..n).map(|_| empty()).collect(),
+            slots: (0..n).map(|_| empty()).collect(),
             queue: BTreeMap::new(),
             set: 0,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             network: NetworkConditions::default(),
-            between: None,
+            between_regions: None,
             cut: vec![vec![false; n]; n],
             now: 0,
             timing: Timing::default(),
@@ -137,8 +140,8 @@
             tiers: None,
             in_regions: false,
             joins_at: Vec::new(),
-            busy_members: false,
-            untrue_at: Cell::new(0),
+            request_rates_vary: false,
+            last_wrong_view: Cell::new(0),
             tape: Vec::new(),
             numbers: (0..n).map(|i| (address(i), i)).collect(),
         }
@@ -146,6 +149,7 @@
 
     /// A fleet in regions of these sizes, all places empty. Each member asks the first two places
     /// of its region at first, and the first of all.
+    #[must_use]
     pub fn in_regions(sizes: &[usize], seed: u64) -> Self {
         let mut fleet = SimulatedFleet::new(sizes.iter().sum(), 2, seed);
         fleet.in_regions = true;
@@ -154,7 +158,7 @@
             .enumerate()
             .flat_map(|(region, size)| vec![region; *size]);
         fleet
-            .places
+            .slots
             .iter_mut()
             .zip(regions)
             .for_each(|(place, region)| place.region = region);
@@ -169,29 +173,29 @@
 
     /// Members that start from now on are of this region.
     pub fn set_region(&mut self, n: usize, region: usize) {
-        self.places[n].region = region;
+        self.slots[n].region = region;
     }
 
     /// The region of a place, by number.
     pub fn region(&self, n: usize) -> usize {
-        self.places[n].region
+        self.slots[n].region
     }
 
     /// The places of a region.
     pub fn of_region(&self, region: usize) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|n| self.places[*n].region == region)
+        (0..self.slots.len())
+            .filter(|n| self.slots[*n].region == region)
             .collect()
     }
 
     /// From now on members tell of requests that change all the time.
-    pub fn keep_busy(&mut self) {
-        self.busy_members = true;
+    pub fn vary_request_rates(&mut self) {
+        self.request_rates_vary = true;
     }
 
     /// Processor time of one member's own calls.
-    pub fn busy(&self, n: usize) -> Duration {
-        self.places[n].busy
+    pub fn cpu_time(&self, n: usize) -> Duration {
+        self.slots[n].cpu_time
     }
 
     /// Bounds the members that each holds; for those that start from now on.
@@ -205,30 +209,30 @@
     }
 
     /// Counts what a member's module let in and what of it found no room.
-    pub fn count(&mut self, n: usize, tally: membership::shedding::AdmissionCounts) {
-        if let Some(member) = &mut self.places[n].member {
+    pub fn record_admissions(&mut self, n: usize, tally: membership::shedding::AdmissionCounts) {
+        if let Some(member) = &mut self.slots[n].member {
             member.add_admission_counts(tally);
         }
     }
 
     /// The level that a member sheds by; 0 if none runs at this place.
-    pub fn level(&self, n: usize) -> f64 {
+    pub fn shedding_level(&self, n: usize) -> f64 {
         self.member(n).map_or(0.0, Member::shedding_level)
     }
 
     /// How many places there are.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.slots.is_empty()
     }
 
     /// Starts a member at a place, on a clock that shows this much more or less than the others'.
     pub fn start(&mut self, n: usize, clock_ms: i64) {
-        let region = self.places[n].region;
+        let region = self.slots[n].region;
         let location = match self.in_regions {
             true => Location {
                 region: region_name(region),
@@ -237,11 +241,11 @@
             false => Location::default(),
         };
         let first = self
-            .places
+            .slots
             .iter()
             .position(|place| place.region == region)
             .unwrap_or(0);
-        let of_region = (first..self.places.len()).filter(|n| self.places[*n].region == region);
+        let of_region = (first..self.slots.len()).filter(|n| self.slots[*n].region == region);
         let mut join: Vec<SocketAddr> = of_region.take(self.joins).map(address).collect();
         join.extend(self.joins_at.iter().map(|n| address(*n)));
         if self.in_regions && self.joins > 0 {
@@ -272,25 +276,25 @@
         if let Some(tiers) = self.tiers {
             member.enable_shared_shedding(tiers);
         }
-        let place = &mut self.places[n];
-        (place.member, place.stalled) = (Some(member), 0);
+        let place = &mut self.slots[n];
+        (place.member, place.stalled_until) = (Some(member), 0);
         place.inbox.clear();
         self.push(self.now, QueuedEvent::Turn(n));
     }
 
     /// Starts all at once.
     pub fn start_all(&mut self) {
-        (0..self.places.len()).for_each(|n| self.start(n, 0));
+        (0..self.slots.len()).for_each(|n| self.start(n, 0));
     }
 
     /// Ends a member without a word.
     pub fn kill(&mut self, n: usize) {
-        self.places[n].member = None;
+        self.slots[n].member = None;
     }
 
     /// A member goes and says so.
     pub fn leave(&mut self, n: usize) {
-        if let Some(mut member) = self.places[n].member.take() {
+        if let Some(mut member) = self.slots[n].member.take() {
             member.leave(self.now);
             self.send(n, member.take_datagrams());
         }
@@ -298,7 +302,7 @@
 
     /// A member stands still for so long.
     pub fn stall(&mut self, n: usize, span: Nanos) {
-        self.places[n].stalled = self.now + span;
+        self.slots[n].stalled_until = self.now + span;
     }
 
     /// Cuts the way from one to another, or opens it.
@@ -308,8 +312,8 @@
 
     /// Cuts all ways between the members of two sets, told by a side for each, or opens them.
     pub fn split(&mut self, side: impl Fn(usize) -> usize, cut: bool) {
-        for from in 0..self.places.len() {
-            for to in 0..self.places.len() {
+        for from in 0..self.slots.len() {
+            for to in 0..self.slots.len() {
                 if side(from) != side(to) {
                     self.cut[from][to] = cut;
                 }
@@ -319,19 +323,19 @@
 
     /// A member, if one runs at this place.
     pub fn member(&self, n: usize) -> Option<&Member> {
-        self.places[n].member.as_ref()
+        self.slots[n].member.as_ref()
     }
 
     /// Those that run.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|n| self.places[*n].member.is_some())
+        (0..self.slots.len())
+            .filter(|n| self.slots[*n].member.is_some())
             .collect()
     }
 
     /// What a member sees; it must run.
     pub fn view(&self, n: usize) -> View {
-        self.places[n]
+        self.slots[n]
             .member
             .as_ref()
             .map(Member::view)
@@ -340,16 +344,16 @@
 
     /// How often anybody took a member for dead that ran and could be reached by it.
     pub fn false_deaths(&self) -> u64 {
-        self.places.iter().map(|p| p.false_deaths).sum()
+        self.slots.iter().map(|p| p.false_deaths).sum()
     }
 
     /// The sum of all counts of datagrams, of those that run.
-    pub fn traffic(&self, n: usize) -> MemberStatistics {
-        self.places[n]
+    pub fn statistics(&self, n: usize) -> MemberStatistics {
+        self.slots[n]
             .member
             .as_ref()
             .map(Member::statistics)
-            .unwrap_or(self.places[n].traffic)
+            .unwrap_or(self.slots[n].statistics)
     }
 
     fn push(&mut self, at: Nanos, what: QueuedEvent) {
@@ -362,17 +366,20 @@
             let Some(to) = self.numbers.get(&to).copied() else {
                 continue;
             };
-            self.pass(from, to, datagram);
+            self.transmit(from, to, datagram);
         }
     }
 
     /// Hands a datagram to the network.
-    fn pass(&mut self, from: usize, to: usize, datagram: Vec<u8>) {
+    fn transmit(&mut self, from: usize, to: usize, datagram: Vec<u8>) {
         if self.tape.len() < TAPE {
             self.tape.push((address(from), datagram.clone()));
         }
-        let apart = self.places[from].region != self.places[to].region;
-        let network = self.between.filter(|_| apart).unwrap_or(self.network);
+        let apart = self.slots[from].region != self.slots[to].region;
+        let network = self
+            .between_regions
+            .filter(|_| apart)
+            .unwrap_or(self.network);
         if self.cut[from][to] || self.rng.random_bool(network.loss) {
             return;
         }
@@ -381,7 +388,7 @@
         if load && network.load_loss > 0.0 && self.rng.random_bool(network.load_loss) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(network.twice));
+        let copies = 1 + usize::from(self.rng.random_bool(network.duplicates));
         for _ in 0..copies {
             let jitter = self.rng.random_range(0..=network.jitter);
             let at = self.now + network.delay + jitter;
@@ -399,13 +406,13 @@
 
     /// A datagram from nowhere, as it is.
     pub fn inject(&mut self, to: usize, from: SocketAddr, datagram: &[u8]) {
-        if let Some(member) = &mut self.places[to].member {
+        if let Some(member) = &mut self.slots[to].member {
             member.receive(self.now, from, datagram);
         }
     }
 
     /// Plays on until then.
-    pub fn play(&mut self, until: Nanos) {
+    pub fn advance_to(&mut self, until: Nanos) {
         while let Some(entry) = self
             .queue
             .first_entry()
@@ -414,28 +421,28 @@
             let ((at, _), what) = entry.remove_entry();
             self.now = self.now.max(at);
             match what {
-                QueuedEvent::Turn(n) => self.turn(n),
-                QueuedEvent::Datagram(n, from, datagram) => self.arrive(n, from, datagram),
+                QueuedEvent::Turn(n) => self.run_member(n),
+                QueuedEvent::Datagram(n, from, datagram) => self.deliver(n, from, datagram),
             }
         }
         self.now = until;
     }
 
-    fn turn(&mut self, n: usize) {
+    fn run_member(&mut self, n: usize) {
         let now = self.now;
-        let place = &mut self.places[n];
+        let place = &mut self.slots[n];
         let Some(member) = &mut place.member else {
             return;
         };
-        if place.stalled > now {
-            let at = place.stalled;
+        if place.stalled_until > now {
+            let at = place.stalled_until;
             return self.push(at, QueuedEvent::Turn(n));
         }
         let begun = Instant::now();
         for (from, datagram) in std::mem::take(&mut place.inbox) {
             member.receive(now, from, &datagram);
         }
-        if self.busy_members && (now / MS / 50 + n as u64).is_multiple_of(40) {
+        if self.request_rates_vary && (now / MS / 50 + n as u64).is_multiple_of(40) {
             let requests = (now / (2_000 * MS) * 7_919 + n as u64 * 104_729) % 400;
             member.update_metadata(|soft| soft.request_rate_tenths = 9_000 + 10 * requests as u32);
         }
@@ -443,20 +450,20 @@
             member.tick(now);
             member.next_tick()
         });
-        place.busy += begun.elapsed();
+        place.cpu_time += begun.elapsed();
         if let Some(due) = due {
             self.push(due, QueuedEvent::Turn(n));
         }
-        self.after(n);
+        self.collect_output(n);
     }
 
-    fn arrive(&mut self, n: usize, from: SocketAddr, datagram: Vec<u8>) {
+    fn deliver(&mut self, n: usize, from: SocketAddr, datagram: Vec<u8>) {
         let now = self.now;
-        let place = &mut self.places[n];
+        let place = &mut self.slots[n];
         let Some(member) = &mut place.member else {
             return;
         };
-        if place.stalled > now {
+        if place.stalled_until > now {
             if place.inbox.len() < INBOX {
                 place.inbox.push((from, datagram));
             }
@@ -464,18 +471,18 @@
         }
         let begun = Instant::now();
         member.receive(now, from, &datagram);
-        place.busy += begun.elapsed();
-        self.after(n);
+        place.cpu_time += begun.elapsed();
+        self.collect_output(n);
     }
 
-    fn after(&mut self, n: usize) {
-        let Some(member) = &mut self.places[n].member else {
+    fn collect_output(&mut self, n: usize) {
+        let Some(member) = &mut self.slots[n].member else {
             return;
         };
         let outputs = member.take_datagrams();
         let changes = member.take_events();
         let sent = outputs.len() as u64;
-        self.places[n].sent_max = self.places[n].sent_max.max(sent);
+        self.slots[n].sent_max = self.slots[n].sent_max.max(sent);
         for change in changes {
             if let MembershipEvent::StatusChanged {
                 id,
@@ -483,15 +490,15 @@
                 ..
             } = change
                 && let Some(&other) = self.numbers.get(&id.address)
-                && self.places[other]
+                && self.slots[other]
                     .member
                     .as_ref()
                     .is_some_and(|m| m.id() == id)
-                && self.places[other].stalled <= self.now
+                && self.slots[other].stalled_until <= self.now
                 && !self.cut[other][n]
                 && !self.cut[n][other]
             {
-                self.places[n].false_deaths += 1;
+                self.slots[n].false_deaths += 1;
             }
         }
         self.send(n, outputs);
@@ -507,15 +514,15 @@
     /// last one found something untrue: a fleet that is not settled costs one member's view, not
     /// all of them.
     pub fn settled_by(&self, side: impl Fn(usize) -> usize) -> bool {
-        let count = self.places.len();
+        let count = self.slots.len();
         let living = self.living(&side);
-        let untrue = |n: &usize| !self.sees_the_truth(*n, &side, &living);
+        let untrue = |n: &usize| !self.has_true_view(*n, &side, &living);
         match (0..count)
-            .map(|i| (self.untrue_at.get() + i) % count)
+            .map(|i| (self.last_wrong_view.get() + i) % count)
             .find(untrue)
         {
             Some(n) => {
-                self.untrue_at.set(n);
+                self.last_wrong_view.set(n);
                 false
             }
             None => true,
@@ -526,7 +533,7 @@
     fn living(&self, side: impl Fn(usize) -> usize) -> HashMap<(usize, usize), usize> {
         let mut living: HashMap<(usize, usize), usize> = HashMap::new();
         for n in self.running() {
-            *living.entry((self.places[n].region, side(n))).or_default() += 1;
+            *living.entry((self.slots[n].region, side(n))).or_default() += 1;
         }
         living
     }
@@ -534,13 +541,13 @@
     /// Whether the members of a region see what is true of each other.
     pub fn region_settled(&self, region: usize, side: impl Fn(usize) -> usize) -> bool {
         let living = self.living(&side);
-        (0..self.places.len())
-            .filter(|n| self.places[*n].region == region)
+        (0..self.slots.len())
+            .filter(|n| self.slots[*n].region == region)
             .all(|n| self.sees_true_members(n, &side, &living))
     }
 
     /// Whether a member, if one runs at this place, sees what is true.
-    fn sees_the_truth(
+    fn has_true_view(
         &self,
         n: usize,
         side: impl Fn(usize) -> usize,
@@ -556,10 +563,10 @@
         side: impl Fn(usize) -> usize,
         living: &HashMap<(usize, usize), usize>,
     ) -> bool {
-        let Some(member) = &self.places[n].member else {
+        let Some(member) = &self.slots[n].member else {
             return true;
         };
-        let region = self.places[n].region;
+        let region = self.slots[n].region;
         let with_it = living[&(region, side(n))] - 1;
         let mut there = 0;
         let true_ones = member.members().filter(|seen| {
@@ -577,7 +584,7 @@
                 .copied()
                 .filter(|m| side(*m) == side(n));
             let id = of
-                .and_then(|m| self.places[m].member.as_ref())
+                .and_then(|m| self.slots[m].member.as_ref())
                 .map(Member::id);
             right && id == Some(seen.id)
         });
@@ -591,10 +598,10 @@
         side: impl Fn(usize) -> usize,
         living: &HashMap<(usize, usize), usize>,
     ) -> bool {
-        let Some(member) = &self.places[n].member else {
+        let Some(member) = &self.slots[n].member else {
             return true;
         };
-        let (own, side) = (self.places[n].region, side(n));
+        let (own, side) = (self.slots[n].region, side(n));
         let heard: HashMap<&str, usize> = member
             .region_rows()
             .filter(|(_, silent_since)| silent_since.is_none())
@@ -611,17 +618,17 @@
     }
 
     /// How many pairs of members are not yet true, by what one holds of the other wrongly.
-    pub fn untrue(&self) -> BTreeMap<&'static str, usize> {
+    pub fn wrong_views(&self) -> BTreeMap<&'static str, usize> {
         let mut all = BTreeMap::new();
         for n in self.running() {
-            let Some(member) = &self.places[n].member else {
+            let Some(member) = &self.slots[n].member else {
                 continue;
             };
             let seen: HashMap<SocketAddr, &membership::MemberView> = member
                 .members()
                 .map(|seen| (seen.id.address, seen))
                 .collect();
-            for (m, place) in self.places.iter().enumerate().filter(|(m, _)| *m != n) {
+            for (m, place) in self.slots.iter().enumerate().filter(|(m, _)| *m != n) {
                 let what = match (&place.member, seen.get(&address(m))) {
                     (Some(_), None) => "not known",
                     (None, Some(seen)) if seen.status.is_present() => "death not known",
@@ -645,14 +652,18 @@
     }
 
     /// Plays until this holds, at most for so long; how long it took.
-    pub fn until(&mut self, most: Nanos, holds: impl Fn(&SimulatedFleet) -> bool) -> Option<Nanos> {
+    pub fn advance_until(
+        &mut self,
+        most: Nanos,
+        holds: impl Fn(&SimulatedFleet) -> bool,
+    ) -> Option<Nanos> {
         let begun = self.now;
         while self.now - begun <= most {
             if holds(self) {
                 return Some(self.now - begun);
             }
             let next = self.now + 20 * MS;
-            self.play(next);
+            self.advance_to(next);
         }
         None
     }
--- a/crates/testbed/src/simulation/region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -15,9 +15,13 @@
 const CEILING: Nanos = 60 * S;
 
 /// A fleet in regions of these sizes in which all views are true.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn settled(sizes: &[usize], seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
     let mut fleet = SimulatedFleet::in_regions(sizes, seed);
-    fleet.between = Some(NetworkConditions {
+    fleet.between_regions = Some(NetworkConditions {
         delay: 40 * MS,
         jitter: 5 * MS,
         ..NetworkConditions::default()
@@ -28,7 +32,7 @@
 }
 
 fn settle(fleet: &mut SimulatedFleet, what: &str) -> Result<(), SimulationFailure> {
-    let settled = fleet.until(CEILING, SimulatedFleet::settled);
+    let settled = fleet.advance_until(CEILING, SimulatedFleet::settled);
     settled
         .map(|_| ())
         .ok_or_else(|| SimulationFailure::NotSettled {
@@ -39,11 +43,15 @@
 
 /// Regions are cut apart, and one of them in two, in a row drawn by the seed: the shares keep their
 /// bound.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn split(seed: u64) -> Result<(), SimulationFailure> {
     const BOUND: f64 = 2.0;
     let sizes = [24, 12, 9, 6];
     let mut fleet = settled(&sizes, seed)?;
-    fleet.play(fleet.now + 20 * S);
+    fleet.advance_to(fleet.now + 20 * S);
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     for _ in 0..3 {
         let sides: Vec<usize> = sizes.iter().map(|_| rng.random_range(0..3)).collect();
@@ -57,7 +65,7 @@
         };
         fleet.split(side, true);
         for _ in 0..rng.random_range(5..60) {
-            fleet.play(fleet.now + S);
+            fleet.advance_to(fleet.now + S);
             let sum: f64 = fleet
                 .running()
                 .iter()
@@ -77,9 +85,13 @@
 }
 
 /// All who speak for a region die at once: others do, and its new figures are known everywhere.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn delegates_die(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[20, 8, 8], seed)?;
-    fleet.play(fleet.now + 10 * S);
+    fleet.advance_to(fleet.now + 10 * S);
     let named: Vec<SocketAddr> = fleet
         .member(0)
         .map(|m| m.delegates().to_vec())
@@ -92,9 +104,13 @@
 
 /// Half of all datagrams between regions are lost: changes get through, though each is told once
 /// only.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn lossy(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[12, 12, 6, 6], seed)?;
-    fleet.between = Some(NetworkConditions {
+    fleet.between_regions = Some(NetworkConditions {
         loss: 0.5,
         delay: 40 * MS,
         jitter: 5 * MS,
@@ -110,9 +126,13 @@
 }
 
 /// Announcements with figures beyond their bounds, and old ones, change nothing.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn lies(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[12, 6], seed)?;
-    fleet.play(fleet.now + 20 * S);
+    fleet.advance_to(fleet.now + 20 * S);
     let speaks = |n: &usize| {
         fleet
             .member(*n)
@@ -156,7 +176,7 @@
         );
     }
     for _ in 0..100 {
-        fleet.play(fleet.now + S / 10);
+        fleet.advance_to(fleet.now + S / 10);
         let count = fleet
             .running()
             .into_iter()
@@ -172,9 +192,13 @@
 
 /// Members that are told addresses in another region only find their own by what those refer them
 /// to.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn referral(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = SimulatedFleet::in_regions(&[8, 8], seed);
-    fleet.between = Some(NetworkConditions {
+    fleet.between_regions = Some(NetworkConditions {
         delay: 40 * MS,
         jitter: 5 * MS,
         ..NetworkConditions::default()
@@ -185,6 +209,10 @@
 }
 
 /// What the delegates know all members of the region know soon.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn overview(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(&[20, 12], seed)?;
     fleet.kill(25);
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -126,6 +126,7 @@
 }
 
 /// The sizes of uneven regions that have so many members in all.
+#[must_use]
 pub fn sizes(members: usize, regions: usize) -> Vec<usize> {
     let weights: Vec<f64> = (1..=regions).map(|n| (n as f64).powf(UNEVEN)).collect();
     let sum: f64 = weights.iter().sum();
@@ -165,12 +166,12 @@
 
 fn bytes_of(fleet: &SimulatedFleet) -> Vec<u64> {
     (0..fleet.len())
-        .map(|n| fleet.traffic(n).sent_bytes)
+        .map(|n| fleet.statistics(n).sent_bytes)
         .collect()
 }
 
 fn sent_of(fleet: &SimulatedFleet) -> u64 {
-    (0..fleet.len()).map(|n| fleet.traffic(n).sent).sum()
+    (0..fleet.len()).map(|n| fleet.statistics(n).sent).sum()
 }
 
 fn mean(values: &[f64]) -> f64 {
@@ -190,7 +191,7 @@
             begun: fleet.now,
             last: bytes.clone(),
             bytes,
-            busy: (0..fleet.len()).map(|n| fleet.busy(n)).collect(),
+            busy: (0..fleet.len()).map(|n| fleet.cpu_time(n)).collect(),
             sent: sent_of(fleet),
             worst: 0,
         }
@@ -213,8 +214,9 @@
         let now = bytes_of(fleet);
         let running = fleet.running();
         let bytes = |n: usize| now[n].saturating_sub(self.bytes[n]) as f64 / length;
-        let cpu =
-            |n: usize| fleet.busy(n).saturating_sub(self.busy[n]).as_secs_f64() / length * 100.0;
+        let cpu = |n: usize| {
+            fleet.cpu_time(n).saturating_sub(self.busy[n]).as_secs_f64() / length * 100.0
+        };
         let all = |of: &dyn Fn(usize) -> f64| running.iter().map(|n| of(*n)).collect::<Vec<f64>>();
         let cpus = all(&cpu);
         let delegates: Vec<f64> = running
@@ -243,15 +245,15 @@
     };
     fleet.set_members_max(plan.members.max(2_048));
     fleet.network.loss = plan.loss;
-    fleet.between = (plan.regions > 1).then_some(NetworkConditions {
+    fleet.between_regions = (plan.regions > 1).then_some(NetworkConditions {
         loss: plan.loss.max(plan.loss_between),
         delay: plan.delay_between_ms * MS,
         jitter: BETWEEN_JITTER,
         ..NetworkConditions::default()
     });
-    fleet.keep_busy();
+    fleet.vary_request_rates();
     fleet.start_all();
-    let joined = fleet.until(CEILING, SimulatedFleet::settled);
+    let joined = fleet.advance_until(CEILING, SimulatedFleet::settled);
     (fleet, joined)
 }
 
@@ -270,7 +272,7 @@
     let mut cost = None;
     let (mut region_s, mut settled_s) = (None, None);
     for step in 1.. {
-        fleet.play(begun + step * STEP);
+        fleet.advance_to(begun + step * STEP);
         if region_s.is_none() && fleet.region_settled(region, side) {
             region_s = Some(fleet.now - begun);
         }
@@ -327,7 +329,7 @@
     let mut events = vec![
         event(fleet, "one dies", REGION, whole, |fleet| fleet.kill(one)),
         event(fleet, "it is back", REGION, whole, |fleet| {
-            fleet.start(one, 0)
+            fleet.start(one, 0);
         }),
     ];
     let leads = |n: &usize| {
@@ -336,10 +338,10 @@
     };
     if let Some(leader) = of_region.iter().copied().find(leads) {
         events.push(event(fleet, "the leader dies", REGION, whole, |fleet| {
-            fleet.kill(leader)
+            fleet.kill(leader);
         }));
         events.push(event(fleet, "it is back", REGION, whole, |fleet| {
-            fleet.start(leader, 0)
+            fleet.start(leader, 0);
         }));
     }
     events
@@ -374,9 +376,9 @@
     let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
     let apart = |n: usize| usize::from(regions[n] == REGION);
     let off = event(fleet, "a region is cut off", REGION, apart, |fleet| {
-        fleet.split(apart, true)
+        fleet.split(apart, true);
     });
-    fleet.play(fleet.now + CUT);
+    fleet.advance_to(fleet.now + CUT);
     let back = event(
         fleet,
         "it is heard again",
@@ -388,15 +390,16 @@
 }
 
 /// Plays a plan and measures it.
+#[must_use]
 pub fn measure(plan: RegionPlan) -> RegionMeasurement {
     let resident = process::own_resident_kb();
     let (mut fleet, joined) = started(plan);
     // Rumours of the beginning run out.
-    fleet.play(fleet.now + 8 * S);
+    fleet.advance_to(fleet.now + 8 * S);
     let false_before = fleet.false_deaths();
     let mut meter = TrafficMeter::new(&fleet);
     for _ in 0..plan.calm_s {
-        fleet.play(fleet.now + S);
+        fleet.advance_to(fleet.now + S);
         meter.second(&fleet);
     }
     let cost = meter.cost(&fleet);
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -58,13 +58,17 @@
     /// By which seed.
     pub seed: u64,
     /// What befell the talk.
+    #[serde(rename = "trouble")]
     pub disturbance: InjectedDisturbance,
     /// Worth served over what perfect choice would have served, over the 15 s.
-    pub of_perfect: f64,
+    #[serde(rename = "of_perfect")]
+    pub share_of_optimum: f64,
     /// The same if each went by its own counts alone.
-    pub of_perfect_apart: f64,
+    #[serde(rename = "of_perfect_apart")]
+    pub share_of_separate_optimum: f64,
     /// Tries at caches over what they bear.
-    pub tries_of_room: f64,
+    #[serde(rename = "tries_of_room")]
+    pub attempts_per_capacity: f64,
     /// The greatest difference between the shares of reads that two members shed, in the mean over
     /// the time from 3 s on.
     pub spread: f64,
@@ -76,12 +80,12 @@
 
 #[derive(Default)]
 struct Sum {
-    worth: f64,
+    weight: f64,
     perfect: f64,
-    tries: f64,
-    room: f64,
+    attempts: f64,
+    capacity: f64,
     spread: f64,
-    looks: f64,
+    samples: f64,
 }
 
 /// The part of a tier that is shed.
@@ -106,7 +110,7 @@
     let mut let_in = Vec::new();
     for n in &running {
         let mine = total * weights[*n] / here;
-        let level = fleet.level(*n);
+        let level = fleet.shedding_level(*n);
         let reads = mine * (1.0 - WRITE_PART) * (1.0 - shed(level, READS));
         let writes = mine * WRITE_PART * (1.0 - shed(level, WRITES));
         let_in.push((*n, reads, writes));
@@ -114,7 +118,7 @@
     let tries: f64 = let_in.iter().map(|(_, reads, writes)| reads + writes).sum();
     let served = (room / tries.max(1e-9)).min(1.0);
     for (n, reads, writes) in let_in {
-        sum.worth += served * (reads * READ_WORTH + writes * WRITE_WORTH);
+        sum.weight += served * (reads * READ_WORTH + writes * WRITE_WORTH);
         // Requests are whole; what is left over counts next time.
         let more = [reads, writes, (reads + writes) * (1.0 - served)];
         let mut whole = [0; 3];
@@ -128,20 +132,20 @@
             ..AdmissionCounts::default()
         };
         (tally.admitted[READS], tally.admitted[WRITES]) = (whole[0], whole[1]);
-        fleet.count(n, tally);
+        fleet.record_admissions(n, tally);
     }
     let writes = (total * WRITE_PART).min(room);
     let reads = (total * (1.0 - WRITE_PART)).min(room - writes);
     sum.perfect += writes * WRITE_WORTH + reads * READ_WORTH;
-    (sum.tries, sum.room) = (sum.tries + tries, sum.room + room);
-    fleet.play(fleet.now + TICK);
+    (sum.attempts, sum.capacity) = (sum.attempts + tries, sum.capacity + room);
+    fleet.advance_to(fleet.now + TICK);
 }
 
 fn spread(fleet: &SimulatedFleet) -> f64 {
     let levels = fleet
         .running()
         .into_iter()
-        .map(|n| shed(fleet.level(n), READS));
+        .map(|n| shed(fleet.shedding_level(n), READS));
     let (least, most) = levels.fold((f64::MAX, 0f64), |(a, b), level| {
         (a.min(level), b.max(level))
     });
@@ -154,7 +158,7 @@
     fleet.network.loss = loss;
     fleet.set_tiers(TIERS);
     fleet.start_all();
-    fleet.until(CEILING, SimulatedFleet::settled);
+    fleet.advance_until(CEILING, SimulatedFleet::settled);
     fleet
 }
 
@@ -183,7 +187,7 @@
         fleet
             .running()
             .iter()
-            .map(|n| fleet.traffic(*n).sent)
+            .map(|n| fleet.statistics(*n).sent)
             .sum::<u64>()
     };
     let mut sum = Sum::default();
@@ -203,7 +207,7 @@
                 stage = 2;
             }
             InjectedDisturbance::Silence => {
-                fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart)
+                fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart);
             }
             InjectedDisturbance::Restarts if stage == 0 && at >= 5 * S => {
                 quarter.clone().for_each(|n| fleet.kill(n));
@@ -218,7 +222,7 @@
         tick(&mut fleet, &mut carried, &weights, 2.0 * ROOM, &mut sum);
         if at >= 3 * S {
             sum.spread += spread(&fleet);
-            sum.looks += 1.0;
+            sum.samples += 1.0;
         }
     }
     let datagrams = (sent(&fleet) - before) as f64 / members as f64 / 15.0;
@@ -226,13 +230,17 @@
     let mut over_s = None;
     while over_s.is_none() && fleet.now - over < 30 * S {
         tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
-        let done = fleet.running().iter().all(|n| fleet.level(*n) == 0.0);
+        let done = fleet
+            .running()
+            .iter()
+            .all(|n| fleet.shedding_level(*n) == 0.0);
         over_s = done.then(|| ((fleet.now - over) / MS) as f64 / 1e3);
     }
     (sum, over_s, datagrams)
 }
 
 /// Plays one fleet through one disturbance, together and each by itself.
+#[must_use]
 pub fn measure(
     members: usize,
     loss: f64,
@@ -246,10 +254,10 @@
         loss,
         seed,
         disturbance,
-        of_perfect: sum.worth / sum.perfect,
-        of_perfect_apart: apart.worth / apart.perfect,
-        tries_of_room: sum.tries / sum.room,
-        spread: sum.spread / sum.looks.max(1.0),
+        share_of_optimum: sum.weight / sum.perfect,
+        share_of_separate_optimum: apart.weight / apart.perfect,
+        attempts_per_capacity: sum.attempts / sum.capacity,
+        spread: sum.spread / sum.samples.max(1.0),
         over_s,
         datagrams_per_s,
     }
@@ -257,6 +265,10 @@
 
 /// A trial with a verdict: the overload is shed by all alike, the dearest is kept, and it ends when
 /// its cause does.
+///
+/// # Errors
+///
+/// What the trial found wrong.
 pub fn overload(seed: u64) -> Result<(), SimulationFailure> {
     for disturbance in DISTURBANCES {
         let figures = measure(12, 0.0, seed, disturbance);
@@ -264,7 +276,7 @@
             problem,
             details: format!("{disturbance:?}: {figures:?}"),
         };
-        if figures.of_perfect < 0.85 {
+        if figures.share_of_optimum < 0.85 {
             return Err(failure("too little worth"));
         }
         if figures.spread > 0.1 {
@@ -293,17 +305,17 @@
     }
     (1..6).for_each(|n| fleet.kill(n));
     let gone = fleet.now;
-    while fleet.level(0) > 0.0 && fleet.now - gone < REPORT_TTL + 15 * S {
-        fleet.count(
+    while fleet.shedding_level(0) > 0.0 && fleet.now - gone < REPORT_TTL + 15 * S {
+        fleet.record_admissions(
             0,
             AdmissionCounts {
                 admitted: [4; COUNTED_TIERS],
                 capacity_rejections: 0,
             },
         );
-        fleet.play(fleet.now + TICK);
+        fleet.advance_to(fleet.now + TICK);
     }
-    match fleet.level(0) {
+    match fleet.shedding_level(0) {
         0.0 => Ok(()),
         level => Err(SimulationFailure::StaleReports(level)),
     }
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -43,7 +43,7 @@
 
 fn settle(fleet: &mut SimulatedFleet, what: &str) -> Result<Nanos, SimulationFailure> {
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .ok_or_else(|| SimulationFailure::NotSettled {
             phase: what.into(),
             ceiling_s: CEILING / S,
@@ -64,10 +64,10 @@
         loss: 0.6,
         delay: 50 * MS,
         jitter: 10 * MS,
-        twice: 0.02,
+        duplicates: 0.02,
         ..NetworkConditions::default()
     };
-    fleet.play(fleet.now + 300 * S);
+    fleet.advance_to(fleet.now + 300 * S);
     no_false_death(&fleet)
 }
 
@@ -75,7 +75,7 @@
 fn deaf(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(8, seed)?;
     (1..8).for_each(|n| fleet.cut(n, 0, true));
-    fleet.play(fleet.now + 8 * S);
+    fleet.advance_to(fleet.now + 8 * S);
     if let Some(seen) = fleet
         .view(0)
         .members
@@ -92,14 +92,14 @@
 /// One stands still, and what is sent to it meanwhile is lost: when it goes on it suspects nobody.
 fn asleep(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(8, seed)?;
-    let before = fleet.traffic(4).suspicions;
+    let before = fleet.statistics(4).suspicions;
     fleet.split(|n| usize::from(n == 4), true);
     fleet.stall(4, 11 * S);
-    fleet.play(fleet.now + 11 * S);
+    fleet.advance_to(fleet.now + 11 * S);
     fleet.split(|n| usize::from(n == 4), false);
     settle(&mut fleet, "awake")?;
-    fleet.play(fleet.now + 3 * S);
-    match fleet.traffic(4).suspicions - before {
+    fleet.advance_to(fleet.now + 3 * S);
+    match fleet.statistics(4).suspicions - before {
         0 => no_false_death(&fleet),
         n => Err(SimulationFailure::SuspectedAfterStall(n)),
     }
@@ -111,7 +111,7 @@
     let mut fleet = SimulatedFleet::new(12, 3, seed);
     (0..11).for_each(|n| fleet.start(n, 0));
     settle(&mut fleet, "the first eleven")?;
-    fleet.play(fleet.now + 30 * S);
+    fleet.advance_to(fleet.now + 30 * S);
     fleet.start(11, 0);
     settle(&mut fleet, "the twelfth")?;
     let view = fleet.view(11);
@@ -189,7 +189,7 @@
 /// If views are not true in time.
 pub fn share_sums(n: usize, parts: usize, seed: u64) -> Result<ShareSums, SimulationFailure> {
     let mut fleet = settled(n, seed)?;
-    fleet.play(fleet.now + 20 * S);
+    fleet.advance_to(fleet.now + 20 * S);
     // Parts of different size: the worst for the rule is one that just has more than half.
     let side = move |m: usize| {
         if parts == 2 {
@@ -209,12 +209,12 @@
     };
     fleet.split(side, true);
     for _ in 0..300 {
-        fleet.play(fleet.now + S / 10);
+        fleet.advance_to(fleet.now + S / 10);
         observe(&fleet);
     }
     fleet.split(side, false);
     for _ in 0..100 {
-        fleet.play(fleet.now + S / 10);
+        fleet.advance_to(fleet.now + S / 10);
         observe(&fleet);
     }
     settle(&mut fleet, "healed")?;
@@ -260,20 +260,20 @@
     let mut fleet = SimulatedFleet::new(members, 3, seed);
     fleet.network.loss = loss;
     fleet.start_all();
-    let join_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
+    let join_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
     // Rumours of the beginning run out.
-    fleet.play(fleet.now + 8 * S);
+    fleet.advance_to(fleet.now + 8 * S);
     let sum = |fleet: &SimulatedFleet| {
         fleet
             .running()
             .iter()
-            .map(|n| fleet.traffic(*n))
+            .map(|n| fleet.statistics(*n))
             .fold((0, 0, 0), |sum, t| {
                 (sum.0 + t.sent, sum.1 + t.sent_bytes, sum.2 + t.suspicions)
             })
     };
     let before = sum(&fleet);
-    fleet.play(fleet.now + calm * S);
+    fleet.advance_to(fleet.now + calm * S);
     let after = sum(&fleet);
     let memory_kb = resident
         .zip(process::own_resident_kb())
@@ -281,16 +281,16 @@
     let per_s = |before: u64, after: u64| (after - before) as f64 / members as f64 / calm as f64;
     let tenth = members - members.div_ceil(10)..members;
     tenth.clone().for_each(|n| fleet.kill(n));
-    let death_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
+    let death_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
     tenth.for_each(|n| fleet.start(n, 0));
-    let back_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
+    let back_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
     let false_deaths = fleet.false_deaths();
-    fleet.play(fleet.now + 2 * S);
+    fleet.advance_to(fleet.now + 2 * S);
     let half = move |n: usize| usize::from(n >= members / 2);
     fleet.split(half, true);
-    fleet.play(fleet.now + 10 * S);
+    fleet.advance_to(fleet.now + 10 * S);
     fleet.split(half, false);
-    let healed_s = seconds(fleet.until(CEILING, SimulatedFleet::settled));
+    let healed_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
     DetectionMeasurement {
         members,
         loss,
@@ -329,7 +329,7 @@
         fleet.network.loss = self.loss;
         fleet.start_all();
         self.step(&mut fleet, "join", &mut report);
-        fleet.play(fleet.now + 8 * S);
+        fleet.advance_to(fleet.now + 8 * S);
         let tenth = self.members - self.members.div_ceil(10)..self.members;
         tenth.clone().for_each(|n| fleet.kill(n));
         self.step(&mut fleet, "death", &mut report);
@@ -340,8 +340,8 @@
     fn step(&self, fleet: &mut SimulatedFleet, name: &str, report: &mut impl FnMut(&str)) {
         let begun = fleet.now;
         while fleet.now - begun < self.step_limit {
-            fleet.play(fleet.now + self.interval);
-            let untrue = fleet.untrue();
+            fleet.advance_to(fleet.now + self.interval);
+            let untrue = fleet.wrong_views();
             let elapsed_s = ((fleet.now - begun) / MS) as f64 / 1e3;
             report(&format!("{name} {elapsed_s:6.2} s {untrue:?}"));
             if fleet.settled() {
--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -67,6 +67,7 @@
     /// The value at a size: the greatest measured there, or that of the line where it was not
     /// measured. Beyond the sizes that were measured it is not under the greatest value of any: a
     /// line that falls is no promise.
+    #[must_use]
     pub fn at(&self, size: f64) -> f64 {
         let greatest = |of: &dyn Fn(&&Point) -> bool| {
             self.points
@@ -88,6 +89,7 @@
     }
 
     /// The least and the greatest size that was measured.
+    #[must_use]
     pub fn range(&self) -> (f64, f64) {
         let sizes = self.points.iter().map(|point| point.size);
         sizes.fold((f64::INFINITY, 0.0), |(least, most), size| {
@@ -97,6 +99,7 @@
 }
 
 /// The line of least squares.
+#[must_use]
 pub fn fit(points: &[Point]) -> Fit {
     let count = points.len().max(1) as f64;
     let mean = |of: &dyn Fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
@@ -212,6 +215,7 @@
 
 /// Adds rows of virtual plays of fleets in regions, made apart since they last long, to slopes that
 /// were measured before.
+#[must_use]
 pub fn extend(mut slopes: Slopes, rows: &[RegionMeasurement]) -> Slopes {
     // Each was played by a process of its own, in which nothing was freed before.
     let alone: Vec<RegionMeasurement> =
@@ -279,7 +283,7 @@
         slope("decision_request", "us", |cost| cost.request_us),
         slope("decision_first_request", "us", |cost| cost.first_request_us),
         slope("decision_change", "ms", |cost| cost.change_ms),
-        slope("decision_whole_list", "ms", |cost| cost.whole_list_ms),
+        slope("decision_whole_list", "ms", |cost| cost.full_list_ms),
         slope("decision_housekeeping", "ms", |cost| cost.housekeeping_ms),
     ])
 }
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct SoakOutcome {
     /// The rules that were broken.
-    pub breaches: Vec<RuleViolation>,
+    pub violations: Vec<RuleViolation>,
     /// How many requests ended how.
     pub ends: BTreeMap<String, usize>,
     /// Attempts.
@@ -76,18 +76,18 @@
     plan: SoakPlan,
     clock: Clock,
     caches: Caches,
-    list: DiscoveryService,
-    board: StatusBoard,
+    discovery: DiscoveryService,
+    status: StatusBoard,
     balancers: Vec<SharedBalancer>,
     /// Two doors of discovery for each balancer, and which it is told of.
-    doors: Vec<[SocketAddr; 2]>,
-    door_now: Vec<usize>,
+    discovery_addresses: Vec<[SocketAddr; 2]>,
+    discovery_in_use: Vec<usize>,
     _open: Vec<TcpService>,
     _network: LoopbackNetwork,
     next_cache: usize,
     oldest_cache: usize,
     /// What a later time brings.
-    later: Vec<(Nanos, DeferredEvent)>,
+    deferred: Vec<(Nanos, DeferredEvent)>,
     threads: Vec<std::thread::JoinHandle<()>>,
     events: Vec<(Nanos, String)>,
     /// By balancer: the most descriptors that were seen.
@@ -114,20 +114,20 @@
 /// Says which part of the trial itself failed.
 pub fn play(plan: SoakPlan, program: &Path, folder: &Path) -> Result<SoakOutcome, TestbedError> {
     std::fs::create_dir_all(folder).map_err(|e| TestbedError::file(folder, e))?;
-    let mut world = SoakRun::lay_out(plan, program, folder)?;
-    world.start()?;
-    let doors = world.balancers.iter().map(|b| lock(b).listen).collect();
-    let manners = world.plan.manners.clone();
+    let mut run = SoakRun::lay_out(plan, program, folder)?;
+    run.start()?;
+    let addresses = run.balancers.iter().map(|b| lock(b).listen).collect();
+    let behavior = run.plan.client_behavior.clone();
     let clients = Clients::start(
-        doors,
-        manners,
-        world.board.clone(),
-        world.clock,
-        world.plan.seed,
+        addresses,
+        behavior,
+        run.status.clone(),
+        run.clock,
+        run.plan.seed,
     );
-    world.run();
+    run.run();
     let asked = clients.stop();
-    world.finish(asked)
+    run.finish(asked)
 }
 
 fn lock(balancer: &SharedBalancer) -> std::sync::MutexGuard<'_, Balancer> {
@@ -150,16 +150,16 @@
         };
         let list = DiscoveryService::new(clock, dial);
         list.change((0..plan.caches).collect(), CacheState::Up { born_ms: 0 });
-        list.form(plan.form);
+        list.set_format(plan.list_format);
         let board = StatusBoard::new(plan.balancers);
         let network =
             LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
-        let (mut balancers, mut doors, mut open) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut balancers, mut addresses, mut open) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..plan.balancers {
             let pair = DISCOVERY_PORTS.map(|port| network.member(number, port));
             for door in pair {
                 open.push(
-                    list.door(door, number)
+                    list.listen(door, number)
                         .map_err(|e| TestbedError::io(format!("discovery at {door}"), e))?,
                 );
             }
@@ -180,7 +180,7 @@
                 board.clone(),
             );
             balancers.push(Arc::new(Mutex::new(balancer)));
-            doors.push(pair);
+            addresses.push(pair);
         }
         let next_cache = plan.caches;
         let door_now = vec![0; plan.balancers];
@@ -189,16 +189,16 @@
             plan,
             clock,
             caches,
-            list,
-            board,
+            discovery: list,
+            status: board,
             balancers,
-            doors,
-            door_now,
+            discovery_addresses: addresses,
+            discovery_in_use: door_now,
             _open: open,
             _network: network,
             next_cache,
             oldest_cache: 0,
-            later: Vec::new(),
+            deferred: Vec::new(),
             threads: Vec::new(),
             events: Vec::new(),
             descriptors,
@@ -206,28 +206,28 @@
     }
 
     fn start(&mut self) -> Result<(), TestbedError> {
-        let known = self.list.known();
+        let known = self.discovery.known();
         for balancer in &self.balancers {
             lock(balancer).start(known.clone())?;
         }
         let asked = std::time::Instant::now();
         while self
-            .board
+            .status
             .lock()
             .iter()
-            .any(|me| me.doors == balancers::ClientAccess::Shut)
+            .any(|me| me.access == balancers::ClientAccess::Shut)
         {
             if asked.elapsed() > READY_MOST {
                 return Err(TestbedError::NotReady);
             }
-            self.look();
+            self.poll_balancers();
             std::thread::sleep(LOOK);
         }
         Ok(())
     }
 
     /// Looks at all processes that no thread has standing still.
-    fn look(&self) {
+    fn poll_balancers(&self) {
         for balancer in self
             .balancers
             .iter()
@@ -235,7 +235,7 @@
         {
             let mut balancer = balancer;
             if balancer.is_running() {
-                balancer.look();
+                balancer.update_readiness();
             }
         }
     }
@@ -249,14 +249,14 @@
             let now = self.clock.now();
             while let Some((_, event)) = events.next_if(|(at, _)| begun + at <= now) {
                 self.events.push((now, format!("{event:?}")));
-                self.happen(event);
+                self.inject(event);
             }
             let (due, later): (Vec<_>, Vec<_>) =
-                self.later.drain(..).partition(|(at, _)| *at <= now);
-            self.later = later;
+                self.deferred.drain(..).partition(|(at, _)| *at <= now);
+            self.deferred = later;
             due.into_iter()
-                .for_each(|(_, what)| self.happen_later(what));
-            self.look();
+                .for_each(|(_, what)| self.run_deferred(what));
+            self.poll_balancers();
             if now >= sample {
                 sample = now + SAMPLE;
                 self.count_descriptors();
@@ -265,14 +265,14 @@
         }
         // Everything is well again, so that what is open can be answered.
         *self.caches.faults.lock() = caches::CacheFaults::default();
-        self.list.trouble(DiscoveryFault::None);
+        self.discovery.set_fault(DiscoveryFault::None);
         self.threads.drain(..).for_each(|thread| _ = thread.join());
-        let later = std::mem::take(&mut self.later);
+        let later = std::mem::take(&mut self.deferred);
         for (at, what) in later {
             if matches!(what, DeferredEvent::Kill(_)) {
                 let now = self.clock.now();
                 std::thread::sleep(Duration::from_nanos(at.saturating_sub(now)));
-                self.happen_later(what);
+                self.run_deferred(what);
             }
         }
     }
@@ -291,89 +291,89 @@
         (0..count.min(self.plan.rules.own_listeners)).collect()
     }
 
-    fn after(&mut self, span: Nanos, what: DeferredEvent) {
-        self.later.push((self.clock.now() + span, what));
+    fn defer(&mut self, span: Nanos, what: DeferredEvent) {
+        self.deferred.push((self.clock.now() + span, what));
     }
 
-    fn happen(&mut self, event: SoakEvent) {
+    fn inject(&mut self, event: SoakEvent) {
         match event {
             SoakEvent::Joins(count) => {
                 let new: Vec<usize> = (self.next_cache..self.next_cache + count).collect();
                 self.next_cache += count;
-                self.list.change(new, CacheState::Up { born_ms: 0 });
+                self.discovery.change(new, CacheState::Up { born_ms: 0 });
             }
             SoakEvent::Replaced(count) => {
                 let old: Vec<usize> = (self.oldest_cache..self.oldest_cache + count).collect();
                 self.oldest_cache += count;
-                self.list.change(old.clone(), CacheState::Draining);
-                self.after(1_000 * MS, DeferredEvent::Gone(old));
-                self.happen(SoakEvent::Joins(count));
+                self.discovery.change(old.clone(), CacheState::Draining);
+                self.defer(1_000 * MS, DeferredEvent::Gone(old));
+                self.inject(SoakEvent::Joins(count));
             }
             SoakEvent::Drains(count, span) => {
                 let caches = self.own(count);
-                self.list.change(caches.clone(), CacheState::Draining);
-                self.after(span, DeferredEvent::Gone(caches));
+                self.discovery.change(caches.clone(), CacheState::Draining);
+                self.defer(span, DeferredEvent::Gone(caches));
             }
             SoakEvent::Cold(count) => {
                 let born = SystemTime::now()
                     .duration_since(UNIX_EPOCH)
                     .unwrap_or_default();
                 let born_ms = born.as_millis() as u64;
-                self.list
+                self.discovery
                     .change(self.own(count), CacheState::Up { born_ms });
             }
             SoakEvent::Hangs(count, span) => {
                 let caches = self.own(count);
                 self.caches.faults.lock().hanging.extend(&caches);
-                self.after(span, DeferredEvent::Reset(caches));
+                self.defer(span, DeferredEvent::Reset(caches));
             }
             SoakEvent::CachesDown(count, span) => {
                 let caches = self.own(count);
                 self.caches.faults.lock().down.extend(&caches);
-                self.after(span, DeferredEvent::Work(caches));
+                self.defer(span, DeferredEvent::Work(caches));
             }
             SoakEvent::Spoilt(span) => {
                 let mut faults = self.caches.faults.lock();
                 (faults.busy, faults.error, faults.reset) = (0.1, 0.05, 0.05);
                 (faults.cut, faults.second, faults.close) = (0.03, 0.05, 0.1);
                 drop(faults);
-                self.after(span, DeferredEvent::Whole);
+                self.defer(span, DeferredEvent::Whole);
             }
-            SoakEvent::Silence => self.list.silence(),
+            SoakEvent::Silence => self.discovery.silence(),
             SoakEvent::WatchesReset => {
-                self.list.trouble(DiscoveryFault::Down);
-                self.after(30 * MS, DeferredEvent::Discovery);
+                self.discovery.set_fault(DiscoveryFault::Down);
+                self.defer(30 * MS, DeferredEvent::Discovery);
             }
             SoakEvent::DiscoveryDown(span) => {
-                self.list.trouble(DiscoveryFault::Down);
-                self.after(span, DeferredEvent::Discovery);
+                self.discovery.set_fault(DiscoveryFault::Down);
+                self.defer(span, DeferredEvent::Discovery);
             }
             SoakEvent::DiscoveryCrowded(span) => {
-                self.list.trouble(DiscoveryFault::Crowded(300));
-                self.after(span, DeferredEvent::Discovery);
+                self.discovery.set_fault(DiscoveryFault::Crowded(300));
+                self.defer(span, DeferredEvent::Discovery);
             }
             SoakEvent::Restart(one) => self.restart(one),
             SoakEvent::Kill(one) => {
-                self.happen_later(DeferredEvent::Kill(one));
-                self.after(200 * MS, DeferredEvent::Start(one));
+                self.run_deferred(DeferredEvent::Kill(one));
+                self.defer(200 * MS, DeferredEvent::Start(one));
             }
             SoakEvent::Reload(one) => self.reload(one),
             SoakEvent::HoldUp(one, span) => {
                 let balancer = Arc::clone(&self.balancers[one]);
                 let span = Duration::from_nanos(span);
                 self.threads
-                    .push(std::thread::spawn(move || lock(&balancer).hold_up(span)));
+                    .push(std::thread::spawn(move || lock(&balancer).stall(span)));
             }
-            SoakEvent::Share(one, share, span) => self.share(one, share, span),
+            SoakEvent::Share(one, share, span) => self.limit_cpu(one, share, span),
         }
     }
 
-    fn happen_later(&mut self, what: DeferredEvent) {
+    fn run_deferred(&mut self, what: DeferredEvent) {
         match what {
-            DeferredEvent::Gone(caches) => self.list.change(caches, CacheState::Gone),
+            DeferredEvent::Gone(caches) => self.discovery.change(caches, CacheState::Gone),
             DeferredEvent::Reset(caches) => {
                 self.caches.faults.lock().down.extend(&caches);
-                self.after(RESET, DeferredEvent::Work(caches));
+                self.defer(RESET, DeferredEvent::Work(caches));
             }
             DeferredEvent::Work(caches) => {
                 let mut faults = self.caches.faults.lock();
@@ -391,11 +391,11 @@
                     ..Default::default()
                 };
             }
-            DeferredEvent::Discovery => self.list.trouble(DiscoveryFault::None),
+            DeferredEvent::Discovery => self.discovery.set_fault(DiscoveryFault::None),
             DeferredEvent::Term(one) => self.term(one),
             DeferredEvent::Kill(one) => lock(&self.balancers[one]).kill(),
             DeferredEvent::Start(one) => {
-                let known = self.list.known();
+                let known = self.discovery.known();
                 if let Err(e) = lock(&self.balancers[one]).start(known) {
                     self.events.push((self.clock.now(), e.to_string()));
                 }
@@ -407,8 +407,8 @@
     fn kill_after(&self) -> Nanos {
         let longest = self
             .plan
-            .manners
-            .patience
+            .client_behavior
+            .timeouts
             .iter()
             .max()
             .copied()
@@ -418,26 +418,26 @@
 
     fn restart(&mut self, one: usize) {
         let kill = self.kill_after();
-        let is_open = self.board.lock()[one].doors == balancers::ClientAccess::Open;
+        let is_open = self.status.lock()[one].access == balancers::ClientAccess::Open;
         if !is_open {
             return;
         }
         // Caches that hang through the whole of a shutdown.
-        self.happen(SoakEvent::Hangs(self.plan.rules.own_listeners, kill));
+        self.inject(SoakEvent::Hangs(self.plan.rules.own_listeners, kill));
         let started = self.clock.now() + HANG_BEFORE;
-        self.later.push((started, DeferredEvent::Term(one)));
+        self.deferred.push((started, DeferredEvent::Term(one)));
     }
 
     fn term(&mut self, one: usize) {
         let kill = self.kill_after();
         lock(&self.balancers[one]).term();
-        self.after(kill, DeferredEvent::Kill(one));
-        self.after(kill + 50 * MS, DeferredEvent::Start(one));
+        self.defer(kill, DeferredEvent::Kill(one));
+        self.defer(kill + 50 * MS, DeferredEvent::Start(one));
     }
 
     fn reload(&mut self, one: usize) {
-        self.door_now[one] = 1 - self.door_now[one];
-        let door = self.doors[one][self.door_now[one]];
+        self.discovery_in_use[one] = 1 - self.discovery_in_use[one];
+        let door = self.discovery_addresses[one][self.discovery_in_use[one]];
         let mut balancer = lock(&self.balancers[one]);
         match balancer.configure("discovery", serde_json::json!(door)) {
             Ok(_) => balancer.signal(Signal::SIGHUP),
@@ -445,21 +445,21 @@
         }
     }
 
-    fn share(&mut self, one: usize, share: u64, span: Nanos) {
+    fn limit_cpu(&mut self, one: usize, share: u64, span: Nanos) {
         let balancer = Arc::clone(&self.balancers[one]);
         let clock = self.clock;
         let until = clock.now() + span;
         self.threads.push(std::thread::spawn(move || {
             let runs = SHARE_PERIOD.mul_f64(share as f64 / 100.0);
             while clock.now() < until {
-                lock(&balancer).hold_up(SHARE_PERIOD - runs);
+                lock(&balancer).stall(SHARE_PERIOD - runs);
                 std::thread::sleep(runs);
             }
         }));
     }
 
     fn finish(self, asked: Vec<records::RequestRecord>) -> Result<SoakOutcome, TestbedError> {
-        self.look();
+        self.poll_balancers();
         let with_most = |(balancer, most): (&SharedBalancer, &usize)| {
             let usage = lock(balancer).usage().unwrap_or_default();
             ProcessUsage {
@@ -478,27 +478,30 @@
             .iter()
             .map(|balancer| lock(balancer).counters())
             .collect();
-        let change_bytes = self.list.change_bytes();
+        let change_bytes = self.discovery.change_bytes();
         let attempts = self.caches.stop();
-        let (changes, told, down) = self.list.log();
-        let public = self.board.lock().clone();
-        let (stops, lives) = public.into_iter().map(|me| (me.stops, me.lives)).unzip();
+        let (changes, notifications, down) = self.discovery.log();
+        let public = self.status.lock().clone();
+        let (stalls, processes) = public
+            .into_iter()
+            .map(|me| (me.stalls, me.processes))
+            .unzip();
         let events = self.events;
         let records = Records {
-            asked,
+            requests: asked,
             attempts,
             changes,
-            told,
-            down,
-            stops,
-            lives,
+            notifications,
+            discovery_outages: down,
+            stalls,
+            processes,
             events,
         };
-        let breaches = rule_checker::judge(&records, &self.plan.rules);
-        let ends = rule_checker::ends(&records.asked);
+        let violations = rule_checker::check(&records, &self.plan.rules);
+        let ends = rule_checker::ends(&records.requests);
         let attempts = records.attempts.len();
         Ok(SoakOutcome {
-            breaches,
+            violations,
             ends,
             attempts,
             usage,
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Debug)]
 pub struct BalancerStatus {
     /// What its clients may do.
-    pub doors: ClientAccess,
+    pub access: ClientAccess,
     /// Its lives so far.
-    pub lives: Vec<ProcessRecord>,
+    pub processes: Vec<ProcessRecord>,
     /// When it stood still.
-    pub stops: Vec<TimeSpan>,
+    pub stalls: Vec<TimeSpan>,
 }
 
 /// The same, shared.
@@ -42,11 +42,12 @@
 
 impl StatusBoard {
     /// For so many balancers.
+    #[must_use]
     pub fn new(balancers: usize) -> Self {
         let none = BalancerStatus {
-            doors: ClientAccess::Shut,
-            lives: Vec::new(),
-            stops: Vec::new(),
+            access: ClientAccess::Shut,
+            processes: Vec::new(),
+            stalls: Vec::new(),
         };
         StatusBoard(Arc::new(Mutex::new(vec![none; balancers])))
     }
@@ -89,6 +90,7 @@
 
 impl Balancer {
     /// One that is not started yet.
+    #[must_use]
     pub fn new(
         number: usize,
         listen: SocketAddr,
@@ -146,26 +148,27 @@
         self.child = Some(ChildGuard::spawn(command.stdout(stdout).stderr(stderr))?);
         let started = self.clock.now();
         self.public(|me| {
-            me.lives.push(ProcessRecord {
+            me.processes.push(ProcessRecord {
                 started,
                 ..ProcessRecord::default()
-            })
+            });
         });
         Ok(())
     }
 
     /// Asks whether it is ready, if it is not known to be.
-    pub fn look(&mut self) {
+    pub fn update_readiness(&mut self) {
         let shut = self.public(|me| {
-            me.doors == ClientAccess::Shut && me.lives.last().is_some_and(|l| l.ready.is_none())
+            me.access == ClientAccess::Shut
+                && me.processes.last().is_some_and(|l| l.ready.is_none())
         });
         if self.child.is_none() || !shut || !self.says_ready() {
             return;
         }
         let now = self.clock.now();
         self.public(|me| {
-            me.doors = ClientAccess::Open;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Open;
+            if let Some(life) = me.processes.last_mut() {
                 life.ready = Some(now);
             }
         });
@@ -194,8 +197,8 @@
     pub fn term(&mut self) {
         let now = self.clock.now();
         self.public(|me| {
-            me.doors = ClientAccess::Ending;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Ending;
+            if let Some(life) = me.processes.last_mut() {
                 life.asked_to_end = Some(now);
             }
         });
@@ -203,13 +206,13 @@
     }
 
     /// Lets it stand still for so long.
-    pub fn hold_up(&self, span: Duration) {
+    pub fn stall(&self, span: Duration) {
         let from = self.clock.now();
         self.signal(Signal::SIGSTOP);
         std::thread::sleep(span);
         self.signal(Signal::SIGCONT);
         let to = self.clock.now();
-        self.public(|me| me.stops.push(TimeSpan { from, to }));
+        self.public(|me| me.stalls.push(TimeSpan { from, to }));
     }
 
     /// Whether it runs; notes its end.
@@ -223,8 +226,8 @@
         let now = self.clock.now();
         self.child = None;
         self.public(|me| {
-            me.doors = ClientAccess::Shut;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Shut;
+            if let Some(life) = me.processes.last_mut() {
                 let asked = life.asked_to_end.is_some();
                 life.ended = Some((now, asked && status.success()));
             }
@@ -242,8 +245,8 @@
         };
         let now: Nanos = self.clock.now();
         self.public(|me| {
-            me.doors = ClientAccess::Shut;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Shut;
+            if let Some(life) = me.processes.last_mut() {
                 life.killed = Some(now);
             }
         });
@@ -261,6 +264,7 @@
     }
 
     /// What it has used so far.
+    #[must_use]
     pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.child.as_ref()?.id();
         Some(ProcessUsage {
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -133,6 +133,7 @@
     }
 
     /// Ends them; all attempts that came.
+    #[must_use]
     pub fn stop(self) -> Vec<AttemptRecord> {
         self.end.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
@@ -251,8 +252,8 @@
             id,
             listener,
             began,
-            whole: now,
-            told_ms,
+            received: now,
+            deadline_ms: told_ms,
             end: AttemptEnd::Open,
             over: None,
         });
@@ -270,7 +271,7 @@
                 attempt,
                 bytes,
                 then,
-            })
+            });
         };
         let mut left = self.rng.random::<f64>();
         let mut falls = |share: f64| {
@@ -328,9 +329,9 @@
             return;
         };
         if reset {
-            served.connection.reset()
+            served.connection.reset();
         } else {
-            served.connection.close()
+            served.connection.close();
         }
         let now = self.clock.now();
         served
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -30,7 +30,7 @@
     /// Requests a second at each balancer.
     pub per_s: f64,
     /// How long clients wait, by [`RequestKind::CLASSES`].
-    pub patience: [Nanos; 3],
+    pub timeouts: [Nanos; 3],
     /// They close before their answer.
     pub leave: f64,
     /// Several are sent at once on a connection.
@@ -49,7 +49,7 @@
 
 struct Client {
     balancer: usize,
-    life: usize,
+    generation: usize,
     connection: Connection,
     /// Something was answered on it.
     answered: bool,
@@ -63,38 +63,39 @@
 struct Work {
     clock: Clock,
     board: StatusBoard,
-    doors: Vec<SocketAddr>,
-    manners: ClientBehavior,
+    addresses: Vec<SocketAddr>,
+    behavior: ClientBehavior,
     rng: Xoshiro256PlusPlus,
     clients: BTreeMap<u64, Client>,
     next_client: u64,
     next_at: Vec<Nanos>,
-    asked: Vec<RequestRecord>,
+    requests: Vec<RequestRecord>,
     /// The key of each request.
     keys: Vec<u64>,
 }
 
 impl Clients {
     /// Starts them.
+    #[must_use]
     pub fn start(
-        doors: Vec<SocketAddr>,
-        manners: ClientBehavior,
+        addresses: Vec<SocketAddr>,
+        behavior: ClientBehavior,
         board: StatusBoard,
         clock: Clock,
         seed: u64,
     ) -> Self {
         let end = Arc::new(AtomicBool::new(false));
-        let next_at = vec![0; doors.len()];
+        let next_at = vec![0; addresses.len()];
         let mut work = Work {
             clock,
             board,
-            doors,
-            manners,
+            addresses,
+            behavior,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             clients: BTreeMap::new(),
             next_client: 0,
             next_at,
-            asked: Vec::new(),
+            requests: Vec::new(),
             keys: Vec::new(),
         };
         let ending = Arc::clone(&end);
@@ -104,12 +105,13 @@
             while work.clients.values().any(|client| !client.open.is_empty())
                 && work.turn(false).is_ok()
             {}
-            work.asked
+            work.requests
         });
         Clients { end, thread }
     }
 
     /// Asks no more, waits for what is open, and tells all that was asked.
+    #[must_use]
     pub fn stop(self) -> Vec<RequestRecord> {
         self.end.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
@@ -128,7 +130,7 @@
             self.go_on(number);
         }
         if ask {
-            (0..self.doors.len()).for_each(|balancer| self.ask_when_due(balancer));
+            (0..self.addresses.len()).for_each(|balancer| self.ask_when_due(balancer));
         }
         Ok(())
     }
@@ -150,10 +152,10 @@
             let Some(request) = client.open.pop_front() else {
                 continue;
             };
-            let end = judge(&answer, self.keys[request], &self.asked[request]);
-            (self.asked[request].end, self.asked[request].ended) = (end, before);
+            let end = judge(&answer, self.keys[request], &self.requests[request]);
+            (self.requests[request].end, self.requests[request].ended) = (end, before);
             if let Some(next) = client.open.front() {
-                self.asked[*next].behind = self.clock.now();
+                self.requests[*next].previous_answered = self.clock.now();
             }
         }
         if state == ConnectionState::Open {
@@ -168,7 +170,7 @@
             } else {
                 RequestEnd::Reset
             };
-            (self.asked[request].end, self.asked[request].ended) = (end, before);
+            (self.requests[request].end, self.requests[request].ended) = (end, before);
         }
         client.connection.close();
     }
@@ -185,10 +187,10 @@
                 client.rest = Some((at, bytes, request));
             } else {
                 client.connection.write(&bytes);
-                self.asked[request].sent = self.clock.now();
+                self.requests[request].sent = self.clock.now();
             }
         }
-        let last = client.open.back().map(|request| &self.asked[*request]);
+        let last = client.open.back().map(|request| &self.requests[*request]);
         let never = last.is_some_and(|asked| now > asked.deadline() + NEVER);
         let leaves = client.leaves.is_some_and(|at| now >= at);
         if !never && !leaves {
@@ -200,7 +202,7 @@
         client.connection.close();
         let closed = self.clock.now();
         for request in client.open {
-            let asked = &mut self.asked[request];
+            let asked = &mut self.requests[request];
             (asked.end, asked.ended) = (
                 if leaves {
                     RequestEnd::Left
@@ -219,15 +221,15 @@
         if now < due {
             return;
         }
-        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.manners.per_s;
+        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.behavior.per_s;
         self.next_at[balancer] = now.min(due + 50 * MS).max(due) + (gap * 1e9) as Nanos;
-        let (doors, life, asked_to_end) = {
+        let (addresses, life, asked_to_end) = {
             let board = self.board.lock();
             let me = &board[balancer];
-            let asked_to_end = me.lives.last().and_then(|life| life.asked_to_end);
-            (me.doors, me.lives.len(), asked_to_end)
+            let asked_to_end = me.processes.last().and_then(|life| life.asked_to_end);
+            (me.access, me.processes.len(), asked_to_end)
         };
-        let may_connect = match doors {
+        let may_connect = match addresses {
             ClientAccess::Shut => return,
             ClientAccess::Open => true,
             ClientAccess::Ending => asked_to_end.is_some_and(|at| now < at + NEW_CONNECTIONS),
@@ -253,12 +255,13 @@
 
     fn connect(&mut self, balancer: usize, life: usize) -> Option<u64> {
         let stream =
-            TcpStream::connect_timeout(&self.doors[balancer], Duration::from_millis(20)).ok()?;
+            TcpStream::connect_timeout(&self.addresses[balancer], Duration::from_millis(20))
+                .ok()?;
         let connection = Connection::new(stream).ok()?;
         let (answered, open) = (false, VecDeque::new());
         let client = Client {
             balancer,
-            life,
+            generation: life,
             connection,
             answered,
             open,
@@ -278,7 +281,7 @@
             slow,
             half,
             ..
-        } = self.manners;
+        } = self.behavior;
         let commands = if draw < pipeline {
             self.rng.random_range(2..12)
         } else {
@@ -298,7 +301,7 @@
                 // It never asks: what becomes of its connection is no request's end.
                 client.connection.write(&command[..command.len() / 2]);
                 client.leaves = Some(self.clock.now() + 6_000 * MS);
-                self.asked.pop();
+                self.requests.pop();
                 self.keys.pop();
                 return;
             }
@@ -310,11 +313,11 @@
                 return;
             }
             client.connection.write(&command);
-            self.asked[request].sent = self.clock.now();
+            self.requests[request].sent = self.clock.now();
         }
         if commands == 1 && draw < half + slow + leave {
-            let patience = self.asked.last().map_or(0, |asked| asked.patience);
-            let after = self.rng.random_range(0..patience.clamp(2, 400 * MS));
+            let timeout = self.requests.last().map_or(0, |asked| asked.timeout);
+            let after = self.rng.random_range(0..timeout.clamp(2, 400 * MS));
             if let Some(client) = self.clients.get_mut(&number) {
                 client.leaves = Some(self.clock.now() + after);
             }
@@ -328,11 +331,11 @@
             14..17 => RequestKind::Keyed,
             _ => RequestKind::Unsafe,
         };
-        let request = self.asked.len();
+        let request = self.requests.len();
         let id = format!("b{}r{request:x}", client.balancer);
         let key = self.rng.random_range(0..KEYS);
-        let patience = self.manners.patience[effect as usize];
-        let mut fields = format!("c={},d={}", effect.class(), patience / MS);
+        let timeout = self.behavior.timeouts[effect as usize];
+        let mut fields = format!("c={},d={}", effect.class(), timeout / MS);
         if effect == RequestKind::Keyed {
             fields.push_str(&format!(",k={request:x}"));
         }
@@ -344,17 +347,17 @@
             words.push(b"value");
         }
         let bytes = write_command(&words);
-        let (balancer, life) = (client.balancer, client.life - 1);
+        let (balancer, life) = (client.balancer, client.generation - 1);
         let sent = self.clock.now();
-        self.asked.push(RequestRecord {
+        self.requests.push(RequestRecord {
             id,
             balancer,
-            life,
-            effect,
+            generation: life,
+            kind: effect,
             sent,
-            behind: 0,
-            fresh: !client.answered,
-            patience,
+            previous_answered: 0,
+            first_on_connection: !client.answered,
+            timeout,
             closed: None,
             end: RequestEnd::Never,
             ended: 0,
@@ -376,7 +379,7 @@
         }
         _ => return RequestEnd::Failed,
     };
-    let made = if asked.effect == RequestKind::Safe {
+    let made = if asked.kind == RequestKind::Safe {
         format!("value {key:016x}")
     } else {
         format!("receipt {}", asked.id)
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -98,9 +98,9 @@
         "seed {seed}: {balancers} balancers, {caches} caches, {} attempts, {}, {} breaches",
         outcome.attempts,
         ends.join(" "),
-        outcome.breaches.len()
+        outcome.violations.len()
     );
-    for breach in outcome.breaches.iter().take(BREACHES_PRINTED) {
+    for breach in outcome.violations.iter().take(BREACHES_PRINTED) {
         println!(
             "  {:.3} {}: {}",
             breach.at as f64 / 1e9,
@@ -112,7 +112,11 @@
         Some(folder) => keep(&outcome, folder),
         None => drop(std::fs::remove_dir_all(&folder)),
     }
-    let mut rules: Vec<&str> = outcome.breaches.iter().map(|breach| breach.rule).collect();
+    let mut rules: Vec<&str> = outcome
+        .violations
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     rules.sort_unstable();
     rules.dedup();
     (!rules.is_empty()).then(|| format!("seed {seed} ({})", rules.join(" ")))
--- a/crates/testbed/src/soak/connections.rs
+++ b/crates/testbed/src/soak/connections.rs
@@ -20,17 +20,23 @@
 
 impl Clock {
     /// Begins now.
+    #[must_use]
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
     /// The time now.
+    #[must_use]
     pub fn now(&self) -> Nanos {
         self.0.elapsed().as_nanos() as Nanos
     }
 }
 
 /// Waits a moment for any of these to become readable; tells which are, by their places.
+///
+/// # Errors
+///
+/// If the system call fails.
 pub fn readable<'a>(sockets: impl Iterator<Item = BorrowedFd<'a>>) -> io::Result<Vec<bool>> {
     let mut fds: Vec<PollFd> = sockets
         .map(|fd| PollFd::new(fd, PollFlags::POLLIN))
@@ -63,6 +69,10 @@
 
 impl Connection {
     /// Takes a connected socket.
+    ///
+    /// # Errors
+    ///
+    /// If the system call fails.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -74,6 +84,7 @@
     }
 
     /// For looks.
+    #[must_use]
     pub fn fd(&self) -> BorrowedFd<'_> {
         self.stream.as_fd()
     }
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -53,9 +53,9 @@
     version: u64,
     caches: BTreeMap<usize, CacheState>,
     changes: Vec<ListChange>,
-    told: Vec<Notification>,
+    notifications: Vec<Notification>,
     down: Vec<TimeSpan>,
-    trouble: DiscoveryFault,
+    fault: DiscoveryFault,
     form: ListFormat,
     watches: u64,
     /// Bytes of changes that were written.
@@ -68,7 +68,7 @@
     state: Arc<Mutex<DiscoveryState>>,
     clock: Clock,
     /// The listener of each cache, by its number.
-    dials: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
+    cache_address: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
 }
 
 /// What discovery did.
@@ -80,7 +80,7 @@
         DiscoveryService {
             state: Arc::default(),
             clock,
-            dials: Arc::new(dials),
+            cache_address: Arc::new(dials),
         }
     }
 
@@ -109,10 +109,10 @@
     }
 
     /// What is wrong from now on.
-    pub fn trouble(&self, trouble: DiscoveryFault) {
+    pub fn set_fault(&self, trouble: DiscoveryFault) {
         let mut state = self.lock();
         let now = self.clock.now();
-        if trouble == DiscoveryFault::Down && state.trouble != DiscoveryFault::Down {
+        if trouble == DiscoveryFault::Down && state.fault != DiscoveryFault::Down {
             state.down.push(TimeSpan {
                 from: now,
                 to: Nanos::MAX,
@@ -123,31 +123,33 @@
         {
             span.to = now;
         }
-        state.trouble = trouble;
+        state.fault = trouble;
     }
 
     /// All watches that are open fall silent.
     pub fn silence(&self) {
         let before = self.lock().watches;
-        self.trouble(DiscoveryFault::Silent { before });
+        self.set_fault(DiscoveryFault::Silent { before });
     }
 
     /// How messages are written from now on.
-    pub fn form(&self, form: ListFormat) {
+    pub fn set_format(&self, form: ListFormat) {
         self.lock().form = form;
     }
 
     /// What was done.
+    #[must_use]
     pub fn log(&self) -> DiscoveryLog {
         let state = self.lock();
         (
             state.changes.clone(),
-            state.told.clone(),
+            state.notifications.clone(),
             state.down.clone(),
         )
     }
 
     /// Bytes of changes that were written so far, to all balancers.
+    #[must_use]
     pub fn change_bytes(&self) -> u64 {
         self.lock().change_bytes
     }
@@ -158,7 +160,7 @@
             Some(CacheState::Draining) => ("terminating", 0),
             Some(CacheState::Gone) | None => ("terminated", 0),
         };
-        json!({"host": format!("s-{cache:05}"), "dial": (self.dials)(cache).to_string(), "site": "a", "class": "m",
+        json!({"host": format!("s-{cache:05}"), "dial": (self.cache_address)(cache).to_string(), "site": "a", "class": "m",
             "block": 1, "health": health, "share": 1.0, "born_ms": born_ms})
     }
 
@@ -190,6 +192,7 @@
     }
 
     /// The whole list as a balancer's configuration has it.
+    #[must_use]
     pub fn known(&self) -> Value {
         self.message(None).map(|(_, list)| list).unwrap_or_default()
     }
@@ -199,18 +202,18 @@
     /// # Errors
     ///
     /// If the address is taken.
-    pub fn door(&self, address: SocketAddr, balancer: usize) -> io::Result<TcpService> {
+    pub fn listen(&self, address: SocketAddr, balancer: usize) -> io::Result<TcpService> {
         let list = self.clone();
         TcpService::open(address, move |stream| list.serve(stream, balancer))
     }
 
     fn serve(&self, mut stream: TcpStream, balancer: usize) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        if self.lock().trouble == DiscoveryFault::Down {
+        if self.lock().fault == DiscoveryFault::Down {
             return Ok(());
         }
         let head = read_head(&mut stream)?;
-        let crowded = match self.lock().trouble {
+        let crowded = match self.lock().fault {
             DiscoveryFault::Crowded(ms) => ms,
             _ => 0,
         };
@@ -226,7 +229,7 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n")?;
         let mut empty = LOOKS_EMPTY;
         loop {
-            let trouble = self.lock().trouble;
+            let trouble = self.lock().fault;
             match trouble {
                 DiscoveryFault::Down => return Ok(()),
                 DiscoveryFault::Silent { before } if number < before => {}
@@ -235,7 +238,7 @@
                         self.write(&mut stream, &message)?;
                         (since, empty) = (Some(version), 0);
                         let at = self.clock.now();
-                        self.lock().told.push(Notification {
+                        self.lock().notifications.push(Notification {
                             balancer,
                             version,
                             at,
--- a/crates/testbed/src/soak/growth.rs
+++ b/crates/testbed/src/soak/growth.rs
@@ -104,7 +104,7 @@
         let _ = std::fs::remove_dir_all(&folder);
         let need = ResourceUse::of(&outcome);
         let allowed = usual.map(|usual| usual.allowed(*caches));
-        println!("{caches} caches, {} breaches", outcome.breaches.len());
+        println!("{caches} caches, {} breaches", outcome.violations.len());
         for (place, (name, figure)) in need.figures().into_iter().enumerate() {
             let limit = allowed.map(|allowed| allowed.figures()[place].1);
             let fails = limit.is_some_and(|limit| {
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,6 +1,7 @@
 //! What a seed draws: settings, sizes, manners of clients, and a timeline of faults.
 
 use super::clients::ClientBehavior;
+use super::discovery::ListFormat;
 use super::records::{MS, Nanos};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -26,13 +27,13 @@
     /// The window of keyed writes.
     pub window: Nanos,
     /// The share of its capacity at which a cache starts.
-    pub cold_from: f64,
+    pub slow_start_fraction: f64,
     /// It is warm after this.
-    pub warm_after: Nanos,
+    pub slow_start_duration: Nanos,
     /// It falls by more than this multiple ...
     pub overload_factor: f64,
     /// ... for this long.
-    pub tip_after: Nanos,
+    pub overload_window: Nanos,
     /// What a cache can do, requests a second.
     pub capacity: f64,
     /// Caches with smaller numbers have a listener of their own: they alone are judged one by one.
@@ -45,9 +46,11 @@
 
 impl CheckedRules {
     /// The most requests that a cache may get in a window, at this age as a part of its warm-up.
+    #[must_use]
     pub fn allowed(&self, age: f64) -> f64 {
-        let ramp = self.cold_from + (1.0 - self.cold_from) * age.clamp(0.0, 1.0);
-        let mean = self.overload_factor * self.capacity * ramp * self.tip_after as f64 / 1e9;
+        let ramp =
+            self.slow_start_fraction + (1.0 - self.slow_start_fraction) * age.clamp(0.0, 1.0);
+        let mean = self.overload_factor * self.capacity * ramp * self.overload_window as f64 / 1e9;
         let (times, plus) = if mean < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
         mean + times * mean.sqrt() + plus
     }
@@ -105,9 +108,9 @@
     /// What the referee has to know of them.
     pub rules: CheckedRules,
     /// How clients behave.
-    pub manners: ClientBehavior,
+    pub client_behavior: ClientBehavior,
     /// Lists come indented or torn.
-    pub form: super::discovery::ListFormat,
+    pub list_format: super::discovery::ListFormat,
     /// What happens, by time.
     pub events: Vec<(Nanos, SoakEvent)>,
 }
@@ -117,6 +120,7 @@
 }
 
 /// What this seed plays, in a small way if `short`.
+#[must_use]
 pub fn draw(seed: u64, short: bool) -> SoakPlan {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let balancers = if short {
@@ -137,36 +141,35 @@
     } else {
         pick(&mut rng, &[15.0, 30.0, 60.0])
     };
-    let patience = |rng: &mut Xoshiro256PlusPlus, of: &[u64]| pick(rng, of) * MS;
-    let patience = [
-        patience(&mut rng, &[150, 284, 600, 1_200]),
-        patience(&mut rng, &[300, 1_000, 2_000]),
-        patience(&mut rng, &[400, 1_000, 2_500]),
+    let timeouts = |rng: &mut Xoshiro256PlusPlus, of: &[u64]| pick(rng, of) * MS;
+    let timeouts = [
+        timeouts(&mut rng, &[150, 284, 600, 1_200]),
+        timeouts(&mut rng, &[300, 1_000, 2_000]),
+        timeouts(&mut rng, &[400, 1_000, 2_500]),
     ];
     let capacity = SPARE * per_s * balancers as f64 / caches as f64;
     let rules = CheckedRules {
         grace: pick(&mut rng, &[400, 500, 1_000, 2_500]) * MS,
         window: pick(&mut rng, &[200, 250, 600, 2_000]) * MS,
-        cold_from: pick(&mut rng, &[0.05, 0.12, 0.3]),
-        warm_after: pick(&mut rng, &[4_000, 10_000, 23_000]) * MS,
+        slow_start_fraction: pick(&mut rng, &[0.05, 0.12, 0.3]),
+        slow_start_duration: pick(&mut rng, &[4_000, 10_000, 23_000]) * MS,
         overload_factor: pick(&mut rng, &[1.5, 2.5]),
-        tip_after: pick(&mut rng, &[1_000, 2_000]) * MS,
+        overload_window: pick(&mut rng, &[1_000, 2_000]) * MS,
         capacity,
         own_listeners: OWN_MOST.min(caches / 2),
         ready_within: 6_000 * MS,
         length: LENGTH,
     };
-    let settings = settings(&mut rng, balancers, &patience, &rules);
+    let settings = settings(&mut rng, balancers, &timeouts, &rules);
     let share = |rng: &mut Xoshiro256PlusPlus| pick(rng, &[0.0, 0.03, 0.1]);
-    let manners = ClientBehavior {
+    let client_behavior = ClientBehavior {
         per_s,
-        patience,
+        timeouts,
         leave: pick(&mut rng, &[0.05, 0.15, 0.3]),
         pipeline: share(&mut rng) / 3.0,
         slow: share(&mut rng),
         half: share(&mut rng) / 5.0,
     };
-    use super::discovery::ListFormat;
     let form = pick(
         &mut rng,
         &[
@@ -205,28 +208,29 @@
         caches,
         settings,
         rules,
-        manners,
-        form,
+        client_behavior,
+        list_format: form,
         events,
     }
 }
 
 /// The same day for one balancer at any number of caches: the same traffic and the same capacity of
 /// all caches together; a tenth of the caches is replaced twice, and a batch of a quarter comes.
+#[must_use]
 pub fn growth(seed: u64, caches: usize, per_s: f64) -> SoakPlan {
     let mut plan = draw(seed, true);
     plan.balancers = 1;
     plan.caches = caches;
-    plan.form = super::discovery::ListFormat::Line;
-    plan.manners = ClientBehavior {
+    plan.list_format = super::discovery::ListFormat::Line;
+    plan.client_behavior = ClientBehavior {
         per_s,
         leave: 0.0,
         pipeline: 0.0,
         slow: 0.0,
         half: 0.0,
-        ..plan.manners
+        ..plan.client_behavior
     };
-    plan.manners.patience = [600 * MS, 1_000 * MS, 2_500 * MS];
+    plan.client_behavior.timeouts = [600 * MS, 1_000 * MS, 2_500 * MS];
     plan.rules.own_listeners = 0;
     plan.rules.length = GROWTH_LENGTH;
     plan.settings["group_size"] = json!(GROWTH_BALANCERS);
@@ -269,16 +273,16 @@
 fn settings(
     rng: &mut impl Rng,
     balancers: usize,
-    patience: &[Nanos; 3],
+    timeouts: &[Nanos; 3],
     rules: &CheckedRules,
 ) -> Value {
     use super::records::RequestKind;
     let profiles: Vec<Value> = RequestKind::CLASSES
         .iter()
-        .zip(patience)
-        .map(|((_, name, repeat), patience)| {
+        .zip(timeouts)
+        .map(|((_, name, repeat), timeouts)| {
             json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": rules.window,
-                "goal_time_ns": patience / 2, "give_up_ns": patience, "worth": 1.0 + rng.random::<f64>() * 9.0})
+                "goal_time_ns": timeouts / 2, "give_up_ns": timeouts, "worth": 1.0 + rng.random::<f64>() * 9.0})
         })
         .collect();
     json!({
@@ -289,8 +293,8 @@
             "max_retry_after_ns": 1_200 * MS, "conn_idle_ns": pick(rng, &[3_000, 30_000]) * MS,
             "connect_timeout_ns": pick(rng, &[150, 500]) * MS, "max_open": 10_000},
         "obligations": {"grace_to_answer_ns": 16 * MS, "drain_grace_ns": rules.grace, "must_ask_in_ns": 10_000 * MS,
-            "cold_from": rules.cold_from, "warm_after_ns": rules.warm_after, "overload_factor": rules.overload_factor,
-            "tip_after_ns": rules.tip_after},
+            "cold_from": rules.slow_start_fraction, "warm_after_ns": rules.slow_start_duration, "overload_factor": rules.overload_factor,
+            "tip_after_ns": rules.overload_window},
         "profiles": profiles,
     })
 }
--- a/crates/testbed/src/soak/records.rs
+++ b/crates/testbed/src/soak/records.rs
@@ -31,6 +31,7 @@
     ];
 
     /// The name of its class.
+    #[must_use]
     pub fn class(self) -> &'static str {
         Self::CLASSES[self as usize].1
     }
@@ -65,18 +66,23 @@
     /// Which balancer, and in which of its lives.
     pub balancer: usize,
     /// See `balancer`.
-    pub life: usize,
+    #[serde(rename = "life")]
+    pub generation: usize,
     /// What a repeat may do.
-    pub effect: RequestKind,
+    #[serde(rename = "effect")]
+    pub kind: RequestKind,
     /// When its last byte had been written.
     pub sent: Nanos,
     /// When the answer before it on its connection had come, if it was sent behind another: until
     /// then its time stands.
-    pub behind: Nanos,
+    #[serde(rename = "behind")]
+    pub previous_answered: Nanos,
     /// Nothing had been answered on its connection before.
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub first_on_connection: bool,
     /// How long its client waits.
-    pub patience: Nanos,
+    #[serde(rename = "patience")]
+    pub timeout: Nanos,
     /// When its client had closed, if it left.
     pub closed: Option<Nanos>,
     /// How it ended, and the earliest time at which that came.
@@ -87,13 +93,15 @@
 
 impl RequestRecord {
     /// From when its time counts.
+    #[must_use]
     pub fn since(&self) -> Nanos {
-        self.sent.max(self.behind)
+        self.sent.max(self.previous_answered)
     }
 
     /// When its time is over.
+    #[must_use]
     pub fn deadline(&self) -> Nanos {
-        self.since() + self.patience
+        self.since() + self.timeout
     }
 }
 
@@ -118,9 +126,11 @@
     /// The earliest time at which its first byte can have come.
     pub began: Nanos,
     /// When its last byte had come.
-    pub whole: Nanos,
+    #[serde(rename = "whole")]
+    pub received: Nanos,
     /// The time that it was told, in milliseconds.
-    pub told_ms: u64,
+    #[serde(rename = "told_ms")]
+    pub deadline_ms: u64,
     /// What was made of it.
     pub end: AttemptEnd,
     /// When its answer was written, or its connection was found to have ended.
@@ -176,6 +186,7 @@
 
 impl TimeSpan {
     /// How much of it lies in another.
+    #[must_use]
     pub fn within(&self, from: Nanos, to: Nanos) -> Nanos {
         self.to.min(to).saturating_sub(self.from.max(from))
     }
@@ -200,19 +211,24 @@
 #[derive(Debug, Default, Serialize)]
 pub struct Records {
     /// Requests.
-    pub asked: Vec<RequestRecord>,
+    #[serde(rename = "asked")]
+    pub requests: Vec<RequestRecord>,
     /// Attempts.
     pub attempts: Vec<AttemptRecord>,
     /// Changes of the list.
     pub changes: Vec<ListChange>,
     /// What discovery wrote.
-    pub told: Vec<Notification>,
+    #[serde(rename = "told")]
+    pub notifications: Vec<Notification>,
     /// When discovery could not be reached.
-    pub down: Vec<TimeSpan>,
+    #[serde(rename = "down")]
+    pub discovery_outages: Vec<TimeSpan>,
     /// By balancer: when it stood still.
-    pub stops: Vec<Vec<TimeSpan>>,
+    #[serde(rename = "stops")]
+    pub stalls: Vec<Vec<TimeSpan>>,
     /// By balancer: its lives.
-    pub lives: Vec<Vec<ProcessRecord>>,
+    #[serde(rename = "lives")]
+    pub processes: Vec<Vec<ProcessRecord>>,
     /// What happened, for the reader.
     pub events: Vec<(Nanos, String)>,
 }
