--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -1,4 +1,4 @@
-//! Holds what a soak saw against the rules.
+//! Checks what a soak recorded against the rules.
 //!
 //! A balancer that the trial let stand still is given as much longer to answer, and no more. Where
 //! a record has an earliest and a latest time, the one counts that speaks for the balancer.
@@ -16,18 +16,18 @@
 /// An attempt may begin so long after its client has closed.
 const CLOSED_SLACK: Nanos = 100 * MS;
 /// An attempt may be told so much more than is left.
-const TOLD_SLACK: Nanos = 150 * MS;
+const TIMEOUT_SLACK: Nanos = 150 * MS;
 /// Windows and the grace of drains bear a hold-up of that length between the clock and the write.
 const WINDOW_SLACK: Nanos = 150 * MS;
 const DRAIN_SLACK: Nanos = 50 * MS;
 /// What discovery has counts as told after this, if it can be reached.
-const TOLD_AT_LATEST: Nanos = 6_000 * MS;
+const NOTIFIED_AT_LATEST: Nanos = 6_000 * MS;
 /// Requests that come later than this behind the request to end are owed an answer whatever ends
 /// the process.
-const ACCEPT_ON: Nanos = 700 * MS;
+const ACCEPT_AFTER_END: Nanos = 700 * MS;
 /// Of a cold cache's requests so many came from balancers that had been told, if its fall breaks
 /// the rule.
-const TOLD_PART: f64 = 2.0 / 3.0;
+const INFORMED_PART: f64 = 2.0 / 3.0;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -40,65 +40,69 @@
     pub what: String,
 }
 
-/// All breaches, in order of time.
-pub fn judge(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
+/// Checks all rules; the violations in order of time.
+#[must_use]
+pub fn check(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
     let mut by_id: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &records.attempts {
         by_id.entry(&attempt.id).or_default().push(attempt);
     }
-    let mut breaches = Vec::new();
-    for asked in &records.asked {
+    let mut violations = Vec::new();
+    for request in &records.requests {
         let attempts = by_id
-            .get(asked.id.as_str())
+            .get(request.id.as_str())
             .map(Vec::as_slice)
             .unwrap_or_default();
-        breaches.extend(lost(records, asked, attempts));
+        violations.extend(check_answer(records, request, attempts));
         for attempt in attempts {
-            breaches.extend(sent_too_late(asked, attempt));
+            violations.extend(check_attempt(request, attempt));
         }
-        breaches.extend(duplicate(rules, asked, attempts));
+        violations.extend(check_duplicates(rules, request, attempts));
     }
-    let asked: HashMap<&str, &RequestRecord> = records
-        .asked
+    let requests: HashMap<&str, &RequestRecord> = records
+        .requests
         .iter()
-        .map(|asked| (asked.id.as_str(), asked))
+        .map(|request| (request.id.as_str(), request))
         .collect();
-    breaches.extend(drains(records, rules, &asked));
-    breaches.extend(failbacks(records, rules, &asked));
-    breaches.extend(lives(records, rules));
-    breaches.sort_by_key(|breach| breach.at);
-    breaches
+    violations.extend(check_drains(records, rules, &requests));
+    violations.extend(check_slow_start(records, rules, &requests));
+    violations.extend(check_processes(records, rules));
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
 
-fn life<'a>(records: &'a Records, asked: &RequestRecord) -> Option<&'a ProcessRecord> {
-    records.lives.get(asked.balancer)?.get(asked.life)
+fn process_of<'a>(records: &'a Records, request: &RequestRecord) -> Option<&'a ProcessRecord> {
+    records
+        .processes
+        .get(request.balancer)?
+        .get(request.generation)
 }
 
 /// How long the balancer stood still in this time.
-fn stood_still(records: &Records, balancer: usize, from: Nanos, to: Nanos) -> Nanos {
-    records.stops.get(balancer).map_or(0, |stops| {
-        stops.iter().map(|stop| stop.within(from, to)).sum()
+fn stalled_time(records: &Records, balancer: usize, from: Nanos, to: Nanos) -> Nanos {
+    records.stalls.get(balancer).map_or(0, |stalls| {
+        stalls.iter().map(|stall| stall.within(from, to)).sum()
     })
 }
 
 /// Whether the process was gone before it had to have answered, by no fault of its own.
-fn is_excused(asked: &RequestRecord, life: &ProcessRecord, limit: Nanos) -> bool {
-    let Some(killed) = life.killed.filter(|killed| *killed <= limit) else {
+fn is_excused(request: &RequestRecord, process: &ProcessRecord, limit: Nanos) -> bool {
+    let Some(killed) = process.killed.filter(|killed| *killed <= limit) else {
         return false;
     };
-    match life.asked_to_end {
-        Some(end) => asked.sent <= end + ACCEPT_ON && killed >= asked.sent,
+    match process.asked_to_end {
+        Some(end) => request.sent <= end + ACCEPT_AFTER_END && killed >= request.sent,
         None => true,
     }
 }
 
 /// By when a request has to be answered.
-fn answer_limit(records: &Records, asked: &RequestRecord) -> Nanos {
-    let due = asked.deadline() + ANSWER_SLACK;
+fn answer_limit(records: &Records, request: &RequestRecord) -> Nanos {
+    let due = request.deadline() + ANSWER_SLACK;
     let mut limit = due;
     // Standing still moves the limit, and the balancer may stand still until then too.
     loop {
-        let moved = due + stood_still(records, asked.balancer, asked.sent, limit);
+        let moved = due + stalled_time(records, request.balancer, request.sent, limit);
         if moved == limit {
             return limit;
         }
@@ -106,20 +110,22 @@
     }
 }
 
-fn lost(
+/// Requests that are owed an answer and did not get theirs in time.
+fn check_answer(
     records: &Records,
-    asked: &RequestRecord,
+    request: &RequestRecord,
     attempts: &[&AttemptRecord],
 ) -> Option<RuleViolation> {
-    let limit = answer_limit(records, asked);
-    let excused = life(records, asked).is_some_and(|life| is_excused(asked, life, limit));
-    let breach = |at, what: &str| {
+    let limit = answer_limit(records, request);
+    let excused =
+        process_of(records, request).is_some_and(|process| is_excused(request, process, limit));
+    let violation = |at, what: &str| {
         let RequestRecord {
             id, balancer, sent, ..
-        } = asked;
+        } = request;
         let what = format!(
             "{what}: {id} of {:?} at n{balancer}, sent {:.3}",
-            asked.effect,
+            request.kind,
             *sent as f64 / 1e9
         );
         Some(RuleViolation {
@@ -128,38 +134,40 @@
             what,
         })
     };
-    match asked.end {
-        RequestEnd::Wrong => breach(asked.ended, "a value that was made for another request"),
-        RequestEnd::Never if !excused => breach(limit, "no answer"),
+    match request.end {
+        RequestEnd::Wrong => violation(request.ended, "a value that was made for another request"),
+        RequestEnd::Never if !excused => violation(limit, "no answer"),
         // Between two requests a balancer may end its sending; a request that crosses that is not
         // read.
-        RequestEnd::Closed if !excused && (asked.fresh || !attempts.is_empty()) => breach(
-            asked.ended,
-            "read, and its connection closed with no answer",
-        ),
-        RequestEnd::Reset if !excused && !attempts.is_empty() => breach(
-            asked.ended,
+        RequestEnd::Closed if !excused && (request.first_on_connection || !attempts.is_empty()) => {
+            violation(
+                request.ended,
+                "read, and its connection closed with no answer",
+            )
+        }
+        RequestEnd::Reset if !excused && !attempts.is_empty() => violation(
+            request.ended,
             "forwarded, and its connection reset with no answer",
         ),
-        RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed if asked.ended > limit => {
-            let ms = (asked.ended - asked.deadline()) / MS;
-            breach(asked.ended, &format!("answered {ms} ms after its time"))
+        RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed if request.ended > limit => {
+            let ms = (request.ended - request.deadline()) / MS;
+            violation(request.ended, &format!("answered {ms} ms after its time"))
         }
         _ => None,
     }
 }
 
 /// An attempt that begins after its client has closed, or is told more time than is left.
-fn sent_too_late(asked: &RequestRecord, attempt: &AttemptRecord) -> Option<RuleViolation> {
-    let id = &asked.id;
-    if let Some(closed) = asked
+fn check_attempt(request: &RequestRecord, attempt: &AttemptRecord) -> Option<RuleViolation> {
+    let id = &request.id;
+    if let Some(closed) = request
         .closed
         .filter(|closed| attempt.began > closed + CLOSED_SLACK)
     {
         let ms = (attempt.began - closed) / MS;
         let what = format!(
             "attempt of {id} at n{} began {ms} ms after its client had closed",
-            asked.balancer
+            request.balancer
         );
         return Some(RuleViolation {
             rule: "lost",
@@ -167,15 +175,15 @@
             what,
         });
     }
-    let left = asked.deadline().saturating_sub(attempt.began);
-    let told = attempt.told_ms.saturating_mul(MS);
-    if told <= left + TOLD_SLACK {
+    let left = request.deadline().saturating_sub(attempt.began);
+    let given = attempt.deadline_ms.saturating_mul(MS);
+    if given <= left + TIMEOUT_SLACK {
         return None;
     }
     let what = format!(
         "attempt of {id} at n{} is told {} ms, {} are left",
-        asked.balancer,
-        attempt.told_ms,
+        request.balancer,
+        attempt.deadline_ms,
         left / MS
     );
     Some(RuleViolation {
@@ -185,13 +193,13 @@
     })
 }
 
-/// Attempts that came whole and may have run, each with the one before it.
-fn duplicate(
+/// Attempts of a request that must not run twice, or only within the deduplication window.
+fn check_duplicates(
     rules: &CheckedRules,
-    asked: &RequestRecord,
+    request: &RequestRecord,
     attempts: &[&AttemptRecord],
 ) -> Option<RuleViolation> {
-    if asked.effect == RequestKind::Safe {
+    if request.kind == RequestKind::Safe {
         return None;
     }
     let mut ran: Vec<&&AttemptRecord> = attempts
@@ -199,7 +207,7 @@
         .filter(|a| a.end != AttemptEnd::TurnedAway)
         .collect();
     ran.sort_by_key(|attempt| attempt.began);
-    let breach = |at, what: String| {
+    let violation = |at, what: String| {
         Some(RuleViolation {
             rule: "duplicate",
             at,
@@ -209,23 +217,23 @@
     let (first, rest) = ran.split_first()?;
     let mut former = first;
     for attempt in rest {
-        if asked.effect == RequestKind::Unsafe {
-            return breach(attempt.began, format!("{} may have run twice", asked.id));
+        if request.kind == RequestKind::Unsafe {
+            return violation(attempt.began, format!("{} may have run twice", request.id));
         }
-        if attempt.began > first.whole + rules.window + WINDOW_SLACK {
-            let ms = (attempt.began - first.whole) / MS;
-            return breach(
+        if attempt.began > first.received + rules.window + WINDOW_SLACK {
+            let ms = (attempt.began - first.received) / MS;
+            return violation(
                 attempt.began,
-                format!("{} repeated {ms} ms after it may have run", asked.id),
+                format!("{} repeated {ms} ms after it may have run", request.id),
             );
         }
         if former
             .over
-            .is_none_or(|over| over > attempt.whole + TOLD_SLACK)
+            .is_none_or(|over| over > attempt.received + TIMEOUT_SLACK)
         {
-            return breach(
+            return violation(
                 attempt.began,
-                format!("{} sent while another was out", asked.id),
+                format!("{} sent while another was out", request.id),
             );
         }
         former = attempt;
@@ -234,40 +242,43 @@
 }
 
 /// When a change counts as told to a balancer.
-fn told(records: &Records, balancer: usize, version: u64, changed: Nanos) -> Nanos {
+fn notified_at(records: &Records, balancer: usize, version: u64, changed: Nanos) -> Nanos {
     let written = records
-        .told
+        .notifications
         .iter()
-        .filter(|told| told.balancer == balancer && told.version >= version);
-    let written = written.map(|told| told.at).min().unwrap_or(Nanos::MAX);
+        .filter(|n| n.balancer == balancer && n.version >= version);
+    let written = written.map(|n| n.at).min().unwrap_or(Nanos::MAX);
     let had = |at: Nanos| {
         let down = records
-            .down
+            .discovery_outages
             .iter()
             .find(|span| span.from <= at && at < span.to);
         down.map_or(at, |span| span.to)
     };
     // Counted anew from each moment from which discovery could be reached.
     let mut reachable = had(changed);
-    for span in &records.down {
-        if span.from > reachable && span.from < reachable.saturating_add(TOLD_AT_LATEST) {
+    for span in &records.discovery_outages {
+        if span.from > reachable && span.from < reachable.saturating_add(NOTIFIED_AT_LATEST) {
             reachable = span.to;
         }
     }
-    written.min(reachable.saturating_add(TOLD_AT_LATEST))
+    written.min(reachable.saturating_add(NOTIFIED_AT_LATEST))
 }
 
 /// The balancer that sent an attempt, by its request's id.
-fn sender(asked: &HashMap<&str, &RequestRecord>, attempt: &AttemptRecord) -> Option<usize> {
-    asked.get(attempt.id.as_str()).map(|asked| asked.balancer)
+fn sender(requests: &HashMap<&str, &RequestRecord>, attempt: &AttemptRecord) -> Option<usize> {
+    requests
+        .get(attempt.id.as_str())
+        .map(|request| request.balancer)
 }
 
-fn drains(
+/// Attempts at draining or removed caches after the grace.
+fn check_drains(
     records: &Records,
     rules: &CheckedRules,
-    asked: &HashMap<&str, &RequestRecord>,
+    requests: &HashMap<&str, &RequestRecord>,
 ) -> Vec<RuleViolation> {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for change in records
         .changes
         .iter()
@@ -290,18 +301,18 @@
                 .iter()
                 .filter(|a| a.listener == *cache && a.began < until);
             for attempt in at_cache.filter(|attempt| attempt.began > change.at) {
-                let Some(balancer) = sender(asked, attempt) else {
+                let Some(balancer) = sender(requests, attempt) else {
                     continue;
                 };
-                let told = told(records, balancer, change.version, change.at);
-                let limit = told.saturating_add(rules.grace + DRAIN_SLACK);
+                let notified = notified_at(records, balancer, change.version, change.at);
+                let limit = notified.saturating_add(rules.grace + DRAIN_SLACK);
                 if attempt.began > limit {
-                    let ms = (attempt.began - told) / MS;
+                    let ms = (attempt.began - notified) / MS;
                     let what = format!(
                         "{} sent by n{balancer} to cache {cache} {ms} ms after it was told that it is {:?}",
                         attempt.id, change.state
                     );
-                    breaches.push(RuleViolation {
+                    violations.push(RuleViolation {
                         rule: "drain",
                         at: attempt.began,
                         what,
@@ -310,17 +321,17 @@
             }
         }
     }
-    breaches
+    violations
 }
 
 /// Cold caches that get more, from all balancers together, than the settings allow them at their
 /// age.
-fn failbacks(
+fn check_slow_start(
     records: &Records,
     rules: &CheckedRules,
-    asked: &HashMap<&str, &RequestRecord>,
+    requests: &HashMap<&str, &RequestRecord>,
 ) -> Vec<RuleViolation> {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for change in &records.changes {
         let CacheState::Up { born_ms: 1.. } = change.state else {
             continue;
@@ -330,7 +341,7 @@
             .iter()
             .filter(|cache| **cache < rules.own_listeners)
         {
-            let cold = change.at..change.at + rules.warm_after;
+            let cold = change.at..change.at + rules.slow_start_duration;
             let came = records
                 .attempts
                 .iter()
@@ -341,24 +352,25 @@
                 let now = came[last].began;
                 let window = came[..=last]
                     .iter()
-                    .filter(|a| a.began + rules.tip_after > now);
+                    .filter(|a| a.began + rules.overload_window > now);
                 let window: Vec<&AttemptRecord> = window.copied().collect();
-                let age = (now - change.at) as f64 / rules.warm_after as f64;
+                let age = (now - change.at) as f64 / rules.slow_start_duration as f64;
                 (window.len() as f64 > rules.allowed(age)).then_some((now, window))
             });
             let Some((at, window)) = fall else { continue };
             let knew = |attempt: &&&AttemptRecord| {
-                let balancer = sender(asked, attempt);
-                balancer
-                    .is_some_and(|b| told(records, b, change.version, change.at) <= attempt.began)
+                let balancer = sender(requests, attempt);
+                balancer.is_some_and(|b| {
+                    notified_at(records, b, change.version, change.at) <= attempt.began
+                })
             };
-            let told = window.iter().filter(knew).count();
-            if told as f64 > TOLD_PART * window.len() as f64 {
+            let informed = window.iter().filter(knew).count();
+            if informed as f64 > INFORMED_PART * window.len() as f64 {
                 let what = format!(
-                    "cold cache {cache} got {} requests in a window, {told} of them by who knew",
+                    "cold cache {cache} got {} requests in a window, {informed} of them by who knew",
                     window.len()
                 );
-                breaches.push(RuleViolation {
+                violations.push(RuleViolation {
                     rule: "failback",
                     at,
                     what,
@@ -366,30 +378,31 @@
             }
         }
     }
-    breaches
+    violations
 }
 
-fn lives(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
-    let mut breaches = Vec::new();
-    for (balancer, lives) in records.lives.iter().enumerate() {
-        for life in lives {
-            if let Some((at, false)) = life.ended {
-                breaches.push(RuleViolation {
+/// Processes that ended by themselves or became ready too late.
+fn check_processes(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
+    let mut violations = Vec::new();
+    for (balancer, processes) in records.processes.iter().enumerate() {
+        for process in processes {
+            if let Some((at, false)) = process.ended {
+                violations.push(RuleViolation {
                     rule: "crash",
                     at,
                     what: format!("n{balancer} ended by itself"),
                 });
             }
-            let over = life
+            let over = process
                 .killed
-                .or(life.ended.map(|(at, _)| at))
-                .or(life.asked_to_end)
+                .or(process.ended.map(|(at, _)| at))
+                .or(process.asked_to_end)
                 .unwrap_or(rules.length);
-            let ready = life.ready.unwrap_or(over);
-            let late = life.started + rules.ready_within;
-            if ready > late + stood_still(records, balancer, life.started, ready) {
-                let ms = (ready - life.started) / MS;
-                breaches.push(RuleViolation {
+            let ready = process.ready.unwrap_or(over);
+            let late = process.started + rules.ready_within;
+            if ready > late + stalled_time(records, balancer, process.started, ready) {
+                let ms = (ready - process.started) / MS;
+                violations.push(RuleViolation {
                     rule: "ready",
                     at: ready,
                     what: format!("n{balancer} not ready after {ms} ms"),
@@ -397,14 +410,15 @@
             }
         }
     }
-    breaches
+    violations
 }
 
 /// How many requests ended how, for the figures.
-pub fn ends(asked: &[RequestRecord]) -> BTreeMap<String, usize> {
+#[must_use]
+pub fn ends(requests: &[RequestRecord]) -> BTreeMap<String, usize> {
     let mut ends = BTreeMap::new();
-    for one in asked {
-        *ends.entry(format!("{:?}", one.end)).or_insert(0) += 1;
+    for request in requests {
+        *ends.entry(format!("{:?}", request.end)).or_insert(0) += 1;
     }
     ends
 }
--- a/crates/testbed/src/soak/rule_checker/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -15,11 +15,11 @@
         grace,
         window,
         own_listeners,
-        cold_from,
+        slow_start_fraction: cold_from,
         overload_factor,
         capacity,
-        tip_after,
-        warm_after,
+        overload_window: tip_after,
+        slow_start_duration: warm_after,
         ..drawn
     }
 }
@@ -28,12 +28,12 @@
     RequestRecord {
         id: "b0r0".into(),
         balancer: 0,
-        life: 0,
-        effect,
+        generation: 0,
+        kind: effect,
         sent: 2 * S,
-        behind: 0,
-        fresh: true,
-        patience: 400 * MS,
+        previous_answered: 0,
+        first_on_connection: true,
+        timeout: 400 * MS,
         closed: None,
         end: RequestEnd::Served,
         ended: 2 * S + 10 * MS,
@@ -46,8 +46,8 @@
         id,
         listener: 0,
         began,
-        whole: began,
-        told_ms: 0,
+        received: began,
+        deadline_ms: 0,
         end: AttemptEnd::Ran,
         over,
     }
@@ -63,16 +63,16 @@
         ready: Some(1),
         ..ProcessRecord::default()
     };
-    let lives = vec![vec![life]];
+    let processes = vec![vec![life]];
     let mut records = Records {
-        asked: vec![asked],
+        requests: vec![asked],
         attempts,
-        lives,
-        stops: vec![Vec::new()],
+        processes,
+        stalls: vec![Vec::new()],
         ..Records::default()
     };
     with(&mut records);
-    judge(&records, &rules())
+    check(&records, &rules())
         .into_iter()
         .map(|breach| breach.rule)
         .collect()
@@ -87,16 +87,16 @@
     assert!(found(late(550), vec![], |_| {}).is_empty());
     assert_eq!(found(late(551), vec![], |_| {}), ["lost"]);
     let held = |records: &mut Records| {
-        records.stops[0].push(TimeSpan {
+        records.stalls[0].push(TimeSpan {
             from: 2 * S,
             to: 2 * S + 300 * MS,
-        })
+        });
     };
     assert!(found(late(850), vec![], held).is_empty());
     assert_eq!(found(late(851), vec![], held), ["lost"]);
     let held_on = |records: &mut Records| {
         let spans = [(2_000, 2_900), (2_900, 4_000), (4_000, 5_000)];
-        records.stops[0].extend(spans.map(|(from, to)| TimeSpan {
+        records.stalls[0].extend(spans.map(|(from, to)| TimeSpan {
             from: from * MS,
             to: to * MS,
         }));
@@ -119,7 +119,7 @@
     }
     let crossed = || RequestRecord {
         end: RequestEnd::Closed,
-        fresh: false,
+        first_on_connection: false,
         ..asked(RequestKind::Safe)
     };
     assert!(
@@ -139,7 +139,7 @@
     );
     let killed = |asked_to_end: Option<Nanos>| {
         move |records: &mut Records| {
-            records.lives[0][0] = ProcessRecord {
+            records.processes[0][0] = ProcessRecord {
                 ready: Some(1),
                 asked_to_end,
                 killed: Some(2 * S),
@@ -168,7 +168,7 @@
         ["lost"]
     );
     let told = |told_ms| AttemptRecord {
-        told_ms,
+        deadline_ms: told_ms,
         ..attempt(2 * S + 300 * MS)
     };
     assert!(found(asked(RequestKind::Safe), vec![told(250)], |_| {}).is_empty());
@@ -226,12 +226,12 @@
                 caches,
                 state: CacheState::Draining,
             });
-            records.told.extend(written.map(|at| Notification {
+            records.notifications.extend(written.map(|at| Notification {
                 balancer: 0,
                 version,
                 at,
             }));
-            records.down.extend(down);
+            records.discovery_outages.extend(down);
         }
     };
     let late = |began, with: Box<dyn FnOnce(&mut Records)>| {
@@ -278,7 +278,7 @@
             caches,
             state: CacheState::Up { born_ms: 1 },
         });
-        records.told.push(Notification {
+        records.notifications.push(Notification {
             balancer: 0,
             version,
             at,
@@ -294,7 +294,7 @@
 
 #[test]
 fn a_process_must_not_end_by_itself_and_has_to_be_ready_in_time() {
-    let life = |life: ProcessRecord| move |records: &mut Records| records.lives[0][0] = life;
+    let life = |life: ProcessRecord| move |records: &mut Records| records.processes[0][0] = life;
     let crashed = ProcessRecord {
         ready: Some(1),
         ended: Some((S, false)),
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -62,7 +62,7 @@
 #[test]
 fn a_split_is_no_mass_death_and_heals_by_itself() {
     let report = trial("split");
-    assert!(report.settled.contains_key("healed") && report.shares_most <= 1.5);
+    assert!(report.settled.contains_key("healed") && report.max_share_sum <= 1.5);
 }
 
 #[test]
@@ -90,11 +90,11 @@
             fleet,
             ..ClusterPlan::default()
         };
-        let mut ground = Cluster::lay_out(plan).unwrap();
-        ground.start_all().unwrap();
+        let mut cluster = Cluster::lay_out(plan).unwrap();
+        cluster.start_all().unwrap();
         let ready = |g: &Cluster| g.members[0].call("/admin/health").is_some();
-        ground.wait(PATIENCE, ready).expect("it becomes ready");
-        let member = &ground.members[0];
+        cluster.wait(PATIENCE, ready).expect("it becomes ready");
+        let member = &cluster.members[0];
         assert_eq!(member.call("/admin/fleet").is_some(), fleet);
         let log = member.log();
         assert_eq!(
@@ -104,7 +104,7 @@
         );
         // The calls above are over when the process has let go of them.
         let mut least = usize::MAX;
-        ground.wait(Duration::from_millis(500), |g| {
+        cluster.wait(Duration::from_millis(500), |g| {
             least = least.min(g.members[0].descriptors().unwrap_or(usize::MAX));
             false
         });
@@ -121,29 +121,29 @@
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Cluster::lay_out(ClusterPlan {
+    let mut cluster = Cluster::lay_out(ClusterPlan {
         instances: 4,
         joins: 1,
         ..ClusterPlan::default()
     })
     .unwrap();
-    ground.members[2].start().unwrap();
-    ground.members[3].start().unwrap();
+    cluster.members[2].start().unwrap();
+    cluster.members[3].start().unwrap();
     let alone = |g: &Cluster, i: usize| {
         g.members[i]
             .view()
-            .is_some_and(|v| v.living == 1 && v.shared_by == 4)
+            .is_some_and(|v| v.living == 1 && v.share_count == 4)
     };
     let served = |g: &Cluster, i: usize| g.members[i].call("/admin/health").is_some();
     let both = |g: &Cluster| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
-    ground.wait(PATIENCE, both).expect("each serves alone");
-    ground.members[0].start().unwrap();
+    cluster.wait(PATIENCE, both).expect("each serves alone");
+    cluster.members[0].start().unwrap();
     let met = |g: &Cluster| {
         [0, 2, 3]
             .iter()
             .all(|i| g.members[*i].view().is_some_and(|v| v.living == 3))
     };
-    ground
+    cluster
         .wait(PATIENCE, met)
         .expect("the one that was asked in vain brings them together");
 }
@@ -154,28 +154,28 @@
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Cluster::lay_out(ClusterPlan {
+    let mut cluster = Cluster::lay_out(ClusterPlan {
         instances: 3,
         ..ClusterPlan::default()
     })
     .unwrap();
     // Its configuration file bears its name: the later start must not write over it while it is
     // read.
-    ground.members[2].spec.name = "n1".into();
-    ground.members[0].start().unwrap();
-    ground.members[1].start().unwrap();
+    cluster.members[2].spec.name = "n1".into();
+    cluster.members[0].start().unwrap();
+    cluster.members[1].start().unwrap();
     let two = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
-    ground.wait(PATIENCE, two).expect("the first two meet");
-    ground.members[2].start().unwrap();
+    cluster.wait(PATIENCE, two).expect("the first two meet");
+    cluster.members[2].start().unwrap();
     let three = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 3);
-    ground.wait(PATIENCE, three).expect("both count");
+    cluster.wait(PATIENCE, three).expect("both count");
     let named = |g: &Cluster| {
         g.members[0]
             .log()
             .iter()
             .any(|l| l.text.contains("are both called n1"))
     };
-    ground.wait(PATIENCE, named).expect("it is said");
+    cluster.wait(PATIENCE, named).expect("it is said");
 }
 
 /// Two regions of two: each member sees its own region's members and the other's summary, and
@@ -185,14 +185,14 @@
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut ground = Cluster::lay_out(ClusterPlan {
+    let mut cluster = Cluster::lay_out(ClusterPlan {
         instances: 4,
         joins: 4,
         caches: 1,
         ..ClusterPlan::default()
     })
     .unwrap();
-    for (i, member) in ground.members.iter_mut().enumerate() {
+    for (i, member) in cluster.members.iter_mut().enumerate() {
         let fleet = member
             .spec
             .fleet
@@ -202,7 +202,7 @@
         fleet.insert("region".into(), format!("region-{}", i / 2).into());
         fleet.insert("zone".into(), format!("z{i}").into());
     }
-    ground.start_all().unwrap();
+    cluster.start_all().unwrap();
     let shown = |g: &Cluster, i: usize| -> Option<serde_json::Value> {
         serde_json::from_str(&g.members[i].call("/admin/fleet")?).ok()
     };
@@ -218,17 +218,17 @@
         })
     };
     let all = |g: &Cluster| (0..4).all(|i| sees(g, i, 1, 2, 4));
-    ground
+    cluster
         .wait(PATIENCE, all)
         .expect("each sees its own region and the other's summary");
     assert_eq!(
-        shown(&ground, 0).expect("it answers")["members"][0]["zone"],
+        shown(&cluster, 0).expect("it answers")["members"][0]["zone"],
         "z1"
     );
-    ground.members[3].kill();
+    cluster.members[3].kill();
     // Its place is kept: one of two that hears nobody may be half of a split.
     let told = |g: &Cluster| (0..2).all(|i| sees(g, i, 1, 1, 4)) && sees(g, 2, 0, 2, 4);
-    ground
+    cluster
         .wait(PATIENCE, told)
         .expect("a death in one region is told to the other");
 }
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -22,7 +22,7 @@
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn ground(shed_together: bool) -> Cluster {
+fn cluster(shed_together: bool) -> Cluster {
     let mut keys = serde_json::Map::new();
     if shed_together {
         keys.insert("shed_together".into(), true.into());
@@ -44,8 +44,8 @@
         fleet_keys: keys,
         ..ClusterPlan::default()
     };
-    let mut ground = Cluster::lay_out(plan).unwrap();
-    ground.start_all().unwrap();
+    let mut cluster = Cluster::lay_out(plan).unwrap();
+    cluster.start_all().unwrap();
     let met = |g: &Cluster| {
         g.views()
             .iter()
@@ -54,21 +54,21 @@
             .count()
             == MEMBERS
     };
-    ground.wait(PATIENCE, met).expect("all meet");
-    ground.start_clients();
-    ground
+    cluster.wait(PATIENCE, met).expect("all meet");
+    cluster.start_clients();
+    cluster
 }
 
-fn levels(ground: &Cluster, of: &[usize]) -> Option<Vec<f64>> {
-    let views = ground.views();
+fn levels(cluster: &Cluster, of: &[usize]) -> Option<Vec<f64>> {
+    let views = cluster.views();
     of.iter()
         .map(|i| views[*i].as_ref().map(|view| view.level))
         .collect()
 }
 
 /// All of these shed something, and nearly the same.
-fn alike(ground: &Cluster, of: &[usize]) -> bool {
-    levels(ground, of).is_some_and(|levels| {
+fn alike(cluster: &Cluster, of: &[usize]) -> bool {
+    levels(cluster, of).is_some_and(|levels| {
         let (least, most) = levels
             .iter()
             .fold((f64::MAX, 0f64), |(a, b), l| (a.min(*l), b.max(*l)));
@@ -76,15 +76,15 @@
     })
 }
 
-fn calm(ground: &Cluster) -> bool {
-    levels(ground, &[0, 1, 2, 3]).is_some_and(|levels| levels.iter().all(|level| *level == 0.0))
+fn calm(cluster: &Cluster) -> bool {
+    levels(cluster, &[0, 1, 2, 3]).is_some_and(|levels| levels.iter().all(|level| *level == 0.0))
 }
 
 /// How often members refused for the sake of the level, and for want of room.
-fn refused(ground: &Cluster) -> (u64, u64) {
-    ground.member_counts();
+fn refused(cluster: &Cluster) -> (u64, u64) {
+    let _ = cluster.member_counts();
     std::thread::sleep(Duration::from_millis(300));
-    let counts = ground.member_counts();
+    let counts = cluster.member_counts();
     let of = |name: &str| counts.get(name).copied().unwrap_or(0);
     (
         of("rejected.level"),
@@ -113,9 +113,9 @@
 #[test]
 fn an_overload_is_shed_by_all_alike_through_a_split_and_ends_with_its_cause() {
     let _one = one();
-    let mut ground = ground(true);
-    ground.load.set(STORM);
-    ground
+    let mut cluster = cluster(true);
+    cluster.request_rate.set(STORM);
+    cluster
         .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
         .expect("all shed by one level");
     // Each half goes by its own counts, and goes on shedding.
@@ -123,16 +123,16 @@
         cut: true,
         ..LinkFaults::default()
     };
-    ground.set_links(&[0, 1], &[2, 3], cut);
-    ground.set_links(&[2, 3], &[0, 1], cut);
+    cluster.set_links(&[0, 1], &[2, 3], cut);
+    cluster.set_links(&[2, 3], &[0, 1], cut);
     let split =
         |g: &Cluster| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
-    ground.wait(PATIENCE, split).expect("the split is known");
-    ground
+    cluster.wait(PATIENCE, split).expect("the split is known");
+    cluster
         .wait(PATIENCE, |g| alike(g, &[0, 1]) && alike(g, &[2, 3]))
         .expect("each half by one level");
-    ground.set_links(&[0, 1], &[2, 3], LinkFaults::default());
-    ground.set_links(&[2, 3], &[0, 1], LinkFaults::default());
+    cluster.set_links(&[0, 1], &[2, 3], LinkFaults::default());
+    cluster.set_links(&[2, 3], &[0, 1], LinkFaults::default());
     let healed = |g: &Cluster| {
         g.views()
             .iter()
@@ -141,59 +141,61 @@
             .count()
             == MEMBERS
     };
-    ground.wait(PATIENCE, healed).expect("they find each other");
-    ground
+    cluster
+        .wait(PATIENCE, healed)
+        .expect("they find each other");
+    cluster
         .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
         .expect("one level again");
-    assert!(refused(&ground).0 > 0);
-    ground.load.set(CALM);
-    ground
+    assert!(refused(&cluster).0 > 0);
+    cluster.request_rate.set(CALM);
+    cluster
         .wait(PATIENCE, calm)
         .expect("nothing is shed when it is over");
-    answered_once(&ground.stop_clients(), false);
+    answered_once(&cluster.stop_clients(), false);
 }
 
 #[test]
 fn who_starts_or_wakes_in_the_overload_goes_by_the_level_of_the_others() {
     let _one = one();
-    let mut ground = ground(true);
-    ground.load.set(STORM);
-    ground
+    let mut cluster = cluster(true);
+    cluster.request_rate.set(STORM);
+    cluster
         .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
         .expect("all shed by one level");
-    ground.members[3].kill();
-    ground.members[2].stop();
-    ground
+    cluster.members[3].kill();
+    cluster.members[2].stop();
+    cluster
         .wait(PATIENCE, |g| alike(g, &[0, 1]))
         .expect("the others go on");
     let known = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
-    ground.wait(PATIENCE, known).expect("both are given up");
-    ground.members[2].go_on();
-    ground.members[3].start().unwrap();
-    ground
+    cluster.wait(PATIENCE, known).expect("both are given up");
+    cluster.members[2].go_on();
+    cluster.members[3].start().unwrap();
+    cluster
         .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
         .expect("the newcomer and the one that stood still too");
-    ground.load.set(CALM);
-    ground
+    cluster.request_rate.set(CALM);
+    cluster
         .wait(PATIENCE, calm)
         .expect("nothing is shed when it is over");
-    answered_once(&ground.stop_clients(), true);
+    answered_once(&cluster.stop_clients(), true);
 }
 
 #[test]
 fn without_the_key_no_level_is_agreed_on() {
     let _one = one();
-    let mut ground = ground(false);
-    ground.load.set(STORM);
-    ground
+    let mut cluster = cluster(false);
+    cluster.request_rate.set(STORM);
+    cluster
         .wait(PATIENCE, |g| refused(g).1 > 20)
         .expect("they refuse for want of room");
-    assert!(calm(&ground));
-    assert_eq!(refused(&ground).0, 0);
-    let words = |i: usize| ground.members[i].view().unwrap().datagrams["load"].as_u64();
+    assert!(calm(&cluster));
+    assert_eq!(refused(&cluster).0, 0);
+    let words = |i: usize| cluster.members[i].view().unwrap().datagrams["load"].as_u64();
     assert!(
         (0..MEMBERS).all(|i| words(i) == Some(0)),
         "not one word of load"
     );
-    answered_once(&ground.stop_clients(), false);
+    answered_once(&cluster.stop_clients(), false);
 }
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -52,7 +52,7 @@
 #[test]
 fn regions_meet_and_all_members_name_the_same_delegates_and_divide_by_all() {
     let mut fleet = settled_regions(&[20, 12, 5], 1);
-    fleet.play(fleet.now + 20 * S);
+    fleet.advance_to(fleet.now + 20 * S);
     for region in 0..3 {
         let named: BTreeSet<Vec<SocketAddr>> = fleet
             .of_region(region)
@@ -86,7 +86,7 @@
         assert_eq!(dead.len(), 3);
         dead.iter().for_each(|n| fleet.kill(*n));
         fleet
-            .until(CEILING, SimulatedFleet::settled)
+            .advance_until(CEILING, SimulatedFleet::settled)
             .expect("others speak for it");
         assert!(delegates(&fleet, 0).iter().all(|n| !dead.contains(n)));
         assert_eq!(living_in(&fleet, 45, 0), Some(27));
@@ -97,11 +97,11 @@
 fn a_region_that_is_cut_off_for_minutes_keeps_its_places_and_heals() {
     for seed in 0..3 {
         let mut fleet = settled_regions(&[30, 12, 12], seed);
-        fleet.play(fleet.now + 20 * S);
+        fleet.advance_to(fleet.now + 20 * S);
         let apart = |n: usize| usize::from(n < 30);
         fleet.split(apart, true);
         for _ in 0..180 {
-            fleet.play(fleet.now + S);
+            fleet.advance_to(fleet.now + S);
             let sum = sum_of_shares(&fleet);
             assert!(sum <= 1.5, "seed {seed}: {sum}");
         }
@@ -118,10 +118,10 @@
         );
         fleet.split(apart, false);
         let healed = fleet
-            .until(CEILING, SimulatedFleet::settled)
+            .advance_until(CEILING, SimulatedFleet::settled)
             .expect("they hear each other");
         assert!(healed <= 5 * S, "seed {seed}: {healed}");
-        fleet.play(fleet.now + S);
+        fleet.advance_to(fleet.now + S);
         assert!(
             fleet
                 .running()
@@ -135,7 +135,7 @@
 fn a_region_in_two_halves_is_told_as_one_and_its_places_are_not_counted_twice() {
     for seed in 0..3 {
         let mut fleet = settled_regions(&[24, 12, 12], seed);
-        fleet.play(fleet.now + 20 * S);
+        fleet.advance_to(fleet.now + 20 * S);
         let half = |n: usize| usize::from((12..24).contains(&n));
         // The halves don't hear each other; both hear the other regions.
         let cut = |fleet: &mut SimulatedFleet, is: bool| {
@@ -149,7 +149,7 @@
         cut(&mut fleet, true);
         let mut told = BTreeSet::new();
         for second in 0..90 {
-            fleet.play(fleet.now + S);
+            fleet.advance_to(fleet.now + S);
             let sum = sum_of_shares(&fleet);
             assert!(sum <= 1.5, "seed {seed}: {sum}");
             if second >= 30 {
@@ -176,7 +176,7 @@
         assert_eq!(half(12), 1);
         cut(&mut fleet, false);
         fleet
-            .until(CEILING, SimulatedFleet::settled)
+            .advance_until(CEILING, SimulatedFleet::settled)
             .expect("one again");
     }
 }
@@ -187,12 +187,12 @@
     for lost in [20..40, 30..60] {
         lost.clone().for_each(|n| fleet.kill(n));
         let known = fleet
-            .until(CEILING, SimulatedFleet::settled)
+            .advance_until(CEILING, SimulatedFleet::settled)
             .expect("all know");
         assert!(known <= 5 * S, "{known}");
         lost.for_each(|n| fleet.start(n, 0));
         let back = fleet
-            .until(CEILING, SimulatedFleet::settled)
+            .advance_until(CEILING, SimulatedFleet::settled)
             .expect("all are back");
         assert!(back <= 5 * S, "{back}");
     }
@@ -202,18 +202,18 @@
 #[test]
 fn a_member_that_comes_back_under_another_region_is_counted_there_alone() {
     let mut fleet = settled_regions(&[20, 12], 3);
-    fleet.play(fleet.now + 20 * S);
+    fleet.advance_to(fleet.now + 20 * S);
     fleet.kill(7);
     fleet.set_region(7, 1);
     fleet.start(7, 0);
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .expect("it has moved");
     assert_eq!(
         (living_in(&fleet, 25, 0), living_in(&fleet, 0, 1)),
         (Some(19), Some(13))
     );
-    fleet.play(fleet.now + 30 * S);
+    fleet.advance_to(fleet.now + 30 * S);
     assert!(
         fleet
             .running()
@@ -232,16 +232,16 @@
     fleet.join_at(&[0, 1]);
     fleet.start_all();
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .expect("those of the second region meet through the first");
     // And one that comes when all is calm.
     fleet.kill(20);
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .expect("its death is known");
     fleet.start(20, 0);
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .expect("it is back");
 }
 
@@ -250,11 +250,11 @@
     let mut fleet = settled_regions(&[150, 4], 5);
     fleet.kill(151);
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .expect("a death in the small one is known to all");
     fleet.kill(9);
     fleet
-        .until(CEILING, SimulatedFleet::settled)
+        .advance_until(CEILING, SimulatedFleet::settled)
         .expect("and one in the large one");
 }
 
@@ -269,13 +269,13 @@
 #[test]
 fn nobody_is_taken_for_dead_in_a_minute_of_calm_with_far_regions_and_loss_between_them() {
     let mut fleet = settled_regions(&[40, 20, 20], 6);
-    fleet.between = Some(NetworkConditions {
+    fleet.between_regions = Some(NetworkConditions {
         loss: 0.01,
         delay: 80 * MS,
         jitter: 10 * MS,
         ..NetworkConditions::default()
     });
-    fleet.play(fleet.now + 60 * S);
+    fleet.advance_to(fleet.now + 60 * S);
     assert_eq!(fleet.false_deaths(), 0);
     assert!(fleet.settled(), "and no region for silent");
 }
@@ -305,7 +305,7 @@
 #[test]
 fn announcements_that_lie_are_bounded_dropped_and_counted() {
     let mut fleet = settled_regions(&[12, 6], 7);
-    fleet.play(fleet.now + 20 * S);
+    fleet.advance_to(fleet.now + 20 * S);
     let delegate = delegates(&fleet, 0)[0];
     let leader = fleet.view(delegate).regions[0].overview.clone();
     let author = leader.delegates[0];
@@ -344,7 +344,7 @@
         ..sound.clone()
     };
     fleet.inject(delegate, author, &news("trial", &old));
-    let foreign = fleet.traffic(delegate).foreign;
+    let foreign = fleet.statistics(delegate).foreign;
     fleet.inject(delegate, author, &news("another", &with(1, 1)));
     let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
     assert_eq!(
@@ -355,11 +355,11 @@
         (lies.len() as u64, 1)
     );
     assert_eq!(
-        fleet.traffic(delegate).foreign,
+        fleet.statistics(delegate).foreign,
         foreign + 1,
         "of another fleet"
     );
-    fleet.play(fleet.now + 10 * S);
+    fleet.advance_to(fleet.now + 10 * S);
     assert!(fleet.settled());
     assert!(
         fleet
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -10,7 +10,7 @@
     loss: 0.2,
     delay: 50 * MS,
     jitter: 10 * MS,
-    twice: 0.02,
+    duplicates: 0.02,
     load_loss: 0.0,
 };
 
@@ -19,7 +19,7 @@
     fleet.network = network;
     fleet.start_all();
     fleet
-        .until(60 * S, SimulatedFleet::settled)
+        .advance_until(60 * S, SimulatedFleet::settled)
         .expect("all meet");
     fleet
 }
@@ -27,14 +27,14 @@
 #[test]
 fn with_a_fifth_lost_nobody_is_given_up_in_ten_minutes() {
     let mut fleet = settled(12, 1, LOSSY);
-    fleet.play(fleet.now + 600 * S);
+    fleet.advance_to(fleet.now + 600 * S);
     assert_eq!(fleet.false_deaths(), 0);
     assert!(
-        fleet.traffic(0).suspicions > 0,
+        fleet.statistics(0).suspicions > 0,
         "there was something to refute"
     );
     fleet
-        .until(10 * S, SimulatedFleet::settled)
+        .advance_until(10 * S, SimulatedFleet::settled)
         .expect("and all still see each other");
 }
 
@@ -44,12 +44,12 @@
         let mut fleet = settled(40, seed, NetworkConditions::default());
         (30..40).for_each(|n| fleet.kill(n));
         let known = fleet
-            .until(60 * S, SimulatedFleet::settled)
+            .advance_until(60 * S, SimulatedFleet::settled)
             .expect("the death is known");
         assert!(known <= 3 * S, "seed {seed}: {known}");
         (30..40).for_each(|n| fleet.start(n, 0));
         let back = fleet
-            .until(60 * S, SimulatedFleet::settled)
+            .advance_until(60 * S, SimulatedFleet::settled)
             .expect("they are back");
         assert!(back <= 3 * S, "seed {seed}: {back}");
     }
@@ -63,20 +63,20 @@
         let mut fleet = settled(100, seed, NetworkConditions::default());
         (90..100).for_each(|n| fleet.kill(n));
         fleet
-            .until(60 * S, SimulatedFleet::settled)
+            .advance_until(60 * S, SimulatedFleet::settled)
             .expect("the death is known");
         (90..100).for_each(|n| fleet.start(n, 0));
         let back = fleet
-            .until(60 * S, SimulatedFleet::settled)
+            .advance_until(60 * S, SimulatedFleet::settled)
             .expect("they are back");
         assert!(
             back <= S,
             "seed {seed}: {back}; 2.2 s and more where rumours alone tell of them"
         );
-        fleet.play(fleet.now + 20 * S);
-        let (before, calm) = (fleet.traffic(3).digests, 10);
-        fleet.play(fleet.now + calm * S);
-        let asked = fleet.traffic(3).digests - before;
+        fleet.advance_to(fleet.now + 20 * S);
+        let (before, calm) = (fleet.statistics(3).digests, 10);
+        fleet.advance_to(fleet.now + calm * S);
+        let asked = fleet.statistics(3).digests - before;
         assert!(asked <= calm, "{asked} questions in {calm} calm seconds");
     }
 }
@@ -95,15 +95,15 @@
                 .sum()
         };
         fleet
-            .until(60 * S, |f| f.settled_by(side))
+            .advance_until(60 * S, |f| f.settled_by(side))
             .expect("each side knows");
         for _ in 0..40 {
-            fleet.play(fleet.now + S);
+            fleet.advance_to(fleet.now + S);
             assert!(sum(&fleet) <= 1.5, "seed {seed}: {}", sum(&fleet));
         }
         fleet.split(side, false);
         let healed = fleet
-            .until(60 * S, SimulatedFleet::settled)
+            .advance_until(60 * S, SimulatedFleet::settled)
             .expect("they find each other");
         assert!(healed <= 3 * S, "seed {seed}: {healed}");
         assert!((sum(&fleet) - 1.0).abs() < 1e-9);
@@ -118,14 +118,14 @@
         let side = |n: usize| usize::from(n >= 19);
         fleet.split(side, true);
         fleet
-            .until(60 * S, |f| f.settled_by(side))
+            .advance_until(60 * S, |f| f.settled_by(side))
             .expect("each side knows");
         // Rumours of it run out.
-        fleet.play(fleet.now + 10 * S);
+        fleet.advance_to(fleet.now + 10 * S);
         let before = fleet.false_deaths();
         fleet.split(side, false);
         fleet
-            .until(60 * S, SimulatedFleet::settled)
+            .advance_until(60 * S, SimulatedFleet::settled)
             .expect("they find each other");
         assert_eq!(fleet.false_deaths(), before, "seed {seed}");
     }
@@ -136,7 +136,7 @@
     let mut fleet = settled(8, 3, NetworkConditions::default());
     // It is heard by all and hears nobody.
     (1..8).for_each(|n| fleet.cut(n, 0, true));
-    fleet.play(fleet.now + 8 * S);
+    fleet.advance_to(fleet.now + 8 * S);
     assert!(fleet.view(0).isolated);
     assert!(
         fleet.view(0).members.iter().all(|m| m.status.is_present()),
@@ -149,7 +149,7 @@
     );
     (1..8).for_each(|n| fleet.cut(n, 0, false));
     fleet
-        .until(10 * S, SimulatedFleet::settled)
+        .advance_until(10 * S, SimulatedFleet::settled)
         .expect("taken back");
 }
 
@@ -158,7 +158,7 @@
     for seed in 0..5 {
         let mut fleet = settled(12, seed, NetworkConditions::default());
         fleet.stall(4, 10 * S);
-        fleet.play(fleet.now + 10 * S);
+        fleet.advance_to(fleet.now + 10 * S);
         assert!(
             !fleet
                 .view(0)
@@ -167,10 +167,10 @@
                 .any(|m| m.id.address == address(4) && m.status == MemberStatus::Serving)
         );
         fleet
-            .until(10 * S, SimulatedFleet::settled)
+            .advance_until(10 * S, SimulatedFleet::settled)
             .expect("taken back");
-        fleet.play(fleet.now + 5 * S);
-        assert!(fleet.settled() && fleet.false_deaths() == 0 && fleet.traffic(4).stalls > 0);
+        fleet.advance_to(fleet.now + 5 * S);
+        assert!(fleet.settled() && fleet.false_deaths() == 0 && fleet.statistics(4).stalls > 0);
     }
 }
 
@@ -183,17 +183,17 @@
         // At once, and after its death is known.
         fleet.start(2, clock);
         fleet
-            .until(20 * S, SimulatedFleet::settled)
+            .advance_until(20 * S, SimulatedFleet::settled)
             .unwrap_or_else(|| panic!("clock {clock}"));
         assert!(
             fleet.member(2).unwrap().id().generation > before,
             "clock {clock}"
         );
         fleet.kill(2);
-        fleet.play(fleet.now + 6 * S);
+        fleet.advance_to(fleet.now + 6 * S);
         fleet.start(2, clock);
         fleet
-            .until(20 * S, SimulatedFleet::settled)
+            .advance_until(20 * S, SimulatedFleet::settled)
             .unwrap_or_else(|| panic!("late, clock {clock}"));
     }
 }
@@ -203,9 +203,9 @@
     let mut fleet = settled(10, 1, NetworkConditions::default());
     fleet.leave(9);
     fleet
-        .until(S, SimulatedFleet::settled)
+        .advance_until(S, SimulatedFleet::settled)
         .expect("told, not detected");
-    fleet.play(fleet.now + S);
+    fleet.advance_to(fleet.now + S);
     for n in 0..9 {
         let view = fleet.view(n);
         assert_eq!(view.share_count, 9);
@@ -222,7 +222,7 @@
     let mut fleet = SimulatedFleet::new(60, 3, 1);
     fleet.set_members_max(10);
     fleet.start_all();
-    fleet.play(20 * S);
+    fleet.advance_to(20 * S);
     for n in 0..60 {
         let members = fleet.view(n).members.len();
         assert!(
@@ -231,7 +231,7 @@
         );
     }
     assert!(
-        fleet.view(0).members.len() >= 10 && fleet.traffic(0).over_capacity > 0,
+        fleet.view(0).members.len() >= 10 && fleet.statistics(0).over_capacity > 0,
         "the others are counted"
     );
 }
@@ -240,7 +240,7 @@
 fn torn_random_foreign_and_replayed_datagrams_are_counted_and_change_nothing() {
     let mut fleet = settled(6, 1, NetworkConditions::default());
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let (before, seen) = (fleet.traffic(0), fleet.view(0).members.len());
+    let (before, seen) = (fleet.statistics(0), fleet.view(0).members.len());
     let rounds = std::env::var("PIPITRUN_DATAGRAMS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -276,17 +276,17 @@
         }
         fleet.inject(0, address(9), &bytes);
         if round % 500 == 0 {
-            fleet.play(fleet.now + 10 * MS);
+            fleet.advance_to(fleet.now + 10 * MS);
         }
     }
-    let after = fleet.traffic(0);
+    let after = fleet.statistics(0);
     assert!(
         after.corrupt > before.corrupt
             && after.foreign > before.foreign
             && after.malformed > before.malformed
     );
     fleet
-        .until(20 * S, SimulatedFleet::settled)
+        .advance_until(20 * S, SimulatedFleet::settled)
         .expect("all see each other as before");
     assert_eq!(fleet.view(0).members.len(), seen, "nobody was made up");
 }
@@ -297,11 +297,11 @@
 fn replayed_datagrams_bring_nobody_back_and_kill_nobody() {
     let mut fleet = settled(6, 1, LOSSY);
     fleet.kill(5);
-    fleet.play(fleet.now + 10 * S);
+    fleet.advance_to(fleet.now + 10 * S);
     fleet.start(5, 0);
     fleet.leave(4);
     fleet
-        .until(20 * S, SimulatedFleet::settled)
+        .advance_until(20 * S, SimulatedFleet::settled)
         .expect("a new life, and a leave");
     let tape = fleet.tape();
     assert!(tape.len() > 1_000);
@@ -310,12 +310,12 @@
         for (from, datagram) in &tape {
             fleet.inject(to, *from, datagram);
         }
-        fleet.play(fleet.now + 20 * MS);
+        fleet.advance_to(fleet.now + 20 * MS);
     }
     fleet
-        .until(20 * S, SimulatedFleet::settled)
+        .advance_until(20 * S, SimulatedFleet::settled)
         .expect("as before");
-    fleet.play(fleet.now + 5 * S);
+    fleet.advance_to(fleet.now + 5 * S);
     assert!(fleet.settled());
     assert!(
         fleet
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -36,7 +36,7 @@
                 health: "in_service",
                 born_ms: 0,
             },
-        )
+        );
     });
     let dial = |host: &str| (1..=CACHES).find(|n| name(*n) == host).map(address);
     let _discovery = Discovery::start(
