--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -23,6 +23,10 @@
 pub const INSTANCES_MAX: usize = 120;
 /// See [`INSTANCES_MAX`].
 pub const CACHES_MAX: usize = 40;
+/// Where a member finds discovery.
+const DISCOVERY_PORT: u16 = 8_500;
+/// The first of a member's stream proxies.
+const PROXY_PORT: u16 = 7_100;
 
 /// What is put on the ground.
 #[derive(Clone, Debug)]
@@ -192,12 +196,102 @@
     format!("c-{n}")
 }
 
+/// Starts all caches and lists them.
+fn start_caches(
+    plan: &ClusterPlan,
+    network: &LoopbackNetwork,
+    list: &EndpointList,
+    origin: Option<&Origin>,
+) -> Result<Vec<Option<Cache>>, TestbedError> {
+    let mut caches = Vec::new();
+    for n in 0..plan.caches {
+        let cache = Cache::start(
+            &cache_name(n),
+            network.cache(n),
+            plan.cache,
+            origin.cloned(),
+        );
+        caches.push(Some(cache.map_err(|e| TestbedError::io("cache", e))?));
+        list.put(
+            &cache_name(n),
+            ListedHost {
+                health: "in_service",
+                born_ms: 0,
+            },
+        );
+    }
+    Ok(caches)
+}
+
+fn member_seed(plan: &ClusterPlan, member: usize) -> u64 {
+    plan.seed.wrapping_mul(100_003).wrapping_add(member as u64)
+}
+
+/// Where a member connects to reach a cache.
+fn proxy_address(network: &LoopbackNetwork, member: usize, cache: usize) -> SocketAddr {
+    network.member(member, PROXY_PORT + cache as u16)
+}
+
+/// Starts a member's stream proxies, one before each cache.
+fn start_proxies(
+    plan: &ClusterPlan,
+    network: &LoopbackNetwork,
+    member: usize,
+) -> Result<Vec<StreamProxy>, TestbedError> {
+    let seed = member_seed(plan, member);
+    (0..plan.caches)
+        .map(|cache| {
+            let listen = proxy_address(network, member, cache);
+            StreamProxy::start(listen, network.cache(cache), seed + cache as u64)
+                .map_err(|e| TestbedError::io("stream proxy", e))
+        })
+        .collect()
+}
+
+/// Starts a member's discovery, which names its stream proxies as the caches' addresses.
+fn start_discovery(
+    plan: &ClusterPlan,
+    network: &LoopbackNetwork,
+    member: usize,
+    list: &EndpointList,
+) -> Result<Discovery, TestbedError> {
+    let addresses: HashMap<String, SocketAddr> = (0..plan.caches)
+        .map(|cache| (cache_name(cache), proxy_address(network, member, cache)))
+        .collect();
+    let dial = move |name: &str| addresses.get(name).copied();
+    Discovery::start(network.member(member, DISCOVERY_PORT), list.clone(), dial)
+        .map_err(|e| TestbedError::io("discovery", e))
+}
+
+/// A member's key `fleet`, if the plan has it.
+fn fleet_key(
+    plan: &ClusterPlan,
+    member: usize,
+    bind: SocketAddr,
+    advertised: &[SocketAddr],
+) -> Option<serde_json::Value> {
+    if !plan.fleet {
+        return None;
+    }
+    let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
+    let mut fleet = serde_json::json!({
+        "name": format!("trial-{}", member % plan.fleets.max(1)),
+        "bind": bind,
+        "advertise": advertised[member],
+        "join": join,
+    });
+    if let Some(object) = fleet.as_object_mut() {
+        object.extend(plan.fleet_keys.clone());
+    }
+    Some(fleet)
+}
+
 impl Cluster {
     /// Lays it out; no process runs yet.
     ///
     /// # Errors
     ///
-    /// If the plan has no room on the loopback network, or a socket or process can't be started.
+    /// If the plan has no room on the loopback network, or a socket can't be opened.
     pub fn lay_out(plan: ClusterPlan) -> Result<Self, TestbedError> {
         if !(1..=INSTANCES_MAX).contains(&plan.instances)
             || !(1..=CACHES_MAX).contains(&plan.caches)
@@ -216,65 +310,31 @@
             network.a,
             network.b
         ));
-        std::fs::create_dir_all(&folder).map_err(|e| TestbedError::io("folder", e))?;
+        std::fs::create_dir_all(&folder).map_err(|e| TestbedError::file(&folder, e))?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
         let own: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
-        let switch = DatagramProxy::start(&advertised, &own, plan.seed)
-            .map_err(|e| TestbedError::io("switch", e))?;
-        let list = EndpointList::default();
+        let datagram_proxy = DatagramProxy::start(&advertised, &own, plan.seed)
+            .map_err(|e| TestbedError::io("datagram proxy", e))?;
         let origin = plan.origin.map(Origin::new);
-        let mut caches = Vec::new();
-        for c in 0..plan.caches {
-            let cache = Cache::start(&cache_name(c), network.cache(c), plan.cache, origin.clone());
-            let cache = cache.map_err(|e| TestbedError::io("cache", e))?;
-            caches.push(Some(cache));
-            list.put(
-                &cache_name(c),
-                ListedHost {
-                    health: "in_service",
-                    born_ms: 0,
-                },
-            );
-        }
-        let (mut relays, mut discovery, mut members) = (Vec::new(), Vec::new(), Vec::new());
+        let endpoint_list = EndpointList::default();
+        let caches = start_caches(&plan, &network, &endpoint_list, origin.as_ref())?;
+        let (mut stream_proxies, mut discovery, mut members) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..n {
-            let seed = plan.seed.wrapping_mul(100_003).wrapping_add(i as u64);
-            let mut mine = Vec::new();
-            let mut dials = HashMap::new();
-            for c in 0..plan.caches {
-                let listen = network.member(i, 7_100 + c as u16);
-                mine.push(
-                    StreamProxy::start(listen, network.cache(c), seed + c as u64)
-                        .map_err(|e| TestbedError::io("relay", e))?,
-                );
-                dials.insert(cache_name(c), listen);
-            }
-            relays.push(mine);
-            let dial = move |name: &str| dials.get(name).copied();
-            let one = Discovery::start(network.member(i, 8_500), list.clone(), dial);
-            discovery.push(one.map_err(|e| TestbedError::io("discovery", e))?);
-            let fleet = plan.fleet.then(|| {
-                let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
-                let mut fleet = serde_json::json!({
-                    "name": format!("trial-{}", i % plan.fleets.max(1)), "bind": own[i], "advertise": advertised[i], "join": join,
-                });
-                if let Some(object) = fleet.as_object_mut() {
-                    object.extend(plan.fleet_keys.clone());
-                }
-                fleet
-            });
+            let proxies = start_proxies(&plan, &network, i)?;
+            discovery.push(start_discovery(&plan, &network, i, &endpoint_list)?);
+            stream_proxies.push(proxies);
             members.push(MemberProcess::new(MemberSpec {
                 name: format!("n{i}"),
                 program: program.clone(),
                 folder: folder.clone(),
                 listen: network.member(i, 6_379),
                 admin: network.member(i, 9_000),
-                discovery: network.member(i, 8_500),
-                fleet,
+                discovery: network.member(i, DISCOVERY_PORT),
+                fleet: fleet_key(&plan, i, own[i], &advertised),
                 advertised: advertised[i],
                 group_size: n,
-                seed,
+                seed: member_seed(&plan, i),
                 planted: plan.planted.clone(),
             }));
         }
@@ -283,13 +343,13 @@
             begun: Instant::now(),
             members,
             caches,
-            endpoint_list: list,
+            endpoint_list,
             origin,
             request_rate: RequestRate::default(),
             counts_of_ended_caches: CacheCounts::default(),
             clients: None,
-            datagram_proxy: switch,
-            stream_proxies: relays,
+            datagram_proxy,
+            stream_proxies,
             _discovery: discovery,
             network,
             folder,
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -1,82 +1,29 @@
 //! Plays a scenario and gives the verdict.
 
+mod report;
+mod steps;
+
+pub use report::ScenarioReport;
+
 use crate::cluster::{Cluster, ClusterPlan};
 use crate::error::TestbedError;
-use crate::invariants::{InvariantChecker, InvariantViolation};
-use crate::member_process::{IntendedState, MemberProcess};
-use crate::network_emulation::faults::LinkFaults;
+use crate::invariants::InvariantChecker;
+use crate::member_process::{IntendedState, LogLine, MemberProcess, MemberView};
 use crate::overload_metrics::{self, ClusterSample, SecondMetrics, SpanMetrics};
-use crate::scenario::{Scenario, ScenarioAction, ScenarioStep, members};
-use serde::Serialize;
+use crate::scenario::Scenario;
+use crate::simulated_services::clients::ClientRequest;
+use crate::simulated_services::origin::Origin;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A process that is asked to end has this long; requests of the longest class and the platform's
-/// slack fit in.
-const END_MOST: Duration = Duration::from_secs(10);
-/// The list knows of a death this late, and of a start.
-const UNLISTED_AFTER: Duration = Duration::from_secs(2);
-const LISTED_AFTER: Duration = Duration::from_secs(1);
-/// Seconds of the timeline in which caches fill; not judged.
-const WARM_UP: f64 = 6.0;
-/// The members' logs are read this often for the sum of shares while nothing is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-
-/// What a trial showed.
-#[derive(Clone, Debug, Serialize)]
-pub struct ScenarioReport {
-    /// The scenario.
-    pub scenario: String,
-    /// How many processes.
-    pub instances: usize,
-    /// By which seed.
-    pub seed: u64,
-    /// A mistake that was planted.
-    pub planted: Option<String>,
-    /// Seconds from each measured step until all views agreed and were true.
-    pub settled: BTreeMap<String, f64>,
-    /// The greatest sum of shares that was seen.
-    #[serde(rename = "shares_most")]
-    pub max_share_sum: f64,
-    /// Deaths that were none.
-    pub false_deaths: usize,
-    /// How requests ended.
-    pub requests: BTreeMap<String, usize>,
-    /// Datagrams passed on, and those lost by faults.
-    pub datagrams: (u64, u64),
-    /// Means over the members that ran to the end, since their start.
-    pub member: BTreeMap<String, f64>,
-    /// What the fleet did second by second, where it was metered.
-    pub seconds: Vec<SecondMetrics>,
-    /// The judgement before, in and after the trouble.
-    pub spans: BTreeMap<String, SpanMetrics>,
-    /// Seconds from the trouble's end until nine tenths of the worth were back; absent where they
-    /// never came.
-    pub recovered_s: Option<f64>,
-    /// What was done, and when, in seconds.
-    #[serde(rename = "done")]
-    pub timeline: Vec<(f64, String)>,
-    /// What broke; at most fifty are told.
-    pub failures: Vec<InvariantViolation>,
-    /// How much broke in all.
-    pub failed: usize,
-}
-
-impl ScenarioReport {
-    /// The verdict's line.
-    #[must_use]
-    pub fn verdict(&self) -> String {
-        match self.failures.first() {
-            None => "verdict: passed".into(),
-            Some(first) => format!(
-                "verdict: failed {} ({} in all; first at {:.1} s: {})",
-                first.invariant, self.failed, first.at, first.what
-            ),
-        }
-    }
-}
+/// How much later than a cache's start the endpoint list names it.
+const LISTING_DELAY: Duration = Duration::from_secs(1);
+/// Seconds of the timeline in which caches fill; not evaluated.
+const WARM_UP_S: f64 = 6.0;
+/// How often views are read for the sum of shares while nothing is waited for.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
 struct ScenarioRun<'a> {
     cluster: Cluster,
@@ -96,7 +43,7 @@
     recovered_s: Option<f64>,
 }
 
-/// Plays a scenario on a ground by this plan. `interrupted` ends it early.
+/// Plays a scenario on a cluster by this plan. `interrupted` ends it early.
 ///
 /// # Errors
 ///
@@ -107,13 +54,12 @@
     interrupted: &AtomicBool,
 ) -> Result<ScenarioReport, TestbedError> {
     let cluster = Cluster::lay_out(plan)?;
-    let (checker, done, settled) = (InvariantChecker::default(), Vec::new(), BTreeMap::new());
     let mut play = ScenarioRun {
         cluster,
-        invariants: checker,
+        invariants: InvariantChecker::default(),
         scenario,
-        timeline: done,
-        settled,
+        timeline: Vec::new(),
+        settled: BTreeMap::new(),
         requests: BTreeMap::new(),
         interrupted,
         begun: Instant::now(),
@@ -136,9 +82,7 @@
     fn write_logs(&self, folder: &Path) -> Result<(), TestbedError> {
         let mut lines: Vec<(f64, String)> = Vec::new();
         for member in &self.cluster.members {
-            let of = |line: crate::member_process::LogLine| {
-                (line.at, format!("{} {}", member.spec.name, line.text))
-            };
+            let of = |line: LogLine| (line.at, format!("{} {}", member.spec.name, line.text));
             lines.extend(member.log().into_iter().map(of));
         }
         lines.extend(
@@ -196,7 +140,7 @@
                     self.observe();
                 }
                 self.listings()?;
-                std::thread::sleep(LOOK);
+                std::thread::sleep(OBSERVE_INTERVAL);
                 self.check_interrupted()?;
             }
             self.step(step)?;
@@ -220,7 +164,7 @@
             .cluster
             .origin
             .as_ref()
-            .map(super::simulated_services::origin::Origin::counts)
+            .map(Origin::counts)
             .unwrap_or_default();
         self.samples.push(ClusterSample {
             at,
@@ -239,7 +183,7 @@
         self.listings = later;
         for (at, cache, there) in due {
             if there {
-                let age = now.saturating_duration_since(at) + LISTED_AFTER;
+                let age = now.saturating_duration_since(at) + LISTING_DELAY;
                 let born = SystemTime::now().duration_since(UNIX_EPOCH)? - age;
                 self.cluster.list_cache(cache, born.as_millis() as u64);
             } else {
@@ -250,18 +194,14 @@
     }
 
     /// Judges the spans before, in and after the trouble, where there is one.
-    fn evaluate_spans(
-        &mut self,
-        asked: &[crate::simulated_services::clients::ClientRequest],
-        offset: f64,
-    ) {
+    fn evaluate_spans(&mut self, asked: &[ClientRequest], offset: f64) {
         let Some((from, to)) = self.scenario.disturbance else {
             return;
         };
         let last = self.samples.last().map_or(to, |sample| sample.at);
         let caches = self.cluster.plan.caches;
         let room = self.scenario.cache.capacity() * caches as f64;
-        let before = (WARM_UP.min(from), from);
+        let before = (WARM_UP_S.min(from), from);
         for (name, span) in [
             ("before", before),
             ("trouble", (from, to)),
@@ -287,7 +227,7 @@
     }
 
     /// Holds what members see now against the invariants that always hold.
-    fn observe(&mut self) -> Vec<Option<crate::member_process::MemberView>> {
+    fn observe(&mut self) -> Vec<Option<MemberView>> {
         let views = self.cluster.views();
         let at = self.now();
         self.invariants
@@ -330,180 +270,4 @@
             std::thread::sleep(Duration::from_millis(20));
         }
     }
-
-    fn step(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
-        let n = self.cluster.plan.instances;
-        let (from, to) = (members(&step.members, n)?, members(&step.to, n)?);
-        self.note(format!(
-            "{:?} {} {}",
-            step.act,
-            step.members,
-            if step.both { "both ways" } else { "" }
-        ));
-        match step.act {
-            ScenarioAction::Kill => self.apply(&from, true, MemberProcess::kill),
-            ScenarioAction::Stop => self.apply(&from, true, MemberProcess::stop),
-            ScenarioAction::GoOn => self.apply(&from, false, MemberProcess::go_on),
-            ScenarioAction::Term => self.apply(&from, true, MemberProcess::term),
-            ScenarioAction::Start => {
-                for i in &from {
-                    self.cluster.members[*i].start()?;
-                }
-                self.wait_until_ready(&from);
-            }
-            ScenarioAction::Roll => {
-                for i in &from {
-                    self.restart_gracefully(*i)?;
-                    self.observe();
-                }
-            }
-            ScenarioAction::Cut => self.links(
-                &from,
-                &to,
-                step.both,
-                LinkFaults {
-                    cut: true,
-                    ..self.scenario.links
-                },
-            ),
-            ScenarioAction::Link => self.links(&from, &to, step.both, step.faults),
-            ScenarioAction::Heal => self.links(&from, &to, step.both, self.scenario.links),
-            ScenarioAction::Load => self
-                .cluster
-                .request_rate
-                .set(step.rate.unwrap_or(self.scenario.rate)),
-            ScenarioAction::KillCaches => {
-                for cache in members(&step.members, self.cluster.plan.caches)? {
-                    self.cluster.kill_cache(cache);
-                    self.listings
-                        .push((Instant::now() + UNLISTED_AFTER, cache, false));
-                }
-            }
-            ScenarioAction::StartCaches => {
-                for cache in members(&step.members, self.cluster.plan.caches)? {
-                    self.cluster.start_cache(cache)?;
-                    self.listings
-                        .push((Instant::now() + LISTED_AFTER, cache, true));
-                }
-            }
-            ScenarioAction::SlowOrigin => {
-                if let Some(origin) = &self.cluster.origin {
-                    origin.slow(step.slow.unwrap_or(1.0));
-                }
-            }
-            ScenarioAction::Wait => {}
-        }
-        let step_done = Instant::now();
-        if let Some(name) = &step.settles {
-            // From the last of it on: processes are killed one after the other.
-            self.settle(name, step_done);
-        }
-        self.check_interrupted()
-    }
-
-    fn apply(&mut self, who: &[usize], away: bool, act: impl Fn(&mut MemberProcess)) {
-        for i in who {
-            // What is seen of it lies between the two, whatever else the machine does.
-            let before = self.now();
-            act(&mut self.cluster.members[*i]);
-            let at = if away { before } else { self.now() };
-            self.invariants.set_away(at, *i, away);
-        }
-    }
-
-    /// They were started: until they are ready they count as away.
-    fn wait_until_ready(&mut self, who: &[usize]) {
-        let ready = |cluster: &Cluster| {
-            who.iter()
-                .all(|i| cluster.members[*i].call("/admin/health").is_some())
-        };
-        if self.cluster.wait(END_MOST, ready).is_none() {
-            let at = self.now();
-            self.invariants
-                .fail(at, "starts", format!("{who:?}: not ready in time"));
-        }
-        let at = self.now();
-        who.iter()
-            .for_each(|i| self.invariants.set_away(at, *i, false));
-    }
-
-    fn restart_gracefully(&mut self, i: usize) -> Result<(), TestbedError> {
-        let at = self.now();
-        self.invariants.set_away(at, i, true);
-        self.cluster.members[i].term();
-        let ended = self.cluster.members[i].ended(END_MOST);
-        if !ended.is_some_and(|status| status.success()) {
-            self.invariants
-                .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
-        }
-        self.cluster.members[i].start()?;
-        self.wait_until_ready(&[i]);
-        Ok(())
-    }
-
-    fn links(&mut self, from: &[usize], to: &[usize], both: bool, faults: LinkFaults) {
-        let at = self.now();
-        for i in from {
-            for j in to.iter().filter(|j| *j != i) {
-                self.cluster.link(*i, *j).set(faults);
-                self.invariants.set_cut(at, *i, *j, faults.cut);
-                if both {
-                    self.cluster.link(*j, *i).set(faults);
-                    self.invariants.set_cut(at, *j, *i, faults.cut);
-                }
-            }
-        }
-    }
-
-    fn report(self) -> ScenarioReport {
-        let mut member: BTreeMap<String, f64> = BTreeMap::new();
-        let views: Vec<_> = self.cluster.views().into_iter().flatten().collect();
-        let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
-        for name in [
-            "sent",
-            "sent_bytes",
-            "heard",
-            "suspicions",
-            "given_up",
-            "refuted",
-            "returned",
-            "gaps",
-        ] {
-            let figures = views
-                .iter()
-                .filter_map(|v| v.datagrams.get(name)?.as_f64())
-                .collect();
-            member.insert(name.into(), mean(figures));
-        }
-        let memory = self
-            .cluster
-            .members
-            .iter()
-            .filter_map(MemberProcess::memory)
-            .map(|b| b as f64)
-            .collect();
-        member.insert("memory".into(), mean(memory));
-        let (failures, failed) = self.invariants.failures();
-        ScenarioReport {
-            scenario: self.scenario.name.clone(),
-            instances: self.cluster.plan.instances,
-            seed: self.cluster.plan.seed,
-            planted: self.cluster.plan.planted.clone(),
-            settled: self.settled,
-            max_share_sum: self.invariants.max_share_sum,
-            false_deaths: failures
-                .iter()
-                .filter(|f| f.invariant == "false-death")
-                .count(),
-            requests: self.requests,
-            datagrams: self.cluster.datagrams(),
-            seconds: self.seconds,
-            spans: self.spans,
-            recovered_s: self.recovered_s,
-            member,
-            timeline: self.timeline,
-            failures: failures.to_vec(),
-            failed,
-        }
-    }
 }
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -69,16 +69,27 @@
     pub descriptors: usize,
 }
 
-/// One balancer.
-pub struct Balancer {
-    number: usize,
+/// What a balancer is started with.
+pub struct BalancerSpec {
+    /// Its number, from 0.
+    pub number: usize,
     /// Where clients connect.
     pub listen: SocketAddr,
-    program: PathBuf,
-    config: Value,
-    folder: PathBuf,
-    clock: Clock,
-    board: StatusBoard,
+    /// The program.
+    pub program: PathBuf,
+    /// Its configuration.
+    pub config: Value,
+    /// Where its configuration and its log are written.
+    pub folder: PathBuf,
+    /// The clock of the trial.
+    pub clock: Clock,
+    /// Where its status is shown.
+    pub status: StatusBoard,
+}
+
+/// One balancer.
+pub struct Balancer {
+    spec: BalancerSpec,
     child: Option<ChildGuard>,
 }
 
@@ -91,29 +102,18 @@
 impl Balancer {
     /// One that is not started yet.
     #[must_use]
-    pub fn new(
-        number: usize,
-        listen: SocketAddr,
-        program: PathBuf,
-        config: Value,
-        folder: PathBuf,
-        clock: Clock,
-        board: StatusBoard,
-    ) -> Self {
-        Balancer {
-            number,
-            listen,
-            program,
-            config,
-            folder,
-            clock,
-            board,
-            child: None,
-        }
+    pub fn new(spec: BalancerSpec) -> Self {
+        Balancer { spec, child: None }
+    }
+
+    /// Where clients connect.
+    #[must_use]
+    pub fn listen(&self) -> SocketAddr {
+        self.spec.listen
     }
 
     fn public<T>(&self, change: impl FnOnce(&mut BalancerStatus) -> T) -> T {
-        change(&mut self.board.lock()[self.number])
+        change(&mut self.spec.status.lock()[self.spec.number])
     }
 
     /// Writes a key of its configuration; heeded at its next start, or when it is read again.
@@ -122,9 +122,10 @@
     ///
     /// If the file can't be written.
     pub fn configure(&mut self, key: &str, value: Value) -> Result<PathBuf, TestbedError> {
-        self.config[key] = value;
-        let path = self.folder.join(format!("n{}.json", self.number));
-        std::fs::write(&path, self.config.to_string()).map_err(|e| TestbedError::file(&path, e))?;
+        self.spec.config[key] = value;
+        let path = self.spec.folder.join(format!("n{}.json", self.spec.number));
+        std::fs::write(&path, self.spec.config.to_string())
+            .map_err(|e| TestbedError::file(&path, e))?;
         Ok(path)
     }
 
@@ -136,7 +137,7 @@
     pub fn start(&mut self, known: Value) -> Result<(), TestbedError> {
         self.kill();
         let path = self.configure("known", known)?;
-        let log = self.folder.join(format!("n{}.log", self.number));
+        let log = self.spec.folder.join(format!("n{}.log", self.spec.number));
         let problem = |e| TestbedError::file(&log, e);
         let stderr = File::options()
             .create(true)
@@ -144,9 +145,9 @@
             .open(&log)
             .map_err(problem)?;
         let stdout = stderr.try_clone().map_err(problem)?;
-        let mut command = process::balancer_command(&self.program, &path);
+        let mut command = process::balancer_command(&self.spec.program, &path);
         self.child = Some(ChildGuard::spawn(command.stdout(stdout).stderr(stderr))?);
-        let started = self.clock.now();
+        let started = self.spec.clock.now();
         self.public(|me| {
             me.processes.push(ProcessRecord {
                 started,
@@ -165,7 +166,7 @@
         if self.child.is_none() || !shut || !self.says_ready() {
             return;
         }
-        let now = self.clock.now();
+        let now = self.spec.clock.now();
         self.public(|me| {
             me.access = ClientAccess::Open;
             if let Some(life) = me.processes.last_mut() {
@@ -176,7 +177,7 @@
 
     fn says_ready(&self) -> bool {
         let wait = Duration::from_millis(20);
-        let asked = TcpStream::connect_timeout(&self.listen, wait).and_then(|mut stream| {
+        let asked = TcpStream::connect_timeout(&self.spec.listen, wait).and_then(|mut stream| {
             stream.set_read_timeout(Some(wait))?;
             stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
             let mut answer = [0; 7];
@@ -195,7 +196,7 @@
 
     /// Asks it to end.
     pub fn term(&mut self) {
-        let now = self.clock.now();
+        let now = self.spec.clock.now();
         self.public(|me| {
             me.access = ClientAccess::Ending;
             if let Some(life) = me.processes.last_mut() {
@@ -207,11 +208,11 @@
 
     /// Lets it stand still for so long.
     pub fn stall(&self, span: Duration) {
-        let from = self.clock.now();
+        let from = self.spec.clock.now();
         self.signal(Signal::SIGSTOP);
         std::thread::sleep(span);
         self.signal(Signal::SIGCONT);
-        let to = self.clock.now();
+        let to = self.spec.clock.now();
         self.public(|me| me.stalls.push(TimeSpan { from, to }));
     }
 
@@ -223,7 +224,7 @@
         let Ok(Some(status)) = child.try_wait() else {
             return true;
         };
-        let now = self.clock.now();
+        let now = self.spec.clock.now();
         self.child = None;
         self.public(|me| {
             me.access = ClientAccess::Shut;
@@ -243,7 +244,7 @@
         let Some(child) = self.child.take() else {
             return;
         };
-        let now: Nanos = self.clock.now();
+        let now: Nanos = self.spec.clock.now();
         self.public(|me| {
             me.access = ClientAccess::Shut;
             if let Some(life) = me.processes.last_mut() {
@@ -257,7 +258,7 @@
     pub fn counters(&self) -> BTreeMap<String, u64> {
         self.signal(Signal::SIGUSR1);
         std::thread::sleep(Duration::from_millis(100));
-        let log = self.folder.join(format!("n{}.log", self.number));
+        let log = self.spec.folder.join(format!("n{}.log", self.spec.number));
         let text = std::fs::read_to_string(log).unwrap_or_default();
         let counters = text.lines().rev().find_map(process::parse_counters);
         counters.unwrap_or_default()
--- /dev/null
+++ b/crates/testbed/src/soak/run.rs
@@ -0,0 +1,291 @@
+//! One soak trial from its layout to its records.
+
+use super::SoakOutcome;
+use super::balancers::{Balancer, BalancerSpec, ClientAccess, ProcessUsage, StatusBoard};
+use super::caches::{CacheFaults, Caches};
+use super::connections::Clock;
+use super::discovery::{DiscoveryFault, DiscoveryService};
+use super::injection::DeferredEvent;
+use super::plan::{SHARED_LISTENERS, SoakPlan};
+use super::records::{CacheState, MS, Nanos, Records, RequestRecord};
+use super::rule_checker;
+use crate::cluster::LoopbackNetwork;
+use crate::error::TestbedError;
+use crate::simulated_services::TcpService;
+use serde_json::Value;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+/// How long processes may take to become ready before the timeline begins.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Where clients connect and discovery is found, at each balancer's address.
+const CLIENTS_PORT: u16 = 6_379;
+const DISCOVERY_PORTS: [u16; 2] = [8_500, 8_501];
+/// How often the timeline and the processes are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
+/// How often descriptors are counted.
+const DESCRIPTOR_SAMPLE_INTERVAL: Nanos = 100 * MS;
+
+/// A balancer that a thread may keep stalled.
+pub(super) type SharedBalancer = Arc<Mutex<Balancer>>;
+
+pub(super) struct SoakRun {
+    pub(super) plan: SoakPlan,
+    pub(super) clock: Clock,
+    pub(super) caches: Caches,
+    pub(super) discovery: DiscoveryService,
+    pub(super) status: StatusBoard,
+    pub(super) balancers: Vec<SharedBalancer>,
+    /// Two addresses of discovery for each balancer, and which of them its configuration names.
+    pub(super) discovery_addresses: Vec<[SocketAddr; 2]>,
+    pub(super) discovery_in_use: Vec<usize>,
+    _services: Vec<TcpService>,
+    _network: LoopbackNetwork,
+    pub(super) next_cache: usize,
+    pub(super) oldest_cache: usize,
+    /// What follows from earlier events, and when.
+    pub(super) deferred: Vec<(Nanos, DeferredEvent)>,
+    pub(super) threads: Vec<std::thread::JoinHandle<()>>,
+    pub(super) events: Vec<(Nanos, String)>,
+    /// By balancer: the most descriptors that were seen.
+    pub(super) descriptors: Vec<usize>,
+}
+
+/// Locks a balancer; a thread that stalls it holds the lock for as long.
+pub(super) fn lock(balancer: &SharedBalancer) -> MutexGuard<'_, Balancer> {
+    balancer.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+fn start_discovery(plan: &SoakPlan, caches: &Caches, clock: Clock) -> DiscoveryService {
+    let own = plan.rules.own_listeners;
+    let addresses = caches.addresses.clone();
+    let cache_address = move |cache: usize| {
+        addresses[if cache < own {
+            cache
+        } else {
+            own + cache % SHARED_LISTENERS
+        }]
+    };
+    let discovery = DiscoveryService::new(clock, cache_address);
+    discovery.change((0..plan.caches).collect(), CacheState::Up { born_ms: 0 });
+    discovery.set_format(plan.list_format);
+    discovery
+}
+
+fn balancer_config(
+    plan: &SoakPlan,
+    number: usize,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+) -> Value {
+    serde_json::json!({
+        "name": format!("n{number}"), "listen": listen, "discovery": discovery,
+        "seed": format!("{:x}", plan.seed.wrapping_mul(7_919) + number as u64),
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "settings": plan.settings,
+    })
+}
+
+impl SoakRun {
+    /// Sets up everything but the processes.
+    pub(super) fn lay_out(
+        plan: SoakPlan,
+        program: &Path,
+        folder: &Path,
+    ) -> Result<Self, TestbedError> {
+        let clock = Clock::start();
+        let caches = Caches::start(
+            plan.rules.own_listeners + SHARED_LISTENERS,
+            clock,
+            plan.seed,
+        )
+        .map_err(|e| TestbedError::io("caches", e))?;
+        let discovery = start_discovery(&plan, &caches, clock);
+        let status = StatusBoard::new(plan.balancers);
+        let network =
+            LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
+        let (mut balancers, mut addresses, mut services) = (Vec::new(), Vec::new(), Vec::new());
+        for number in 0..plan.balancers {
+            let pair = DISCOVERY_PORTS.map(|port| network.member(number, port));
+            for address in pair {
+                let service = discovery.listen(address, number);
+                services.push(
+                    service.map_err(|e| TestbedError::io(format!("discovery at {address}"), e))?,
+                );
+            }
+            let listen = network.member(number, CLIENTS_PORT);
+            let balancer = Balancer::new(BalancerSpec {
+                number,
+                listen,
+                program: program.into(),
+                config: balancer_config(&plan, number, listen, pair[0]),
+                folder: folder.into(),
+                clock,
+                status: status.clone(),
+            });
+            balancers.push(Arc::new(Mutex::new(balancer)));
+            addresses.push(pair);
+        }
+        Ok(SoakRun {
+            next_cache: plan.caches,
+            discovery_in_use: vec![0; plan.balancers],
+            descriptors: vec![0; plan.balancers],
+            plan,
+            clock,
+            caches,
+            discovery,
+            status,
+            balancers,
+            discovery_addresses: addresses,
+            _services: services,
+            _network: network,
+            oldest_cache: 0,
+            deferred: Vec::new(),
+            threads: Vec::new(),
+            events: Vec::new(),
+        })
+    }
+
+    /// Where clients connect, by balancer.
+    pub(super) fn client_addresses(&self) -> Vec<SocketAddr> {
+        self.balancers.iter().map(|b| lock(b).listen()).collect()
+    }
+
+    /// Starts all balancers and waits until they are ready.
+    pub(super) fn start(&mut self) -> Result<(), TestbedError> {
+        let known = self.discovery.known();
+        for balancer in &self.balancers {
+            lock(balancer).start(known.clone())?;
+        }
+        let asked = Instant::now();
+        while self
+            .status
+            .lock()
+            .iter()
+            .any(|me| me.access == ClientAccess::Shut)
+        {
+            if asked.elapsed() > READY_TIMEOUT {
+                return Err(TestbedError::NotReady);
+            }
+            self.poll_balancers();
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        Ok(())
+    }
+
+    /// Updates the status of all processes that no thread has stalled.
+    fn poll_balancers(&self) {
+        for balancer in self
+            .balancers
+            .iter()
+            .filter_map(|balancer| balancer.try_lock().ok())
+        {
+            let mut balancer = balancer;
+            if balancer.is_running() {
+                balancer.update_readiness();
+            }
+        }
+    }
+
+    /// Injects the plan's events at their times, then ends all faults.
+    pub(super) fn play_events(&mut self) {
+        let begun = self.clock.now();
+        let mut sample = begun;
+        let mut events = self.plan.events.clone().into_iter().peekable();
+        while self.clock.now() < begun + self.plan.rules.length {
+            let now = self.clock.now();
+            while let Some((_, event)) = events.next_if(|(at, _)| begun + at <= now) {
+                self.events.push((now, format!("{event:?}")));
+                self.inject(&event);
+            }
+            let (due, later): (Vec<_>, Vec<_>) =
+                self.deferred.drain(..).partition(|(at, _)| *at <= now);
+            self.deferred = later;
+            due.into_iter()
+                .for_each(|(_, what)| self.run_deferred(what));
+            self.poll_balancers();
+            if now >= sample {
+                sample = now + DESCRIPTOR_SAMPLE_INTERVAL;
+                self.count_descriptors();
+            }
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        // Everything is well again, so that what is open can be answered.
+        *self.caches.faults.lock() = CacheFaults::default();
+        self.discovery.set_fault(DiscoveryFault::None);
+        self.threads.drain(..).for_each(|thread| _ = thread.join());
+        let later = std::mem::take(&mut self.deferred);
+        for (at, what) in later {
+            if matches!(what, DeferredEvent::Kill(_)) {
+                let now = self.clock.now();
+                std::thread::sleep(Duration::from_nanos(at.saturating_sub(now)));
+                self.run_deferred(what);
+            }
+        }
+    }
+
+    fn count_descriptors(&mut self) {
+        for (balancer, most) in self.balancers.iter().zip(&mut self.descriptors) {
+            let usage = balancer
+                .try_lock()
+                .ok()
+                .and_then(|balancer| balancer.usage());
+            *most = usage.map_or(*most, |usage| usage.descriptors.max(*most));
+        }
+    }
+
+    /// Collects all records and checks them.
+    pub(super) fn finish(self, requests: Vec<RequestRecord>) -> SoakOutcome {
+        self.poll_balancers();
+        let with_most = |(balancer, most): (&SharedBalancer, &usize)| {
+            let usage = lock(balancer).usage().unwrap_or_default();
+            ProcessUsage {
+                descriptors: *most,
+                ..usage
+            }
+        };
+        let usage = self
+            .balancers
+            .iter()
+            .zip(&self.descriptors)
+            .map(with_most)
+            .collect();
+        let counters = self
+            .balancers
+            .iter()
+            .map(|balancer| lock(balancer).counters())
+            .collect();
+        let change_bytes = self.discovery.change_bytes();
+        let attempts = self.caches.stop();
+        let (changes, notifications, down) = self.discovery.log();
+        let public = self.status.lock().clone();
+        let (stalls, processes) = public
+            .into_iter()
+            .map(|me| (me.stalls, me.processes))
+            .unzip();
+        let events = self.events;
+        let records = Records {
+            requests,
+            attempts,
+            changes,
+            notifications,
+            discovery_outages: down,
+            stalls,
+            processes,
+            events,
+        };
+        let violations = rule_checker::check(&records, &self.plan.rules);
+        let ends = rule_checker::ends(&records.requests);
+        let attempts = records.attempts.len();
+        SoakOutcome {
+            violations,
+            ends,
+            attempts,
+            usage,
+            counters,
+            change_bytes,
+            records,
+        }
+    }
+}
