--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -23,6 +23,10 @@
 pub const INSTANCES_MAX: usize = 120;
 /// See [`INSTANCES_MAX`].
 pub const CACHES_MAX: usize = 40;
+/// Where a member finds discovery.
+const DISCOVERY_PORT: u16 = 8_500;
+/// The first of a member's stream proxies.
+const PROXY_PORT: u16 = 7_100;
 
 /// What is put on the ground.
 #[derive(Clone, Debug)]
@@ -154,17 +158,17 @@
     /// The caches; `None` while one is down.
     pub caches: Vec<Option<Cache>>,
     /// The list that discovery tells.
-    pub list: EndpointList,
+    pub endpoint_list: EndpointList,
     /// The origin, if there is one.
     pub origin: Option<Origin>,
     /// Requests a second of all clients.
-    pub load: RequestRate,
+    pub request_rate: RequestRate,
     /// What came to caches that have died since.
-    past: CacheCounts,
+    counts_of_ended_caches: CacheCounts,
     clients: Option<Clients>,
-    switch: DatagramProxy,
+    datagram_proxy: DatagramProxy,
     /// `relays[member][cache]`.
-    relays: Vec<Vec<StreamProxy>>,
+    stream_proxies: Vec<Vec<StreamProxy>>,
     _discovery: Vec<Discovery>,
     network: LoopbackNetwork,
     folder: PathBuf,
@@ -180,9 +184,9 @@
 }
 
 fn add(sum: &mut CacheCounts, more: CacheCounts) {
-    sum.tries += more.tries;
-    sum.turned_away += more.turned_away;
-    sum.probes += more.probes;
+    sum.attempts += more.attempts;
+    sum.rejected += more.rejected;
+    sum.health_checks += more.health_checks;
     sum.connections += more.connections;
     sum.hits += more.hits;
     sum.misses += more.misses;
@@ -192,8 +196,102 @@
     format!("c-{n}")
 }
 
+/// Starts all caches and lists them.
+fn start_caches(
+    plan: &ClusterPlan,
+    network: &LoopbackNetwork,
+    list: &EndpointList,
+    origin: Option<&Origin>,
+) -> Result<Vec<Option<Cache>>, TestbedError> {
+    let mut caches = Vec::new();
+    for n in 0..plan.caches {
+        let cache = Cache::start(
+            &cache_name(n),
+            network.cache(n),
+            plan.cache,
+            origin.cloned(),
+        );
+        caches.push(Some(cache.map_err(|e| TestbedError::io("cache", e))?));
+        list.put(
+            &cache_name(n),
+            ListedHost {
+                health: "in_service",
+                born_ms: 0,
+            },
+        );
+    }
+    Ok(caches)
+}
+
+fn member_seed(plan: &ClusterPlan, member: usize) -> u64 {
+    plan.seed.wrapping_mul(100_003).wrapping_add(member as u64)
+}
+
+/// Where a member connects to reach a cache.
+fn proxy_address(network: &LoopbackNetwork, member: usize, cache: usize) -> SocketAddr {
+    network.member(member, PROXY_PORT + cache as u16)
+}
+
+/// Starts a member's stream proxies, one before each cache.
+fn start_proxies(
+    plan: &ClusterPlan,
+    network: &LoopbackNetwork,
+    member: usize,
+) -> Result<Vec<StreamProxy>, TestbedError> {
+    let seed = member_seed(plan, member);
+    (0..plan.caches)
+        .map(|cache| {
+            let listen = proxy_address(network, member, cache);
+            StreamProxy::start(listen, network.cache(cache), seed + cache as u64)
+                .map_err(|e| TestbedError::io("stream proxy", e))
+        })
+        .collect()
+}
+
+/// Starts a member's discovery, which names its stream proxies as the caches' addresses.
+fn start_discovery(
+    plan: &ClusterPlan,
+    network: &LoopbackNetwork,
+    member: usize,
+    list: &EndpointList,
+) -> Result<Discovery, TestbedError> {
+    let addresses: HashMap<String, SocketAddr> = (0..plan.caches)
+        .map(|cache| (cache_name(cache), proxy_address(network, member, cache)))
+        .collect();
+    let dial = move |name: &str| addresses.get(name).copied();
+    Discovery::start(network.member(member, DISCOVERY_PORT), list.clone(), dial)
+        .map_err(|e| TestbedError::io("discovery", e))
+}
+
+/// A member's key `fleet`, if the plan has it.
+fn fleet_key(
+    plan: &ClusterPlan,
+    member: usize,
+    bind: SocketAddr,
+    advertised: &[SocketAddr],
+) -> Option<serde_json::Value> {
+    if !plan.fleet {
+        return None;
+    }
+    let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
+    let mut fleet = serde_json::json!({
+        "name": format!("trial-{}", member % plan.fleets.max(1)),
+        "bind": bind,
+        "advertise": advertised[member],
+        "join": join,
+    });
+    if let Some(object) = fleet.as_object_mut() {
+        object.extend(plan.fleet_keys.clone());
+    }
+    Some(fleet)
+}
+
 impl Cluster {
     /// Lays it out; no process runs yet.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has no room on the loopback network, or a socket can't be opened.
     pub fn lay_out(plan: ClusterPlan) -> Result<Self, TestbedError> {
         if !(1..=INSTANCES_MAX).contains(&plan.instances)
             || !(1..=CACHES_MAX).contains(&plan.caches)
@@ -212,65 +310,31 @@
             network.a,
             network.b
         ));
-        std::fs::create_dir_all(&folder).map_err(|e| TestbedError::io("folder", e))?;
+        std::fs::create_dir_all(&folder).map_err(|e| TestbedError::file(&folder, e))?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
         let own: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
-        let switch = DatagramProxy::start(&advertised, &own, plan.seed)
-            .map_err(|e| TestbedError::io("switch", e))?;
-        let list = EndpointList::default();
+        let datagram_proxy = DatagramProxy::start(&advertised, &own, plan.seed)
+            .map_err(|e| TestbedError::io("datagram proxy", e))?;
         let origin = plan.origin.map(Origin::new);
-        let mut caches = Vec::new();
-        for c in 0..plan.caches {
-            let cache = Cache::start(&cache_name(c), network.cache(c), plan.cache, origin.clone());
-            let cache = cache.map_err(|e| TestbedError::io("cache", e))?;
-            caches.push(Some(cache));
-            list.put(
-                &cache_name(c),
-                ListedHost {
-                    health: "in_service",
-                    born_ms: 0,
-                },
-            );
-        }
-        let (mut relays, mut discovery, mut members) = (Vec::new(), Vec::new(), Vec::new());
+        let endpoint_list = EndpointList::default();
+        let caches = start_caches(&plan, &network, &endpoint_list, origin.as_ref())?;
+        let (mut stream_proxies, mut discovery, mut members) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..n {
-            let seed = plan.seed.wrapping_mul(100_003).wrapping_add(i as u64);
-            let mut mine = Vec::new();
-            let mut dials = HashMap::new();
-            for c in 0..plan.caches {
-                let listen = network.member(i, 7_100 + c as u16);
-                mine.push(
-                    StreamProxy::start(listen, network.cache(c), seed + c as u64)
-                        .map_err(|e| TestbedError::io("relay", e))?,
-                );
-                dials.insert(cache_name(c), listen);
-            }
-            relays.push(mine);
-            let dial = move |name: &str| dials.get(name).copied();
-            let one = Discovery::start(network.member(i, 8_500), list.clone(), dial);
-            discovery.push(one.map_err(|e| TestbedError::io("discovery", e))?);
-            let fleet = plan.fleet.then(|| {
-                let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
-                let mut fleet = serde_json::json!({
-                    "name": format!("trial-{}", i % plan.fleets.max(1)), "bind": own[i], "advertise": advertised[i], "join": join,
-                });
-                if let Some(object) = fleet.as_object_mut() {
-                    object.extend(plan.fleet_keys.clone());
-                }
-                fleet
-            });
+            let proxies = start_proxies(&plan, &network, i)?;
+            discovery.push(start_discovery(&plan, &network, i, &endpoint_list)?);
+            stream_proxies.push(proxies);
             members.push(MemberProcess::new(MemberSpec {
                 name: format!("n{i}"),
                 program: program.clone(),
                 folder: folder.clone(),
                 listen: network.member(i, 6_379),
-                management: network.member(i, 9_000),
-                discovery: network.member(i, 8_500),
-                fleet,
+                admin: network.member(i, 9_000),
+                discovery: network.member(i, DISCOVERY_PORT),
+                fleet: fleet_key(&plan, i, own[i], &advertised),
                 advertised: advertised[i],
                 group_size: n,
-                seed,
+                seed: member_seed(&plan, i),
                 planted: plan.planted.clone(),
             }));
         }
@@ -279,13 +343,13 @@
             begun: Instant::now(),
             members,
             caches,
-            list,
+            endpoint_list,
             origin,
-            load: RequestRate::default(),
-            past: CacheCounts::default(),
+            request_rate: RequestRate::default(),
+            counts_of_ended_caches: CacheCounts::default(),
             clients: None,
-            switch,
-            relays,
+            datagram_proxy,
+            stream_proxies,
             _discovery: discovery,
             network,
             folder,
@@ -293,6 +357,10 @@
     }
 
     /// Starts all processes at once.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has no room on the loopback network, or a socket or process can't be started.
     pub fn start_all(&mut self) -> Result<(), TestbedError> {
         self.members.iter_mut().try_for_each(MemberProcess::start)
     }
@@ -305,10 +373,15 @@
                 .collect();
             // More at a time than the slowest class keeps out; each has one request out.
             let workers = (self.plan.rate.max(self.plan.rate_most).ceil() as usize).clamp(8, 1_000);
-            self.load.set(self.plan.rate);
+            self.request_rate.set(self.plan.rate);
             let (seed, behaviour) = (self.plan.seed, self.plan.clients);
             self.clients = Some(Clients::start(
-                &doors, workers, &self.load, behaviour, seed, self.begun,
+                &doors,
+                workers,
+                &self.request_rate,
+                behaviour,
+                seed,
+                self.begun,
             ));
         }
     }
@@ -319,19 +392,22 @@
     }
 
     /// The link for datagrams from one member to another.
+    #[must_use]
     pub fn link(&self, from: usize, to: usize) -> &Link {
-        self.switch.link(from, to)
+        self.datagram_proxy.link(from, to)
     }
 
     /// The links between a member and a cache, there and back.
+    #[must_use]
     pub fn cache_links(&self, member: usize, cache: usize) -> [&Link; 2] {
-        let relay = &self.relays[member][cache];
-        [&relay.there, &relay.back]
+        let relay = &self.stream_proxies[member][cache];
+        [&relay.to_target, &relay.from_target]
     }
 
     /// Datagrams that the switch passed on, and those lost by faults.
+    #[must_use]
     pub fn datagrams(&self) -> (u64, u64) {
-        self.switch.counts()
+        self.datagram_proxy.counts()
     }
 
     /// Sets the faults of all links between two sets of members, in one direction.
@@ -346,16 +422,20 @@
     /// Ends a cache, and takes it from nobody's list: that comes later, as it does in service.
     pub fn kill_cache(&mut self, n: usize) {
         if let Some(cache) = self.caches[n].take() {
-            add(&mut self.past, cache.counts());
+            add(&mut self.counts_of_ended_caches, cache.counts());
         }
     }
 
     /// Takes a cache from the list.
     pub fn unlist_cache(&self, n: usize) {
-        self.list.remove(&cache_name(n));
+        self.endpoint_list.remove(&cache_name(n));
     }
 
     /// Starts a cache again, cold and holding nothing; the list says so later.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has no room on the loopback network, or a socket or process can't be started.
     pub fn start_cache(&mut self, n: usize) -> Result<(), TestbedError> {
         let cache = Cache::start(
             &cache_name(n),
@@ -369,7 +449,7 @@
 
     /// Puts a cache on the list.
     pub fn list_cache(&self, n: usize, born_ms: u64) {
-        self.list.put(
+        self.endpoint_list.put(
             &cache_name(n),
             ListedHost {
                 health: "in_service",
@@ -379,8 +459,9 @@
     }
 
     /// What came to all caches, those that have died included.
+    #[must_use]
     pub fn cache_counts(&self) -> CacheCounts {
-        let mut sum = self.past;
+        let mut sum = self.counts_of_ended_caches;
         self.caches
             .iter()
             .flatten()
@@ -390,6 +471,7 @@
 
     /// The members' counters, summed over all their lives. Those that are asked now answer by the
     /// next call.
+    #[must_use]
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
         let mut sum = std::collections::BTreeMap::new();
         for member in &self.members {
@@ -402,6 +484,7 @@
     }
 
     /// What each member sees, of those that answer; `None` of the others.
+    #[must_use]
     pub fn views(&self) -> Vec<Option<MemberView>> {
         // Side by side: one after the other takes long enough among many for the first to be out of
         // date.
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -1,85 +1,35 @@
 //! Plays a scenario and gives the verdict.
 
+mod report;
+mod steps;
+
+pub use report::ScenarioReport;
+
 use crate::cluster::{Cluster, ClusterPlan};
 use crate::error::TestbedError;
-use crate::invariants::{InvariantChecker, InvariantViolation};
-use crate::member_process::IntendedState;
-use crate::network_emulation::faults::LinkFaults;
+use crate::invariants::InvariantChecker;
+use crate::member_process::{IntendedState, LogLine, MemberProcess, MemberView};
 use crate::overload_metrics::{self, ClusterSample, SecondMetrics, SpanMetrics};
-use crate::scenario::{Scenario, ScenarioAction, ScenarioStep, members};
-use serde::Serialize;
+use crate::scenario::Scenario;
+use crate::simulated_services::clients::ClientRequest;
+use crate::simulated_services::origin::Origin;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A process that is asked to end has this long; requests of the longest class and the platform's
-/// slack fit in.
-const END_MOST: Duration = Duration::from_secs(10);
-/// The list knows of a death this late, and of a start.
-const UNLISTED_AFTER: Duration = Duration::from_secs(2);
-const LISTED_AFTER: Duration = Duration::from_secs(1);
-/// Seconds of the timeline in which caches fill; not judged.
-const WARM_UP: f64 = 6.0;
-/// The members' logs are read this often for the sum of shares while nothing is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-
-/// What a trial showed.
-#[derive(Clone, Debug, Serialize)]
-pub struct ScenarioReport {
-    /// The scenario.
-    pub scenario: String,
-    /// How many processes.
-    pub instances: usize,
-    /// By which seed.
-    pub seed: u64,
-    /// A mistake that was planted.
-    pub planted: Option<String>,
-    /// Seconds from each measured step until all views agreed and were true.
-    pub settled: BTreeMap<String, f64>,
-    /// The greatest sum of shares that was seen.
-    pub shares_most: f64,
-    /// Deaths that were none.
-    pub false_deaths: usize,
-    /// How requests ended.
-    pub requests: BTreeMap<String, usize>,
-    /// Datagrams passed on, and those lost by faults.
-    pub datagrams: (u64, u64),
-    /// Means over the members that ran to the end, since their start.
-    pub member: BTreeMap<String, f64>,
-    /// What the fleet did second by second, where it was metered.
-    pub seconds: Vec<SecondMetrics>,
-    /// The judgement before, in and after the trouble.
-    pub spans: BTreeMap<String, SpanMetrics>,
-    /// Seconds from the trouble's end until nine tenths of the worth were back; absent where they
-    /// never came.
-    pub recovered_s: Option<f64>,
-    /// What was done, and when, in seconds.
-    pub done: Vec<(f64, String)>,
-    /// What broke; at most fifty are told.
-    pub failures: Vec<InvariantViolation>,
-    /// How much broke in all.
-    pub failed: usize,
-}
-
-impl ScenarioReport {
-    /// The verdict's line.
-    pub fn verdict(&self) -> String {
-        match self.failures.first() {
-            None => "verdict: passed".into(),
-            Some(first) => format!(
-                "verdict: failed {} ({} in all; first at {:.1} s: {})",
-                first.invariant, self.failed, first.at, first.what
-            ),
-        }
-    }
-}
+/// How much later than a cache's start the endpoint list names it.
+const LISTING_DELAY: Duration = Duration::from_secs(1);
+/// Seconds of the timeline in which caches fill; not evaluated.
+const WARM_UP_S: f64 = 6.0;
+/// How often views are read for the sum of shares while nothing is waited for.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
 struct ScenarioRun<'a> {
-    ground: Cluster,
-    referee: InvariantChecker,
+    cluster: Cluster,
+    invariants: InvariantChecker,
     scenario: &'a Scenario,
-    done: Vec<(f64, String)>,
+    timeline: Vec<(f64, String)>,
     settled: BTreeMap<String, f64>,
     requests: BTreeMap<String, usize>,
     interrupted: &'a AtomicBool,
@@ -93,20 +43,23 @@
     recovered_s: Option<f64>,
 }
 
-/// Plays a scenario on a ground by this plan. `interrupted` ends it early.
+/// Plays a scenario on a cluster by this plan. `interrupted` ends it early.
+///
+/// # Errors
+///
+/// If the trial can't be played to its end; what it finds wrong stands in the report.
 pub fn play(
     scenario: &Scenario,
     plan: ClusterPlan,
     interrupted: &AtomicBool,
 ) -> Result<ScenarioReport, TestbedError> {
-    let ground = Cluster::lay_out(plan)?;
-    let (referee, done, settled) = (InvariantChecker::default(), Vec::new(), BTreeMap::new());
+    let cluster = Cluster::lay_out(plan)?;
     let mut play = ScenarioRun {
-        ground,
-        referee,
+        cluster,
+        invariants: InvariantChecker::default(),
         scenario,
-        done,
-        settled,
+        timeline: Vec::new(),
+        settled: BTreeMap::new(),
         requests: BTreeMap::new(),
         interrupted,
         begun: Instant::now(),
@@ -117,7 +70,7 @@
         recovered_s: None,
     };
     let played = play.run();
-    if let Some(folder) = &play.ground.plan.logs {
+    if let Some(folder) = &play.cluster.plan.logs {
         play.write_logs(folder)?;
     }
     played?;
@@ -128,14 +81,12 @@
     /// What all members logged, by the time at which it came.
     fn write_logs(&self, folder: &Path) -> Result<(), TestbedError> {
         let mut lines: Vec<(f64, String)> = Vec::new();
-        for member in &self.ground.members {
-            let of = |line: crate::member_process::LogLine| {
-                (line.at, format!("{} {}", member.spec.name, line.text))
-            };
+        for member in &self.cluster.members {
+            let of = |line: LogLine| (line.at, format!("{} {}", member.spec.name, line.text));
             lines.extend(member.log().into_iter().map(of));
         }
         lines.extend(
-            self.done
+            self.timeline
                 .iter()
                 .map(|(at, what)| (*at, format!("TRIAL {what}"))),
         );
@@ -144,7 +95,7 @@
             .iter()
             .map(|(at, text)| format!("{at:8.3} {text}\n"))
             .collect();
-        let plan = &self.ground.plan;
+        let plan = &self.cluster.plan;
         let file = folder.join(format!(
             "{}-{}-{}.log",
             self.scenario.name, plan.instances, plan.seed
@@ -155,50 +106,50 @@
     }
 
     fn now(&self) -> f64 {
-        self.ground.begun.elapsed().as_secs_f64()
+        self.cluster.begun.elapsed().as_secs_f64()
     }
 
     fn run(&mut self) -> Result<(), TestbedError> {
-        let n = self.ground.plan.instances;
+        let n = self.cluster.plan.instances;
         let everyone: Vec<usize> = (0..n).collect();
-        self.ground
+        self.cluster
             .set_links(&everyone, &everyone, self.scenario.links);
-        (0..n).for_each(|i| self.referee.away(0.0, i, true));
+        (0..n).for_each(|i| self.invariants.set_away(0.0, i, true));
         // Members of two fleets are to each other as if there were no way.
-        let fleets = self.ground.plan.fleets;
+        let fleets = self.cluster.plan.fleets;
         for (i, j) in (0..n)
             .flat_map(|i| (0..n).map(move |j| (i, j)))
             .filter(|(i, j)| i % fleets != j % fleets)
         {
-            self.referee.cut(0.0, i, j, true);
+            self.invariants.set_cut(0.0, i, j, true);
         }
-        self.ground.start_all()?;
+        self.cluster.start_all()?;
         self.note("all started".into());
         let started = Instant::now();
         self.settle("join", started);
         let now = self.now();
-        (0..n).for_each(|i| self.referee.away(now, i, false));
-        self.ground.start_clients();
+        (0..n).for_each(|i| self.invariants.set_away(now, i, false));
+        self.cluster.start_clients();
         self.begun = Instant::now();
         let offset = self.now();
         for step in &self.scenario.steps {
             while self.begun.elapsed().as_secs_f64() < step.at {
-                if self.scenario.trouble.is_some() {
+                if self.scenario.disturbance.is_some() {
                     self.sample();
                 } else {
-                    self.look();
+                    self.observe();
                 }
                 self.listings()?;
-                std::thread::sleep(LOOK);
+                std::thread::sleep(OBSERVE_INTERVAL);
                 self.check_interrupted()?;
             }
             self.step(step)?;
         }
-        let (at, asked) = (self.now(), self.ground.stop_clients());
-        self.referee.caches(at, &self.ground);
-        self.referee.false_deaths(&self.ground);
-        self.requests = self.referee.clients(&asked);
-        self.judge(&asked, offset);
+        let (at, asked) = (self.now(), self.cluster.stop_clients());
+        self.invariants.check_caches(at, &self.cluster);
+        self.invariants.check_false_deaths(&self.cluster);
+        self.requests = self.invariants.check_clients(&asked);
+        self.evaluate_spans(&asked, offset);
         Ok(())
     }
 
@@ -208,12 +159,12 @@
         if at < self.samples.len() as f64 {
             return;
         }
-        let (caches, members) = (self.ground.cache_counts(), self.ground.member_counts());
+        let (caches, members) = (self.cluster.cache_counts(), self.cluster.member_counts());
         let origin = self
-            .ground
+            .cluster
             .origin
             .as_ref()
-            .map(|o| o.counts())
+            .map(Origin::counts)
             .unwrap_or_default();
         self.samples.push(ClusterSample {
             at,
@@ -232,25 +183,25 @@
         self.listings = later;
         for (at, cache, there) in due {
             if there {
-                let age = now.saturating_duration_since(at) + LISTED_AFTER;
+                let age = now.saturating_duration_since(at) + LISTING_DELAY;
                 let born = SystemTime::now().duration_since(UNIX_EPOCH)? - age;
-                self.ground.list_cache(cache, born.as_millis() as u64);
+                self.cluster.list_cache(cache, born.as_millis() as u64);
             } else {
-                self.ground.unlist_cache(cache);
+                self.cluster.unlist_cache(cache);
             }
         }
         Ok(())
     }
 
     /// Judges the spans before, in and after the trouble, where there is one.
-    fn judge(&mut self, asked: &[crate::simulated_services::clients::ClientRequest], offset: f64) {
-        let Some((from, to)) = self.scenario.trouble else {
+    fn evaluate_spans(&mut self, asked: &[ClientRequest], offset: f64) {
+        let Some((from, to)) = self.scenario.disturbance else {
             return;
         };
         let last = self.samples.last().map_or(to, |sample| sample.at);
-        let caches = self.ground.plan.caches;
-        let room = self.scenario.cache.room() * caches as f64;
-        let before = (WARM_UP.min(from), from);
+        let caches = self.cluster.plan.caches;
+        let room = self.scenario.cache.capacity() * caches as f64;
+        let before = (WARM_UP_S.min(from), from);
         for (name, span) in [
             ("before", before),
             ("trouble", (from, to)),
@@ -272,14 +223,15 @@
     }
 
     fn note(&mut self, what: String) {
-        self.done.push((self.now(), what));
+        self.timeline.push((self.now(), what));
     }
 
     /// Holds what members see now against the invariants that always hold.
-    fn look(&mut self) -> Vec<Option<crate::member_process::MemberView>> {
-        let views = self.ground.views();
+    fn observe(&mut self) -> Vec<Option<MemberView>> {
+        let views = self.cluster.views();
         let at = self.now();
-        self.referee.shares(at, &views, self.scenario.shares_most);
+        self.invariants
+            .check_shares(at, &views, self.scenario.max_share_sum);
         views
     }
 
@@ -287,17 +239,17 @@
     fn settle(&mut self, name: &str, since: Instant) {
         let ceiling = Duration::from_secs_f64(self.scenario.ceiling);
         loop {
-            let views = self.look();
+            let views = self.observe();
             // What was true when the last member was asked was so a little earlier.
             let took = since.elapsed();
-            let untrue = if self.ground.plan.fleet {
-                self.referee
-                    .untrue(&self.ground, &views, self.scenario.suspicions)
+            let untrue = if self.cluster.plan.fleet {
+                self.invariants
+                    .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
             } else {
-                let away = |m: &&crate::member_process::MemberProcess| {
-                    m.meant == IntendedState::Up && m.call("/admin/health").is_none()
+                let away = |m: &&MemberProcess| {
+                    m.intended == IntendedState::Up && m.call("/admin/health").is_none()
                 };
-                self.ground
+                self.cluster
                     .members
                     .iter()
                     .find(away)
@@ -313,189 +265,9 @@
                     "{name}: not settled after {:.0} s: {untrue}",
                     took.as_secs_f64()
                 );
-                return self.referee.fail(at, "settles", what);
+                return self.invariants.fail(at, "settles", what);
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
-
-    fn step(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
-        let n = self.ground.plan.instances;
-        let (from, to) = (members(&step.members, n)?, members(&step.to, n)?);
-        self.note(format!(
-            "{:?} {} {}",
-            step.act,
-            step.members,
-            if step.both { "both ways" } else { "" }
-        ));
-        match step.act {
-            ScenarioAction::Kill => self.each(&from, true, |m| m.kill()),
-            ScenarioAction::Stop => self.each(&from, true, |m| m.stop()),
-            ScenarioAction::GoOn => self.each(&from, false, |m| m.go_on()),
-            ScenarioAction::Term => self.each(&from, true, |m| m.term()),
-            ScenarioAction::Start => {
-                for i in &from {
-                    self.ground.members[*i].start()?;
-                }
-                self.back(&from);
-            }
-            ScenarioAction::Roll => {
-                for i in &from {
-                    self.roll(*i)?;
-                    self.look();
-                }
-            }
-            ScenarioAction::Cut => self.links(
-                &from,
-                &to,
-                step.both,
-                LinkFaults {
-                    cut: true,
-                    ..self.scenario.links
-                },
-            ),
-            ScenarioAction::Link => self.links(&from, &to, step.both, step.faults),
-            ScenarioAction::Heal => self.links(&from, &to, step.both, self.scenario.links),
-            ScenarioAction::Load => self
-                .ground
-                .load
-                .set(step.rate.unwrap_or(self.scenario.rate)),
-            ScenarioAction::KillCaches => {
-                for cache in members(&step.members, self.ground.plan.caches)? {
-                    self.ground.kill_cache(cache);
-                    self.listings
-                        .push((Instant::now() + UNLISTED_AFTER, cache, false));
-                }
-            }
-            ScenarioAction::StartCaches => {
-                for cache in members(&step.members, self.ground.plan.caches)? {
-                    self.ground.start_cache(cache)?;
-                    self.listings
-                        .push((Instant::now() + LISTED_AFTER, cache, true));
-                }
-            }
-            ScenarioAction::SlowOrigin => {
-                if let Some(origin) = &self.ground.origin {
-                    origin.slow(step.slow.unwrap_or(1.0));
-                }
-            }
-            ScenarioAction::Wait => {}
-        }
-        let step_done = Instant::now();
-        if let Some(name) = &step.settles {
-            // From the last of it on: processes are killed one after the other.
-            self.settle(name, step_done);
-        }
-        self.check_interrupted()
-    }
-
-    fn each(
-        &mut self,
-        who: &[usize],
-        away: bool,
-        act: impl Fn(&mut crate::member_process::MemberProcess),
-    ) {
-        for i in who {
-            // What is seen of it lies between the two, whatever else the machine does.
-            let before = self.now();
-            act(&mut self.ground.members[*i]);
-            let at = if away { before } else { self.now() };
-            self.referee.away(at, *i, away);
-        }
-    }
-
-    /// They were started: until they are ready they count as away.
-    fn back(&mut self, who: &[usize]) {
-        let ready = |ground: &Cluster| {
-            who.iter()
-                .all(|i| ground.members[*i].call("/admin/health").is_some())
-        };
-        if self.ground.wait(END_MOST, ready).is_none() {
-            let at = self.now();
-            self.referee
-                .fail(at, "starts", format!("{who:?}: not ready in time"));
-        }
-        let at = self.now();
-        who.iter().for_each(|i| self.referee.away(at, *i, false));
-    }
-
-    fn roll(&mut self, i: usize) -> Result<(), TestbedError> {
-        let at = self.now();
-        self.referee.away(at, i, true);
-        self.ground.members[i].term();
-        let ended = self.ground.members[i].ended(END_MOST);
-        if !ended.is_some_and(|status| status.success()) {
-            self.referee
-                .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
-        }
-        self.ground.members[i].start()?;
-        self.back(&[i]);
-        Ok(())
-    }
-
-    fn links(&mut self, from: &[usize], to: &[usize], both: bool, faults: LinkFaults) {
-        let at = self.now();
-        for i in from {
-            for j in to.iter().filter(|j| *j != i) {
-                self.ground.link(*i, *j).set(faults);
-                self.referee.cut(at, *i, *j, faults.cut);
-                if both {
-                    self.ground.link(*j, *i).set(faults);
-                    self.referee.cut(at, *j, *i, faults.cut);
-                }
-            }
-        }
-    }
-
-    fn report(self) -> ScenarioReport {
-        let mut member: BTreeMap<String, f64> = BTreeMap::new();
-        let views: Vec<_> = self.ground.views().into_iter().flatten().collect();
-        let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
-        for name in [
-            "sent",
-            "sent_bytes",
-            "heard",
-            "suspicions",
-            "given_up",
-            "refuted",
-            "returned",
-            "gaps",
-        ] {
-            let figures = views
-                .iter()
-                .filter_map(|v| v.datagrams.get(name)?.as_f64())
-                .collect();
-            member.insert(name.into(), mean(figures));
-        }
-        let memory = self
-            .ground
-            .members
-            .iter()
-            .filter_map(|m| m.memory())
-            .map(|b| b as f64)
-            .collect();
-        member.insert("memory".into(), mean(memory));
-        let (failures, failed) = self.referee.failures();
-        ScenarioReport {
-            scenario: self.scenario.name.clone(),
-            instances: self.ground.plan.instances,
-            seed: self.ground.plan.seed,
-            planted: self.ground.plan.planted.clone(),
-            settled: self.settled,
-            shares_most: self.referee.shares,
-            false_deaths: failures
-                .iter()
-                .filter(|f| f.invariant == "false-death")
-                .count(),
-            requests: self.requests,
-            datagrams: self.ground.datagrams(),
-            seconds: self.seconds,
-            spans: self.spans,
-            recovered_s: self.recovered_s,
-            member,
-            done: self.done,
-            failures: failures.to_vec(),
-            failed,
-        }
-    }
 }
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Debug)]
 pub struct BalancerStatus {
     /// What its clients may do.
-    pub doors: ClientAccess,
+    pub access: ClientAccess,
     /// Its lives so far.
-    pub lives: Vec<ProcessRecord>,
+    pub processes: Vec<ProcessRecord>,
     /// When it stood still.
-    pub stops: Vec<TimeSpan>,
+    pub stalls: Vec<TimeSpan>,
 }
 
 /// The same, shared.
@@ -42,11 +42,12 @@
 
 impl StatusBoard {
     /// For so many balancers.
+    #[must_use]
     pub fn new(balancers: usize) -> Self {
         let none = BalancerStatus {
-            doors: ClientAccess::Shut,
-            lives: Vec::new(),
-            stops: Vec::new(),
+            access: ClientAccess::Shut,
+            processes: Vec::new(),
+            stalls: Vec::new(),
         };
         StatusBoard(Arc::new(Mutex::new(vec![none; balancers])))
     }
@@ -68,16 +69,27 @@
     pub descriptors: usize,
 }
 
-/// One balancer.
-pub struct Balancer {
-    number: usize,
+/// What a balancer is started with.
+pub struct BalancerSpec {
+    /// Its number, from 0.
+    pub number: usize,
     /// Where clients connect.
     pub listen: SocketAddr,
-    program: PathBuf,
-    config: Value,
-    folder: PathBuf,
-    clock: Clock,
-    board: StatusBoard,
+    /// The program.
+    pub program: PathBuf,
+    /// Its configuration.
+    pub config: Value,
+    /// Where its configuration and its log are written.
+    pub folder: PathBuf,
+    /// The clock of the trial.
+    pub clock: Clock,
+    /// Where its status is shown.
+    pub status: StatusBoard,
+}
+
+/// One balancer.
+pub struct Balancer {
+    spec: BalancerSpec,
     child: Option<ChildGuard>,
 }
 
@@ -89,29 +101,19 @@
 
 impl Balancer {
     /// One that is not started yet.
-    pub fn new(
-        number: usize,
-        listen: SocketAddr,
-        program: PathBuf,
-        config: Value,
-        folder: PathBuf,
-        clock: Clock,
-        board: StatusBoard,
-    ) -> Self {
-        Balancer {
-            number,
-            listen,
-            program,
-            config,
-            folder,
-            clock,
-            board,
-            child: None,
-        }
+    #[must_use]
+    pub fn new(spec: BalancerSpec) -> Self {
+        Balancer { spec, child: None }
+    }
+
+    /// Where clients connect.
+    #[must_use]
+    pub fn listen(&self) -> SocketAddr {
+        self.spec.listen
     }
 
     fn public<T>(&self, change: impl FnOnce(&mut BalancerStatus) -> T) -> T {
-        change(&mut self.board.lock()[self.number])
+        change(&mut self.spec.status.lock()[self.spec.number])
     }
 
     /// Writes a key of its configuration; heeded at its next start, or when it is read again.
@@ -120,9 +122,10 @@
     ///
     /// If the file can't be written.
     pub fn configure(&mut self, key: &str, value: Value) -> Result<PathBuf, TestbedError> {
-        self.config[key] = value;
-        let path = self.folder.join(format!("n{}.json", self.number));
-        std::fs::write(&path, self.config.to_string()).map_err(|e| TestbedError::file(&path, e))?;
+        self.spec.config[key] = value;
+        let path = self.spec.folder.join(format!("n{}.json", self.spec.number));
+        std::fs::write(&path, self.spec.config.to_string())
+            .map_err(|e| TestbedError::file(&path, e))?;
         Ok(path)
     }
 
@@ -134,7 +137,7 @@
     pub fn start(&mut self, known: Value) -> Result<(), TestbedError> {
         self.kill();
         let path = self.configure("known", known)?;
-        let log = self.folder.join(format!("n{}.log", self.number));
+        let log = self.spec.folder.join(format!("n{}.log", self.spec.number));
         let problem = |e| TestbedError::file(&log, e);
         let stderr = File::options()
             .create(true)
@@ -142,30 +145,31 @@
             .open(&log)
             .map_err(problem)?;
         let stdout = stderr.try_clone().map_err(problem)?;
-        let mut command = process::balancer_command(&self.program, &path);
+        let mut command = process::balancer_command(&self.spec.program, &path);
         self.child = Some(ChildGuard::spawn(command.stdout(stdout).stderr(stderr))?);
-        let started = self.clock.now();
+        let started = self.spec.clock.now();
         self.public(|me| {
-            me.lives.push(ProcessRecord {
+            me.processes.push(ProcessRecord {
                 started,
                 ..ProcessRecord::default()
-            })
+            });
         });
         Ok(())
     }
 
     /// Asks whether it is ready, if it is not known to be.
-    pub fn look(&mut self) {
+    pub fn update_readiness(&mut self) {
         let shut = self.public(|me| {
-            me.doors == ClientAccess::Shut && me.lives.last().is_some_and(|l| l.ready.is_none())
+            me.access == ClientAccess::Shut
+                && me.processes.last().is_some_and(|l| l.ready.is_none())
         });
         if self.child.is_none() || !shut || !self.says_ready() {
             return;
         }
-        let now = self.clock.now();
+        let now = self.spec.clock.now();
         self.public(|me| {
-            me.doors = ClientAccess::Open;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Open;
+            if let Some(life) = me.processes.last_mut() {
                 life.ready = Some(now);
             }
         });
@@ -173,7 +177,7 @@
 
     fn says_ready(&self) -> bool {
         let wait = Duration::from_millis(20);
-        let asked = TcpStream::connect_timeout(&self.listen, wait).and_then(|mut stream| {
+        let asked = TcpStream::connect_timeout(&self.spec.listen, wait).and_then(|mut stream| {
             stream.set_read_timeout(Some(wait))?;
             stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
             let mut answer = [0; 7];
@@ -192,10 +196,10 @@
 
     /// Asks it to end.
     pub fn term(&mut self) {
-        let now = self.clock.now();
+        let now = self.spec.clock.now();
         self.public(|me| {
-            me.doors = ClientAccess::Ending;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Ending;
+            if let Some(life) = me.processes.last_mut() {
                 life.asked_to_end = Some(now);
             }
         });
@@ -203,13 +207,13 @@
     }
 
     /// Lets it stand still for so long.
-    pub fn hold_up(&self, span: Duration) {
-        let from = self.clock.now();
+    pub fn stall(&self, span: Duration) {
+        let from = self.spec.clock.now();
         self.signal(Signal::SIGSTOP);
         std::thread::sleep(span);
         self.signal(Signal::SIGCONT);
-        let to = self.clock.now();
-        self.public(|me| me.stops.push(TimeSpan { from, to }));
+        let to = self.spec.clock.now();
+        self.public(|me| me.stalls.push(TimeSpan { from, to }));
     }
 
     /// Whether it runs; notes its end.
@@ -220,11 +224,11 @@
         let Ok(Some(status)) = child.try_wait() else {
             return true;
         };
-        let now = self.clock.now();
+        let now = self.spec.clock.now();
         self.child = None;
         self.public(|me| {
-            me.doors = ClientAccess::Shut;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Shut;
+            if let Some(life) = me.processes.last_mut() {
                 let asked = life.asked_to_end.is_some();
                 life.ended = Some((now, asked && status.success()));
             }
@@ -240,10 +244,10 @@
         let Some(child) = self.child.take() else {
             return;
         };
-        let now: Nanos = self.clock.now();
+        let now: Nanos = self.spec.clock.now();
         self.public(|me| {
-            me.doors = ClientAccess::Shut;
-            if let Some(life) = me.lives.last_mut() {
+            me.access = ClientAccess::Shut;
+            if let Some(life) = me.processes.last_mut() {
                 life.killed = Some(now);
             }
         });
@@ -254,13 +258,14 @@
     pub fn counters(&self) -> BTreeMap<String, u64> {
         self.signal(Signal::SIGUSR1);
         std::thread::sleep(Duration::from_millis(100));
-        let log = self.folder.join(format!("n{}.log", self.number));
+        let log = self.spec.folder.join(format!("n{}.log", self.spec.number));
         let text = std::fs::read_to_string(log).unwrap_or_default();
         let counters = text.lines().rev().find_map(process::parse_counters);
         counters.unwrap_or_default()
     }
 
     /// What it has used so far.
+    #[must_use]
     pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.child.as_ref()?.id();
         Some(ProcessUsage {
