--- a/crates/routing/src/actions.rs
+++ b/crates/routing/src/actions.rs
@@ -28,32 +28,32 @@
 
 reasons! {
     /// Too small a fraction of recent requests was answered in time.
-    FleetOverload = "fleet",
+    FleetOverload = "fleet_overload",
     /// All balancers shed requests of this tier for now.
-    FleetShedding = "level",
+    FleetShedding = "fleet_shedding",
     /// The key is probably not cached, and fetches from the origin fail or are slow.
-    OriginProtection = "origin",
+    OriginProtection = "origin_protection",
     /// Every eligible candidate is at its concurrency limit.
-    ConcurrencyLimit = "limit",
+    ConcurrencyLimit = "concurrency_limit",
     /// A candidate's limit is under one, and the time between two attempts has not passed.
-    Pacing = "spacing",
+    Pacing = "pacing",
     /// A candidate is in slow start and its budget is spent.
-    SlowStart = "cold",
+    SlowStart = "slow_start",
     /// The endpoint list is empty.
-    NoEndpoints = "no_list",
+    NoEndpoints = "no_endpoints",
     /// No endpoint may receive the request, or all attempts are used.
-    NoEligibleEndpoint = "nowhere",
+    NoEligibleEndpoint = "no_eligible_endpoint",
     /// The deadline has passed.
     #[default]
-    DeadlineExceeded = "late",
+    DeadlineExceeded = "deadline_exceeded",
     /// Endpoints reject so much that another attempt would most likely fail.
-    RetryFutile = "vain",
+    RetryFutile = "retry_futile",
     /// Fetches fail so often that another attempt would prolong the origin's overload.
-    OriginOverload = "distress",
+    OriginOverload = "origin_overload",
     /// The budget for hedges or retries is spent.
-    BudgetExhausted = "budget",
+    BudgetExhausted = "budget_exhausted",
     /// An endpoint answered that the request itself is invalid.
-    InvalidRequest = "unfit",
+    InvalidRequest = "invalid_request",
     /// The settings have no such class.
     UnknownClass = "unknown_class",
 }
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -18,7 +18,7 @@
 
 fn sample(at: f64, attempts: u64, refused: u64) -> ClusterSample {
     let members = [
-        ("rejected.limit".to_string(), refused),
+        ("rejected.concurrency_limit".to_string(), refused),
         ("hedges".to_string(), attempts / 10),
     ]
     .into();
@@ -65,7 +65,7 @@
         span.share_of_optimum
     );
     assert!((span.attempts_per_request - 120.0 / 41.0).abs() < 1e-9);
-    assert_eq!(span.rejections_by_reason["limit"], 20);
+    assert_eq!(span.rejections_by_reason["concurrency_limit"], 20);
     assert!((span.health_checks_per_cache_s - 15.0).abs() < 1e-9);
 }
 
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -87,8 +87,8 @@
     let counts = cluster.member_counts();
     let of = |name: &str| counts.get(name).copied().unwrap_or(0);
     (
-        of("rejected.level"),
-        of("rejected.limit") + of("rejected.spacing"),
+        of("rejected.fleet_shedding"),
+        of("rejected.concurrency_limit") + of("rejected.pacing"),
     )
 }
 
