--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::actions::DecisionReason;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::estimators::{LatencyMean, WorkPace};
-use crate::events::{Endpoint, EndpointState, UpdateKind};
+use crate::events::{Endpoint, EndpointState, LoadReport, UpdateKind};
 use crate::fleet_size::FleetSize;
 use crate::identifiers::{AttemptNumber, EndpointId, Nanos, RequestId};
 use crate::outlier_detection::EndpointHealth;
@@ -96,6 +96,11 @@
         Some(self.in_flight.remove(position))
     }
 
+    pub(crate) fn record_load_report(&mut self, report: &LoadReport) {
+        let is_ratio = |ratio: &f64| (0.0..=1.0).contains(ratio);
+        self.hit_ratio = report.hit_ratio.filter(is_ratio).unwrap_or(self.hit_ratio);
+    }
+
     /// Adds the latency of a hit.
     pub(crate) fn record_hit_latency(&mut self, latency: Nanos, estimated_work: Option<Nanos>) {
         self.latency
--- a/crates/routing/src/engine/answers.rs
+++ b/crates/routing/src/engine/answers.rs
@@ -103,8 +103,8 @@
     /// that have waited too long. They are not sent to whichever endpoint has capacity: scattered
     /// reads would displace what is cached there, and ever more would have to be fetched.
     pub(super) fn retry_queued(&mut self) {
-        for id in self.queue.by_priority(&self.requests, &self.settings) {
-            self.update_request(id, |engine, request| {
+        for queued in self.queue.by_priority(&self.requests, &self.settings) {
+            self.update_request(queued.id, |engine, request| {
                 engine.advance(request);
                 engine.reject_if_queued_too_long(request);
             });
--- a/crates/routing/src/engine/attempt_results.rs
+++ b/crates/routing/src/engine/attempt_results.rs
@@ -35,18 +35,13 @@
         let is_idle =
             record.in_flight.is_empty() && result.outcome != AttemptOutcome::ConnectFailed;
         record.idle_since = is_idle.then_some(self.now);
-        let reported = result.load_report.and_then(|report| report.hit_ratio);
-        record.hit_ratio = reported
-            .filter(|ratio| (0.0..=1.0).contains(ratio))
-            .unwrap_or(record.hit_ratio);
+        if let Some(report) = &result.load_report {
+            record.record_load_report(report);
+        }
         if let (Some(rank), Some(status)) = (context.rank, result.cache_status) {
             self.placement.record_cache_status(rank, status);
         }
-        let is_answer = matches!(
-            result.outcome,
-            AttemptOutcome::Ok | AttemptOutcome::CacheMiss
-        );
-        if is_answer {
+        if result.outcome.is_answer() {
             self.record_answer(result, &context);
         }
         self.record_failure(result, &context, attempt);
@@ -66,12 +61,15 @@
         };
         let id = result.endpoint;
         let is_read = !details.is_write;
-        let mut candidates = self.placement.candidates(slot).into_iter();
-        let rank = candidates.position(|candidate| candidate == id);
+        let rank_of_endpoint = || {
+            let mut candidates = self.placement.candidates(slot).into_iter();
+            candidates.position(|candidate| candidate == id)
+        };
+        let rank = is_read.then(rank_of_endpoint).flatten();
         let is_cached = is_read && self.placement.recent_keys.is_cached(details.key, id);
         ResultContext {
             details: Some(details),
-            rank: rank.filter(|_| is_read),
+            rank,
             is_timeout_evidence: self.is_timeout_evidence(&details),
             is_rejection_for_capacity: self.settings.origin != OriginMode::ReadThrough || is_cached,
         }
@@ -137,17 +135,13 @@
         };
         record.health.record_failure(evidence);
         let is_rejection = result.outcome == AttemptOutcome::Rejected;
-        let is_answer = matches!(
-            result.outcome,
-            AttemptOutcome::Ok | AttemptOutcome::CacheMiss
-        );
         if is_rejection && context.is_rejection_for_capacity
             || result.outcome == AttemptOutcome::Timeout && context.is_timeout_evidence
         {
             record.limit.record_overload();
         }
         let failure = if is_rejection { 1.0 } else { evidence.weight() };
-        if failure > 0.0 || is_answer {
+        if failure > 0.0 || result.outcome.is_answer() {
             self.outliers.update_failure_ratio(failure);
             record.health.update_failure_ratio(failure > 0.0);
         }
--- a/crates/routing/src/engine/housekeeping.rs
+++ b/crates/routing/src/engine/housekeeping.rs
@@ -63,13 +63,13 @@
             if is_ejected {
                 self.actions.push(ejection_log(record.listed.id));
             }
-            let capacity = || {
+            let is_active_cache = record.is_active() && !interpretation.is_origin(&record.listed);
+            let ready_weight = is_active_cache.then(|| {
                 let slow_start = &record.slow_start;
-                slow_start.capacity_fraction(self.now, &self.settings.rules)
-            };
-            let is_origin = interpretation.is_origin(&record.listed);
-            let weight = interpretation.weight(&record.listed);
-            summary.add(record, is_origin, || weight * capacity());
+                let capacity = slow_start.capacity_fraction(self.now, &self.settings.rules);
+                interpretation.weight(&record.listed) * capacity
+            });
+            summary.add(record, ready_weight);
         }
         summary
     }
@@ -99,24 +99,17 @@
 }
 
 impl FleetSummary {
-    fn add(
-        &mut self,
-        record: &EndpointRecord,
-        is_origin: bool,
-        ready_weight: impl FnOnce() -> f64,
-    ) {
+    /// Adds an endpoint; `ready_weight` is that of an active cache.
+    fn add(&mut self, record: &EndpointRecord, ready_weight: Option<f64>) {
         let id = record.listed.id;
         let idle_since = record.idle_since;
         self.idle
             .extend(idle_since.map(|since| IdleEndpoint { since, id }));
-        if !record.is_active() {
-            return;
-        }
-        self.unhealthy += usize::from(record.health.is_unhealthy());
-        if !is_origin {
+        self.unhealthy += usize::from(record.is_active() && record.health.is_unhealthy());
+        if let Some(weight) = ready_weight {
             let latency = record.latency.recent();
             self.latencies.extend((latency > 0.0).then_some(latency));
-            self.ready_weight += ready_weight();
+            self.ready_weight += weight;
         }
     }
 }
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -97,6 +97,11 @@
 }
 
 impl AttemptOutcome {
+    /// Whether the endpoint answered the attempt.
+    pub(crate) fn is_answer(self) -> bool {
+        matches!(self, AttemptOutcome::Ok | AttemptOutcome::CacheMiss)
+    }
+
     /// Whether this outcome proves that the attempt had no effect.
     #[must_use]
     pub fn proves_no_effect(self) -> bool {
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -34,25 +34,46 @@
         self.requests.is_empty()
     }
 
-    /// The queued requests in the order in which they are tried: within quota first, then by
-    /// priority weight, then by age.
+    /// The queued requests in the order in which they are tried.
     pub(crate) fn by_priority(
         &self,
         open: &BTreeMap<RequestId, Request>,
         settings: &Settings,
-    ) -> Vec<RequestId> {
-        let weight = |request: &Request| settings.class(request.details.class).priority_weight;
-        let by_priority = |a: &&Request, b: &&Request| -> Ordering {
-            let age = |request: &Request| (request.arrived_at, request.details.id);
-            a.is_over_quota
-                .cmp(&b.is_over_quota)
-                .then(weight(b).total_cmp(&weight(a)))
-                .then_with(|| age(a).cmp(&age(b)))
-        };
-        let queued = self.requests.iter();
-        let mut queued: Vec<&Request> = queued.filter_map(|id| open.get(id)).collect();
-        queued.sort_by(by_priority);
-        queued.iter().map(|request| request.details.id).collect()
+    ) -> Vec<QueuedRequest> {
+        let queued = self.requests.iter().filter_map(|id| open.get(id));
+        let mut queued: Vec<QueuedRequest> = queued
+            .map(|request| QueuedRequest::new(request, settings))
+            .collect();
+        queued.sort_by(QueuedRequest::compare_priority);
+        queued
+    }
+}
+
+/// A queued request with what its priority depends on.
+pub(crate) struct QueuedRequest {
+    pub(crate) id: RequestId,
+    is_over_quota: bool,
+    priority_weight: f64,
+    arrived_at: Nanos,
+}
+
+impl QueuedRequest {
+    fn new(request: &Request, settings: &Settings) -> Self {
+        QueuedRequest {
+            id: request.details.id,
+            is_over_quota: request.is_over_quota,
+            priority_weight: settings.class(request.details.class).priority_weight,
+            arrived_at: request.arrived_at,
+        }
+    }
+
+    /// Within quota first, then by priority weight, then by age.
+    fn compare_priority(&self, other: &Self) -> Ordering {
+        self.is_over_quota
+            .cmp(&other.is_over_quota)
+            .then(other.priority_weight.total_cmp(&self.priority_weight))
+            .then(self.arrived_at.cmp(&other.arrived_at))
+            .then(self.id.cmp(&other.id))
     }
 }
 
