--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -14,10 +14,6 @@
 
 /// Hit ratio of an endpoint that has not reported one.
 const INITIAL_HIT_RATIO: f64 = 0.5;
-/// Weight of a new sample in an endpoint's mean latency.
-pub(crate) const LATENCY_GAIN: f64 = 0.1;
-/// Rise of the baseline latency with each answer.
-const BASELINE_CREEP: f64 = 0.0003;
 /// Weight of a new sample in the time that estimated work takes.
 pub(crate) const WORK_PACE_GAIN: f64 = 0.05;
 /// Bounds of a listed weight.
@@ -103,8 +99,7 @@
 
     /// Adds the latency of a hit.
     pub(crate) fn record_hit_latency(&mut self, latency: Nanos, estimated_work: Option<Nanos>) {
-        self.latency
-            .add(latency as f64, LATENCY_GAIN, BASELINE_CREEP);
+        self.latency.add(latency);
         if let Some(work) = estimated_work {
             self.work_pace
                 .add(latency as f64, work as f64, WORK_PACE_GAIN);
--- a/crates/routing/src/engine/tests/concurrency_limit.rs
+++ b/crates/routing/src/engine/tests/concurrency_limit.rs
@@ -10,7 +10,7 @@
     ConcurrencyLimit, HIT_INCREASE, HIT_LIMIT_FRACTION, INCREASE_BEYOND_KNEE, INITIAL_FLEET_LIMIT,
     MIN_LIMIT,
 };
-use crate::endpoints::{InFlightAttempt, LATENCY_GAIN};
+use crate::endpoints::InFlightAttempt;
 use crate::engine::Engine;
 use crate::estimators::LatencyMean;
 use crate::events::{
@@ -119,7 +119,7 @@
     for limit_before in [knee - 0.1, knee + 0.1] {
         set_limit(&mut engine, FIRST, limit_before);
         let mut latency = LatencyMean::default();
-        latency.add(10e6, LATENCY_GAIN, 0.0);
+        latency.add(10 * MS);
         engine.record_mut(FIRST).latency = latency;
         put_in_flight(&mut engine, 4);
         answer_hit(&mut engine, 0, 10 * MS);
--- a/crates/routing/src/engine/tests/origin_protection.rs
+++ b/crates/routing/src/engine/tests/origin_protection.rs
@@ -4,7 +4,6 @@
     MS, arrive, attempt_result, candidates_of_key_9, end_first_attempt, engine, is_send,
     new_engine, open_read, read_request, settings_of_fleet,
 };
-use crate::endpoints::LATENCY_GAIN;
 use crate::engine::Engine;
 use crate::estimators::LatencyMean;
 use crate::events::{AttemptOutcome, AttemptResult, CacheStatus, EndpointState, Event};
@@ -47,7 +46,7 @@
     );
     let mut fetch_latency = LatencyMean::default();
     for latency in std::iter::repeat_n(50e6, 20).chain(std::iter::repeat_n(100e6, 200)) {
-        fetch_latency.add(latency, LATENCY_GAIN, 0.0);
+        fetch_latency.add_with_creep(latency, 0.0);
     }
     let admitted_fraction = engine.origin.admitted_fraction();
     engine.origin.restore(admitted_fraction, fetch_latency);
--- a/crates/routing/src/engine/tests/placement.rs
+++ b/crates/routing/src/engine/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: ranks, weighted draws, keys that stay where they are cached.
 
 use super::{MS, candidates_of_key_9, endpoint, engine, open_read};
-use crate::endpoints::{InFlightAttempt, LATENCY_GAIN, WORK_PACE_GAIN};
+use crate::endpoints::{InFlightAttempt, WORK_PACE_GAIN};
 use crate::engine::Engine;
 use crate::engine::selection::Selection;
 use crate::estimators::LatencyMean;
@@ -173,7 +173,7 @@
     let first = candidates_of_key_9(&mut engine)[0];
     let set_latency = |engine: &mut Engine, id: EndpointId, ms: f64| {
         let mut unloaded = LatencyMean::default();
-        unloaded.add(10e6, LATENCY_GAIN, 0.0);
+        unloaded.add(10 * MS);
         let [_, baseline, samples] = unloaded.to_stored();
         engine.record_mut(id).latency = LatencyMean::from_stored([ms * 1e6, baseline, samples]);
     };
--- a/crates/routing/src/estimators.rs
+++ b/crates/routing/src/estimators.rs
@@ -15,6 +15,12 @@
 /// The greatest weight of a bucket that is accepted from another process.
 const MAX_BUCKET_WEIGHT: f64 = 1e9;
 
+/// Weight of a new sample in a mean latency.
+const LATENCY_GAIN: f64 = 0.1;
+/// Rise of the baseline of a mean latency with each sample, so that an exceptional low is
+/// forgotten.
+const BASELINE_CREEP: f64 = 0.0003;
+
 /// A quantile of latencies, over a histogram in which old samples decay.
 pub(crate) struct LatencyQuantile {
     buckets: Vec<f64>,
@@ -125,13 +131,18 @@
         self.baseline
     }
 
-    /// Adds a sample with this weight. The baseline is the least mean so far and rises by `creep`
-    /// with each sample, so that an exceptional low is forgotten. While the first samples arrive
-    /// it equals their plain mean: one quick answer must not make all later ones look slow.
-    pub(crate) fn add(&mut self, sample: f64, gain: f64, creep: f64) {
+    /// Adds a latency. The baseline is the least mean so far, which slowly rises. While the first
+    /// samples arrive it equals their plain mean: one quick answer must not make all later ones
+    /// look slow.
+    pub(crate) fn add(&mut self, latency: Nanos) {
+        self.add_with_creep(latency as f64, BASELINE_CREEP);
+    }
+
+    /// Adds a latency; the baseline rises by `creep`.
+    pub(crate) fn add_with_creep(&mut self, latency: f64, creep: f64) {
         self.samples += 1.0;
-        self.recent += gain.max(1.0 / self.samples) * (sample - self.recent);
-        let is_settling = self.samples * gain <= 1.0;
+        self.recent += LATENCY_GAIN.max(1.0 / self.samples) * (latency - self.recent);
+        let is_settling = self.samples * LATENCY_GAIN <= 1.0;
         self.baseline = if is_settling {
             self.recent
         } else {
--- a/crates/routing/src/origin_protection.rs
+++ b/crates/routing/src/origin_protection.rs
@@ -24,10 +24,6 @@
 /// The part of a concurrency limit open to reads that probably miss while the origin is well: a
 /// read that leaves the endpoint that has its key cached is fetched again.
 pub(crate) const MISS_LIMIT_FRACTION: f64 = 0.6;
-/// Weight of a new sample in the fetch latency.
-const LATENCY_GAIN: f64 = 0.1;
-/// Rise of the fetch latency's baseline with each sample.
-const BASELINE_CREEP: f64 = 0.0003;
 
 /// What this balancer knows of fetches from the origin.
 pub(crate) struct OriginProtection {
@@ -82,8 +78,7 @@
         fleet: FleetSize,
     ) {
         if status.is_some() {
-            self.fetch_latency
-                .add(latency as f64, LATENCY_GAIN, BASELINE_CREEP);
+            self.fetch_latency.add(latency);
         }
         let is_slow = self.fetch_latency.recent() > SLOW_RATIO * self.fetch_latency.baseline();
         self.adjust(if is_slow { SLOW_FACTOR } else { SUCCESS_FACTOR }, fleet);
--- a/crates/routing/src/rendezvous/tests.rs
+++ b/crates/routing/src/rendezvous/tests.rs
@@ -12,7 +12,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 thread_local! {
-    /// Hashes of a slot and a cache that were computed in this thread: the measure of the table's work.
+    /// Hashes of a slot and a cache that were computed in this thread: the measure of the table's
+    /// work.
     static HASHES: Cell<usize> = const { Cell::new(0) };
 }
 
@@ -89,14 +90,15 @@
     }
 
     fn any(&mut self) -> u64 {
-        let chosen = self.below(self.caches.len());
-        *self.caches.keys().nth(chosen).expect("there are some")
+        let selected = self.below(self.caches.len());
+        *self.caches.keys().nth(selected).expect("there are some")
     }
 
-    /// One change of the list: a join, a drain, a restart, another weight, a removal, or a full list.
+    /// One change of the list: a join, a drain, a restart, another weight, a removal, or a full
+    /// list.
     fn step(&mut self, next_id: u64) {
-        let chosen = self.any();
-        let entry = self.caches[&chosen];
+        let selected = self.any();
+        let entry = self.caches[&selected];
         match self.below(6) {
             0 => self.join(next_id),
             1 => self.list(Endpoint {
@@ -108,9 +110,9 @@
                 started: entry.started + 1,
                 ..entry
             }),
-            3 => self.join(chosen),
+            3 => self.join(selected),
             4 => {
-                self.caches.remove(&chosen);
+                self.caches.remove(&selected);
                 let removed = Endpoint {
                     state: EndpointState::Removed,
                     ..entry
@@ -118,7 +120,7 @@
                 self.update(UpdateKind::Delta, vec![removed]);
             }
             _ => {
-                self.caches.remove(&chosen);
+                self.caches.remove(&selected);
                 self.caches.insert(
                     next_id,
                     Endpoint {
@@ -174,14 +176,14 @@
         (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot));
         changes.list(entry);
         let slots = 0..SLOTS;
-        let anew = slots
+        let affected = slots
             .filter(|slot| hashes(|| _ = changes.table().candidates(*slot)) > 1)
             .count();
         assert_eq!(
             hashes(|| (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot))),
             0
         );
-        anew
+        affected
     };
     let due = CANDIDATES * SLOTS / count as usize;
     let near = due * 3 / 4..due * 5 / 4;
@@ -256,7 +258,7 @@
         )
     };
     let all: BTreeMap<u64, Endpoint> = (0..caches).map(entry).collect();
-    // Only those slots are interesting that one of the last caches is a candidate of; some have none.
+    // Only slots matter that one of the last caches is a candidate of; some have none.
     let late = |slot: &usize| {
         sorted(&all, *slot)[..CANDIDATES]
             .iter()
