--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -3,9 +3,11 @@
 
 mod error;
 mod fleet;
+mod settings_checksum;
 
 pub use error::{ConfigError, ConfigProblem};
 pub use fleet::FleetConfig;
+pub use settings_checksum::settings_checksum;
 
 use crate::discovery::EndpointList;
 use fleet::FleetFile;
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -2,11 +2,11 @@
 //! are divided, and how much the fleet sheds.
 
 use super::{EventLoop, StartupError};
+use crate::config::settings_checksum;
 use crate::gossip::GossipTransport;
 use crate::timers::TimerKind;
 use membership::{MemberMetadata, ServingPhase};
 use routing::{Event, Nanos};
-use xxhash_rust::xxh3::xxh3_64;
 
 impl EventLoop {
     /// Joins the fleet, where one is configured.
@@ -37,14 +37,13 @@
 
     /// What this balancer tells other members of itself at its start.
     fn metadata(&self) -> MemberMetadata {
-        // Balancers of one fleet differ in names and addresses, but not in their settings.
-        let checksum = xxh3_64(format!("{:?}", self.config.settings).as_bytes());
         MemberMetadata {
             name: self.config.name.clone(),
             listen_address: self.listener.address().unwrap_or(self.config.listen),
             phase: ServingPhase::Joining,
             build: env!("CARGO_PKG_VERSION").into(),
-            config_checksum: checksum,
+            // Balancers of one fleet differ in names and addresses, but not in their settings.
+            config_checksum: settings_checksum(&self.config.settings),
             request_rate_tenths: 0,
             places: 1,
             extension: Vec::new(),
