--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -1,4 +1,4 @@
-//! Processing of ready sockets, in the order in which their news matters to each other: endpoint
+//! Processing of ready sockets, in the order in which one matters to the next: endpoint
 //! updates first, outcomes before new requests, so that the engine decides by the latest state.
 //! What waits to be written goes last, behind disconnects and endpoint updates of the same poll.
 
--- a/crates/balancer/src/event_loop/tests/deadlines.rs
+++ b/crates/balancer/src/event_loop/tests/deadlines.rs
@@ -41,7 +41,7 @@
         window_ms: 100,
         ..DEFAULTS
     });
-    // A keyed write's first try has three quarters of the window.
+    // A keyed write's first attempt has three quarters of the window.
     harness.send_request("put", 50_000);
     let _cache = harness.accept(0);
     harness.run_until(|event_loop| {
@@ -63,7 +63,7 @@
     cache.write_all(VALUE).unwrap();
     let answer = harness.wait(UPSTREAM_0);
     let asked = harness.event_loop.clock.now();
-    // The answer, the try's time-out and the module's deadline, all due.
+    // The answer, the attempt's timeout and the engine's deadline, all due.
     harness.turn_at(asked + 1_020 * MS, answer);
     harness.turn(&[]);
     assert_eq!(received(&mut harness.clients[0]), "$1\r\nv\r\n");
--- a/crates/balancer/src/event_loop/tests/disconnects.rs
+++ b/crates/balancer/src/event_loop/tests/disconnects.rs
@@ -91,7 +91,7 @@
         cancel,
         ..DEFAULTS
     });
-    // The copy is due after half of this.
+    // The hedge is due after half of this.
     let (_, _cache) = harness.forwarded("read", 400);
     drop(harness.clients.pop());
     let due = harness.event_loop.clock.now() + 200 * MS;
@@ -135,13 +135,13 @@
     assert_eq!(harness.event_loop.attempt_tracker.open(), 1_000);
     assert!(
         harness.event_loop.counters.attempts < 100,
-        "most are held: {}",
+        "most are queued: {}",
         harness.event_loop.counters.attempts
     );
     harness.clients.clear();
     let all: Vec<EventSource> = (0..8).map(EventSource::Client).collect();
     harness.turn(&all);
-    let tries = harness.event_loop.counters.attempts;
+    let attempts = harness.event_loop.counters.attempts;
     assert_eq!(
         (
             harness.event_loop.attempt_tracker.open(),
@@ -151,12 +151,12 @@
         (0, 0, 1_000)
     );
     let asked = harness.event_loop.clock.now();
-    // The module releases what it holds ten times a second.
+    // The engine releases queued requests ten times a second.
     while harness.event_loop.clock.now() < asked + 300 * MS {
         harness.turn(&[]);
     }
     assert_eq!(
-        harness.event_loop.counters.attempts, tries,
+        harness.event_loop.counters.attempts, attempts,
         "none is sent later"
     );
 }
--- a/crates/balancer/src/event_loop/tests/discovery.rs
+++ b/crates/balancer/src/event_loop/tests/discovery.rs
@@ -24,7 +24,8 @@
     let drains = json!({"seq": 8, "hosts": [
         {"host": format!("s-{other}"), "dial": local(&harness.caches[other]), "health": "terminating"}]});
     harness.send_list(&drains.to_string());
-    // The outcome, by which the other is asked next, and behind it the news that it drains.
+    // The outcome that makes the other the next candidate, and behind it the update that it
+    // drains.
     harness.turn(&[UPSTREAM_0, EventSource::Discovery(0)]);
     assert_eq!(
         (
@@ -96,7 +97,7 @@
         stands
     );
     harness.event_loop.run_decisions();
-    // A second empty line is no news of it either.
+    // A second empty line does not say it again.
     if stands {
         watch.write_all(b"\n").unwrap();
         let ready = harness.wait(EventSource::Discovery(0));
@@ -126,7 +127,7 @@
         .event_loop
         .listener
         .address()
-        .expect("the door is open");
+        .expect("the listener is open");
     let _idle: Vec<TcpStream> = (0..2 * places)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
@@ -145,7 +146,7 @@
     assert!(open <= places as u64, "{open} of {places}");
     assert!(
         places + 8 < SOCKETS,
-        "{places}: the rest is for caches, discovery and the door"
+        "{places}: the rest is for caches, discovery and the listener"
     );
     harness.turn(&[EventSource::Discovery(1)]);
     harness.discovery.accept().expect("it is called again");
--- a/crates/balancer/src/event_loop/tests/dispatch.rs
+++ b/crates/balancer/src/event_loop/tests/dispatch.rs
@@ -66,7 +66,7 @@
     harness
         .event_loop
         .process_ready(&mut vec![asks], PollOutcome::Completed);
-    // Held up between the look and the decision; discovery tells of a drain meanwhile.
+    // A stall between the poll and the decision; discovery lists the cache as draining meanwhile.
     harness.event_loop.poll_timestamps =
         PollTimestamps::start(harness.event_loop.clock.now().saturating_sub(1_000 * MS));
     harness.event_loop.run_decisions();
--- a/crates/balancer/src/event_loop/tests/harness.rs
+++ b/crates/balancer/src/event_loop/tests/harness.rs
@@ -54,7 +54,7 @@
         let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
         let caches: Vec<TcpListener> = (0..options.caches).map(|_| listen()).collect();
         let discovery = listen();
-        // Also for what it accepts: a step that does not come fails, and does not hang.
+        // Also for what it accepts: a step that is missing fails, and does not hang.
         SockRef::from(&discovery)
             .set_read_timeout(Some(TEST_TIMEOUT))
             .unwrap();
@@ -92,7 +92,7 @@
             self.event_loop
                 .listener
                 .address()
-                .expect("the door is open"),
+                .expect("the listener is open"),
         )
         .unwrap();
         client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -101,7 +101,7 @@
         self.clients.len() - 1
     }
 
-    /// A new client asks, and the module has decided.
+    /// A new client sends a request, and the engine has decided.
     pub(super) fn send_request(&mut self, class: &str, d: u64) {
         let number = self.connect_client();
         let fields = format!("c={class},d={d}");
@@ -139,7 +139,7 @@
         self.process(ready);
     }
 
-    /// A turn behind a look that reports just these, and as many more without any as attempts wait
+    /// A turn after a poll that reports just these, and as many more without any as attempts wait
     /// for, however slow the machine is.
     pub(super) fn process(&mut self, mut ready: Vec<Readiness>) {
         loop {
@@ -174,7 +174,7 @@
     pub(super) fn run_until(&mut self, is_so: impl Fn(&EventLoop) -> bool) {
         let asked = Instant::now();
         while !is_so(&self.event_loop) {
-            assert!(asked.elapsed() < TEST_TIMEOUT, "it does not come about");
+            assert!(asked.elapsed() < TEST_TIMEOUT, "the condition is never met");
             self.turn(&[]);
         }
     }
--- a/crates/balancer/src/event_loop/tests/hedges.rs
+++ b/crates/balancer/src/event_loop/tests/hedges.rs
@@ -13,7 +13,7 @@
         caches: 2,
         ..DEFAULTS
     });
-    // The copy is due after half of this.
+    // The hedge is due after half of this.
     harness.send_request("read", 4_000);
     harness.turn(&[UPSTREAM_0]);
     let (_, mut first) = harness.next_connection();
--- a/crates/balancer/src/event_loop/tests/hot_restart.rs
+++ b/crates/balancer/src/event_loop/tests/hot_restart.rs
@@ -38,7 +38,7 @@
         })
     }
 
-    /// An old one, and a new one that is ready; the old one has not looked since.
+    /// An old one, and a new one that is ready; the old one has not checked on it since.
     fn both(&self) -> (Harness, Harness) {
         let mut old = self.start();
         let mut new = self.start();
@@ -76,16 +76,16 @@
     let pair = Pair::new("names");
     let notes = pair.folder.join("pipitrun.notes");
     let mut old = pair.start();
-    // A newcomer has its seat, and has not come to write its name.
-    let seat = pair.folder.join("pipitrun.seat-1");
-    let seat = std::fs::File::options().write(true).open(seat).unwrap();
-    seat.lock().unwrap();
+    // A new process has its slot, and has not written its name yet.
+    let slot = pair.folder.join("pipitrun.seat-1");
+    let slot = std::fs::File::options().write(true).open(slot).unwrap();
+    slot.lock().unwrap();
     old.check_other_process();
     assert!(
         old.event_loop.hot_restart.is_beside() && !notes.exists(),
         "nobody could tell that they are for him"
     );
-    drop(seat);
+    drop(slot);
     // The next dies before it reads its notes.
     let new = pair.start();
     old.check_other_process();
--- a/crates/balancer/src/event_loop/tests/retries.rs
+++ b/crates/balancer/src/event_loop/tests/retries.rs
@@ -42,7 +42,8 @@
     });
     harness.send_request("put", 50_000);
     let mut unsent = harness.accept(0);
-    // Its first try is over before its connection is up: it never ran, and the next is the first.
+    // Its first attempt ends before its connection is established: it never ran, and the next is
+    // the first.
     harness.run_until(|event_loop| event_loop.counters.attempts_connect_failed == 1);
     assert_eq!(read_to_end(&mut unsent), "");
     let mut cache = harness.accept(0);
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -11,12 +11,12 @@
     .unwrap();
     let address = listener.listener.socket().local_addr().unwrap();
     let connect = move || {
-        let caller = TcpStream::connect(address).unwrap();
-        // An end that does not come fails, and does not hang.
-        caller
+        let client = TcpStream::connect(address).unwrap();
+        // A missing end fails, and does not hang.
+        client
             .set_read_timeout(Some(std::time::Duration::from_secs(20)))
             .unwrap();
-        caller
+        client
     };
     (listener, connect)
 }
@@ -36,8 +36,8 @@
     let mut silent: Vec<TcpStream> = (0..CONNECTIONS_MAX).map(|_| connect()).collect();
     listener.accept(0, &mut counters);
     assert_eq!(listener.connections.len(), CONNECTIONS_MAX);
-    let mut caller = connect();
-    caller
+    let mut client = connect();
+    client
         .write_all(b"GET /admin/health HTTP/1.1\r\n\r\n")
         .unwrap();
     listener.accept(1, &mut counters);
@@ -60,18 +60,18 @@
     );
     listener.answer(number, 200, "serving");
     let mut text = String::new();
-    caller.read_to_string(&mut text).unwrap();
+    client.read_to_string(&mut text).unwrap();
     assert!(
         text.starts_with("HTTP/1.1 200 OK\r\n")
             && text.ends_with("\r\n\r\n{\"state\":\"serving\"}\n"),
         "{text}"
     );
-    drop(caller);
+    drop(client);
     assert_eq!(listener.ready(readable(number), &mut counters), None);
     assert_eq!(
         listener.connections.len(),
         CONNECTIONS_MAX - 1,
-        "a caller that has gone is let go of"
+        "a closed connection is removed"
     );
     listener.reap(REQUEST_TIMEOUT - 1, &mut counters);
     assert_eq!(listener.connections.len(), CONNECTIONS_MAX - 1);
@@ -79,9 +79,9 @@
     listener.reap(REQUEST_TIMEOUT, &mut counters);
     // What crosses the answer does not reset it away: each gets its own, and the end behind it.
     silent[2].write_all(b"alth HTTP/1.1\r\n\r\n").unwrap();
-    for caller in &mut silent[1..] {
+    for client in &mut silent[1..] {
         text.clear();
-        caller.read_to_string(&mut text).unwrap();
+        client.read_to_string(&mut text).unwrap();
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
     }
     listener.reap(REQUEST_TIMEOUT + CLOSE_TIMEOUT - 1, &mut counters);
@@ -91,8 +91,8 @@
         "they have the time to take it"
     );
     drop(silent);
-    for caller in 1..CONNECTIONS_MAX as u64 {
-        assert_eq!(listener.ready(readable(caller), &mut counters), None);
+    for client in 1..CONNECTIONS_MAX as u64 {
+        assert_eq!(listener.ready(readable(client), &mut counters), None);
     }
     assert!(listener.connections.is_empty(), "who closes is let go of");
 }
@@ -101,8 +101,8 @@
 fn connections_that_stay_open_after_their_response_are_closed_in_time() {
     let (mut listener, connect) = start_listener();
     let mut counters = Counters::default();
-    let mut callers = [connect(), connect()];
-    callers[1]
+    let mut clients = [connect(), connect()];
+    clients[1]
         .write_all(b"GET /nowhere HTTP/1.1\r\n\r\n")
         .unwrap();
     listener.accept(0, &mut counters);
@@ -118,14 +118,14 @@
 fn response_arrives_though_more_than_a_request_is_sent() {
     let (mut listener, connect) = start_listener();
     let mut counters = Counters::default();
-    let mut caller = connect();
-    caller
+    let mut client = connect();
+    client
         .write_all(&[b"GET /nowhere HTTP/1.1\r\n\r\n".as_slice(), &[b'x'; 20_000]].concat())
         .unwrap();
     listener.accept(0, &mut counters);
     assert_eq!(listener.ready(readable(0), &mut counters), None);
     let mut text = String::new();
-    caller.read_to_string(&mut text).unwrap();
+    client.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 404 Not Found\r\n"), "{text}");
     assert_eq!(counters.admin_calls_invalid, 1);
 }
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -43,7 +43,7 @@
         .unwrap();
     let connect = move || {
         let client = TcpStream::connect(address).expect("it takes clients");
-        // An end that does not come fails, and does not hang.
+        // A missing end fails, and does not hang.
         client
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a time-out");
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -29,7 +29,7 @@
         (1, 0),
         "just taken"
     );
-    assert!(!listener.accepting, "the newcomer waits");
+    assert!(!listener.accepting, "the new client waits");
     listener.reap(2, &mut Vec::new(), &mut counters);
     assert!(listener.accepting, "but not for good");
     first.write_all(b"*1\r\n").unwrap();
@@ -147,7 +147,7 @@
         listener.connections[&0].is_idle()
             && has_unsent_output(listener.connections[&0].stream.socket())
     );
-    let _newcomer = connect();
+    let _new_client = connect();
     listener.accept(CROWD_IDLE_MIN, &mut counters);
     assert_eq!((counters.clients_accepted, counters.clients_closed), (1, 0));
     while has_unsent_output(listener.connections[&0].stream.socket()) {
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -37,7 +37,7 @@
     let (second, first) = (tickets.pop().unwrap(), tickets.pop().unwrap());
     let (one, two) = (first.request, second.request);
     let mut events = Vec::new();
-    // The second comes while the first is still out: what of it there is room for waits.
+    // The second arrives while the first is in flight: what fits into the window waits.
     listener.answer(second, FinalAnswer::Streaming(STREAM_WINDOW + 1));
     listener.append_chunk(0, two, &[b'y'; STREAM_WINDOW - 20]);
     assert!(
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -71,7 +71,7 @@
     assert_eq!(
         listener.connections.keys().copied().collect::<Vec<_>>(),
         [1],
-        "the idle one has gone"
+        "the idle one is closed"
     );
     let ready = readable(1);
     listener.ready(IDLE_DRAINING + 2, ready, &mut events, &mut counters);
@@ -90,7 +90,7 @@
     assert_eq!(events.len(), 2, "no further command is taken");
     for event in std::mem::take(&mut events) {
         let ListenerEvent::Request(incoming) = event else {
-            panic!("nobody has gone")
+            panic!("nobody has disconnected")
         };
         assert!(
             !listener.connections.is_empty(),
@@ -226,7 +226,7 @@
         ..DRAINING
     };
     match crosses {
-        // The door was just passed, and nothing is read yet.
+        // It was just accepted, and nothing is read yet.
         Crosses::FirstOnNew => {
             listener.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
@@ -240,7 +240,7 @@
             listener.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(rest).unwrap();
         }
-        // It comes behind the look at what there is to read, and before the answer that would have
+        // It arrives after the check for unread input, and before the answer that would have
         // the connection end.
         Crosses::BehindAnAnswer => {
             client.write_all(&command).unwrap();
