--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -1,244 +1,289 @@
-//! The open requests and their tries: what the module sends is begun here, and what becomes of it is told in
-//! the module's outcomes. Nothing is sent again from here; tries are the module's.
+//! The open requests and their attempts: what the engine sends is begun here, and what becomes of
+//! it is reported in the engine's outcomes. Nothing is retried from here; the engine decides that.
+
+mod health_checks;
+mod outcome;
 
 use crate::counters::Counters;
 use crate::request::{AttemptRecord, FinalAnswer, IncomingRequest, RequestContext, Ticket};
-use crate::resp::{Answer as PeerAnswer, Reply};
 use crate::timers::MS;
 use crate::upstream_pool::{ExchangeResult, OutboundCommand, UpstreamJob};
-use routing::{
-    AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, EndpointId, Event, LoadReport,
-    Nanos, RequestId,
-};
+use health_checks::HealthChecks;
+use outcome::{AttemptReply, ServedValue};
+use routing::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, Event, Nanos, RequestId};
 use std::collections::{HashMap, HashSet};
 
 /// A final answer that is due now.
-pub type Answer = (Ticket, FinalAnswer);
+pub type DueAnswer = (Ticket, FinalAnswer);
+
+/// An attempt that the engine wants sent.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptOrder {
+    /// The request.
+    pub request: RequestId,
+    /// Its number among the request's attempts, by the engine.
+    pub attempt: AttemptNumber,
+    /// Where it goes.
+    pub endpoint: EndpointId,
+    /// How long it may take, if it is limited at all beyond the client's deadline.
+    pub timeout: Option<Nanos>,
+    /// Its first byte is written within this time or never.
+    pub write_within: Option<Nanos>,
+}
+
+/// What a finished job means.
+#[derive(Debug, Default)]
+pub struct JobCompletion {
+    /// The outcome for the engine.
+    pub event: Option<Event>,
+    /// The request's final answer, if the job brought it.
+    pub answer: Option<DueAnswer>,
+}
+
+/// The value of this request is being streamed to its client.
+#[derive(Clone, Copy, Debug)]
+struct ActiveStream {
+    client_connection: u64,
+    attempt: AttemptNumber,
+}
 
-/// All requests that are owed an answer or have tries out, and the probes that are out.
+/// All requests that are owed an answer or have attempts out, and the health checks that are out.
 #[derive(Default)]
 pub struct AttemptTracker {
-    contexts: HashMap<RequestId, RequestContext>,
-    /// The clients' ids of all contexts.
-    ids: HashSet<Vec<u8>>,
-    probes: HashMap<u64, EndpointId>,
-    next_probe: u64,
-    /// Long values on their way to clients, the answer to which client connection, and from which try.
-    passing: HashMap<RequestId, (u64, AttemptNumber)>,
-    /// Bytes of all contexts.
-    held: usize,
-    /// For how long the process was held up so far, in all: no cache is to be blamed for that.
-    lost: Nanos,
+    requests: HashMap<RequestId, RequestContext>,
+    /// The clients' ids of all requests.
+    client_ids: HashSet<Vec<u8>>,
+    health_checks: HealthChecks,
+    streams: HashMap<RequestId, ActiveStream>,
+    /// Bytes of all requests.
+    buffered_bytes: usize,
+    /// How long the process has stood still so far, in all; no cache is to be blamed for that.
+    total_stall: Nanos,
 }
 
 impl AttemptTracker {
     /// How many requests are open.
-    pub fn open(&self) -> usize {
-        self.contexts.len()
+    #[must_use]
+    pub fn open_requests(&self) -> usize {
+        self.requests.len()
     }
 
     /// Bytes that the open requests hold.
-    pub fn held(&self) -> usize {
-        self.held
+    #[must_use]
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    /// Whether a request with this id of a client's is open: a second one would be taken for the first.
-    pub fn is_open(&self, id: &[u8]) -> bool {
-        self.ids.contains(id)
+    /// Whether a request with this id of a client's is open: a second one would be taken for the
+    /// first.
+    #[must_use]
+    pub fn is_open(&self, client_id: &[u8]) -> bool {
+        self.client_ids.contains(client_id)
     }
 
-    /// For how long the process was held up so far, in all.
-    pub fn set_lost(&mut self, lost: Nanos) {
-        self.lost = lost;
+    /// Notes how long the process has stood still so far, in all.
+    pub fn set_total_stall(&mut self, total_stall: Nanos) {
+        self.total_stall = total_stall;
     }
 
-    /// Takes a request. Its time counts from when it can have come.
-    pub fn take(&mut self, incoming: IncomingRequest) {
+    /// Adds a request. Its time counts from when it can have arrived.
+    pub fn add(&mut self, incoming: IncomingRequest) {
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
-        self.held += incoming.command.byte_size();
-        self.ids.insert(incoming.command.request_id.clone());
+        self.buffered_bytes += incoming.command.byte_size();
+        self.client_ids.insert(incoming.command.request_id.clone());
         let id = incoming.ticket.request;
-        self.contexts.insert(
-            id,
-            RequestContext::new(incoming.ticket, incoming.command, deadline),
-        );
+        let context = RequestContext::new(incoming.ticket, incoming.command, deadline);
+        self.requests.insert(id, context);
     }
 
-    /// A long value has begun to come: it is the request's answer, unless there is one. The cache has done its work, so the
-    /// module is told of the success now; how long the rest takes is the client's pace too.
-    pub fn begun(
+    /// A long value has begun to arrive: it is the request's answer, unless there is one. The
+    /// cache has done its work, so the engine learns of the success now; how long the rest takes
+    /// also depends on the client.
+    pub fn start_stream(
         &mut self,
         now: Nanos,
-        (request, attempt): (RequestId, AttemptNumber),
+        request: RequestId,
+        attempt: AttemptNumber,
         length: usize,
         counters: &mut Counters,
-    ) -> Option<(Event, Answer)> {
-        let ticket = self.contexts.get_mut(&request)?.ticket.take()?;
-        let event = self.give_up(now, request, attempt, AttemptOutcome::Ok, counters)?;
+    ) -> Option<(Event, DueAnswer)> {
+        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let event = self.end_attempt(now, request, attempt, AttemptOutcome::Ok, counters)?;
         counters.streamed += 1;
-        self.passing.insert(request, (ticket.connection, attempt));
+        let client_connection = ticket.connection;
+        let stream = ActiveStream {
+            client_connection,
+            attempt,
+        };
+        self.streams.insert(request, stream);
         Some((event, (ticket, FinalAnswer::Streaming(length))))
     }
 
-    /// The client connection to which this try's value is on its way.
-    pub fn passing(&self, (request, attempt): (RequestId, AttemptNumber)) -> Option<u64> {
-        self.passing
-            .get(&request)
-            .filter(|(_, passing)| *passing == attempt)
-            .map(|(connection, _)| *connection)
+    /// The client connection to which this attempt's value is being streamed.
+    #[must_use]
+    pub fn stream_client(&self, request: RequestId, attempt: AttemptNumber) -> Option<u64> {
+        let stream = self.streams.get(&request)?;
+        (stream.attempt == attempt).then_some(stream.client_connection)
     }
 
-    /// The try whose value is on its way for this request.
-    pub fn passing_try(&self, request: RequestId) -> Option<UpstreamJob> {
-        self.passing
-            .get(&request)
-            .map(|(_, attempt)| UpstreamJob::Attempt(request, *attempt))
+    /// The attempt whose value is being streamed for this request.
+    #[must_use]
+    pub fn stream_job(&self, request: RequestId) -> Option<UpstreamJob> {
+        let stream = self.streams.get(&request)?;
+        Some(UpstreamJob::Attempt(request, stream.attempt))
     }
 
-    /// The value is through, broken off or not wanted any more.
-    pub fn passed(&mut self, request: RequestId) {
-        self.passing.remove(&request);
+    /// The value is complete, broken off or no longer wanted.
+    pub fn end_stream(&mut self, request: RequestId) {
+        self.streams.remove(&request);
     }
 
     /// The client has left: nothing is owed any more.
-    pub fn gone(&mut self, now: Nanos, request: RequestId) {
-        if let Some(context) = self.contexts.get_mut(&request) {
+    pub fn client_disconnected(&mut self, now: Nanos, request: RequestId) {
+        if let Some(context) = self.requests.get_mut(&request) {
             (context.ticket, context.client_left_at) = (None, Some(now));
         }
-        self.clear(request);
+        self.remove_if_over(request);
     }
 
-    /// The module's own final answer.
-    pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<Answer> {
-        let ticket = self.contexts.get_mut(&request)?.ticket.take()?;
-        self.clear(request);
+    /// The engine's own final answer.
+    pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<DueAnswer> {
+        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        self.remove_if_over(request);
         Some((ticket, answer))
     }
 
     /// How much of a request's time is left, while it is open.
-    pub fn left(&self, now: Nanos, request: RequestId) -> Option<Nanos> {
-        Some(self.contexts.get(&request)?.deadline.saturating_sub(now))
+    #[must_use]
+    pub fn remaining_time(&self, now: Nanos, request: RequestId) -> Option<Nanos> {
+        Some(self.requests.get(&request)?.deadline.saturating_sub(now))
     }
 
     /// The client connection to which an answer is owed.
-    pub fn owed_to(&self, request: RequestId) -> Option<u64> {
-        Some(self.contexts.get(&request)?.ticket.as_ref()?.connection)
+    #[must_use]
+    pub fn waiting_client(&self, request: RequestId) -> Option<u64> {
+        Some(self.requests.get(&request)?.ticket.as_ref()?.connection)
     }
 
-    fn clear(&mut self, request: RequestId) {
-        if self
-            .contexts
-            .get(&request)
-            .is_some_and(RequestContext::is_finished)
-            && let Some(context) = self.contexts.remove(&request)
+    fn remove_if_over(&mut self, request: RequestId) {
+        let context = self.requests.get(&request);
+        if context.is_some_and(RequestContext::is_finished)
+            && let Some(context) = self.requests.remove(&request)
         {
-            self.held -= context.command.byte_size();
-            self.ids.remove(&context.command.request_id);
+            self.buffered_bytes -= context.command.byte_size();
+            self.client_ids.remove(&context.command.request_id);
         }
     }
 
-    /// Whatever is open ends by then: its tries are told so too.
-    pub fn hurry(&mut self, by: Nanos) {
-        for context in self.contexts.values_mut() {
-            context.deadline = context.deadline.min(by);
-            for one in context.attempts.values_mut() {
-                one.deadline = one.deadline.min(by);
+    /// Whatever is open ends by this time; the limits of attempts follow.
+    pub fn limit_deadlines(&mut self, deadline: Nanos) {
+        for context in self.requests.values_mut() {
+            context.deadline = context.deadline.min(deadline);
+            for attempt in context.attempts.values_mut() {
+                attempt.deadline = attempt.deadline.min(deadline);
             }
         }
     }
 
-    /// Begins a try: it gets a connection next. One that has no request or no time any more is never sent, and the module
-    /// is told so.
+    /// Begins an attempt: it gets a connection next.
+    ///
+    /// # Errors
+    ///
+    /// Gives the attempt's end for the engine if it is never sent: its request is over, or has no
+    /// time left.
     pub fn start(
         &mut self,
         now: Nanos,
-        (request, attempt): (RequestId, AttemptNumber),
-        server: EndpointId,
-        (timeout, begin_within): (Option<Nanos>, Option<Nanos>),
+        new: AttemptOrder,
         counters: &mut Counters,
     ) -> Result<OutboundCommand, Box<Event>> {
-        // The attempt is the module's own number: with a wrong one it would wait for its end for good.
-        let moot = |finished| {
-            Box::new(ended(
-                request,
-                attempt,
-                server,
-                0,
-                AttemptOutcome::NotSent,
-                finished,
-            ))
+        // The engine's own attempt number: with another one it would wait for an end for good.
+        let not_sent = |request_finished| {
+            Box::new(Event::AttemptEnded(AttemptResult {
+                request: new.request,
+                attempt: new.attempt,
+                endpoint: new.endpoint,
+                outcome: AttemptOutcome::NotSent,
+                latency: 0,
+                request_finished,
+                cache_status: None,
+                load_report: None,
+            }))
         };
-        let Some(context) = self.contexts.get_mut(&request) else {
-            return Err(moot(true));
+        let Some(context) = self.requests.get_mut(&new.request) else {
+            return Err(not_sent(true));
         };
-        // A peer is told whole milliseconds, and one that answers within microseconds may well need one once.
-        let time = timeout.map_or(Nanos::MAX, |t| t.max(MS));
-        let until = now.saturating_add(time).min(context.deadline);
-        if context.ticket.is_none() || until < now + MS {
+        // Caches get a timeout in whole milliseconds, and one that usually answers within
+        // microseconds may well need a millisecond once.
+        let timeout = new.timeout.map_or(Nanos::MAX, |t| t.max(MS));
+        let deadline = now.saturating_add(timeout).min(context.deadline);
+        if context.ticket.is_none() || deadline < now + MS {
             counters.attempts_not_sent += 1;
-            return Err(moot(context.ticket.is_none()));
+            return Err(not_sent(context.ticket.is_none()));
         }
         counters.attempts += 1;
         counters.hedges += u64::from(!context.attempts.is_empty());
-        let begin_by = begin_within.map_or(Nanos::MAX, |within| now.saturating_add(within));
-        let lost = self.lost;
-        context.attempts.insert(
-            attempt,
-            AttemptRecord {
-                endpoint: server,
-                sent_at: now,
-                stalled_before: lost,
-                deadline: until,
-                write_deadline: begin_by,
-            },
-        );
+        let write_within = new.write_within;
+        let record = AttemptRecord {
+            endpoint: new.endpoint,
+            sent_at: now,
+            stalled_before: self.total_stall,
+            deadline,
+            write_deadline: write_within.map_or(Nanos::MAX, |within| now.saturating_add(within)),
+        };
+        context.attempts.insert(new.attempt, record);
         Ok(OutboundCommand {
-            job: UpstreamJob::Attempt(request, attempt),
-            server,
-            until,
+            job: UpstreamJob::Attempt(new.request, new.attempt),
+            endpoint: new.endpoint,
+            deadline,
         })
     }
 
-    /// What is written for a try whose connection is up. A connection may come up long after the module decided, so all that
-    /// can have changed is asked again now: whether an answer is still owed, and whether there is time. A try that
-    /// comes too late for that is never sent, and the module is told so.
-    pub fn first_byte(
+    /// The command of an attempt whose connection is up. That may be long after the engine
+    /// decided, so what can have changed is checked again: whether an answer is still owed, and
+    /// whether there is time.
+    ///
+    /// # Errors
+    ///
+    /// Gives the attempt's end for the engine, if it is still out: it is never sent.
+    pub fn command(
         &mut self,
         now: Nanos,
         request: RequestId,
         attempt: AttemptNumber,
         counters: &mut Counters,
     ) -> Result<Vec<u8>, Option<Box<Event>>> {
-        let wanted = self.contexts.get(&request).and_then(|context| {
-            let one = context.attempts.get(&attempt)?;
-            // A peer is told whole milliseconds.
-            let in_time = one.deadline >= now + MS && now < one.write_deadline;
+        let command = self.requests.get(&request).and_then(|context| {
+            let record = context.attempts.get(&attempt)?;
+            // Caches get a timeout in whole milliseconds.
+            let in_time = record.deadline >= now + MS && now < record.write_deadline;
             (context.ticket.is_some() && in_time)
-                .then(|| context.command.encode((one.deadline - now) / MS))
+                .then(|| context.command.encode((record.deadline - now) / MS))
         });
-        wanted.ok_or_else(|| {
+        command.ok_or_else(|| {
             self.count_unsent(now, request, counters);
-            self.give_up(now, request, attempt, AttemptOutcome::NotSent, counters)
+            self.end_attempt(now, request, attempt, AttemptOutcome::NotSent, counters)
                 .map(Box::new)
         })
     }
 
-    /// A try of this request ends unsent: counts it if its client had left.
+    /// An attempt of this request ends unsent: counts it if its client had left.
     pub fn count_unsent(&self, now: Nanos, request: RequestId, counters: &mut Counters) {
         if let Some(left) = self
-            .contexts
+            .requests
             .get(&request)
             .and_then(|context| context.client_left_at)
         {
+            let ms = now.saturating_sub(left).div_ceil(MS);
             counters.unsent_after_disconnect += 1;
-            counters.longest_unsent_after_disconnect_ms = counters
-                .longest_unsent_after_disconnect_ms
-                .max(now.saturating_sub(left).div_ceil(MS));
+            counters.longest_unsent_after_disconnect_ms =
+                counters.longest_unsent_after_disconnect_ms.max(ms);
         }
     }
 
-    /// A try is over without an answer: by its time-out, by the module's will or for want of a connection.
-    pub fn give_up(
+    /// An attempt is over, as a rule without an answer: by its timeout, at the engine's request or
+    /// for want of a connection. Returns its end for the engine, if it was still out.
+    pub fn end_attempt(
         &mut self,
         now: Nanos,
         request: RequestId,
@@ -246,189 +291,91 @@
         outcome: AttemptOutcome,
         counters: &mut Counters,
     ) -> Option<Event> {
-        let context = self.contexts.get_mut(&request)?;
-        let AttemptRecord {
-            endpoint: server,
-            sent_at: sent,
-            stalled_before: lost,
-            ..
-        } = context.attempts.remove(&attempt)?;
-        let finished = context.ticket.is_none();
-        self.clear(request);
-        let latency = now.saturating_sub(sent).saturating_sub(self.lost - lost);
-        let ms = latency / MS;
+        let reply = AttemptReply::without_value(outcome);
+        let result = self.end_attempt_with(now, request, attempt, &reply, counters)?;
+        Some(Event::AttemptEnded(result))
+    }
+
+    fn end_attempt_with(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        attempt: AttemptNumber,
+        reply: &AttemptReply,
+        counters: &mut Counters,
+    ) -> Option<AttemptResult> {
+        let outcome = reply.outcome;
+        let context = self.requests.get_mut(&request)?;
+        let record = context.attempts.remove(&attempt)?;
+        let request_finished = context.ticket.is_none();
+        self.remove_if_over(request);
+        let stalled = self.total_stall - record.stalled_before;
+        let latency = now.saturating_sub(record.sent_at).saturating_sub(stalled);
         log::trace!(
-            "request {} try {} at {}: {outcome:?} after {ms} ms",
+            "request {} attempt {} at endpoint {}: {outcome:?} after {} ms",
             request.0,
             attempt.0,
-            server.0
+            record.endpoint.0,
+            latency / MS
         );
-        count(outcome, counters);
-        Some(ended(request, attempt, server, latency, outcome, finished))
+        outcome::count(outcome, counters);
+        let served = reply.served.as_ref();
+        Some(AttemptResult {
+            request,
+            attempt,
+            endpoint: record.endpoint,
+            outcome,
+            latency,
+            request_finished,
+            cache_status: served.and_then(|served| served.cache_status),
+            load_report: served.and_then(|served| served.load_report),
+        })
     }
 
-    /// Begins a probe.
-    pub fn probe(&mut self, server: EndpointId, counters: &mut Counters) -> UpstreamJob {
-        self.next_probe += 1;
-        self.probes.insert(self.next_probe, server);
+    /// Begins a health check.
+    pub fn start_health_check(
+        &mut self,
+        endpoint: EndpointId,
+        counters: &mut Counters,
+    ) -> UpstreamJob {
         counters.health_checks += 1;
-        UpstreamJob::Probe(self.next_probe)
+        self.health_checks.start(endpoint)
     }
 
-    /// A probe has had its time.
-    pub fn probe_due(&mut self, probe: u64) -> Option<Event> {
-        let server = self.probes.remove(&probe)?;
-        Some(Event::HealthCheckEnded {
-            endpoint: server,
-            outcome: AttemptOutcome::Timeout,
-            load_report: None,
-        })
+    /// A health check has timed out.
+    pub fn time_out_health_check(&mut self, number: u64) -> Option<Event> {
+        self.health_checks.time_out(number)
     }
 
-    /// What a peer did with a job, as the module is told it, and the final answer that comes with it.
-    pub fn finished(
+    /// What a finished job means to the engine and to the request.
+    pub fn complete(
         &mut self,
         now: Nanos,
         job: UpstreamJob,
-        end: ExchangeResult,
+        result: ExchangeResult,
         counters: &mut Counters,
-    ) -> (Option<Event>, Option<Answer>) {
+    ) -> JobCompletion {
         let (request, attempt) = match job {
             UpstreamJob::Attempt(request, attempt) => (request, attempt),
-            UpstreamJob::Probe(probe) => {
-                let told = self.probes.remove(&probe).map(|server| probed(server, end));
-                return (told, None);
+            UpstreamJob::HealthCheck(number) => {
+                let event = self.health_checks.complete(number, result);
+                return JobCompletion {
+                    event,
+                    answer: None,
+                };
             }
         };
-        let (outcome, served) = match end {
-            ExchangeResult::Answer(answer) => read_outcome(answer),
-            ExchangeResult::Spoilt | ExchangeResult::Reply(_) => (AttemptOutcome::Unreadable, None),
-            ExchangeResult::NeverSent => (AttemptOutcome::ConnectFailed, None),
-            ExchangeResult::Broken => (AttemptOutcome::Reset, None),
-            ExchangeResult::NoPlace => (AttemptOutcome::NotSent, None),
-        };
-        let Some(Served { value, note, load }) = served else {
-            return (self.give_up(now, request, attempt, outcome, counters), None);
-        };
-        // The first answer is the request's; of a copy that was served too only the outcome is told.
-        let ticket = self
-            .contexts
-            .get_mut(&request)
-            .and_then(|c| c.ticket.take());
-        let event =
-            self.give_up(now, request, attempt, outcome, counters)
-                .map(|event| match event {
-                    Event::AttemptEnded(end) => Event::AttemptEnded(AttemptResult {
-                        cache_status: note,
-                        load_report: load,
-                        ..end
-                    }),
-                    other => other,
-                });
-        (
-            event,
-            ticket.map(|ticket| (ticket, FinalAnswer::Served(value))),
-        )
-    }
-}
-
-fn count(outcome: AttemptOutcome, counters: &mut Counters) {
-    *match outcome {
-        AttemptOutcome::Ok => &mut counters.attempts_ok,
-        AttemptOutcome::Error | AttemptOutcome::CacheMiss => &mut counters.attempts_error,
-        AttemptOutcome::Unreadable => &mut counters.attempts_unreadable,
-        AttemptOutcome::InvalidRequest => &mut counters.attempts_invalid,
-        AttemptOutcome::Rejected => &mut counters.attempts_rejected,
-        AttemptOutcome::Timeout => &mut counters.attempts_timeout,
-        AttemptOutcome::ConnectFailed => &mut counters.attempts_connect_failed,
-        AttemptOutcome::Reset => &mut counters.attempts_reset,
-        AttemptOutcome::Cancelled => &mut counters.attempts_cancelled,
-        AttemptOutcome::NotSent => &mut counters.attempts_not_sent,
-    } += 1;
-}
-
-fn ended(
-    request: RequestId,
-    attempt: AttemptNumber,
-    server: EndpointId,
-    latency: Nanos,
-    outcome: AttemptOutcome,
-    finished: bool,
-) -> Event {
-    Event::AttemptEnded(AttemptResult {
-        request,
-        attempt,
-        endpoint: server,
-        outcome,
-        latency,
-        request_finished: finished,
-        cache_status: None,
-        load_report: None,
-    })
-}
-
-/// What a peer made for a request.
-struct Served {
-    value: Vec<u8>,
-    note: Option<CacheStatus>,
-    load: Option<LoadReport>,
-}
-
-/// The protocol's table of what comes back.
-fn read_outcome(answer: PeerAnswer) -> (AttemptOutcome, Option<Served>) {
-    let (value, note, load) = match answer {
-        PeerAnswer::Served { value, note, load } => (value, note, load),
-        PeerAnswer::Error(text) => {
-            let word = text.split(' ').next().unwrap_or_default();
-            let outcome = match (word, text.as_str()) {
-                ("BUSY", _) => AttemptOutcome::Rejected,
-                (_, "ERR failed") => AttemptOutcome::Error,
-                // Another complaint is of the command; no peer takes it, and this one is as well as before.
-                _ => AttemptOutcome::InvalidRequest,
-            };
-            if outcome == AttemptOutcome::InvalidRequest {
-                log::debug!("a peer answers: {text}");
-            }
-            return (outcome, None);
-        }
-    };
-    let note = match note.as_deref() {
-        Some(b"hit") => Some(CacheStatus::Hit),
-        Some(b"miss") => Some(CacheStatus::Miss),
-        Some(b"pending") => Some(CacheStatus::MissPending),
-        _ => None,
-    };
-    let load = load.map(|text| read_load(&String::from_utf8_lossy(&text)));
-    (AttemptOutcome::Ok, Some(Served { value, note, load }))
-}
-
-/// A load report: names and values, parted by commas.
-fn read_load(text: &str) -> LoadReport {
-    let pairs = text
-        .split([',', ' '])
-        .filter_map(|pair| pair.split_once('='));
-    routing_config::parse_load_report(
-        pairs.filter_map(|(name, value)| Some((name, value.parse().ok()?))),
-    )
-}
-
-fn probed(server: EndpointId, end: ExchangeResult) -> Event {
-    let (outcome, load) = match end {
-        ExchangeResult::Reply(Reply::Status(_)) => (AttemptOutcome::Ok, None),
-        ExchangeResult::Reply(Reply::Bulk(Some(report))) => (
-            AttemptOutcome::Ok,
-            Some(read_load(&String::from_utf8_lossy(&report))),
-        ),
-        ExchangeResult::Reply(_) => (AttemptOutcome::Error, None),
-        ExchangeResult::NeverSent => (AttemptOutcome::ConnectFailed, None),
-        ExchangeResult::Broken => (AttemptOutcome::Reset, None),
-        ExchangeResult::Spoilt | ExchangeResult::Answer(_) => (AttemptOutcome::Unreadable, None),
-        ExchangeResult::NoPlace => (AttemptOutcome::NotSent, None),
-    };
-    Event::HealthCheckEnded {
-        endpoint: server,
-        outcome,
-        load_report: load,
+        let reply = AttemptReply::from(result);
+        // The first answer is the request's; of a hedge that was served too only the outcome counts.
+        let is_served = reply.served.is_some();
+        let context = self.requests.get_mut(&request).filter(|_| is_served);
+        let ticket = context.and_then(|context| context.ticket.take());
+        let event = self
+            .end_attempt_with(now, request, attempt, &reply, counters)
+            .map(Event::AttemptEnded);
+        let value = reply.served.map(|ServedValue { value, .. }| value);
+        let answer = ticket.zip(value.map(FinalAnswer::Served));
+        JobCompletion { event, answer }
     }
 }
 
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -1,94 +1,60 @@
-//! Tests of `tries`.
+//! Open requests and their attempts.
 
 use super::*;
 use crate::request::CacheCommand;
 
-#[test]
-fn answers_map_to_outcomes() {
-    let cases = [
-        ("BUSY", AttemptOutcome::Rejected),
-        ("BUSY 20", AttemptOutcome::Rejected),
-        ("BUSYBODY", AttemptOutcome::InvalidRequest),
-        ("ERR failed", AttemptOutcome::Error),
-        ("ERR bad request", AttemptOutcome::InvalidRequest),
-    ];
-    for (text, outcome) in cases {
-        assert_eq!(
-            read_outcome(PeerAnswer::Error(text.into())).0,
-            outcome,
-            "{text}"
-        );
-    }
-    let text = |text: &str| Some(text.as_bytes().to_vec());
-    let (note, load) = (text("pending"), text("depth=3,new=1,x0=oops"));
-    let answer = PeerAnswer::Served {
-        value: b"v".to_vec(),
-        note,
-        load,
-    };
-    let served = read_outcome(answer).1.expect("it is served");
-    assert_eq!(
-        (served.value.as_slice(), served.note),
-        (&b"v"[..], Some(CacheStatus::MissPending))
-    );
-    assert_eq!(
-        served.load,
-        Some(LoadReport {
-            queue_depth: Some(3.0),
-            ..LoadReport::default()
-        })
-    );
-    let (note, load) = (None, text("\u{fffd}!"));
-    let served = read_outcome(PeerAnswer::Served {
-        value: b"v".to_vec(),
-        note,
-        load,
-    })
-    .1;
-    assert_eq!(
-        served.expect("without a report that can be read too").load,
-        Some(LoadReport::default())
-    );
-}
-
-fn incoming(ticket: Ticket, patience: Nanos, order: CacheCommand) -> IncomingRequest {
+fn incoming(ticket: Ticket, client_timeout: Nanos, command: CacheCommand) -> IncomingRequest {
     IncomingRequest {
         ticket,
         class: String::new(),
         tenant: None,
         arrived_at: 0,
-        client_timeout: patience,
+        client_timeout,
         estimated_work: None,
-        command: order,
+        command,
+    }
+}
+
+fn attempt_order(
+    (request, attempt): (RequestId, AttemptNumber),
+    endpoint: u64,
+    timeout: Option<Nanos>,
+) -> AttemptOrder {
+    AttemptOrder {
+        request,
+        attempt,
+        endpoint: EndpointId(endpoint),
+        timeout,
+        write_within: None,
     }
 }
 
 #[test]
-fn no_cache_is_blamed_for_what_the_process_was_held_up() {
-    let (mut tries, mut counters) = (AttemptTracker::default(), Counters::default());
-    let order = CacheCommand {
+fn latency_excludes_the_time_that_the_process_stood_still() {
+    let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
+    let command = CacheCommand {
         value: None,
         key: b"k".to_vec(),
         request_id: b"i".to_vec(),
         fields: Vec::new(),
     };
-    tries.take(incoming(
+    tracker.add(incoming(
         Ticket {
             request: RequestId(1),
             connection: 0,
         },
         9_000 * MS,
-        order,
+        command,
     ));
-    tries.set_lost(40 * MS);
+    tracker.set_total_stall(40 * MS);
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
-        tries
-            .start(0, first, EndpointId(1), (None, None), &mut counters)
+        tracker
+            .start(0, attempt_order(first, 1, None), &mut counters)
             .is_ok()
     );
-    tries.set_lost(690 * MS);
-    let end = tries.give_up(
+    tracker.set_total_stall(690 * MS);
+    let end = tracker.end_attempt(
         660 * MS,
         first.0,
         first.1,
@@ -102,9 +68,9 @@
 }
 
 #[test]
-fn a_try_that_comes_too_late_ends_under_its_own_number() {
-    let (mut tries, mut counters) = (AttemptTracker::default(), Counters::default());
-    let order = CacheCommand {
+fn an_attempt_that_comes_too_late_ends_under_its_own_number() {
+    let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
+    let command = CacheCommand {
         value: None,
         key: b"k".to_vec(),
         request_id: b"i".to_vec(),
@@ -114,24 +80,24 @@
         request: RequestId(1),
         connection: 0,
     };
-    tries.take(incoming(ticket, 100 * MS, order));
-    assert!(tries.is_open(b"i") && !tries.is_open(b"j"));
+    tracker.add(incoming(ticket, 100 * MS, command));
+    assert!(tracker.is_open(b"i") && !tracker.is_open(b"j"));
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
-        tries
-            .start(0, first, EndpointId(1), (None, None), &mut counters)
+        tracker
+            .start(0, attempt_order(first, 1, None), &mut counters)
             .is_ok()
     );
     let outcome = AttemptOutcome::Reset;
     assert!(
-        tries
-            .give_up(1, first.0, first.1, outcome, &mut counters)
+        tracker
+            .end_attempt(1, first.0, first.1, outcome, &mut counters)
             .is_some()
     );
-    tries.gone(1, RequestId(1));
-    assert!(!tries.is_open(b"i"), "nothing is left of it");
+    tracker.client_disconnected(1, RequestId(1));
+    assert!(!tracker.is_open(b"i"), "nothing is left of it");
     let second = (RequestId(1), AttemptNumber(1));
-    let Err(end) = tries.start(1, second, EndpointId(2), (None, None), &mut counters) else {
+    let Err(end) = tracker.start(1, attempt_order(second, 2, None), &mut counters) else {
         panic!("sent")
     };
     assert!(
@@ -148,10 +114,10 @@
 }
 
 #[test]
-fn a_try_has_a_millisecond_at_least_unless_its_request_has_less() {
-    for (patience, sent) in [(100 * MS, true), (MS, true), (MS - 1, false)] {
-        let (mut tries, mut counters) = (AttemptTracker::default(), Counters::default());
-        let order = CacheCommand {
+fn an_attempt_has_a_millisecond_at_least_unless_its_request_has_less() {
+    for (client_timeout, sent) in [(100 * MS, true), (MS, true), (MS - 1, false)] {
+        let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
+        let command = CacheCommand {
             value: None,
             key: b"k".to_vec(),
             request_id: b"i".to_vec(),
@@ -161,14 +127,14 @@
             request: RequestId(1),
             connection: 0,
         };
-        tries.take(incoming(ticket, patience, order));
-        // Caches that answer within 0.1 ms have the module give a try up after a fraction of one.
+        tracker.add(incoming(ticket, client_timeout, command));
+        // Caches that answer within 0.1 ms have the engine time an attempt out after a fraction of one.
         let first = (RequestId(1), AttemptNumber(0));
-        let started = tries.start(0, first, EndpointId(1), (Some(MS / 4), None), &mut counters);
+        let started = tracker.start(0, attempt_order(first, 1, Some(MS / 4)), &mut counters);
         assert_eq!(
-            started.ok().map(|o| o.until),
+            started.ok().map(|o| o.deadline),
             sent.then_some(MS),
-            "{patience}"
+            "{client_timeout}"
         );
     }
 }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,288 +1,168 @@
-//! The upstream group: discovery's list of peers, and the watch that keeps it fresh.
+//! The client of discovery: it keeps a watch open over which the endpoint list and its changes
+//! arrive.
 
-pub mod messages;
+mod body;
+mod call;
+mod endpoint_list;
+mod error;
+mod messages;
+
+pub use endpoint_list::{EndpointList, ListedEndpoint};
+pub use messages::ListPart;
 
 use crate::counters::Counters;
 use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::sockets::connect;
 use crate::timers::{MS, TimerKind, Timers};
 use crate::watch_backoff::WatchBackoff;
-use messages::{ListPart, Message, MessageScanner};
+use call::{CONNECT_TIMEOUT, WatchCall};
+use endpoint_list::ListState;
+use error::WatchError;
+use messages::{Message, MessageError, MessageScanner};
 use routing::Nanos;
-use serde::{Deserialize, Serialize};
-use serde_json::Value;
-use std::collections::{BTreeMap, VecDeque};
-use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A watch is broken when nothing has come for this long: an empty line is due every 2 s.
-const SILENCE: Nanos = 3_500 * MS;
-/// Until the answer begins more patience is due: calls wait in turn, and asking anew goes to the end of the line. But by the
-/// protocol what a silent call misses counts as told 6 s after its beginning, or 2 s after its wait in turn if that is later: one
-/// that is silent for longer than the difference is to be made anew in time.
-const SILENCE_BEFORE: Nanos = 4_000 * MS;
-/// A connection to discovery must be up within this: a machine that is cut off refuses none.
-const CONNECT: Nanos = 1_000 * MS;
-/// The longest line, and so the largest list.
-const LINE_MAX: usize = 4 << 20;
-/// One read takes at most this much.
-const READ_SIZE: usize = 32 * 1024;
-/// The most headers of an answer.
-const HEADERS_MAX: usize = 32;
-
-/// The list, or a change of it.
-#[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct EndpointList {
-    /// Its version.
-    pub seq: u64,
-    /// Whether these are all hosts.
-    #[serde(default)]
-    pub whole: bool,
-    /// The hosts, or those that changed.
-    #[serde(default)]
-    pub hosts: Vec<ListedEndpoint>,
-}
-
-/// A peer as discovery knows it. Only its name must be there.
-#[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ListedEndpoint {
-    /// Its name, the same at every balancer.
-    pub host: String,
-    /// Its address, this balancer's own.
-    #[serde(default)]
-    pub dial: String,
-    /// Its data centre.
-    #[serde(default)]
-    pub site: String,
-    /// Its kind of machine.
-    #[serde(default)]
-    pub class: String,
-    /// Its cell.
-    #[serde(default)]
-    pub block: Value,
-    /// `in_service`, `terminating` or `terminated`.
-    #[serde(default = "in_service")]
-    pub health: String,
-    /// Its stated size.
-    #[serde(default = "full_share")]
-    pub share: f64,
-    /// Unix time of its start in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
-}
-
-fn in_service() -> String {
-    "in_service".into()
-}
-
-fn full_share() -> f64 {
-    1.0
-}
+/// The longest message, and so the largest list.
+const MAX_MESSAGE: usize = 4 << 20;
 
 /// What became of a watch.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// A watch stands: the first of what it tells has come, though it be an empty line.
-    Stands,
-    /// News of the list.
-    News(ListPart),
+    /// The first bytes of the body have arrived, if only an empty line.
+    Established,
+    /// A part of the list or of its changes.
+    ListPart(ListPart),
     /// The watch ended or never began.
     Failed,
 }
 
-/// How the answer's end is known.
-enum Body {
-    Chunked { left: usize },
-    Length(usize),
-    UntilClose,
-}
-
-struct AdminCommand {
-    number: u64,
-    stream: Registered<TcpStream>,
-    request: Vec<u8>,
-    written: usize,
-    input: Vec<u8>,
-    body: Option<Body>,
-    /// What of the answer's text has come since the last whole message.
-    text: Vec<u8>,
-    scanner: MessageScanner,
-    /// The last read took all that there was room for: more may wait.
-    is_behind: bool,
-    heard: Nanos,
-    /// The version of its last line.
-    seq: Option<u64>,
-    /// Something of the answer's text has come.
-    stands: bool,
-}
-
-/// Discovery, and what it last said.
+/// The client of discovery, and the list as it is known so far.
 pub struct DiscoveryClient {
     poll: Poll,
     address: SocketAddr,
-    call: Option<AdminCommand>,
+    call: Option<WatchCall>,
     next_call: u64,
-    /// The version up to which all changes are known.
-    seq: Option<u64>,
-    /// All that are listed, as of that version and what was taken of `pending`, by name.
-    hosts: BTreeMap<String, ListedEndpoint>,
-    /// Messages that have come and are not all taken. While there is one nothing more is read.
-    pending: VecDeque<Message>,
+    /// While messages of it are pending, nothing more is read.
+    list: ListState,
     /// A watch was begun at some time, and is wanted from then on.
-    wanted: bool,
+    is_wanted: bool,
     /// When the last watch began.
-    begun: Nanos,
-    /// Watches that failed since the last line of the list.
+    call_began: Nanos,
+    /// Watches that failed since the last message.
     failures: u32,
-    /// Where lists are pushed: the pace of watches. Elsewhere the module says when.
-    pace: Option<WatchBackoff>,
+    /// Where lists are pushed: the pace of watches. Elsewhere the engine says when.
+    backoff: Option<WatchBackoff>,
 }
 
 impl DiscoveryClient {
-    /// Nothing is asked yet. With a pace the address is an agent's, to which lists are pushed.
-    pub fn new(poll: &Poll, address: SocketAddr, pace: Option<WatchBackoff>) -> Self {
-        let hosts = BTreeMap::new();
+    /// A client that has not called yet. With a backoff the address is an agent's, to which lists
+    /// are pushed.
+    #[must_use]
+    pub fn new(poll: &Poll, address: SocketAddr, backoff: Option<WatchBackoff>) -> Self {
         DiscoveryClient {
             poll: poll.clone(),
             address,
             call: None,
             next_call: 0,
-            seq: None,
-            hosts,
-            pending: VecDeque::new(),
-            wanted: false,
-            begun: 0,
+            list: ListState::default(),
+            is_wanted: false,
+            call_began: 0,
             failures: 0,
-            pace,
+            backoff,
         }
     }
 
-    /// Whether an agent is watched: from the start and without the module, to which its lists just come.
+    /// Whether an agent is watched: from the start and without the engine, to which its lists just
+    /// arrive.
+    #[must_use]
     pub fn is_pushed(&self) -> bool {
-        self.pace.is_some()
+        self.backoff.is_some()
     }
 
-    /// Where an agent is watched: when to begin anew, after a watch that has ended.
-    pub fn again(&mut self, now: Nanos) -> Option<Nanos> {
-        let wait = self.pace.as_mut()?.ended(now.saturating_sub(self.begun));
-        Some(now + wait)
+    /// Where an agent is watched: when to begin again, after a watch that has ended.
+    pub fn next_watch(&mut self, now: Nanos) -> Option<Nanos> {
+        let duration = now.saturating_sub(self.call_began);
+        let delay = self.backoff.as_mut()?.next_delay(duration);
+        Some(now + delay)
     }
 
-    /// Takes over a list from before.
-    pub fn learn(&mut self, list: &EndpointList) {
-        if list.whole {
-            self.hosts.clear();
-        }
-        self.learn_hosts(&list.hosts);
-        self.seq = Some(list.seq);
-    }
-
-    fn learn_hosts(&mut self, hosts: &[ListedEndpoint]) {
-        for host in hosts {
-            if host.health == "terminated" {
-                self.hosts.remove(&host.host);
-            } else {
-                self.hosts.insert(host.host.clone(), host.clone());
-            }
-        }
+    /// Takes over a list from elsewhere.
+    pub fn apply(&mut self, list: &EndpointList) {
+        self.list.apply(list);
     }
 
-    /// Whether something of the list has come, or may have, that is not taken yet.
+    /// Whether something of the list has arrived, or may have, that is not taken yet.
+    #[must_use]
     pub fn is_behind(&self) -> bool {
-        self.has_pending() || self.call.as_ref().is_some_and(|call| call.is_behind)
+        self.has_pending() || self.call.as_ref().is_some_and(|call| call.has_unread)
     }
 
-    /// Whether [`DiscoveryClient::take`] has something to give.
+    /// Whether [`DiscoveryClient::take_part`] has something to give.
+    #[must_use]
     pub fn has_pending(&self) -> bool {
-        !self.pending.is_empty()
+        self.list.has_pending()
     }
 
-    /// The next hosts that discovery has told of, at most `most`. The first list is given whole: nobody is served before it.
-    /// Its version counts as known once a message is over.
-    pub fn take(&mut self, most: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
-        let most = if self.seq.is_none() { usize::MAX } else { most };
-        let part = match self.pending.front_mut()?.take(most, &self.hosts) {
-            Ok(part) => part,
-            Err(problem) => {
-                self.pending.clear();
-                return Some(self.fail(&problem, counters));
+    /// The next endpoints of the list, at most `limit`. The first list is given at once: nobody is
+    /// served before it. Its version counts as known once a message is over.
+    pub fn take_part(&mut self, limit: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
+        match self.list.take_part(limit) {
+            Ok(part) => part.map(DiscoveryEvent::ListPart),
+            Err(error) => {
+                self.list.clear_pending();
+                Some(self.fail(&error.into(), counters))
             }
-        };
-        self.learn_hosts(&part.hosts);
-        if part.is_last {
-            self.seq = Some(part.seq);
-            self.pending.pop_front();
         }
-        Some(DiscoveryEvent::News(part))
     }
 
-    /// Whether any host is listed.
-    pub fn is_listed(&self) -> bool {
-        !self.hosts.is_empty()
+    /// Whether any endpoint is listed.
+    #[must_use]
+    pub fn has_endpoints(&self) -> bool {
+        !self.list.endpoints().is_empty()
     }
 
     /// The version of the list that is known, if one is.
-    pub fn seq(&self) -> Option<u64> {
-        self.seq
+    #[must_use]
+    pub fn version(&self) -> Option<u64> {
+        self.list.version()
     }
 
-    /// The whole list as it is known, if one is.
-    pub fn list(&self) -> Option<EndpointList> {
-        Some(EndpointList {
-            seq: self.seq?,
-            whole: true,
-            hosts: self.hosts.values().cloned().collect(),
-        })
+    /// The full list as it is known, if one is.
+    #[must_use]
+    pub fn full_list(&self) -> Option<EndpointList> {
+        self.list.full_list()
     }
 
-    /// Begins a watch, unless one is open.
+    /// Begins a watch, unless one is open. Returns its failure, if it fails at once.
     pub fn watch(
         &mut self,
         now: Nanos,
         timers: &mut Timers,
         counters: &mut Counters,
     ) -> Option<DiscoveryEvent> {
-        self.wanted = true;
+        self.is_wanted = true;
         if self.call.is_some() {
             return None;
         }
         counters.discovery_calls += 1;
-        self.begun = now;
+        self.call_began = now;
         let number = self.next_call;
         self.next_call += 1;
         match self.connect(number) {
-            Ok(stream) => {
-                let since = self
-                    .seq
-                    .map_or(String::new(), |seq| format!("&since={seq}"));
-                let request = format!(
-                    "GET /registry/instances?follow=1{since} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
-                    self.address
-                );
-                self.call = Some(AdminCommand {
-                    number,
-                    stream,
-                    request: request.into_bytes(),
-                    written: 0,
-                    input: Vec::new(),
-                    body: None,
-                    text: Vec::new(),
-                    scanner: MessageScanner::default(),
-                    is_behind: false,
-                    heard: now,
-                    seq: None,
-                    stands: false,
-                });
-                timers.set(now + CONNECT, TimerKind::Discovery(number));
+            Ok(socket) => {
+                let since = self.list.version();
+                let call = WatchCall::new(number, socket, self.address, since, now);
+                self.call = Some(call);
+                timers.set(now + CONNECT_TIMEOUT, TimerKind::Discovery(number));
                 None
             }
-            Err(e) => Some(self.fail(&e.to_string(), counters)),
+            Err(error) => Some(self.fail(&error, counters)),
         }
     }
 
-    /// Discovery is at another address from now on: the watch moves there, and goes on from the version that is
-    /// known. It begins at once, whatever the module waits for after a failed call: a former address may tell
-    /// nothing more, and changes that it leaves untold count as told all the same.
+    /// Discovery is at another address from now on: the watch moves there, and goes on from the
+    /// version that is known. It begins at once, whatever the engine waits for after a failed call:
+    /// the former address may send nothing more, and the balancer counts as notified all the same.
     pub fn move_to(
         &mut self,
         address: SocketAddr,
@@ -296,61 +176,55 @@
         log::info!("discovery moves from {} to {address}", self.address);
         self.address = address;
         self.call = None;
-        if self.wanted {
+        if self.is_wanted {
             self.watch(now, timers, counters)
         } else {
             None
         }
     }
 
-    fn connect(&self, number: u64) -> std::io::Result<Registered<TcpStream>> {
-        self.poll.watch(
-            connect(self.address)?,
-            EventSource::Discovery(number),
-            Interest::WRITABLE,
-        )
+    fn connect(&self, number: u64) -> Result<Registered<TcpStream>, WatchError> {
+        let stream = connect(self.address).map_err(WatchError::Connect)?;
+        let source = EventSource::Discovery(number);
+        let registered = self.poll.watch(stream, source, Interest::WRITABLE);
+        registered.map_err(WatchError::Register)
     }
 
     /// Reads and writes what the watch is ready for.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         now: Nanos,
         ready: Readiness,
         events: &mut Vec<DiscoveryEvent>,
         counters: &mut Counters,
     ) {
-        let Some(call) = self
-            .call
-            .as_mut()
-            .filter(|c| EventSource::Discovery(c.number) == ready.source)
-        else {
+        let is_of = |call: &&mut WatchCall| EventSource::Discovery(call.number) == ready.source;
+        let Some(call) = self.call.as_mut().filter(is_of) else {
             return;
         };
-        if !self.pending.is_empty() {
+        if self.list.has_pending() {
             return;
         }
-        let result = if ready.writable && call.written < call.request.len() {
-            call.write()
-        } else {
-            Ok(())
-        };
-        let result = match result {
-            Ok(()) if ready.readable => call.read(now),
-            other => other,
-        };
-        if !call.text.is_empty() && !std::mem::replace(&mut call.stands, true) {
-            events.push(DiscoveryEvent::Stands);
+        let mut result = Ok(());
+        if ready.writable && call.has_unwritten_bytes() {
+            result = call.write();
+        }
+        if ready.readable {
+            result = result.and_then(|()| call.read(now));
+        }
+        if !call.text.is_empty() && !std::mem::replace(&mut call.is_established, true) {
+            events.push(DiscoveryEvent::Established);
         }
-        // Whole lines that came before an end or an error still count.
-        let result = self.lines(counters).and(result);
-        if let Err(problem) = result {
-            events.push(self.fail(&problem, counters));
+        // Complete messages that arrived before an end or an error still count.
+        let parsed = self.read_messages(counters).map_err(WatchError::from);
+        if let Err(error) = parsed.and(result) {
+            events.push(self.fail(&error, counters));
         }
     }
 
-    /// Ends a watch that failed. Why is logged the first time after a line of the list, the second, the fourth and so on:
-    /// an agent that is gone for hours is called several times a second.
-    fn fail(&mut self, problem: &str, counters: &mut Counters) -> DiscoveryEvent {
+    /// Ends a watch that failed. The first, second, fourth and so on failure since the last message
+    /// is logged as a warning: an agent that is gone for hours is called several times a second.
+    fn fail(&mut self, error: &WatchError, counters: &mut Counters) -> DiscoveryEvent {
         self.call = None;
         counters.discovery_failed += 1;
         self.failures = self.failures.saturating_add(1);
@@ -361,15 +235,15 @@
         };
         log::log!(
             level,
-            "discovery at {}: {problem}; failed {} times since its last line",
+            "discovery at {}: {error}; failed {} times since its last message",
             self.address,
             self.failures
         );
         DiscoveryEvent::Failed
     }
 
-    /// Gives up a watch that has been silent for long: a machine that is cut off ends no connection.
-    pub fn due(
+    /// Gives up a watch that has been silent for long: an unreachable machine ends no connection.
+    pub fn handle_silence_timeout(
         &mut self,
         now: Nanos,
         number: u64,
@@ -377,211 +251,59 @@
         events: &mut Vec<DiscoveryEvent>,
         counters: &mut Counters,
     ) {
-        let Some(call) = self.call.as_ref().filter(|c| c.number == number) else {
+        let Some(call) = self.call.as_ref().filter(|call| call.number == number) else {
             return;
         };
-        let due = call.heard
-            + match (&call.body, call.written) {
-                (Some(_), _) => SILENCE,
-                (None, 0) => CONNECT,
-                (None, _) => SILENCE_BEFORE,
-            };
-        if now < due {
-            return timers.set(due, TimerKind::Discovery(number));
+        let deadline = call.silence_deadline();
+        if now < deadline {
+            return timers.set(deadline, TimerKind::Discovery(number));
         }
-        let (silent, stage) = (now.saturating_sub(call.heard) / MS, call.stage());
+        let silent_ms = now.saturating_sub(call.last_read) / MS;
+        let stage = call.stage();
         counters.discovery_silent += 1;
-        counters.longest_discovery_silence_ms = counters.longest_discovery_silence_ms.max(silent);
-        events.push(self.fail(
-            &format!("silent for {silent} ms, {stage}; it is called anew"),
-            counters,
-        ));
+        counters.longest_discovery_silence_ms =
+            counters.longest_discovery_silence_ms.max(silent_ms);
+        events.push(self.fail(&WatchError::Silent { silent_ms, stage }, counters));
     }
 
-    /// Takes what is whole of the text that has come. A message ends with its last brace, on whatever line that is: lists may
-    /// come indented.
-    fn lines(&mut self, counters: &mut Counters) -> Result<(), String> {
+    /// Takes the complete messages of the text that has arrived. A message ends with its last brace,
+    /// on whatever line that is: lists may come indented.
+    fn read_messages(&mut self, counters: &mut Counters) -> Result<(), MessageError> {
         let Some(call) = self.call.as_mut() else {
             return Ok(());
         };
-        while let Some(place) = call.scanner.next(&call.text)? {
-            let text = call.text[place.clone()].to_vec();
-            call.text.drain(..place.end);
+        while let Some(range) = call.scanner.next(&call.text)? {
+            let text = call.text[range.clone()].to_vec();
+            call.text.drain(..range.end);
             let message = Message::read(text)?;
-            // Within a watch versions only grow: an older line is late news, and would bring back what has gone. The
-            // first is taken whatever it says if it is a whole list: discovery itself may count anew. A change is told of
-            // the version that was asked from, and an older one than that is late news too.
-            let known = call.seq.or(self.seq.filter(|_| !message.whole));
-            if known.is_some_and(|seq| message.seq < seq) {
+            // Within a watch versions only grow; an older message would bring back what has gone.
+            // The first may be older if it is a full list, for discovery may have begun to count
+            // anew; a delta refers to the version that was asked from.
+            let known = self.list.version().filter(|_| !message.is_full);
+            let known = call.version.or(known);
+            if let Some(known) = known.filter(|known| message.version < *known) {
                 counters.discovery_outdated_lines += 1;
-                let (address, seq) = (self.address, message.seq);
                 log::warn!(
-                    "discovery at {address}: a line of version {seq} is left, {known:?} was told"
+                    "discovery at {}: a message of version {} is ignored, version {known} is known",
+                    self.address,
+                    message.version
                 );
                 continue;
             }
-            call.seq = Some(message.seq);
+            call.version = Some(message.version);
             self.failures = 0;
             counters.discovery_messages += 1;
-            self.pending.push_back(message);
+            self.list.push(message);
         }
         if call.scanner.is_between() {
             call.text.clear();
             call.scanner = MessageScanner::default();
         }
-        if call.text.len() > LINE_MAX {
-            Err("line of the list: too long".into())
-        } else {
-            Ok(())
-        }
-    }
-}
-
-impl AdminCommand {
-    fn write(&mut self) -> Result<(), String> {
-        if let Ok(Some(e)) = self.stream.socket().take_error() {
-            return Err(format!("connecting: {e}"));
-        }
-        while self.written < self.request.len() {
-            match self.stream.socket().write(&self.request[self.written..]) {
-                Ok(n) => self.written += n,
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-                    break;
-                }
-                Err(e) => return Err(format!("writing: {e}")),
-            }
+        if call.text.len() > MAX_MESSAGE {
+            return Err(MessageError::TooLong { limit: MAX_MESSAGE });
         }
-        let unsent = self.written < self.request.len();
-        self.stream
-            .set_interest(Interest::readable_and(unsent))
-            .map_err(|e| format!("watching: {e}"))
-    }
-
-    fn read(&mut self, now: Nanos) -> Result<(), String> {
-        let held = self.input.len();
-        self.input.resize(held + READ_SIZE, 0);
-        let got = self.stream.socket().read(&mut self.input[held..]);
-        self.input.truncate(held + *got.as_ref().unwrap_or(&0));
-        self.is_behind = matches!(got, Ok(READ_SIZE));
-        match got {
-            Ok(0) => return Err("the watch has ended".into()),
-            Ok(_) => self.heard = now,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-                return Ok(());
-            }
-            Err(e) => return Err(format!("reading: {e}")),
-        }
-        if self.body.is_none() {
-            self.head()?;
-        }
-        self.decode()
-    }
-
-    /// How far it has come, as the log tells it.
-    fn stage(&self) -> &'static str {
-        match &self.body {
-            None if self.written == 0 => "before its connection was up",
-            None if self.input.is_empty() => "before its head",
-            None => "in its head",
-            Some(Body::Chunked { left: 1.. }) => "in a chunk",
-            Some(_) if self.text.is_empty() && self.input.is_empty() => "between two lines",
-            Some(_) => "in a line",
-        }
-    }
-
-    /// Reads the status and headers, once they are all there.
-    fn head(&mut self) -> Result<(), String> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
-        let mut response = httparse::Response::new(&mut headers);
-        let length = match response.parse(&self.input) {
-            Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if self.input.len() < LINE_MAX => return Ok(()),
-            Ok(httparse::Status::Partial) => return Err("headers: too long".into()),
-            Err(e) => return Err(format!("headers: {e}")),
-        };
-        if response.code != Some(200) {
-            return Err(format!("status {}", response.code.unwrap_or(0)));
-        }
-        let value = |name: &str| {
-            let header = response
-                .headers
-                .iter()
-                .find(|h| h.name.eq_ignore_ascii_case(name))?;
-            std::str::from_utf8(header.value).ok().map(str::trim)
-        };
-        self.body = Some(
-            if value("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-                Body::Chunked { left: 0 }
-            } else if let Some(length) = value("content-length") {
-                Body::Length(
-                    length
-                        .parse()
-                        .map_err(|_| format!("content-length: \"{length}\""))?,
-                )
-            } else {
-                Body::UntilClose
-            },
-        );
-        self.input.drain(..length);
         Ok(())
     }
-
-    /// Moves what has come of the body to the text.
-    fn decode(&mut self) -> Result<(), String> {
-        loop {
-            match &mut self.body {
-                None => return Ok(()),
-                Some(Body::UntilClose) => {
-                    self.text.append(&mut self.input);
-                    return Ok(());
-                }
-                Some(Body::Length(left)) => {
-                    let part = self.input.len().min(*left);
-                    self.text.extend(self.input.drain(..part));
-                    *left -= part;
-                    if *left == 0 {
-                        return Err("the answer has ended".into());
-                    }
-                    return Ok(());
-                }
-                Some(Body::Chunked { left }) if *left > 2 => {
-                    let part = self.input.len().min(*left - 2);
-                    self.text.extend(self.input.drain(..part));
-                    *left -= part;
-                    if *left > 2 {
-                        return Ok(());
-                    }
-                }
-                Some(Body::Chunked { left }) if *left > 0 => {
-                    // The line end behind a chunk.
-                    let part = self.input.len().min(*left);
-                    let end = &b"\r\n"[2 - *left..][..part];
-                    if &self.input[..part] != end {
-                        return Err("chunk without its end".into());
-                    }
-                    self.input.drain(..part);
-                    *left -= part;
-                    if *left > 0 {
-                        return Ok(());
-                    }
-                }
-                Some(Body::Chunked { left }) => match httparse::parse_chunk_size(&self.input) {
-                    Ok(httparse::Status::Complete((_, 0))) => {
-                        return Err("the watch has ended".into());
-                    }
-                    Ok(httparse::Status::Complete((_, size))) if size > LINE_MAX as u64 => {
-                        return Err("chunk: too long".into());
-                    }
-                    Ok(httparse::Status::Complete((at, size))) => {
-                        self.input.drain(..at);
-                        *left = size as usize + 2;
-                    }
-                    Ok(httparse::Status::Partial) if self.input.len() < READ_SIZE => return Ok(()),
-                    Ok(httparse::Status::Partial) | Err(_) => return Err("chunk: no length".into()),
-                },
-            }
-        }
-    }
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/discovery/messages.rs
+++ b/crates/balancer/src/discovery/messages.rs
@@ -1,18 +1,36 @@
-//! Messages of discovery: where one ends in a text that comes in pieces, and its hosts taken a few at a time, so that a
-//! list of thousands holds nothing else up. No I/O.
+//! Messages of discovery: where one ends in a text that arrives in pieces, and its endpoints taken
+//! a few at a time, so that a list of thousands delays nothing else. No I/O.
 
-use super::ListedEndpoint;
+use super::endpoint_list::{ListedEndpoint, REMOVED};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// Finds the ends of messages. Each byte is looked at once, however many pieces a message comes in.
+/// Why a message can't be read.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum MessageError {
+    #[error("a message begins with \"{}\"", .0.escape_ascii())]
+    Start(u8),
+    #[error("an empty line within a message")]
+    EmptyLine,
+    #[error("a message of more than {limit} bytes")]
+    TooLong { limit: usize },
+    #[error("{0}")]
+    Key(#[from] serde_path_to_error::Error<serde_json::Error>),
+    #[error("hosts[{index}].{source}")]
+    Endpoint {
+        index: usize,
+        source: serde_path_to_error::Error<serde_json::Error>,
+    },
+}
+
+/// Finds the ends of messages. Each byte is examined once, however many pieces a message comes in.
 #[derive(Debug, Default)]
 pub(super) struct MessageScanner {
-    /// Bytes of the text that were looked at.
+    /// Bytes of the text that were examined.
     scanned: usize,
-    /// Where the message at hand begins.
+    /// Where the current message begins.
     start: usize,
     /// Braces and brackets that are open.
     depth: usize,
@@ -23,16 +41,16 @@
 }
 
 impl MessageScanner {
-    /// The next whole message of `text`, which is then to be cut off behind it; none while its end has not come.
+    /// The next complete message of `text`, which is then to be cut off behind it; none while its
+    /// end has not arrived.
     ///
     /// # Errors
     ///
-    /// Says what stands where a message should begin, or that an empty line comes within one.
-    pub(super) fn next(&mut self, text: &[u8]) -> Result<Option<Range<usize>>, String> {
+    /// Says what stands where a message should begin, or that one has an empty line.
+    pub(super) fn next(&mut self, text: &[u8]) -> Result<Option<Range<usize>>, MessageError> {
         while let Some(byte) = text.get(self.scanned) {
             self.scanned += 1;
-            let is_over = self.take(*byte)?;
-            if is_over {
+            if self.is_end(*byte)? {
                 let message = self.start..self.scanned;
                 *self = MessageScanner::default();
                 return Ok(Some(message));
@@ -47,16 +65,13 @@
     }
 
     /// Whether this byte ends the message.
-    fn take(&mut self, byte: u8) -> Result<bool, String> {
-        let empty_line = byte == b'\n' && std::mem::replace(&mut self.line_ended, byte == b'\n');
-        if byte != b'\n' {
-            self.line_ended = false;
-        }
+    fn is_end(&mut self, byte: u8) -> Result<bool, MessageError> {
+        let line_ended = std::mem::replace(&mut self.line_ended, byte == b'\n');
         if self.depth == 0 {
             return self.begin(byte).map(|()| false);
         }
-        if empty_line {
-            return Err("line of the list: has no end".into());
+        if line_ended && byte == b'\n' {
+            return Err(MessageError::EmptyLine);
         }
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -71,145 +86,135 @@
     }
 
     /// Empty lines between two messages are part of none.
-    fn begin(&mut self, byte: u8) -> Result<(), String> {
+    fn begin(&mut self, byte: u8) -> Result<(), MessageError> {
         match byte {
             b'{' => {
                 (self.start, self.depth) = (self.scanned - 1, 1);
                 Ok(())
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
-            _ => Err(format!(
-                "line of the list: begins with \"{}\"",
-                byte.escape_ascii()
-            )),
+            _ => Err(MessageError::Start(byte)),
         }
     }
 }
 
-/// A message as it is first read: its hosts are left as text.
+/// A message as it is first read: its endpoints are left as text.
 #[derive(Deserialize)]
 struct Head<'a> {
-    seq: u64,
-    #[serde(default)]
-    whole: bool,
-    #[serde(default, borrow)]
-    hosts: Vec<&'a RawValue>,
+    #[serde(rename = "seq")]
+    version: u64,
+    #[serde(default, rename = "whole")]
+    is_full: bool,
+    #[serde(default, borrow, rename = "hosts")]
+    endpoints: Vec<&'a RawValue>,
 }
 
-/// Some of the hosts of a message.
+/// Some of the endpoints of a message.
 #[derive(Debug)]
 pub struct ListPart {
     /// The message's version.
-    pub seq: u64,
-    /// The message names all hosts.
-    pub whole: bool,
-    /// The hosts. At the end of a message that names all hosts those follow, as `terminated`, that it does not name.
-    pub hosts: Vec<ListedEndpoint>,
+    pub version: u64,
+    /// The message names all endpoints.
+    pub is_full: bool,
+    /// The endpoints. At the end of a message that names all of them, those that it does not name
+    /// follow as removed.
+    pub endpoints: Vec<ListedEndpoint>,
     /// The message is over.
     pub is_last: bool,
 }
 
-/// A message whose hosts are taken a few at a time.
+/// A message whose endpoints are taken a few at a time.
 #[derive(Debug)]
 pub(super) struct Message {
-    pub(super) seq: u64,
-    pub(super) whole: bool,
+    pub(super) version: u64,
+    pub(super) is_full: bool,
     text: Vec<u8>,
-    /// Where the hosts that are left stand in the text.
-    hosts: std::vec::IntoIter<Range<usize>>,
-    /// Hosts taken so far.
+    /// Where the remaining endpoints stand in the text.
+    remaining: std::vec::IntoIter<Range<usize>>,
+    /// Endpoints taken so far.
     taken: usize,
-    /// Their names, where these are all hosts.
+    /// Their names, where these are all endpoints.
     named: BTreeSet<String>,
-    /// Hosts that are listed and not named; known once all that are named were taken.
-    missing: Option<std::vec::IntoIter<ListedEndpoint>>,
+    /// Endpoints that are listed and not named; known once all that are named were taken.
+    unnamed: Option<std::vec::IntoIter<ListedEndpoint>>,
 }
 
 impl Message {
-    /// Reads all but the hosts.
+    /// Reads all but the endpoints.
     ///
     /// # Errors
     ///
-    /// Names the key that makes no sense.
-    pub(super) fn read(text: Vec<u8>) -> Result<Self, String> {
+    /// Names the key that can't be read.
+    pub(super) fn read(text: Vec<u8>) -> Result<Self, MessageError> {
         let mut json = serde_json::Deserializer::from_slice(&text);
-        let head: Head = serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| format!("line of the list: {}: {}", e.path(), e.inner()))?;
-        let place = |host: &&RawValue| {
-            let start = host.get().as_ptr() as usize - text.as_ptr() as usize;
-            start..start + host.get().len()
+        let head: Head = serde_path_to_error::deserialize(&mut json)?;
+        let range = |endpoint: &&RawValue| {
+            let start = endpoint.get().as_ptr() as usize - text.as_ptr() as usize;
+            start..start + endpoint.get().len()
         };
-        let hosts: Vec<Range<usize>> = head.hosts.iter().map(place).collect();
-        let (seq, whole) = (head.seq, head.whole);
-        let (named, hosts) = (BTreeSet::new(), hosts.into_iter());
+        let ranges: Vec<Range<usize>> = head.endpoints.iter().map(range).collect();
+        let (version, is_full) = (head.version, head.is_full);
         Ok(Message {
-            seq,
-            whole,
+            version,
+            is_full,
             text,
-            hosts,
+            remaining: ranges.into_iter(),
             taken: 0,
-            named,
-            missing: None,
+            named: BTreeSet::new(),
+            unnamed: None,
         })
     }
 
-    /// At most `most` of the hosts that are left. Of one that names all hosts, those `listed` that it does not name follow.
+    /// Takes at most `limit` of the remaining endpoints. Where the message names all endpoints,
+    /// those `listed` that it does not name follow as removed.
     ///
     /// # Errors
     ///
-    /// Names the host and the key that makes no sense.
+    /// Names the endpoint and the key that can't be read.
     pub(super) fn take(
         &mut self,
-        most: usize,
+        limit: usize,
         listed: &BTreeMap<String, ListedEndpoint>,
-    ) -> Result<ListPart, String> {
-        let mut hosts = Vec::new();
-        for place in self.hosts.by_ref().take(most) {
-            let mut json = serde_json::Deserializer::from_slice(&self.text[place]);
-            let host: ListedEndpoint =
-                serde_path_to_error::deserialize(&mut json).map_err(|e| {
-                    format!(
-                        "line of the list: hosts[{}].{}: {}",
-                        self.taken,
-                        e.path(),
-                        e.inner()
-                    )
-                })?;
+    ) -> Result<ListPart, MessageError> {
+        let mut endpoints = Vec::new();
+        for range in self.remaining.by_ref().take(limit) {
+            let mut json = serde_json::Deserializer::from_slice(&self.text[range]);
+            let index = self.taken;
+            let endpoint: ListedEndpoint = serde_path_to_error::deserialize(&mut json)
+                .map_err(|source| MessageError::Endpoint { index, source })?;
             self.taken += 1;
-            if self.whole {
-                self.named.insert(host.host.clone());
+            if self.is_full {
+                self.named.insert(endpoint.name.clone());
             }
-            hosts.push(host);
+            endpoints.push(endpoint);
         }
-        if self.whole && self.hosts.len() == 0 {
-            let missing = self
-                .missing
-                .get_or_insert_with(|| unnamed(listed, &self.named).into_iter());
-            let room = most - hosts.len();
-            hosts.extend(missing.by_ref().take(room));
+        if self.is_full && self.remaining.len() == 0 {
+            let named = &self.named;
+            let unnamed = self
+                .unnamed
+                .get_or_insert_with(|| removed_unless_named(listed, named).into_iter());
+            let capacity = limit - endpoints.len();
+            endpoints.extend(unnamed.by_ref().take(capacity));
         }
-        let missing = self.missing.as_ref().map_or(0, ExactSizeIterator::len);
+        let unnamed = self.unnamed.as_ref().map_or(0, ExactSizeIterator::len);
         Ok(ListPart {
-            seq: self.seq,
-            whole: self.whole,
-            hosts,
-            is_last: self.hosts.len() + missing == 0,
+            version: self.version,
+            is_full: self.is_full,
+            endpoints,
+            is_last: self.remaining.len() + unnamed == 0,
         })
     }
 }
 
-/// The listed hosts that are not named, as gone.
-fn unnamed(
+/// The listed endpoints that are not named, as removed.
+fn removed_unless_named(
     listed: &BTreeMap<String, ListedEndpoint>,
     named: &BTreeSet<String>,
 ) -> Vec<ListedEndpoint> {
-    let gone = |host: &ListedEndpoint| ListedEndpoint {
-        health: "terminated".into(),
-        ..host.clone()
-    };
-    listed
-        .values()
-        .filter(|host| !named.contains(&host.host))
-        .map(gone)
-        .collect()
+    let unnamed = listed.values().filter(|e| !named.contains(&e.name));
+    let removed = unnamed.map(|endpoint| ListedEndpoint {
+        state: REMOVED.into(),
+        ..endpoint.clone()
+    });
+    removed.collect()
 }
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -1,21 +1,24 @@
-//! Tests of `upstream_group`.
+//! Watches that succeed, fail and fall silent, and the lists that arrive over them.
 
+use super::call::{CONNECT_TIMEOUT, FIRST_BYTE_TIMEOUT, SILENCE_TIMEOUT};
 use super::*;
+use std::collections::BTreeMap;
+use std::io::Write;
 use std::net::TcpListener;
 
 #[test]
-fn a_discovery_that_says_nothing_is_given_up_by_how_far_the_call_has_come() {
+fn the_silence_timeout_depends_on_how_far_the_call_has_come() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let poll = Poll::new().unwrap();
     for (up, answer, given_up) in [
-        (false, "", CONNECT),
-        (true, "", SILENCE_BEFORE),
-        (true, "x", SILENCE),
+        (false, "", CONNECT_TIMEOUT),
+        (true, "", FIRST_BYTE_TIMEOUT),
+        (true, "x", SILENCE_TIMEOUT),
     ] {
-        let mut group = DiscoveryClient::new(&poll, listener.local_addr().unwrap(), None);
+        let mut client = DiscoveryClient::new(&poll, listener.local_addr().unwrap(), None);
         let (mut timers, mut counters, mut events) =
             (Timers::default(), Counters::default(), Vec::new());
-        assert!(group.watch(0, &mut timers, &mut counters).is_none());
+        assert!(client.watch(0, &mut timers, &mut counters).is_none());
         let mut discovery = listener.accept().unwrap().0;
         if up {
             let ready = Readiness {
@@ -23,7 +26,7 @@
                 readable: false,
                 writable: true,
             };
-            group.ready(0, ready, &mut events, &mut counters);
+            client.handle_ready(0, ready, &mut events, &mut counters);
         }
         if !answer.is_empty() {
             discovery.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
@@ -32,21 +35,24 @@
                 readable: true,
                 writable: false,
             };
-            group.ready(0, ready, &mut events, &mut counters);
+            client.handle_ready(0, ready, &mut events, &mut counters);
         }
         for (now, ends) in [(given_up - 1, 0), (given_up, 1)] {
-            group.due(now, 0, &mut timers, &mut events, &mut counters);
+            client.handle_silence_timeout(now, 0, &mut timers, &mut events, &mut counters);
             assert_eq!(events.len(), ends, "{up} {answer} at {now}");
         }
     }
 }
 
 #[test]
-fn failures_are_counted_from_one_line_of_the_list_to_the_next() {
+fn failures_are_counted_from_one_message_to_the_next() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let pace = Some(WatchBackoff::new(500 * MS));
-    let mut group =
-        DiscoveryClient::new(&Poll::new().unwrap(), listener.local_addr().unwrap(), pace);
+    let backoff = Some(WatchBackoff::new(500 * MS));
+    let mut client = DiscoveryClient::new(
+        &Poll::new().unwrap(),
+        listener.local_addr().unwrap(),
+        backoff,
+    );
     let (mut timers, mut counters, mut events) =
         (Timers::default(), Counters::default(), Vec::new());
     // Nothing but its version: a line all the same.
@@ -54,7 +60,7 @@
         .into_iter()
         .enumerate()
     {
-        assert!(group.watch(0, &mut timers, &mut counters).is_none());
+        assert!(client.watch(0, &mut timers, &mut counters).is_none());
         let mut agent = listener.accept().unwrap().0;
         write!(agent, "HTTP/1.1 200 OK\r\n\r\n{line}").unwrap();
         drop(agent);
@@ -64,11 +70,11 @@
             writable: !readable,
         };
         while !matches!(events.last(), Some(DiscoveryEvent::Failed)) {
-            group.ready(0, ready(true), &mut events, &mut counters);
-            group.take(usize::MAX, &mut counters);
+            client.handle_ready(0, ready(true), &mut events, &mut counters);
+            client.take_part(usize::MAX, &mut counters);
         }
         events.clear();
-        assert_eq!(group.failures, failures);
+        assert_eq!(client.failures, failures);
     }
     assert_eq!(
         (counters.discovery_messages, counters.discovery_failed),
@@ -77,32 +83,32 @@
 }
 
 #[test]
-fn the_list_that_is_handed_over_is_the_last_whole_one_with_its_changes() {
+fn the_full_list_is_the_last_full_one_with_its_deltas() {
     let list = |text: &str| serde_json::from_str::<EndpointList>(text).unwrap();
-    let mut group =
+    let mut client =
         DiscoveryClient::new(&Poll::new().unwrap(), "127.0.0.1:1".parse().unwrap(), None);
-    assert!(group.list().is_none());
-    group.learn(&list(r#"{"seq":3,"whole":true,"hosts":[{"host":"z"}]}"#));
-    group.learn(&list(
+    assert!(client.full_list().is_none());
+    client.apply(&list(r#"{"seq":3,"whole":true,"hosts":[{"host":"z"}]}"#));
+    client.apply(&list(
         r#"{"seq":4,"whole":true,"hosts":[{"host":"a","dial":"x:1"},{"host":"b"}]}"#,
     ));
     let change = r#"{"seq":5,"hosts":[{"host":"b","health":"terminated"},{"host":"a","dial":"y:1"},{"host":"c"}]}"#;
-    group.learn(&list(change));
-    let now = group.list().unwrap();
+    client.apply(&list(change));
+    let now = client.full_list().unwrap();
     let hosts: Vec<_> = now
-        .hosts
+        .endpoints
         .iter()
-        .map(|h| (h.host.as_str(), h.dial.as_str()))
+        .map(|h| (h.name.as_str(), h.address.as_str()))
         .collect();
     assert_eq!(
-        (now.seq, now.whole, hosts),
+        (now.version, now.is_full, hosts),
         (5, true, vec![("a", "y:1"), ("c", "")])
     );
 }
 
-/// A group with a watch open, the other end of that, and what has become of it.
+/// A client with a watch open, the other end of that, and what has become of it.
 struct Watch {
-    group: DiscoveryClient,
+    client: DiscoveryClient,
     discovery: TcpStream,
     events: Vec<DiscoveryEvent>,
     timers: Timers,
@@ -112,16 +118,16 @@
 impl Watch {
     fn open(known: Option<&str>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let mut group =
+        let mut client =
             DiscoveryClient::new(&Poll::new().unwrap(), listener.local_addr().unwrap(), None);
         if let Some(known) = known {
-            group.learn(&serde_json::from_str(known).unwrap());
+            client.apply(&serde_json::from_str(known).unwrap());
         }
         let (mut timers, mut counters) = (Timers::default(), Counters::default());
-        assert!(group.watch(0, &mut timers, &mut counters).is_none());
+        assert!(client.watch(0, &mut timers, &mut counters).is_none());
         let discovery = listener.accept().unwrap().0;
         let mut watch = Watch {
-            group,
+            client,
             discovery,
             events: Vec::new(),
             timers,
@@ -137,11 +143,11 @@
             readable,
             writable: !readable,
         };
-        self.group
-            .ready(now, ready, &mut self.events, &mut self.counters);
+        self.client
+            .handle_ready(now, ready, &mut self.events, &mut self.counters);
         // What was told goes before the end of the watch that told it.
         let mut news = Vec::new();
-        while let Some(event) = self.group.take(usize::MAX, &mut self.counters) {
+        while let Some(event) = self.client.take_part(usize::MAX, &mut self.counters) {
             news.push(event);
         }
         let end = self
@@ -158,19 +164,19 @@
         self.ready(now, true);
     }
 
-    fn told(&mut self) -> Vec<(u64, bool)> {
-        let told = |event| match event {
-            DiscoveryEvent::News(part) => part.is_last.then_some((part.seq, part.whole)),
-            DiscoveryEvent::Stands | DiscoveryEvent::Failed => None,
+    fn lists(&mut self) -> Vec<(u64, bool)> {
+        let list = |event| match event {
+            DiscoveryEvent::ListPart(part) => part.is_last.then_some((part.version, part.is_full)),
+            DiscoveryEvent::Established | DiscoveryEvent::Failed => None,
         };
-        self.events.drain(..).filter_map(told).collect()
+        self.events.drain(..).filter_map(list).collect()
     }
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 #[test]
-fn lists_come_through_however_they_are_indented_and_wherever_they_are_split() {
+fn lists_arrive_however_they_are_indented_and_wherever_they_are_split() {
     let spread = serde_json::to_string_pretty(&serde_json::json!(
         {"seq": 4, "whole": true, "hosts": [{"host": "a}\n\n{", "dial": "x:1"}, {"host": "b"}]}
     ));
@@ -185,7 +191,7 @@
             watch.says(0, &format!("{:x}\r\n{part}\r\n", part.len()));
         }
         assert_eq!(
-            watch.told(),
+            watch.lists(),
             [(4, true), (5, false), (6, false)],
             "cut at {cut}"
         );
@@ -199,7 +205,7 @@
         watch.says(0, "HTTP/1.1 200 OK\r\n\r\n");
         watch.says(0, text);
         assert!(
-            matches!(watch.events[..], [DiscoveryEvent::Stands]),
+            matches!(watch.events[..], [DiscoveryEvent::Established]),
             "more may come"
         );
         watch.events.clear();
@@ -212,7 +218,7 @@
 }
 
 #[test]
-fn a_change_older_than_the_version_that_was_asked_from_is_left_and_an_older_whole_list_is_not() {
+fn an_older_delta_is_ignored_and_an_older_full_list_is_not() {
     let known = r#"{"seq":41,"whole":true,"hosts":[{"host":"a","health":"terminating"}]}"#;
     for (text, told) in [
         (r#"{"seq":40,"hosts":[{"host":"a"}]}"#, vec![]),
@@ -227,7 +233,7 @@
         let mut watch = Watch::open(Some(known));
         watch.says(0, "HTTP/1.1 200 OK\r\n\r\n");
         watch.says(0, text);
-        assert_eq!(watch.told(), told, "{text}");
+        assert_eq!(watch.lists(), told, "{text}");
         assert_eq!(
             watch.counters.discovery_outdated_lines,
             u64::from(told.is_empty())
@@ -236,14 +242,17 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_called_anew_well_before_what_it_misses_counts_as_told() {
+fn a_silent_watch_is_replaced_well_before_the_balancer_counts_as_notified() {
     // By the protocol that is 6 s after the last byte. Listed: what came, and how far that is.
     let cases = [
         ("", "before its head"),
         ("HTTP/1.1 2", "in its head"),
-        (HEAD, "between two lines"),
-        ("HTTP/1.1 200 OK\r\n\r\n{\"seq\":5}\n", "between two lines"),
-        ("HTTP/1.1 200 OK\r\n\r\n{\"seq\":5", "in a line"),
+        (HEAD, "between two messages"),
+        (
+            "HTTP/1.1 200 OK\r\n\r\n{\"seq\":5}\n",
+            "between two messages",
+        ),
+        ("HTTP/1.1 200 OK\r\n\r\n{\"seq\":5", "in a message"),
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"seq\":5",
             "in a chunk",
@@ -255,13 +264,18 @@
         if !text.is_empty() {
             watch.says(heard, text);
         }
-        assert_eq!(watch.group.call.as_ref().unwrap().stage(), stage);
+        assert_eq!(
+            watch.client.call.as_ref().unwrap().stage().to_string(),
+            stage
+        );
         watch.events.clear();
         let mut given_up = None;
         for now in (0..6_000).map(|ms| heard + ms * MS) {
             let (timers, events, counters) =
                 (&mut watch.timers, &mut watch.events, &mut watch.counters);
-            watch.group.due(now, 0, timers, events, counters);
+            watch
+                .client
+                .handle_silence_timeout(now, 0, timers, events, counters);
             if !watch.events.is_empty() {
                 given_up = Some(now - heard);
                 break;
@@ -283,7 +297,7 @@
 }
 
 #[test]
-fn a_long_list_comes_in_parts_and_its_version_is_known_once_it_is_over() {
+fn a_long_list_is_taken_in_parts_and_its_version_is_known_after_the_last() {
     let hosts = |range: std::ops::Range<usize>| {
         let hosts: Vec<_> = range
             .map(|n| serde_json::json!({"host": format!("s-{n:04}")}))
@@ -293,40 +307,46 @@
     let whole = |seq: u64, hosts| {
         serde_json::json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
     };
-    let mut group =
+    let mut client =
         DiscoveryClient::new(&Poll::new().unwrap(), "127.0.0.1:1".parse().unwrap(), None);
     let mut counters = Counters::default();
-    let mut take = |group: &mut DiscoveryClient, most| match group.take(most, &mut counters) {
-        Some(DiscoveryEvent::News(part)) => (part.hosts.len(), part.is_last),
+    let mut take = |client: &mut DiscoveryClient, most| match client.take_part(most, &mut counters)
+    {
+        Some(DiscoveryEvent::ListPart(part)) => (part.endpoints.len(), part.is_last),
         other => panic!("{other:?}"),
     };
-    group
-        .pending
-        .push_back(Message::read(whole(4, hosts(0..300)).into_bytes()).unwrap());
+    client
+        .list
+        .push(Message::read(whole(4, hosts(0..300)).into_bytes()).unwrap());
     assert_eq!(
-        take(&mut group, 100),
+        take(&mut client, 100),
         (300, true),
         "the first list comes in one go"
     );
-    group
-        .pending
-        .push_back(Message::read(whole(5, hosts(150..400)).into_bytes()).unwrap());
-    assert!(group.is_behind());
+    client
+        .list
+        .push(Message::read(whole(5, hosts(150..400)).into_bytes()).unwrap());
+    assert!(client.is_behind());
     assert_eq!(
-        [take(&mut group, 100), take(&mut group, 100)],
+        [take(&mut client, 100), take(&mut client, 100)],
         [(100, false), (100, false)]
     );
-    assert_eq!(group.seq(), Some(4));
+    assert_eq!(client.version(), Some(4));
     // The last fifty, and the first half of those that it does not name.
-    assert_eq!(take(&mut group, 100), (100, false));
-    assert_eq!(take(&mut group, 100), (100, true));
+    assert_eq!(take(&mut client, 100), (100, false));
+    assert_eq!(take(&mut client, 100), (100, true));
     assert_eq!(
-        (group.seq(), group.hosts.len(), group.is_behind()),
+        (
+            client.version(),
+            client.list.endpoints().len(),
+            client.is_behind()
+        ),
         (Some(5), 250, false)
     );
     assert!(
-        group
-            .hosts
+        client
+            .list
+            .endpoints()
             .keys()
             .cloned()
             .eq((150..400).map(|n| format!("s-{n:04}")))
@@ -334,30 +354,27 @@
 }
 
 #[test]
-fn each_byte_of_a_message_is_looked_at_once_and_what_is_no_message_is_named() {
+fn each_byte_of_a_message_is_examined_once_and_text_that_is_no_message_is_named() {
     let text = br#" {"a":"}\"{","b":[{"c":{}}]}{"d":1}"#;
     let over = text.len() - br#"{"d":1}"#.len();
     let mut scanner = MessageScanner::default();
     for end in 1..over {
-        assert_eq!(scanner.next(&text[..end]), Ok(None), "{end}");
+        assert_eq!(scanner.next(&text[..end]).unwrap(), None, "{end}");
     }
-    assert_eq!(scanner.next(&text[..]), Ok(Some(1..over)));
+    assert_eq!(scanner.next(&text[..]).unwrap(), Some(1..over));
     let mut scanner = MessageScanner::default();
     assert_eq!(
-        scanner.next(b"  [1]"),
-        Err("line of the list: begins with \"[\"".into())
+        scanner.next(b"  [1]").unwrap_err().to_string(),
+        "a message begins with \"[\""
     );
 }
 
 #[test]
-fn a_host_that_makes_no_sense_ends_the_watch_and_is_named() {
+fn an_invalid_endpoint_is_named_in_the_error() {
     let text = r#"{"seq":4,"hosts":[{"host":"a"},{"host":"b","share":"x"}]}"#;
     let mut message = Message::read(text.as_bytes().to_vec()).unwrap();
     let listed = BTreeMap::new();
-    assert_eq!(message.take(1, &listed).unwrap().hosts.len(), 1);
-    let problem = message.take(1, &listed).unwrap_err();
-    assert!(
-        problem.starts_with("line of the list: hosts[1].share: "),
-        "{problem}"
-    );
+    assert_eq!(message.take(1, &listed).unwrap().endpoints.len(), 1);
+    let problem = message.take(1, &listed).unwrap_err().to_string();
+    assert!(problem.starts_with("hosts[1].share: "), "{problem}");
 }
--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -70,14 +70,14 @@
 
     /// A list in the module's terms.
     pub fn list(&self, list: &EndpointList, stale: bool) -> Event {
-        let scope = match (stale, list.whole) {
+        let scope = match (stale, list.is_full) {
             (true, _) => UpdateKind::Stale,
             (false, true) => UpdateKind::Full,
             (false, false) => UpdateKind::Delta,
         };
         Event::EndpointUpdate {
             kind: scope,
-            endpoints: list.hosts.iter().map(|h| self.entry(h)).collect(),
+            endpoints: list.endpoints.iter().map(|h| self.entry(h)).collect(),
         }
     }
 
@@ -87,27 +87,27 @@
         // the caches of two would be trusted to discard each other's repeats.
         let own = |told: &str| {
             xxh3_64(if told.is_empty() {
-                host.host.as_bytes()
+                host.name.as_bytes()
             } else {
                 told.as_bytes()
             })
         };
-        let zone = || (own(&host.site) | 1 << 63) as usize;
+        let zone = || (own(&host.zone) | 1 << 63) as usize;
         let block = || {
-            if host.block.is_null() {
+            if host.cell.is_null() {
                 String::new()
             } else {
-                host.block.to_string()
+                host.cell.to_string()
             }
         };
         Endpoint {
-            id: server_id(&host.host),
-            zone: place(&self.names.zones, &host.site).unwrap_or_else(zone),
-            kind: place(&self.names.kinds, &host.class).unwrap_or(usize::MAX),
-            cell: host.block.as_u64().unwrap_or_else(|| own(&block())),
-            state: phase(&host.health),
-            weight: host.share,
-            started: (host.born_ms.max(0.0) * 1e6) as Nanos,
+            id: server_id(&host.name),
+            zone: place(&self.names.zones, &host.zone).unwrap_or_else(zone),
+            kind: place(&self.names.kinds, &host.kind).unwrap_or(usize::MAX),
+            cell: host.cell.as_u64().unwrap_or_else(|| own(&block())),
+            state: phase(&host.state),
+            weight: host.weight,
+            started: (host.started_ms.max(0.0) * 1e6) as Nanos,
         }
     }
 }
--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -21,8 +21,8 @@
                     self.handle_client_disconnect(now, request);
                 }
                 ListenerEvent::CapacityAvailable(request) => {
-                    if let Some(job) = self.attempt_tracker.passing_try(request) {
-                        self.upstream_pool.pause(now, job, false, &mut self.timers);
+                    if let Some(job) = self.attempt_tracker.stream_job(request) {
+                        self.upstream_pool.resume(now, job, &mut self.timers);
                     }
                 }
             }
@@ -52,7 +52,7 @@
             "request {} admitted", incoming.ticket.request.0
         );
         self.pending_events.extend(event);
-        self.attempt_tracker.take(incoming);
+        self.attempt_tracker.add(incoming);
         Vec::new()
     }
 
@@ -84,16 +84,16 @@
 
     /// Whether another request could end the process for its memory, and all open ones with it.
     fn is_at_limits(&self) -> bool {
-        self.attempt_tracker.held() + self.listener.buffered() > self.memory_limit
-            || self.attempt_tracker.open() >= self.open_requests_max
+        self.attempt_tracker.buffered_bytes() + self.listener.buffered() > self.memory_limit
+            || self.attempt_tracker.open_requests() >= self.open_requests_max
     }
 
     fn handle_client_disconnect(&mut self, now: Nanos, request: RequestId) {
-        if let Some(job) = self.attempt_tracker.passing_try(request) {
-            self.attempt_tracker.passed(request);
+        if let Some(job) = self.attempt_tracker.stream_job(request) {
+            self.attempt_tracker.end_stream(request);
             self.upstream_pool.abandon(job, &mut self.counters);
         } else {
-            self.attempt_tracker.gone(now, request);
+            self.attempt_tracker.client_disconnected(now, request);
             self.pending_events.push(Event::ClientDisconnected(request));
         }
     }
--- a/crates/balancer/src/event_loop/decisions.rs
+++ b/crates/balancer/src/event_loop/decisions.rs
@@ -1,8 +1,8 @@
 //! Decisions: events go to the engine, its actions are executed.
 
 use super::EventLoop;
-use super::dispatch::AttemptOrder;
 use super::turn_meter::TurnStep;
+use crate::attempt_tracker::AttemptOrder;
 use crate::counters::DecisionStep;
 use crate::request::FinalAnswer;
 use crate::timers::TimerKind;
@@ -18,7 +18,7 @@
             for event in &mut events {
                 // Time has passed since the request was read.
                 if let Event::RequestArrived(request) = event
-                    && let Some(time_left) = self.attempt_tracker.left(now, request.id)
+                    && let Some(time_left) = self.attempt_tracker.remaining_time(now, request.id)
                 {
                     request.client_timeout = time_left;
                 }
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -2,8 +2,7 @@
 //! time.
 
 use super::EventLoop;
-use crate::discovery::messages::ListPart;
-use crate::discovery::{DiscoveryEvent, EndpointList, ListedEndpoint};
+use crate::discovery::{DiscoveryEvent, EndpointList, ListPart, ListedEndpoint};
 use crate::engine_adapter::{known_phase, phase, server_id};
 use crate::timers::TimerKind;
 use crate::upstream_pool::UpstreamEvent;
@@ -29,8 +28,8 @@
     pub(super) fn handle_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
         for event in events {
             match event {
-                DiscoveryEvent::Stands => self.pending_events.push(Event::DiscoveryAvailable),
-                DiscoveryEvent::News(part) => self.apply_list_part(part),
+                DiscoveryEvent::Established => self.pending_events.push(Event::DiscoveryAvailable),
+                DiscoveryEvent::ListPart(part) => self.apply_list_part(part),
                 DiscoveryEvent::Failed => self.watch_failed(),
             }
         }
@@ -38,7 +37,7 @@
 
     /// Schedules the next watch, or tells the engine, which schedules it where lists are polled.
     fn watch_failed(&mut self) {
-        match self.discovery.again(self.clock.now()) {
+        match self.discovery.next_watch(self.clock.now()) {
             Some(at) => self.timers.set(at, TimerKind::Watch),
             None => self.pending_events.push(Event::EndpointUpdate {
                 kind: UpdateKind::Failed,
@@ -57,34 +56,39 @@
 
     /// Applies the next part of a discovery message, if one is pending.
     pub(super) fn apply_next_list_part(&mut self) {
-        let event = self.discovery.take(ENDPOINTS_PER_TURN, &mut self.counters);
+        let event = self
+            .discovery
+            .take_part(ENDPOINTS_PER_TURN, &mut self.counters);
         self.handle_discovery_events(event.into_iter().collect());
     }
 
     fn apply_list_part(&mut self, part: ListPart) {
         let ListPart {
-            seq,
-            whole,
-            hosts,
+            version,
+            is_full,
+            endpoints,
             is_last,
         } = part;
-        log::debug!(seq, whole, endpoints = hosts.len(), is_last; "discovery: a part of a message");
+        log::debug!(
+            version, is_full, endpoints = endpoints.len(), is_last;
+            "discovery: a part of a message"
+        );
         let delta = EndpointList {
-            seq,
-            whole: false,
-            hosts,
+            version,
+            is_full: false,
+            endpoints,
         };
         self.apply_list(&delta, ListSource::Discovery);
-        if is_last && self.discovery.is_listed() {
+        if is_last && self.discovery.has_endpoints() {
             self.endpoints_listed();
         }
     }
 
     /// Applies a list that is known from before, in one turn: no client is served before it.
     pub(super) fn load_known_list(&mut self, list: &EndpointList) {
-        self.discovery.learn(list);
+        self.discovery.apply(list);
         self.apply_list(list, ListSource::Remembered);
-        if !list.hosts.is_empty() {
+        if !list.endpoints.is_empty() {
             self.endpoints_listed();
         }
     }
@@ -103,15 +107,15 @@
         if level == log::Level::Debug {
             log::info!(
                 "discovery: version {}: {} endpoints",
-                list.seq,
-                list.hosts.len()
+                list.version,
+                list.endpoints.len()
             );
         }
         let mut listed = BTreeSet::new();
-        for endpoint in &list.hosts {
+        for endpoint in &list.endpoints {
             listed.insert(self.apply_endpoint(endpoint, level, &mut events));
         }
-        if list.whole {
+        if list.is_full {
             self.remove_unlisted(&listed, &mut events);
         }
         let is_stale = source == ListSource::Remembered;
@@ -123,8 +127,8 @@
         for endpoint in self.upstream_pool.listed() {
             if !listed.contains(&endpoint) {
                 self.upstream_pool
-                    .withdraw(endpoint, events, &mut self.counters);
-                self.upstream_pool.forget(endpoint);
+                    .drain(endpoint, events, &mut self.counters);
+                self.upstream_pool.remove_endpoint(endpoint);
             }
         }
     }
@@ -136,13 +140,13 @@
         level: log::Level,
         events: &mut Vec<UpstreamEvent>,
     ) -> EndpointId {
-        let id = server_id(&endpoint.host);
-        let name = &endpoint.host;
-        if known_phase(&endpoint.health).is_none() {
-            let health = &endpoint.health;
+        let id = server_id(&endpoint.name);
+        let name = &endpoint.name;
+        if known_phase(&endpoint.state).is_none() {
+            let health = &endpoint.state;
             log::warn!("discovery: {name}: health \"{health}\" is unknown; it gets nothing new");
         }
-        match endpoint.dial.parse() {
+        match endpoint.address.parse() {
             Ok(address) => {
                 let is_new =
                     self.upstream_pool
@@ -157,16 +161,16 @@
                 }
             }
             Err(_) => {
-                let dial = &endpoint.dial;
+                let dial = &endpoint.address;
                 log::warn!("discovery: {name}: \"{dial}\" is no address with a port");
             }
         }
-        let state = phase(&endpoint.health);
+        let state = phase(&endpoint.state);
         if state != EndpointState::Active {
-            self.upstream_pool.withdraw(id, events, &mut self.counters);
+            self.upstream_pool.drain(id, events, &mut self.counters);
         }
         if state == EndpointState::Removed {
-            self.upstream_pool.forget(id);
+            self.upstream_pool.remove_endpoint(id);
         }
         id
     }
@@ -174,7 +178,7 @@
 
 /// A line for each of thousands of endpoints would stall the process, and crowd the log.
 fn log_level(list: &EndpointList) -> log::Level {
-    if list.hosts.len() > LOGGED_ENDPOINTS_MAX {
+    if list.endpoints.len() > LOGGED_ENDPOINTS_MAX {
         log::Level::Debug
     } else {
         log::Level::Info
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -2,6 +2,7 @@
 //! at that moment still allows it.
 
 use super::EventLoop;
+use crate::attempt_tracker::AttemptOrder;
 use crate::poll_timestamps::PollTimestamps;
 use crate::resp::write_command;
 use crate::timers::{MS, TimerKind};
@@ -17,16 +18,6 @@
 /// otherwise wait for good.
 const POSTPONED_TURNS_MAX: u32 = 3;
 
-/// An attempt as the engine wants it sent.
-#[derive(Clone, Copy)]
-pub(super) struct AttemptOrder {
-    pub(super) request: RequestId,
-    pub(super) attempt: AttemptNumber,
-    pub(super) endpoint: EndpointId,
-    pub(super) timeout: Option<Nanos>,
-    pub(super) write_within: Option<Nanos>,
-}
-
 /// Whether everything that the last poll reported has been processed just now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PollState {
@@ -37,25 +28,12 @@
 impl EventLoop {
     /// Starts an attempt, unless its request has no time left.
     pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptOrder) {
-        let AttemptOrder {
-            request,
-            attempt,
-            endpoint,
-            timeout,
-            write_within,
-        } = order;
-        let started = self.attempt_tracker.start(
-            now,
-            (request, attempt),
-            endpoint,
-            (timeout, write_within),
-            &mut self.counters,
-        );
+        let started = self.attempt_tracker.start(now, order, &mut self.counters);
         match started {
             Ok(outbound) => {
                 if let UpstreamJob::Attempt(request, attempt) = outbound.job {
                     self.timers
-                        .set(outbound.until, TimerKind::Attempt(request, attempt));
+                        .set(outbound.deadline, TimerKind::Attempt(request, attempt));
                 }
                 self.dispatch(now, outbound);
             }
@@ -78,7 +56,7 @@
         let outcome = AttemptOutcome::Cancelled;
         if let Some(event) =
             self.attempt_tracker
-                .give_up(now, request, attempt, outcome, &mut self.counters)
+                .end_attempt(now, request, attempt, outcome, &mut self.counters)
         {
             self.timers.cancel(TimerKind::Attempt(request, attempt));
             self.upstream_pool.abandon(job, &mut self.counters);
@@ -88,15 +66,17 @@
 
     /// Starts a health check.
     pub(super) fn start_health_check(&mut self, now: Nanos, endpoint: EndpointId) {
-        let job = self.attempt_tracker.probe(endpoint, &mut self.counters);
-        let until = now + HEALTH_CHECK_TIMEOUT;
-        if let UpstreamJob::Probe(number) = job {
-            self.timers.set(until, TimerKind::HealthCheck(number));
+        let job = self
+            .attempt_tracker
+            .start_health_check(endpoint, &mut self.counters);
+        let deadline = now + HEALTH_CHECK_TIMEOUT;
+        if let UpstreamJob::HealthCheck(number) = job {
+            self.timers.set(deadline, TimerKind::HealthCheck(number));
         }
         let outbound = OutboundCommand {
             job,
-            server: endpoint,
-            until,
+            endpoint,
+            deadline,
         };
         self.dispatch(now, outbound);
     }
@@ -167,19 +147,19 @@
             UpstreamJob::Attempt(request, attempt) => {
                 self.check_client_connection(now, request);
                 self.attempt_tracker
-                    .first_byte(now, request, attempt, &mut self.counters)
+                    .command(now, request, attempt, &mut self.counters)
             }
             // Where endpoints report their load, the health check asks for it.
-            UpstreamJob::Probe(_) if !self.engine.names().report_columns.is_empty() => {
+            UpstreamJob::HealthCheck(_) if !self.engine.names().report_columns.is_empty() => {
                 Ok(write_command(&[b"INFO", b"load"]))
             }
-            UpstreamJob::Probe(_) => Ok(write_command(&[b"PING"])),
+            UpstreamJob::HealthCheck(_) => Ok(write_command(&[b"PING"])),
         }
     }
 
     /// Nothing is owed to a client that has disconnected, though this has not been read yet.
     fn check_client_connection(&mut self, now: Nanos, request: RequestId) {
-        let Some(connection) = self.attempt_tracker.owed_to(request) else {
+        let Some(connection) = self.attempt_tracker.waiting_client(request) else {
             return;
         };
         let mut events = Vec::new();
--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -50,7 +50,8 @@
 
     /// Leaves this process's state for a new process.
     fn write_state(&mut self, process: &str) {
-        let (Some(slots), Some(endpoint_list)) = (&mut self.process_slots, self.discovery.list())
+        let (Some(slots), Some(endpoint_list)) =
+            (&mut self.process_slots, self.discovery.full_list())
         else {
             return;
         };
@@ -67,12 +68,12 @@
     /// Takes over the state of the other process; its endpoint list only if discovery has sent no
     /// newer one.
     fn restore_state(&mut self, state: &StateTransfer) {
-        let known = self.discovery.seq().unwrap_or(0);
+        let known = self.discovery.version().unwrap_or(0);
         log::info!(
             "notes of the other process: list {}, {known} is known",
-            state.endpoint_list.seq,
+            state.endpoint_list.version,
         );
-        if state.endpoint_list.seq > known {
+        if state.endpoint_list.version > known {
             self.load_known_list(&state.endpoint_list);
         }
         // The list goes first: the snapshot is of endpoints that are listed.
--- a/crates/balancer/src/event_loop/lifecycle.rs
+++ b/crates/balancer/src/event_loop/lifecycle.rs
@@ -32,7 +32,7 @@
         log::info!("asked to stop: answering open requests");
         // The process may be killed after that, also with older requests that have more time.
         if let Some(deadline) = self.lifecycle.answer_deadline() {
-            self.attempt_tracker.hurry(deadline);
+            self.attempt_tracker.limit_deadlines(deadline);
             self.pending_events.push(Event::ShuttingDown(deadline));
         }
         // The signal may have been sent as soon as the other process was ready.
--- a/crates/balancer/src/event_loop/limits.rs
+++ b/crates/balancer/src/event_loop/limits.rs
@@ -57,8 +57,9 @@
             admin_descriptors(self.admin_listener.as_ref()),
         );
         self.memory_limit = self.config.memory_max / processes / REQUEST_MEMORY_SHARE;
-        self.upstream_pool.set_most(descriptors.upstream);
-        self.upstream_pool.set_coming_most(self.memory_limit / 2);
+        self.upstream_pool.set_max_connections(descriptors.upstream);
+        self.upstream_pool
+            .set_max_buffered_bytes(self.memory_limit / 2);
         self.listener.set_connections_max(descriptors.clients);
     }
 }
--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -18,7 +18,8 @@
                 self.listener.note_empty_backlog();
             }
         }
-        self.attempt_tracker.set_lost(self.poll_timestamps.lost());
+        self.attempt_tracker
+            .set_total_stall(self.poll_timestamps.lost());
         self.process_admin_calls(now, ready);
         self.process_discovery(now, ready);
         let clients = self.process_upstreams(now, ready);
@@ -48,7 +49,7 @@
             if matches!(readiness.source, EventSource::Discovery(_)) {
                 let mut events = Vec::new();
                 self.discovery
-                    .ready(now, *readiness, &mut events, &mut self.counters);
+                    .handle_ready(now, *readiness, &mut events, &mut self.counters);
                 self.handle_discovery_events(events);
             }
         }
@@ -88,7 +89,7 @@
 
     fn process_upstream(&mut self, now: Nanos, readiness: Readiness) {
         let mut events = Vec::new();
-        self.upstream_pool.ready(
+        self.upstream_pool.handle_ready(
             now,
             readiness,
             &mut self.timers,
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -1,7 +1,7 @@
 //! Responses of caches: attempts end, long values are streamed, requests are answered.
 
 use super::EventLoop;
-use crate::attempt_tracker::Answer;
+use crate::attempt_tracker::{DueAnswer, JobCompletion};
 use crate::listener::resp::{MemoryPressure, StreamEnd};
 use crate::request::FinalAnswer;
 use crate::timers::TimerKind;
@@ -13,11 +13,13 @@
         for event in events {
             match event {
                 // A job that waits for a recent poll is reported again by each poll.
-                UpstreamEvent::Up { job } if self.connected_jobs.contains(&job) => {}
-                UpstreamEvent::Up { job } => self.connected_jobs.push_back(job),
-                UpstreamEvent::Begun { job, length } => self.start_streaming(now, job, length),
-                UpstreamEvent::Part { job, bytes } => self.stream_chunk(now, job, &bytes),
-                UpstreamEvent::End { job, end } => self.finish_job(now, job, end),
+                UpstreamEvent::Connected { job } if self.connected_jobs.contains(&job) => {}
+                UpstreamEvent::Connected { job } => self.connected_jobs.push_back(job),
+                UpstreamEvent::StreamStarted { job, length } => {
+                    self.start_streaming(now, job, length)
+                }
+                UpstreamEvent::StreamChunk { job, bytes } => self.stream_chunk(now, job, &bytes),
+                UpstreamEvent::Completed { job, result } => self.finish_job(now, job, result),
             }
         }
     }
@@ -25,14 +27,14 @@
     fn finish_job(&mut self, now: Nanos, job: UpstreamJob, end: ExchangeResult) {
         if let UpstreamJob::Attempt(request, attempt) = job {
             self.timers.cancel(TimerKind::Attempt(request, attempt));
-            if let Some(connection) = self.attempt_tracker.passing((request, attempt)) {
+            if let Some(connection) = self.attempt_tracker.stream_client(request, attempt) {
                 return self.finish_streaming(now, connection, request, &end);
             }
         }
-        self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoPlace);
-        let (event, answer) = self
-            .attempt_tracker
-            .finished(now, job, end, &mut self.counters);
+        self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoCapacity);
+        let JobCompletion { event, answer } =
+            self.attempt_tracker
+                .complete(now, job, end, &mut self.counters);
         self.pending_events.extend(event);
         if let Some(answer) = answer {
             self.send_answer(now, answer);
@@ -47,7 +49,7 @@
         self.timers.cancel(TimerKind::Attempt(request, attempt));
         let started =
             self.attempt_tracker
-                .begun(now, (request, attempt), length, &mut self.counters);
+                .start_stream(now, request, attempt, length, &mut self.counters);
         if let Some((event, answer)) = started {
             self.pending_events.push(event);
             return self.send_answer(now, answer);
@@ -57,7 +59,7 @@
         let outcome = AttemptOutcome::Cancelled;
         let ended =
             self.attempt_tracker
-                .give_up(now, request, attempt, outcome, &mut self.counters);
+                .end_attempt(now, request, attempt, outcome, &mut self.counters);
         self.pending_events.extend(ended);
     }
 
@@ -67,7 +69,7 @@
         let UpstreamJob::Attempt(request, attempt) = job else {
             return;
         };
-        let Some(connection) = self.attempt_tracker.passing((request, attempt)) else {
+        let Some(connection) = self.attempt_tracker.stream_client(request, attempt) else {
             return;
         };
         self.listener.append_chunk(connection, request, bytes);
@@ -79,7 +81,7 @@
             .listener
             .apply_back_pressure(connection, request, memory)
         {
-            self.upstream_pool.pause(now, job, true, &mut self.timers);
+            self.upstream_pool.pause(now, job);
         }
         self.handle_listener_events(now, events);
     }
@@ -88,7 +90,7 @@
     /// cause that.
     fn memory_pressure(&self, connection: u64, request: RequestId) -> MemoryPressure {
         let is_waiting = self.listener.pending_bytes(connection, request) > 0;
-        let held = || self.attempt_tracker.held() + self.listener.buffered();
+        let held = || self.attempt_tracker.buffered_bytes() + self.listener.buffered();
         if is_waiting && held() > self.memory_limit / 2 {
             MemoryPressure::High
         } else {
@@ -103,7 +105,7 @@
         request: RequestId,
         end: &ExchangeResult,
     ) {
-        self.attempt_tracker.passed(request);
+        self.attempt_tracker.end_stream(request);
         let stream_end = match end {
             ExchangeResult::Answer(_) => StreamEnd::Complete,
             _ => StreamEnd::Aborted,
@@ -122,7 +124,7 @@
     }
 
     /// Sends a final answer to its client.
-    pub(super) fn send_answer(&mut self, now: Nanos, (ticket, answer): Answer) {
+    pub(super) fn send_answer(&mut self, now: Nanos, (ticket, answer): DueAnswer) {
         match answer {
             FinalAnswer::Served(_) | FinalAnswer::Streaming(_) => self.counters.served += 1,
             FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
--- a/crates/balancer/src/event_loop/tests/deadlines.rs
+++ b/crates/balancer/src/event_loop/tests/deadlines.rs
@@ -16,7 +16,7 @@
     harness.turn_at(asked + 1_020 * MS, up);
     assert_eq!(read_to_end(&mut cache), "");
     assert_eq!(
-        harness.event_loop.attempt_tracker.open(),
+        harness.event_loop.attempt_tracker.open_requests(),
         0,
         "answered as well"
     );
@@ -71,7 +71,7 @@
         (
             harness.event_loop.counters.served,
             harness.event_loop.counters.failed,
-            harness.event_loop.attempt_tracker.open()
+            harness.event_loop.attempt_tracker.open_requests()
         ),
         (1, 0, 0)
     );
--- a/crates/balancer/src/event_loop/tests/disconnects.rs
+++ b/crates/balancer/src/event_loop/tests/disconnects.rs
@@ -58,7 +58,7 @@
             < 300,
         "as long as the connection took"
     );
-    assert_eq!(harness.event_loop.attempt_tracker.open(), 0);
+    assert_eq!(harness.event_loop.attempt_tracker.open_requests(), 0);
 }
 
 #[test]
@@ -75,7 +75,7 @@
         (
             harness.event_loop.counters.attempts_rejected,
             harness.event_loop.counters.upstream_opened,
-            harness.event_loop.attempt_tracker.open()
+            harness.event_loop.attempt_tracker.open_requests()
         ),
         (1, 1, 0)
     );
@@ -132,7 +132,7 @@
         harness.clients[client].write_all(&asks).unwrap();
         harness.turn(&[EventSource::Client(client as u64)]);
     }
-    assert_eq!(harness.event_loop.attempt_tracker.open(), 1_000);
+    assert_eq!(harness.event_loop.attempt_tracker.open_requests(), 1_000);
     assert!(
         harness.event_loop.counters.attempts < 100,
         "most are held: {}",
@@ -144,8 +144,8 @@
     let tries = harness.event_loop.counters.attempts;
     assert_eq!(
         (
-            harness.event_loop.attempt_tracker.open(),
-            harness.event_loop.attempt_tracker.held(),
+            harness.event_loop.attempt_tracker.open_requests(),
+            harness.event_loop.attempt_tracker.buffered_bytes(),
             harness.event_loop.counters.client_disconnects
         ),
         (0, 0, 1_000)
--- a/crates/balancer/src/event_loop/tests/hedges.rs
+++ b/crates/balancer/src/event_loop/tests/hedges.rs
@@ -27,7 +27,7 @@
     assert_eq!(
         (
             harness.event_loop.counters.served,
-            harness.event_loop.attempt_tracker.open()
+            harness.event_loop.attempt_tracker.open_requests()
         ),
         (1, 0)
     );
@@ -58,7 +58,7 @@
     assert_eq!(
         (
             harness.event_loop.counters.served,
-            harness.event_loop.attempt_tracker.open(),
+            harness.event_loop.attempt_tracker.open_requests(),
             harness.event_loop.counters.attempts
         ),
         (1, 0, 2)
--- a/crates/balancer/src/event_loop/tests/shutdown.rs
+++ b/crates/balancer/src/event_loop/tests/shutdown.rs
@@ -63,10 +63,10 @@
     harness.send_request("once", 1_000);
     harness.stop();
     assert_eq!(
-        harness.event_loop.attempt_tracker.open(),
+        harness.event_loop.attempt_tracker.open_requests(),
         1,
         "it waits for a list"
     );
-    harness.run_until(|event_loop| event_loop.attempt_tracker.open() == 0);
+    harness.run_until(|event_loop| event_loop.attempt_tracker.open_requests() == 0);
     harness.expect_answer(0, "-BUSY\r\n");
 }
--- a/crates/balancer/src/event_loop/timeouts.rs
+++ b/crates/balancer/src/event_loop/timeouts.rs
@@ -35,7 +35,7 @@
         };
         if let Some(event) =
             self.attempt_tracker
-                .give_up(now, request, attempt, outcome, &mut self.counters)
+                .end_attempt(now, request, attempt, outcome, &mut self.counters)
         {
             self.upstream_pool.abandon(job, &mut self.counters);
             self.pending_events.push(event);
@@ -43,9 +43,9 @@
     }
 
     fn health_check_timed_out(&mut self, number: u64) {
-        if let Some(event) = self.attempt_tracker.probe_due(number) {
+        if let Some(event) = self.attempt_tracker.time_out_health_check(number) {
             self.upstream_pool
-                .abandon(UpstreamJob::Probe(number), &mut self.counters);
+                .abandon(UpstreamJob::HealthCheck(number), &mut self.counters);
             self.pending_events.push(event);
         }
     }
@@ -53,7 +53,7 @@
     fn connect_timed_out(&mut self, now: Nanos, connection: u64) {
         let mut events = Vec::new();
         self.upstream_pool
-            .connect_due(connection, &mut events, &mut self.counters);
+            .handle_connect_timeout(connection, &mut events, &mut self.counters);
         self.handle_upstream_events(now, events);
     }
 
@@ -62,14 +62,14 @@
         // What came since the last poll is not read yet.
         let seen = self.poll_timestamps.quiet();
         self.upstream_pool
-            .stall_due(seen, connection, &mut events, &mut self.counters);
+            .handle_stall_timeout(seen, connection, &mut events, &mut self.counters);
         self.handle_upstream_events(now, events);
     }
 
     fn discovery_timed_out(&mut self, connection: u64) {
         let mut events = Vec::new();
         let seen = self.poll_timestamps.quiet();
-        self.discovery.due(
+        self.discovery.handle_silence_timeout(
             seen,
             connection,
             &mut self.timers,
@@ -82,7 +82,7 @@
     fn reap_connections(&mut self, now: Nanos) {
         let mut events = Vec::new();
         self.listener.reap(now, &mut events, &mut self.counters);
-        self.upstream_pool.sweep(now, &mut self.counters);
+        self.upstream_pool.close_expired(now, &mut self.counters);
         if let Some(admin_listener) = &mut self.admin_listener {
             admin_listener.reap(now, &mut self.counters);
         }
--- a/crates/balancer/src/state_transfer/tests.rs
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -92,9 +92,9 @@
     let transfer: StateTransfer = slots.read_notes().unwrap();
     assert!(!slots.notes_there());
     let list = &transfer.endpoint_list;
-    assert_eq!((list.seq, list.whole), (8, true));
-    let hosts = list.hosts.iter();
-    let hosts = hosts.map(|h| (h.host.as_str(), h.health.as_str(), h.share, h.born_ms));
+    assert_eq!((list.version, list.is_full), (8, true));
+    let hosts = list.endpoints.iter();
+    let hosts = hosts.map(|h| (h.name.as_str(), h.state.as_str(), h.weight, h.started_ms));
     assert_eq!(
         hosts.collect::<Vec<_>>(),
         [
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -1,531 +1,399 @@
-//! The tile caches, and the pools of connections to them. A connection carries one job at a time, so
-//! that giving a job up (by closing) takes no other with it and no answer waits for a slower one before it.
+//! The pool of connections to the tile caches. A connection carries one job at a time, so that
+//! abandoning a job (by closing its connection) affects no other, and no answer waits for a slower
+//! one before it.
+
+mod address_book;
+mod connection;
+mod exchange;
+mod reply;
+
+pub use exchange::{ExchangeResult, OutboundCommand, UpstreamEvent, UpstreamJob};
 
 use crate::counters::Counters;
-use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
-use crate::resp::{Answer, Reply, RespError, parse_reply, parse_response};
-use crate::response_stream::{ResponseStream, is_long};
+use crate::poll::{EventSource, Interest, Poll, Readiness};
 use crate::sockets::{connect, is_open_without_input};
 use crate::timers::{MS, TimerKind, Timers};
-use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
+use address_book::{AddressBook, AddressChange};
+use connection::{ConnectionState, UpstreamConnection};
+use exchange::ConnectError;
+use reply::ParsedReply;
+use routing::{EndpointId, Nanos};
 use std::collections::{BTreeMap, HashMap};
-use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
 
-/// One read takes at most this much.
+/// Bytes that one read takes at most.
 const READ_SIZE: usize = 32 * 1024;
-/// A connection must rest this long after an answer before it carries the next job: nothing in an answer tells for which job it
-/// is, and a second one may come some milliseconds behind the first (up to 4 were seen). It is found by then, and is
-/// never taken for the next job's.
-const REST: Nanos = 10 * MS;
-/// Of all connections to peers, one peer gets at most this part.
-const PEER_PART: usize = 4;
-/// An answer that has begun and then stands still for this long has ended short: caches send an answer whole, and its
-/// parts follow each other within a round trip ...
-const STALL: Nanos = 40 * MS;
-/// ... or, for a far cache, for so many times what its quickest connection took to come up, up to `STALL_LONG`: the only one so far
-/// may have been held up on its way.
-const STALL_TRIPS: u64 = 3;
-/// The same for a long value of which nothing has been passed on yet: it may come slowly.
-const STALL_LONG: Nanos = 500 * MS;
-/// The same once something has been passed on: no other try can take its place.
-const STALL_PASSING: Nanos = 5_000 * MS;
-
-/// What a connection is used for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum UpstreamJob {
-    /// A try of a request.
-    Attempt(RequestId, AttemptNumber),
-    /// A probe, by its number.
-    Probe(u64),
-}
-
-/// A job that is to go out.
-pub struct OutboundCommand {
-    /// Which.
-    pub job: UpstreamJob,
-    /// Where to.
-    pub server: EndpointId,
-    /// When it has had its time.
-    pub until: Nanos,
-}
-
-/// How a job ended.
-#[derive(Debug, PartialEq, Eq)]
-pub enum ExchangeResult {
-    /// The peer's reply to a probe.
-    Reply(Reply),
-    /// The peer's answer to a try.
-    Answer(Answer),
-    /// What came can't be read: it ran.
-    Spoilt,
-    /// No connection came up, or it broke before the last byte was written: it never ran.
-    NeverSent,
-    /// The connection broke after that: it may have run.
-    Broken,
-    /// There is no place for another connection: it never ran, and says nothing of the peer.
-    NoPlace,
-}
-
-/// What becomes of a job.
-#[derive(Debug, PartialEq, Eq)]
-pub enum UpstreamEvent {
-    /// Its connection is up and nothing of it is written: it begins now with [`UpstreamPool::begin`] or is abandoned.
-    Up {
-        /// Which job.
-        job: UpstreamJob,
-    },
-    /// It is over.
-    End {
-        /// Which job.
-        job: UpstreamJob,
-        /// How it ended.
-        end: ExchangeResult,
-    },
-    /// A long value has begun to come; its parts follow, and the end of the job.
-    Begun {
-        /// Which job.
-        job: UpstreamJob,
-        /// The value's length in bytes.
-        length: usize,
-    },
-    /// The next bytes of a long value.
-    Part {
-        /// Which job.
-        job: UpstreamJob,
-        /// The bytes.
-        bytes: Vec<u8>,
-    },
-}
-
-enum State {
-    /// Nothing of the job is written: as a rule the connection is not up yet.
-    Unbegun(UpstreamJob),
-    /// A job is being written or waited for.
-    Busy(UpstreamJob),
-    Idle {
-        since: Nanos,
-    },
-}
-
-struct PeerConnection {
-    server: EndpointId,
-    /// Where it leads: the peer may have moved since.
-    address: SocketAddr,
-    stream: Registered<TcpStream>,
-    state: State,
-    /// The job's command, and how much of it is written.
-    output: Vec<u8>,
-    written: usize,
-    input: Vec<u8>,
-    /// How many jobs it has carried, the one at hand included.
-    jobs: u32,
-    /// When something came last, or could have: a connection that isn't read is not still. At first when it was begun.
-    came: Nanos,
-    /// For how long an answer that has begun may stand still; by what was known of the peer when the job began.
-    stall: Nanos,
-    /// The long value that is passed on.
-    passing: Option<ResponseStream>,
-    /// It is not read, for the client can't take more.
-    paused: bool,
-}
-
-impl PeerConnection {
-    fn job(&self) -> Option<UpstreamJob> {
-        match self.state {
-            State::Unbegun(job) | State::Busy(job) => Some(job),
-            State::Idle { .. } => None,
-        }
-    }
-
-    fn idle_since(&self) -> Option<Nanos> {
-        match self.state {
-            State::Idle { since } => Some(since),
-            State::Unbegun(_) | State::Busy(_) => None,
-        }
-    }
-
-    /// For how long an answer that has begun may stand still.
-    fn stall(&self) -> Nanos {
-        match &self.passing {
-            Some(_) => STALL_PASSING,
-            None if is_long(&self.input) => STALL_LONG,
-            None => self.stall,
-        }
-    }
-
-    /// How the job at hand ends when the connection breaks now.
-    fn broken(&self) -> ExchangeResult {
-        if self.written < self.output.len() {
-            ExchangeResult::NeverSent
-        } else {
-            ExchangeResult::Broken
-        }
-    }
-}
-
-#[derive(Default)]
-struct Peer {
-    address: Option<SocketAddr>,
-    /// It wants nothing new. What the module decided before it knew may still come here after the news.
-    withdrawn: bool,
-    /// Idle connections, the one used last at the end.
-    idle: Vec<u64>,
-    connections: usize,
-    /// What the quickest of all its connections took to come up; others may be held up on their way.
-    round_trip: Option<Nanos>,
-}
-
-/// All peers and the connections to them.
+/// An idle connection carries no further job for this long after an answer. An answer does not say
+/// to which job it belongs, and a second one may follow the first after some milliseconds; it is
+/// found by then and never taken for the answer to the next job.
+const REUSE_DELAY: Nanos = 10 * MS;
+/// One endpoint gets at most this part of all connections.
+const ENDPOINT_PART: usize = 4;
+/// Bytes of an unreadable answer that are logged.
+const LOGGED_BYTES: usize = 64;
+
+/// A connection's number, unique in the process.
+pub type ConnectionId = u64;
+
+/// All endpoints and the connections to them.
 pub struct UpstreamPool {
     poll: Poll,
-    peers: HashMap<EndpointId, Peer>,
-    connections: BTreeMap<u64, PeerConnection>,
-    jobs: HashMap<UpstreamJob, u64>,
-    next_connection: u64,
-    most: usize,
+    endpoints: AddressBook,
+    connections: BTreeMap<ConnectionId, UpstreamConnection>,
+    jobs: HashMap<UpstreamJob, ConnectionId>,
+    next_connection: ConnectionId,
+    max_connections: usize,
     connect_timeout: Nanos,
     /// Bytes of answers that have begun, and how many there may be.
-    coming: usize,
-    coming_most: usize,
-    /// Idle connections are closed after this, before the peer would.
-    idle_time: Nanos,
-    /// What one read takes.
+    buffered_bytes: usize,
+    max_buffered_bytes: usize,
+    /// Idle connections are closed after this, before the endpoint would.
+    idle_timeout: Nanos,
+    /// Where each read puts its bytes.
     scratch: Vec<u8>,
 }
 
 impl UpstreamPool {
-    /// No peers yet; at most `most` connections are held at once.
-    pub fn new(poll: &Poll, most: usize, connect_timeout: Nanos, conn_idle: Nanos) -> Self {
+    /// A pool without endpoints that holds at most `max_connections` at once.
+    #[must_use]
+    pub fn new(
+        poll: &Poll,
+        max_connections: usize,
+        connect_timeout: Nanos,
+        idle_timeout: Nanos,
+    ) -> Self {
         UpstreamPool {
             poll: poll.clone(),
-            peers: HashMap::new(),
+            endpoints: AddressBook::default(),
             connections: BTreeMap::new(),
             jobs: HashMap::new(),
             next_connection: 0,
-            most,
+            max_connections,
             connect_timeout,
-            // A job written to a connection that the peer has just closed ends as a reset, and a write that may
-            // have run can't be repeated: leave well before that.
-            idle_time: conn_idle / 4 * 3,
-            coming: 0,
-            coming_most: usize::MAX,
+            // A command written to a connection that the endpoint has just closed ends as a reset,
+            // and a write that may have run can't be repeated: close well before that.
+            idle_timeout: idle_timeout / 4 * 3,
+            buffered_bytes: 0,
+            max_buffered_bytes: usize::MAX,
             scratch: vec![0; READ_SIZE],
         }
     }
 
-    /// From now on at most this many connections are held; those that are open stay.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most;
+    /// Changes how many connections may be open; those that are open beyond it stay.
+    pub fn set_max_connections(&mut self, max_connections: usize) {
+        self.max_connections = max_connections;
     }
 
-    /// From now on answers that have begun hold at most this many bytes together; one that would go beyond it counts
-    /// as spoilt.
-    pub fn set_coming_most(&mut self, bytes: usize) {
-        self.coming_most = bytes;
+    /// Changes how many bytes of answers that have begun may be held together; an answer that goes
+    /// beyond it counts as unreadable.
+    pub fn set_max_buffered_bytes(&mut self, bytes: usize) {
+        self.max_buffered_bytes = bytes;
     }
 
-    /// Where a peer is to be reached from now on; connections to its former address carry nothing new, what waits on
-    /// them included. Tells whether that is news. Something new is sent there until it is withdrawn.
+    /// Notes an endpoint's address; commands go there until it is drained. Connections to its
+    /// former address carry no new commands. Returns whether the address is new.
     pub fn set_address(
         &mut self,
-        server: EndpointId,
+        endpoint: EndpointId,
         address: SocketAddr,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) -> bool {
-        let peer = self.peers.entry(server).or_default();
-        peer.withdrawn = false;
-        let former = peer.address.replace(address);
-        if former.is_some_and(|former| former != address) {
-            peer.round_trip = None;
-            self.drop_unwritten(server, events, counters);
+        let change = self.endpoints.set_address(endpoint, address);
+        if change == AddressChange::Moved {
+            self.close_unwritten(endpoint, events, counters);
         }
-        former != Some(address)
+        change != AddressChange::Unchanged
     }
 
-    /// The peer wants nothing new, or is gone. What has not begun to be written never will be: a connection
-    /// that comes up only after the grace of the drain rule must not carry its job there.
-    pub fn withdraw(
+    /// The endpoint takes no new commands. A command that has not begun to be written never will
+    /// be: a connection that comes up after the drain grace must not carry it.
+    pub fn drain(
         &mut self,
-        server: EndpointId,
+        endpoint: EndpointId,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        if let Some(peer) = self.peers.get_mut(&server) {
-            peer.withdrawn = true;
-        }
-        self.drop_unwritten(server, events, counters);
+        self.endpoints.set_draining(endpoint);
+        self.close_unwritten(endpoint, events, counters);
+    }
+
+    /// The endpoint left the list: nothing new can be sent to it.
+    pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
+        self.endpoints.remove(endpoint);
     }
 
-    fn drop_unwritten(
+    /// The endpoints with an address.
+    #[must_use]
+    pub fn listed(&self) -> Vec<EndpointId> {
+        self.endpoints.listed().collect()
+    }
+
+    fn close_unwritten(
         &mut self,
-        server: EndpointId,
+        endpoint: EndpointId,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
         let unwritten =
-            |c: &PeerConnection| c.server == server && c.written == 0 && c.job().is_some();
-        let unwritten: Vec<u64> = self
-            .connections
-            .iter()
-            .filter(|(_, c)| unwritten(c))
-            .map(|(n, _)| *n)
-            .collect();
-        for number in unwritten {
-            self.end(number, ExchangeResult::NeverSent, events, counters);
+            |c: &UpstreamConnection| c.endpoint == endpoint && c.written == 0 && c.job().is_some();
+        for number in self.connections_where(unwritten) {
+            self.fail(number, ExchangeResult::ConnectFailed, events, counters);
         }
-        self.close_idle(server, counters);
+        self.close_idle(endpoint, counters);
+    }
+
+    fn connections_where(
+        &self,
+        is_meant: impl Fn(&UpstreamConnection) -> bool,
+    ) -> Vec<ConnectionId> {
+        let meant = self.connections.iter().filter(|(_, c)| is_meant(c));
+        meant.map(|(number, _)| *number).collect()
     }
 
-    /// Finds a job a connection, an idle one or a new one: it is up now or later, or the job ends.
+    /// Finds a connection for a job, an idle one or a new one. Either it is up now or later, or
+    /// the job is over.
     pub fn dispatch(
         &mut self,
         now: Nanos,
-        OutboundCommand { job, server, until }: OutboundCommand,
+        command: OutboundCommand,
         timers: &mut Timers,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        while let Some(number) = self.take_idle(now, server) {
-            // It may have ended since it was last looked at; a job written to it would be lost as a reset.
-            if !self
-                .connections
-                .get(&number)
-                .is_some_and(|c| is_open_without_input(c.stream.socket()))
-            {
-                self.remove(number, counters);
-                continue;
+        let OutboundCommand {
+            job,
+            endpoint,
+            deadline,
+        } = command;
+        if self.assign_idle(now, job, endpoint, counters) {
+            return events.push(UpstreamEvent::Connected { job });
+        }
+        match self.connect(now, job, endpoint, counters) {
+            Ok(number) => {
+                let due = deadline.min(now + self.connect_timeout);
+                timers.set(due, TimerKind::Connect(number));
             }
-            if let Some(c) = self.connections.get_mut(&number) {
-                c.state = State::Unbegun(job);
-                c.jobs += 1;
-                self.jobs.insert(job, number);
-                events.push(UpstreamEvent::Up { job });
-            }
-            return;
-        }
-        match self.open(server, counters) {
-            Ok((stream, address)) => {
-                let number = self.next_connection;
-                let watched =
-                    self.poll
-                        .watch(stream, EventSource::Upstream(number), Interest::WRITABLE);
-                let stream = match watched {
-                    Ok(stream) => stream,
-                    Err(e) => {
-                        log::warn!("connection to a peer: {e}");
-                        return events.push(UpstreamEvent::End {
-                            job,
-                            end: ExchangeResult::NoPlace,
-                        });
-                    }
-                };
-                self.next_connection += 1;
-                counters.upstream_opened += 1;
-                let c = PeerConnection {
-                    server,
-                    address,
-                    stream,
-                    state: State::Unbegun(job),
-                    output: Vec::new(),
-                    written: 0,
-                    input: Vec::new(),
-                    jobs: 1,
-                    came: now,
-                    stall: STALL,
-                    passing: None,
-                    paused: false,
-                };
-                self.connections.insert(number, c);
-                self.jobs.insert(job, number);
-                self.peers.entry(server).or_default().connections += 1;
-                timers.set(
-                    until.min(now + self.connect_timeout),
-                    TimerKind::Connect(number),
-                );
+            Err(error) => {
+                if matches!(error, ConnectError::Socket { .. }) {
+                    log::warn!("{error}");
+                }
+                let result = error.into();
+                events.push(UpstreamEvent::Completed { job, result });
             }
-            Err(end) => events.push(UpstreamEvent::End { job, end }),
         }
     }
 
-    /// Writes a job's command; its connection is up.
-    pub fn begin(
+    /// Assigns a job to an idle connection, if there is a fit one.
+    fn assign_idle(
         &mut self,
+        now: Nanos,
         job: UpstreamJob,
-        command: Vec<u8>,
-        events: &mut Vec<UpstreamEvent>,
+        endpoint: EndpointId,
         counters: &mut Counters,
-    ) {
-        let Some(number) = self.jobs.get(&job).copied() else {
-            return;
-        };
-        let Some(c) = self.connections.get_mut(&number) else {
-            return;
-        };
-        // A job begins once, however often its connection is reported to be up.
-        if !matches!(c.state, State::Unbegun(_)) {
-            return;
+    ) -> bool {
+        while let Some(number) = self.take_idle(now, endpoint) {
+            // A command written to a connection that has ended unnoticed would be lost as a reset.
+            match self.connections.get_mut(&number) {
+                Some(connection) if is_open_without_input(connection.socket.socket()) => {
+                    connection.assign(job);
+                    self.jobs.insert(job, number);
+                    return true;
+                }
+                _ => {
+                    self.close(number, counters);
+                }
+            }
         }
-        (c.state, c.output, c.written) = (State::Busy(job), command, 0);
-        let round_trip = self.peers.get(&c.server).and_then(|peer| peer.round_trip);
-        c.stall = round_trip
-            .unwrap_or_default()
-            .saturating_mul(STALL_TRIPS)
-            .clamp(STALL, STALL_LONG);
-        self.write(number, events, counters);
+        false
     }
 
-    /// Whether this job's last byte is not written: it never ran.
-    pub fn is_unsent(&self, job: UpstreamJob) -> bool {
-        let c = self
-            .jobs
-            .get(&job)
-            .and_then(|number| self.connections.get(number));
-        c.is_some_and(|c| matches!(c.state, State::Unbegun(_)) || c.written < c.output.len())
+    /// The idle connection used last among those whose reuse delay is over. One that the endpoint
+    /// may be closing for its idle time is not fit, though it is not swept yet.
+    fn take_idle(&mut self, now: Nanos, endpoint: EndpointId) -> Option<ConnectionId> {
+        let fit_ages = REUSE_DELAY..self.idle_timeout;
+        let connections = &self.connections;
+        self.endpoints.take_idle(endpoint, |number| {
+            let since = connections
+                .get(number)
+                .and_then(UpstreamConnection::idle_since);
+            since.is_some_and(|since| fit_ages.contains(&now.saturating_sub(since)))
+        })
     }
 
-    /// The idle connection used last among those that have rested. One that the peer may be closing for its idle time is
-    /// none, though the sweep has not come by.
-    fn take_idle(&mut self, now: Nanos, server: EndpointId) -> Option<u64> {
-        let idle = &mut self.peers.get_mut(&server)?.idle;
-        let times = REST..self.idle_time;
-        let rested = |n: &u64| {
-            let since = self.connections.get(n).and_then(PeerConnection::idle_since);
-            since.is_some_and(|since| times.contains(&now.saturating_sub(since)))
-        };
-        let place = idle.iter().rposition(rested)?;
-        Some(idle.remove(place))
+    /// Begins a connection for a job.
+    fn connect(
+        &mut self,
+        now: Nanos,
+        job: UpstreamJob,
+        endpoint: EndpointId,
+        counters: &mut Counters,
+    ) -> Result<ConnectionId, ConnectError> {
+        let address = self.endpoints.address(endpoint);
+        let address = address.ok_or(ConnectError::Unavailable(endpoint))?;
+        self.ensure_capacity(endpoint, counters)?;
+        let stream = connect(address).map_err(|source| match source.kind() {
+            ErrorKind::ConnectionRefused
+            | ErrorKind::NetworkUnreachable
+            | ErrorKind::HostUnreachable => ConnectError::Unreachable { address, source },
+            _ => ConnectError::Socket { address, source },
+        })?;
+        let number = self.next_connection;
+        let socket = self
+            .poll
+            .watch(stream, EventSource::Upstream(number), Interest::WRITABLE)
+            .map_err(|source| ConnectError::Socket { address, source })?;
+        self.next_connection += 1;
+        counters.upstream_opened += 1;
+        let connection = UpstreamConnection::new(endpoint, address, socket, job, now);
+        self.connections.insert(number, connection);
+        self.jobs.insert(job, number);
+        self.endpoints.add_connection(endpoint);
+        Ok(number)
     }
 
-    /// Begins a connection, or says how the job that needed it ends.
-    fn open(
+    /// Makes sure that another connection to the endpoint is within the limits, if need be by
+    /// closing an idle one.
+    fn ensure_capacity(
         &mut self,
-        server: EndpointId,
+        endpoint: EndpointId,
         counters: &mut Counters,
-    ) -> Result<(TcpStream, SocketAddr), ExchangeResult> {
-        let peer = self
-            .peers
-            .get(&server)
-            .filter(|p| !p.withdrawn)
-            .ok_or(ExchangeResult::NeverSent)?;
-        let address = peer.address.ok_or(ExchangeResult::NeverSent)?;
-        let crowded = peer.connections >= (self.most / PEER_PART).max(1);
-        if crowded && !self.make_room(Some(server), counters) {
-            return Err(ExchangeResult::NoPlace);
+    ) -> Result<(), ConnectError> {
+        let limit = (self.max_connections / ENDPOINT_PART).max(1);
+        let at_limit = self.endpoints.connections(endpoint) >= limit;
+        if at_limit && !self.close_longest_idle(Some(endpoint), counters) {
+            return Err(ConnectError::EndpointLimit { endpoint, limit });
         }
-        if self.connections.len() >= self.most && !self.make_room(None, counters) {
-            return Err(ExchangeResult::NoPlace);
+        let limit = self.max_connections;
+        if self.connections.len() >= limit && !self.close_longest_idle(None, counters) {
+            return Err(ConnectError::PoolLimit { limit });
         }
-        connect(address)
-            .map(|stream| (stream, address))
-            .map_err(|e| match e.kind() {
-                ErrorKind::ConnectionRefused
-                | ErrorKind::NetworkUnreachable
-                | ErrorKind::HostUnreachable => ExchangeResult::NeverSent,
-                // Out of descriptors or ports: ours to bear, not the peer's.
-                _ => {
-                    log::warn!("socket for a peer at {address}: {e}");
-                    ExchangeResult::NoPlace
-                }
-            })
+        Ok(())
     }
 
-    /// Closes the connection that has been idle longest, to this peer or to any, if one is. It may be one that rests.
-    fn make_room(&mut self, server: Option<EndpointId>, counters: &mut Counters) -> bool {
-        let eligible = self
-            .connections
-            .iter()
-            .filter(|(_, c)| server.is_none_or(|server| c.server == server));
-        let idle = eligible.filter_map(|(n, c)| Some((c.idle_since()?, *n)));
+    /// Closes the connection that has been idle longest, to this endpoint or to any; its reuse
+    /// delay doesn't matter. Returns whether there was one.
+    fn close_longest_idle(
+        &mut self,
+        endpoint: Option<EndpointId>,
+        counters: &mut Counters,
+    ) -> bool {
+        let eligible = self.connections.iter();
+        let eligible = eligible.filter(|(_, c)| endpoint.is_none_or(|e| c.endpoint == e));
+        let idle = eligible.filter_map(|(number, c)| Some((c.idle_since()?, *number)));
         let Some((_, number)) = idle.min() else {
             return false;
         };
-        self.remove(number, counters);
+        self.close(number, counters);
         true
     }
 
-    /// Gives a job up by closing its connection. Nothing more is heard of it.
+    /// Writes a job's command; its connection is up.
+    pub fn begin(
+        &mut self,
+        job: UpstreamJob,
+        command: Vec<u8>,
+        events: &mut Vec<UpstreamEvent>,
+        counters: &mut Counters,
+    ) {
+        let Some(number) = self.jobs.get(&job).copied() else {
+            return;
+        };
+        // A job begins once, however often its connection is reported to be up.
+        let connection = self.connections.get_mut(&number);
+        let Some(connection) = connection.filter(|c| c.is_assigned()) else {
+            return;
+        };
+        let round_trip = self.endpoints.round_trip(connection.endpoint);
+        connection.begin(job, command, round_trip);
+        self.write(number, events, counters);
+    }
+
+    /// Whether this job's last byte is not written: its command never ran.
+    #[must_use]
+    pub fn is_unsent(&self, job: UpstreamJob) -> bool {
+        let connection = self.jobs.get(&job).and_then(|n| self.connections.get(n));
+        connection.is_some_and(|c| c.is_assigned() || c.has_unwritten_bytes())
+    }
+
+    /// Gives a job up by closing its connection. No event of it follows.
     pub fn abandon(&mut self, job: UpstreamJob, counters: &mut Counters) {
-        if let Some(number) = self.jobs.get(&job).copied() {
-            if let Some(c) = self.connections.get(&number) {
-                log::trace!(
-                    connection = number, begun = !matches!(c.state, State::Unbegun(_)), jobs = c.jobs,
-                    written = c.written, of = c.output.len(), come = c.input.len();
-                    "{job:?} abandoned at server {}", c.server.0
-                );
-            }
-            self.remove(number, counters);
-        }
+        let Some(number) = self.jobs.get(&job).copied() else {
+            return;
+        };
+        if let Some(c) = self.connections.get(&number) {
+            log::trace!(
+                connection = number, begun = !c.is_assigned(), jobs = c.jobs,
+                written = c.written, of = c.command.len(), received = c.input.len();
+                "{job:?} abandoned at endpoint {}", c.endpoint.0
+            );
+        }
+        self.close(number, counters);
     }
 
-    /// A connection that is not up by now has failed.
-    pub fn connect_due(
+    /// Fails the job of a connection that is not up in time.
+    pub fn handle_connect_timeout(
         &mut self,
-        number: u64,
+        number: ConnectionId,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        if self
-            .connections
-            .get(&number)
-            .is_some_and(|c| matches!(c.state, State::Unbegun(_)))
-        {
-            self.end(number, ExchangeResult::NeverSent, events, counters);
+        let connection = self.connections.get(&number);
+        if connection.is_some_and(UpstreamConnection::is_assigned) {
+            self.fail(number, ExchangeResult::ConnectFailed, events, counters);
         }
     }
 
-    /// An answer that has begun and still lacks its end is spoilt if nothing has come for long.
-    pub fn stall_due(
+    /// Fails the job of a connection whose answer has begun and makes no progress.
+    pub fn handle_stall_timeout(
         &mut self,
         now: Nanos,
-        number: u64,
+        number: ConnectionId,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        let Some(c) = self
-            .connections
-            .get(&number)
-            .filter(|c| c.job().is_some() && !c.paused)
-        else {
-            return;
-        };
-        let begun = c.passing.is_some() || !c.input.is_empty();
-        if begun && now >= c.came + c.stall() {
+        let connection = self.connections.get(&number);
+        if connection.is_some_and(|c| c.is_stalled(now)) {
             counters.upstream_stalled += 1;
-            self.end(number, ExchangeResult::Spoilt, events, counters);
+            self.fail(number, ExchangeResult::Unreadable, events, counters);
         }
     }
 
-    /// Whether the answer to this job is read on: not while the client can't take more of it.
-    pub fn pause(&mut self, now: Nanos, job: UpstreamJob, pause: bool, timers: &mut Timers) {
-        let Some(number) = self.jobs.get(&job).copied() else {
-            return;
-        };
-        let Some(c) = self
-            .connections
-            .get_mut(&number)
-            .filter(|c| c.paused != pause)
-        else {
-            return;
-        };
-        if let Err(e) = c.stream.set_interest(if pause {
-            Interest::NONE
-        } else {
-            Interest::READABLE
-        }) {
-            // It is read on: better a longer buffer than an answer that never ends.
-            return log::warn!("connection to a peer: {e}");
+    /// Stops reading the answer to a job, for the client can't take more of it.
+    pub fn pause(&mut self, now: Nanos, job: UpstreamJob) {
+        self.set_paused(now, job, true);
+    }
+
+    /// Reads on after [`UpstreamPool::pause`].
+    pub fn resume(&mut self, now: Nanos, job: UpstreamJob, timers: &mut Timers) {
+        if let Some((number, stall_timeout)) = self.set_paused(now, job, false) {
+            timers.set(now + stall_timeout, TimerKind::ResponseStall(number));
         }
-        c.paused = pause;
-        c.came = now;
-        if !pause {
-            timers.set(now + c.stall(), TimerKind::ResponseStall(number));
+    }
+
+    /// The connection that was paused or resumed, with its stall timeout.
+    fn set_paused(
+        &mut self,
+        now: Nanos,
+        job: UpstreamJob,
+        paused: bool,
+    ) -> Option<(ConnectionId, Nanos)> {
+        let number = self.jobs.get(&job).copied()?;
+        let connection = self.connections.get_mut(&number)?;
+        if connection.paused == paused {
+            return None;
+        }
+        if let Err(e) = connection.set_paused(now, paused) {
+            // It is read on: better a longer buffer than an answer that never ends.
+            log::warn!("connection to endpoint {}: {e}", connection.endpoint.0);
+            return None;
         }
+        Some((number, connection.stall_timeout()))
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         now: Nanos,
         ready: Readiness,
@@ -536,20 +404,17 @@
         let EventSource::Upstream(number) = ready.source else {
             return;
         };
-        let Some(c) = self.connections.get_mut(&number) else {
+        let Some(connection) = self.connections.get(&number) else {
             return;
         };
-        if let State::Unbegun(job) = c.state {
-            let up = matches!(c.stream.socket().take_error(), Ok(None))
-                && c.stream.socket().peer_addr().is_ok();
-            if !up {
-                return self.end(number, ExchangeResult::NeverSent, events, counters);
-            }
-            if let Some(peer) = self.peers.get_mut(&c.server) {
-                let took = now.saturating_sub(c.came);
-                peer.round_trip = Some(peer.round_trip.map_or(took, |least| least.min(took)));
+        if let ConnectionState::Assigned(job) = connection.state {
+            if !connection.is_established() {
+                return self.fail(number, ExchangeResult::ConnectFailed, events, counters);
             }
-            return events.push(UpstreamEvent::Up { job });
+            let took = now.saturating_sub(connection.last_progress);
+            self.endpoints
+                .record_connect_time(connection.endpoint, took);
+            return events.push(UpstreamEvent::Connected { job });
         }
         if ready.readable {
             self.read(number, now, timers, events, counters);
@@ -559,221 +424,140 @@
         }
     }
 
-    fn write(&mut self, number: u64, events: &mut Vec<UpstreamEvent>, counters: &mut Counters) {
-        let Some(c) = self.connections.get_mut(&number) else {
-            return;
-        };
-        while c.written < c.output.len() {
-            match c.stream.socket().write(&c.output[c.written..]) {
-                Ok(0) => return self.end(number, ExchangeResult::NeverSent, events, counters),
-                Ok(n) => c.written += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.end(number, ExchangeResult::NeverSent, events, counters),
-            }
-        }
-        let unsent = c.written < c.output.len();
-        if c.stream
-            .set_interest(Interest::readable_and(unsent))
-            .is_err()
-        {
-            let end = c.broken();
-            self.end(number, end, events, counters);
+    fn write(
+        &mut self,
+        number: ConnectionId,
+        events: &mut Vec<UpstreamEvent>,
+        counters: &mut Counters,
+    ) {
+        let connection = self.connections.get_mut(&number);
+        if let Some(Err(result)) = connection.map(UpstreamConnection::write) {
+            self.fail(number, result, events, counters);
         }
     }
 
     fn read(
         &mut self,
-        number: u64,
+        number: ConnectionId,
         now: Nanos,
         timers: &mut Timers,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        let Some(c) = self.connections.get_mut(&number) else {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        match c.stream.socket().read(&mut self.scratch) {
-            Ok(0) => {
-                let end = c.broken();
-                return self.end(number, end, events, counters);
-            }
-            Ok(n) => {
-                c.came = now;
-                c.input.extend_from_slice(&self.scratch[..n]);
-                self.coming += n;
-            }
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return,
-            Err(_) => {
-                let end = c.broken();
-                return self.end(number, end, events, counters);
-            }
-        }
-        let Some(job) = c.job() else {
-            // Something comes that nobody asked for: whose answer it would be taken for is unknown.
-            return self.end(number, ExchangeResult::Broken, events, counters);
-        };
-        let unwritten = c.written < c.output.len();
-        if c.passing.is_none()
-            && !unwritten
-            && matches!(job, UpstreamJob::Attempt(..))
-            && let held = c.input.len()
-            && let Some((passing, length)) = ResponseStream::begin(&mut c.input)
-        {
-            self.coming -= held - c.input.len();
-            c.passing = Some(passing);
-            events.push(UpstreamEvent::Begun { job, length });
-        }
-        let read = match &mut c.passing {
-            None => read_end(job, &c.input),
-            Some(passing) => {
-                let bytes = passing.part(&mut c.input);
-                self.coming -= bytes.len();
-                if !bytes.is_empty() {
-                    events.push(UpstreamEvent::Part { job, bytes });
-                }
-                passing
-                    .tail(&c.input)
-                    .map(|t| t.map(|(answer, length)| (ExchangeResult::Answer(answer), length)))
-            }
+        match connection.receive(now, &mut self.scratch) {
+            Ok(0) => return,
+            Ok(received) => self.buffered_bytes += received,
+            Err(result) => return self.fail(number, result, events, counters),
+        }
+        let Some(job) = connection.job() else {
+            // Nothing was asked for, so it is unknown to which job these bytes would be counted.
+            self.close(number, counters);
+            return;
         };
-        let (end, length) = match read {
-            // The reader bounds each message; all that have begun are bounded together.
-            Ok(None) if self.coming <= self.coming_most => {
-                if !unwritten {
-                    timers.set(now + c.stall(), TimerKind::ResponseStall(number));
+        let before = connection.input.len();
+        let parsed = connection.parse(job, events);
+        self.buffered_bytes -= before - connection.input.len();
+        match parsed {
+            Ok(Some(reply)) => self.complete(number, job, reply, now, events, counters),
+            // Each message is bounded by the parser; all that have begun are bounded together.
+            Ok(None) if self.buffered_bytes <= self.max_buffered_bytes => {
+                if !connection.has_unwritten_bytes() {
+                    timers.set(
+                        now + connection.stall_timeout(),
+                        TimerKind::ResponseStall(number),
+                    );
                 }
-                return;
             }
-            Ok(Some((end, length))) => (end, length),
             Ok(None) | Err(_) => {
-                let start = c.input[..c.input.len().min(64)].escape_ascii();
-                log::debug!("server {}: an answer can't be read: {start}", c.server.0);
+                let length = connection.input.len().min(LOGGED_BYTES);
+                log::debug!(
+                    "endpoint {}: an answer can't be read: {}",
+                    connection.endpoint.0,
+                    connection.input[..length].escape_ascii()
+                );
                 counters.upstream_unreadable += 1;
-                // Before the last byte of the command nothing can have run.
-                (
-                    if unwritten {
-                        ExchangeResult::NeverSent
-                    } else {
-                        ExchangeResult::Spoilt
-                    },
-                    None,
-                )
+                let result = connection.result_if_unreadable();
+                self.fail(number, result, events, counters);
             }
+        }
+    }
+
+    /// A job's reply has arrived. The connection becomes idle, or is closed if it can't carry
+    /// another job: the reply came early, lacks its end or is followed by further bytes, so that
+    /// the start of the next one is unknown; or the endpoint drains or has moved, and the address
+    /// might be another cache's by the time of the next job.
+    fn complete(
+        &mut self,
+        number: ConnectionId,
+        job: UpstreamJob,
+        reply: ParsedReply,
+        now: Nanos,
+        events: &mut Vec<UpstreamEvent>,
+        counters: &mut Counters,
+    ) {
+        let ParsedReply { result, length } = reply;
+        let Some(connection) = self.connections.get_mut(&number) else {
+            return;
         };
-        let peer = self
-            .peers
-            .get_mut(&c.server)
-            .filter(|p| p.address == Some(c.address) && !p.withdrawn);
-        let useless = length != Some(c.input.len()) || unwritten;
-        let Some(peer) = peer.filter(|_| !useless) else {
-            // It came early, can't be read or has something behind it: where the next answer would begin is unknown. Or
-            // the peer wants nothing new, or has moved: it might be another cache's by the time of the next job.
-            return self.end(number, end, events, counters);
-        };
-        peer.idle.push(number);
-        self.coming -= c.input.len();
-        c.state = State::Idle { since: now };
-        (c.input, c.output, c.written) = (Vec::new(), Vec::new(), 0);
-        c.passing = None;
+        let ends_cleanly =
+            length == Some(connection.input.len()) && !connection.has_unwritten_bytes();
+        let address = self.endpoints.address(connection.endpoint);
+        if !ends_cleanly || address != Some(connection.address) {
+            return self.fail(number, result, events, counters);
+        }
+        self.endpoints.add_idle(connection.endpoint, number);
+        self.buffered_bytes -= connection.input.len();
+        connection.release(now);
         self.jobs.remove(&job);
-        events.push(UpstreamEvent::End { job, end });
+        events.push(UpstreamEvent::Completed { job, result });
     }
 
     /// Closes a connection and says how its job ended.
-    fn end(
+    fn fail(
         &mut self,
-        number: u64,
-        end: ExchangeResult,
+        number: ConnectionId,
+        result: ExchangeResult,
         events: &mut Vec<UpstreamEvent>,
         counters: &mut Counters,
     ) {
-        if let Some(job) = self.remove(number, counters) {
-            events.push(UpstreamEvent::End { job, end });
+        if let Some(job) = self.close(number, counters) {
+            events.push(UpstreamEvent::Completed { job, result });
         }
     }
 
     /// Closes a connection; its job, if it had one, is over.
-    fn remove(&mut self, number: u64, counters: &mut Counters) -> Option<UpstreamJob> {
-        let c = self.connections.remove(&number)?;
-        self.coming -= c.input.len();
+    fn close(&mut self, number: ConnectionId, counters: &mut Counters) -> Option<UpstreamJob> {
+        let connection = self.connections.remove(&number)?;
+        self.buffered_bytes -= connection.input.len();
         counters.upstream_closed += 1;
-        if let Some(peer) = self.peers.get_mut(&c.server) {
-            peer.idle.retain(|n| *n != number);
-            peer.connections -= 1;
-            // Of a peer that left the list nothing is kept once its last connection is closed.
-            if peer.connections == 0 && peer.address.is_none() {
-                self.peers.remove(&c.server);
-            }
-        }
-        let job = c.job()?;
+        self.endpoints
+            .remove_connection(connection.endpoint, number);
+        let job = connection.job()?;
         self.jobs.remove(&job);
         Some(job)
     }
 
-    /// The peer is gone: nothing new can be sent to it.
-    pub fn forget(&mut self, server: EndpointId) {
-        if let Some(peer) = self.peers.get_mut(&server) {
-            peer.address = None;
-            if peer.connections == 0 {
-                self.peers.remove(&server);
-            }
-        }
-    }
-
-    /// The peers with an address.
-    pub fn listed(&self) -> Vec<EndpointId> {
-        self.peers
-            .iter()
-            .filter(|(_, p)| p.address.is_some())
-            .map(|(id, _)| *id)
-            .collect()
-    }
-
-    /// Closes the idle connections to a peer.
-    pub fn close_idle(&mut self, server: EndpointId, counters: &mut Counters) {
-        let idle = self
-            .peers
-            .get_mut(&server)
-            .map(|p| std::mem::take(&mut p.idle))
-            .unwrap_or_default();
-        for number in idle {
-            self.remove(number, counters);
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&mut self, endpoint: EndpointId, counters: &mut Counters) {
+        for number in self.endpoints.take_all_idle(endpoint) {
+            self.close(number, counters);
         }
     }
 
-    /// Closes connections that have stood idle for long.
-    pub fn sweep(&mut self, now: Nanos, counters: &mut Counters) {
-        let old = |c: &PeerConnection| {
-            c.idle_since()
-                .is_some_and(|since| now.saturating_sub(since) >= self.idle_time)
+    /// Closes connections whose idle timeout is over.
+    pub fn close_expired(&mut self, now: Nanos, counters: &mut Counters) {
+        let is_expired = |c: &UpstreamConnection| {
+            let since = c.idle_since();
+            since.is_some_and(|since| now.saturating_sub(since) >= self.idle_timeout)
         };
-        let old: Vec<u64> = self
-            .connections
-            .iter()
-            .filter(|(_, c)| old(c))
-            .map(|(n, _)| *n)
-            .collect();
-        for number in old {
-            self.remove(number, counters);
+        for number in self.connections_where(is_expired) {
+            self.close(number, counters);
         }
     }
 }
 
-/// How a job ended by what has come for it, and the length of that unless the connection is of no further use.
-fn read_end(
-    job: UpstreamJob,
-    input: &[u8],
-) -> Result<Option<(ExchangeResult, Option<usize>)>, RespError> {
-    Ok(match job {
-        UpstreamJob::Attempt(..) => {
-            parse_response(input)?.map(|(answer, length)| (ExchangeResult::Answer(answer), length))
-        }
-        UpstreamJob::Probe(_) => {
-            parse_reply(input)?.map(|(reply, length)| (ExchangeResult::Reply(reply), Some(length)))
-        }
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/watch_backoff.rs
+++ b/crates/balancer/src/watch_backoff.rs
@@ -1,69 +1,45 @@
-//! When the next watch begins where lists are pushed: there an agent on this machine answers at no cost, and what it
-//! has counts as told whether or not it was read. Fed with times; no I/O.
+//! When the next watch begins where endpoint lists are pushed: exponential backoff, bounded by the
+//! drain grace. Fed with times; no I/O.
 
 use crate::timers::MS;
 use routing::Nanos;
 
-/// The first wait after a watch that ended soon; it doubles from there.
-const FIRST: Nanos = 10 * MS;
-/// An agent that is gone is asked this seldom at the most, however long the grace.
-const MOST: Nanos = 250 * MS;
-/// Of the grace for a cache that drains, this part may pass between two watches: news is to be read well within it.
+/// The first delay after a watch that ended soon; it doubles from there.
+const INITIAL_DELAY: Nanos = 10 * MS;
+/// The longest delay, however long the drain grace.
+const MAX_DELAY: Nanos = 250 * MS;
+/// The longest delay is this part of the drain grace: a drain has to be noticed well within it.
 const GRACE_PART: Nanos = 4;
 
-/// The pace of watches at an agent.
+/// The backoff between watches at an agent that pushes lists.
 pub struct WatchBackoff {
-    /// The longest wait between two watches.
-    most: Nanos,
-    /// The next wait.
-    wait: Nanos,
+    /// The longest delay between two watches.
+    max_delay: Nanos,
+    next_delay: Nanos,
 }
 
 impl WatchBackoff {
-    /// A pace that suits this grace for caches that drain, in nanoseconds; one of 0 is paced like the shortest.
-    pub fn new(grace: Nanos) -> Self {
+    /// A backoff for this drain grace in nanoseconds; a grace of 0 counts as the shortest.
+    #[must_use]
+    pub fn new(drain_grace: Nanos) -> Self {
         WatchBackoff {
-            most: (grace / GRACE_PART).clamp(FIRST, MOST),
-            wait: FIRST,
+            max_delay: (drain_grace / GRACE_PART).clamp(INITIAL_DELAY, MAX_DELAY),
+            next_delay: INITIAL_DELAY,
         }
     }
 
-    /// How long to wait after a watch that ended when it had stood for `stood`: not at all after one that stood for
-    /// long, or an agent that ends each watch at once would be asked without a pause.
-    pub fn ended(&mut self, stood: Nanos) -> Nanos {
-        if stood > self.most {
-            self.wait = FIRST;
+    /// How long to wait after a watch that was open for `duration`. After a long one the next begins at
+    /// once; an agent that ends each watch at once is not asked without a pause.
+    pub fn next_delay(&mut self, duration: Nanos) -> Nanos {
+        if duration > self.max_delay {
+            self.next_delay = INITIAL_DELAY;
             return 0;
         }
-        let wait = self.wait;
-        self.wait = (wait * 2).min(self.most);
-        wait
+        let delay = self.next_delay;
+        self.next_delay = (delay * 2).min(self.max_delay);
+        delay
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_watch_that_stood_is_followed_at_once_and_ones_that_end_soon_ever_more_slowly() {
-        let mut pace = WatchBackoff::new(500 * MS);
-        assert_eq!(pace.ended(126 * MS), 0);
-        let waits: Vec<_> = (0..6).map(|_| pace.ended(0) / MS).collect();
-        assert_eq!(waits, [10, 20, 40, 80, 125, 125]);
-        assert_eq!(
-            (pace.ended(126 * MS), pace.ended(1) / MS),
-            (0, 10),
-            "begun anew"
-        );
-    }
-
-    #[test]
-    fn the_grace_bounds_the_wait_and_never_takes_it_away() {
-        for (grace, longest) in [(0, 10), (20, 10), (500, 125), (2_500, 250)] {
-            let mut pace = WatchBackoff::new(grace * MS);
-            let waits = (0..9).map(|_| pace.ended(0) / MS);
-            assert_eq!(waits.max(), Some(longest), "{grace}");
-        }
-    }
-}
+mod tests;
