--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -2,6 +2,7 @@
 //! over or takes that of the other.
 
 use super::EventLoop;
+use crate::hot_restart::Observation;
 use crate::state_transfer::StateTransfer;
 use crate::timers::TimerKind;
 use routing::Nanos;
@@ -12,38 +13,44 @@
         let Some(slots) = &mut self.process_slots else {
             return;
         };
-        let actions = self.hot_restart.look(
+        let actions = self.hot_restart.observe(
             now,
-            slots.other(),
-            slots.notes_there(),
-            self.lifecycle.is_ready(),
+            Observation {
+                other: slots.other(),
+                has_transfer: slots.transfer().exists(),
+                is_serving: self.lifecycle.is_ready(),
+            },
         );
-        if actions.split {
+        if actions.apply_limits {
             log::info!(
                 "another process of this balancer: {}",
-                self.hot_restart.is_beside()
+                self.hot_restart.has_other()
             );
         }
         // Before this process's own state is written: both use the same file.
-        let received = actions.go_on.then(|| slots.read_notes::<StateTransfer>());
-        if let Some(process) = actions.write_notes_for {
+        let received = actions
+            .read_state
+            .then(|| slots.transfer().read::<StateTransfer>());
+        if let Some(process) = actions.write_state_for {
             self.write_state(&process);
         }
-        if actions.split {
+        if actions.apply_limits {
             self.apply_limits();
         }
         match received {
             Some(Ok(state)) => self.restore_state(&state),
-            Some(Err(e)) => log::warn!("notes of the other process: {e}; going on without"),
+            Some(Err(e)) => {
+                log::warn!("state transfer from the other process: {e}; continuing without it");
+            }
             None => {}
         }
         self.lifecycle
-            .set_awaiting_snapshot(self.hot_restart.waits());
+            .set_awaiting_snapshot(self.hot_restart.awaits_state());
         self.lifecycle
             .set_other_serves(self.hot_restart.other_serves());
         self.apply_lifecycle(now);
         self.timers.set(
-            now + self.hot_restart.next_look(),
+            now + self.hot_restart.check_interval(),
             TimerKind::CheckOtherProcess,
         );
     }
@@ -59,9 +66,9 @@
             endpoint_list,
             snapshot: self.engine.learnt(),
         };
-        match slots.write_notes(process, state) {
-            Ok(bytes) => log::info!("{bytes} bytes of notes left for process {process}"),
-            Err(e) => log::warn!("notes for process {process}: {e}"),
+        match slots.transfer().write(process, state) {
+            Ok(bytes) => log::info!("state transfer: {bytes} bytes written for process {process}"),
+            Err(e) => log::warn!("state transfer for process {process}: {e}"),
         }
     }
 
@@ -70,7 +77,7 @@
     fn restore_state(&mut self, state: &StateTransfer) {
         let known = self.discovery.version().unwrap_or(0);
         log::info!(
-            "notes of the other process: list {}, {known} is known",
+            "state transfer from the other process: list version {}, {known} is known",
             state.endpoint_list.version,
         );
         if state.endpoint_list.version > known {
@@ -79,7 +86,7 @@
         // The list goes first: the snapshot is of endpoints that are listed.
         self.run_decisions();
         if let Err(e) = self.engine.recall(&state.snapshot) {
-            log::warn!("notes of the other process: {e}; going on without");
+            log::warn!("state transfer from the other process: {e}; continuing without it");
         }
     }
 }
--- a/crates/balancer/src/event_loop/limits.rs
+++ b/crates/balancer/src/event_loop/limits.rs
@@ -47,7 +47,7 @@
 impl EventLoop {
     /// Applies the configured limits: half of each while another process of this balancer lives.
     pub(super) fn apply_limits(&mut self) {
-        let processes = if self.hot_restart.is_beside() {
+        let processes = if self.hot_restart.has_other() {
             HOT_RESTART_PROCESSES
         } else {
             1
--- a/crates/balancer/src/event_loop/tests/hot_restart.rs
+++ b/crates/balancer/src/event_loop/tests/hot_restart.rs
@@ -82,7 +82,7 @@
     seat.lock().unwrap();
     old.check_other_process();
     assert!(
-        old.event_loop.hot_restart.is_beside() && !notes.exists(),
+        old.event_loop.hot_restart.has_other() && !notes.exists(),
         "nobody could tell that they are for him"
     );
     drop(seat);
--- a/crates/balancer/src/hot_restart/tests.rs
+++ b/crates/balancer/src/hot_restart/tests.rs
@@ -1,9 +1,26 @@
-//! Tests of `hand_over`.
+//! What a process does once it sees the other one.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+impl HotRestart {
+    fn check(
+        &mut self,
+        now: Nanos,
+        other: Option<OtherProcess>,
+        has_transfer: bool,
+        is_serving: bool,
+    ) -> HotRestartActions {
+        let observation = Observation {
+            other,
+            has_transfer,
+            is_serving,
+        };
+        self.observe(now, observation)
+    }
+}
+
 fn other(process: &str, ready: bool) -> Option<OtherProcess> {
     Some(OtherProcess {
         process: process.into(),
@@ -12,10 +29,10 @@
 }
 
 #[test]
-fn a_newcomer_waits_for_its_notes_but_not_for_long_nor_for_the_dead() {
-    let there = |s: &mut HotRestart| s.look(1, other("a", true), true, false);
-    let late = |s: &mut HotRestart| s.look(NOTES_WAIT, other("a", true), false, false);
-    let dead = |s: &mut HotRestart| s.look(1, None, false, false);
+fn a_new_process_awaits_state_but_not_for_long_nor_from_a_dead_one() {
+    let there = |s: &mut HotRestart| s.check(1, other("a", true), true, false);
+    let late = |s: &mut HotRestart| s.check(TRANSFER_TIMEOUT, other("a", true), false, false);
+    let dead = |s: &mut HotRestart| s.check(1, None, false, false);
     for (end, beside) in [
         (
             &there as &dyn Fn(&mut HotRestart) -> HotRestartActions,
@@ -24,105 +41,108 @@
         (&late, true),
         (&dead, false),
     ] {
-        let mut hand_over = HotRestart::new();
-        let first = hand_over.look(0, other("a", true), false, false);
+        let mut process = HotRestart::new();
+        let first = process.check(0, other("a", true), false, false);
         assert_eq!(
             first,
             HotRestartActions {
-                split: true,
+                apply_limits: true,
                 ..HotRestartActions::default()
             }
         );
-        assert!(hand_over.waits() && hand_over.next_look() == LOOK_FOR_NOTES);
+        assert!(process.awaits_state() && process.check_interval() == TRANSFER_CHECK_INTERVAL);
         assert!(
-            !hand_over
-                .look(NOTES_WAIT - 1, other("a", true), false, false)
-                .go_on
+            !process
+                .check(TRANSFER_TIMEOUT - 1, other("a", true), false, false)
+                .read_state
+        );
+        assert!(end(&mut process).read_state);
+        assert_eq!(
+            (process.awaits_state(), process.has_other()),
+            (false, beside)
         );
-        assert!(end(&mut hand_over).go_on);
-        assert_eq!((hand_over.waits(), hand_over.is_beside()), (false, beside));
         assert!(
-            !hand_over
-                .look(2 * NOTES_WAIT, other("a", true), true, false)
-                .go_on,
+            !process
+                .check(2 * TRANSFER_TIMEOUT, other("a", true), true, false)
+                .read_state,
             "only once"
         );
     }
 }
 
 #[test]
-fn who_is_alone_or_beside_one_that_never_served_waits_for_nothing() {
+fn a_process_alone_or_beside_one_that_never_served_awaits_nothing() {
     for found in [None, other("a", false)] {
-        let mut hand_over = HotRestart::new();
-        assert!(!hand_over.look(0, found, false, false).go_on);
-        assert!(!hand_over.waits());
+        let mut process = HotRestart::new();
+        assert!(!process.check(0, found, false, false).read_state);
+        assert!(!process.awaits_state());
     }
 }
 
 #[test]
-fn who_serves_writes_notes_once_for_each_newcomer() {
-    let mut hand_over = HotRestart::new();
+fn a_serving_process_writes_state_once_for_each_new_one() {
+    let mut process = HotRestart::new();
     assert_eq!(
-        hand_over.look(0, None, false, true),
+        process.check(0, None, false, true),
         HotRestartActions::default()
     );
-    let todo = hand_over.look(1, other("b", false), false, true);
+    let actions = process.check(1, other("b", false), false, true);
     assert_eq!(
-        todo,
+        actions,
         HotRestartActions {
-            split: true,
-            write_notes_for: Some("b".into()),
-            go_on: false
+            apply_limits: true,
+            write_state_for: Some("b".into()),
+            read_state: false
         }
     );
     assert_eq!(
-        hand_over.look(2, other("b", false), false, true),
+        process.check(2, other("b", false), false, true),
         HotRestartActions::default()
     );
-    assert!(!hand_over.other_serves());
+    assert!(!process.other_serves());
     assert_eq!(
-        hand_over.look(3, other("b", true), false, true),
+        process.check(3, other("b", true), false, true),
         HotRestartActions::default()
     );
-    assert!(hand_over.other_serves());
-    // It was killed, and another one came.
-    assert!(hand_over.look(4, None, false, true).split && !hand_over.is_beside());
+    assert!(process.other_serves());
+    // It was killed, and another one started.
+    assert!(process.check(4, None, false, true).apply_limits && !process.has_other());
     assert_eq!(
-        hand_over
-            .look(5, other("c", false), false, true)
-            .write_notes_for,
+        process
+            .check(5, other("c", false), false, true)
+            .write_state_for,
         Some("c".into())
     );
     let mut idle = HotRestart::new();
     assert_eq!(
-        idle.look(0, other("c", false), false, false)
-            .write_notes_for,
+        idle.check(0, other("c", false), false, false)
+            .write_state_for,
         None,
-        "it serves nobody"
+        "it serves no clients"
     );
 }
 
 #[test]
-fn one_whose_seat_can_not_be_read_yet_is_neither_written_to_nor_taken_for_one_that_never_served() {
-    // The old one looks when the newcomer has its seat and has not written its name.
+fn state_is_neither_written_for_nor_ruled_out_from_a_process_whose_slot_can_not_be_read_yet() {
+    // The old process checks when the new one has its slot and has not written its name.
     let mut old = HotRestart::new();
-    old.look(0, None, false, true);
+    old.check(0, None, false, true);
     assert_eq!(
-        old.look(1, other("", false), false, true),
+        old.check(1, other("", false), false, true),
         HotRestartActions {
-            split: true,
+            apply_limits: true,
             ..HotRestartActions::default()
         }
     );
     assert_eq!(
-        old.look(2, other("b", false), false, true).write_notes_for,
+        old.check(2, other("b", false), false, true).write_state_for,
         Some("b".into())
     );
-    // The newcomer looks when the old one writes its seat anew.
+    // The new process checks when the old one rewrites its slot.
     let mut new = HotRestart::new();
-    new.look(0, other("", false), false, false);
-    assert!(new.waits());
-    assert!(new.look(1, other("a", true), true, false).go_on);
+    new.check(0, other("", false), false, false);
+    assert!(new.awaits_state());
+    assert!(new.check(1, other("a", true), true, false).read_state);
 }
 
 proptest! {
@@ -131,20 +151,20 @@
         rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default()
     })]
     #[test]
-    fn whatever_is_seen_nobody_waits_for_long_or_writes_twice(
+    fn whatever_is_observed_no_process_waits_for_long_or_writes_twice(
         seen in prop::collection::vec((prop::option::of((0..3u8, any::<bool>())), any::<bool>(), any::<bool>()), 1..40),
     ) {
-        let mut hand_over = HotRestart::new();
+        let mut process = HotRestart::new();
         let (mut beside, mut went_on, mut last) = (false, 0, None);
         for (turn, (who, there, serves)) in seen.into_iter().enumerate() {
-            let now = turn as Nanos * LOOK;
+            let now = turn as Nanos * CHECK_INTERVAL;
             let other = who.map(|(name, ready)| OtherProcess { process: name.to_string(), ready });
-            let todo = hand_over.look(now, other.clone(), there, serves);
-            prop_assert_eq!(todo.split, other.is_some() != beside, "limits follow whether the other lives");
+            let actions = process.check(now, other.clone(), there, serves);
+            prop_assert_eq!(actions.apply_limits, other.is_some() != beside, "limits follow whether the other lives");
             beside = other.is_some();
-            went_on += u32::from(todo.go_on);
-            prop_assert!(!hand_over.waits() || now < NOTES_WAIT && beside);
-            if let Some(to) = todo.write_notes_for {
+            went_on += u32::from(actions.read_state);
+            prop_assert!(!process.awaits_state() || now < TRANSFER_TIMEOUT && beside);
+            if let Some(to) = actions.write_state_for {
                 prop_assert!(serves && last.as_ref() != Some(&to), "written twice in a row");
                 prop_assert_eq!(other, Some(OtherProcess { process: to.clone(), ready: false }));
                 last = Some(to);
--- a/crates/balancer/src/state_transfer/tests.rs
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -1,4 +1,5 @@
-//! Tests with the files that commit cab609d wrote: they are read, and written again byte for byte.
+//! The state that a process hands over: complete, partial and foreign transfers, and the files that commit
+//! cab609d wrote, which are read and written again byte for byte.
 
 use super::*;
 use crate::config::Config;
@@ -7,8 +8,6 @@
 use crate::process_slots::ProcessSlots;
 use routing::{Engine, Nanos};
 use serde_json::Value;
-use std::fs::File;
-use std::path::PathBuf;
 
 const OLD_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-0");
 const NEW_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-1");
@@ -25,13 +24,13 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let name = format!("pipitrun-fixtures-{}-{name}", std::process::id());
+        let name = format!("pipitrun-transfer-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
 
-    fn slot(&self, process: &str) -> ProcessSlots {
+    fn slots(&self, process: &str) -> ProcessSlots {
         ProcessSlots::take(&self.0, process.into()).unwrap()
     }
 
@@ -63,7 +62,7 @@
         let path = folder.write(file, bytes);
         let holder = File::open(path).unwrap();
         holder.lock().unwrap();
-        let mut slots = folder.slot("own");
+        let mut slots = folder.slots("own");
         let expected = OtherProcess {
             process: process.into(),
             ready,
@@ -76,9 +75,9 @@
 #[test]
 fn slot_files_are_written_byte_for_byte_as_by_the_former_version() {
     let folder = Folder::new("write-slots");
-    let mut old = folder.slot(OLD_PROCESS);
+    let mut old = folder.slots(OLD_PROCESS);
     old.set_ready(true);
-    let _new = folder.slot(NEW_PROCESS);
+    let _new = folder.slots(NEW_PROCESS);
     assert_eq!(folder.read("pipitrun.seat-0"), OLD_SLOT);
     assert_eq!(folder.read("pipitrun.seat-1"), NEW_SLOT);
 }
@@ -86,11 +85,11 @@
 #[test]
 fn a_state_transfer_of_the_former_version_is_read() {
     let folder = Folder::new("transfer");
-    let slots = folder.slot(NEW_PROCESS);
+    let slots = folder.slots(NEW_PROCESS);
     folder.write("pipitrun.notes", TRANSFER);
-    assert!(slots.notes_there());
-    let transfer: StateTransfer = slots.read_notes().unwrap();
-    assert!(!slots.notes_there());
+    assert!(slots.transfer().exists());
+    let transfer: StateTransfer = slots.transfer().read().unwrap();
+    assert!(!slots.transfer().exists());
     let list = &transfer.endpoint_list;
     assert_eq!((list.version, list.is_full), (8, true));
     let hosts = list.endpoints.iter();
@@ -109,11 +108,11 @@
 #[test]
 fn a_state_transfer_is_written_byte_for_byte_as_by_the_former_version() {
     let folder = Folder::new("write-transfer");
-    let slots = folder.slot(NEW_PROCESS);
+    let slots = folder.slots(NEW_PROCESS);
     for stored in [TRANSFER, REWRITTEN] {
         folder.write("pipitrun.notes", stored);
-        let transfer: StateTransfer = slots.read_notes().unwrap();
-        let length = slots.write_notes(NEW_PROCESS, transfer).unwrap();
+        let transfer: StateTransfer = slots.transfer().read().unwrap();
+        let length = slots.transfer().write(NEW_PROCESS, transfer).unwrap();
         assert_eq!(length, REWRITTEN.len());
         let written = String::from_utf8(folder.read("pipitrun.notes")).unwrap();
         assert_eq!(written, String::from_utf8_lossy(REWRITTEN));
@@ -123,9 +122,9 @@
 #[test]
 fn an_engine_takes_over_the_snapshot_of_the_former_version() {
     let folder = Folder::new("snapshot");
-    let slots = folder.slot(NEW_PROCESS);
+    let slots = folder.slots(NEW_PROCESS);
     folder.write("pipitrun.notes", TRANSFER);
-    let transfer: StateTransfer = slots.read_notes().unwrap();
+    let transfer: StateTransfer = slots.transfer().read().unwrap();
     let config = Config::read(include_str!("../../../../examples/config.json")).unwrap();
     let engine = Engine::new(config.settings, config.seed, NOW).unwrap();
     let mut adapter = EngineAdapter::new(engine, config.names);
@@ -155,3 +154,53 @@
     assert_eq!(a.len(), b.len());
     a.iter().zip(b)
 }
+
+#[test]
+fn a_partial_transfer_is_not_found() {
+    let folder = Folder::new("half");
+    let a = folder.slots("a");
+    let b = folder.slots("b");
+    std::fs::write(
+        &b.transfer().partial_path,
+        "{\"version\":1,\"to\":\"b\",\"no",
+    )
+    .unwrap();
+    assert!(!b.transfer().exists());
+    a.transfer().write("b", [5]).unwrap();
+    assert_eq!(b.transfer().read::<Vec<u64>>().unwrap(), [5]);
+}
+
+#[test]
+fn partial_foreign_outdated_and_oversized_transfers_are_named_and_removed() {
+    let folder = Folder::new("invalid");
+    let slots = folder.slots("b");
+    let long = format!("\"{}\"", "x".repeat(MAX_BYTES));
+    let cases = [
+        ("", "EOF while parsing a value at line 1 column 0"),
+        (
+            "{\"version\":1,\"to\":\"b\",\"no",
+            "EOF while parsing a string at line 1 column 25",
+        ),
+        ("{\"version\":2,\"to\":\"b\"}", "of version 2, not 1"),
+        (
+            "{\"version\":1,\"to\":\"a\",\"notes\":[1]}",
+            "for process a, not for b",
+        ),
+        (
+            "{\"version\":1,\"to\":\"b\",\"notes\":[1,\"x\"]}",
+            "notes[1]: invalid type: string \"x\", expected u64 at line 1 column 36",
+        ),
+        (&long, "longer than 1048576 bytes"),
+    ];
+    for (text, problem) in cases {
+        std::fs::write(&slots.transfer().path, text).unwrap();
+        let error = slots.transfer().read::<Vec<u64>>().unwrap_err();
+        assert_eq!(error.to_string(), problem);
+        assert!(!slots.transfer().exists());
+    }
+    let a = folder.slots("a");
+    a.transfer().write("b", [5, 7]).unwrap();
+    assert_eq!(slots.transfer().read::<Vec<u64>>().unwrap(), [5, 7]);
+    assert!(a.transfer().write("b", "x".repeat(MAX_BYTES)).is_err());
+    assert!(!slots.transfer().exists(), "nothing is better than a part");
+}
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -217,8 +217,8 @@
     for _ in 0..2 {
         let new = pair.start();
         new.wait_ready();
-        old.wait_log("bytes of notes left for");
-        new.wait_log("notes of the other process: list 41, 41 is known");
+        old.wait_log("bytes written for process");
+        new.wait_log("state transfer from the other process: list version 41, 41 is known");
         clients.wait(50);
         old.signal("TERM");
         assert!(old.process.wait().unwrap().success(), "it leaves by itself");
