--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -1,4 +1,4 @@
-//! The seam to the decision module: names become its numbers, events go in in one go, actions come out.
+//! The adapter to the engine: names become its numbers, events go in together, actions come out.
 
 use crate::discovery::{EndpointList, ListedEndpoint};
 use crate::request::IncomingRequest;
@@ -9,58 +9,77 @@
 use routing_config::NameTables;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The module with the names by which messages speak of its classes, tenants, zones and kinds.
+/// Marks the numbers of zones that the settings don't name.
+const UNNAMED_ZONE: u64 = 1 << 63;
+/// The length of a key that is written as hexadecimal digits.
+const HEX_KEY_LENGTH: usize = 16;
+
+/// Where an endpoint list comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListSource {
+    /// Discovery.
+    Discovery,
+    /// An earlier process, or the configuration; it may be out of date.
+    Remembered,
+}
+
+/// The engine, with the names of its classes, tenants, zones and kinds.
 pub struct EngineAdapter {
-    brain: Engine,
+    engine: Engine,
     names: NameTables,
 }
 
 impl EngineAdapter {
-    /// Puts the names to a module.
-    pub fn new(brain: Engine, names: NameTables) -> Self {
-        EngineAdapter { brain, names }
+    /// An adapter for this engine.
+    #[must_use]
+    pub fn new(engine: Engine, names: NameTables) -> Self {
+        EngineAdapter { engine, names }
     }
 
-    /// The names of a load report's values.
+    /// The names that the settings give.
+    #[must_use]
     pub fn names(&self) -> &NameTables {
         &self.names
     }
 
-    /// Hands the module all that happened and returns what is to be done, in order.
+    /// Hands the engine all that happened and returns what is to be done, in order.
     pub fn decide(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in events {
-            self.brain.handle(now, event, &mut actions);
+            self.engine.handle(now, event, &mut actions);
         }
         actions
     }
 
-    /// What the module let in and what of it found no room, since the last call.
-    pub fn take_tally(&mut self) -> AdmissionCounts {
-        self.brain.take_admission_counts()
+    /// What the engine admitted and rejected for want of capacity since the last call.
+    pub fn take_admission_counts(&mut self) -> AdmissionCounts {
+        self.engine.take_admission_counts()
     }
 
-    /// What the module has learnt, for the next process of this balancer.
-    pub fn learnt(&mut self) -> Snapshot {
-        self.brain.take_snapshot()
+    /// What the engine has learnt, for the next process of this balancer.
+    pub fn take_snapshot(&mut self) -> Snapshot {
+        self.engine.take_snapshot()
     }
 
-    /// Takes over what another process's module had learnt, or tells what makes no sense of it.
-    pub fn recall(&mut self, learnt: &Snapshot) -> Result<(), SnapshotError> {
-        self.brain.restore(learnt)
+    /// Takes over what another process's engine had learnt.
+    ///
+    /// # Errors
+    ///
+    /// Says which part of the snapshot is invalid; then nothing is taken over.
+    pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
+        self.engine.restore(snapshot)
     }
 
-    /// A client's request in the module's terms; none if the settings don't name its class.
-    pub fn request(&self, incoming: &IncomingRequest) -> Option<Event> {
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
+    /// A client's request for the engine; none if the settings don't name its class.
+    #[must_use]
+    pub fn request_event(&self, incoming: &IncomingRequest) -> Option<Event> {
+        let class = position(&self.names.classes, &incoming.class)?;
+        let tenant = incoming.tenant.as_ref();
+        let tenant = tenant.and_then(|name| position(&self.names.tenants, name));
         Some(Event::RequestArrived(NewRequest {
             id: incoming.ticket.request,
-            class: ClassId(place(&self.names.classes, &incoming.class)?),
-            tenant: incoming
-                .tenant
-                .as_ref()
-                .and_then(|t| place(&self.names.tenants, t))
-                .map(TenantId),
+            class: ClassId(class),
+            tenant: tenant.map(TenantId),
             key: Some(key(&incoming.command.key)),
             client_timeout: incoming.client_timeout,
             estimated_work: incoming.estimated_work,
@@ -68,58 +87,59 @@
         }))
     }
 
-    /// A list in the module's terms.
-    pub fn list(&self, list: &EndpointList, stale: bool) -> Event {
-        let scope = match (stale, list.is_full) {
-            (true, _) => UpdateKind::Stale,
-            (false, true) => UpdateKind::Full,
-            (false, false) => UpdateKind::Delta,
+    /// A list for the engine.
+    #[must_use]
+    pub fn update_event(&self, list: &EndpointList, source: ListSource) -> Event {
+        let kind = match (source, list.is_full) {
+            (ListSource::Remembered, _) => UpdateKind::Stale,
+            (ListSource::Discovery, true) => UpdateKind::Full,
+            (ListSource::Discovery, false) => UpdateKind::Delta,
         };
         Event::EndpointUpdate {
-            kind: scope,
-            endpoints: list.endpoints.iter().map(|h| self.entry(h)).collect(),
+            kind,
+            endpoints: list.endpoints.iter().map(|e| self.endpoint(e)).collect(),
         }
     }
 
-    fn entry(&self, host: &ListedEndpoint) -> Endpoint {
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        // A zone that the settings don't name is one of its own, and where none is told each host is; so it is with cells. Taken for one,
-        // the caches of two would be trusted to discard each other's repeats.
-        let own = |told: &str| {
-            xxh3_64(if told.is_empty() {
-                host.name.as_bytes()
-            } else {
-                told.as_bytes()
-            })
+    fn endpoint(&self, listed: &ListedEndpoint) -> Endpoint {
+        // A zone that the settings don't name counts as one of its own, and an endpoint without one
+        // as alone in its zone; cells likewise. If two were taken for one, their caches would be
+        // trusted to discard each other's repeats.
+        let own_number = |name: &str| {
+            let name = if name.is_empty() { &listed.name } else { name };
+            xxh3_64(name.as_bytes())
         };
-        let zone = || (own(&host.zone) | 1 << 63) as usize;
-        let block = || {
-            if host.cell.is_null() {
-                String::new()
-            } else {
-                host.cell.to_string()
-            }
+        let zone = position(&self.names.zones, &listed.zone);
+        let cell = || match &listed.cell {
+            serde_json::Value::Null => own_number(""),
+            other => own_number(&other.to_string()),
         };
         Endpoint {
-            id: server_id(&host.name),
-            zone: place(&self.names.zones, &host.zone).unwrap_or_else(zone),
-            kind: place(&self.names.kinds, &host.kind).unwrap_or(usize::MAX),
-            cell: host.cell.as_u64().unwrap_or_else(|| own(&block())),
-            state: phase(&host.state),
-            weight: host.weight,
-            started: (host.started_ms.max(0.0) * 1e6) as Nanos,
+            id: endpoint_id(&listed.name),
+            zone: zone.unwrap_or_else(|| (own_number(&listed.zone) | UNNAMED_ZONE) as usize),
+            kind: position(&self.names.kinds, &listed.kind).unwrap_or(usize::MAX),
+            cell: listed.cell.as_u64().unwrap_or_else(cell),
+            state: endpoint_state(&listed.state),
+            weight: listed.weight,
+            started: (listed.started_ms.max(0.0) * 1e6) as Nanos,
         }
     }
 }
 
-/// What the list says of a host. A word of a later version of the protocol gets nothing new: the cautious side.
-pub fn phase(health: &str) -> EndpointState {
-    known_phase(health).unwrap_or(EndpointState::Draining)
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|n| n == name)
+}
+
+/// The state of a listed endpoint. One whose state this version does not know gets nothing new.
+#[must_use]
+pub fn endpoint_state(text: &str) -> EndpointState {
+    known_endpoint_state(text).unwrap_or(EndpointState::Draining)
 }
 
-/// The same, for the words of this version.
-pub fn known_phase(health: &str) -> Option<EndpointState> {
-    match health {
+/// The same, for the states that this version knows.
+#[must_use]
+pub fn known_endpoint_state(text: &str) -> Option<EndpointState> {
+    match text {
         "in_service" => Some(EndpointState::Active),
         "terminating" => Some(EndpointState::Draining),
         "terminated" => Some(EndpointState::Removed),
@@ -127,17 +147,19 @@
     }
 }
 
-/// The module's id of a host: from its name, which is the same at every balancer, as its address is not.
-pub fn server_id(host: &str) -> EndpointId {
-    EndpointId(xxh3_64(host.as_bytes()))
+/// The engine's id of an endpoint: from its name, which is the same at every balancer, unlike its
+/// address.
+#[must_use]
+pub fn endpoint_id(name: &str) -> EndpointId {
+    EndpointId(xxh3_64(name.as_bytes()))
 }
 
-/// Keys are hex digits; any other text is as good a key.
+/// Keys are hexadecimal digits; any other text is hashed.
 fn key(text: &[u8]) -> Key {
-    let hex = std::str::from_utf8(text).ok().filter(|t| t.len() == 16);
-    Key(hex
-        .and_then(|t| u64::from_str_radix(t, 16).ok())
-        .unwrap_or_else(|| xxh3_64(text)))
+    let digits = std::str::from_utf8(text).ok();
+    let digits = digits.filter(|digits| digits.len() == HEX_KEY_LENGTH);
+    let number = digits.and_then(|digits| u64::from_str_radix(digits, 16).ok());
+    Key(number.unwrap_or_else(|| xxh3_64(text)))
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/engine_adapter/tests.rs
+++ b/crates/balancer/src/engine_adapter/tests.rs
@@ -1,20 +1,20 @@
-//! Tests of `decide`.
+//! Endpoints whose zones and cells the settings name, or not.
 
 use super::*;
 use crate::config::Config;
 
 #[test]
-fn zones_and_cells_that_nobody_named_are_not_taken_for_one() {
+fn unnamed_zones_and_cells_are_not_taken_for_one() {
     let config = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"areas":["a"],
         "profiles":[{"name":"put","repeat":"keyed","group":"zone","give_up_ns":1}]}}"#;
     let config = Config::read(config).unwrap();
-    let decide = EngineAdapter::new(Engine::new(config.settings, 1, 0).unwrap(), config.names);
+    let adapter = EngineAdapter::new(Engine::new(config.settings, 1, 0).unwrap(), config.names);
     let list = r#"{"seq":1,"whole":true,"hosts":[
         {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3}, {"host":"h2","site":"c","block":"x"},
         {"host":"h3","site":"b","block":"x"}, {"host":"h4"}, {"host":"h5"}]}"#;
     let Event::EndpointUpdate {
         endpoints: entries, ..
-    } = decide.list(&serde_json::from_str(list).unwrap(), false)
+    } = adapter.update_event(&serde_json::from_str(list).unwrap(), ListSource::Discovery)
     else {
         panic!("a list");
     };
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -32,7 +32,7 @@
 use crate::listener::admin::AdminListener;
 use crate::listener::resp::RespListener;
 use crate::poll::{Poll, PollOutcome, Readiness};
-use crate::poll_timestamps::{PollTimestamps, WAIT_MOST};
+use crate::poll_timestamps::{MAX_POLL_WAIT, PollTimestamps};
 use crate::process_slots::ProcessSlots;
 use crate::timers::{Clock, Timers};
 use crate::upstream_pool::{UpstreamJob, UpstreamPool};
@@ -130,7 +130,7 @@
         {
             return Duration::ZERO;
         }
-        let longest = Duration::from_nanos(WAIT_MOST);
+        let longest = Duration::from_nanos(MAX_POLL_WAIT);
         self.timers
             .time_to_next(self.clock.now())
             .map_or(longest, |wait| wait.min(longest))
--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -35,7 +35,7 @@
             let time_left = deadline.saturating_sub(incoming.arrived_at);
             incoming.client_timeout = incoming.client_timeout.min(time_left);
         }
-        let event = self.engine.request(&incoming);
+        let event = self.engine.request_event(&incoming);
         if let Some(answer) = self.rejection(&incoming, event.is_some()) {
             // Not by `send_answer`, which would recurse for each command of a long pipeline.
             let mut events = Vec::new();
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -3,7 +3,7 @@
 
 use super::EventLoop;
 use crate::discovery::{DiscoveryEvent, EndpointList, ListPart, ListedEndpoint};
-use crate::engine_adapter::{known_phase, phase, server_id};
+use crate::engine_adapter::{ListSource, endpoint_id, endpoint_state, known_endpoint_state};
 use crate::timers::TimerKind;
 use crate::upstream_pool::UpstreamEvent;
 use routing::{EndpointId, EndpointState, Event, Nanos, UpdateKind};
@@ -16,14 +16,6 @@
 /// In a part with more endpoints than this each is logged at the level `debug` only.
 const LOGGED_ENDPOINTS_MAX: usize = 32;
 
-/// Where an endpoint list comes from.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum ListSource {
-    Discovery,
-    /// An earlier process, or the configuration; it may be out of date.
-    Remembered,
-}
-
 impl EventLoop {
     pub(super) fn handle_discovery_events(&mut self, events: Vec<DiscoveryEvent>) {
         for event in events {
@@ -118,8 +110,8 @@
         if list.is_full {
             self.remove_unlisted(&listed, &mut events);
         }
-        let is_stale = source == ListSource::Remembered;
-        self.pending_events.push(self.engine.list(list, is_stale));
+        self.pending_events
+            .push(self.engine.update_event(list, source));
         self.handle_upstream_events(self.clock.now(), events);
     }
 
@@ -140,9 +132,9 @@
         level: log::Level,
         events: &mut Vec<UpstreamEvent>,
     ) -> EndpointId {
-        let id = server_id(&endpoint.name);
+        let id = endpoint_id(&endpoint.name);
         let name = &endpoint.name;
-        if known_phase(&endpoint.state).is_none() {
+        if known_endpoint_state(&endpoint.state).is_none() {
             let health = &endpoint.state;
             log::warn!("discovery: {name}: health \"{health}\" is unknown; it gets nothing new");
         }
@@ -165,7 +157,7 @@
                 log::warn!("discovery: {name}: \"{dial}\" is no address with a port");
             }
         }
-        let state = phase(&endpoint.state);
+        let state = endpoint_state(&endpoint.state);
         if state != EndpointState::Active {
             self.upstream_pool.drain(id, events, &mut self.counters);
         }
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -115,7 +115,7 @@
         if self.is_catching_up() {
             return false;
         }
-        let polled_at = self.poll_timestamps.quiet();
+        let polled_at = self.poll_timestamps.last_poll();
         PollTimestamps::is_fresh(polled_at, now)
             || poll_state == PollState::JustProcessed
                 && (now.saturating_sub(polled_at) <= PROCESSED_POLL_AGE_MAX
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -55,7 +55,7 @@
         let Some(gossip) = &mut self.gossip else {
             return;
         };
-        gossip.count(self.engine.take_tally());
+        gossip.count(self.engine.take_admission_counts());
         if let Some(balancers) = gossip.turn(now, &self.lifecycle, self.counters.requests) {
             self.pending_events.push(Event::BalancerCount(balancers));
         }
--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -64,7 +64,7 @@
         };
         let state = StateTransfer {
             endpoint_list,
-            snapshot: self.engine.learnt(),
+            snapshot: self.engine.take_snapshot(),
         };
         match slots.transfer().write(process, state) {
             Ok(bytes) => log::info!("state transfer: {bytes} bytes written for process {process}"),
@@ -85,7 +85,7 @@
         }
         // The list goes first: the snapshot is of endpoints that are listed.
         self.run_decisions();
-        if let Err(e) = self.engine.recall(&state.snapshot) {
+        if let Err(e) = self.engine.restore(&state.snapshot) {
             log::warn!("state transfer from the other process: {e}; continuing without it");
         }
     }
--- a/crates/balancer/src/event_loop/lifecycle.rs
+++ b/crates/balancer/src/event_loop/lifecycle.rs
@@ -26,7 +26,7 @@
     /// Starts a graceful shutdown, unless one is under way.
     pub(super) fn begin_shutdown(&mut self, now: Nanos) {
         // The signal may have come at any time since the poll before.
-        if !self.lifecycle.stop(self.poll_timestamps.arrived()) {
+        if !self.lifecycle.stop(self.poll_timestamps.earliest_arrival()) {
             return;
         }
         log::info!("asked to stop: answering open requests");
--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -19,7 +19,7 @@
             }
         }
         self.attempt_tracker
-            .set_total_stall(self.poll_timestamps.lost());
+            .set_total_stall(self.poll_timestamps.total_stall());
         self.process_admin_calls(now, ready);
         self.process_discovery(now, ready);
         let clients = self.process_upstreams(now, ready);
@@ -103,7 +103,7 @@
     /// longer.
     fn process_timers(&mut self, now: Nanos) {
         self.turn_meter.step(TurnStep::Timers, self.clock.now());
-        while let Some(timer) = self.timers.pop_expired(self.poll_timestamps.quiet()) {
+        while let Some(timer) = self.timers.pop_expired(self.poll_timestamps.last_poll()) {
             self.timer_expired(now, timer);
         }
     }
--- a/crates/balancer/src/event_loop/stalls.rs
+++ b/crates/balancer/src/event_loop/stalls.rs
@@ -21,10 +21,9 @@
         returned_at: Nanos,
         outcome: PollOutcome,
     ) {
-        let completed = outcome == PollOutcome::Completed;
         let stalled_for = self
             .poll_timestamps
-            .waited(started_at, returned_at, completed);
+            .record_poll(started_at, returned_at, outcome);
         self.turn_meter = TurnMeter::start(returned_at);
         if stalled_for == 0 {
             return;
--- a/crates/balancer/src/event_loop/timeouts.rs
+++ b/crates/balancer/src/event_loop/timeouts.rs
@@ -60,7 +60,7 @@
     fn response_stalled(&mut self, now: Nanos, connection: u64) {
         let mut events = Vec::new();
         // What came since the last poll is not read yet.
-        let seen = self.poll_timestamps.quiet();
+        let seen = self.poll_timestamps.last_poll();
         self.upstream_pool
             .handle_stall_timeout(seen, connection, &mut events, &mut self.counters);
         self.handle_upstream_events(now, events);
@@ -68,7 +68,7 @@
 
     fn discovery_timed_out(&mut self, connection: u64) {
         let mut events = Vec::new();
-        let seen = self.poll_timestamps.quiet();
+        let seen = self.poll_timestamps.last_poll();
         self.discovery.handle_silence_timeout(
             seen,
             connection,
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -113,8 +113,11 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return false;
         };
-        let is_polled = connection.reads_input();
-        let seen = connection.presence.seen(&self.poll_timestamps, is_polled);
+        let seen = if connection.reads_input() {
+            connection.presence.last_seen(&self.poll_timestamps)
+        } else {
+            connection.presence.last_confirmed()
+        };
         if PollTimestamps::is_fresh(seen, now) {
             return true;
         }
@@ -124,7 +127,7 @@
             self.close(number, counters, events);
             return false;
         }
-        connection.presence.is_there(now);
+        connection.presence.confirm(now);
         true
     }
 
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -47,7 +47,7 @@
         // when it was last served.
         let waiting_since = self
             .poll_timestamps
-            .arrived()
+            .earliest_arrival()
             .min(self.backlog_since.unwrap_or(Nanos::MAX));
         self.backlog_since = Some(waiting_since);
         for _ in 0..ACCEPT_MAX {
@@ -151,7 +151,7 @@
                 if !accepting {
                     // From now on the listening socket is not polled.
                     self.backlog_since
-                        .get_or_insert(self.poll_timestamps.quiet());
+                        .get_or_insert(self.poll_timestamps.last_poll());
                 }
             }
             Err(e) => log::warn!("listener: {e}"),
--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -5,6 +5,7 @@
 use super::responses::{encode, encode_error};
 use super::{ListenerEvent, RespListener};
 use crate::counters::Counters;
+use crate::poll_timestamps::ReadExtent;
 use crate::request::{FinalAnswer, IncomingRequest, Ticket};
 use crate::resp::{self, Command, RespError, parse_command};
 use crate::sockets::has_peer_closed;
@@ -55,9 +56,10 @@
                     .input
                     .extend_from_slice(&self.read_buffer[..count]);
                 connection.last_active = now;
+                let extent = ReadExtent::new(count, size);
                 let arrived_at = connection
                     .presence
-                    .read(&self.poll_timestamps, count == size);
+                    .record_read(&self.poll_timestamps, extent);
                 self.process_input(number, now, arrived_at, events, counters);
                 self.flush(number, now, events, counters);
             }
--- a/crates/balancer/src/listener/resp/output.rs
+++ b/crates/balancer/src/listener/resp/output.rs
@@ -98,7 +98,7 @@
             // read in this turn.
             let arrived_at = connection
                 .presence
-                .read_in_turn(&self.poll_timestamps)
+                .arrival_in_turn(&self.poll_timestamps)
                 .unwrap_or(now);
             self.process_input(number, now, arrived_at, events, counters);
         }
--- a/crates/balancer/src/poll_timestamps.rs
+++ b/crates/balancer/src/poll_timestamps.rs
@@ -1,146 +1,205 @@
-//! When the sockets were last looked at, and so the earliest time at which what is found on one can have come there.
+//! When the sockets were last polled, and so the earliest time at which what is found on one can
+//! have arrived there.
 //!
-//! A process can be held up anywhere: by its scheduler, by SIGSTOP, by a long turn of its own. What it finds when it goes on
-//! may have waited for as long as that. A *look* is one wait for ready sockets that was not cut short by a signal. What a
-//! look does not report had not come by then; what it reports came after the look before. All spans are taken from a
-//! monotonic clock. No I/O.
+//! A process can stall anywhere: by its scheduler, by SIGSTOP, by a long turn of its own. What it
+//! finds afterwards may have waited for as long. A *poll* here is one wait for ready sockets that no
+//! signal interrupted. What a poll does not report had not arrived by then; what it reports arrived
+//! after the poll before. All spans are taken from a monotonic clock. No I/O.
 
+use crate::poll::PollOutcome;
 use crate::timers::MS;
 use routing::Nanos;
 
-/// No wait for ready sockets is longer than this, so that a longer one shows that the process was held up.
-pub const WAIT_MOST: Nanos = 30 * MS;
-/// A gap between two looks that is longer than this is a hold-up: what is found behind it may have come at its beginning.
-/// The referee allows 150 ms in a deadline, of which a shorter gap takes a part.
-const HELD_UP: Nanos = 40 * MS;
-/// What was seen by a look holds for this long; later it is asked again before anything is sent by it. Together with
-/// [`HELD_UP`] this stays under the 100 ms after which nothing may be sent for a client that has closed.
-const FRESH: Nanos = 25 * MS;
-
-/// The looks of one process.
+/// The longest wait for ready sockets; a longer one shows that the process stalled.
+pub const MAX_POLL_WAIT: Nanos = 30 * MS;
+/// A longer gap between two polls is a stall: what is found after it may have arrived at its
+/// beginning. Shorter gaps count against deadlines, of which 150 ms are allowed to be inexact.
+const STALL_THRESHOLD: Nanos = 40 * MS;
+/// What a poll showed holds for this long; later it is checked again before anything is sent.
+/// Together with [`STALL_THRESHOLD`] it is under the 100 ms after which nothing may be sent for a
+/// client that has disconnected.
+const FRESHNESS: Nanos = 25 * MS;
+
+/// The polls of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct PollTimestamps {
     /// How many there were.
     count: u64,
-    /// What the last look did not report had not come by this time.
-    quiet: Nanos,
-    /// What the last look reported did not come before this time.
-    arrived: Nanos,
-    /// When the last wait returned, cut short or not.
-    returned: Nanos,
-    /// How long the process was held up, in all.
-    lost: Nanos,
+    last_poll: Nanos,
+    earliest_arrival: Nanos,
+    /// When the last wait returned, interrupted or not.
+    last_return: Nanos,
+    total_stall: Nanos,
 }
 
 impl PollTimestamps {
-    /// Nothing can have come before `now`.
+    /// Nothing can have arrived before `now`.
+    #[must_use]
     pub fn start(now: Nanos) -> Self {
         PollTimestamps {
             count: 0,
-            quiet: now,
-            arrived: now,
-            returned: now,
-            lost: 0,
+            last_poll: now,
+            earliest_arrival: now,
+            last_return: now,
+            total_stall: 0,
         }
     }
 
-    /// A wait for ready sockets began and returned at these times; without `looked` a signal cut it short. Returns how
-    /// long the process was held up since the look before, 0 as a rule.
-    pub fn waited(&mut self, began: Nanos, returned: Nanos, looked: bool) -> Nanos {
-        let in_wait = returned.saturating_sub(began);
-        let in_turn = began.saturating_sub(self.returned);
-        let beyond = |gap: Nanos, usual: Nanos| if gap > HELD_UP { gap - usual } else { 0 };
-        let held_up = beyond(in_wait, WAIT_MOST) + beyond(in_turn, 0);
-        if looked {
-            let prompt = returned.saturating_sub(self.quiet) <= HELD_UP;
-            self.arrived = if prompt { returned } else { self.quiet };
-            self.quiet = if in_wait <= HELD_UP { returned } else { began };
+    /// Records when a wait for ready sockets started and returned. Returns for how long the process
+    /// stalled since the wait before, as a rule 0.
+    pub fn record_poll(
+        &mut self,
+        started_at: Nanos,
+        returned_at: Nanos,
+        outcome: PollOutcome,
+    ) -> Nanos {
+        let waited = returned_at.saturating_sub(started_at);
+        let worked = started_at.saturating_sub(self.last_return);
+        let stalled = stall(waited, MAX_POLL_WAIT) + stall(worked, 0);
+        if outcome == PollOutcome::Completed {
+            let is_prompt = returned_at.saturating_sub(self.last_poll) <= STALL_THRESHOLD;
+            self.earliest_arrival = if is_prompt {
+                returned_at
+            } else {
+                self.last_poll
+            };
+            // A wait that stalled may have checked the sockets at its beginning.
+            self.last_poll = if waited <= STALL_THRESHOLD {
+                returned_at
+            } else {
+                started_at
+            };
             self.count += 1;
         }
-        self.returned = returned;
-        self.lost += held_up;
-        held_up
+        self.last_return = returned_at;
+        self.total_stall += stalled;
+        stalled
     }
 
-    /// What the last look did not report had not come by this time.
-    pub fn quiet(&self) -> Nanos {
-        self.quiet
+    /// What the last poll did not report had not arrived by this time.
+    #[must_use]
+    pub fn last_poll(&self) -> Nanos {
+        self.last_poll
     }
 
-    /// What the last look reported did not come before this time.
-    pub fn arrived(&self) -> Nanos {
-        self.arrived
+    /// What the last poll reported did not arrive before this time.
+    #[must_use]
+    pub fn earliest_arrival(&self) -> Nanos {
+        self.earliest_arrival
     }
 
-    /// How long the process was held up, in all.
-    pub fn lost(&self) -> Nanos {
-        self.lost
+    /// For how long the process has stalled so far, in all.
+    #[must_use]
+    pub fn total_stall(&self) -> Nanos {
+        self.total_stall
     }
 
-    /// Whether what was true at `seen` may be acted on without asking again.
+    /// Whether what was true at `seen` may be acted on without checking again.
+    #[must_use]
     pub fn is_fresh(seen: Nanos, now: Nanos) -> bool {
-        now.saturating_sub(seen) <= FRESH
+        now.saturating_sub(seen) <= FRESHNESS
+    }
+}
+
+/// By how much a gap between polls exceeds the usual, if it is a stall.
+fn stall(gap: Nanos, usual: Nanos) -> Nanos {
+    if gap > STALL_THRESHOLD {
+        gap - usual
+    } else {
+        0
     }
 }
 
-/// What looks tell of one connection.
+/// Whether a read emptied its socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadExtent {
+    /// Nothing was left.
+    All,
+    /// More may be unread.
+    Partial,
+}
+
+impl ReadExtent {
+    /// The extent of a read of `count` bytes for which there was this much space.
+    #[must_use]
+    pub fn new(count: usize, space: usize) -> Self {
+        if count == space {
+            ReadExtent::Partial
+        } else {
+            ReadExtent::All
+        }
+    }
+}
+
+/// What polls show of one client connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPresence {
-    /// The look in whose turn it was last read or taken from the listener.
-    look: u64,
-    /// What was found then did not come before this time.
-    arrived: Nanos,
-    /// More may have waited unread then.
-    unread: bool,
-    /// The other end was there at this time.
-    seen: Nanos,
+    /// The poll in whose turn it was last read or accepted.
+    poll: u64,
+    /// What was found then did not arrive before this time.
+    earliest_arrival: Nanos,
+    last_read: ReadExtent,
+    /// The client was connected at this time.
+    confirmed_at: Nanos,
 }
 
 impl ClientPresence {
-    /// A connection that was just taken from the listener, where it may have waited since then.
-    pub fn accepted(looks: &PollTimestamps, waited_since: Nanos) -> Self {
+    /// A connection that was just accepted; it may have waited for that since then.
+    #[must_use]
+    pub fn accepted(polls: &PollTimestamps, waited_since: Nanos) -> Self {
         ClientPresence {
-            look: looks.count,
-            arrived: waited_since,
-            unread: true,
-            seen: waited_since,
+            poll: polls.count,
+            earliest_arrival: waited_since,
+            last_read: ReadExtent::Partial,
+            confirmed_at: waited_since,
         }
     }
 
-    /// Bytes were read from it; with `unread` more may wait. Returns the earliest time at which they can have come.
-    pub fn read(&mut self, looks: &PollTimestamps, unread: bool) -> Nanos {
-        let waited_before = self.unread && self.look + 1 >= looks.count;
-        let arrived = if waited_before {
-            self.arrived.min(looks.arrived)
+    /// Bytes were read from it. Returns the earliest time at which they can have arrived.
+    pub fn record_read(&mut self, polls: &PollTimestamps, extent: ReadExtent) -> Nanos {
+        let may_be_left_over =
+            self.last_read == ReadExtent::Partial && self.poll + 1 >= polls.count;
+        let earliest_arrival = if may_be_left_over {
+            self.earliest_arrival.min(polls.earliest_arrival)
         } else {
-            looks.arrived
+            polls.earliest_arrival
         };
         *self = ClientPresence {
-            look: looks.count,
-            arrived,
-            unread,
-            seen: arrived,
+            poll: polls.count,
+            earliest_arrival,
+            last_read: extent,
+            confirmed_at: earliest_arrival,
         };
-        arrived
+        earliest_arrival
     }
 
-    /// The earliest time at which what was read in the turn of this look can have come; none if nothing was.
-    pub fn read_in_turn(&self, looks: &PollTimestamps) -> Option<Nanos> {
-        (self.look == looks.count).then_some(self.arrived)
+    /// The earliest time at which what was read in the turn of this poll can have arrived; none if
+    /// nothing was.
+    #[must_use]
+    pub fn arrival_in_turn(&self, polls: &PollTimestamps) -> Option<Nanos> {
+        (self.poll == polls.count).then_some(self.earliest_arrival)
     }
 
-    /// When the other end was there for sure. A connection that is not watched for reading is not looked at.
-    pub fn seen(&self, looks: &PollTimestamps, watched: bool) -> Nanos {
-        if watched && self.look < looks.count {
-            self.seen.max(looks.quiet)
+    /// When the client was connected for sure, if the connection is watched for reading: a poll
+    /// that does not report its end confirms it.
+    #[must_use]
+    pub fn last_seen(&self, polls: &PollTimestamps) -> Nanos {
+        if self.poll < polls.count {
+            self.confirmed_at.max(polls.last_poll)
         } else {
-            self.seen
+            self.confirmed_at
         }
     }
 
-    /// The other end was asked for, and is there.
-    pub fn is_there(&mut self, now: Nanos) {
-        self.seen = now;
+    /// The same for a connection that is not watched for reading.
+    #[must_use]
+    pub fn last_confirmed(&self) -> Nanos {
+        self.confirmed_at
+    }
+
+    /// The kernel was asked, and the client is connected.
+    pub fn confirm(&mut self, now: Nanos) {
+        self.confirmed_at = now;
     }
 }
 
--- a/crates/balancer/src/poll_timestamps/tests.rs
+++ b/crates/balancer/src/poll_timestamps/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl PollTimestamps {
-    /// As if a look had just been made, and none had been late.
+    /// As if a poll had just returned, and none had been late.
     pub(crate) fn prompt(&mut self, now: Nanos) {
         *self = PollTimestamps {
             count: self.count + 1,
@@ -19,95 +19,124 @@
 }
 
 #[test]
-fn what_a_prompt_look_reports_has_come_just_now() {
-    let mut looks = PollTimestamps::start(START);
-    assert_eq!(looks.waited(at(1), at(21), true), 0);
-    assert_eq!((looks.quiet(), looks.arrived()), (at(21), at(21)));
-    assert_eq!(looks.waited(at(22), at(52), true), 0);
+fn what_a_prompt_poll_reports_has_just_arrived() {
+    let mut polls = PollTimestamps::start(START);
+    assert_eq!(polls.record_poll(at(1), at(21), PollOutcome::Completed), 0);
     assert_eq!(
-        (looks.quiet(), looks.arrived(), looks.lost()),
+        (polls.last_poll(), polls.earliest_arrival()),
+        (at(21), at(21))
+    );
+    assert_eq!(polls.record_poll(at(22), at(52), PollOutcome::Completed), 0);
+    assert_eq!(
+        (
+            polls.last_poll(),
+            polls.earliest_arrival(),
+            polls.total_stall()
+        ),
         (at(52), at(52), 0)
     );
     assert!(
-        PollTimestamps::is_fresh(looks.quiet(), at(77))
-            && !PollTimestamps::is_fresh(looks.quiet(), at(78))
+        PollTimestamps::is_fresh(polls.last_poll(), at(77))
+            && !PollTimestamps::is_fresh(polls.last_poll(), at(78))
     );
 }
 
 #[test]
-fn behind_a_long_turn_or_a_long_wait_it_may_have_come_right_after_the_look_before() {
-    let mut looks = PollTimestamps::start(START);
+fn after_a_long_turn_or_wait_it_may_have_arrived_right_after_the_poll_before() {
+    let mut polls = PollTimestamps::start(START);
     assert_eq!(
-        looks.waited(at(650), at(650), true),
+        polls.record_poll(at(650), at(650), PollOutcome::Completed),
         650 * MS,
         "the turn was long"
     );
-    assert_eq!((looks.quiet(), looks.arrived()), (at(650), START));
     assert_eq!(
-        looks.waited(at(660), at(1_330), true),
+        (polls.last_poll(), polls.earliest_arrival()),
+        (at(650), START)
+    );
+    assert_eq!(
+        polls.record_poll(at(660), at(1_330), PollOutcome::Completed),
         640 * MS,
         "the wait was longer than asked for"
     );
     assert_eq!(
-        (looks.quiet(), looks.arrived()),
+        (polls.last_poll(), polls.earliest_arrival()),
         (at(660), at(650)),
-        "and may have looked at its beginning"
+        "and may have checked the sockets at its beginning"
+    );
+    assert_eq!(
+        polls.record_poll(at(1_331), at(1_331), PollOutcome::Completed),
+        0
+    );
+    assert_eq!(
+        (polls.last_poll(), polls.earliest_arrival()),
+        (at(1_331), at(660))
     );
-    assert_eq!(looks.waited(at(1_331), at(1_331), true), 0);
-    assert_eq!((looks.quiet(), looks.arrived()), (at(1_331), at(660)));
-    assert_eq!(looks.waited(at(1_332), at(1_333), true), 0);
     assert_eq!(
-        (looks.quiet(), looks.arrived(), looks.lost()),
+        polls.record_poll(at(1_332), at(1_333), PollOutcome::Completed),
+        0
+    );
+    assert_eq!(
+        (
+            polls.last_poll(),
+            polls.earliest_arrival(),
+            polls.total_stall()
+        ),
         (at(1_333), at(1_333), 1_290 * MS)
     );
 }
 
 #[test]
-fn a_wait_that_a_signal_cuts_short_is_no_look() {
-    let mut looks = PollTimestamps::start(START);
-    looks.waited(at(1), at(2), true);
-    looks.waited(at(3), at(653), false);
-    assert_eq!((looks.quiet(), looks.arrived()), (at(2), at(2)));
-    looks.waited(at(654), at(654), true);
-    assert_eq!((looks.quiet(), looks.arrived()), (at(654), at(2)));
+fn an_interrupted_wait_is_no_poll() {
+    let mut polls = PollTimestamps::start(START);
+    polls.record_poll(at(1), at(2), PollOutcome::Completed);
+    polls.record_poll(at(3), at(653), PollOutcome::Interrupted);
+    assert_eq!(
+        (polls.last_poll(), polls.earliest_arrival()),
+        (at(2), at(2))
+    );
+    polls.record_poll(at(654), at(654), PollOutcome::Completed);
+    assert_eq!(
+        (polls.last_poll(), polls.earliest_arrival()),
+        (at(654), at(2))
+    );
 }
 
 #[test]
-fn a_connection_was_there_at_the_last_look_unless_it_is_not_looked_at() {
-    let mut looks = PollTimestamps::start(START);
-    looks.waited(at(10), at(10), true);
-    let mut presence = ClientPresence::accepted(&looks, at(4));
-    assert_eq!(presence.seen(&looks, true), at(4));
-    looks.waited(at(20), at(20), true);
-    assert_eq!(
-        presence.seen(&looks, true),
+fn a_client_was_connected_at_the_last_poll_unless_it_is_not_watched() {
+    let mut polls = PollTimestamps::start(START);
+    polls.record_poll(at(10), at(10), PollOutcome::Completed);
+    let mut presence = ClientPresence::accepted(&polls, at(4));
+    assert_eq!(presence.last_seen(&polls), at(4));
+    polls.record_poll(at(20), at(20), PollOutcome::Completed);
+    assert_eq!(
+        presence.last_seen(&polls),
         at(20),
-        "a look that did not report its end"
+        "a poll that did not report its end"
     );
-    assert_eq!(presence.seen(&looks, false), at(4), "it was not watched");
+    assert_eq!(presence.last_confirmed(), at(4), "it was not watched");
     assert_eq!(
-        presence.read(&looks, false),
+        presence.record_read(&polls, ReadExtent::All),
         at(4),
-        "it may have waited at the listener"
+        "it may have waited to be accepted"
     );
     assert_eq!(
-        presence.seen(&looks, true),
+        presence.last_seen(&polls),
         at(4),
-        "behind what was read there may be an end"
+        "what was read may be followed by an end"
     );
-    looks.waited(at(30), at(30), true);
-    assert_eq!(presence.read(&looks, true), at(30));
-    assert_eq!(presence.read_in_turn(&looks), Some(at(30)));
-    looks.waited(at(40), at(40), true);
-    assert_eq!(presence.read_in_turn(&looks), None);
+    polls.record_poll(at(30), at(30), PollOutcome::Completed);
+    assert_eq!(presence.record_read(&polls, ReadExtent::Partial), at(30));
+    assert_eq!(presence.arrival_in_turn(&polls), Some(at(30)));
+    polls.record_poll(at(40), at(40), PollOutcome::Completed);
+    assert_eq!(presence.arrival_in_turn(&polls), None);
     assert_eq!(
-        presence.read(&looks, false),
+        presence.record_read(&polls, ReadExtent::All),
         at(30),
         "not all was read before"
     );
-    looks.waited(at(50), at(50), true);
-    looks.waited(at(60), at(60), true);
-    assert_eq!(presence.read(&looks, false), at(60));
-    presence.is_there(at(61));
-    assert_eq!(presence.seen(&looks, false), at(61));
+    polls.record_poll(at(50), at(50), PollOutcome::Completed);
+    polls.record_poll(at(60), at(60), PollOutcome::Completed);
+    assert_eq!(presence.record_read(&polls, ReadExtent::All), at(60));
+    presence.confirm(at(61));
+    assert_eq!(presence.last_confirmed(), at(61));
 }
--- a/crates/balancer/src/state_transfer/tests.rs
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::config::Config;
-use crate::engine_adapter::EngineAdapter;
+use crate::engine_adapter::{EngineAdapter, ListSource};
 use crate::hot_restart::OtherProcess;
 use crate::process_slots::ProcessSlots;
 use routing::{Engine, Nanos};
@@ -128,11 +128,11 @@
     let config = Config::read(include_str!("../../../../examples/config.json")).unwrap();
     let engine = Engine::new(config.settings, config.seed, NOW).unwrap();
     let mut adapter = EngineAdapter::new(engine, config.names);
-    let update = adapter.list(&transfer.endpoint_list, false);
+    let update = adapter.update_event(&transfer.endpoint_list, ListSource::Discovery);
     adapter.decide(NOW, [update]);
-    adapter.recall(&transfer.snapshot).unwrap();
+    adapter.restore(&transfer.snapshot).unwrap();
     let stored = serde_json::to_value(&transfer.snapshot).unwrap();
-    let taken = serde_json::to_value(adapter.learnt()).unwrap();
+    let taken = serde_json::to_value(adapter.take_snapshot()).unwrap();
     for key in ["record", "fetch", "hits", "origin_room", "bad", "usual"] {
         assert_eq!(taken[key], stored[key], "{key}");
     }
