--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -26,7 +26,9 @@
         } = request;
         if command == AdminCommand::Fleet {
             let gossip = self.gossip.as_ref();
-            let json = gossip.map(|gossip| gossip.json(now)).unwrap_or_default();
+            let json = gossip
+                .map(|gossip| gossip.admin_json(now))
+                .unwrap_or_default();
             return admin_listener.answer_json(connection, &json);
         }
         let former = self.lifecycle.name();
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -2,7 +2,7 @@
 //! are divided, and how much the fleet sheds.
 
 use super::{EventLoop, StartupError};
-use crate::gossip::GossipTransport;
+use crate::gossip::{GossipOptions, GossipTransport};
 use crate::timers::TimerKind;
 use membership::{MemberMetadata, ServingPhase};
 use routing::{Event, Nanos};
@@ -14,21 +14,21 @@
         let Some(config) = &self.config.fleet else {
             return Ok(());
         };
-        let mut gossip = GossipTransport::open(
-            &self.poll,
+        let options = GossipOptions {
             config,
-            self.metadata(),
-            self.config.settings.balancers,
-            self.config.seed,
-            now,
-            self.config.socket_fd.is_some(),
-        )
-        .map_err(|source| StartupError::Gossip {
-            address: config.bind,
-            source,
+            metadata: self.metadata(),
+            configured_balancers: self.config.settings.balancers,
+            seed: self.config.seed,
+            may_share_address: self.config.socket_fd.is_some(),
+        };
+        let mut gossip = GossipTransport::open(&self.poll, options, now).map_err(|source| {
+            StartupError::Gossip {
+                address: config.bind,
+                source,
+            }
         })?;
         if config.shed_together {
-            gossip.share_overload(self.config.settings.tiers());
+            gossip.enable_shared_shedding(self.config.settings.tiers());
         }
         self.gossip = Some(gossip);
         self.timers.set(now, TimerKind::Gossip);
@@ -55,18 +55,18 @@
         let Some(gossip) = &mut self.gossip else {
             return;
         };
-        gossip.count(self.engine.take_admission_counts());
-        if let Some(balancers) = gossip.turn(now, &self.lifecycle, self.counters.requests) {
+        gossip.add_admission_counts(self.engine.take_admission_counts());
+        if let Some(balancers) = gossip.tick(now, &self.lifecycle, self.counters.requests) {
             self.pending_events.push(Event::BalancerCount(balancers));
         }
         self.pending_events
-            .extend(gossip.allowance(now).map(Event::FleetShedding));
-        self.timers.set(gossip.due(), TimerKind::Gossip);
+            .extend(gossip.shedding_change(now).map(Event::FleetShedding));
+        self.timers.set(gossip.next_tick(), TimerKind::Gossip);
     }
 
     pub(super) fn receive_gossip(&mut self, now: Nanos) {
         if let Some(gossip) = &mut self.gossip {
-            gossip.ready(now);
+            gossip.handle_ready(now);
         }
     }
 
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,500 +1,266 @@
-//! The fleet's talk: one UDP socket and one timer, fed into a `membership::Member`. What it says of the others goes
-//! into the log, the counters, the operators' door, and, as one figure, to the module. Without the key `fleet` of the
-//! configuration there is none of this.
+//! The transport of gossip: one UDP socket and one timer, fed into a [`Member`]. What the member sees
+//! goes into the log, the counters, `/admin/fleet` and, as two figures, to the engine. Without the
+//! key `fleet` of the configuration there is none of this.
+
+mod admin_view;
+mod counters_line;
+mod event_log;
 
 use crate::config::FleetConfig;
 use crate::lifecycle::Lifecycle;
 use crate::poll::{EventSource, Interest, Poll, Registered};
 use crate::timers::MS;
+use admin_view::FleetRow;
+use event_log::log_event;
 use membership::envelope::DATAGRAM_MAX;
-use membership::{
-    Location, Member, MemberMetadata, MemberStatus, MemberView, MembershipEvent, RegionView,
-    ServingPhase,
-};
+use membership::{Member, MemberMetadata, ServingPhase};
 use routing::{AdmissionCounts, Nanos, SheddingLevel};
-use serde::Serialize;
-use std::fmt;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
-/// Datagrams that are read in one turn of the loop; requests must not wait for more.
-const READ_MAX: usize = 1_024;
-/// Requests a second are told over spans of this length.
-const TRAFFIC_SPAN: Nanos = 2_000 * MS;
-/// An address that another process of this balancer still holds is tried again after this.
-const BIND_AGAIN: Nanos = 250 * MS;
-/// Of a class that is shed in part other requests are shed after this.
-const SHED_TURN: Nanos = 1_000 * MS;
+/// Datagrams that are read in one turn of the event loop; requests must not wait for more.
+const DATAGRAMS_PER_TURN: usize = 1_024;
+/// Over which time the rate of requests is measured.
+const RATE_INTERVAL: Nanos = 2_000 * MS;
+/// How soon an address that another process of this balancer holds is bound again.
+const BIND_RETRY_INTERVAL: Nanos = 250 * MS;
+/// For how long the same requests of a partly shed tier are shed.
+const SHEDDING_ROTATION: Nanos = 1_000 * MS;
+
+/// How this balancer takes part in its fleet.
+pub struct GossipOptions<'a> {
+    /// The key `fleet` of the configuration.
+    pub config: &'a FleetConfig,
+    /// What other members learn of this balancer.
+    pub metadata: MemberMetadata,
+    /// The settings' number of balancers.
+    pub configured_balancers: usize,
+    /// The seed of the member's random choices.
+    pub seed: u64,
+    /// Another process of this balancer may still hold the address.
+    pub may_share_address: bool,
+}
 
-/// The talk of this balancer with the others of its fleet.
+/// This balancer's part in the gossip of its fleet.
 pub struct GossipTransport {
     poll: Poll,
-    bind: SocketAddr,
+    address: SocketAddr,
     /// None while another process of this balancer holds the address.
     socket: Option<Registered<UdpSocket>>,
-    bind_again: Nanos,
+    next_bind: Nanos,
     member: Member,
-    /// What the module was last told.
-    told: usize,
-    /// Requests taken, and when they were last looked at.
-    traffic: (u64, Nanos),
-    /// What the module was last allowed.
-    allowed: SheddingLevel,
-    /// Datagrams that the system did not take: its buffer was full, or there is no way.
+    /// What the engine was last told.
+    share_count: usize,
+    shedding: SheddingLevel,
+    request_rate: RequestRate,
+    /// Datagrams that the system did not take: its buffer was full, or there is no route.
     unsent: u64,
 }
 
-/// How a member is shown to the operators; times are in milliseconds.
-#[derive(Serialize)]
-struct Shown {
-    name: String,
-    address: SocketAddr,
-    generation: u64,
-    incarnation: u16,
-    state: MemberStatus,
-    since_ms: u64,
-    door: Option<SocketAddr>,
-    build: Option<String>,
-    config: Option<String>,
-    requests_per_s: Option<f64>,
-    places: Option<u16>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    zone: Option<String>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    site: Option<String>,
-}
-
-impl Shown {
-    fn of(seen: &MemberView, now: Nanos) -> Self {
-        let soft = seen.metadata.as_ref();
-        let (zone, site) = place_of(soft);
-        Shown {
-            name: seen.name(),
-            address: seen.id.address,
-            generation: seen.id.generation,
-            incarnation: seen.incarnation,
-            state: seen.status,
-            since_ms: now.saturating_sub(seen.since) / MS,
-            door: soft.map(|soft| soft.listen_address),
-            build: soft.map(|soft| soft.build.clone()),
-            config: soft.map(|soft| format!("{:016x}", soft.config_checksum)),
-            requests_per_s: soft.map(|soft| f64::from(soft.request_rate_tenths) / 10.0),
-            places: soft.map(|soft| soft.places),
-            zone,
-            site,
-        }
-    }
-}
-
-/// How another region is shown to the operators.
-#[derive(Serialize)]
-struct ShownRegion {
-    region: String,
-    living: u32,
-    places: u32,
-    config: String,
-    config_others: u32,
-    requests_per_s: f64,
-    delegates: Vec<SocketAddr>,
-    authors: u8,
-    /// Since its figures last changed, by the clocks of its delegates and of this balancer.
-    changed_ms: u64,
-    silent_ms: Option<u64>,
-}
-
-impl ShownRegion {
-    fn of(seen: &RegionView, now: Nanos) -> Self {
-        let row = &seen.overview;
-        ShownRegion {
-            region: row.region.clone(),
-            living: row.alive,
-            places: row.places,
-            config: format!("{:016x}", row.config_checksum),
-            config_others: row.config_minority,
-            requests_per_s: f64::from(row.request_rate_tenths) / 10.0,
-            delegates: row.delegates.clone(),
-            authors: row.authors,
-            changed_ms: (now / MS).saturating_sub(row.version),
-            silent_ms: seen
-                .silent_since
-                .map(|since| now.saturating_sub(since) / MS),
-        }
-    }
-}
-
-/// The zone and the site that a record tells of.
-fn place_of(soft: Option<&MemberMetadata>) -> (Option<String>, Option<String>) {
-    let location = soft
-        .and_then(|soft| Location::decode(&soft.extension))
-        .unwrap_or_default();
-    let named = |name: String| Some(name).filter(|name| !name.is_empty());
-    (named(location.zone), named(location.site))
-}
-
 impl GossipTransport {
-    /// Opens the socket and begins to look for the others. `soft` is what is told of this balancer; `configured` is the
-    /// settings' number of balancers. `beside` tells that another process of this balancer may still hold the address.
-    pub fn open(
-        poll: &Poll,
-        config: &FleetConfig,
-        soft: MemberMetadata,
-        configured: usize,
-        seed: u64,
-        now: Nanos,
-        beside: bool,
-    ) -> io::Result<Self> {
-        let mut me = GossipTransport {
+    /// Binds the socket and begins to look for other members.
+    ///
+    /// # Errors
+    ///
+    /// Passes on the system's error if the address can't be bound, unless it is another process of
+    /// this balancer that holds it.
+    pub fn open(poll: &Poll, options: GossipOptions<'_>, now: Nanos) -> io::Result<Self> {
+        let GossipOptions {
+            config,
+            metadata,
+            configured_balancers,
+            seed,
+            may_share_address,
+        } = options;
+        let settings = config.settings(&metadata.name, configured_balancers);
+        let mut transport = GossipTransport {
             poll: poll.clone(),
-            bind: config.bind,
+            address: config.bind,
             socket: None,
-            bind_again: 0,
-            member: Member::new(
-                config.settings(&soft.name, configured),
-                soft,
-                now / MS,
-                seed,
-                now,
-            ),
-            told: configured,
-            allowed: SheddingLevel::default(),
-            traffic: (0, now),
+            next_bind: 0,
+            member: Member::new(settings, metadata, now / MS, seed, now),
+            share_count: configured_balancers,
+            shedding: SheddingLevel::default(),
+            request_rate: RequestRate::start(now),
             unsent: 0,
         };
-        match me.bind(now) {
-            Err(e) if beside && e.kind() == ErrorKind::AddrInUse => {
+        match transport.bind(now) {
+            Err(e) if may_share_address && e.kind() == ErrorKind::AddrInUse => {
                 log::info!(
-                    "fleet: {} is held by the other process of this balancer",
+                    "fleet: {} is in use by the other process of this balancer",
                     config.bind
                 );
             }
             result => result?,
         }
-        Ok(me)
+        Ok(transport)
     }
 
     fn bind(&mut self, now: Nanos) -> io::Result<()> {
-        self.bind_again = now + BIND_AGAIN;
-        let socket = UdpSocket::bind(self.bind)?;
+        self.next_bind = now + BIND_RETRY_INTERVAL;
+        let socket = UdpSocket::bind(self.address)?;
         socket.set_nonblocking(true)?;
         log::info!(
-            "fleet: {} talks at {}",
+            "fleet: {} gossips at {}",
             self.member.fleet_name(),
             socket.local_addr()?
         );
-        self.socket = Some(
-            self.poll
-                .watch(socket, EventSource::Gossip, Interest::READABLE)?,
-        );
+        let registered = self
+            .poll
+            .watch(socket, EventSource::Gossip, Interest::READABLE)?;
+        self.socket = Some(registered);
         Ok(())
     }
 
-    /// Reads what has come.
-    pub fn ready(&mut self, now: Nanos) {
+    /// Reads the datagrams that have arrived.
+    pub fn handle_ready(&mut self, now: Nanos) {
         let Some(socket) = &self.socket else { return };
-        // One byte more than any datagram of ours: what is cut short is told by it.
+        // One byte more than the longest datagram, so that a truncated one is recognised.
         let mut bytes = [0; DATAGRAM_MAX + 1];
-        for _ in 0..READ_MAX {
+        for _ in 0..DATAGRAMS_PER_TURN {
             match socket.socket().recv_from(&mut bytes) {
                 Ok((length, from)) => self.member.receive(now, from, &bytes[..length]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => {
-                    log::warn!("fleet: reading: {e}");
+                    log::warn!("fleet: receiving: {e}");
                     break;
                 }
             }
         }
-        self.after();
+        self.flush();
     }
 
-    /// The member's own turn. `taken` is the count of requests taken since the start. Returns what the module is to be
-    /// told, if it is something new.
-    pub fn turn(&mut self, now: Nanos, life: &Lifecycle, taken: u64) -> Option<usize> {
-        if self.socket.is_none() && now >= self.bind_again {
-            // Whoever holds it is about to end; it is tried for as long as this process runs.
+    /// Does what is due. `requests` is the count of requests taken since the start. Returns the
+    /// share count, if it has changed.
+    pub fn tick(&mut self, now: Nanos, lifecycle: &Lifecycle, requests: u64) -> Option<usize> {
+        if self.socket.is_none() && now >= self.next_bind {
+            // The process that holds it is about to end; binding is repeated until then.
             let _ = self.bind(now);
         }
-        let phase = match life.name() {
+        let phase = match lifecycle.name() {
             "starting" => ServingPhase::Joining,
             "serving" => ServingPhase::Serving,
             _ => ServingPhase::Draining,
         };
-        let span = now.saturating_sub(self.traffic.1);
-        let tenths = (span >= TRAFFIC_SPAN).then(|| {
-            let requests = taken.saturating_sub(self.traffic.0);
-            self.traffic = (taken, now);
-            rounded(requests * 10_000 * MS / span)
-        });
-        self.member.update_metadata(|soft| {
-            soft.phase = phase;
-            soft.request_rate_tenths = tenths.unwrap_or(soft.request_rate_tenths);
+        let rate = self.request_rate.sample(now, requests);
+        self.member.update_metadata(|metadata| {
+            metadata.phase = phase;
+            metadata.request_rate_tenths = rate.unwrap_or(metadata.request_rate_tenths);
         });
         if self.socket.is_some() {
             self.member.tick(now);
         }
-        self.after();
-        let shared_by = self.member.share_count();
-        (shared_by != self.told).then(|| {
-            self.told = shared_by;
-            shared_by
-        })
+        self.flush();
+        let share_count = self.member.share_count();
+        let former = std::mem::replace(&mut self.share_count, share_count);
+        (share_count != former).then_some(share_count)
     }
 
-    /// From now on load is shed by a level that all agree on; the module has so many tiers.
-    pub fn share_overload(&mut self, tiers: usize) {
+    /// From now on load is shed by a level that all members agree on; the engine has this many tiers.
+    pub fn enable_shared_shedding(&mut self, tiers: usize) {
         self.member.enable_shared_shedding(tiers);
     }
 
-    /// Counts what the module let in and what of it found no room.
-    pub fn count(&mut self, tally: AdmissionCounts) {
-        self.member.add_admission_counts(tally);
+    /// Adds what the engine admitted and rejected for want of capacity.
+    pub fn add_admission_counts(&mut self, counts: AdmissionCounts) {
+        self.member.add_admission_counts(counts);
     }
 
-    /// What the module is to let in, if that is something new. Turns are those of the clock, the same everywhere.
-    pub fn allowance(&mut self, now: Nanos) -> Option<SheddingLevel> {
+    /// The level by which the engine is to shed, if it has changed. Rotations follow the clock, so
+    /// that they are the same everywhere.
+    pub fn shedding_change(&mut self, now: Nanos) -> Option<SheddingLevel> {
         let level = self.member.shedding_level();
-        if level == 0.0 && self.allowed.level == 0.0 {
+        let former = self.shedding.level;
+        if level == 0.0 && former == 0.0 {
             return None;
         }
-        let turn = now / SHED_TURN;
-        let allowed = SheddingLevel {
+        let rotation = now / SHEDDING_ROTATION;
+        let shedding = SheddingLevel {
             level,
-            rotation: turn,
-            rotation_ends: (turn + 1) * SHED_TURN,
+            rotation,
+            rotation_ends: (rotation + 1) * SHEDDING_ROTATION,
         };
-        let (rose, fell) = (level > 0.0 && self.allowed.level == 0.0, level == 0.0);
-        if rose {
-            log::warn!(level = level; "fleet: more is asked for than there is room for; all shed by one level");
-        } else if fell {
-            log::info!("fleet: nothing is shed any more");
+        if former == 0.0 {
+            log::warn!(level = level; "fleet: overload; all members shed by one level");
+        } else if level == 0.0 {
+            log::info!("fleet: the overload is over, nothing is shed");
         }
-        (allowed != self.allowed).then(|| {
-            self.allowed = allowed;
-            allowed
-        })
+        if shedding == self.shedding {
+            return None;
+        }
+        self.shedding = shedding;
+        Some(shedding)
     }
 
-    /// When the next turn is due.
-    pub fn due(&self) -> Nanos {
+    /// When the next [`GossipTransport::tick`] is due.
+    #[must_use]
+    pub fn next_tick(&self) -> Nanos {
         if self.socket.is_some() {
             self.member.next_tick()
         } else {
-            self.bind_again
+            self.next_bind
         }
     }
 
-    /// Tells the others that this balancer goes.
+    /// Announces to other members that this balancer leaves.
     pub fn leave(&mut self, now: Nanos) {
         self.member.leave(now);
-        self.after();
+        self.flush();
     }
 
-    /// Sends and logs what the member hands out.
-    fn after(&mut self) {
+    /// Sends the member's datagrams and logs its events.
+    fn flush(&mut self) {
         for (to, datagram) in self.member.take_datagrams() {
-            let sent = self
-                .socket
-                .as_ref()
-                .map(|socket| socket.socket().send_to(&datagram, to));
-            // What does not go is as good as lost on the way: the talk is made for that.
+            let socket = self.socket.as_ref().map(Registered::socket);
+            let sent = socket.map(|socket| socket.send_to(&datagram, to));
+            // What is not sent counts as lost on the way, which gossip tolerates.
             self.unsent += u64::from(!matches!(sent, Some(Ok(_))));
         }
-        for change in self.member.take_events() {
-            report(&change);
-        }
-    }
-
-    /// What the operators are shown.
-    pub fn json(&self, now: Nanos) -> String {
-        let view = self.member.view();
-        let members: Vec<Shown> = view
-            .members
-            .iter()
-            .map(|seen| Shown::of(seen, now))
-            .collect();
-        let (id, soft) = (self.member.id(), self.member.metadata());
-        let mut shown = serde_json::json!({
-            "fleet": self.member.fleet_name(),
-            "name": soft.name,
-            "address": id.address,
-            "generation": id.generation,
-            "door": soft.listen_address,
-            "config": format!("{:016x}", soft.config_checksum),
-            "shared_by": self.told,
-            "living": view.alive,
-            "places": view.places,
-            "cut_off": view.isolated,
-            "level": self.member.shedding_level(),
-            "members": members,
-            "datagrams": self.member.statistics(),
-            "unsent": self.unsent,
-        });
-        if !self.member.location().is_none() {
-            self.show_regions(&mut shown, now);
+        for event in self.member.take_events() {
+            log_event(&event);
         }
-        format!("{shown}\n")
     }
-}
 
-impl GossipTransport {
-    /// Adds what is known of the regions.
-    fn show_regions(&self, shown: &mut serde_json::Value, now: Nanos) {
-        let view = self.member.view();
-        let location = self.member.location();
-        let regions: Vec<ShownRegion> = view
-            .regions
-            .iter()
-            .map(|seen| ShownRegion::of(seen, now))
-            .collect();
-        let (dropped, refused_parts) = self.member.regions_dropped();
-        shown["region"] = location.region.as_str().into();
-        shown["zone"] = location.zone.as_str().into();
-        shown["site"] = location.site.as_str().into();
-        shown["delegates"] = view
-            .delegates
-            .iter()
-            .map(ToString::to_string)
-            .collect::<Vec<_>>()
-            .into();
-        shown["regions"] = serde_json::json!(regions);
-        shown["regions_dropped"] = serde_json::json!({
-            "unsound": dropped.unsound,
-            "older": dropped.outdated,
-            "full": dropped.over_capacity,
-            "refused_parts": refused_parts,
-        });
+    /// The page `/admin/fleet`.
+    #[must_use]
+    pub fn admin_json(&self, now: Nanos) -> String {
+        FleetRow::new(&self.member, self.share_count, self.unsent, now).to_json()
     }
 }
 
-/// To two figures: what changes less is not worth telling a whole fleet.
-fn rounded(tenths: u64) -> u32 {
-    let step = 10u64.pow(tenths.max(1).ilog10().saturating_sub(1));
-    u32::try_from(tenths / step * step).unwrap_or(u32::MAX)
+/// The rate of requests, measured over an interval.
+struct RequestRate {
+    /// Requests at the beginning of the interval.
+    requests: u64,
+    since: Nanos,
 }
 
-/// One line a change.
-fn report(change: &MembershipEvent) {
-    match change {
-        MembershipEvent::StatusChanged { name, id, was, is } => {
-            let was = was.map_or("unknown", MemberStatus::name);
-            let level = if *is == MemberStatus::Dead {
-                log::Level::Warn
-            } else {
-                log::Level::Info
-            };
-            log::log!(
-                level, member = name.as_str(), address:% = id.address, generation = id.generation,
-                was = was, is = is.name();
-                "fleet: {name} is {}", is.name()
-            );
-        }
-        MembershipEvent::ShareCountChanged {
-            was,
-            is,
-            alive: living,
-        } => {
-            log::info!(was = *was, is = *is, living = *living; "fleet: shares are divided by {is}");
-        }
-        MembershipEvent::DuplicateName {
-            name,
-            addresses: [one, other],
-        } => {
-            log::warn!(member = name.as_str(); "fleet: {one} and {other} are both called {name}; both count");
-        }
-        MembershipEvent::Rejoined { generation } => {
-            log::warn!(generation = *generation; "fleet: given up by others, and back");
-        }
-        MembershipEvent::RegionReachability {
-            region,
-            reachable: true,
-            alive: living,
-        } => {
-            log::info!(region = region.as_str(), living = *living; "fleet: region {region} is heard");
-        }
-        MembershipEvent::RegionReachability {
-            region,
-            reachable: false,
-            alive: living,
-        } => {
-            log::warn!(region = region.as_str(), living = *living; "fleet: region {region} is silent");
-        }
-        MembershipEvent::Stalled => {
-            log::warn!("fleet: this process stood still; what it waited for begins anew");
+impl RequestRate {
+    fn start(now: Nanos) -> Self {
+        RequestRate {
+            requests: 0,
+            since: now,
         }
     }
-}
 
-/// The counts, as `name=value` pairs.
-impl fmt::Display for GossipTransport {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let view = self.member.view();
-        let count = |state: MemberStatus| {
-            view.members
-                .iter()
-                .filter(|seen| seen.status == state)
-                .count()
-        };
-        write!(
-            f,
-            "fleet: shared_by={} living={} places={}",
-            self.told, view.alive, view.places
-        )?;
-        for state in [
-            MemberStatus::Joining,
-            MemberStatus::Serving,
-            MemberStatus::Stalled,
-            MemberStatus::Draining,
-            MemberStatus::Left,
-            MemberStatus::Dead,
-        ] {
-            write!(f, " {}={}", state.name(), count(state))?;
-        }
-        let t = self.member.statistics();
-        write!(
-            f,
-            " sent={} sent_bytes={} heard={} heard_bytes={} unsent={} torn={} foreign={} version={} malformed={} \
-             full={} asked={} suspicions={} given_up={} refuted={} returned={} gaps={} compared={} load={} level={:.2}",
-            t.sent,
-            t.sent_bytes,
-            t.received,
-            t.received_bytes,
-            self.unsent,
-            t.corrupt,
-            t.foreign,
-            t.unsupported_version,
-            t.malformed,
-            t.over_capacity,
-            t.watcher_probes,
-            t.suspicions,
-            t.confirmed_dead,
-            t.refutations,
-            t.rejoins,
-            t.stalls,
-            t.digests,
-            t.level_reports,
-            self.member.shedding_level()
-        )?;
-        if self.member.location().is_none() {
-            return Ok(());
+    /// Tenths of requests a second, once the interval is over.
+    fn sample(&mut self, now: Nanos, requests: u64) -> Option<u32> {
+        let elapsed = now.saturating_sub(self.since);
+        if elapsed < RATE_INTERVAL {
+            return None;
         }
-        let silent = view
-            .regions
-            .iter()
-            .filter(|seen| seen.silent_since.is_some())
-            .count();
-        let (dropped, refused_parts) = self.member.regions_dropped();
-        write!(
-            f,
-            " regions={} silent_regions={silent} regions_asked={} put_off={} unsound={} older={} full_regions={} refused_parts={refused_parts}",
-            view.regions.len(),
-            t.region_digests,
-            t.deferred,
-            dropped.unsound,
-            dropped.outdated,
-            dropped.over_capacity,
-        )
+        let taken = requests.saturating_sub(self.requests);
+        (self.requests, self.since) = (requests, now);
+        Some(rounded(taken * 10_000 * MS / elapsed))
     }
 }
 
+/// To two figures: smaller changes are not worth announcing to a whole fleet.
+fn rounded(tenths: u64) -> u32 {
+    let step = 10u64.pow(tenths.max(1).ilog10().saturating_sub(1));
+    u32::try_from(tenths / step * step).unwrap_or(u32::MAX)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -211,7 +211,7 @@
             .iter()
             .map(|log| {
                 log.iter()
-                    .filter(|l| l.text.contains("stood still"))
+                    .filter(|l| l.text.contains("this process stalled"))
                     .map(|l| l.at)
                     .collect()
             })
