--- a/crates/balancer/src/event_loop/lifecycle.rs
+++ b/crates/balancer/src/event_loop/lifecycle.rs
@@ -26,13 +26,13 @@
     /// Starts a graceful shutdown, unless one is under way.
     pub(super) fn begin_shutdown(&mut self, now: Nanos) {
         // The signal may have come at any time since the poll before.
-        if !self.lifecycle.stop(self.poll_timestamps.arrived()) {
+        if !self.lifecycle.stop(self.poll_timestamps.earliest_arrival()) {
             return;
         }
         log::info!("asked to stop: answering open requests");
         // The process may be killed after that, also with older requests that have more time.
         if let Some(deadline) = self.lifecycle.answer_deadline() {
-            self.attempt_tracker.hurry(deadline);
+            self.attempt_tracker.limit_deadlines(deadline);
             self.pending_events.push(Event::ShuttingDown(deadline));
         }
         // The signal may have been sent as soon as the other process was ready.
--- a/crates/balancer/src/event_loop/limits.rs
+++ b/crates/balancer/src/event_loop/limits.rs
@@ -47,7 +47,7 @@
 impl EventLoop {
     /// Applies the configured limits: half of each while another process of this balancer lives.
     pub(super) fn apply_limits(&mut self) {
-        let processes = if self.hot_restart.is_beside() {
+        let processes = if self.hot_restart.has_other() {
             HOT_RESTART_PROCESSES
         } else {
             1
@@ -57,8 +57,9 @@
             admin_descriptors(self.admin_listener.as_ref()),
         );
         self.memory_limit = self.config.memory_max / processes / REQUEST_MEMORY_SHARE;
-        self.upstream_pool.set_most(descriptors.upstream);
-        self.upstream_pool.set_coming_most(self.memory_limit / 2);
+        self.upstream_pool.set_max_connections(descriptors.upstream);
+        self.upstream_pool
+            .set_max_buffered_bytes(self.memory_limit / 2);
         self.listener.set_connections_max(descriptors.clients);
     }
 }
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -217,8 +217,8 @@
     for _ in 0..2 {
         let new = pair.start();
         new.wait_ready();
-        old.wait_log("bytes of notes left for");
-        new.wait_log("notes of the other process: list 41, 41 is known");
+        old.wait_log("bytes written for process");
+        new.wait_log("state transfer from the other process: list version 41, 41 is known");
         clients.wait(50);
         old.signal("TERM");
         assert!(old.process.wait().unwrap().success(), "it leaves by itself");
@@ -300,10 +300,10 @@
     std::fs::write(&file, config).unwrap();
     let older = pair.start();
     older.wait_ready();
-    older.wait_log("fleet: a talks at");
+    older.wait_log("fleet: a gossips at");
     let newer = pair.start();
-    newer.wait_log("is held by the other process");
+    newer.wait_log("is in use by the other process");
     newer.wait_ready();
     older.signal("TERM");
-    newer.wait_log("fleet: a talks at");
+    newer.wait_log("fleet: a gossips at");
 }
