--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -8,8 +8,6 @@
 mod federation;
 mod foca_adapter;
 mod membership_table;
-mod region_delegate;
-mod region_overview;
 mod roster;
 mod send_budget;
 mod shedding;
@@ -19,13 +17,13 @@
 #[cfg(test)]
 pub(crate) use failure_detection::WatcherProbe;
 #[cfg(test)]
-pub(crate) use region_delegate::RegionReferral;
+pub(crate) use federation::RegionReferral;
 pub use statistics::MemberStatistics;
 
 use crate::envelope::EnvelopeScope;
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::metadata::{MemberMetadata, ServingPhase};
-use crate::regions::announcement_store::{AnnouncementStore, DroppedAnnouncements};
+use crate::regions::announcement_store::DroppedAnnouncements;
 use crate::regions::overview::RegionStatus;
 use crate::regions::share_count::RegionSize;
 use crate::share_count::ShareCounter;
@@ -179,9 +177,7 @@
     /// The delegates of the own region, the leader first; empty where there are no regions.
     #[must_use]
     pub fn delegates(&self) -> &[SocketAddr] {
-        self.federation
-            .as_ref()
-            .map_or(&[], |federation| &federation.delegates)
+        self.federation.as_ref().map_or(&[], Federation::delegates)
     }
 
     /// The other regions by the overview, and since when a silent one has been silent.
@@ -194,16 +190,16 @@
     pub fn regions_dropped(&self) -> (DroppedAnnouncements, u64) {
         let federation = self.federation.as_ref();
         federation.map_or_else(Default::default, |federation| {
-            (federation.dropped(), federation.unsound_parts)
+            (federation.dropped(), federation.unsound_parts())
         })
     }
 
     /// The number of announcements that it stores as a delegate.
     #[must_use]
     pub fn announcements(&self) -> usize {
-        let federation = self.federation.as_ref();
-        let announcements = federation.and_then(|federation| federation.announcements.as_ref());
-        announcements.map_or(0, AnnouncementStore::len)
+        self.federation
+            .as_ref()
+            .map_or(0, Federation::announcements)
     }
 
     /// Its view of the fleet.
--- a/crates/membership/src/member/dispatch.rs
+++ b/crates/membership/src/member/dispatch.rs
@@ -3,9 +3,7 @@
 use super::Member;
 use crate::envelope::{self, EnvelopeError, MessageKind};
 use crate::payload::{PayloadError, decode};
-use crate::regions::overview::PARTS;
 use crate::{Identity, Nanos};
-use rand::RngExt;
 use std::net::SocketAddr;
 
 impl Member {
@@ -110,10 +108,7 @@
                 federation.receive_referral(context, swim, from, payload)
             }
             MessageKind::Overview => federation.receive_overview(context, table, from, payload),
-            _ => {
-                let first_part = context.rng.random_range(0..PARTS);
-                federation.receive_overview_digest(context, table, from, payload, first_part)
-            }
+            _ => federation.receive_overview_digest(context, table, from, payload),
         }
     }
 }
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -1,44 +1,48 @@
 //! Federation at one member ([`crate::regions`]): the delegates of its region, the overview of the
 //! others, and the share count over all regions.
 
+mod delegate;
+mod overview_gossip;
+
+#[cfg(test)]
+pub(crate) use delegate::RegionReferral;
+
 use super::context::Context;
 use super::membership_table::MembershipTable;
 use super::swim::SwimProtocol;
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::metadata::MemberMetadata;
+use crate::payload::PayloadError;
 use crate::regions::announcement_store::{AnnouncementStore, DroppedAnnouncements};
-use crate::regions::overview::{RegionOverview, RegionStatus};
+use crate::regions::overview::RegionStatus;
 use crate::regions::share_count::{RegionShareCounter, RegionSize};
 use crate::regions::{SILENT_AFTER, delegates, elapsed_seconds};
 use crate::{Location, MS, MembershipEvent, MembershipSettings, Nanos};
+use overview_gossip::{OverviewChange, OverviewGossip};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// A member leads only after this long: it would otherwise speak for a region whose members it has
 /// not met yet.
 const LEAD_DELAY: Nanos = 3_000 * MS;
-/// For this long after the start the overview is compared often.
-const STARTUP_PERIOD: Nanos = 3_000 * MS;
 /// The regions are counted this often, and after each change of the overview.
 const RECOUNT_INTERVAL: Nanos = 200 * MS;
 
 /// When each periodic action is due.
 #[derive(Debug)]
-pub(super) struct FederationSchedule {
-    pub(super) digest: Nanos,
-    pub(super) join_address_digest: Nanos,
-    pub(super) publish: Nanos,
-    pub(super) overview_digest: Nanos,
-    pub(super) overview_broadcast: Nanos,
-    pub(super) recount: Nanos,
-    pub(super) rejoin: Nanos,
+struct FederationSchedule {
+    digest: Nanos,
+    join_address_digest: Nanos,
+    publish: Nanos,
+    recount: Nanos,
+    rejoin: Nanos,
 }
 
 /// A delegate of any region.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Delegate {
-    pub(super) address: SocketAddr,
-    pub(super) is_region_silent: bool,
+struct Delegate {
+    address: SocketAddr,
+    is_region_silent: bool,
 }
 
 /// What the federation uses of the member's own region.
@@ -51,37 +55,34 @@
 
 /// The federation at one member.
 pub(super) struct Federation {
-    pub(super) own_address: SocketAddr,
-    pub(super) location: Location,
-    pub(super) join_addresses: Vec<SocketAddr>,
+    own_address: SocketAddr,
+    location: Location,
+    join_addresses: Vec<SocketAddr>,
     tombstone_retention: Nanos,
     /// Unix time in milliseconds at time 0 of this member's clock.
     epoch_ms: u64,
     started: Nanos,
     /// The delegates of the own region, the leader first.
-    pub(super) delegates: Vec<SocketAddr>,
+    delegates: Vec<SocketAddr>,
     /// The checksum of the membership that they were drawn from.
     drawn_from: Option<u64>,
     /// While this member is a delegate.
-    pub(super) announcements: Option<AnnouncementStore>,
+    announcements: Option<AnnouncementStore>,
     leads_since: Option<Nanos>,
-    pub(super) former_leader: Option<SocketAddr>,
-    pub(super) last_announcement: Nanos,
-    pub(super) last_overview_write: Nanos,
-    pub(super) overview: RegionOverview,
-    /// Until then the overview is compared often.
-    pub(super) unsettled_until: Nanos,
+    former_leader: Option<SocketAddr>,
+    last_announcement: Nanos,
+    last_overview_write: Nanos,
+    overview: OverviewGossip,
     share_counter: RegionShareCounter,
     /// Whether each region was reachable when it was last reported.
     reachable: BTreeMap<String, bool>,
     /// Join addresses that answered from another region.
-    pub(super) foreign_join_addresses: BTreeSet<SocketAddr>,
+    foreign_join_addresses: BTreeSet<SocketAddr>,
     /// Delegates of other regions that this member was referred to.
-    pub(super) referred: Vec<SocketAddr>,
+    referred: Vec<SocketAddr>,
     /// Dropped by stores of former times as a delegate.
     former_dropped: DroppedAnnouncements,
-    pub(super) unsound_parts: u64,
-    pub(super) schedule: FederationSchedule,
+    schedule: FederationSchedule,
 }
 
 impl Federation {
@@ -105,8 +106,7 @@
             former_leader: None,
             last_announcement: 0,
             last_overview_write: 0,
-            overview: RegionOverview::default(),
-            unsettled_until: now + STARTUP_PERIOD,
+            overview: OverviewGossip::new(now),
             share_counter: RegionShareCounter::new(
                 timing.share_retention,
                 timing.tombstone_retention,
@@ -115,20 +115,17 @@
             foreign_join_addresses: BTreeSet::new(),
             referred: Vec::new(),
             former_dropped: DroppedAnnouncements::default(),
-            unsound_parts: 0,
             schedule: FederationSchedule {
                 digest: now,
                 join_address_digest: now,
                 publish: now,
-                overview_digest: now,
-                overview_broadcast: now,
                 recount: now,
                 rejoin: now,
             },
         })
     }
 
-    pub(super) fn unix_ms(&self, now: Nanos) -> u64 {
+    fn unix_ms(&self, now: Nanos) -> u64 {
         self.epoch_ms + now / MS
     }
 
@@ -141,8 +138,7 @@
         }
         self.lead(context, own_region);
         self.send_digests(context, own_region);
-        self.broadcast_overview(context, own_region.swim);
-        self.send_overview_digest(context, own_region.swim);
+        self.overview.tick(context, own_region.swim);
         if context.now >= self.schedule.recount {
             self.schedule.recount = context.now + RECOUNT_INTERVAL;
             self.update_share_counter(context.now, &mut context.events);
@@ -183,6 +179,51 @@
         self.leads_since = is_leader.then(|| self.leads_since.unwrap_or(now));
     }
 
+    /// The delegates of the own region, the leader first.
+    pub(super) fn delegates(&self) -> &[SocketAddr] {
+        &self.delegates
+    }
+
+    /// The number of announcements stored as a delegate.
+    pub(super) fn announcements(&self) -> usize {
+        self.announcements
+            .as_ref()
+            .map_or(0, AnnouncementStore::len)
+    }
+
+    /// Parts of the overview that were dropped as unsound.
+    pub(super) fn unsound_parts(&self) -> u64 {
+        self.overview.unsound_parts()
+    }
+
+    /// Answers the digest of another member's overview.
+    pub(super) fn receive_overview_digest(
+        &self,
+        context: &mut Context,
+        table: &MembershipTable,
+        from: SocketAddr,
+        digest: &[u8],
+    ) -> Result<(), PayloadError> {
+        self.overview.receive_digest(context, table, from, digest)
+    }
+
+    /// Merges parts of another member's overview; a change is counted soon.
+    pub(super) fn receive_overview(
+        &mut self,
+        context: &mut Context,
+        table: &MembershipTable,
+        from: SocketAddr,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let unix_ms = self.unix_ms(context.now);
+        let overview = &mut self.overview;
+        let change = overview.receive_parts(context, table, unix_ms, from, payload)?;
+        if change == OverviewChange::Changed {
+            self.schedule.recount = context.now;
+        }
+        Ok(())
+    }
+
     /// The announcements dropped since the start.
     pub(super) fn dropped(&self) -> DroppedAnnouncements {
         let current = self.announcements.as_ref();
@@ -194,17 +235,18 @@
         }
     }
 
-    pub(super) fn is_leader(&self, now: Nanos) -> bool {
+    fn is_leader(&self, now: Nanos) -> bool {
         self.leads_since.is_some() && now.saturating_sub(self.started) >= LEAD_DELAY
     }
 
     /// The rows of the overview as the leader knows them.
-    pub(super) fn known_rows(&self, now: Nanos) -> Vec<RegionStatus> {
+    fn known_rows(&self, now: Nanos) -> Vec<RegionStatus> {
         let Some(announcements) = &self.announcements else {
             return Vec::new();
         };
         let known = announcements.regions(now);
         let mut rows: BTreeMap<String, RegionStatus> = self
+            .overview
             .overview
             .rows()
             .filter(|(row, _)| !known.contains_key(row.region.as_str()))
@@ -246,16 +288,16 @@
     }
 
     /// Whether any other region is known.
-    pub(super) fn knows_other_regions(&self, now: Nanos) -> bool {
+    fn knows_other_regions(&self, now: Nanos) -> bool {
         let announcements = self.announcements.as_ref();
         announcements.is_some_and(|announcements| !announcements.regions(now).is_empty())
-            || self.overview.rows().next().is_some()
+            || self.overview.overview.rows().next().is_some()
     }
 
     /// The known delegates of all regions but this member.
-    pub(super) fn all_delegates(&self, now: Nanos) -> Vec<Delegate> {
+    fn all_delegates(&self, now: Nanos) -> Vec<Delegate> {
         let mut silent: BTreeMap<SocketAddr, bool> = BTreeMap::new();
-        for (row, silent_since) in self.overview.rows() {
+        for (row, silent_since) in self.overview.overview.rows() {
             let delegates = row.delegates.iter().copied();
             silent.extend(delegates.map(|delegate| (delegate, silent_since.is_some())));
         }
@@ -283,6 +325,7 @@
     /// The rows of the other regions.
     pub(super) fn other_regions(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         self.overview
+            .overview
             .rows()
             .filter(|(row, _)| row.region != self.location.region)
     }
@@ -297,7 +340,7 @@
     fn update_share_counter(&mut self, now: Nanos, events: &mut Vec<MembershipEvent>) {
         let mut reachable = BTreeMap::new();
         let own_region = &self.location.region;
-        let rows = self.overview.rows();
+        let rows = self.overview.overview.rows();
         for (row, silent_since) in rows.filter(|(row, _)| row.region != *own_region) {
             let size = RegionSize {
                 alive: row.alive as usize,
--- a/crates/membership/src/member/region_delegate.rs
+++ b/crates/membership/src/member/federation/delegate.rs
@@ -1,11 +1,11 @@
 //! The delegates of regions: the leader announces its region, delegates exchange announcements, and
 //! a member that has met nobody is referred to its region.
 
-use super::context::Context;
-use super::federation::{Delegate, Federation, OwnRegion};
-use super::swim::SwimProtocol;
+use super::{Delegate, Federation, OwnRegion};
 use crate::envelope::{MessageKind, PAYLOAD_MAX};
 use crate::fault_injection::{InjectedFault, is_injected};
+use crate::member::context::Context;
+use crate::member::swim::SwimProtocol;
 use crate::metadata::ServingPhase;
 use crate::payload::{PayloadError, decode};
 use crate::regions::announcement_store::AnnouncementStore;
@@ -63,7 +63,9 @@
         self.publish_summary(context, own_region);
         let rows = self.known_rows(now);
         let unix_ms = self.unix_ms(now);
-        self.overview.write(now, unix_ms, self.own_address, rows);
+        self.overview
+            .overview
+            .write(now, unix_ms, self.own_address, rows);
     }
 
     /// Publishes the own region if its summary has changed.
@@ -121,7 +123,7 @@
     /// the own one.
     fn send_announcement(&self, context: &mut Context, announcement: AgedAnnouncement) {
         let mut by_region: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
-        for (row, _) in self.overview.rows() {
+        for (row, _) in self.overview.overview.rows() {
             by_region
                 .entry(&row.region)
                 .or_default()
@@ -192,7 +194,7 @@
     }
 
     /// Answers a digest: a delegate by a delta, any other member by a referral.
-    pub(super) fn receive_digest(
+    pub(in crate::member) fn receive_digest(
         &mut self,
         context: &mut Context,
         from: SocketAddr,
@@ -206,6 +208,7 @@
             return Ok(());
         }
         let their_row = self
+            .overview
             .overview
             .rows()
             .find(|(row, _)| row.region == digest.region);
@@ -221,7 +224,7 @@
     }
 
     /// Merges a delta, and sends the announcements that it requests.
-    pub(super) fn receive_delta(
+    pub(in crate::member) fn receive_delta(
         &mut self,
         context: &mut Context,
         swim: &mut SwimProtocol,
@@ -247,7 +250,7 @@
     }
 
     /// Merges announcements.
-    pub(super) fn receive_announcements(
+    pub(in crate::member) fn receive_announcements(
         &mut self,
         context: &mut Context,
         swim: &mut SwimProtocol,
@@ -286,7 +289,7 @@
     }
 
     /// Follows a referral to the delegates of the own region, or notes those of another.
-    pub(super) fn receive_referral(
+    pub(in crate::member) fn receive_referral(
         &mut self,
         context: &mut Context,
         swim: &mut SwimProtocol,
