--- a/crates/membership/src/member/failure_detection.rs
+++ b/crates/membership/src/member/failure_detection.rs
@@ -7,7 +7,7 @@
 use crate::heartbeat::{HeartbeatAction, HeartbeatMonitor};
 use crate::local_health::LocalHealth;
 use crate::payload::{PayloadError, decode};
-use crate::suspicion::{SuspicionAction, SuspicionTimers};
+use crate::suspicion::{Suspect, SuspicionAction, SuspicionTimers};
 use crate::{Identity, MembershipSettings, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -17,9 +17,8 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) struct WatcherProbe {
     pub(crate) by: Identity,
-    /// The suspect and the incarnation in which it is suspect; without it a heartbeat is the
-    /// answer.
-    pub(crate) suspect: Option<(Identity, u16)>,
+    /// Without a suspect a heartbeat is the answer.
+    pub(crate) suspect: Option<Suspect>,
 }
 
 /// The failure detector of one member.
@@ -72,12 +71,13 @@
         if probe.by.address == own.address {
             return Ok(());
         }
-        let Some((suspect, incarnation)) = probe.suspect else {
+        let Some(suspect) = probe.suspect else {
             context.send_message(probe.by.address, MessageKind::Heartbeat, &own);
             return Ok(());
         };
-        if suspect == own && !is_injected(InjectedFault::NeverRefutes) {
-            let suspicion = foca::Member::new(suspect, incarnation, foca::State::Suspect);
+        if suspect.id == own && !is_injected(InjectedFault::NeverRefutes) {
+            let suspicion =
+                foca::Member::new(suspect.id, suspect.incarnation, foca::State::Suspect);
             swim.refute(context, suspicion, probe.by);
         }
         Ok(())
@@ -110,12 +110,11 @@
         }
         for action in suspicion_actions {
             match action {
-                SuspicionAction::Probe(suspect, incarnation) => {
-                    let suspicion = Some((suspect, incarnation));
-                    send_probe(context, swim, suspect.address, suspicion);
+                SuspicionAction::Probe(suspect) => {
+                    send_probe(context, swim, suspect.id.address, Some(suspect));
                 }
-                SuspicionAction::ConfirmDead(suspect, _) => {
-                    swim.declare(context, suspect.address, foca::State::Down);
+                SuspicionAction::ConfirmDead(suspect) => {
+                    swim.declare(context, suspect.id.address, foca::State::Down);
                 }
             }
         }
@@ -126,7 +125,7 @@
     context: &mut Context,
     swim: &SwimProtocol,
     to: SocketAddr,
-    suspect: Option<(Identity, u16)>,
+    suspect: Option<Suspect>,
 ) {
     let by = swim.id();
     context.statistics.watcher_probes += 1;
--- a/crates/membership/src/member/roster.rs
+++ b/crates/membership/src/member/roster.rs
@@ -5,7 +5,7 @@
 //! read again.
 
 use super::foca_adapter::Swim;
-use crate::Identity;
+use crate::suspicion::Suspect;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     stale: bool,
     checksum: u64,
     alive: Vec<SocketAddr>,
-    suspects: BTreeMap<SocketAddr, (Identity, u16)>,
+    suspects: BTreeMap<SocketAddr, Suspect>,
 }
 
 impl Roster {
@@ -42,8 +42,8 @@
         &self.alive
     }
 
-    /// The suspects and the incarnations in which they are suspect.
-    pub(super) fn suspects(&self) -> &BTreeMap<SocketAddr, (Identity, u16)> {
+    /// The suspects, by address.
+    pub(super) fn suspects(&self) -> &BTreeMap<SocketAddr, Suspect> {
         &self.suspects
     }
 
@@ -64,7 +64,9 @@
             if member.state() == foca::State::Alive {
                 self.alive.push(id.address);
             } else {
-                self.suspects.insert(id.address, (id, member.incarnation()));
+                let incarnation = member.incarnation();
+                self.suspects
+                    .insert(id.address, Suspect { id, incarnation });
             }
         }
         self.alive.sort_unstable();
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -46,6 +46,17 @@
     pub extension: Vec<u8>,
 }
 
+/// The fields of metadata that all members should learn soon; their encoding is checksummed.
+#[derive(PartialEq, Eq, Serialize)]
+pub(crate) struct UrgentFields<'a> {
+    phase: ServingPhase,
+    listen_address: SocketAddr,
+    config_checksum: u64,
+    name: &'a str,
+    build: &'a str,
+    extension: &'a [u8],
+}
+
 impl MemberMetadata {
     /// Truncates what is too long.
     pub(crate) fn truncated(mut self) -> Self {
@@ -63,15 +74,15 @@
 
     /// The fields that all members should learn soon. Request rate and places change all the time,
     /// and broadcasts of them would grow with the fleet.
-    pub(crate) fn urgent_fields(&self) -> impl PartialEq + Serialize + '_ {
-        (
-            self.phase,
-            self.listen_address,
-            self.config_checksum,
-            &self.name,
-            &self.build,
-            &self.extension,
-        )
+    pub(crate) fn urgent_fields(&self) -> UrgentFields<'_> {
+        UrgentFields {
+            phase: self.phase,
+            listen_address: self.listen_address,
+            config_checksum: self.config_checksum,
+            name: &self.name,
+            build: &self.build,
+            extension: &self.extension,
+        }
     }
 }
 
--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -175,7 +175,8 @@
         assert_eq!(probe.by.generation, GENERATION);
         assert_eq!(probe.suspect, None);
         let probe: WatcherProbe = message(file, MessageKind::WatcherProbe, "longest");
-        assert_eq!(probe.suspect, Some((identity(2), 0)));
+        let suspect = probe.suspect.unwrap();
+        assert_eq!((suspect.id, suspect.incarnation), (identity(2), 0));
     }
 }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -10,16 +10,25 @@
 use crate::heartbeat::PROBE_INTERVAL;
 use crate::local_health::SuspicionPolicy;
 use crate::{Identity, Nanos};
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// The timeout of a member that does not watch the suspect, as a multiple of a watcher's.
 const NON_WATCHER_MULTIPLIER: u64 = 3;
 
+/// A suspect, in the incarnation in which it is suspect.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Suspect {
+    /// The member.
+    pub id: Identity,
+    /// Its incarnation.
+    pub incarnation: u16,
+}
+
 #[derive(Clone, Debug)]
 struct SuspicionTimer {
-    suspect: Identity,
-    incarnation: u16,
+    suspect: Suspect,
     since: Nanos,
     next_probe: Nanos,
 }
@@ -38,10 +47,10 @@
 /// An action that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionAction {
-    /// Probe the suspect in this incarnation, so that it can refute.
-    Probe(Identity, u16),
-    /// Confirm that the suspect in this incarnation is dead.
-    ConfirmDead(Identity, u16),
+    /// Probe the suspect, so that it can refute.
+    Probe(Suspect),
+    /// Confirm that the suspect is dead.
+    ConfirmDead(Suspect),
 }
 
 impl SuspicionTimers {
@@ -57,16 +66,14 @@
     }
 
     /// Starts timers for new suspects, and stops those of members that are suspect no more.
-    pub fn update(&mut self, now: Nanos, suspects: &BTreeMap<SocketAddr, (Identity, u16)>) {
-        self.running.retain(|address, timer| {
-            suspects.get(address) == Some(&(timer.suspect, timer.incarnation))
-        });
-        for (address, (suspect, incarnation)) in suspects {
+    pub fn update(&mut self, now: Nanos, suspects: &BTreeMap<SocketAddr, Suspect>) {
+        self.running
+            .retain(|address, timer| suspects.get(address) == Some(&timer.suspect));
+        for (address, suspect) in suspects {
             self.running.entry(*address).or_insert_with(|| {
                 self.begun += 1;
                 SuspicionTimer {
                     suspect: *suspect,
-                    incarnation: *incarnation,
                     since: now,
                     next_probe: now,
                 }
@@ -112,7 +119,7 @@
                 expired.push(*address);
             } else if is_watcher && now >= timer.next_probe && probes {
                 timer.next_probe = now + PROBE_INTERVAL;
-                actions.push(SuspicionAction::Probe(timer.suspect, timer.incarnation));
+                actions.push(SuspicionAction::Probe(timer.suspect));
             }
         }
         for timer in expired
@@ -120,10 +127,7 @@
             .filter_map(|address| self.running.remove(address))
         {
             self.confirmed_dead += 1;
-            actions.push(SuspicionAction::ConfirmDead(
-                timer.suspect,
-                timer.incarnation,
-            ));
+            actions.push(SuspicionAction::ConfirmDead(timer.suspect));
         }
         actions
     }
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -17,9 +17,16 @@
     }
 }
 
-fn suspects(of: &[(u8, u16)]) -> BTreeMap<SocketAddr, (Identity, u16)> {
+fn suspect(n: u8, incarnation: u16) -> Suspect {
+    Suspect {
+        id: id(n),
+        incarnation,
+    }
+}
+
+fn suspects(of: &[(u8, u16)]) -> BTreeMap<SocketAddr, Suspect> {
     of.iter()
-        .map(|(n, incarnation)| (id(*n).address, (id(*n), *incarnation)))
+        .map(|(n, incarnation)| (id(*n).address, suspect(*n, *incarnation)))
         .collect()
 }
 
@@ -28,11 +35,11 @@
     let mut mine = SuspicionTimers::new(1_000 * MS);
     mine.update(0, &suspects(&[(1, 7), (2, 0)]));
     let mut due = |now: u64| mine.due(now * MS, policy(1, true), |a| a == id(1).address, |_| 0);
-    assert_eq!(due(0), [SuspicionAction::Probe(id(1), 7)]);
+    assert_eq!(due(0), [SuspicionAction::Probe(suspect(1, 7))]);
     assert_eq!(due(99), []);
-    assert_eq!(due(1_000), [SuspicionAction::ConfirmDead(id(1), 7)]);
+    assert_eq!(due(1_000), [SuspicionAction::ConfirmDead(suspect(1, 7))]);
     assert_eq!(due(2_999), []);
-    assert_eq!(due(3_000), [SuspicionAction::ConfirmDead(id(2), 0)]);
+    assert_eq!(due(3_000), [SuspicionAction::ConfirmDead(suspect(2, 0))]);
     assert_eq!((mine.begun, mine.confirmed_dead), (2, 2));
 }
 
