--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -366,7 +366,8 @@
             }
         };
         let reply = AttemptReply::from(result);
-        // The first answer is the request's; of a hedge that was served too only the outcome counts.
+        // The first answer is the request's; of a hedge that was served too, only the outcome
+        // counts.
         let is_served = reply.served.is_some();
         let context = self.requests.get_mut(&request).filter(|_| is_served);
         let ticket = context.and_then(|context| context.ticket.take());
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -62,7 +62,10 @@
         &mut counters,
     );
     assert!(
-        matches!(end, Some(Event::AttemptEnded(AttemptResult { latency, .. })) if latency == 10 * MS),
+        matches!(
+            end,
+            Some(Event::AttemptEnded(AttemptResult { latency, .. })) if latency == 10 * MS
+        ),
         "{end:?}"
     );
 }
@@ -128,7 +131,7 @@
             connection: 0,
         };
         tracker.add(incoming(ticket, client_timeout, command));
-        // Caches that answer within 0.1 ms have the engine time an attempt out after a fraction of one.
+        // For caches that answer within 0.1 ms the engine sets timeouts of a fraction of one.
         let first = (RequestId(1), AttemptNumber(0));
         let started = tracker.start(0, attempt_order(first, 1, Some(MS / 4)), &mut counters);
         assert_eq!(
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -266,8 +266,8 @@
         events.push(self.fail(&WatchError::Silent { silent_ms, stage }, counters));
     }
 
-    /// Takes the complete messages of the text that has arrived. A message ends with its last brace,
-    /// on whatever line that is: lists may come indented.
+    /// Takes the complete messages of the text that has arrived. A message ends with its last
+    /// brace, on whatever line that is: lists may come indented.
     fn read_messages(&mut self, counters: &mut Counters) -> Result<(), MessageError> {
         let Some(call) = self.call.as_mut() else {
             return Ok(());
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -92,7 +92,8 @@
     client.apply(&list(
         r#"{"seq":4,"whole":true,"hosts":[{"host":"a","dial":"x:1"},{"host":"b"}]}"#,
     ));
-    let change = r#"{"seq":5,"hosts":[{"host":"b","health":"terminated"},{"host":"a","dial":"y:1"},{"host":"c"}]}"#;
+    let change = r#"{"seq":5,"hosts":[
+        {"host":"b","health":"terminated"},{"host":"a","dial":"y:1"},{"host":"c"}]}"#;
     client.apply(&list(change));
     let now = client.full_list().unwrap();
     let hosts: Vec<_> = now
@@ -145,17 +146,17 @@
         };
         self.client
             .handle_ready(now, ready, &mut self.events, &mut self.counters);
-        // What was told goes before the end of the watch that told it.
-        let mut news = Vec::new();
+        // Parts of the list go before the end of the watch over which they arrived.
+        let mut parts = Vec::new();
         while let Some(event) = self.client.take_part(usize::MAX, &mut self.counters) {
-            news.push(event);
+            parts.push(event);
         }
         let end = self
             .events
             .iter()
             .position(|event| matches!(event, DiscoveryEvent::Failed));
         let place = end.unwrap_or(self.events.len());
-        self.events.splice(place..place, news);
+        self.events.splice(place..place, parts);
     }
 
     /// Discovery writes this, and it is read.
@@ -220,7 +221,7 @@
 #[test]
 fn an_older_delta_is_ignored_and_an_older_full_list_is_not() {
     let known = r#"{"seq":41,"whole":true,"hosts":[{"host":"a","health":"terminating"}]}"#;
-    for (text, told) in [
+    for (text, lists) in [
         (r#"{"seq":40,"hosts":[{"host":"a"}]}"#, vec![]),
         (r#"{"seq":41,"hosts":[{"host":"a"}]}"#, vec![(41, false)]),
         (r#"{"seq":42,"hosts":[{"host":"a"}]}"#, vec![(42, false)]),
@@ -233,10 +234,10 @@
         let mut watch = Watch::open(Some(known));
         watch.says(0, "HTTP/1.1 200 OK\r\n\r\n");
         watch.says(0, text);
-        assert_eq!(watch.lists(), told, "{text}");
+        assert_eq!(watch.lists(), lists, "{text}");
         assert_eq!(
             watch.counters.discovery_outdated_lines,
-            u64::from(told.is_empty())
+            u64::from(lists.is_empty())
         );
     }
 }
--- a/crates/balancer/src/engine_adapter/tests.rs
+++ b/crates/balancer/src/engine_adapter/tests.rs
@@ -10,7 +10,8 @@
     let config = Config::read(config).unwrap();
     let adapter = EngineAdapter::new(Engine::new(config.settings, 1, 0).unwrap(), config.names);
     let list = r#"{"seq":1,"whole":true,"hosts":[
-        {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3}, {"host":"h2","site":"c","block":"x"},
+        {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3},
+        {"host":"h2","site":"c","block":"x"},
         {"host":"h3","site":"b","block":"x"}, {"host":"h4"}, {"host":"h5"}]}"#;
     let Event::EndpointUpdate {
         endpoints: entries, ..
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -16,7 +16,7 @@
                 UpstreamEvent::Connected { job } if self.connected_jobs.contains(&job) => {}
                 UpstreamEvent::Connected { job } => self.connected_jobs.push_back(job),
                 UpstreamEvent::StreamStarted { job, length } => {
-                    self.start_streaming(now, job, length)
+                    self.start_streaming(now, job, length);
                 }
                 UpstreamEvent::StreamChunk { job, bytes } => self.stream_chunk(now, job, &bytes),
                 UpstreamEvent::Completed { job, result } => self.finish_job(now, job, result),
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,6 +1,6 @@
-//! The transport of gossip: one UDP socket and one timer, fed into a [`Member`]. What the member sees
-//! goes into the log, the counters, `/admin/fleet` and, as two figures, to the engine. Without the
-//! key `fleet` of the configuration there is none of this.
+//! The transport of gossip: one UDP socket and one timer, fed into a [`Member`]. What the member
+//! sees goes into the log, the counters, `/admin/fleet` and, as two figures, to the engine. Without
+//! the key `fleet` of the configuration there is none of this.
 
 mod admin_view;
 mod counters_line;
@@ -49,7 +49,7 @@
     socket: Option<Registered<UdpSocket>>,
     next_bind: Nanos,
     member: Member,
-    /// What the engine was last told.
+    /// As the engine was last notified.
     share_count: usize,
     shedding: SheddingLevel,
     request_rate: RequestRate,
@@ -58,7 +58,7 @@
 }
 
 impl GossipTransport {
-    /// Binds the socket and begins to look for other members.
+    /// Binds the socket and begins to search for other members.
     ///
     /// # Errors
     ///
@@ -157,7 +157,8 @@
         (share_count != former).then_some(share_count)
     }
 
-    /// From now on load is shed by a level that all members agree on; the engine has this many tiers.
+    /// From now on load is shed by a level that all members agree on; the engine has this many
+    /// tiers.
     pub fn enable_shared_shedding(&mut self, tiers: usize) {
         self.member.enable_shared_shedding(tiers);
     }
@@ -256,7 +257,7 @@
     }
 }
 
-/// To two figures: smaller changes are not worth announcing to a whole fleet.
+/// To two figures: smaller changes are not announced to the fleet.
 fn rounded(tenths: u64) -> u32 {
     let step = 10u64.pow(tenths.max(1).ilog10().saturating_sub(1));
     u32::try_from(tenths / step * step).unwrap_or(u32::MAX)
--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The whole page.
+/// The page.
 #[derive(Serialize)]
 pub(super) struct FleetRow {
     fleet: String,
@@ -39,7 +39,7 @@
 }
 
 impl FleetRow {
-    /// What this member sees. `share_count` is what the engine was last told, `unsent` the count of
+    /// What this member sees. `share_count` is the one that the engine uses, `unsent` the count of
     /// datagrams that the system did not take.
     pub(super) fn new(member: &Member, share_count: usize, unsent: u64, now: Nanos) -> Self {
         let view = member.view();
--- a/crates/balancer/src/gossip/tests.rs
+++ b/crates/balancer/src/gossip/tests.rs
@@ -27,7 +27,8 @@
 
 fn transport(place: &str) -> GossipTransport {
     let config = format!(
-        r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{{"profiles":[{{"name":"put","repeat":"safe","give_up_ns":1}}]}},
+        r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
+        "settings":{{"profiles":[{{"name":"put","repeat":"safe","give_up_ns":1}}]}},
         "fleet":{{"name":"a","bind":"127.0.0.1:0","advertise":"127.0.0.1:7946"{place}}}}}"#
     );
     let config = Config::read(&config).unwrap().fleet.unwrap();
@@ -142,8 +143,8 @@
     names.sort_unstable();
     assert_eq!(
         names.join(" "),
-        "asked compared foreign full gaps given_up heard heard_bytes load malformed put_off refuted \
-         regions_asked returned sent sent_bytes suspicions torn version"
+        "asked compared foreign full gaps given_up heard heard_bytes load malformed put_off \
+         refuted regions_asked returned sent sent_bytes suspicions torn version"
     );
 }
 
--- a/crates/balancer/src/hot_restart/tests.rs
+++ b/crates/balancer/src/hot_restart/tests.rs
@@ -152,7 +152,10 @@
     })]
     #[test]
     fn whatever_is_observed_no_process_waits_for_long_or_writes_twice(
-        seen in prop::collection::vec((prop::option::of((0..3u8, any::<bool>())), any::<bool>(), any::<bool>()), 1..40),
+        seen in prop::collection::vec(
+            (prop::option::of((0..3u8, any::<bool>())), any::<bool>(), any::<bool>()),
+            1..40,
+        ),
     ) {
         let mut process = HotRestart::new();
         let (mut beside, mut went_on, mut last) = (false, 0, None);
@@ -160,7 +163,10 @@
             let now = turn as Nanos * CHECK_INTERVAL;
             let other = who.map(|(name, ready)| OtherProcess { process: name.to_string(), ready });
             let actions = process.check(now, other.clone(), there, serves);
-            prop_assert_eq!(actions.apply_limits, other.is_some() != beside, "limits follow whether the other lives");
+            let has_changed = other.is_some() != beside;
+            prop_assert_eq!(
+                actions.apply_limits, has_changed, "limits follow whether the other lives"
+            );
             beside = other.is_some();
             went_on += u32::from(actions.read_state);
             prop_assert!(!process.awaits_state() || now < TRANSFER_TIMEOUT && beside);
--- a/crates/balancer/src/poll_timestamps.rs
+++ b/crates/balancer/src/poll_timestamps.rs
@@ -2,9 +2,9 @@
 //! have arrived there.
 //!
 //! A process can stall anywhere: by its scheduler, by SIGSTOP, by a long turn of its own. What it
-//! finds afterwards may have waited for as long. A *poll* here is one wait for ready sockets that no
-//! signal interrupted. What a poll does not report had not arrived by then; what it reports arrived
-//! after the poll before. All spans are taken from a monotonic clock. No I/O.
+//! finds afterwards may have waited for as long. A *poll* here is one wait for ready sockets that
+//! no signal interrupted. What a poll does not report had not arrived by then; what it reports
+//! arrived after the poll before. All spans are taken from a monotonic clock. No I/O.
 
 use crate::poll::PollOutcome;
 use crate::timers::MS;
--- a/crates/balancer/src/response_stream/tests.rs
+++ b/crates/balancer/src/response_stream/tests.rs
@@ -1,4 +1,4 @@
-//! Long values in pieces, whole and broken.
+//! Long values in pieces, complete and broken.
 
 use super::*;
 
--- a/crates/balancer/src/state_transfer.rs
+++ b/crates/balancer/src/state_transfer.rs
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Whether a transfer is there that nobody has read yet. Its recipient is known once it is read.
+    /// Whether a transfer is there that nobody has read yet. Its recipient is known once it is
+    /// read.
     #[must_use]
     pub fn exists(&self) -> bool {
         self.path.exists()
--- a/crates/balancer/src/state_transfer/tests.rs
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -1,5 +1,5 @@
-//! The state that a process hands over: complete, partial and foreign transfers, and the files that commit
-//! cab609d wrote, which are read and written again byte for byte.
+//! The state that a process hands over: complete, partial and foreign transfers, and the files that
+//! commit cab609d wrote, which are read and written again byte for byte.
 
 use super::*;
 use crate::config::Config;
@@ -12,7 +12,8 @@
 const OLD_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-0");
 const NEW_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-1");
 const TRANSFER: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.notes");
-/// What commit cab609d writes after it has read `TRANSFER`: two figures change in their last digits.
+/// What commit cab609d writes after it has read `TRANSFER`: two figures change in their last
+/// digits.
 const REWRITTEN: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.notes.rewritten");
 const OLD_PROCESS: &str = "517-1796285826037045501";
 const NEW_PROCESS: &str = "1226-1796285832640383780";
--- a/crates/balancer/src/upstream_pool/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -1,8 +1,10 @@
 //! Connections to pool: one job at a time, and how each ends.
 
 use super::connection::{STALL_TIMEOUT, STREAM_STALL_TIMEOUT, STREAM_START_STALL_TIMEOUT};
+use super::idle::REUSE_DELAY;
 use super::*;
 use crate::resp::Reply;
+use crate::timers::MS;
 use routing::{AttemptNumber, RequestId};
 use rstest::rstest;
 use socket2::SockRef;
@@ -286,12 +288,12 @@
     s.pool.set_max_buffered_bytes(1_000);
     let mut first = s.connects(1, 0);
     let mut second = s.connects(2, 1);
-    for (stream, number, spoilt) in [(&mut first, 0, false), (&mut second, 1, true)] {
+    for (stream, number, is_unreadable) in [(&mut first, 0, false), (&mut second, 1, true)] {
         stream
             .write_all(&[b"$60000\r\n".as_slice(), &[b'x'; 600]].concat())
             .unwrap();
         s.ready(number);
-        assert_eq!(s.results() == [ExchangeResult::Unreadable], spoilt);
+        assert_eq!(s.results() == [ExchangeResult::Unreadable], is_unreadable);
     }
     assert_eq!(s.pool.buffered_bytes, 608, "abandoned answers are released");
     s.pool.abandon(UpstreamJob::HealthCheck(1), &mut s.counters);
@@ -439,7 +441,7 @@
 #[test]
 fn the_stall_timeout_of_a_far_cache_is_some_round_trips() {
     const FAR: Nanos = 60 * MS;
-    // One of its connections was held up: that says nothing of the way.
+    // One of its connections was delayed, which says nothing of the way.
     for (first, second) in [(FAR, 1_000 * MS), (1_000 * MS, FAR)] {
         let mut s = stage();
         for (check, took) in [(1, first), (2, second)] {
--- a/crates/balancer/src/watch_backoff.rs
+++ b/crates/balancer/src/watch_backoff.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// How long to wait after a watch that was open for `duration`. After a long one the next begins at
-    /// once; an agent that ends each watch at once is not asked without a pause.
+    /// How long to wait after a watch that was open for `duration`. After a long one the next
+    /// begins at once; an agent that ends each watch at once is not asked without a pause.
     pub fn next_delay(&mut self, duration: Nanos) -> Nanos {
         if duration > self.max_delay {
             self.next_delay = INITIAL_DELAY;
