--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -4,7 +4,8 @@
 use crate::error::TestbedError;
 use plotters::prelude::*;
 use serde_json::Value;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Display;
 use std::path::Path;
 
 /// Seconds until all views were true, by what was waited for and the number of processes.
@@ -80,24 +81,39 @@
     RGBColor(90, 90, 90),
 ];
 
+fn chart_error(file: &Path, problem: &dyn Display) -> TestbedError {
+    TestbedError::Chart {
+        path: file.into(),
+        problem: problem.to_string(),
+    }
+}
+
+/// Draws the legend of a chart's series.
+fn draw_legend<'a, 'b, C: CoordTranslate>(
+    chart: &mut ChartContext<'a, SVGBackend<'b>, C>,
+    position: SeriesLabelPosition,
+) -> Result<(), DrawingAreaErrorKind<<SVGBackend<'b> as DrawingBackend>::ErrorType>>
+where
+    'b: 'a,
+{
+    chart
+        .configure_series_labels()
+        .position(position)
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK.mix(0.3))
+        .draw()
+}
+
 /// Draws each play as a dot, a row for each thing that was waited for.
 ///
 /// # Errors
 ///
 /// If the file can't be read or drawn, or holds nothing to draw.
 pub fn draw_settled(settled: &Settled, aim: f64, file: &Path) -> Result<(), TestbedError> {
-    let problem = |e: &dyn std::fmt::Display| TestbedError::Chart {
-        path: file.into(),
-        problem: e.to_string(),
-    };
-    let names: Vec<&String> = {
-        let mut names: Vec<&String> = settled.keys().map(|(name, _)| name).collect();
-        names.dedup();
-        names
-    };
-    let mut sizes: Vec<u64> = settled.keys().map(|(_, n)| *n).collect();
-    sizes.sort_unstable();
-    sizes.dedup();
+    let problem = |e: &dyn Display| chart_error(file, e);
+    let names: BTreeSet<&String> = settled.keys().map(|(name, _)| name).collect();
+    let names: Vec<&String> = names.into_iter().collect();
+    let sizes: BTreeSet<u64> = settled.keys().map(|(_, n)| *n).collect();
     let most = settled.values().flatten().copied().fold(aim, f64::max) * 1.05;
     let height = 90 + 34 * names.len() as u32;
     let root = SVGBackend::new(file, (860, height)).into_drawing_area();
@@ -146,31 +162,12 @@
             .label(format!("{size} processes"))
             .legend(move |(x, y)| Circle::new((x + 8, y), 4, colour.filled()));
     }
-    chart
-        .configure_series_labels()
-        .position(SeriesLabelPosition::UpperRight)
-        .background_style(WHITE.mix(0.8))
-        .border_style(BLACK.mix(0.3))
-        .draw()
-        .map_err(|e| problem(&e))?;
+    draw_legend(&mut chart, SeriesLabelPosition::UpperRight).map_err(|e| problem(&e))?;
     root.present().map_err(|e| problem(&e))
 }
 
-/// Draws one figure of the measured rows over the number of members, a line for each rate of loss.
-///
-/// # Errors
-///
-/// If the file can't be read or drawn, or holds nothing to draw.
-pub fn draw_measured(
-    rows: &[Value],
-    figure: &str,
-    title: &str,
-    file: &Path,
-) -> Result<(), TestbedError> {
-    let problem = |e: &dyn std::fmt::Display| TestbedError::Chart {
-        path: file.into(),
-        problem: e.to_string(),
-    };
+/// The values of a figure by loss and number of members.
+fn measured_lines(rows: &[Value], figure: &str) -> BTreeMap<String, BTreeMap<u64, Vec<f64>>> {
     let mut lines: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
         let (Some(members), Some(value)) = (row["members"].as_u64(), row[figure].as_f64()) else {
@@ -187,6 +184,22 @@
             .or_default()
             .push(value);
     }
+    lines
+}
+
+/// Draws one figure of the measured rows over the number of members, a line for each rate of loss.
+///
+/// # Errors
+///
+/// If the file can't be read or drawn, or holds nothing to draw.
+pub fn draw_measured(
+    rows: &[Value],
+    figure: &str,
+    title: &str,
+    file: &Path,
+) -> Result<(), TestbedError> {
+    let problem = |e: &dyn Display| chart_error(file, e);
+    let lines = measured_lines(rows, figure);
     let members = lines.values().flat_map(|line| line.keys().copied());
     let (least, most) = members.fold((u64::MAX, 1), |(a, b), n| (a.min(n), b.max(n)));
     let highest = lines
@@ -230,13 +243,7 @@
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
     }
-    chart
-        .configure_series_labels()
-        .position(SeriesLabelPosition::UpperLeft)
-        .background_style(WHITE.mix(0.8))
-        .border_style(BLACK.mix(0.3))
-        .draw()
-        .map_err(|e| problem(&e))?;
+    draw_legend(&mut chart, SeriesLabelPosition::UpperLeft).map_err(|e| problem(&e))?;
     root.present().map_err(|e| problem(&e))
 }
 
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -14,6 +14,9 @@
     ("map-publish", 5.0, 0.6),
 ];
 
+/// A balancer's share of rejections counts from so many requests on.
+const MIN_REQUESTS_FOR_SHARE: u64 = 20;
+
 /// Sums over the fleet at one moment, since the start.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterSample {
@@ -204,95 +207,119 @@
     worth
 }
 
-/// Judges one span; `room` is how many requests all caches serve a second when warm.
-pub fn span(
-    (from, to): (f64, f64),
-    samples: &[ClusterSample],
-    asked: &[ClientRequest],
-    begun: f64,
-    room: f64,
-    caches: usize,
-) -> SpanMetrics {
-    let mut classes: BTreeMap<String, ClassMetrics> = BTreeMap::new();
-    let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
-    let (mut worth_asked, mut worth, mut first) = (0.0, 0.0, 0u64);
-    for one in asked
-        .iter()
-        .filter(|one| (from..to).contains(&(one.at - begun)))
-    {
-        let class = classes.entry(one.class.into()).or_default();
-        if !one.is_retry {
-            class.requests += 1;
-            first += 1;
-            worth_asked += class_of(one.class).0;
-        }
-        match one.end {
-            RequestEnd::Served if in_time(one) => {
-                class.served += 1;
-                worth += class_of(one.class).0;
-            }
-            RequestEnd::Served => class.late += 1,
-            RequestEnd::Refused => class.rejected += 1,
-            RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
-            RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never => class.unanswered += 1,
+/// What is known of a timeline when its spans are evaluated.
+pub struct Observations<'a> {
+    /// The fleet, once a second.
+    pub samples: &'a [ClusterSample],
+    /// The clients' requests.
+    pub requests: &'a [ClientRequest],
+    /// The start of the timeline in the clients' time.
+    pub begun: f64,
+    /// How many requests all caches serve a second when warm.
+    pub capacity: f64,
+    /// How many caches there are.
+    pub caches: usize,
+}
+
+/// Sums over the requests of a span.
+#[derive(Default)]
+struct RequestSums {
+    classes: BTreeMap<String, ClassMetrics>,
+    requested_weight: f64,
+    served_weight: f64,
+    /// Requests that are no retries.
+    requests: u64,
+}
+
+impl Observations<'_> {
+    /// Evaluates one span, in seconds since the start of the timeline.
+    #[must_use]
+    pub fn span(&self, from: f64, to: f64) -> SpanMetrics {
+        let sums = self.request_sums(from, to);
+        let (a, b) = (self.sample_near(from), self.sample_near(to));
+        let per_request = |count: u64| count as f64 / sums.requests.max(1) as f64;
+        let length = (b.at - a.at).max(0.001);
+        let optimum = perfect(&sums.classes, self.capacity * (to - from));
+        let reasons = b
+            .members
+            .keys()
+            .filter_map(|name| name.strip_prefix("rejected."));
+        let health_checks = b
+            .caches
+            .health_checks
+            .saturating_sub(a.caches.health_checks);
+        SpanMetrics {
+            from,
+            to,
+            served_weight_share: sums.served_weight / sums.requested_weight.max(0.001),
+            share_of_optimum: sums.served_weight / optimum.max(0.001),
+            attempts_per_request: per_request(b.caches.attempts.saturating_sub(a.caches.attempts)),
+            hedges_per_request: per_request(delta(&a.members, &b.members, "hedges")),
+            health_checks_per_cache_s: health_checks as f64 / length / self.caches as f64,
+            connections_per_request: per_request(
+                b.caches.connections.saturating_sub(a.caches.connections),
+            ),
+            rejections_by_reason: reasons
+                .map(|reason| {
+                    let count = delta(&a.members, &b.members, &format!("rejected.{reason}"));
+                    (reason.to_string(), count)
+                })
+                .filter(|(_, count)| *count > 0)
+                .collect(),
+            classes: sums.classes,
         }
-        let of = balancers
-            .entry((one.class.into(), one.balancer))
-            .or_default();
-        of.0 += 1;
-        of.1 += u64::from(one.end == RequestEnd::Refused);
     }
-    for (name, class) in &mut classes {
-        let shares = balancers
+
+    fn sample_near(&self, at: f64) -> ClusterSample {
+        let distance = |sample: &ClusterSample| (sample.at - at).abs();
+        let nearest = self
+            .samples
             .iter()
-            .filter(|((n, _), (all, _))| n == name && *all >= 20);
-        let shares: Vec<f64> = shares
-            .map(|(_, (all, refused))| *refused as f64 / *all as f64)
-            .collect();
-        class.rejected_share_min = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
-        class.rejected_share_max = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
+            .min_by(|a, b| distance(a).total_cmp(&distance(b)));
+        nearest.cloned().unwrap_or_default()
     }
-    let sample = |at: f64| {
-        samples
-            .iter()
-            .min_by(|a, b| (a.at - at).abs().total_cmp(&(b.at - at).abs()))
-    };
-    let (a, b) = (
-        sample(from).cloned().unwrap_or_default(),
-        sample(to).cloned().unwrap_or_default(),
-    );
-    let per_request = |count: u64| count as f64 / first.max(1) as f64;
-    let length = (b.at - a.at).max(0.001);
-    let reasons = b
-        .members
-        .keys()
-        .filter_map(|name| name.strip_prefix("rejected."));
-    SpanMetrics {
-        from,
-        to,
-        served_weight_share: worth / worth_asked.max(0.001),
-        share_of_optimum: worth / perfect(&classes, room * (to - from)).max(0.001),
-        attempts_per_request: per_request(b.caches.attempts.saturating_sub(a.caches.attempts)),
-        hedges_per_request: per_request(delta(&a.members, &b.members, "hedges")),
-        health_checks_per_cache_s: b
-            .caches
-            .health_checks
-            .saturating_sub(a.caches.health_checks) as f64
-            / length
-            / caches as f64,
-        connections_per_request: per_request(
-            b.caches.connections.saturating_sub(a.caches.connections),
-        ),
-        rejections_by_reason: reasons
-            .map(|reason| {
-                (
-                    reason.to_string(),
-                    delta(&a.members, &b.members, &format!("rejected.{reason}")),
-                )
-            })
-            .filter(|(_, count)| *count > 0)
-            .collect(),
-        classes,
+
+    fn request_sums(&self, from: f64, to: f64) -> RequestSums {
+        let mut sums = RequestSums::default();
+        // By class and balancer: all requests, and those rejected.
+        let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
+        let in_span = |one: &&ClientRequest| (from..to).contains(&(one.at - self.begun));
+        for one in self.requests.iter().filter(in_span) {
+            let class = sums.classes.entry(one.class.into()).or_default();
+            if !one.is_retry {
+                class.requests += 1;
+                sums.requests += 1;
+                sums.requested_weight += class_of(one.class).0;
+            }
+            match one.end {
+                RequestEnd::Served if in_time(one) => {
+                    class.served += 1;
+                    sums.served_weight += class_of(one.class).0;
+                }
+                RequestEnd::Served => class.late += 1,
+                RequestEnd::Refused => class.rejected += 1,
+                RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
+                RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never => {
+                    class.unanswered += 1;
+                }
+            }
+            let of = balancers
+                .entry((one.class.into(), one.balancer))
+                .or_default();
+            of.0 += 1;
+            of.1 += u64::from(one.end == RequestEnd::Refused);
+        }
+        for (name, class) in &mut sums.classes {
+            let shares = balancers
+                .iter()
+                .filter(|((n, _), (all, _))| n == name && *all >= MIN_REQUESTS_FOR_SHARE);
+            let shares: Vec<f64> = shares
+                .map(|(_, (all, rejected))| *rejected as f64 / *all as f64)
+                .collect();
+            class.rejected_share_min = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
+            class.rejected_share_max = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
+        }
+        sums
     }
 }
 
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -48,7 +48,14 @@
         asked.push(one(at, "tile-read", end, 0.1, i % 2));
     }
     asked.push(one(100.5, "status-set", RequestEnd::Served, 0.31, 0));
-    let span = span((0.0, 4.0), &samples, &asked, 100.0, 5.0, 2);
+    let observations = Observations {
+        samples: &samples,
+        requests: &asked,
+        begun: 100.0,
+        capacity: 5.0,
+        caches: 2,
+    };
+    let span = observations.span(0.0, 4.0);
     assert_eq!(span.classes["tile-read"].served, 20);
     assert_eq!(span.classes["status-set"].late, 1, "past its aim");
     assert_eq!(
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -9,7 +9,7 @@
 use crate::error::TestbedError;
 use crate::invariants::InvariantChecker;
 use crate::member_process::{IntendedState, LogLine, MemberProcess, MemberView};
-use crate::overload_metrics::{self, ClusterSample, SecondMetrics, SpanMetrics};
+use crate::overload_metrics::{self, ClusterSample, Observations, SecondMetrics, SpanMetrics};
 use crate::scenario::Scenario;
 use crate::simulated_services::clients::ClientRequest;
 use crate::simulated_services::origin::Origin;
@@ -193,24 +193,29 @@
         Ok(())
     }
 
-    /// Judges the spans before, in and after the trouble, where there is one.
-    fn evaluate_spans(&mut self, asked: &[ClientRequest], offset: f64) {
+    /// Evaluates the spans before, in and after the disturbance, where there is one.
+    fn evaluate_spans(&mut self, requests: &[ClientRequest], begun: f64) {
         let Some((from, to)) = self.scenario.disturbance else {
             return;
         };
         let last = self.samples.last().map_or(to, |sample| sample.at);
         let caches = self.cluster.plan.caches;
-        let room = self.scenario.cache.capacity() * caches as f64;
         let before = (WARM_UP_S.min(from), from);
-        for (name, span) in [
+        let observations = Observations {
+            samples: &self.samples,
+            requests,
+            begun,
+            capacity: self.scenario.cache.capacity() * caches as f64,
+            caches,
+        };
+        for (name, (from, to)) in [
             ("before", before),
             ("trouble", (from, to)),
             ("after", (to, last)),
         ] {
-            let judged = overload_metrics::span(span, &self.samples, asked, offset, room, caches);
-            self.spans.insert(name.into(), judged);
+            self.spans.insert(name.into(), observations.span(from, to));
         }
-        self.seconds = overload_metrics::seconds(&self.samples, asked, offset);
+        self.seconds = overload_metrics::seconds(&self.samples, requests, begun);
         self.recovered_s = overload_metrics::recovery(&self.seconds, before, to);
     }
 
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -98,6 +98,28 @@
 }
 
 impl SharedCache {
+    /// Waits for a slot and takes it; `None` if the queue is full.
+    fn take_slot(&self) -> Option<MutexGuard<'_, CacheState>> {
+        let mut state = self.state();
+        state.attempts += 1;
+        if state.in_service >= self.options.slots {
+            if state.waiting >= self.options.queue {
+                state.rejected += 1;
+                return None;
+            }
+            state.waiting += 1;
+            while state.in_service >= self.options.slots {
+                state = self
+                    .freed
+                    .wait(state)
+                    .unwrap_or_else(PoisonError::into_inner);
+            }
+            state.waiting -= 1;
+        }
+        state.in_service += 1;
+        Some(state)
+    }
+
     fn state(&self) -> MutexGuard<'_, CacheState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -186,10 +208,28 @@
         let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
         match words[..] {
             [b"C.GET", key, id, options] => {
-                answer(shared, &mut output, key, id, options, None)?;
+                answer(
+                    shared,
+                    &mut output,
+                    &CacheCommand {
+                        key,
+                        id,
+                        options,
+                        value: None,
+                    },
+                )?;
             }
             [b"C.SET", key, id, options, value] => {
-                answer(shared, &mut output, key, id, options, Some(value))?;
+                answer(
+                    shared,
+                    &mut output,
+                    &CacheCommand {
+                        key,
+                        id,
+                        options,
+                        value: Some(value),
+                    },
+                )?;
             }
             [b"PING", ..] => {
                 shared.state().health_checks += 1;
@@ -212,93 +252,88 @@
     })
 }
 
-fn answer(
-    shared: &SharedCache,
-    output: &mut TcpStream,
-    key: &[u8],
-    id: &[u8],
-    options: &[u8],
-    value: Option<&[u8]>,
-) -> io::Result<()> {
-    let (id, options) = (
-        String::from_utf8_lossy(id).into_owned(),
-        String::from_utf8_lossy(options),
-    );
-    let k = field(&options, "k");
-    let (note, word) = {
-        let mut state = shared.state();
-        state.attempts += 1;
-        if state.in_service >= shared.options.slots {
-            if state.waiting >= shared.options.queue {
-                state.rejected += 1;
-                drop(state);
-                return output.write_all(b"-BUSY\r\n");
-            }
-            state.waiting += 1;
-            while state.in_service >= shared.options.slots {
-                state = shared
-                    .freed
-                    .wait(state)
-                    .unwrap_or_else(PoisonError::into_inner);
-            }
-            state.waiting -= 1;
-        }
-        state.in_service += 1;
-        let dropped = value.is_some()
-            && k.as_ref().is_some_and(|k| {
-                let seen = state.seen.insert(k.clone(), Instant::now());
-                seen.is_some_and(|at| at.elapsed() < shared.options.deduplication_window)
-            });
-        let executed = state.executed.entry(id).or_default();
-        executed.times += 1;
-        executed.effects += u32::from(value.is_some() && !dropped);
-        executed.class = field(&options, "c").unwrap_or_default();
-        executed.key = k;
-        match value {
-            Some(value) => {
-                state.cached_keys.remove(key);
-                state.written.insert(key.to_vec(), value.to_vec());
-                (None, b"stored".to_vec())
-            }
-            None => {
-                let hit = state.cached_keys.contains(key);
-                state.hits += u64::from(hit);
-                state.misses += u64::from(!hit);
-                let made = || {
-                    format!("tile {} by {}", String::from_utf8_lossy(key), shared.name).into_bytes()
-                };
-                let word = state.written.get(key).cloned().unwrap_or_else(made);
-                (Some(if hit { "hit" } else { "miss" }), word)
-            }
-        }
+/// A read or write as it came.
+struct CacheCommand<'a> {
+    key: &'a [u8],
+    id: &'a [u8],
+    options: &'a [u8],
+    /// The value of a write.
+    value: Option<&'a [u8]>,
+}
+
+/// How a command ended in the cache itself.
+struct Execution {
+    /// `hit` or `miss`, for a read.
+    note: Option<&'static str>,
+    value: Vec<u8>,
+}
+
+fn answer(shared: &SharedCache, output: &mut TcpStream, command: &CacheCommand) -> io::Result<()> {
+    let Some(mut state) = shared.take_slot() else {
+        return output.write_all(b"-BUSY\r\n");
     };
+    let Execution { note, value } = execute(shared, &mut state, command);
+    drop(state);
     std::thread::sleep(shared.options.service.mul_f64(shared.slowness()));
-    // The slot is the cache's own work; what waits for the origin holds none.
+    // The slot is the cache's own work; what waits for the origin has none.
     shared.state().in_service -= 1;
     shared.freed.notify_one();
-    let fetched = match &shared.origin {
-        _ if note == Some("hit") => true,
-        Some(origin) => origin.work(),
-        None => {
-            std::thread::sleep(if note.is_some() {
-                shared.options.fetch
-            } else {
-                Duration::ZERO
-            });
-            true
-        }
-    };
-    if !fetched {
+    if note != Some("hit") && !fetch(shared, note.is_some()) {
         return output.write_all(b"-ERR failed\r\n");
     }
     if note == Some("miss") {
-        shared.state().cached_keys.insert(key.to_vec());
+        shared.state().cached_keys.insert(command.key.to_vec());
     }
-    let mut bytes = format!("*3\r\n${}\r\n", word.len()).into_bytes();
-    bytes.extend(word);
+    let mut bytes = format!("*3\r\n${}\r\n", value.len()).into_bytes();
+    bytes.extend(value);
     bytes.extend(match note {
         Some(note) => format!("\r\n${}\r\n{note}\r\n$-1\r\n", note.len()).into_bytes(),
         None => b"\r\n$-1\r\n$-1\r\n".to_vec(),
     });
     output.write_all(&bytes)
 }
+
+/// Records a command and finds its answer.
+fn execute(shared: &SharedCache, state: &mut CacheState, command: &CacheCommand) -> Execution {
+    let (key, options) = (command.key, String::from_utf8_lossy(command.options));
+    let idempotency_key = field(&options, "k");
+    let dropped = command.value.is_some()
+        && idempotency_key.as_ref().is_some_and(|k| {
+            let seen = state.seen.insert(k.clone(), Instant::now());
+            seen.is_some_and(|at| at.elapsed() < shared.options.deduplication_window)
+        });
+    let id = String::from_utf8_lossy(command.id).into_owned();
+    let executed = state.executed.entry(id).or_default();
+    executed.times += 1;
+    executed.effects += u32::from(command.value.is_some() && !dropped);
+    executed.class = field(&options, "c").unwrap_or_default();
+    executed.key = idempotency_key;
+    if let Some(value) = command.value {
+        state.cached_keys.remove(key);
+        state.written.insert(key.to_vec(), value.to_vec());
+        return Execution {
+            note: None,
+            value: b"stored".to_vec(),
+        };
+    }
+    let hit = state.cached_keys.contains(key);
+    state.hits += u64::from(hit);
+    state.misses += u64::from(!hit);
+    let made_up =
+        || format!("tile {} by {}", String::from_utf8_lossy(key), shared.name).into_bytes();
+    Execution {
+        note: Some(if hit { "hit" } else { "miss" }),
+        value: state.written.get(key).cloned().unwrap_or_else(made_up),
+    }
+}
+
+/// Works at the origin, or takes as long as a fetch would; whether that succeeded.
+fn fetch(shared: &SharedCache, is_read: bool) -> bool {
+    if let Some(origin) = &shared.origin {
+        return origin.work();
+    }
+    if is_read {
+        std::thread::sleep(shared.options.fetch);
+    }
+    true
+}
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -18,10 +18,12 @@
 const WRITE_WORTH: f64 = 10.0;
 const WRITE_PART: f64 = 0.1;
 /// The model moves on by so much at a time.
+/// How long the overload lasts, in seconds.
+const OVERLOAD_S: u64 = 15;
 const TICK: Nanos = 50 * MS;
 /// What is asked for in calm, and what the caches bear, of each member in a second.
 const CALM: f64 = 15.0;
-const ROOM: f64 = 25.0;
+const MEMBER_CAPACITY: f64 = 25.0;
 
 /// What befalls the talk in the middle of the overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -106,7 +108,7 @@
     // Clients of those that are away ask the others.
     let here: f64 = running.iter().map(|n| weights[*n]).sum();
     let total = weights.iter().sum::<f64>() * asked * seconds;
-    let room = weights.len() as f64 * ROOM * seconds;
+    let room = weights.len() as f64 * MEMBER_CAPACITY * seconds;
     let mut let_in = Vec::new();
     for n in &running {
         let mine = total * weights[*n] / here;
@@ -162,81 +164,130 @@
     fleet
 }
 
-/// Plays calm, 15 s of twice the room, and calm until nothing is shed.
-fn run(
-    members: usize,
-    loss: f64,
-    seed: u64,
+/// What one run showed.
+struct ShedRun {
+    sum: Sum,
+    /// Seconds from the end of the overload until nothing is shed.
+    over_s: Option<f64>,
+    datagrams_per_s: f64,
+}
+
+/// How members shed: by the level that all agree on, or each by its own counts.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Coordination {
+    Shared,
+    Separate,
+}
+
+/// A disturbance as it goes on.
+struct DisturbanceCourse {
     disturbance: InjectedDisturbance,
-    apart: bool,
-) -> (Sum, Option<f64>, f64) {
-    let mut fleet = met(members, loss, seed);
-    fleet.network.load_loss = if apart { 1.0 } else { 0.0 };
-    let mut weights = vec![1.0; members];
-    if disturbance == InjectedDisturbance::Uneven {
-        weights[0] = 5.0;
-        let sum: f64 = weights.iter().sum();
-        weights.iter_mut().for_each(|w| *w *= members as f64 / sum);
-    }
-    let mut carried = vec![[0.0; 3]; members];
-    let mut unjudged = Sum::default();
-    for _ in 0..5 * S / TICK {
-        tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
-    }
-    let sent = |fleet: &SimulatedFleet| {
-        fleet
-            .running()
-            .iter()
-            .map(|n| fleet.statistics(*n).sent)
-            .sum::<u64>()
-    };
-    let mut sum = Sum::default();
-    let (begun, before) = (fleet.now, sent(&fleet));
-    let quarter = members - members.div_ceil(4)..members;
-    let mut stage = 0;
-    while fleet.now - begun < 15 * S {
-        let at = fleet.now - begun;
+    coordination: Coordination,
+    /// How many of its changes have been made.
+    stage: u32,
+}
+
+impl DisturbanceCourse {
+    /// Makes the changes that are due at this time since the overload's start.
+    fn advance(&mut self, fleet: &mut SimulatedFleet, at: Nanos) {
+        let members = fleet.len();
         let half = |n: usize| usize::from(n >= members / 2);
-        match disturbance {
-            InjectedDisturbance::Split if stage == 0 && at >= 5 * S => {
+        let quarter = members - members.div_ceil(4)..members;
+        match self.disturbance {
+            InjectedDisturbance::Split if self.stage == 0 && at >= 5 * S => {
                 fleet.split(half, true);
-                stage = 1;
+                self.stage = 1;
             }
-            InjectedDisturbance::Split if stage == 1 && at >= 10 * S => {
+            InjectedDisturbance::Split if self.stage == 1 && at >= 10 * S => {
                 fleet.split(half, false);
-                stage = 2;
+                self.stage = 2;
             }
             InjectedDisturbance::Silence => {
-                fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart);
+                let silent = (5 * S..8 * S).contains(&at);
+                let separate = self.coordination == Coordination::Separate;
+                fleet.network.load_loss = f64::from(silent || separate);
             }
-            InjectedDisturbance::Restarts if stage == 0 && at >= 5 * S => {
-                quarter.clone().for_each(|n| fleet.kill(n));
-                stage = 1;
+            InjectedDisturbance::Restarts if self.stage == 0 && at >= 5 * S => {
+                quarter.for_each(|n| fleet.kill(n));
+                self.stage = 1;
             }
-            InjectedDisturbance::Restarts if stage == 1 && at >= 8 * S => {
-                quarter.clone().for_each(|n| fleet.start(n, 0));
-                stage = 2;
+            InjectedDisturbance::Restarts if self.stage == 1 && at >= 8 * S => {
+                quarter.for_each(|n| fleet.start(n, 0));
+                self.stage = 2;
             }
             _ => {}
         }
-        tick(&mut fleet, &mut carried, &weights, 2.0 * ROOM, &mut sum);
+    }
+}
+
+/// How much each member is asked for, against the others.
+fn member_weights(members: usize, disturbance: InjectedDisturbance) -> Vec<f64> {
+    let mut weights = vec![1.0; members];
+    if disturbance == InjectedDisturbance::Uneven {
+        weights[0] = 5.0;
+        let sum: f64 = weights.iter().sum();
+        weights.iter_mut().for_each(|w| *w *= members as f64 / sum);
+    }
+    weights
+}
+
+fn datagrams_sent(fleet: &SimulatedFleet) -> u64 {
+    let running = fleet.running();
+    running.iter().map(|n| fleet.statistics(*n).sent).sum()
+}
+
+/// Plays calm, an overload of twice the capacity, and calm until nothing is shed.
+fn run(
+    members: usize,
+    loss: f64,
+    seed: u64,
+    disturbance: InjectedDisturbance,
+    coordination: Coordination,
+) -> ShedRun {
+    let mut fleet = met(members, loss, seed);
+    fleet.network.load_loss = f64::from(coordination == Coordination::Separate);
+    let weights = member_weights(members, disturbance);
+    let mut carried = vec![[0.0; 3]; members];
+    let mut calm_sum = Sum::default();
+    for _ in 0..5 * S / TICK {
+        tick(&mut fleet, &mut carried, &weights, CALM, &mut calm_sum);
+    }
+    let mut sum = Sum::default();
+    let (begun, before) = (fleet.now, datagrams_sent(&fleet));
+    let mut course = DisturbanceCourse {
+        disturbance,
+        coordination,
+        stage: 0,
+    };
+    while fleet.now - begun < OVERLOAD_S * S {
+        let at = fleet.now - begun;
+        course.advance(&mut fleet, at);
+        tick(
+            &mut fleet,
+            &mut carried,
+            &weights,
+            2.0 * MEMBER_CAPACITY,
+            &mut sum,
+        );
         if at >= 3 * S {
             sum.spread += spread(&fleet);
             sum.samples += 1.0;
         }
     }
-    let datagrams = (sent(&fleet) - before) as f64 / members as f64 / 15.0;
+    let sent = datagrams_sent(&fleet) - before;
     let over = fleet.now;
     let mut over_s = None;
     while over_s.is_none() && fleet.now - over < 30 * S {
-        tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
-        let done = fleet
-            .running()
-            .iter()
-            .all(|n| fleet.shedding_level(*n) == 0.0);
+        tick(&mut fleet, &mut carried, &weights, CALM, &mut calm_sum);
+        let running = fleet.running();
+        let done = running.iter().all(|n| fleet.shedding_level(*n) == 0.0);
         over_s = done.then(|| ((fleet.now - over) / MS) as f64 / 1e3);
     }
-    (sum, over_s, datagrams)
+    ShedRun {
+        sum,
+        over_s,
+        datagrams_per_s: sent as f64 / members as f64 / OVERLOAD_S as f64,
+    }
 }
 
 /// Plays one fleet through one disturbance, together and each by itself.
@@ -247,8 +298,12 @@
     seed: u64,
     disturbance: InjectedDisturbance,
 ) -> SheddingMeasurement {
-    let (sum, over_s, datagrams_per_s) = run(members, loss, seed, disturbance, false);
-    let (apart, ..) = run(members, loss, seed, disturbance, true);
+    let ShedRun {
+        sum,
+        over_s,
+        datagrams_per_s,
+    } = run(members, loss, seed, disturbance, Coordination::Shared);
+    let apart = run(members, loss, seed, disturbance, Coordination::Separate).sum;
     SheddingMeasurement {
         members,
         loss,
@@ -299,7 +354,7 @@
             &mut fleet,
             &mut carried,
             &weights,
-            8.0 * ROOM,
+            8.0 * MEMBER_CAPACITY,
             &mut Sum::default(),
         );
     }
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -60,22 +60,22 @@
 }
 
 /// What a connection still has to write, and what becomes of it then.
-struct Due {
+struct DueAnswer {
     at: Nanos,
     connection: u64,
     attempt: usize,
     bytes: Vec<u8>,
-    then: Then,
+    then: AfterAnswer,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Then {
-    Rest,
+enum AfterAnswer {
+    KeepOpen,
     Reset,
     Close,
 }
 
-struct Served {
+struct ClientConnection {
     connection: Connection,
     listener: usize,
     /// The earliest time at which what is in its input can have begun.
@@ -83,14 +83,14 @@
     open: Vec<usize>,
 }
 
-struct Work {
+struct CacheServer {
     clock: Clock,
     listeners: Vec<TcpListener>,
     faults: SharedFaults,
     rng: Xoshiro256PlusPlus,
-    connections: BTreeMap<u64, Served>,
+    connections: BTreeMap<u64, ClientConnection>,
     next: u64,
-    due: Vec<Due>,
+    due: Vec<DueAnswer>,
     attempts: Vec<AttemptRecord>,
 }
 
@@ -109,7 +109,7 @@
             .map(TcpListener::local_addr)
             .collect::<io::Result<_>>()?;
         let (faults, end) = (SharedFaults::default(), Arc::new(AtomicBool::new(false)));
-        let mut work = Work {
+        let mut work = CacheServer {
             clock,
             listeners,
             faults: faults.clone(),
@@ -140,7 +140,7 @@
     }
 }
 
-impl Work {
+impl CacheServer {
     fn turn(&mut self) -> io::Result<()> {
         // Whatever this look finds came after the one before, which ended no sooner than this.
         let before = self.clock.now();
@@ -159,7 +159,7 @@
         for (listener, _) in at_door.iter().enumerate().filter(|(_, ready)| **ready) {
             self.accept(listener, before, &down);
         }
-        let cut_off = |served: &Served| down.contains(&served.listener);
+        let cut_off = |served: &ClientConnection| down.contains(&served.listener);
         let lost: Vec<u64> = self
             .connections
             .iter()
@@ -183,7 +183,7 @@
             }
             self.connections.insert(
                 self.next,
-                Served {
+                ClientConnection {
                     connection,
                     listener,
                     began: before,
@@ -234,7 +234,7 @@
             return;
         };
         let fields = String::from_utf8_lossy(fields);
-        let told_ms = fields
+        let deadline_ms = fields
             .rsplit_once("d=")
             .and_then(|(_, d)| d.parse().ok())
             .unwrap_or(u64::MAX);
@@ -253,7 +253,7 @@
             listener,
             began,
             received: now,
-            deadline_ms: told_ms,
+            deadline_ms,
             end: AttemptEnd::Open,
             over: None,
         });
@@ -261,13 +261,25 @@
         if faults.hanging.contains(&listener) {
             return;
         }
-        let at = now + self.rng.random_range(SERVICE_MS.0..SERVICE_MS.1) * MS;
         let whole =
             format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes();
+        self.schedule_answer(number, attempt, &faults, now, whole);
+    }
+
+    /// Decides by chance, and by the faults that are on, what comes back for an attempt and when.
+    fn schedule_answer(
+        &mut self,
+        connection: u64,
+        attempt: usize,
+        faults: &CacheFaults,
+        now: Nanos,
+        whole: Vec<u8>,
+    ) {
+        let at = now + self.rng.random_range(SERVICE_MS.0..SERVICE_MS.1) * MS;
         let mut due = |at, bytes, then| {
-            self.due.push(Due {
+            self.due.push(DueAnswer {
                 at,
-                connection: number,
+                connection,
                 attempt,
                 bytes,
                 then,
@@ -280,31 +292,32 @@
         };
         if falls(faults.busy) {
             self.attempts[attempt].end = AttemptEnd::TurnedAway;
-            due(now, b"-BUSY\r\n".to_vec(), Then::Rest);
+            due(now, b"-BUSY\r\n".to_vec(), AfterAnswer::KeepOpen);
             return;
         }
         self.attempts[attempt].end = AttemptEnd::Ran;
         if falls(faults.error) {
-            due(at, b"-ERR failed\r\n".to_vec(), Then::Rest);
+            due(at, b"-ERR failed\r\n".to_vec(), AfterAnswer::KeepOpen);
         } else if falls(faults.reset) {
-            due(at, Vec::new(), Then::Reset);
+            due(at, Vec::new(), AfterAnswer::Reset);
         } else if falls(faults.cut) {
-            due(at, whole[..whole.len() / 2].to_vec(), Then::Rest);
+            due(at, whole[..whole.len() / 2].to_vec(), AfterAnswer::KeepOpen);
         } else if falls(faults.second) {
-            due(at, whole.clone(), Then::Rest);
-            due(at + 3 * MS, whole, Then::Rest);
+            due(at, whole.clone(), AfterAnswer::KeepOpen);
+            due(at + 3 * MS, whole, AfterAnswer::KeepOpen);
         } else if falls(faults.close) {
-            due(at, whole, Then::Close);
+            due(at, whole, AfterAnswer::Close);
         } else {
-            due(at, whole, Then::Rest);
+            due(at, whole, AfterAnswer::KeepOpen);
         }
     }
 
     fn answer(&mut self) {
         let now = self.clock.now();
-        let (due, later): (Vec<Due>, Vec<Due>) = self.due.drain(..).partition(|due| due.at <= now);
+        let (due, later): (Vec<DueAnswer>, Vec<DueAnswer>) =
+            self.due.drain(..).partition(|due| due.at <= now);
         self.due = later;
-        for Due {
+        for DueAnswer {
             connection,
             attempt,
             bytes,
@@ -318,8 +331,8 @@
             served.connection.write(&bytes);
             served.open.retain(|open| *open != attempt);
             self.attempts[attempt].over = Some(self.clock.now());
-            if then != Then::Rest {
-                self.drop_connection(connection, then == Then::Reset);
+            if then != AfterAnswer::KeepOpen {
+                self.drop_connection(connection, then == AfterAnswer::Reset);
             }
         }
     }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -2,7 +2,7 @@
 
 use super::clients::ClientBehavior;
 use super::discovery::ListFormat;
-use super::records::{MS, Nanos};
+use super::records::{MS, Nanos, RequestKind};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::{Value, json};
@@ -110,7 +110,7 @@
     /// How clients behave.
     pub client_behavior: ClientBehavior,
     /// Lists come indented or torn.
-    pub list_format: super::discovery::ListFormat,
+    pub list_format: ListFormat,
     /// What happens, by time.
     pub events: Vec<(Nanos, SoakEvent)>,
 }
@@ -147,30 +147,14 @@
         timeouts(&mut rng, &[300, 1_000, 2_000]),
         timeouts(&mut rng, &[400, 1_000, 2_500]),
     ];
-    let capacity = SPARE * per_s * balancers as f64 / caches as f64;
-    let rules = CheckedRules {
-        grace: pick(&mut rng, &[400, 500, 1_000, 2_500]) * MS,
-        window: pick(&mut rng, &[200, 250, 600, 2_000]) * MS,
-        slow_start_fraction: pick(&mut rng, &[0.05, 0.12, 0.3]),
-        slow_start_duration: pick(&mut rng, &[4_000, 10_000, 23_000]) * MS,
-        overload_factor: pick(&mut rng, &[1.5, 2.5]),
-        overload_window: pick(&mut rng, &[1_000, 2_000]) * MS,
-        capacity,
-        own_listeners: OWN_MOST.min(caches / 2),
-        ready_within: 6_000 * MS,
-        length: LENGTH,
-    };
+    let rules = draw_rules(
+        &mut rng,
+        SPARE * per_s * balancers as f64 / caches as f64,
+        caches,
+    );
     let settings = settings(&mut rng, balancers, &timeouts, &rules);
-    let share = |rng: &mut Xoshiro256PlusPlus| pick(rng, &[0.0, 0.03, 0.1]);
-    let client_behavior = ClientBehavior {
-        per_s,
-        timeouts,
-        leave: pick(&mut rng, &[0.05, 0.15, 0.3]),
-        pipeline: share(&mut rng) / 3.0,
-        slow: share(&mut rng),
-        half: share(&mut rng) / 5.0,
-    };
-    let form = pick(
+    let client_behavior = draw_client_behavior(&mut rng, per_s, timeouts);
+    let list_format = pick(
         &mut rng,
         &[
             ListFormat::Line,
@@ -179,39 +163,76 @@
             ListFormat::Torn,
         ],
     );
+    let events = draw_events(&mut rng, balancers, caches);
+    SoakPlan {
+        seed,
+        balancers,
+        caches,
+        settings,
+        rules,
+        client_behavior,
+        list_format,
+        events,
+    }
+}
+
+/// Shares of requests that are made in an unusual way.
+const SHARES: [f64; 3] = [0.0, 0.03, 0.1];
+
+fn draw_rules(rng: &mut impl Rng, capacity: f64, caches: usize) -> CheckedRules {
+    CheckedRules {
+        grace: pick(rng, &[400, 500, 1_000, 2_500]) * MS,
+        window: pick(rng, &[200, 250, 600, 2_000]) * MS,
+        slow_start_fraction: pick(rng, &[0.05, 0.12, 0.3]),
+        slow_start_duration: pick(rng, &[4_000, 10_000, 23_000]) * MS,
+        overload_factor: pick(rng, &[1.5, 2.5]),
+        overload_window: pick(rng, &[1_000, 2_000]) * MS,
+        capacity,
+        own_listeners: OWN_MOST.min(caches / 2),
+        ready_within: 6_000 * MS,
+        length: LENGTH,
+    }
+}
+
+fn draw_client_behavior(rng: &mut impl Rng, per_s: f64, timeouts: [Nanos; 3]) -> ClientBehavior {
+    ClientBehavior {
+        per_s,
+        timeouts,
+        leave: pick(rng, &[0.05, 0.15, 0.3]),
+        pipeline: pick(rng, &SHARES) / 3.0,
+        slow: pick(rng, &SHARES),
+        half: pick(rng, &SHARES) / 5.0,
+    }
+}
+
+fn draw_time(rng: &mut impl Rng) -> Nanos {
+    rng.random_range(1_000..LENGTH / MS - 2_500) * MS
+}
+
+fn draw_events(rng: &mut impl Rng, balancers: usize, caches: usize) -> Vec<(Nanos, SoakEvent)> {
     let count = rng.random_range(4..9);
-    let times = |rng: &mut Xoshiro256PlusPlus| rng.random_range(1_000..LENGTH / MS - 2_500) * MS;
     let mut events: Vec<(Nanos, SoakEvent)> = (0..count)
-        .map(|_| (times(&mut rng), event(&mut rng, balancers, caches)))
+        .map(|_| (draw_time(rng), event(rng, balancers, caches)))
         .collect();
     // Each seed has a shutdown, a hold-up, caches that hang and caches that come back cold,
     // whatever else.
     let own = OWN_MOST.min(caches / 2);
-    events.push((times(&mut rng), SoakEvent::Cold(own.div_ceil(2))));
+    events.push((draw_time(rng), SoakEvent::Cold(own.div_ceil(2))));
     events.push((
-        times(&mut rng),
+        draw_time(rng),
         SoakEvent::Hangs(own, rng.random_range(300..1_500) * MS),
     ));
     let held_up = SoakEvent::HoldUp(
         rng.random_range(0..balancers),
         rng.random_range(150..1_500) * MS,
     );
-    events.push((times(&mut rng), held_up));
+    events.push((draw_time(rng), held_up));
     events.push((
-        times(&mut rng),
+        draw_time(rng),
         SoakEvent::Restart(rng.random_range(0..balancers)),
     ));
     events.sort_by_key(|(at, _)| *at);
-    SoakPlan {
-        seed,
-        balancers,
-        caches,
-        settings,
-        rules,
-        client_behavior,
-        list_format: form,
-        events,
-    }
+    events
 }
 
 /// The same day for one balancer at any number of caches: the same traffic and the same capacity of
@@ -221,7 +242,7 @@
     let mut plan = draw(seed, true);
     plan.balancers = 1;
     plan.caches = caches;
-    plan.list_format = super::discovery::ListFormat::Line;
+    plan.list_format = ListFormat::Line;
     plan.client_behavior = ClientBehavior {
         per_s,
         leave: 0.0,
@@ -276,7 +297,6 @@
     timeouts: &[Nanos; 3],
     rules: &CheckedRules,
 ) -> Value {
-    use super::records::RequestKind;
     let profiles: Vec<Value> = RequestKind::CLASSES
         .iter()
         .zip(timeouts)
