--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -37,7 +37,7 @@
         input.flush().expect("the binary reads");
     }
 
-    fn batch(&mut self, arrivals: Value) -> Vec<Value> {
+    fn batch(&mut self, arrivals: &Value) -> Vec<Value> {
         self.serial += 1;
         self.line(
             &json!({"moment_ns": self.now, "serial": self.serial, "arrivals": arrivals})
@@ -94,8 +94,8 @@
 
 fn enlisted() -> Host {
     let mut host = start();
-    assert!(host.batch(json!([])).is_empty());
-    host.batch(json!([
+    assert!(host.batch(&json!([])).is_empty());
+    host.batch(&json!([
         ["enlist", "router_3", 77, setup()],
         ["peers_known", "router_3", "stale_copy", 1, nodes()]
     ]));
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn a_read_is_sent_copied_answered_and_its_loser_cancelled() {
+fn a_read_is_forwarded_hedged_answered_and_its_loser_cancelled() {
     let mut host = enlisted();
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "inbound",
         "router_3",
         ID,
@@ -134,11 +134,11 @@
         .find(|t| t[2] == 200_000_000u64)
         .expect("T is half the time left at first");
     host.now += 200_000_000;
-    let out = host.batch(json!([["deadline_hit", "router_3", copy[3]]]));
+    let out = host.batch(&json!([["deadline_hit", "router_3", copy[3]]]));
     let second = named(&out, "deliver")[0][3].clone();
     assert_ne!(first, second);
     host.now += 10_000_000;
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "attempt_end",
         "router_3",
         ID,
@@ -151,7 +151,7 @@
         [3, 0.5]
     ]]));
     assert_eq!(out, vec![json!(["withdraw", "router_3", ID, 0])]);
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "attempt_end",
         "router_3",
         ID,
@@ -170,7 +170,7 @@
 #[test]
 fn an_unknown_outcome_may_have_run() {
     let mut host = enlisted();
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "inbound",
         "router_3",
         ID,
@@ -183,7 +183,7 @@
         4
     ]]));
     let to = named(&out, "deliver")[0][3].clone();
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "attempt_end",
         "router_3",
         ID,
@@ -202,11 +202,11 @@
 #[test]
 fn instances_share_nothing_and_a_stopped_one_starts_empty() {
     let mut host = enlisted();
-    host.batch(json!([
+    host.batch(&json!([
         ["stop", "router_3"],
         ["enlist", "router_3", 77, setup()]
     ]));
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "inbound",
         "router_3",
         ID,
@@ -222,12 +222,12 @@
         named(&out, "deliver").is_empty(),
         "no list was told since the start"
     );
-    host.batch(json!([
+    host.batch(&json!([
         ["enlist", "router_4", 1, setup()],
         ["peers_known", "router_4", "stale_copy", 1, nodes()]
     ]));
     let other = "5d3a91c4-7460-4fcd-ab45-d5130e6a9ced";
-    let out = host.batch(json!([[
+    let out = host.batch(&json!([[
         "inbound",
         "router_4",
         other,
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_end_the_run() {
+fn malformed_batches_are_reported_and_end_the_run() {
     let list = |lines: Value| json!([["peers_known", "router_3", "whole", 2, lines]]).to_string();
     let cases = [
         ("[1, 2".to_string(), "not valid"),
--- a/crates/testbed/src/chart/tests.rs
+++ b/crates/testbed/src/chart/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_table_names_median_and_worst_and_charts_are_drawn() {
+fn the_table_names_median_and_worst_and_charts_are_drawn() {
     let report = |seconds: f64, instances: u64| serde_json::json!({"scenario": "split", "instances": instances, "settled": {"healed": seconds, "join": 0.5}});
     let all = settled(&[
         report(1.0, 12),
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn sides_follow_the_ways_that_are_open_in_both_directions() {
+fn partitions_follow_the_links_that_are_open_both_ways() {
     let mut checker = InvariantChecker::default();
     assert_eq!(checker.sides(4), [0; 4]);
     checker.set_cut(1.0, 0, 1, true);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_clients_saw_is_held_against_what_was_done_to_their_balancer() {
+fn client_results_are_checked_against_the_injected_faults() {
     let one = |at, end, took, extra| ClientRequest {
         id: "1".into(),
         class: "tile-read",
--- a/crates/testbed/src/mutations/tests.rs
+++ b/crates/testbed/src/mutations/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_mistake_has_its_trial_and_each_trial_exists() {
+fn each_injected_fault_has_an_existing_trial() {
     for (fault, name) in InjectedFault::ALL {
         let trial = DETECTING_TRIALS
             .iter()
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_trials_in_virtual_time_pass() {
+fn the_simulation_trials_pass() {
     for (name, trial) in trials::ALL {
         assert_eq!(trial(1), Ok(()), "{name}");
     }
--- a/crates/testbed/src/network_emulation/datagram_proxy/tests.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_datagram_comes_from_the_address_at_the_switch_and_faults_hold_for_one_direction() {
+fn datagrams_come_from_the_proxy_address_and_faults_are_directional() {
     let (own, advertised, switch) = pair();
     let mut bytes = [0; 64];
     own[0].send_to(b"one", advertised[1]).unwrap();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn who_is_held_back_comes_behind() {
+fn reordered_datagrams_arrive_late() {
     let (own, advertised, switch) = pair();
     switch.link(0, 1).set(LinkFaults {
         reorder: 1.0,
--- a/crates/testbed/src/network_emulation/stream_proxy/tests.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy/tests.rs
@@ -4,7 +4,7 @@
 use crate::network_emulation::faults::LinkFaults;
 
 #[test]
-fn a_stream_passes_stands_still_while_cut_goes_on_and_is_reset() {
+fn a_stream_is_forwarded_stalled_by_a_cut_resumed_and_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let free = TcpListener::bind("127.0.0.1:0")
         .unwrap()
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_span_is_judged_by_worth_room_and_counters() {
+fn a_span_is_evaluated_by_weight_capacity_and_counters() {
     let samples: Vec<ClusterSample> = (0..=4).map(|s| sample(s as f64, 30 * s, 5 * s)).collect();
     let mut asked = Vec::new();
     for i in 0..40 {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn recovery_is_the_first_two_good_seconds_after_the_end() {
+fn recovery_is_the_first_two_good_seconds_after_the_disturbance() {
     let second = |at: u64, weight: f64| SecondMetrics {
         at,
         served_weight: weight,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn seconds_gather_what_clients_asked_and_caches_saw() {
+fn seconds_collect_client_requests_and_cache_counts() {
     let samples: Vec<ClusterSample> = (0..=2).map(|s| sample(s as f64, 30 * s, 0)).collect();
     let mut again = one(101.2, "tile-read", RequestEnd::Served, 0.1, 0);
     again.is_retry = true;
--- a/crates/testbed/src/scenario/tests.rs
+++ b/crates/testbed/src/scenario/tests.rs
@@ -5,7 +5,7 @@
 const GOOD: &str = "name='a'\nabout='b'\ninstances=8\n[[step]]\nat=4\ndo='cut'\nmembers='0,2-3'\nboth=true\nsettles='cut'\n[[step]]\nat=9.5\ndo='heal'\n";
 
 #[test]
-fn a_timeline_is_read_and_a_faulty_one_named() {
+fn a_scenario_is_parsed_and_a_faulty_one_rejected_by_name() {
     let scenario = read(GOOD).unwrap();
     assert_eq!(members(&scenario.steps[0].members, 8).unwrap(), [0, 2, 3]);
     assert_eq!(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn members_are_told_by_words_and_numbers() {
+fn member_sets_are_parsed_from_words_and_numbers() {
     assert_eq!(members("last-quarter", 12).unwrap(), [9, 10, 11]);
     assert_eq!(members("second-half", 5).unwrap(), [2, 3, 4]);
     assert_eq!(members("1,7-9", 8).unwrap(), [1, 7]);
--- a/crates/testbed/src/scenario_catalog/tests.rs
+++ b/crates/testbed/src/scenario_catalog/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_scenario_is_sound_and_bears_its_name() {
+fn each_scenario_is_valid_and_has_its_name() {
     for name in names() {
         assert_eq!(find(name).unwrap().name, name);
     }
--- a/crates/testbed/src/simulated_services/origin/tests.rs
+++ b/crates/testbed/src/simulated_services/origin/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn it_takes_so_many_at_a_time_and_fails_those_that_wait_in_vain() {
+fn slots_are_limited_and_waiting_requests_time_out() {
     let options = OriginOptions {
         slots: 1,
         service: Duration::from_millis(200),
--- a/crates/testbed/src/simulated_services/resp/tests.rs
+++ b/crates/testbed/src/simulated_services/resp/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn commands_and_answers_are_read_whole_and_faulty_ones_named() {
+fn commands_and_replies_are_parsed_and_malformed_ones_rejected() {
     let bytes = write_command(&[b"C.GET", b"a b", b""]);
     assert_eq!(
         command(&mut bytes.as_slice()).unwrap(),
--- a/crates/testbed/src/soak/rule_checker/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_request_must_get_its_answer_in_time_unless_the_trial_held_its_balancer_up_or_killed_it() {
+fn a_request_needs_its_answer_in_time_unless_its_balancer_was_stalled_or_killed() {
     let late = |ms: u64| RequestRecord {
         ended: 2 * S + (400 + ms) * MS,
         ..asked(RequestKind::Safe)
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn nothing_begins_for_who_has_closed_or_is_told_more_than_is_left() {
+fn no_attempt_begins_after_disconnect_or_with_more_than_the_remaining_time() {
     let left = || RequestRecord {
         closed: Some(2 * S),
         end: RequestEnd::Left,
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_as_its_class_permits() {
+fn attempts_that_may_have_run_are_repeated_only_as_their_class_permits() {
     let twice = |effect, after: Nanos| {
         found(
             asked(effect),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_cache_that_drains_gets_nothing_new_once_that_was_told_and_its_grace_is_over() {
+fn a_draining_cache_gets_nothing_new_after_notification_and_grace() {
     let drain = |written: Option<Nanos>, down: Option<TimeSpan>| {
         move |records: &mut Records| {
             let (version, at, caches) = (7, S, vec![0]);
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_cold_cache_bears_what_the_settings_allow_it_from_all_balancers_together() {
+fn a_cold_cache_gets_no_more_than_slow_start_allows_over_all_balancers() {
     let rules = rules();
     let most = rules.allowed(0.0) as usize;
     let cold = |records: &mut Records| {
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_process_must_not_end_by_itself_and_has_to_be_ready_in_time() {
+fn a_process_must_not_exit_by_itself_and_has_to_be_ready_in_time() {
     let life = |life: ProcessRecord| move |records: &mut Records| records.processes[0][0] = life;
     let crashed = ProcessRecord {
         ready: Some(1),
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_fit_is_the_line_of_least_squares_and_tells_what_lies_beside_it() {
+fn a_fit_is_the_least_squares_line_with_its_largest_deviation() {
     let line = fit(&[point(100.0, 21.0), point(200.0, 41.0), point(300.0, 61.0)]);
     assert!(
         (line.at_zero - 1.0).abs() < 1e-9
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_page_says_what_follows_from_the_plan_and_the_slopes() {
+fn the_capacity_page_follows_from_the_plan_and_the_slopes() {
     let plan = CapacityPlan::read(&docs().join("capacity/plan.toml")).unwrap();
     let slopes = Slopes::read(&docs().join("capacity/slopes.json")).unwrap();
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_faulty_plan_is_named() {
+fn a_faulty_plan_is_rejected_by_name() {
     let text = std::fs::read_to_string(docs().join("capacity/plan.toml")).unwrap();
     let path = std::env::temp_dir().join(format!("pipitrun-plan-{}.toml", std::process::id()));
     let cases = [
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -44,34 +44,34 @@
 }
 
 #[test]
-fn all_that_start_at_once_see_each_other() {
+fn simultaneous_starts_converge_to_one_view() {
     trial("join");
 }
 
 #[test]
-fn deaths_are_known_to_all_and_the_dead_come_back_under_their_names() {
+fn deaths_are_detected_and_restarted_members_rejoin_under_their_names() {
     let report = trial("kill-quarter");
     assert!(report.settled.contains_key("death known") && report.settled.contains_key("back"));
 }
 
 #[test]
-fn who_stood_still_accuses_nobody_and_is_taken_back() {
+fn a_stalled_member_suspects_nobody_and_rejoins() {
     assert!(trial("stall").settled.contains_key("back"));
 }
 
 #[test]
-fn a_split_is_no_mass_death_and_heals_by_itself() {
+fn a_partition_is_no_mass_death_and_heals_by_itself() {
     let report = trial("split");
     assert!(report.settled.contains_key("healed") && report.max_share_sum <= 1.5);
 }
 
 #[test]
-fn ways_that_are_cut_in_one_direction_make_nobody_dead() {
+fn one_way_link_failures_declare_nobody_dead() {
     assert_eq!(trial("one-way").false_deaths, 0);
 }
 
 #[test]
-fn restarts_in_a_row_are_told_and_not_detected() {
+fn a_rolling_restart_is_announced_rather_than_detected() {
     let report = trial("rolling");
     assert_eq!(report.false_deaths, 0);
 }
@@ -79,7 +79,7 @@
 /// Without the key nothing differs: no socket, no descriptor more than that one, no path at the
 /// operators' door.
 #[test]
-fn without_the_key_there_is_no_socket_and_no_path() {
+fn without_the_fleet_key_there_is_no_socket_and_no_admin_path() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -117,7 +117,7 @@
 /// All that a member is told to ask is dead: it serves alone, divides by the settings' figure, and
 /// meets whoever comes.
 #[test]
-fn with_all_join_addresses_dead_it_serves_alone_and_is_found_later() {
+fn with_all_join_addresses_down_a_member_serves_alone_and_joins_later() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -150,7 +150,7 @@
 
 /// Two processes under one name at two addresses are two members; it is said once and both count.
 #[test]
-fn two_of_one_name_both_count_and_are_named() {
+fn two_members_of_one_name_both_count_and_are_reported() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -181,7 +181,7 @@
 /// Two regions of two: each member sees its own region's members and the other's summary, and
 /// divides by all; a death is told to the other region by its summary.
 #[test]
-fn balancers_in_two_regions_see_the_other_as_a_summary() {
+fn balancers_in_two_regions_see_each_other_as_summaries() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -236,7 +236,7 @@
 /// Hollow members over real sockets meet, and nothing of them is left behind, also where a run is
 /// interrupted.
 #[test]
-fn hollow_members_meet_and_leave_nothing_behind() {
+fn hollow_members_converge_and_clean_up() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_run_of_hollow_members_that_does_not_fit_the_machine_is_refused() {
+fn a_hollow_run_that_exceeds_the_machine_is_rejected() {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(["hollow", "--members", "200000", "--processes", "300"]);
     let output = command.output().unwrap();
@@ -307,7 +307,7 @@
 
 /// Ctrl-C in the middle of a trial: no process and no file of it is left.
 #[test]
-fn an_interrupted_trial_leaves_nothing_behind() {
+fn an_interrupted_trial_cleans_up() {
     let _one = ONE
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_overload_is_shed_by_all_alike_through_a_split_and_ends_with_its_cause() {
+fn members_shed_an_overload_alike_through_a_partition_until_it_ends() {
     let _one = one();
     let mut cluster = cluster(true);
     cluster.request_rate.set(STORM);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn who_starts_or_wakes_in_the_overload_goes_by_the_level_of_the_others() {
+fn members_that_start_or_resume_in_an_overload_adopt_the_shedding_level() {
     let _one = one();
     let mut cluster = cluster(true);
     cluster.request_rate.set(STORM);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn without_the_key_no_level_is_agreed_on() {
+fn without_the_key_members_agree_on_no_shedding_level() {
     let _one = one();
     let mut cluster = cluster(false);
     cluster.request_rate.set(STORM);
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn regions_meet_and_all_members_name_the_same_delegates_and_divide_by_all() {
+fn regions_converge_on_the_same_delegates_and_share_count() {
     let mut fleet = settled_regions(&[20, 12, 5], 1);
     fleet.advance_to(fleet.now + 20 * S);
     for region in 0..3 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_death_of_all_delegates_at_once_is_survived() {
+fn simultaneous_death_of_all_delegates_is_survived() {
     for seed in 0..3 {
         let mut fleet = settled_regions(&[30, 12, 12], seed);
         let dead = delegates(&fleet, 0);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_region_that_is_cut_off_for_minutes_keeps_its_places_and_heals() {
+fn a_region_isolated_for_minutes_keeps_its_places_and_heals() {
     for seed in 0..3 {
         let mut fleet = settled_regions(&[30, 12, 12], seed);
         fleet.advance_to(fleet.now + 20 * S);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_region_in_two_halves_is_told_as_one_and_its_places_are_not_counted_twice() {
+fn a_partitioned_region_is_announced_as_one_and_its_places_count_once() {
     for seed in 0..3 {
         let mut fleet = settled_regions(&[24, 12, 12], seed);
         fleet.advance_to(fleet.now + 20 * S);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_rack_and_a_zone_die_and_return() {
+fn loss_and_return_of_a_rack_and_a_zone() {
     let mut fleet = settled_regions(&[60, 12, 12], 2);
     for lost in [20..40, 30..60] {
         lost.clone().for_each(|n| fleet.kill(n));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_member_that_comes_back_under_another_region_is_counted_there_alone() {
+fn a_member_that_returns_in_another_region_counts_only_there() {
     let mut fleet = settled_regions(&[20, 12], 3);
     fleet.advance_to(fleet.now + 20 * S);
     fleet.kill(7);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn members_that_are_told_addresses_in_another_region_only_find_their_own() {
+fn members_with_join_addresses_in_another_region_are_referred_to_their_own() {
     for seed in 0..4 {
         trials::referral(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_large_region_beside_a_small_one_settles() {
+fn a_large_region_beside_a_small_one_converges() {
     let mut fleet = settled_regions(&[150, 4], 5);
     fleet.kill(151);
     fleet
@@ -260,14 +260,14 @@
 
 /// The bound that `regions::count` states, through splits of regions and within one.
 #[test]
-fn the_sum_of_shares_keeps_its_bound_through_splits_of_regions_and_within_one() {
+fn sum_of_shares_stays_bounded_through_partitions_between_and_within_regions() {
     for seed in 0..20 {
         trials::split(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
 #[test]
-fn nobody_is_taken_for_dead_in_a_minute_of_calm_with_far_regions_and_loss_between_them() {
+fn no_false_deaths_with_distant_regions_and_loss_between_them() {
     let mut fleet = settled_regions(&[40, 20, 20], 6);
     fleet.between_regions = Some(NetworkConditions {
         loss: 0.01,
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn announcements_that_lie_are_bounded_dropped_and_counted() {
+fn unsound_announcements_are_dropped_and_counted() {
     let mut fleet = settled_regions(&[12, 6], 7);
     fleet.advance_to(fleet.now + 20 * S);
     let delegate = delegates(&fleet, 0)[0];
@@ -373,7 +373,7 @@
 /// What a member holds and sends follows its region and the number of regions, not the size of the
 /// fleet.
 #[test]
-fn entries_datagrams_and_bytes_a_member_do_not_grow_with_the_fleet() {
+fn cost_of_a_member_does_not_grow_with_the_fleet() {
     let plan = |members, regions| RegionPlan {
         members,
         regions,
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn with_a_fifth_lost_nobody_is_given_up_in_ten_minutes() {
+fn no_false_deaths_in_ten_minutes_with_a_fifth_of_datagrams_lost() {
     let mut fleet = settled(12, 1, LOSSY);
     fleet.advance_to(fleet.now + 600 * S);
     assert_eq!(fleet.false_deaths(), 0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_death_is_known_to_all_in_time_and_so_is_a_return() {
+fn deaths_and_returns_are_known_to_all_in_time() {
     for seed in 0..5 {
         let mut fleet = settled(40, seed, NetworkConditions::default());
         (30..40).for_each(|n| fleet.kill(n));
@@ -58,7 +58,7 @@
 /// A rumour dies out now and then before it has reached all of so many: who is missed is found by
 /// comparing lists.
 #[test]
-fn many_that_return_at_once_to_a_hundred_are_known_to_all_soon() {
+fn simultaneous_returns_to_a_fleet_of_a_hundred_are_known_to_all_soon() {
     for seed in 1..4 {
         let mut fleet = settled(100, seed, NetworkConditions::default());
         (90..100).for_each(|n| fleet.kill(n));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_split_settles_on_both_sides_and_heals_and_shares_keep_their_sum() {
+fn a_partition_converges_on_both_sides_and_heals_with_bounded_shares() {
     for seed in 0..5 {
         let mut fleet = settled(12, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 5);
@@ -112,7 +112,7 @@
 
 /// In a large fleet some are told of by the other side before they have returned under a new life.
 #[test]
-fn what_one_side_of_a_split_held_of_the_other_kills_nobody_when_it_heals() {
+fn stale_records_of_a_partition_kill_nobody_when_it_heals() {
     for seed in 0..2 {
         let mut fleet = settled(40, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 19);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn who_is_cut_off_from_all_accuses_nobody_and_who_cannot_hear_is_taken_back() {
+fn isolated_members_suspect_nobody_and_deaf_members_rejoin() {
     let mut fleet = settled(8, 3, NetworkConditions::default());
     // It is heard by all and hears nobody.
     (1..8).for_each(|n| fleet.cut(n, 0, true));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_stall_is_seen_and_accuses_nobody() {
+fn a_stalled_member_is_suspected_and_suspects_nobody() {
     for seed in 0..5 {
         let mut fleet = settled(12, seed, NetworkConditions::default());
         fleet.stall(4, 10 * S);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_restart_is_not_taken_for_the_older_self_though_the_clock_was_set_back() {
+fn a_restart_is_a_new_generation_although_the_clock_was_set_back() {
     let mut fleet = settled(6, 1, NetworkConditions::default());
     for clock in [-3_600_000, 0, 5_000] {
         let before = fleet.member(2).unwrap().id().generation;
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_leave_is_told_and_gives_its_place_up_at_once() {
+fn a_leave_is_announced_and_frees_its_place_at_once() {
     let mut fleet = settled(10, 1, NetworkConditions::default());
     fleet.leave(9);
     fleet
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn more_members_than_are_held_are_turned_away_and_bounded() {
+fn members_beyond_the_limit_are_rejected_and_counted() {
     let mut fleet = SimulatedFleet::new(60, 3, 1);
     fleet.set_members_max(10);
     fleet.start_all();
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn torn_random_foreign_and_replayed_datagrams_are_counted_and_change_nothing() {
+fn malformed_foreign_and_replayed_datagrams_are_counted_and_change_nothing() {
     let mut fleet = settled(6, 1, NetworkConditions::default());
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let (before, seen) = (fleet.statistics(0), fleet.view(0).members.len());
@@ -294,7 +294,7 @@
 /// Old datagrams come again, of lives that have ended and of suspicions long refuted: nobody
 /// believes them for good.
 #[test]
-fn replayed_datagrams_bring_nobody_back_and_kill_nobody() {
+fn replayed_datagrams_neither_revive_nor_kill_members() {
     let mut fleet = settled(6, 1, LOSSY);
     fleet.kill(5);
     fleet.advance_to(fleet.now + 10 * S);
