--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -89,7 +89,7 @@
     pub cache_connections: f64,
 }
 
-/// The plan, as its file tells it.
+/// The plan, as it stands in its file.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityPlan {
--- a/crates/testbed/src/capacity/rows/balancers.rs
+++ b/crates/testbed/src/capacity/rows/balancers.rs
@@ -4,23 +4,51 @@
 use crate::capacity::{CapacityRow, MechanismState};
 use crate::slopes::UnknownSlope;
 
+/// The figures of a row of the control plane.
+struct Figures {
+    today: Option<f64>,
+    plan: f64,
+    worst: f64,
+    budget: f64,
+}
+
+fn control_row(what: &str, figures: &Figures, source: String) -> CapacityRow {
+    CapacityRow {
+        role: "control",
+        what: what.into(),
+        today: figures.today,
+        plan: figures.plan,
+        worst: figures.worst,
+        budget: Some(figures.budget),
+        source,
+        mechanism: "a view in two levels",
+        state: MechanismState::Built,
+    }
+}
+
 impl Context<'_> {
     pub(super) fn data_path(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
-        let (today, plan) = (self.plan.today, self.plan.plan);
-        let role = "data path";
         // A zone of the largest region is gone: its other half takes all of that region's requests.
         let doubled = Derived {
             requests: 2.0 * self.planned.requests,
-            ..Derived::new(plan)
+            ..Derived::new(self.plan.plan)
         };
-        let regional = plan.caches / plan.regions;
+        let mut rows = self.decisions(&doubled)?;
+        rows.extend(self.handshakes(&doubled));
+        Ok(rows)
+    }
+
+    /// What decisions cost a balancer.
+    fn decisions(&self, doubled: &Derived) -> Result<Vec<CapacityRow>, UnknownSlope> {
+        let (today, plan) = (self.plan.today, self.plan.plan);
+        let role = "data path";
         Ok(vec![
             CapacityRow {
                 role,
                 what: "decisions, % of a core".into(),
                 today: Some(self.core_of_decisions(&self.today)?),
                 plan: self.core_of_decisions(&self.planned)?,
-                worst: self.core_of_decisions(&doubled)?,
+                worst: self.core_of_decisions(doubled)?,
                 budget: None,
                 source: self.source("decision_request", plan.caches)?,
                 mechanism: "table of candidates mended in place",
@@ -48,6 +76,15 @@
                 mechanism: "table of candidates mended in place",
                 state: MechanismState::Built,
             },
+        ])
+    }
+
+    /// Handshakes of a balancer with caches.
+    fn handshakes(&self, doubled: &Derived) -> Vec<CapacityRow> {
+        let (today, plan) = (self.plan.today, self.plan.plan);
+        let role = "data path";
+        let regional = plan.caches / plan.regions;
+        vec![
             CapacityRow {
                 role,
                 what: "handshakes with caches, a second, all caches seen".into(),
@@ -74,95 +111,109 @@
                 mechanism: "a list of its region's caches alone, by discovery",
                 state: MechanismState::Part,
             },
-        ])
+        ]
     }
 
     pub(super) fn control(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
-        let (today, plan, budget) = (
-            self.plan.today.balancers,
-            self.plan.plan.balancers,
-            self.plan.budget,
-        );
-        let role = "control";
-        let levels = "a view in two levels";
-        let row = |what: &str, today, plan, worst, budget, source| CapacityRow {
-            role,
-            what: what.into(),
-            today,
-            plan,
-            worst,
-            budget: Some(budget),
-            source,
-            mechanism: levels,
-            state: MechanismState::Built,
-        };
+        let mut rows = self.control_costs()?;
+        rows.extend(self.control_times()?);
+        Ok(rows)
+    }
+
+    /// What membership costs a balancer.
+    fn control_costs(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
+        let (today, plan) = (self.plan.today.balancers, self.plan.plan.balancers);
+        let budget = self.plan.budget;
         let memory = |kb: f64| kb / 1e3;
         Ok(vec![
-            row(
+            control_row(
                 "processor time with sockets, % of a core",
-                Some(self.at("one_region_cpu", today)?),
-                self.at("hollow_cpu", plan)?,
-                self.at("hollow_cpu", plan)? + self.at("zone_cpu_mean", plan)?,
-                budget.control_core_percent,
+                &Figures {
+                    today: Some(self.at("one_region_cpu", today)?),
+                    plan: self.at("hollow_cpu", plan)?,
+                    worst: self.at("hollow_cpu", plan)? + self.at("zone_cpu_mean", plan)?,
+                    budget: budget.control_core_percent,
+                },
                 format!("{}, `zone_cpu_mean`", self.source("hollow_cpu", plan)?),
             ),
-            row(
+            control_row(
                 "memory, MB",
-                None,
-                memory(self.at("regions_memory", plan)?),
-                memory(self.at("regions_memory", plan)?),
-                budget.control_memory_mb,
+                &Figures {
+                    today: None,
+                    plan: memory(self.at("regions_memory", plan)?),
+                    worst: memory(self.at("regions_memory", plan)?),
+                    budget: budget.control_memory_mb,
+                },
                 self.source("regions_memory", plan)?,
             ),
-            row(
+            control_row(
                 "bytes sent, a second; worst: who sends most, ten seconds from a zone's loss",
-                Some(self.at("one_region_bytes", today)?),
-                self.at("regions_bytes", plan)?,
-                self.at("zone_bytes", plan)?,
-                budget.control_bytes_per_s,
+                &Figures {
+                    today: Some(self.at("one_region_bytes", today)?),
+                    plan: self.at("regions_bytes", plan)?,
+                    worst: self.at("zone_bytes", plan)?,
+                    budget: budget.control_bytes_per_s,
+                },
                 format!("{}, `zone_bytes`", self.source("regions_bytes", plan)?),
             ),
             CapacityRow {
                 state: MechanismState::Part,
-                ..row(
+                ..control_row(
                     "bytes sent, a second, by who returns, in its first ten seconds",
-                    None,
-                    self.at("returning_bytes", plan)?,
-                    self.at("returning_bytes", plan)?,
-                    budget.control_bytes_per_s,
+                    &Figures {
+                        today: None,
+                        plan: self.at("returning_bytes", plan)?,
+                        worst: self.at("returning_bytes", plan)?,
+                        budget: budget.control_bytes_per_s,
+                    },
                     self.source("returning_bytes", plan)?,
                 )
             },
-            row(
+            control_row(
                 "bytes sent, a second, a tenth of all datagrams lost",
-                None,
-                self.at("regions_lossy_bytes", plan)?,
-                self.at("regions_lossy_bytes", plan)?,
-                budget.control_bytes_per_s,
+                &Figures {
+                    today: None,
+                    plan: self.at("regions_lossy_bytes", plan)?,
+                    worst: self.at("regions_lossy_bytes", plan)?,
+                    budget: budget.control_bytes_per_s,
+                },
                 self.source("regions_lossy_bytes", plan)?,
             ),
-            row(
+        ])
+    }
+
+    /// How long changes take until they are known.
+    fn control_times(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
+        let (plan, budget) = (self.plan.plan.balancers, self.plan.budget);
+        Ok(vec![
+            control_row(
                 "a death known in its region, s",
-                None,
-                self.at("death_region", plan)?,
-                self.at("death_region", plan)?,
-                budget.death_in_region_s,
+                &Figures {
+                    today: None,
+                    plan: self.at("death_region", plan)?,
+                    worst: self.at("death_region", plan)?,
+                    budget: budget.death_in_region_s,
+                },
                 self.source("death_region", plan)?,
             ),
-            row(
+            control_row(
                 "a death's change of the summary known everywhere, s; worst: a zone's loss",
-                None,
-                self.at("death_settled", plan)?,
-                self.at("zone_settled", plan)?,
-                budget.summary_everywhere_s,
+                &Figures {
+                    today: None,
+                    plan: self.at("death_settled", plan)?,
+                    worst: self.at("zone_settled", plan)?,
+                    budget: budget.summary_everywhere_s,
+                },
                 format!("{}, `zone_settled`", self.source("death_settled", plan)?),
             ),
-            row(
+            control_row(
                 "a region heard again, all views true, s",
-                None,
-                self.at("healed_settled", plan)?,
-                self.at("healed_settled", plan)?,
-                budget.healed_s,
+                &Figures {
+                    today: None,
+                    plan: self.at("healed_settled", plan)?,
+                    worst: self.at("healed_settled", plan)?,
+                    budget: budget.healed_s,
+                },
                 self.source("healed_settled", plan)?,
             ),
         ])
--- a/crates/testbed/src/capacity/rows/caches.rs
+++ b/crates/testbed/src/capacity/rows/caches.rs
@@ -3,62 +3,64 @@
 use super::{Context, Derived, IDLE_CONNECTIONS, IDLE_LEAST_S};
 use crate::capacity::{CapacityRow, MechanismState};
 
+fn purge_row(what: &str, plan: f64, worst: f64, budget: Option<f64>, source: &str) -> CapacityRow {
+    CapacityRow {
+        role: "purges",
+        what: what.into(),
+        today: None,
+        plan,
+        worst,
+        budget,
+        source: source.into(),
+        mechanism: "a numbered stream of purges a region, gaps asked for again",
+        state: MechanismState::Missing,
+    }
+}
+
 impl Context<'_> {
     pub(super) fn purges(&self) -> Vec<CapacityRow> {
         let (plan, demand, assumed) = (self.plan.plan, self.plan.demand, self.plan.assumed);
-        let role = "purges";
         let to_all = demand.purges_per_s * plan.caches;
         let to_replicas = demand.purges_per_s * demand.replicas_a_region * plan.regions;
         let backlog = demand.purges_per_s * demand.region_cut_minutes * 60.0;
         let calls = self.plan.budget.control_machines * assumed.machine_calls_per_s;
-        let missing = |what: &str, plan: f64, worst: f64, budget, source: &str| CapacityRow {
-            role,
-            what: what.into(),
-            today: None,
-            plan,
-            worst,
-            budget,
-            source: source.into(),
-            mechanism: "a numbered stream of purges a region, gaps asked for again",
-            state: MechanismState::Missing,
-        };
         vec![
-            missing(
+            purge_row(
                 "deliveries a second to all caches; worst: a tenth lost and sent again",
                 to_all,
                 to_all / 0.9,
                 Some(calls),
                 "plan; assumed: calls that a machine answers",
             ),
-            missing(
+            purge_row(
                 "deliveries a second to the replicas of each region",
                 to_replicas,
                 to_replicas / 0.9,
                 Some(calls),
                 "plan; assumed: calls that a machine answers",
             ),
-            missing(
+            purge_row(
                 "bytes a second at one balancer, if all purges pass through each",
                 demand.purges_per_s * assumed.purge_bytes,
                 demand.purges_per_s * assumed.purge_bytes / 0.9,
                 Some(self.plan.budget.control_bytes_per_s),
                 "plan; assumed: bytes of a purge",
             ),
-            missing(
+            purge_row(
                 "purges that a region cut off has missed when it is back",
                 0.0,
                 backlog,
                 None,
                 "plan",
             ),
-            missing(
+            purge_row(
                 "a second to catch up within the purge's time, at one region",
                 demand.purges_per_s,
                 backlog / demand.purge_within_s,
                 Some(assumed.machine_calls_per_s),
                 "plan; assumed: calls that a machine answers",
             ),
-            missing(
+            purge_row(
                 "a region back: until its purges are done, s of staleness",
                 demand.purge_within_s,
                 demand.region_cut_minutes * 60.0,
--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,5 +1,10 @@
-//! The trial ground: N real processes of the built program with stand-ins round them and faults
-//! between them. All of it ends with the [`Cluster`], also in a panic.
+//! A cluster: real processes of the built program with simulated services round them and emulated
+//! networks between them. All of it ends with the [`Cluster`], also in a panic.
+
+mod loopback_network;
+mod setup;
+
+pub(crate) use loopback_network::LoopbackNetwork;
 
 use crate::error::TestbedError;
 use crate::member_process::{MemberProcess, MemberSpec, MemberView};
@@ -12,11 +17,9 @@
 use crate::simulated_services::clients::{ClientOptions, Clients, RequestRate};
 use crate::simulated_services::discovery::{Discovery, EndpointList, ListedHost};
 use crate::simulated_services::origin::{Origin, OriginOptions};
-use std::collections::HashMap;
-use std::io;
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use setup::{fleet_key, make_folder, member_seed, start_caches, start_discovery, start_proxies};
+use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
 /// The most instances and caches: one loopback network has room for so many.
@@ -25,10 +28,8 @@
 pub const CACHES_MAX: usize = 40;
 /// Where a member finds discovery.
 const DISCOVERY_PORT: u16 = 8_500;
-/// The first of a member's stream proxies.
-const PROXY_PORT: u16 = 7_100;
 
-/// What is put on the ground.
+/// What a cluster consists of.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
     /// Processes of the program.
@@ -47,7 +48,7 @@
     pub rate_most: f64,
     /// The key `fleet` is set.
     pub fleet: bool,
-    /// Of how many members each is told as join addresses.
+    /// How many members are join addresses.
     pub joins: usize,
     /// Members are of so many fleets, in turn.
     pub fleets: usize,
@@ -59,14 +60,14 @@
     pub program: Option<PathBuf>,
     /// Further keys of `fleet`, as JSON.
     pub fleet_keys: serde_json::Map<String, serde_json::Value>,
-    /// A mistake that is planted in each process, where the program was built with them.
+    /// A fault that is injected into each process, where the program was built for it.
     pub planted: Option<String>,
     /// Where the members' log lines are written, in the order in which they came.
     pub logs: Option<PathBuf>,
 }
 
 impl ClusterPlan {
-    /// What a scenario puts on the ground.
+    /// The cluster of a scenario.
     pub fn of(scenario: &Scenario) -> Self {
         ClusterPlan {
             instances: scenario.instances,
@@ -111,43 +112,7 @@
     }
 }
 
-/// A loopback network that no other trial on this machine uses while this lives: 127.A.B.0/24.
-pub(crate) struct LoopbackNetwork {
-    a: u8,
-    b: u8,
-    _lock: TcpListener,
-}
-
-impl LoopbackNetwork {
-    pub(crate) fn take() -> io::Result<Self> {
-        static TAKEN: AtomicU32 = AtomicU32::new(0);
-        let begin = std::process::id()
-            .wrapping_mul(7)
-            .wrapping_add(TAKEN.fetch_add(1, Ordering::Relaxed));
-        for step in 0..1_000 {
-            let n = begin.wrapping_add(step * 131);
-            let (a, b) = (64 + (n >> 8) as u8 % 128, n as u8);
-            if let Ok(lock) = TcpListener::bind((Ipv4Addr::new(127, a, b, 254), 1_999)) {
-                return Ok(LoopbackNetwork { a, b, _lock: lock });
-            }
-        }
-        Err(io::Error::other("no loopback network is free"))
-    }
-
-    fn at(&self, last: usize, port: u16) -> SocketAddr {
-        SocketAddr::from(([127, self.a, self.b, last as u8], port))
-    }
-
-    pub(crate) fn member(&self, n: usize, port: u16) -> SocketAddr {
-        self.at(n + 1, port)
-    }
-
-    fn cache(&self, n: usize) -> SocketAddr {
-        self.at(200 + n, 7_000)
-    }
-}
-
-/// The ground with all on it.
+/// A cluster; all of it ends when it is dropped.
 pub struct Cluster {
     /// What was put on it.
     pub plan: ClusterPlan,
@@ -157,7 +122,7 @@
     pub members: Vec<MemberProcess>,
     /// The caches; `None` while one is down.
     pub caches: Vec<Option<Cache>>,
-    /// The list that discovery tells.
+    /// The list that discovery serves.
     pub endpoint_list: EndpointList,
     /// The origin, if there is one.
     pub origin: Option<Origin>,
@@ -196,96 +161,6 @@
     format!("c-{n}")
 }
 
-/// Starts all caches and lists them.
-fn start_caches(
-    plan: &ClusterPlan,
-    network: &LoopbackNetwork,
-    list: &EndpointList,
-    origin: Option<&Origin>,
-) -> Result<Vec<Option<Cache>>, TestbedError> {
-    let mut caches = Vec::new();
-    for n in 0..plan.caches {
-        let cache = Cache::start(
-            &cache_name(n),
-            network.cache(n),
-            plan.cache,
-            origin.cloned(),
-        );
-        caches.push(Some(cache.map_err(|e| TestbedError::io("cache", e))?));
-        list.put(
-            &cache_name(n),
-            ListedHost {
-                health: "in_service",
-                born_ms: 0,
-            },
-        );
-    }
-    Ok(caches)
-}
-
-fn member_seed(plan: &ClusterPlan, member: usize) -> u64 {
-    plan.seed.wrapping_mul(100_003).wrapping_add(member as u64)
-}
-
-/// Where a member connects to reach a cache.
-fn proxy_address(network: &LoopbackNetwork, member: usize, cache: usize) -> SocketAddr {
-    network.member(member, PROXY_PORT + cache as u16)
-}
-
-/// Starts a member's stream proxies, one before each cache.
-fn start_proxies(
-    plan: &ClusterPlan,
-    network: &LoopbackNetwork,
-    member: usize,
-) -> Result<Vec<StreamProxy>, TestbedError> {
-    let seed = member_seed(plan, member);
-    (0..plan.caches)
-        .map(|cache| {
-            let listen = proxy_address(network, member, cache);
-            StreamProxy::start(listen, network.cache(cache), seed + cache as u64)
-                .map_err(|e| TestbedError::io("stream proxy", e))
-        })
-        .collect()
-}
-
-/// Starts a member's discovery, which names its stream proxies as the caches' addresses.
-fn start_discovery(
-    plan: &ClusterPlan,
-    network: &LoopbackNetwork,
-    member: usize,
-    list: &EndpointList,
-) -> Result<Discovery, TestbedError> {
-    let addresses: HashMap<String, SocketAddr> = (0..plan.caches)
-        .map(|cache| (cache_name(cache), proxy_address(network, member, cache)))
-        .collect();
-    let dial = move |name: &str| addresses.get(name).copied();
-    Discovery::start(network.member(member, DISCOVERY_PORT), list.clone(), dial)
-        .map_err(|e| TestbedError::io("discovery", e))
-}
-
-/// A member's key `fleet`, if the plan has it.
-fn fleet_key(
-    plan: &ClusterPlan,
-    member: usize,
-    bind: SocketAddr,
-    advertised: &[SocketAddr],
-) -> Option<serde_json::Value> {
-    if !plan.fleet {
-        return None;
-    }
-    let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
-    let mut fleet = serde_json::json!({
-        "name": format!("trial-{}", member % plan.fleets.max(1)),
-        "bind": bind,
-        "advertise": advertised[member],
-        "join": join,
-    });
-    if let Some(object) = fleet.as_object_mut() {
-        object.extend(plan.fleet_keys.clone());
-    }
-    Some(fleet)
-}
-
 impl Cluster {
     /// Lays it out; no process runs yet.
     ///
@@ -304,13 +179,7 @@
         let program = process::find_program(plan.program.as_deref())?;
         let network =
             LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
-        let folder = std::env::temp_dir().join(format!(
-            "pipitrun-trial-{}-{}-{}",
-            std::process::id(),
-            network.a,
-            network.b
-        ));
-        std::fs::create_dir_all(&folder).map_err(|e| TestbedError::file(&folder, e))?;
+        let folder = make_folder(&network)?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
         let own: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
@@ -386,7 +255,7 @@
         }
     }
 
-    /// Ends the clients; what each asked, and how it went.
+    /// Stops the clients and returns all requests.
     pub fn stop_clients(&mut self) -> Vec<crate::simulated_services::clients::ClientRequest> {
         self.clients.take().map(Clients::stop).unwrap_or_default()
     }
@@ -469,7 +338,7 @@
         sum
     }
 
-    /// The members' counters, summed over all their lives. Those that are asked now answer by the
+    /// The members' counters, summed over all their processes. Those that print now are read by the
     /// next call.
     #[must_use]
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -27,7 +27,7 @@
 /// A cache goes, and as long after it another comes.
 const CHANGE_EVERY: Nanos = S;
 const PATIENCE: Nanos = 1_000 * MS;
-/// After so long nearly all slots have been asked for.
+/// After so long nearly all slots have been requested.
 const WARM_UP: Nanos = 300 * S;
 
 /// What one number of caches costs.
@@ -42,7 +42,7 @@
     pub first_request_us: f64,
     /// A message by which one cache goes or comes, in milliseconds.
     pub change_ms: f64,
-    /// A message with the whole list, in milliseconds.
+    /// A full endpoint list, in milliseconds.
     #[serde(rename = "whole_list_ms")]
     pub full_list_ms: f64,
     /// One round of housekeeping, ten a second, in milliseconds.
@@ -104,7 +104,7 @@
         }],
         tenants: Vec::new(),
         over_quota_weight: 0.0,
-        // So few that no request waits for room: that would be counted too.
+        // So few that no request is queued: that would be counted too.
         balancers: 3,
         origin: OriginMode::ReadThrough,
         discovery: DiscoveryMode::Push,
@@ -256,7 +256,7 @@
         );
     }
 
-    /// The list is told whole again.
+    /// Sends a full endpoint list.
     fn send_full_list(&mut self, now: Nanos) {
         let entries = self
             .caches
@@ -283,8 +283,8 @@
                 }
                 DueEvent::Change => self.change(now),
                 DueEvent::Timer(token) => {
-                    // A deadline or a copy that is no longer wanted costs next to nothing; the rest
-                    // is housekeeping.
+                    // A deadline or a hedge that is no longer wanted costs next to nothing; the
+                    // rest is housekeeping.
                     let account = if self.is_housekeeping(now) {
                         CostAccount::Housekeeping
                     } else {
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -2,7 +2,7 @@
 //! data path, for sizes at which whole balancers don't fit on a machine.
 //!
 //! The parent ([`run`]) lays the fleet out, starts processes that run a share of the members each
-//! ([`members`]), tells them what happens, and holds what they report against what is true. A
+//! ([`members`]), sends them what happens, and compares what they report with what is true. A
 //! process ends when its standard input ends, so that nothing stays behind whatever becomes of the
 //! parent.
 
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -19,7 +19,7 @@
 
 /// Datagrams read of one socket in a turn.
 const READ_MAX: usize = 64;
-/// Sockets that are told of in one turn.
+/// Ready sockets that are handled in one turn.
 const EVENTS_MAX: usize = 256;
 /// The most that a turn waits for sockets, in milliseconds.
 const WAIT_MAX_MS: u64 = 50;
--- a/crates/testbed/src/hollow/messages.rs
+++ b/crates/testbed/src/hollow/messages.rs
@@ -1,14 +1,14 @@
-//! What the parent and the processes of hollow members tell each other, a line of JSON each.
+//! Messages between the parent and the processes of hollow members, a line of JSON each.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The parent tells a process.
+/// From the parent to a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum MemberCommand {
     /// These members start, as far as they are of this process.
     Start(Vec<usize>),
-    /// These end without a word.
+    /// These are killed.
     Kill(Vec<usize>),
     /// Nothing passes between this region and the others; `None`: all passes.
     Cut(Option<usize>),
@@ -21,7 +21,7 @@
     },
 }
 
-/// A process tells the parent, some times a second; counts are since its start.
+/// From a process to the parent, some times a second; counts are since its start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct MemberReport {
     /// What the views were held against.
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The referee: what the trial did is what is true; what members, clients and caches saw is held
-//! against it.
+//! Invariants of a cluster: what the trial did is what is true; what members, clients and caches
+//! saw is held against it.
 
 use crate::cluster::Cluster;
 use crate::member_process::{IntendedState, MemberView};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Failures that are told in full; the others are counted.
+/// Violations that are kept in full; the others are counted.
 const TOLD_MAX: usize = 50;
 /// A member that stood still says so itself; whatever the machine made of it, nothing near it is
 /// held against anybody.
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a call of the operators' door may take; a stalled process answers none.
+/// Timeout of a call to the admin listener; a stalled process answers none.
 const CALL: Duration = Duration::from_millis(1_000);
 /// The most log lines that are kept of one member.
 const LINES_MAX: usize = 100_000;
@@ -23,13 +23,13 @@
 pub struct MemberSpec {
     /// Its name.
     pub name: String,
-    /// What is started.
+    /// The program.
     pub program: PathBuf,
     /// Where its configuration is written.
     pub folder: PathBuf,
     /// Where its clients connect.
     pub listen: SocketAddr,
-    /// Where the operators call.
+    /// The address of its admin listener.
     pub admin: SocketAddr,
     /// Where it finds discovery.
     pub discovery: SocketAddr,
@@ -41,7 +41,7 @@
     pub group_size: usize,
     /// For its random numbers.
     pub seed: u64,
-    /// A planted mistake.
+    /// An injected fault.
     pub planted: Option<String>,
 }
 
@@ -54,19 +54,19 @@
     pub text: String,
 }
 
-/// What the operators' door shows of the fleet.
+/// What `/admin/fleet` shows.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MemberView {
     /// Its own name.
     pub name: String,
-    /// Its life.
+    /// Its generation.
     pub generation: u64,
     /// By how many shares are divided.
     #[serde(rename = "shared_by")]
     pub share_count: usize,
     /// Those who are there.
     pub living: usize,
-    /// It hears nobody.
+    /// It hears no other member.
     #[serde(rename = "cut_off")]
     pub isolated: bool,
     /// The level that load is shed by.
@@ -84,7 +84,7 @@
     pub name: String,
     /// Where it is reached.
     pub address: SocketAddr,
-    /// Its life.
+    /// Its generation.
     pub generation: u64,
     /// What it is.
     pub state: String,
@@ -93,7 +93,7 @@
 /// What a process is meant to do now, as the trial has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntendedState {
-    /// Not started yet, or ended without a word.
+    /// Not started yet, or killed.
     Down,
     /// At work.
     Up,
@@ -112,7 +112,7 @@
     child: Option<ChildGuard>,
     begun: Instant,
     lines: Arc<Mutex<Vec<LogLine>>>,
-    /// The counters of each life, as last printed.
+    /// The counters of each process, as last printed.
     counters: Arc<Mutex<Vec<BTreeMap<String, u64>>>>,
     starts: u64,
 }
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Its counters as last printed, summed over its lives.
+    /// Its counters as last printed, summed over its processes.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         let mut sum = BTreeMap::new();
         for life in self
@@ -221,7 +221,7 @@
         sum
     }
 
-    /// Its log so far, over all its lives.
+    /// Its log so far, over all its processes.
     pub fn log(&self) -> Vec<LogLine> {
         self.lines
             .lock()
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Ends it without a word.
+    /// Kills it.
     pub fn kill(&mut self) {
         if self.child.take().is_some() {
             self.intended = IntendedState::Down;
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -1,4 +1,4 @@
-//! The mutation check: each mistake that can be planted has to be found by a trial that passes
+//! The mutation check: each fault that can be injected has to be found by a trial that passes
 //! without it.
 
 use crate::error::TestbedError;
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Which trial finds which mistake.
+/// Which trial detects which fault.
 const DETECTING_TRIALS: [(InjectedFault, &str); 22] = [
     (InjectedFault::NeverRefutes, "lossy"),
     (InjectedFault::PrefersOlderGeneration, "rolling"),
@@ -40,7 +40,7 @@
 /// One row of the table.
 #[derive(Clone, Debug, Serialize)]
 pub struct MutationResult {
-    /// What was planted.
+    /// The injected fault.
     pub fault: &'static str,
     /// The trial.
     pub trial: &'static str,
@@ -52,7 +52,7 @@
     pub found: bool,
 }
 
-/// Plays each mistake's trial without and with it, by this very command in processes of its own.
+/// Runs each fault's trial without and with it, by this very command in processes of its own.
 ///
 /// # Errors
 ///
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -1,4 +1,4 @@
-//! Datagrams between members: each member has an address at the switch, by which the others know
+//! Datagrams between members: each member has an address at the proxy, by which the others know
 //! it; what comes there is passed on to the member's own address, from the address at the switch of
 //! whoever sent it. So the program needs no code for trials: it binds to one address and advertises
 //! another, as behind any translation of addresses.
@@ -57,7 +57,7 @@
 }
 
 struct ProxyState {
-    /// Each member's address at the switch, and its own.
+    /// Each member's address at the proxy, and its own.
     sockets: Vec<UdpSocket>,
     own: Vec<SocketAddr>,
     /// `links[from][to]`.
@@ -69,14 +69,14 @@
     lost: AtomicU64,
 }
 
-/// The switch; it ends with this.
+/// The proxy; it stops when it is dropped.
 pub struct DatagramProxy {
     shared: Arc<ProxyState>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DatagramProxy {
-    /// A switch for members that are known to the others by `advertised` and bound to `own`.
+    /// Starts a proxy for members that are known to the others by `advertised` and bound to `own`.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/network_emulation/faults.rs
+++ b/crates/testbed/src/network_emulation/faults.rs
@@ -18,7 +18,7 @@
     pub duplicate: f64,
     /// Datagrams: the share that is held back behind those after it.
     pub reorder: f64,
-    /// Nothing passes, and nobody is told.
+    /// Nothing passes, without an error.
     pub cut: bool,
     /// Streams: each connection is reset.
     pub reset: bool,
--- a/crates/testbed/src/network_emulation/stream_proxy.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy.rs
@@ -15,7 +15,7 @@
 /// What is read at once.
 const PIECE: usize = 16 * 1024;
 
-/// A relay in front of one address; it ends with this, and so do its connections.
+/// A proxy in front of one address; it ends with this, and so do its connections.
 pub struct StreamProxy {
     end: Arc<AtomicBool>,
     listen: SocketAddr,
@@ -52,7 +52,7 @@
                 }
                 number = number.wrapping_add(2);
                 let (end, there, back) = (Arc::clone(&end), there.clone(), back.clone());
-                std::thread::spawn(move || carry(stream, target, &end, [there, back], number));
+                std::thread::spawn(move || carry(&stream, target, &end, [there, back], number));
             }
         });
         Ok(relay)
@@ -73,18 +73,18 @@
 }
 
 fn carry(
-    near: TcpStream,
+    near: &TcpStream,
     target: SocketAddr,
     end: &Arc<AtomicBool>,
     [there, back]: [Link; 2],
     seed: u64,
 ) {
-    // While the way is cut a connection comes up at the relay and then hears nothing.
+    // While the way is cut a connection is established at the proxy and then hears nothing.
     while there.get().cut && !end.load(Ordering::Relaxed) {
         std::thread::sleep(LOOK);
     }
     let Ok(far) = TcpStream::connect(target) else {
-        return reset(&near);
+        return reset(near);
     };
     let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else {
         return;
@@ -93,7 +93,7 @@
     let over = Arc::new(AtomicBool::new(false));
     let ends = [Arc::clone(end), Arc::clone(&over)];
     let thread = std::thread::spawn(move || pump(&far2, &near2, &back, &ends, seed + 1));
-    pump(&near, &far, &there, &[Arc::clone(end), over], seed);
+    pump(near, &far, &there, &[Arc::clone(end), over], seed);
     let _ = thread.join();
 }
 
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -1,12 +1,12 @@
-//! What a whole fleet does second by second, and what its clients got: the figures by which
-//! overload is judged.
+//! Metrics of a whole fleet by second and by span, from the counts of members and caches and the
+//! results of clients.
 
 use crate::simulated_services::cache::CacheCounts;
 use crate::simulated_services::clients::{ClientRequest, RequestEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A class's worth, and the time within which an answer earns it, in seconds; as in the members'
+/// A class's priority weight, and its latency objective in seconds; as in the members'
 /// settings.
 pub const CLASSES: [(&str, f64, f64); 3] = [
     ("tile-read", 3.0, 0.3),
@@ -26,7 +26,7 @@
     pub caches: CacheCounts,
     /// Fetches and writes at the origin, and those that waited there in vain.
     pub origin: (u64, u64),
-    /// The members' counters, summed over all their lives.
+    /// The members' counters, summed over all their processes.
     pub members: BTreeMap<String, u64>,
 }
 
@@ -38,19 +38,19 @@
     /// Requests of clients, without returns; and returns.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// See `asked`.
+    /// See `requests`.
     #[serde(rename = "again")]
     pub client_retries: u64,
-    /// Tries at caches, and those turned away there.
+    /// Attempts at caches, and those rejected there.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// See `tries`.
+    /// See `attempts`.
     #[serde(rename = "turned_away")]
     pub rejected_by_caches: u64,
-    /// Copies that members sent.
+    /// Hedged requests that members sent.
     #[serde(rename = "hedges")]
     pub hedges: u64,
-    /// Probes at caches.
+    /// Health checks at caches.
     #[serde(rename = "probes")]
     pub health_checks: u64,
     /// Connections at caches.
@@ -58,21 +58,21 @@
     pub connections: u64,
     /// Fetches and writes at the origin.
     pub fetches: u64,
-    /// Worth asked for by first requests, and worth served in time.
+    /// Weight of first requests, and weight of answers in time.
     #[serde(rename = "worth_asked")]
     pub requested_weight: f64,
-    /// See `worth_asked`.
+    /// See `requested_weight`.
     #[serde(rename = "worth")]
     pub served_weight: f64,
 }
 
-/// What one class got, in the span that is judged.
+/// Results of one class in a span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassMetrics {
     /// First requests.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Of all requests, those served in time, served late, refused, failed, and without an answer.
+    /// Of all requests, those served in time, served late, rejected, failed, and without an answer.
     pub served: u64,
     /// See `served`.
     pub late: u64,
@@ -83,35 +83,35 @@
     pub failed: u64,
     /// See `served`.
     pub unanswered: u64,
-    /// The share that was refused at the balancer that refused least, and at the one that refused
-    /// most; of those with twenty requests or more.
+    /// The share that was rejected at the balancer that rejected least, and at the one that
+    /// rejected most; of those with twenty requests or more.
     #[serde(rename = "refused_least")]
     pub rejected_share_min: f64,
-    /// See `refused_least`.
+    /// See `rejected_share_min`.
     #[serde(rename = "refused_most")]
     pub rejected_share_max: f64,
 }
 
-/// The judgement of one span.
+/// Metrics of one span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SpanMetrics {
     /// From when to when, in seconds since the start of the timeline.
     pub from: f64,
     /// See `from`.
     pub to: f64,
-    /// Worth served in time over worth asked for.
+    /// Weight served in time over weight requested.
     #[serde(rename = "worth_share")]
     pub served_weight_share: f64,
-    /// Worth served in time over what the caches' room would bear with perfect choice.
+    /// Weight served in time over what the caches' capacity could earn.
     #[serde(rename = "of_perfect")]
     pub share_of_optimum: f64,
-    /// Tries at caches for each first request.
+    /// Attempts at caches for each first request.
     #[serde(rename = "tries_per_request")]
     pub attempts_per_request: f64,
-    /// Copies for each first request.
+    /// Hedged requests for each first request.
     #[serde(rename = "copies_per_request")]
     pub hedges_per_request: f64,
-    /// Probes a cache a second.
+    /// Health checks a cache a second.
     #[serde(rename = "probes_per_cache_s")]
     pub health_checks_per_cache_s: f64,
     /// Connections for each first request.
@@ -119,7 +119,7 @@
     pub connections_per_request: f64,
     /// By class.
     pub classes: BTreeMap<String, ClassMetrics>,
-    /// Why members refused, by their counters.
+    /// Rejections by reason, from the counters of members.
     #[serde(rename = "refused_by_reason")]
     pub rejections_by_reason: BTreeMap<String, u64>,
 }
@@ -188,8 +188,8 @@
     seconds
 }
 
-/// What so much room would earn with perfect choice: the dearest first. A request takes one unit of
-/// it.
+/// The most weight that so much capacity can earn: heaviest classes first, one unit of capacity a
+/// request.
 #[must_use]
 pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, room: f64) -> f64 {
     let mut classes: Vec<(f64, f64)> = asked
@@ -323,8 +323,8 @@
     }
 }
 
-/// Seconds from `end` until, for two seconds on end, at least nine tenths of the worth share from
-/// before the trouble is served; `None` if that never comes.
+/// Seconds from `end` until, for two seconds on end, at least nine tenths of the weight share from
+/// before the disturbance is served; `None` if that never comes.
 #[must_use]
 pub fn recovery(seconds: &[SecondMetrics], before: (f64, f64), end: f64) -> Option<f64> {
     let share = |of: &[&SecondMetrics]| {
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in a trial and when, as a file tells it.
+//! Scenarios: what happens in a trial and when, read from a TOML file.
 
 use crate::network_emulation::faults::LinkFaults;
 use crate::simulated_services::cache::CacheOptions;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A scenario: what is on the ground, and its timeline.
+/// A scenario: its cluster, and its timeline.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -27,13 +27,13 @@
     /// What is wrong on every link of datagrams from the start.
     #[serde(default)]
     pub links: LinkFaults,
-    /// Members are of so many fleets, in turn; all are told the same addresses to ask.
+    /// Members are of so many fleets, in turn; all have the same join addresses.
     #[serde(default = "one")]
     pub fleets: usize,
     /// Further figures of the members' key `fleet`, such as `hold_ms`.
     #[serde(default)]
     pub fleet: serde_json::Map<String, serde_json::Value>,
-    /// Suspicions that are refuted at once are no error: datagrams get lost on this ground.
+    /// Suspicions that are refuted at once are no error: datagrams get lost in this scenario.
     #[serde(default)]
     pub suspicions: bool,
     /// The greatest sum of all balancers' shares that is borne.
@@ -50,8 +50,8 @@
     /// How clients behave.
     #[serde(default)]
     pub clients: ClientOptions,
-    /// The trouble lasts from then to then, in seconds of the timeline: what the fleet does is
-    /// metered second by second and judged before, in and after it.
+    /// The disturbance lasts from then to then, in seconds of the timeline: what the fleet does is
+    /// measured second by second and evaluated before, in and after it.
     #[serde(rename = "trouble")]
     pub disturbance: Option<(f64, f64)>,
     /// The timeline, in order.
@@ -69,7 +69,7 @@
 pub struct CacheProfile {
     /// Requests at work at a time.
     pub slots: usize,
-    /// Requests that wait; more are turned away.
+    /// Requests that wait; more are rejected.
     pub queue: usize,
     /// What a request takes.
     pub service_ms: u64,
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -28,14 +28,14 @@
     pub instances: usize,
     /// By which seed.
     pub seed: u64,
-    /// A mistake that was planted.
+    /// The fault that was injected.
     pub planted: Option<String>,
     /// Seconds from each measured step until all views agreed and were true.
     pub settled: BTreeMap<String, f64>,
     /// The greatest sum of shares that was seen.
     #[serde(rename = "shares_most")]
     pub max_share_sum: f64,
-    /// Deaths that were none.
+    /// Living members declared dead.
     pub false_deaths: usize,
     /// How requests ended.
     pub requests: BTreeMap<String, usize>,
@@ -45,17 +45,17 @@
     pub member: BTreeMap<String, f64>,
     /// What the fleet did second by second, where it was metered.
     pub seconds: Vec<SecondMetrics>,
-    /// The judgement before, in and after the trouble.
+    /// The metrics before, in and after the disturbance.
     pub spans: BTreeMap<String, SpanMetrics>,
-    /// Seconds from the trouble's end until nine tenths of the worth were back; absent where they
-    /// never came.
+    /// Seconds from the disturbance's end until nine tenths of the weight were back; absent where
+    /// they never came.
     pub recovered_s: Option<f64>,
     /// What was done, and when, in seconds.
     #[serde(rename = "done")]
     pub timeline: Vec<(f64, String)>,
-    /// What broke; at most fifty are told.
+    /// The violations; at most fifty are listed.
     pub failures: Vec<InvariantViolation>,
-    /// How much broke in all.
+    /// How many violations there were in all.
     pub failed: usize,
 }
 
--- a/crates/testbed/src/simulated_services.rs
+++ b/crates/testbed/src/simulated_services.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what a balancer meets: tile caches, discovery and clients. They speak the
+//! Simulated services round a balancer: tile caches, origin, discovery and clients. They speak the
 //! published protocol, over loopback, and keep count of all that they saw.
 
 pub mod cache;
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -1,5 +1,5 @@
-//! A tile cache of limited room: it works at so many requests at a time, lets so many wait, starts
-//! cold, reads through, and counts every execution.
+//! A simulated tile cache of limited capacity: it works at so many requests at a time, lets so many
+//! wait, starts cold, reads through, and counts every execution.
 
 use super::origin::Origin;
 use super::{TcpService, resp};
@@ -14,7 +14,7 @@
 pub struct CacheOptions {
     /// Requests at work at a time.
     pub slots: usize,
-    /// Requests that wait for a slot; more are turned away.
+    /// Requests that wait for a slot; more are rejected.
     pub queue: usize,
     /// What a request takes when the cache is warm.
     pub service: Duration,
@@ -58,9 +58,9 @@
 /// What came to a cache, as counts since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheCounts {
-    /// Requests, those turned away included.
+    /// Requests, including rejected ones.
     pub attempts: u64,
-    /// Requests turned away.
+    /// Rejected requests.
     pub rejected: u64,
     /// Probes.
     pub health_checks: u64,
@@ -178,7 +178,7 @@
         self.shared.state().executed.clone()
     }
 
-    /// Requests that it turned away.
+    /// Rejected requests.
     #[must_use]
     pub fn turned_away(&self) -> u64 {
         self.shared.state().rejected
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -15,7 +15,7 @@
 /// How long after its deadline an answer is still waited for, to tell late from never on any
 /// machine.
 const GRACE: Duration = Duration::from_secs(20);
-/// Keys that are asked for.
+/// Keys that are requested.
 const KEYS: u64 = 400;
 
 /// How a request ended for its client.
@@ -53,11 +53,11 @@
     pub latency_s: f64,
     /// How it ended.
     pub end: RequestEnd,
-    /// More came on the connection than was asked for.
+    /// More came on the connection than the answer.
     pub extra: bool,
     /// It was said again for one that was refused or failed.
     pub is_retry: bool,
-    /// How long the refusal asked the client to stay away, in milliseconds.
+    /// The retry-after time of a rejection, in milliseconds.
     pub wait_ms: Option<u64>,
 }
 
@@ -69,7 +69,7 @@
     ("map-publish", 0.05, 2_500, true, false),
 ];
 
-/// How long a client of this class waits, in seconds; 0 of one that is not asked for.
+/// How long a client of this class waits, in seconds; 0 of an unknown class.
 #[must_use]
 pub fn deadline(class: &str) -> f64 {
     let found = CLASSES.iter().find(|(name, ..)| *name == class);
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Ends them; what each asked, and how it went.
+    /// Stops the clients and returns all requests.
     pub fn stop(mut self) -> Vec<ClientRequest> {
         self.end.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
@@ -288,7 +288,7 @@
         }
     }
 
-    /// What is asked for next.
+    /// The next request.
     fn order(&mut self) -> RequestTemplate {
         let mut draw = self.rng.random::<f64>();
         let class = CLASSES.iter().find(|(_, share, ..)| {
@@ -296,7 +296,7 @@
             draw < 0.0
         });
         let (class, _, deadline, write, keyed) = *class.unwrap_or(&CLASSES[0]);
-        // A few keys are asked for far more than the others.
+        // A few keys are requested far more than the others.
         let key = format!(
             "{:016x}",
             (KEYS as f64 * self.rng.random::<f64>().powi(3)) as u64
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -47,7 +47,7 @@
     }
 
     /// The whole list as it goes over the wire, and its version; `None` if it is not newer than
-    /// what was told.
+    /// what was sent before.
     pub fn line(
         &self,
         told: u64,
--- a/crates/testbed/src/simulated_services/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -1,5 +1,5 @@
 //! The slow map store behind the caches: it takes so many fetches and writes at a time, and may be
-//! slowed while it works. Caches alone talk to it.
+//! slowed while it works. Only caches call it.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -1,10 +1,10 @@
-//! RESP2, as far as the stand-ins speak it.
+//! RESP2, as far as the simulated services need it.
 
 use std::io::{self, BufRead};
 
-/// The longest word that is read.
+/// The longest argument that is read, in bytes.
 const WORD_MAX: usize = 65_536;
-/// The most words of a command, and elements of an answer.
+/// Arguments of a command and elements of a reply, at most.
 const WORDS_MAX: usize = 16;
 
 /// An answer of a balancer, or an element of one.
@@ -42,7 +42,7 @@
     Ok(word)
 }
 
-/// The next command: its words.
+/// Reads the next command; returns its arguments.
 ///
 /// # Errors
 ///
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -1,8 +1,11 @@
 //! Members of the `fleet` crate side by side in virtual time: the same seed plays the same course
 //! on every machine.
 
+mod network;
 mod views;
 
+pub use network::NetworkConditions;
+
 use membership::{
     Location, MS, Member, MemberMetadata, MemberStatistics, MemberStatus, MembershipEvent,
     MembershipSettings, Nanos, ServingPhase, Timing, View,
@@ -14,33 +17,6 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What the network does to each datagram.
-#[derive(Clone, Copy, Debug)]
-pub struct NetworkConditions {
-    /// The share that is lost.
-    pub loss: f64,
-    /// The delay of each, and what is added at random.
-    pub delay: Nanos,
-    /// See `delay`; more than the spacing of datagrams reorders them.
-    pub jitter: Nanos,
-    /// The share that comes twice.
-    pub duplicates: f64,
-    /// The share of words of load that is lost besides.
-    pub load_loss: f64,
-}
-
-impl Default for NetworkConditions {
-    fn default() -> Self {
-        NetworkConditions {
-            loss: 0.0,
-            delay: MS / 2,
-            jitter: MS / 2,
-            duplicates: 0.0,
-            load_loss: 0.0,
-        }
-    }
-}
-
 struct MemberSlot {
     member: Option<Member>,
     /// Stands still until then.
@@ -69,7 +45,7 @@
     rng: Xoshiro256PlusPlus,
     /// What happens to datagrams.
     pub network: NetworkConditions,
-    /// What happens to those that go from one region to another; as all others if not told.
+    /// What happens to those that go from one region to another; as all others if `None`.
     pub between_regions: Option<NetworkConditions>,
     /// Whether the way from one to another is cut.
     cut: Vec<Vec<bool>>,
@@ -81,7 +57,7 @@
     /// Members agree on a level of so many tiers.
     tiers: Option<usize>,
     numbers: HashMap<SocketAddr, usize>,
-    /// Members tell of a region, and know only summaries of the others.
+    /// Members announce a region, and know only summaries of the others.
     in_regions: bool,
     /// Members ask these places besides at first, whatever their region.
     joins_at: Vec<usize>,
@@ -190,7 +166,7 @@
             .collect()
     }
 
-    /// From now on members tell of requests that change all the time.
+    /// From now on the request rates of members change all the time.
     pub fn vary_request_rates(&mut self) {
         self.request_rates_vary = true;
     }
@@ -210,7 +186,7 @@
         self.tiers = Some(tiers);
     }
 
-    /// Counts what a member's module let in and what of it found no room.
+    /// Records what a member's engine admitted and what of it found no capacity.
     pub fn record_admissions(&mut self, n: usize, tally: membership::shedding::AdmissionCounts) {
         if let Some(member) = &mut self.slots[n].member {
             member.add_admission_counts(tally);
@@ -289,7 +265,7 @@
         (0..self.slots.len()).for_each(|n| self.start(n, 0));
     }
 
-    /// Ends a member without a word.
+    /// Kills a member.
     pub fn kill(&mut self, n: usize) {
         self.slots[n].member = None;
     }
@@ -307,22 +283,6 @@
         self.slots[n].stalled_until = self.now + span;
     }
 
-    /// Cuts the way from one to another, or opens it.
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
-        self.cut[from][to] = cut;
-    }
-
-    /// Cuts all ways between the members of two sets, told by a side for each, or opens them.
-    pub fn split(&mut self, side: impl Fn(usize) -> usize, cut: bool) {
-        for from in 0..self.slots.len() {
-            for to in 0..self.slots.len() {
-                if side(from) != side(to) {
-                    self.cut[from][to] = cut;
-                }
-            }
-        }
-    }
-
     /// A member, if one runs at this place.
     pub fn member(&self, n: usize) -> Option<&Member> {
         self.slots[n].member.as_ref()
@@ -363,44 +323,6 @@
         self.queue.insert((at, self.set), what);
     }
 
-    fn send(&mut self, from: usize, outputs: Vec<(SocketAddr, Vec<u8>)>) {
-        for (to, datagram) in outputs {
-            let Some(to) = self.numbers.get(&to).copied() else {
-                continue;
-            };
-            self.transmit(from, to, datagram);
-        }
-    }
-
-    /// Hands a datagram to the network.
-    fn transmit(&mut self, from: usize, to: usize, datagram: Vec<u8>) {
-        if self.tape.len() < TAPE {
-            self.tape.push((address(from), datagram.clone()));
-        }
-        let apart = self.slots[from].region != self.slots[to].region;
-        let network = self
-            .between_regions
-            .filter(|_| apart)
-            .unwrap_or(self.network);
-        if self.cut[from][to] || self.rng.random_bool(network.loss) {
-            return;
-        }
-        let load =
-            datagram.get(3) == Some(&(membership::envelope::MessageKind::LevelReports as u8));
-        if load && network.load_loss > 0.0 && self.rng.random_bool(network.load_loss) {
-            return;
-        }
-        let copies = 1 + usize::from(self.rng.random_bool(network.duplicates));
-        for _ in 0..copies {
-            let jitter = self.rng.random_range(0..=network.jitter);
-            let at = self.now + network.delay + jitter;
-            self.push(
-                at,
-                QueuedEvent::Datagram(to, address(from), datagram.clone()),
-            );
-        }
-    }
-
     /// The first datagrams that were sent, and by whom.
     pub fn tape(&self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.tape.clone()
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 impl SimulatedFleet {
-    /// Whether all that run see what is true: each other as serving, by the life they live, and
-    /// nobody else as there; of other regions the number of those who run.
+    /// Whether all that run see what is true: each other as serving, by their present generation,
+    /// and nobody else as there; of other regions the number of those who run.
     pub fn settled(&self) -> bool {
         self.settled_by(|_| 0)
     }
--- a/crates/testbed/src/simulation/region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -102,7 +102,7 @@
     settle(&mut fleet, "all delegates of a region are dead")
 }
 
-/// Half of all datagrams between regions are lost: changes get through, though each is told once
+/// Half of all datagrams between regions are lost: changes get through, though each is sent once
 /// only.
 ///
 /// # Errors
@@ -190,7 +190,7 @@
     Ok(())
 }
 
-/// Members that are told addresses in another region only find their own by what those refer them
+/// Members that have join addresses in another region only find their own by what those refer them
 /// to.
 ///
 /// # Errors
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -107,7 +107,7 @@
 pub struct RegionEvent {
     /// What happened.
     pub what: String,
-    /// Until the members of the region that it befell see what is true.
+    /// Until the members of the region it happened in have true views.
     pub region_s: Option<f64>,
     /// Until all members do.
     pub settled_s: Option<f64>,
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -1,5 +1,5 @@
 //! The level by which members shed load together, in virtual time: members of the `fleet` crate,
-//! and a model of caches with so much room. What is let in beyond the room is turned away in equal
+//! and a model of caches of so much capacity. What is admitted beyond it is rejected in equal
 //! parts; requests are of two kinds, reads worth 3 and, a tenth, writes worth 10.
 
 use super::SimulationFailure;
@@ -21,11 +21,11 @@
 /// How long the overload lasts, in seconds.
 const OVERLOAD_S: u64 = 15;
 const TICK: Nanos = 50 * MS;
-/// What is asked for in calm, and what the caches bear, of each member in a second.
+/// Requests in calm, and the capacity of the caches, for each member and second.
 const CALM: f64 = 15.0;
 const MEMBER_CAPACITY: f64 = 25.0;
 
-/// What befalls the talk in the middle of the overload.
+/// What disturbs gossip in the middle of the overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedDisturbance {
@@ -50,7 +50,7 @@
     InjectedDisturbance::Restarts,
 ];
 
-/// What a fleet's level did through an overload of twice the room.
+/// What a fleet's level did through an overload of twice the capacity.
 #[derive(Clone, Debug, Serialize)]
 pub struct SheddingMeasurement {
     /// Members.
@@ -59,16 +59,16 @@
     pub loss: f64,
     /// By which seed.
     pub seed: u64,
-    /// What befell the talk.
+    /// What disturbed gossip.
     #[serde(rename = "trouble")]
     pub disturbance: InjectedDisturbance,
-    /// Worth served over what perfect choice would have served, over the 15 s.
+    /// Weight served over the most that could have been served, over the overload.
     #[serde(rename = "of_perfect")]
     pub share_of_optimum: f64,
     /// The same if each went by its own counts alone.
     #[serde(rename = "of_perfect_apart")]
     pub share_of_separate_optimum: f64,
-    /// Tries at caches over what they bear.
+    /// Attempts at caches over their capacity.
     #[serde(rename = "tries_of_room")]
     pub attempts_per_capacity: f64,
     /// The greatest difference between the shares of reads that two members shed, in the mean over
@@ -344,7 +344,7 @@
     stale(seed)
 }
 
-/// All but one are gone after they shed much; the one that is left goes by their words no longer
+/// All but one are gone after they shed much; the one that is left follows their reports no longer
 /// than they are fresh.
 fn stale(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = met(6, 0.0, seed);
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Six in ten datagrams are lost and all are late: nobody is given up in five minutes.
+/// Six in ten datagrams are lost and all are late: nobody is declared dead in five minutes.
 fn lossy(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(12, seed)?;
     fleet.network = NetworkConditions {
@@ -71,7 +71,7 @@
     no_false_death(&fleet)
 }
 
-/// One is heard by all and hears nobody: it gives nobody up, and is taken back.
+/// One is heard by all and hears nobody: it declares nobody dead, and rejoins.
 fn deaf(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(8, seed)?;
     (1..8).for_each(|n| fleet.cut(n, 0, true));
@@ -131,10 +131,10 @@
     }
 }
 
-/// Many return at once: each is known to all soon, though rumours die out now and then before they
-/// have reached all.
+/// Many return at once: each is known to all soon, though gossip broadcasts die out now and then
+/// before they have reached all.
 fn returns(seed: u64) -> Result<(), SimulationFailure> {
-    // By rumours and the round of records alone it takes 2.2 s and more.
+    // By gossip broadcasts and the round of records alone it takes 2.2 s and more.
     const SOON: Nanos = 1_500 * MS;
     let mut fleet = settled(100, seed)?;
     (90..100).for_each(|n| fleet.kill(n));
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -35,7 +35,7 @@
     pub attempts: usize,
     /// By balancer: what its process had used at the end, with the most descriptors that were seen.
     pub usage: Vec<ProcessUsage>,
-    /// By balancer: the counters of its last life.
+    /// By balancer: the counters of its last process.
     pub counters: Vec<BTreeMap<String, u64>>,
     /// Bytes of changes that discovery wrote.
     pub change_bytes: u64,
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -30,9 +30,9 @@
 pub struct BalancerStatus {
     /// What its clients may do.
     pub access: ClientAccess,
-    /// Its lives so far.
+    /// Its processes so far.
     pub processes: Vec<ProcessRecord>,
-    /// When it stood still.
+    /// When it was stalled.
     pub stalls: Vec<TimeSpan>,
 }
 
@@ -236,7 +236,7 @@
         false
     }
 
-    /// Ends it without a word.
+    /// Kills it.
     pub fn kill(&mut self) {
         if !self.is_running() {
             return;
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -15,7 +15,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Keys that are asked for.
+/// Keys that are requested.
 const KEYS: u64 = 400;
 /// How long beyond its time an answer is waited for.
 const NEVER: Nanos = 4_000 * MS;
@@ -101,7 +101,7 @@
         let ending = Arc::clone(&end);
         let thread = std::thread::spawn(move || {
             while !ending.load(Ordering::Relaxed) && work.turn(true).is_ok() {}
-            // What was asked is waited for.
+            // Waits for the answers to open requests.
             while work.clients.values().any(|client| !client.open.is_empty())
                 && work.turn(false).is_ok()
             {}
@@ -110,7 +110,7 @@
         Clients { end, thread }
     }
 
-    /// Asks no more, waits for what is open, and tells all that was asked.
+    /// Sends no more requests, waits for the open ones and returns all.
     #[must_use]
     pub fn stop(self) -> Vec<RequestRecord> {
         self.end.store(true, Ordering::Relaxed);
--- a/crates/testbed/src/soak/connections.rs
+++ b/crates/testbed/src/soak/connections.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins of a soak share: a clock, looks at many sockets, and connections that never
-//! block.
+//! What the simulated services of a soak share: a clock, polling of many sockets, and connections
+//! that never block.
 
 use super::records::Nanos;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
@@ -8,7 +8,7 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::time::Instant;
 
-/// The longest wait of a stand-in, in milliseconds: what it reads has come no longer ago, and then
+/// The longest wait of a service, in milliseconds: what it reads has come no longer ago, and then
 /// its own lag.
 const WAIT_MS: u8 = 2;
 /// One read takes at most this much.
@@ -59,7 +59,7 @@
     Reset,
 }
 
-/// A connection of a stand-in.
+/// A non-blocking connection of a simulated service.
 pub struct Connection {
     stream: TcpStream,
     /// What has come and is not used yet.
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery for a soak: one list, told to each balancer at doors of its own, with faults.
+//! Discovery for a soak: one endpoint list, served to each balancer at addresses of its own, with
+//! faults.
 
 use super::connections::Clock;
 use super::records::{CacheState, ListChange, Nanos, Notification, TimeSpan};
@@ -62,7 +63,7 @@
     change_bytes: u64,
 }
 
-/// The list, and what was told of it.
+/// The list, and what was sent of it.
 #[derive(Clone)]
 pub struct DiscoveryService {
     state: Arc<Mutex<DiscoveryState>>,
@@ -197,7 +198,7 @@
         self.message(None).map(|(_, list)| list).unwrap_or_default()
     }
 
-    /// A door for one balancer.
+    /// Listens for one balancer.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -19,7 +19,7 @@
 /// Work that a cache of mean size does, over its part of all requests.
 const SPARE: f64 = 2.0;
 
-/// What the referee has to know of the settings.
+/// The settings that the rules depend on.
 #[derive(Clone, Debug)]
 pub struct CheckedRules {
     /// The grace of a drain.
@@ -36,7 +36,7 @@
     pub overload_window: Nanos,
     /// What a cache can do, requests a second.
     pub capacity: f64,
-    /// Caches with smaller numbers have a listener of their own: they alone are judged one by one.
+    /// Caches with smaller numbers have a listener of their own: they alone are checked one by one.
     pub own_listeners: usize,
     /// A process has to be ready within this.
     pub ready_within: Nanos,
@@ -70,7 +70,7 @@
     Cold(usize),
     /// They hang for so long.
     Hangs(usize, Nanos),
-    /// They are down for so long, and nobody is told.
+    /// They are down for so long, and discovery does not say so.
     CachesDown(usize, Nanos),
     /// Answers go wrong for so long.
     Spoilt(Nanos),
@@ -105,7 +105,7 @@
     pub caches: usize,
     /// The settings of all balancers.
     pub settings: Value,
-    /// What the referee has to know of them.
+    /// What the rules depend on.
     pub rules: CheckedRules,
     /// How clients behave.
     pub client_behavior: ClientBehavior,
@@ -214,7 +214,7 @@
     let mut events: Vec<(Nanos, SoakEvent)> = (0..count)
         .map(|_| (draw_time(rng), event(rng, balancers, caches)))
         .collect();
-    // Each seed has a shutdown, a hold-up, caches that hang and caches that come back cold,
+    // Each seed has a shutdown, a stall, caches that hang and caches that come back cold,
     // whatever else.
     let own = OWN_MOST.min(caches / 2);
     events.push((draw_time(rng), SoakEvent::Cold(own.div_ceil(2))));
--- a/crates/testbed/src/soak/records.rs
+++ b/crates/testbed/src/soak/records.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins of a soak saw, in nanoseconds since its beginning.
+//! What the simulated services of a soak recorded, in nanoseconds since its beginning.
 //!
 //! Where something can have come earlier than it was read, the record has the earliest time: that
 //! of the look before. What the trial itself delays is allowed for by that, and by nothing else.
@@ -63,7 +63,7 @@
 pub struct RequestRecord {
     /// Its id.
     pub id: String,
-    /// Which balancer, and in which of its lives.
+    /// Which balancer, and which of its processes.
     pub balancer: usize,
     /// See `balancer`.
     #[serde(rename = "life")]
@@ -110,7 +110,7 @@
 pub enum AttemptEnd {
     /// Nothing was answered.
     Open,
-    /// It was turned away: it never ran.
+    /// It was rejected: it never ran.
     TurnedAway,
     /// It ran, whatever came back of it.
     Ran,
@@ -128,7 +128,7 @@
     /// When its last byte had come.
     #[serde(rename = "whole")]
     pub received: Nanos,
-    /// The time that it was told, in milliseconds.
+    /// The time that it was given, in milliseconds.
     #[serde(rename = "told_ms")]
     pub deadline_ms: u64,
     /// What was made of it.
@@ -192,7 +192,7 @@
     }
 }
 
-/// A life of a balancer's process.
+/// One process of a balancer.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ProcessRecord {
     /// When it was started.
@@ -223,10 +223,10 @@
     /// When discovery could not be reached.
     #[serde(rename = "down")]
     pub discovery_outages: Vec<TimeSpan>,
-    /// By balancer: when it stood still.
+    /// By balancer: when it was stalled.
     #[serde(rename = "stops")]
     pub stalls: Vec<Vec<TimeSpan>>,
-    /// By balancer: its lives.
+    /// By balancer: its processes.
     #[serde(rename = "lives")]
     pub processes: Vec<Vec<ProcessRecord>>,
     /// What happened, for the reader.
--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -1,6 +1,6 @@
 //! Checks what a soak recorded against the rules.
 //!
-//! A balancer that the trial let stand still is given as much longer to answer, and no more. Where
+//! A balancer that the trial stalled is given as much longer to answer, and no more. Where
 //! a record has an earliest and a latest time, the one counts that speaks for the balancer.
 
 use super::plan::CheckedRules;
@@ -15,17 +15,18 @@
 const ANSWER_SLACK: Nanos = 550 * MS;
 /// An attempt may begin so long after its client has closed.
 const CLOSED_SLACK: Nanos = 100 * MS;
-/// An attempt may be told so much more than is left.
+/// An attempt may be given so much more time than is left.
 const TIMEOUT_SLACK: Nanos = 150 * MS;
-/// Windows and the grace of drains bear a hold-up of that length between the clock and the write.
+/// Windows and the grace of drains allow for a stall of that length between the clock and the
+/// write.
 const WINDOW_SLACK: Nanos = 150 * MS;
 const DRAIN_SLACK: Nanos = 50 * MS;
-/// What discovery has counts as told after this, if it can be reached.
+/// A change counts as notified after this, if it can be reached.
 const NOTIFIED_AT_LATEST: Nanos = 6_000 * MS;
 /// Requests that come later than this behind the request to end are owed an answer whatever ends
 /// the process.
 const ACCEPT_AFTER_END: Nanos = 700 * MS;
-/// Of a cold cache's requests so many came from balancers that had been told, if its fall breaks
+/// Of a cold cache's requests so many came from notified balancers, if its overload breaks
 /// the rule.
 const INFORMED_PART: f64 = 2.0 / 3.0;
 
@@ -157,7 +158,7 @@
     }
 }
 
-/// An attempt that begins after its client has closed, or is told more time than is left.
+/// An attempt that begins after its client has closed, or is given more time than is left.
 fn check_attempt(request: &RequestRecord, attempt: &AttemptRecord) -> Option<RuleViolation> {
     let id = &request.id;
     if let Some(closed) = request
@@ -241,7 +242,7 @@
     None
 }
 
-/// When a change counts as told to a balancer.
+/// When a balancer counts as notified of a change.
 fn notified_at(records: &Records, balancer: usize, version: u64, changed: Nanos) -> Nanos {
     let written = records
         .notifications
--- a/crates/testbed/src/soak/rule_checker/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -53,7 +53,15 @@
     }
 }
 
-/// What the referee finds in one request and its attempts.
+/// A request whose connection was reset.
+fn reset_request() -> RequestRecord {
+    RequestRecord {
+        end: RequestEnd::Reset,
+        ..asked(RequestKind::Safe)
+    }
+}
+
+/// What the checker finds in one request and its attempts.
 fn found(
     asked: RequestRecord,
     attempts: Vec<AttemptRecord>,
@@ -74,35 +82,39 @@
     with(&mut records);
     check(&records, &rules())
         .into_iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.rule)
         .collect()
 }
 
 #[test]
-fn a_request_needs_its_answer_in_time_unless_its_balancer_was_stalled_or_killed() {
+fn a_request_needs_its_answer_in_time_unless_its_balancer_was_stalled() {
     let late = |ms: u64| RequestRecord {
         ended: 2 * S + (400 + ms) * MS,
         ..asked(RequestKind::Safe)
     };
     assert!(found(late(550), vec![], |_| {}).is_empty());
     assert_eq!(found(late(551), vec![], |_| {}), ["lost"]);
-    let held = |records: &mut Records| {
+    let stalled = |records: &mut Records| {
         records.stalls[0].push(TimeSpan {
             from: 2 * S,
             to: 2 * S + 300 * MS,
         });
     };
-    assert!(found(late(850), vec![], held).is_empty());
-    assert_eq!(found(late(851), vec![], held), ["lost"]);
-    let held_on = |records: &mut Records| {
+    assert!(found(late(850), vec![], stalled).is_empty());
+    assert_eq!(found(late(851), vec![], stalled), ["lost"]);
+    let stalled_on = |records: &mut Records| {
         let spans = [(2_000, 2_900), (2_900, 4_000), (4_000, 5_000)];
         records.stalls[0].extend(spans.map(|(from, to)| TimeSpan {
             from: from * MS,
             to: to * MS,
         }));
     };
-    assert!(found(late(3_550), vec![], held_on).is_empty());
-    assert_eq!(found(late(3_551), vec![], held_on), ["lost"]);
+    assert!(found(late(3_550), vec![], stalled_on).is_empty());
+    assert_eq!(found(late(3_551), vec![], stalled_on), ["lost"]);
+}
+
+#[test]
+fn a_connection_that_ends_without_an_answer_loses_a_request_that_was_read() {
     for end in [RequestEnd::Never, RequestEnd::Closed, RequestEnd::Wrong] {
         assert_eq!(
             found(
@@ -127,16 +139,19 @@
         "the balancer ended its sending between two requests"
     );
     assert_eq!(found(crossed(), vec![attempt(2 * S)], |_| {}), ["lost"]);
-    let reset = || RequestRecord {
-        end: RequestEnd::Reset,
-        ..asked(RequestKind::Safe)
-    };
-    assert!(found(reset(), vec![], |_| {}).is_empty(), "it was not read");
+    assert!(
+        found(reset_request(), vec![], |_| {}).is_empty(),
+        "it was not read"
+    );
     assert_eq!(
-        found(reset(), vec![attempt(2 * S)], |_| {}),
+        found(reset_request(), vec![attempt(2 * S)], |_| {}),
         ["lost"],
         "it was forwarded"
     );
+}
+
+#[test]
+fn a_killed_balancer_owes_no_answer_unless_it_was_asked_to_end_before() {
     let killed = |asked_to_end: Option<Nanos>| {
         move |records: &mut Records| {
             records.processes[0][0] = ProcessRecord {
@@ -147,9 +162,9 @@
             };
         }
     };
-    assert!(found(reset(), vec![attempt(2 * S)], killed(None)).is_empty());
+    assert!(found(reset_request(), vec![attempt(2 * S)], killed(None)).is_empty());
     assert_eq!(
-        found(reset(), vec![attempt(2 * S)], killed(Some(S))),
+        found(reset_request(), vec![attempt(2 * S)], killed(Some(S))),
         ["lost"],
         "it came 1 s behind the request to end"
     );
--- a/crates/testbed/src/stall.rs
+++ b/crates/testbed/src/stall.rs
@@ -1,4 +1,4 @@
-//! How long one balancer is silent while discovery tells it of many caches at once: a real process,
+//! How long one balancer stalls while discovery notifies it of many caches at once: a real process,
 //! a client that sends `PING` without a pause, and a watch that names a batch of new, draining or
 //! removed caches in one message.
 
@@ -18,13 +18,13 @@
 use std::time::{Duration, Instant};
 
 /// Reads before the batch comes, so that the balancer has candidates for many slots.
-const READS: usize = 4_000;
+const READ_COUNT: usize = 4_000;
 /// How long the client goes on after each message.
-const AFTER: Duration = Duration::from_millis(1_500);
+const MEASURE_SPAN: Duration = Duration::from_millis(1_500);
 /// A step that takes longer has failed.
-const PATIENCE: Duration = Duration::from_secs(30);
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 /// Listeners that all caches share.
-const LISTENERS: usize = 8;
+const CACHE_LISTENERS: usize = 8;
 
 /// What a message of the watch says of the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,11 +66,15 @@
         "class": "small-1c", "block": 1, "health": health, "share": 1.0, "born_ms": 0})
 }
 
-fn message(seq: u64, whole: bool, hosts: Vec<Value>) -> String {
-    json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
+fn full_list(seq: u64, hosts: &[Value]) -> String {
+    json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
 }
 
-/// Discovery for one watch: tells this message first, then whatever comes.
+fn list_delta(seq: u64, hosts: &[Value]) -> String {
+    json!({"seq": seq, "whole": false, "hosts": hosts}).to_string()
+}
+
+/// Discovery for one watch: sends this message first, then whatever comes.
 fn discovery(first: String) -> io::Result<(SocketAddr, Sender<String>)> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -163,7 +167,7 @@
 
 fn wait_ready(address: SocketAddr) -> Result<(), TestbedError> {
     let asked = Instant::now();
-    while asked.elapsed() < PATIENCE {
+    while asked.elapsed() < STEP_TIMEOUT {
         let ready = TcpStream::connect(address).and_then(|mut stream| {
             stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
             let mut answer = [0; 7];
@@ -181,7 +185,7 @@
 fn read_keys(address: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect(address)?;
     let mut input = BufReader::new(stream.try_clone()?);
-    for number in 0..READS {
+    for number in 0..READ_COUNT {
         let (key, id) = (format!("{number:016x}"), format!("{number:x}"));
         let words: [&[u8]; 4] = [
             b"C.GET",
@@ -213,7 +217,7 @@
     };
     let mut dials = Vec::new();
     let mut running = Vec::new();
-    for number in 0..LISTENERS {
+    for number in 0..CACHE_LISTENERS {
         let free = TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
             .map_err(|e| TestbedError::io("cache", e))?;
@@ -225,20 +229,20 @@
     let hosts = |range: std::ops::Range<usize>, health| {
         range.map(|n| host(n, health, &dials)).collect::<Vec<_>>()
     };
-    let first = message(1, true, hosts(0..caches, "in_service"));
+    let first = full_list(1, &hosts(0..caches, "in_service"));
     let (discovery, tell) = discovery(first).map_err(|e| TestbedError::io("discovery", e))?;
     let (balancer, address) = start(program, discovery)?;
     wait_ready(address)?;
     read_keys(address).map_err(|e| TestbedError::io("reads", e))?;
     let pings = PingProbe::start(address).map_err(|e| TestbedError::io("pings", e))?;
-    std::thread::sleep(AFTER);
+    std::thread::sleep(MEASURE_SPAN);
     let calm = pings.take();
     let mut around = [Duration::ZERO; 3];
     for (place, change) in BatchChange::ALL.into_iter().enumerate() {
         let batch = hosts(caches..caches + batch, change.health());
-        tell.send(message(2 + place as u64, false, batch))
+        tell.send(list_delta(2 + place as u64, &batch))
             .map_err(|e| TestbedError::io("discovery", std::io::Error::other(e)))?;
-        std::thread::sleep(AFTER);
+        std::thread::sleep(MEASURE_SPAN);
         around[place] = pings.take();
     }
     Ok(StallMeasurement {
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -281,7 +281,7 @@
 }
 
 /// An announcement as it stands on the wire, with a sign of life.
-fn news(fleet: &str, announcement: &Announcement) -> Vec<u8> {
+fn sealed_announcement(fleet: &str, announcement: &Announcement) -> Vec<u8> {
     let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(announcement.clone())]);
     seal(
         EnvelopeScope::new(fleet, "any"),
@@ -322,37 +322,43 @@
     };
     let before = fleet.member(delegate).expect("it runs").regions_dropped().0;
     let year_ms = 31_536_000_000;
-    let lies = [
+    let mut far_future = sound.clone();
+    far_future.version += year_ms;
+    let mut long_name = sound.clone();
+    long_name.region = "x".repeat(21);
+    let unsound = [
         with(6, u32::MAX),
         with(7, 6),
         with(0, 0),
-        Announcement {
-            version: leader.version + year_ms,
-            ..sound.clone()
-        },
-        Announcement {
-            region: "x".repeat(21),
-            ..sound.clone()
-        },
+        far_future,
+        long_name,
     ];
-    for lie in &lies {
-        fleet.inject(delegate, author, &news("trial", lie));
+    for announcement in &unsound {
+        fleet.inject(
+            delegate,
+            author,
+            &sealed_announcement("trial", announcement),
+        );
     }
     let old = Announcement {
         version: leader.version - 1,
         payload: AnnouncementPayload::Summary(summary(1, 1)),
         ..sound.clone()
     };
-    fleet.inject(delegate, author, &news("trial", &old));
+    fleet.inject(delegate, author, &sealed_announcement("trial", &old));
     let foreign = fleet.statistics(delegate).foreign;
-    fleet.inject(delegate, author, &news("another", &with(1, 1)));
+    fleet.inject(
+        delegate,
+        author,
+        &sealed_announcement("another", &with(1, 1)),
+    );
     let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
     assert_eq!(
         (
             after.unsound - before.unsound,
             after.outdated - before.outdated
         ),
-        (lies.len() as u64, 1)
+        (unsound.len() as u64, 1)
     );
     assert_eq!(
         fleet.statistics(delegate).foreign,
