--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -237,7 +237,7 @@
     /// Starts the clients, if the plan has any.
     pub fn start_clients(&mut self) {
         if self.plan.rate > 0.0 && self.clients.is_none() {
-            let doors: Vec<SocketAddr> = (0..self.plan.instances)
+            let addresses: Vec<SocketAddr> = (0..self.plan.instances)
                 .map(|i| self.network.member(i, 6_379))
                 .collect();
             // More at a time than the slowest class keeps out; each has one request out.
@@ -245,7 +245,7 @@
             self.request_rate.set(self.plan.rate);
             let (seed, behaviour) = (self.plan.seed, self.plan.clients);
             self.clients = Some(Clients::start(
-                &doors,
+                &addresses,
                 workers,
                 &self.request_rate,
                 behaviour,
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -39,7 +39,7 @@
 const CEILING: Duration = Duration::from_secs(90);
 /// Rumours of the beginning run out for so long before anything is measured.
 const SETTLING: Duration = Duration::from_secs(8);
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What happens after the calm stretch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -391,7 +391,7 @@
             if let Some(settled) = self.processes.settled_at() {
                 return Ok(Some(settled.saturating_duration_since(begun)));
             }
-            self.wait(LOOK)?;
+            self.wait(POLL_INTERVAL)?;
         }
         Ok(None)
     }
@@ -428,7 +428,7 @@
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 }
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -72,13 +72,13 @@
     places: &[MemberPlacement],
     own: Vec<usize>,
 ) -> Result<(), HollowError> {
-    let (tell, commands) = channel();
+    let (sender, commands) = channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             let Ok(command) = serde_json::from_str::<MemberCommand>(&line) else {
                 return;
             };
-            if tell.send(command).is_err() {
+            if sender.send(command).is_err() {
                 return;
             }
         }
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -258,9 +258,7 @@
     pub fn check_clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
         let mut ends: BTreeMap<String, usize> = BTreeMap::new();
         for one in asked {
-            *ends
-                .entry(format!("{:?}", one.end).to_lowercase())
-                .or_default() += 1;
+            *ends.entry(one.end.report_key().into()).or_default() += 1;
             let what = || {
                 format!(
                     "{} ({}) at n{}: {:?} after {:.3} s",
@@ -291,7 +289,7 @@
             }
             if matches!(
                 one.end,
-                RequestEnd::Never | RequestEnd::Broken | RequestEnd::NoDoor
+                RequestEnd::Never | RequestEnd::Broken | RequestEnd::NoConnection
             ) && !away
             {
                 self.fail(one.at, "answered", what());
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -39,7 +39,7 @@
     let fine = [
         one(1.0, RequestEnd::Served, 0.1, false),
         one(10.5, RequestEnd::Broken, 0.1, false),
-        one(11.0, RequestEnd::NoDoor, 0.0, false),
+        one(11.0, RequestEnd::NoConnection, 0.0, false),
     ];
     assert_eq!(checker.check_clients(&fine)["served"], 1);
     assert_eq!(checker.failures().1, 0);
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of a call to the admin listener; a stalled process answers none.
-const CALL: Duration = Duration::from_millis(1_000);
+const ADMIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The most log lines that are kept of one member.
-const LINES_MAX: usize = 100_000;
+const MAX_LOG_LINES: usize = 100_000;
 
 /// How a process is started.
 #[derive(Clone, Debug)]
@@ -169,7 +169,7 @@
             std::thread::spawn(move || {
                 for text in BufReader::new(log).lines().map_while(Result::ok) {
                     let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
-                    if lines.len() < LINES_MAX {
+                    if lines.len() < MAX_LOG_LINES {
                         lines.push(LogLine {
                             at: begun.elapsed().as_secs_f64(),
                             text,
@@ -288,8 +288,8 @@
     /// A call of the operators, and the body of its answer if it is 200.
     #[must_use]
     pub fn call(&self, path: &str) -> Option<String> {
-        let mut stream = TcpStream::connect_timeout(&self.spec.admin, CALL).ok()?;
-        stream.set_read_timeout(Some(CALL)).ok()?;
+        let mut stream = TcpStream::connect_timeout(&self.spec.admin, ADMIN_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(ADMIN_TIMEOUT)).ok()?;
         write!(stream, "GET {path} HTTP/1.1\r\n\r\n").ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).ok()?;
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -15,11 +15,11 @@
 use std::time::{Duration, Instant};
 
 /// How often a thread that waits for datagrams looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Datagrams that are held for their delay, at most; beyond that they are lost.
-const HELD_MAX: usize = 100_000;
+const MAX_DELAYED: usize = 100_000;
 /// A datagram that is held back comes this much later.
-const BEHIND: Duration = Duration::from_millis(20);
+const REORDER_DELAY: Duration = Duration::from_millis(20);
 
 struct DelayedDatagram {
     at: Instant,
@@ -86,7 +86,7 @@
             .iter()
             .map(|address| {
                 let socket = UdpSocket::bind(address)?;
-                socket.set_read_timeout(Some(LOOK))?;
+                socket.set_read_timeout(Some(POLL_INTERVAL))?;
                 Ok(socket)
             })
             .collect::<io::Result<Vec<_>>>()?;
@@ -151,7 +151,7 @@
                 let jitter = rng.random_range(0..=faults.jitter_ms);
                 let mut wait = Duration::from_millis(faults.delay_ms + jitter);
                 if rng.random_bool(faults.reorder) {
-                    wait += BEHIND;
+                    wait += REORDER_DELAY;
                 }
                 if wait.is_zero() {
                     self.pass(from, to, &bytes[..length]);
@@ -170,7 +170,7 @@
 
     fn hold(&self, at: Instant, from: usize, to: usize, bytes: &[u8]) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        if queue.datagrams.len() < HELD_MAX {
+        if queue.datagrams.len() < MAX_DELAYED {
             queue.number += 1;
             let number = queue.number;
             queue.datagrams.push(DelayedDatagram {
@@ -201,11 +201,11 @@
                     continue;
                 }
                 Some(held) => held.at - now,
-                None => LOOK,
+                None => POLL_INTERVAL,
             };
             queue = self
                 .wake
-                .wait_timeout(queue, wait.min(LOOK))
+                .wait_timeout(queue, wait.min(POLL_INTERVAL))
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
--- a/crates/testbed/src/network_emulation/stream_proxy.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// How often a thread that waits looks whether it is to end, and what is wrong now.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// What is read at once.
-const PIECE: usize = 16 * 1024;
+const BUFFER_SIZE: usize = 16 * 1024;
 
 /// A proxy in front of one address; it ends with this, and so do its connections.
 pub struct StreamProxy {
@@ -81,7 +81,7 @@
 ) {
     // While the way is cut a connection is established at the proxy and then hears nothing.
     while there.get().cut && !end.load(Ordering::Relaxed) {
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let Ok(far) = TcpStream::connect(target) else {
         return reset(near);
@@ -112,8 +112,8 @@
         ends[1].store(true, Ordering::Relaxed);
     };
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut bytes = [0; PIECE];
-    let _ = from.set_read_timeout(Some(LOOK));
+    let mut bytes = [0; BUFFER_SIZE];
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = to.set_nodelay(true);
     loop {
         let faults = link.get();
@@ -122,7 +122,7 @@
         }
         if faults.cut {
             // Bytes wait in the system's buffers; keep-alive notices nothing.
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         }
         let length = match from.read(&mut bytes) {
--- a/crates/testbed/src/network_emulation/stream_proxy/tests.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy/tests.rs
@@ -22,9 +22,9 @@
         cut: true,
         ..LinkFaults::default()
     });
-    std::thread::sleep(3 * LOOK);
+    std::thread::sleep(3 * POLL_INTERVAL);
     far.write_all(b"later").unwrap();
-    near.set_read_timeout(Some(3 * LOOK)).unwrap();
+    near.set_read_timeout(Some(3 * POLL_INTERVAL)).unwrap();
     assert!(near.read(&mut bytes).is_err(), "nothing passes");
     near.set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -124,15 +124,15 @@
     pub rejections_by_reason: BTreeMap<String, u64>,
 }
 
-fn class_of(name: &str) -> (f64, f64) {
+fn class_weight_and_objective(name: &str) -> (f64, f64) {
     CLASSES
         .iter()
         .find(|(n, ..)| *n == name)
-        .map_or((0.0, 0.0), |(_, worth, goal)| (*worth, *goal))
+        .map_or((0.0, 0.0), |(_, weight, objective)| (*weight, *objective))
 }
 
 fn in_time(one: &ClientRequest) -> bool {
-    one.end == RequestEnd::Served && one.latency_s <= class_of(one.class).1
+    one.end == RequestEnd::Served && one.latency_s <= class_weight_and_objective(one.class).1
 }
 
 fn delta(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, name: &str) -> u64 {
@@ -174,15 +174,15 @@
         else {
             continue;
         };
-        let worth = class_of(one.class).0;
+        let weight = class_weight_and_objective(one.class).0;
         if one.is_retry {
             seconds[i].client_retries += 1;
         } else {
             seconds[i].requests += 1;
-            seconds[i].requested_weight += worth;
+            seconds[i].requested_weight += weight;
         }
         if in_time(one) {
-            seconds[i].served_weight += worth;
+            seconds[i].served_weight += weight;
         }
     }
     seconds
@@ -191,20 +191,20 @@
 /// The most weight that so much capacity can earn: heaviest classes first, one unit of capacity a
 /// request.
 #[must_use]
-pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, room: f64) -> f64 {
+pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, capacity: f64) -> f64 {
     let mut classes: Vec<(f64, f64)> = asked
         .iter()
-        .map(|(name, class)| (class_of(name).0, class.requests as f64))
+        .map(|(name, class)| (class_weight_and_objective(name).0, class.requests as f64))
         .collect();
     classes.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let mut left = room;
-    let mut worth = 0.0;
+    let mut left = capacity;
+    let mut weight = 0.0;
     for (each, many) in classes {
         let taken = many.min(left);
-        worth += each * taken;
+        weight += each * taken;
         left -= taken;
     }
-    worth
+    weight
 }
 
 /// What is known of a timeline when its spans are evaluated.
@@ -289,17 +289,17 @@
             if !one.is_retry {
                 class.requests += 1;
                 sums.requests += 1;
-                sums.requested_weight += class_of(one.class).0;
+                sums.requested_weight += class_weight_and_objective(one.class).0;
             }
             match one.end {
                 RequestEnd::Served if in_time(one) => {
                     class.served += 1;
-                    sums.served_weight += class_of(one.class).0;
+                    sums.served_weight += class_weight_and_objective(one.class).0;
                 }
                 RequestEnd::Served => class.late += 1,
                 RequestEnd::Refused => class.rejected += 1,
                 RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
-                RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never => {
+                RequestEnd::Broken | RequestEnd::NoConnection | RequestEnd::Never => {
                     class.unanswered += 1;
                 }
             }
@@ -328,10 +328,10 @@
 #[must_use]
 pub fn recovery(seconds: &[SecondMetrics], before: (f64, f64), end: f64) -> Option<f64> {
     let share = |of: &[&SecondMetrics]| {
-        let (worth, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
+        let (weight, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
             (sum.0 + s.served_weight, sum.1 + s.requested_weight)
         });
-        if asked > 0.0 { worth / asked } else { 1.0 }
+        if asked > 0.0 { weight / asked } else { 1.0 }
     };
     let usual: Vec<&SecondMetrics> = seconds
         .iter()
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -140,7 +140,7 @@
 /// A tile cache; it ends with this, and so do its connections.
 pub struct Cache {
     shared: Arc<SharedCache>,
-    _door: TcpService,
+    _service: TcpService,
 }
 
 impl Cache {
@@ -165,10 +165,10 @@
             freed: Condvar::new(),
         });
         let serving = Arc::clone(&shared);
-        let door = TcpService::open(address, move |stream| serve(&serving, stream))?;
+        let service = TcpService::open(address, move |stream| serve(&serving, stream))?;
         Ok(Cache {
             shared,
-            _door: door,
+            _service: service,
         })
     }
 
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -33,11 +33,28 @@
     /// The connection broke before the answer.
     Broken,
     /// No balancer took the connection.
-    NoDoor,
+    #[serde(rename = "no_door")]
+    NoConnection,
     /// No answer until long after the deadline.
     Never,
 }
 
+impl RequestEnd {
+    /// The key under which reports count it.
+    #[must_use]
+    pub fn report_key(self) -> &'static str {
+        match self {
+            RequestEnd::Served => "served",
+            RequestEnd::Refused => "refused",
+            RequestEnd::Failed => "failed",
+            RequestEnd::Wrong => "wrong",
+            RequestEnd::Broken => "broken",
+            RequestEnd::NoConnection => "nodoor",
+            RequestEnd::Never => "never",
+        }
+    }
+}
+
 /// One request as its client saw it.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClientRequest {
@@ -138,7 +155,7 @@
 }
 
 struct Client {
-    doors: Vec<SocketAddr>,
+    balancers: Vec<SocketAddr>,
     /// Where it goes first.
     home: usize,
     at: usize,
@@ -155,7 +172,7 @@
     /// doors, as seen from `begun`.
     #[must_use]
     pub fn start(
-        doors: &[SocketAddr],
+        balancers: &[SocketAddr],
         workers: usize,
         load: &RequestRate,
         behaviour: ClientOptions,
@@ -168,18 +185,18 @@
         );
         // Of workers in turn so many stay with the first balancer that it gets its multiple of the
         // mean.
-        let others = doors.len() as f64 - 1.0;
+        let others = balancers.len() as f64 - 1.0;
         let first = behaviour.first_balancer_share / (behaviour.first_balancer_share + others);
         let threads = (0..workers)
             .map(|worker| {
                 let (end, asked) = (Arc::clone(&end), Arc::clone(&asked));
                 let load = load.clone();
                 let at = match (worker as f64 + 0.5) / workers as f64 {
-                    part if part < first || doors.len() == 1 => 0,
-                    _ => 1 + worker % (doors.len() - 1),
+                    part if part < first || balancers.len() == 1 => 0,
+                    _ => 1 + worker % (balancers.len() - 1),
                 };
                 let mut client = Client {
-                    doors: doors.to_vec(),
+                    balancers: balancers.to_vec(),
                     home: at,
                     at,
                     behaviour,
@@ -243,7 +260,7 @@
 impl Client {
     fn connection(&mut self) -> io::Result<&mut (TcpStream, BufReader<TcpStream>)> {
         if self.stream.is_none() {
-            let address = self.doors[self.at];
+            let address = self.balancers[self.at];
             let stream = TcpStream::connect_timeout(&address, Duration::from_millis(500))?;
             stream.set_nodelay(true)?;
             self.stream = Some((stream.try_clone()?, BufReader::new(stream)));
@@ -276,10 +293,10 @@
                 let wait =
                     wait_ms.map_or(WAIT_USUAL, |ms| Duration::from_millis(ms.min(OBEYED_MOST)));
                 std::thread::sleep(wait);
-            } else if self.doors.len() > 1 {
+            } else if self.balancers.len() > 1 {
                 self.stream = None;
-                self.at = (self.at + 1 + self.rng.random_range(0..self.doors.len() - 1))
-                    % self.doors.len();
+                self.at = (self.at + 1 + self.rng.random_range(0..self.balancers.len() - 1))
+                    % self.balancers.len();
             }
         }
         if self.at != self.home && self.stream.is_some() && !self.behaviour.honors_retry_after {
@@ -347,10 +364,10 @@
         let (end, extra, wait_ms) = self.exchange(&command, most, key, write);
         if matches!(
             end,
-            RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never
+            RequestEnd::Broken | RequestEnd::NoConnection | RequestEnd::Never
         ) {
             self.stream = None;
-            self.at = self.rng.random_range(0..self.doors.len());
+            self.at = self.rng.random_range(0..self.balancers.len());
         }
         let at = sent.duration_since(begun).as_secs_f64();
         ClientRequest {
@@ -387,7 +404,7 @@
             self.stream = None;
         }
         let Ok((stream, input)) = self.connection() else {
-            return (RequestEnd::NoDoor, false, None);
+            return (RequestEnd::NoConnection, false, None);
         };
         if stream.set_read_timeout(Some(most)).is_err() || stream.write_all(command).is_err() {
             return (RequestEnd::Broken, false, None);
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 /// How often a watch looks for changes; an empty line comes after forty looks without one.
-const LOOK: Duration = Duration::from_millis(50);
-const LOOKS_SILENT: u32 = 40;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const POLLS_UNTIL_KEEPALIVE: u32 = 40;
 /// The longest head of a call.
 const HEAD_MAX: usize = 8 * 1024;
 
@@ -50,11 +50,11 @@
     /// what was sent before.
     pub fn line(
         &self,
-        told: u64,
+        sent_version: u64,
         dial: &impl Fn(&str) -> Option<SocketAddr>,
     ) -> Option<(u64, String)> {
         let list = self.lock();
-        if list.0 <= told {
+        if list.0 <= sent_version {
             return None;
         }
         let hosts: Vec<serde_json::Value> = list
@@ -76,7 +76,7 @@
 
 /// Discovery as one balancer reaches it; it ends with this.
 pub struct Discovery {
-    _door: TcpService,
+    _service: TcpService,
 }
 
 impl Discovery {
@@ -91,7 +91,7 @@
         dial: impl Fn(&str) -> Option<SocketAddr> + Clone + Send + 'static,
     ) -> io::Result<Self> {
         Ok(Discovery {
-            _door: TcpService::open(address, move |stream| serve(stream, &list, &dial))?,
+            _service: TcpService::open(address, move |stream| serve(stream, &list, &dial))?,
         })
     }
 }
@@ -111,14 +111,14 @@
     stream.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n",
     )?;
-    let (mut told, mut silent) = (0, 0);
+    let (mut sent_version, mut silent) = (0, 0);
     loop {
-        match list.line(told, dial) {
+        match list.line(sent_version, dial) {
             Some((version, line)) => {
-                (told, silent) = (version, 0);
+                (sent_version, silent) = (version, 0);
                 write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
             }
-            None if silent >= LOOKS_SILENT => {
+            None if silent >= POLLS_UNTIL_KEEPALIVE => {
                 silent = 0;
                 stream.write_all(b"1\r\n\n\r\n")?;
             }
@@ -127,6 +127,6 @@
         if !watch {
             return stream.write_all(b"0\r\n\r\n");
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -108,18 +108,21 @@
     // Clients of those that are away ask the others.
     let here: f64 = running.iter().map(|n| weights[*n]).sum();
     let total = weights.iter().sum::<f64>() * asked * seconds;
-    let room = weights.len() as f64 * MEMBER_CAPACITY * seconds;
-    let mut let_in = Vec::new();
+    let capacity = weights.len() as f64 * MEMBER_CAPACITY * seconds;
+    let mut admitted = Vec::new();
     for n in &running {
         let mine = total * weights[*n] / here;
         let level = fleet.shedding_level(*n);
         let reads = mine * (1.0 - WRITE_PART) * (1.0 - shed(level, READS));
         let writes = mine * WRITE_PART * (1.0 - shed(level, WRITES));
-        let_in.push((*n, reads, writes));
+        admitted.push((*n, reads, writes));
     }
-    let tries: f64 = let_in.iter().map(|(_, reads, writes)| reads + writes).sum();
-    let served = (room / tries.max(1e-9)).min(1.0);
-    for (n, reads, writes) in let_in {
+    let attempts: f64 = admitted
+        .iter()
+        .map(|(_, reads, writes)| reads + writes)
+        .sum();
+    let served = (capacity / attempts.max(1e-9)).min(1.0);
+    for (n, reads, writes) in admitted {
         sum.weight += served * (reads * READ_WORTH + writes * WRITE_WORTH);
         // Requests are whole; what is left over counts next time.
         let more = [reads, writes, (reads + writes) * (1.0 - served)];
@@ -136,10 +139,10 @@
         (tally.admitted[READS], tally.admitted[WRITES]) = (whole[0], whole[1]);
         fleet.record_admissions(n, tally);
     }
-    let writes = (total * WRITE_PART).min(room);
-    let reads = (total * (1.0 - WRITE_PART)).min(room - writes);
+    let writes = (total * WRITE_PART).min(capacity);
+    let reads = (total * (1.0 - WRITE_PART)).min(capacity - writes);
     sum.perfect += writes * WRITE_WORTH + reads * READ_WORTH;
-    (sum.attempts, sum.capacity) = (sum.attempts + tries, sum.capacity + room);
+    (sum.attempts, sum.capacity) = (sum.attempts + attempts, sum.capacity + capacity);
     fleet.advance_to(fleet.now + TICK);
 }
 
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// How often a watch looks for changes.
-const LOOK: Duration = Duration::from_millis(4);
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// An empty line comes behind so many looks without a change: every 2 s.
-const LOOKS_EMPTY: u32 = 500;
+const POLLS_UNTIL_KEEPALIVE: u32 = 500;
 /// The longest head of a call.
 const HEAD_MAX: usize = 8 * 1024;
 /// A torn message comes in parts of this size, this far from each other.
@@ -110,21 +110,21 @@
     }
 
     /// What is wrong from now on.
-    pub fn set_fault(&self, trouble: DiscoveryFault) {
+    pub fn set_fault(&self, fault: DiscoveryFault) {
         let mut state = self.lock();
         let now = self.clock.now();
-        if trouble == DiscoveryFault::Down && state.fault != DiscoveryFault::Down {
+        if fault == DiscoveryFault::Down && state.fault != DiscoveryFault::Down {
             state.down.push(TimeSpan {
                 from: now,
                 to: Nanos::MAX,
             });
         }
-        if trouble != DiscoveryFault::Down
+        if fault != DiscoveryFault::Down
             && let Some(span) = state.down.last_mut().filter(|span| span.to == Nanos::MAX)
         {
             span.to = now;
         }
-        state.fault = trouble;
+        state.fault = fault;
     }
 
     /// All watches that are open fall silent.
@@ -228,10 +228,10 @@
             .split_once("since=")
             .and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok());
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n")?;
-        let mut empty = LOOKS_EMPTY;
+        let mut empty = POLLS_UNTIL_KEEPALIVE;
         loop {
-            let trouble = self.lock().fault;
-            match trouble {
+            let fault = self.lock().fault;
+            match fault {
                 DiscoveryFault::Down => return Ok(()),
                 DiscoveryFault::Silent { before } if number < before => {}
                 _ => match self.message(since) {
@@ -245,14 +245,14 @@
                             at,
                         });
                     }
-                    None if empty >= LOOKS_EMPTY => {
+                    None if empty >= POLLS_UNTIL_KEEPALIVE => {
                         stream.write_all(b"\n")?;
                         empty = 0;
                     }
                     None => empty += 1,
                 },
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/crates/testbed/src/soak/injection.rs
+++ b/crates/testbed/src/soak/injection.rs
@@ -227,9 +227,9 @@
 
     fn reload(&mut self, one: usize) {
         self.discovery_in_use[one] = 1 - self.discovery_in_use[one];
-        let door = self.discovery_addresses[one][self.discovery_in_use[one]];
+        let address = self.discovery_addresses[one][self.discovery_in_use[one]];
         let mut balancer = lock(&self.balancers[one]);
-        match balancer.configure("discovery", serde_json::json!(door)) {
+        match balancer.configure("discovery", serde_json::json!(address)) {
             Ok(_) => balancer.signal(Signal::SIGHUP),
             Err(e) => self.events.push((self.clock.now(), e.to_string())),
         }
--- a/crates/testbed/src/soak/rule_checker/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -182,13 +182,13 @@
         found(left(), vec![attempt(2 * S + 101 * MS)], |_| {}),
         ["lost"]
     );
-    let told = |told_ms| AttemptRecord {
-        deadline_ms: told_ms,
+    let notified = |deadline_ms| AttemptRecord {
+        deadline_ms,
         ..attempt(2 * S + 300 * MS)
     };
-    assert!(found(asked(RequestKind::Safe), vec![told(250)], |_| {}).is_empty());
+    assert!(found(asked(RequestKind::Safe), vec![notified(250)], |_| {}).is_empty());
     assert_eq!(
-        found(asked(RequestKind::Safe), vec![told(251)], |_| {}),
+        found(asked(RequestKind::Safe), vec![notified(251)], |_| {}),
         ["lost"]
     );
 }
@@ -257,10 +257,10 @@
         };
         found(asked, vec![attempt(began)], with)
     };
-    let told = Some(2 * S);
-    assert!(late(2 * S + 550 * MS, Box::new(drain(told, None))).is_empty());
+    let notified = Some(2 * S);
+    assert!(late(2 * S + 550 * MS, Box::new(drain(notified, None))).is_empty());
     assert_eq!(
-        late(2 * S + 551 * MS, Box::new(drain(told, None))),
+        late(2 * S + 551 * MS, Box::new(drain(notified, None))),
         ["drain"]
     );
     assert!(late(7 * S + 550 * MS, Box::new(drain(None, None))).is_empty());
--- a/crates/testbed/src/stall.rs
+++ b/crates/testbed/src/stall.rs
@@ -230,7 +230,8 @@
         range.map(|n| host(n, health, &dials)).collect::<Vec<_>>()
     };
     let first = full_list(1, &hosts(0..caches, "in_service"));
-    let (discovery, tell) = discovery(first).map_err(|e| TestbedError::io("discovery", e))?;
+    let (discovery, list_changes) =
+        discovery(first).map_err(|e| TestbedError::io("discovery", e))?;
     let (balancer, address) = start(program, discovery)?;
     wait_ready(address)?;
     read_keys(address).map_err(|e| TestbedError::io("reads", e))?;
@@ -240,7 +241,8 @@
     let mut around = [Duration::ZERO; 3];
     for (place, change) in BatchChange::ALL.into_iter().enumerate() {
         let batch = hosts(caches..caches + batch, change.health());
-        tell.send(list_delta(2 + place as u64, &batch))
+        list_changes
+            .send(list_delta(2 + place as u64, &batch))
             .map_err(|e| TestbedError::io("discovery", std::io::Error::other(e)))?;
         std::thread::sleep(MEASURE_SPAN);
         around[place] = pings.take();
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -103,7 +103,7 @@
             "{one:?}"
         );
         assert!(
-            killed || !matches!(one.end, RequestEnd::Broken | RequestEnd::NoDoor),
+            killed || !matches!(one.end, RequestEnd::Broken | RequestEnd::NoConnection),
             "{one:?}"
         );
     }
