--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -2,7 +2,7 @@
 //! data path, for sizes at which whole balancers don't fit on a machine.
 //!
 //! The parent ([`run`]) lays the fleet out, starts processes that run a share of the members each
-//! ([`members`]), tells them what happens, and holds what they report against what is true. A
+//! ([`members`]), sends them what happens, and compares what they report with what is true. A
 //! process ends when its standard input ends, so that nothing stays behind whatever becomes of the
 //! parent.
 
@@ -39,7 +39,7 @@
 const CEILING: Duration = Duration::from_secs(90);
 /// Rumours of the beginning run out for so long before anything is measured.
 const SETTLING: Duration = Duration::from_secs(8);
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What happens after the calm stretch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -391,7 +391,7 @@
             if let Some(settled) = self.processes.settled_at() {
                 return Ok(Some(settled.saturating_duration_since(begun)));
             }
-            self.wait(LOOK)?;
+            self.wait(POLL_INTERVAL)?;
         }
         Ok(None)
     }
@@ -428,7 +428,7 @@
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 }
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The referee: what the trial did is what is true; what members, clients and caches saw is held
-//! against it.
+//! Invariants of a cluster: what the trial did is what is true; what members, clients and caches
+//! saw is held against it.
 
 use crate::cluster::Cluster;
 use crate::member_process::{IntendedState, MemberView};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Failures that are told in full; the others are counted.
+/// Violations that are kept in full; the others are counted.
 const TOLD_MAX: usize = 50;
 /// A member that stood still says so itself; whatever the machine made of it, nothing near it is
 /// held against anybody.
@@ -258,9 +258,7 @@
     pub fn check_clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
         let mut ends: BTreeMap<String, usize> = BTreeMap::new();
         for one in asked {
-            *ends
-                .entry(format!("{:?}", one.end).to_lowercase())
-                .or_default() += 1;
+            *ends.entry(one.end.report_key().into()).or_default() += 1;
             let what = || {
                 format!(
                     "{} ({}) at n{}: {:?} after {:.3} s",
@@ -291,7 +289,7 @@
             }
             if matches!(
                 one.end,
-                RequestEnd::Never | RequestEnd::Broken | RequestEnd::NoDoor
+                RequestEnd::Never | RequestEnd::Broken | RequestEnd::NoConnection
             ) && !away
             {
                 self.fail(one.at, "answered", what());
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -1,12 +1,12 @@
-//! What a whole fleet does second by second, and what its clients got: the figures by which
-//! overload is judged.
+//! Metrics of a whole fleet by second and by span, from the counts of members and caches and the
+//! results of clients.
 
 use crate::simulated_services::cache::CacheCounts;
 use crate::simulated_services::clients::{ClientRequest, RequestEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A class's worth, and the time within which an answer earns it, in seconds; as in the members'
+/// A class's priority weight, and its latency objective in seconds; as in the members'
 /// settings.
 pub const CLASSES: [(&str, f64, f64); 3] = [
     ("tile-read", 3.0, 0.3),
@@ -14,6 +14,9 @@
     ("map-publish", 5.0, 0.6),
 ];
 
+/// A balancer's share of rejections counts from so many requests on.
+const MIN_REQUESTS_FOR_SHARE: u64 = 20;
+
 /// Sums over the fleet at one moment, since the start.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterSample {
@@ -23,7 +26,7 @@
     pub caches: CacheCounts,
     /// Fetches and writes at the origin, and those that waited there in vain.
     pub origin: (u64, u64),
-    /// The members' counters, summed over all their lives.
+    /// The members' counters, summed over all their processes.
     pub members: BTreeMap<String, u64>,
 }
 
@@ -35,19 +38,19 @@
     /// Requests of clients, without returns; and returns.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// See `asked`.
+    /// See `requests`.
     #[serde(rename = "again")]
     pub client_retries: u64,
-    /// Tries at caches, and those turned away there.
+    /// Attempts at caches, and those rejected there.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// See `tries`.
+    /// See `attempts`.
     #[serde(rename = "turned_away")]
     pub rejected_by_caches: u64,
-    /// Copies that members sent.
+    /// Hedged requests that members sent.
     #[serde(rename = "hedges")]
     pub hedges: u64,
-    /// Probes at caches.
+    /// Health checks at caches.
     #[serde(rename = "probes")]
     pub health_checks: u64,
     /// Connections at caches.
@@ -55,21 +58,21 @@
     pub connections: u64,
     /// Fetches and writes at the origin.
     pub fetches: u64,
-    /// Worth asked for by first requests, and worth served in time.
+    /// Weight of first requests, and weight of answers in time.
     #[serde(rename = "worth_asked")]
     pub requested_weight: f64,
-    /// See `worth_asked`.
+    /// See `requested_weight`.
     #[serde(rename = "worth")]
     pub served_weight: f64,
 }
 
-/// What one class got, in the span that is judged.
+/// Results of one class in a span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassMetrics {
     /// First requests.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Of all requests, those served in time, served late, refused, failed, and without an answer.
+    /// Of all requests, those served in time, served late, rejected, failed, and without an answer.
     pub served: u64,
     /// See `served`.
     pub late: u64,
@@ -80,35 +83,35 @@
     pub failed: u64,
     /// See `served`.
     pub unanswered: u64,
-    /// The share that was refused at the balancer that refused least, and at the one that refused
-    /// most; of those with twenty requests or more.
+    /// The share that was rejected at the balancer that rejected least, and at the one that
+    /// rejected most; of those with twenty requests or more.
     #[serde(rename = "refused_least")]
     pub rejected_share_min: f64,
-    /// See `refused_least`.
+    /// See `rejected_share_min`.
     #[serde(rename = "refused_most")]
     pub rejected_share_max: f64,
 }
 
-/// The judgement of one span.
+/// Metrics of one span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SpanMetrics {
     /// From when to when, in seconds since the start of the timeline.
     pub from: f64,
     /// See `from`.
     pub to: f64,
-    /// Worth served in time over worth asked for.
+    /// Weight served in time over weight requested.
     #[serde(rename = "worth_share")]
     pub served_weight_share: f64,
-    /// Worth served in time over what the caches' room would bear with perfect choice.
+    /// Weight served in time over what the caches' capacity could earn.
     #[serde(rename = "of_perfect")]
     pub share_of_optimum: f64,
-    /// Tries at caches for each first request.
+    /// Attempts at caches for each first request.
     #[serde(rename = "tries_per_request")]
     pub attempts_per_request: f64,
-    /// Copies for each first request.
+    /// Hedged requests for each first request.
     #[serde(rename = "copies_per_request")]
     pub hedges_per_request: f64,
-    /// Probes a cache a second.
+    /// Health checks a cache a second.
     #[serde(rename = "probes_per_cache_s")]
     pub health_checks_per_cache_s: f64,
     /// Connections for each first request.
@@ -116,20 +119,20 @@
     pub connections_per_request: f64,
     /// By class.
     pub classes: BTreeMap<String, ClassMetrics>,
-    /// Why members refused, by their counters.
+    /// Rejections by reason, from the counters of members.
     #[serde(rename = "refused_by_reason")]
     pub rejections_by_reason: BTreeMap<String, u64>,
 }
 
-fn class_of(name: &str) -> (f64, f64) {
+fn class_weight_and_objective(name: &str) -> (f64, f64) {
     CLASSES
         .iter()
         .find(|(n, ..)| *n == name)
-        .map_or((0.0, 0.0), |(_, worth, goal)| (*worth, *goal))
+        .map_or((0.0, 0.0), |(_, weight, objective)| (*weight, *objective))
 }
 
 fn in_time(one: &ClientRequest) -> bool {
-    one.end == RequestEnd::Served && one.latency_s <= class_of(one.class).1
+    one.end == RequestEnd::Served && one.latency_s <= class_weight_and_objective(one.class).1
 }
 
 fn delta(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, name: &str) -> u64 {
@@ -171,140 +174,164 @@
         else {
             continue;
         };
-        let worth = class_of(one.class).0;
+        let weight = class_weight_and_objective(one.class).0;
         if one.is_retry {
             seconds[i].client_retries += 1;
         } else {
             seconds[i].requests += 1;
-            seconds[i].requested_weight += worth;
+            seconds[i].requested_weight += weight;
         }
         if in_time(one) {
-            seconds[i].served_weight += worth;
+            seconds[i].served_weight += weight;
         }
     }
     seconds
 }
 
-/// What so much room would earn with perfect choice: the dearest first. A request takes one unit of
-/// it.
+/// The most weight that so much capacity can earn: heaviest classes first, one unit of capacity a
+/// request.
 #[must_use]
-pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, room: f64) -> f64 {
+pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, capacity: f64) -> f64 {
     let mut classes: Vec<(f64, f64)> = asked
         .iter()
-        .map(|(name, class)| (class_of(name).0, class.requests as f64))
+        .map(|(name, class)| (class_weight_and_objective(name).0, class.requests as f64))
         .collect();
     classes.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let mut left = room;
-    let mut worth = 0.0;
+    let mut left = capacity;
+    let mut weight = 0.0;
     for (each, many) in classes {
         let taken = many.min(left);
-        worth += each * taken;
+        weight += each * taken;
         left -= taken;
     }
-    worth
+    weight
 }
 
-/// Judges one span; `room` is how many requests all caches serve a second when warm.
-pub fn span(
-    (from, to): (f64, f64),
-    samples: &[ClusterSample],
-    asked: &[ClientRequest],
-    begun: f64,
-    room: f64,
-    caches: usize,
-) -> SpanMetrics {
-    let mut classes: BTreeMap<String, ClassMetrics> = BTreeMap::new();
-    let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
-    let (mut worth_asked, mut worth, mut first) = (0.0, 0.0, 0u64);
-    for one in asked
-        .iter()
-        .filter(|one| (from..to).contains(&(one.at - begun)))
-    {
-        let class = classes.entry(one.class.into()).or_default();
-        if !one.is_retry {
-            class.requests += 1;
-            first += 1;
-            worth_asked += class_of(one.class).0;
-        }
-        match one.end {
-            RequestEnd::Served if in_time(one) => {
-                class.served += 1;
-                worth += class_of(one.class).0;
-            }
-            RequestEnd::Served => class.late += 1,
-            RequestEnd::Refused => class.rejected += 1,
-            RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
-            RequestEnd::Broken | RequestEnd::NoDoor | RequestEnd::Never => class.unanswered += 1,
+/// What is known of a timeline when its spans are evaluated.
+pub struct Observations<'a> {
+    /// The fleet, once a second.
+    pub samples: &'a [ClusterSample],
+    /// The clients' requests.
+    pub requests: &'a [ClientRequest],
+    /// The start of the timeline in the clients' time.
+    pub begun: f64,
+    /// How many requests all caches serve a second when warm.
+    pub capacity: f64,
+    /// How many caches there are.
+    pub caches: usize,
+}
+
+/// Sums over the requests of a span.
+#[derive(Default)]
+struct RequestSums {
+    classes: BTreeMap<String, ClassMetrics>,
+    requested_weight: f64,
+    served_weight: f64,
+    /// Requests that are no retries.
+    requests: u64,
+}
+
+impl Observations<'_> {
+    /// Evaluates one span, in seconds since the start of the timeline.
+    #[must_use]
+    pub fn span(&self, from: f64, to: f64) -> SpanMetrics {
+        let sums = self.request_sums(from, to);
+        let (a, b) = (self.sample_near(from), self.sample_near(to));
+        let per_request = |count: u64| count as f64 / sums.requests.max(1) as f64;
+        let length = (b.at - a.at).max(0.001);
+        let optimum = perfect(&sums.classes, self.capacity * (to - from));
+        let reasons = b
+            .members
+            .keys()
+            .filter_map(|name| name.strip_prefix("rejected."));
+        let health_checks = b
+            .caches
+            .health_checks
+            .saturating_sub(a.caches.health_checks);
+        SpanMetrics {
+            from,
+            to,
+            served_weight_share: sums.served_weight / sums.requested_weight.max(0.001),
+            share_of_optimum: sums.served_weight / optimum.max(0.001),
+            attempts_per_request: per_request(b.caches.attempts.saturating_sub(a.caches.attempts)),
+            hedges_per_request: per_request(delta(&a.members, &b.members, "hedges")),
+            health_checks_per_cache_s: health_checks as f64 / length / self.caches as f64,
+            connections_per_request: per_request(
+                b.caches.connections.saturating_sub(a.caches.connections),
+            ),
+            rejections_by_reason: reasons
+                .map(|reason| {
+                    let count = delta(&a.members, &b.members, &format!("rejected.{reason}"));
+                    (reason.to_string(), count)
+                })
+                .filter(|(_, count)| *count > 0)
+                .collect(),
+            classes: sums.classes,
         }
-        let of = balancers
-            .entry((one.class.into(), one.balancer))
-            .or_default();
-        of.0 += 1;
-        of.1 += u64::from(one.end == RequestEnd::Refused);
     }
-    for (name, class) in &mut classes {
-        let shares = balancers
+
+    fn sample_near(&self, at: f64) -> ClusterSample {
+        let distance = |sample: &ClusterSample| (sample.at - at).abs();
+        let nearest = self
+            .samples
             .iter()
-            .filter(|((n, _), (all, _))| n == name && *all >= 20);
-        let shares: Vec<f64> = shares
-            .map(|(_, (all, refused))| *refused as f64 / *all as f64)
-            .collect();
-        class.rejected_share_min = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
-        class.rejected_share_max = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
+            .min_by(|a, b| distance(a).total_cmp(&distance(b)));
+        nearest.cloned().unwrap_or_default()
     }
-    let sample = |at: f64| {
-        samples
-            .iter()
-            .min_by(|a, b| (a.at - at).abs().total_cmp(&(b.at - at).abs()))
-    };
-    let (a, b) = (
-        sample(from).cloned().unwrap_or_default(),
-        sample(to).cloned().unwrap_or_default(),
-    );
-    let per_request = |count: u64| count as f64 / first.max(1) as f64;
-    let length = (b.at - a.at).max(0.001);
-    let reasons = b
-        .members
-        .keys()
-        .filter_map(|name| name.strip_prefix("rejected."));
-    SpanMetrics {
-        from,
-        to,
-        served_weight_share: worth / worth_asked.max(0.001),
-        share_of_optimum: worth / perfect(&classes, room * (to - from)).max(0.001),
-        attempts_per_request: per_request(b.caches.attempts.saturating_sub(a.caches.attempts)),
-        hedges_per_request: per_request(delta(&a.members, &b.members, "hedges")),
-        health_checks_per_cache_s: b
-            .caches
-            .health_checks
-            .saturating_sub(a.caches.health_checks) as f64
-            / length
-            / caches as f64,
-        connections_per_request: per_request(
-            b.caches.connections.saturating_sub(a.caches.connections),
-        ),
-        rejections_by_reason: reasons
-            .map(|reason| {
-                (
-                    reason.to_string(),
-                    delta(&a.members, &b.members, &format!("rejected.{reason}")),
-                )
-            })
-            .filter(|(_, count)| *count > 0)
-            .collect(),
-        classes,
+
+    fn request_sums(&self, from: f64, to: f64) -> RequestSums {
+        let mut sums = RequestSums::default();
+        // By class and balancer: all requests, and those rejected.
+        let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
+        let in_span = |one: &&ClientRequest| (from..to).contains(&(one.at - self.begun));
+        for one in self.requests.iter().filter(in_span) {
+            let class = sums.classes.entry(one.class.into()).or_default();
+            if !one.is_retry {
+                class.requests += 1;
+                sums.requests += 1;
+                sums.requested_weight += class_weight_and_objective(one.class).0;
+            }
+            match one.end {
+                RequestEnd::Served if in_time(one) => {
+                    class.served += 1;
+                    sums.served_weight += class_weight_and_objective(one.class).0;
+                }
+                RequestEnd::Served => class.late += 1,
+                RequestEnd::Refused => class.rejected += 1,
+                RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
+                RequestEnd::Broken | RequestEnd::NoConnection | RequestEnd::Never => {
+                    class.unanswered += 1;
+                }
+            }
+            let of = balancers
+                .entry((one.class.into(), one.balancer))
+                .or_default();
+            of.0 += 1;
+            of.1 += u64::from(one.end == RequestEnd::Refused);
+        }
+        for (name, class) in &mut sums.classes {
+            let shares = balancers
+                .iter()
+                .filter(|((n, _), (all, _))| n == name && *all >= MIN_REQUESTS_FOR_SHARE);
+            let shares: Vec<f64> = shares
+                .map(|(_, (all, rejected))| *rejected as f64 / *all as f64)
+                .collect();
+            class.rejected_share_min = shares.iter().copied().reduce(f64::min).unwrap_or(0.0);
+            class.rejected_share_max = shares.iter().copied().reduce(f64::max).unwrap_or(0.0);
+        }
+        sums
     }
 }
 
-/// Seconds from `end` until, for two seconds on end, at least nine tenths of the worth share from
-/// before the trouble is served; `None` if that never comes.
+/// Seconds from `end` until, for two seconds on end, at least nine tenths of the weight share from
+/// before the disturbance is served; `None` if that never comes.
 #[must_use]
 pub fn recovery(seconds: &[SecondMetrics], before: (f64, f64), end: f64) -> Option<f64> {
     let share = |of: &[&SecondMetrics]| {
-        let (worth, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
+        let (weight, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
             (sum.0 + s.served_weight, sum.1 + s.requested_weight)
         });
-        if asked > 0.0 { worth / asked } else { 1.0 }
+        if asked > 0.0 { weight / asked } else { 1.0 }
     };
     let usual: Vec<&SecondMetrics> = seconds
         .iter()
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -1,5 +1,5 @@
 //! The level by which members shed load together, in virtual time: members of the `fleet` crate,
-//! and a model of caches with so much room. What is let in beyond the room is turned away in equal
+//! and a model of caches of so much capacity. What is admitted beyond it is rejected in equal
 //! parts; requests are of two kinds, reads worth 3 and, a tenth, writes worth 10.
 
 use super::SimulationFailure;
@@ -18,12 +18,14 @@
 const WRITE_WORTH: f64 = 10.0;
 const WRITE_PART: f64 = 0.1;
 /// The model moves on by so much at a time.
+/// How long the overload lasts, in seconds.
+const OVERLOAD_S: u64 = 15;
 const TICK: Nanos = 50 * MS;
-/// What is asked for in calm, and what the caches bear, of each member in a second.
+/// Requests in calm, and the capacity of the caches, for each member and second.
 const CALM: f64 = 15.0;
-const ROOM: f64 = 25.0;
+const MEMBER_CAPACITY: f64 = 25.0;
 
-/// What befalls the talk in the middle of the overload.
+/// What disturbs gossip in the middle of the overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedDisturbance {
@@ -48,7 +50,7 @@
     InjectedDisturbance::Restarts,
 ];
 
-/// What a fleet's level did through an overload of twice the room.
+/// What a fleet's level did through an overload of twice the capacity.
 #[derive(Clone, Debug, Serialize)]
 pub struct SheddingMeasurement {
     /// Members.
@@ -57,16 +59,16 @@
     pub loss: f64,
     /// By which seed.
     pub seed: u64,
-    /// What befell the talk.
+    /// What disturbed gossip.
     #[serde(rename = "trouble")]
     pub disturbance: InjectedDisturbance,
-    /// Worth served over what perfect choice would have served, over the 15 s.
+    /// Weight served over the most that could have been served, over the overload.
     #[serde(rename = "of_perfect")]
     pub share_of_optimum: f64,
     /// The same if each went by its own counts alone.
     #[serde(rename = "of_perfect_apart")]
     pub share_of_separate_optimum: f64,
-    /// Tries at caches over what they bear.
+    /// Attempts at caches over their capacity.
     #[serde(rename = "tries_of_room")]
     pub attempts_per_capacity: f64,
     /// The greatest difference between the shares of reads that two members shed, in the mean over
@@ -106,18 +108,21 @@
     // Clients of those that are away ask the others.
     let here: f64 = running.iter().map(|n| weights[*n]).sum();
     let total = weights.iter().sum::<f64>() * asked * seconds;
-    let room = weights.len() as f64 * ROOM * seconds;
-    let mut let_in = Vec::new();
+    let capacity = weights.len() as f64 * MEMBER_CAPACITY * seconds;
+    let mut admitted = Vec::new();
     for n in &running {
         let mine = total * weights[*n] / here;
         let level = fleet.shedding_level(*n);
         let reads = mine * (1.0 - WRITE_PART) * (1.0 - shed(level, READS));
         let writes = mine * WRITE_PART * (1.0 - shed(level, WRITES));
-        let_in.push((*n, reads, writes));
+        admitted.push((*n, reads, writes));
     }
-    let tries: f64 = let_in.iter().map(|(_, reads, writes)| reads + writes).sum();
-    let served = (room / tries.max(1e-9)).min(1.0);
-    for (n, reads, writes) in let_in {
+    let attempts: f64 = admitted
+        .iter()
+        .map(|(_, reads, writes)| reads + writes)
+        .sum();
+    let served = (capacity / attempts.max(1e-9)).min(1.0);
+    for (n, reads, writes) in admitted {
         sum.weight += served * (reads * READ_WORTH + writes * WRITE_WORTH);
         // Requests are whole; what is left over counts next time.
         let more = [reads, writes, (reads + writes) * (1.0 - served)];
@@ -134,10 +139,10 @@
         (tally.admitted[READS], tally.admitted[WRITES]) = (whole[0], whole[1]);
         fleet.record_admissions(n, tally);
     }
-    let writes = (total * WRITE_PART).min(room);
-    let reads = (total * (1.0 - WRITE_PART)).min(room - writes);
+    let writes = (total * WRITE_PART).min(capacity);
+    let reads = (total * (1.0 - WRITE_PART)).min(capacity - writes);
     sum.perfect += writes * WRITE_WORTH + reads * READ_WORTH;
-    (sum.attempts, sum.capacity) = (sum.attempts + tries, sum.capacity + room);
+    (sum.attempts, sum.capacity) = (sum.attempts + attempts, sum.capacity + capacity);
     fleet.advance_to(fleet.now + TICK);
 }
 
@@ -162,81 +167,130 @@
     fleet
 }
 
-/// Plays calm, 15 s of twice the room, and calm until nothing is shed.
-fn run(
-    members: usize,
-    loss: f64,
-    seed: u64,
+/// What one run showed.
+struct ShedRun {
+    sum: Sum,
+    /// Seconds from the end of the overload until nothing is shed.
+    over_s: Option<f64>,
+    datagrams_per_s: f64,
+}
+
+/// How members shed: by the level that all agree on, or each by its own counts.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Coordination {
+    Shared,
+    Separate,
+}
+
+/// A disturbance as it goes on.
+struct DisturbanceCourse {
     disturbance: InjectedDisturbance,
-    apart: bool,
-) -> (Sum, Option<f64>, f64) {
-    let mut fleet = met(members, loss, seed);
-    fleet.network.load_loss = if apart { 1.0 } else { 0.0 };
-    let mut weights = vec![1.0; members];
-    if disturbance == InjectedDisturbance::Uneven {
-        weights[0] = 5.0;
-        let sum: f64 = weights.iter().sum();
-        weights.iter_mut().for_each(|w| *w *= members as f64 / sum);
-    }
-    let mut carried = vec![[0.0; 3]; members];
-    let mut unjudged = Sum::default();
-    for _ in 0..5 * S / TICK {
-        tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
-    }
-    let sent = |fleet: &SimulatedFleet| {
-        fleet
-            .running()
-            .iter()
-            .map(|n| fleet.statistics(*n).sent)
-            .sum::<u64>()
-    };
-    let mut sum = Sum::default();
-    let (begun, before) = (fleet.now, sent(&fleet));
-    let quarter = members - members.div_ceil(4)..members;
-    let mut stage = 0;
-    while fleet.now - begun < 15 * S {
-        let at = fleet.now - begun;
+    coordination: Coordination,
+    /// How many of its changes have been made.
+    stage: u32,
+}
+
+impl DisturbanceCourse {
+    /// Makes the changes that are due at this time since the overload's start.
+    fn advance(&mut self, fleet: &mut SimulatedFleet, at: Nanos) {
+        let members = fleet.len();
         let half = |n: usize| usize::from(n >= members / 2);
-        match disturbance {
-            InjectedDisturbance::Split if stage == 0 && at >= 5 * S => {
+        let quarter = members - members.div_ceil(4)..members;
+        match self.disturbance {
+            InjectedDisturbance::Split if self.stage == 0 && at >= 5 * S => {
                 fleet.split(half, true);
-                stage = 1;
+                self.stage = 1;
             }
-            InjectedDisturbance::Split if stage == 1 && at >= 10 * S => {
+            InjectedDisturbance::Split if self.stage == 1 && at >= 10 * S => {
                 fleet.split(half, false);
-                stage = 2;
+                self.stage = 2;
             }
             InjectedDisturbance::Silence => {
-                fleet.network.load_loss = f64::from((5 * S..8 * S).contains(&at) || apart);
+                let silent = (5 * S..8 * S).contains(&at);
+                let separate = self.coordination == Coordination::Separate;
+                fleet.network.load_loss = f64::from(silent || separate);
             }
-            InjectedDisturbance::Restarts if stage == 0 && at >= 5 * S => {
-                quarter.clone().for_each(|n| fleet.kill(n));
-                stage = 1;
+            InjectedDisturbance::Restarts if self.stage == 0 && at >= 5 * S => {
+                quarter.for_each(|n| fleet.kill(n));
+                self.stage = 1;
             }
-            InjectedDisturbance::Restarts if stage == 1 && at >= 8 * S => {
-                quarter.clone().for_each(|n| fleet.start(n, 0));
-                stage = 2;
+            InjectedDisturbance::Restarts if self.stage == 1 && at >= 8 * S => {
+                quarter.for_each(|n| fleet.start(n, 0));
+                self.stage = 2;
             }
             _ => {}
         }
-        tick(&mut fleet, &mut carried, &weights, 2.0 * ROOM, &mut sum);
+    }
+}
+
+/// How much each member is asked for, against the others.
+fn member_weights(members: usize, disturbance: InjectedDisturbance) -> Vec<f64> {
+    let mut weights = vec![1.0; members];
+    if disturbance == InjectedDisturbance::Uneven {
+        weights[0] = 5.0;
+        let sum: f64 = weights.iter().sum();
+        weights.iter_mut().for_each(|w| *w *= members as f64 / sum);
+    }
+    weights
+}
+
+fn datagrams_sent(fleet: &SimulatedFleet) -> u64 {
+    let running = fleet.running();
+    running.iter().map(|n| fleet.statistics(*n).sent).sum()
+}
+
+/// Plays calm, an overload of twice the capacity, and calm until nothing is shed.
+fn run(
+    members: usize,
+    loss: f64,
+    seed: u64,
+    disturbance: InjectedDisturbance,
+    coordination: Coordination,
+) -> ShedRun {
+    let mut fleet = met(members, loss, seed);
+    fleet.network.load_loss = f64::from(coordination == Coordination::Separate);
+    let weights = member_weights(members, disturbance);
+    let mut carried = vec![[0.0; 3]; members];
+    let mut calm_sum = Sum::default();
+    for _ in 0..5 * S / TICK {
+        tick(&mut fleet, &mut carried, &weights, CALM, &mut calm_sum);
+    }
+    let mut sum = Sum::default();
+    let (begun, before) = (fleet.now, datagrams_sent(&fleet));
+    let mut course = DisturbanceCourse {
+        disturbance,
+        coordination,
+        stage: 0,
+    };
+    while fleet.now - begun < OVERLOAD_S * S {
+        let at = fleet.now - begun;
+        course.advance(&mut fleet, at);
+        tick(
+            &mut fleet,
+            &mut carried,
+            &weights,
+            2.0 * MEMBER_CAPACITY,
+            &mut sum,
+        );
         if at >= 3 * S {
             sum.spread += spread(&fleet);
             sum.samples += 1.0;
         }
     }
-    let datagrams = (sent(&fleet) - before) as f64 / members as f64 / 15.0;
+    let sent = datagrams_sent(&fleet) - before;
     let over = fleet.now;
     let mut over_s = None;
     while over_s.is_none() && fleet.now - over < 30 * S {
-        tick(&mut fleet, &mut carried, &weights, CALM, &mut unjudged);
-        let done = fleet
-            .running()
-            .iter()
-            .all(|n| fleet.shedding_level(*n) == 0.0);
+        tick(&mut fleet, &mut carried, &weights, CALM, &mut calm_sum);
+        let running = fleet.running();
+        let done = running.iter().all(|n| fleet.shedding_level(*n) == 0.0);
         over_s = done.then(|| ((fleet.now - over) / MS) as f64 / 1e3);
     }
-    (sum, over_s, datagrams)
+    ShedRun {
+        sum,
+        over_s,
+        datagrams_per_s: sent as f64 / members as f64 / OVERLOAD_S as f64,
+    }
 }
 
 /// Plays one fleet through one disturbance, together and each by itself.
@@ -247,8 +301,12 @@
     seed: u64,
     disturbance: InjectedDisturbance,
 ) -> SheddingMeasurement {
-    let (sum, over_s, datagrams_per_s) = run(members, loss, seed, disturbance, false);
-    let (apart, ..) = run(members, loss, seed, disturbance, true);
+    let ShedRun {
+        sum,
+        over_s,
+        datagrams_per_s,
+    } = run(members, loss, seed, disturbance, Coordination::Shared);
+    let apart = run(members, loss, seed, disturbance, Coordination::Separate).sum;
     SheddingMeasurement {
         members,
         loss,
@@ -289,7 +347,7 @@
     stale(seed)
 }
 
-/// All but one are gone after they shed much; the one that is left goes by their words no longer
+/// All but one are gone after they shed much; the one that is left follows their reports no longer
 /// than they are fresh.
 fn stale(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = met(6, 0.0, seed);
@@ -299,7 +357,7 @@
             &mut fleet,
             &mut carried,
             &weights,
-            8.0 * ROOM,
+            8.0 * MEMBER_CAPACITY,
             &mut Sum::default(),
         );
     }
--- a/crates/testbed/src/soak/rule_checker/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -53,7 +53,15 @@
     }
 }
 
-/// What the referee finds in one request and its attempts.
+/// A request whose connection was reset.
+fn reset_request() -> RequestRecord {
+    RequestRecord {
+        end: RequestEnd::Reset,
+        ..asked(RequestKind::Safe)
+    }
+}
+
+/// What the checker finds in one request and its attempts.
 fn found(
     asked: RequestRecord,
     attempts: Vec<AttemptRecord>,
@@ -74,35 +82,39 @@
     with(&mut records);
     check(&records, &rules())
         .into_iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.rule)
         .collect()
 }
 
 #[test]
-fn a_request_must_get_its_answer_in_time_unless_the_trial_held_its_balancer_up_or_killed_it() {
+fn a_request_needs_its_answer_in_time_unless_its_balancer_was_stalled() {
     let late = |ms: u64| RequestRecord {
         ended: 2 * S + (400 + ms) * MS,
         ..asked(RequestKind::Safe)
     };
     assert!(found(late(550), vec![], |_| {}).is_empty());
     assert_eq!(found(late(551), vec![], |_| {}), ["lost"]);
-    let held = |records: &mut Records| {
+    let stalled = |records: &mut Records| {
         records.stalls[0].push(TimeSpan {
             from: 2 * S,
             to: 2 * S + 300 * MS,
         });
     };
-    assert!(found(late(850), vec![], held).is_empty());
-    assert_eq!(found(late(851), vec![], held), ["lost"]);
-    let held_on = |records: &mut Records| {
+    assert!(found(late(850), vec![], stalled).is_empty());
+    assert_eq!(found(late(851), vec![], stalled), ["lost"]);
+    let stalled_on = |records: &mut Records| {
         let spans = [(2_000, 2_900), (2_900, 4_000), (4_000, 5_000)];
         records.stalls[0].extend(spans.map(|(from, to)| TimeSpan {
             from: from * MS,
             to: to * MS,
         }));
     };
-    assert!(found(late(3_550), vec![], held_on).is_empty());
-    assert_eq!(found(late(3_551), vec![], held_on), ["lost"]);
+    assert!(found(late(3_550), vec![], stalled_on).is_empty());
+    assert_eq!(found(late(3_551), vec![], stalled_on), ["lost"]);
+}
+
+#[test]
+fn a_connection_that_ends_without_an_answer_loses_a_request_that_was_read() {
     for end in [RequestEnd::Never, RequestEnd::Closed, RequestEnd::Wrong] {
         assert_eq!(
             found(
@@ -127,16 +139,19 @@
         "the balancer ended its sending between two requests"
     );
     assert_eq!(found(crossed(), vec![attempt(2 * S)], |_| {}), ["lost"]);
-    let reset = || RequestRecord {
-        end: RequestEnd::Reset,
-        ..asked(RequestKind::Safe)
-    };
-    assert!(found(reset(), vec![], |_| {}).is_empty(), "it was not read");
+    assert!(
+        found(reset_request(), vec![], |_| {}).is_empty(),
+        "it was not read"
+    );
     assert_eq!(
-        found(reset(), vec![attempt(2 * S)], |_| {}),
+        found(reset_request(), vec![attempt(2 * S)], |_| {}),
         ["lost"],
         "it was forwarded"
     );
+}
+
+#[test]
+fn a_killed_balancer_owes_no_answer_unless_it_was_asked_to_end_before() {
     let killed = |asked_to_end: Option<Nanos>| {
         move |records: &mut Records| {
             records.processes[0][0] = ProcessRecord {
@@ -147,16 +162,16 @@
             };
         }
     };
-    assert!(found(reset(), vec![attempt(2 * S)], killed(None)).is_empty());
+    assert!(found(reset_request(), vec![attempt(2 * S)], killed(None)).is_empty());
     assert_eq!(
-        found(reset(), vec![attempt(2 * S)], killed(Some(S))),
+        found(reset_request(), vec![attempt(2 * S)], killed(Some(S))),
         ["lost"],
         "it came 1 s behind the request to end"
     );
 }
 
 #[test]
-fn nothing_begins_for_who_has_closed_or_is_told_more_than_is_left() {
+fn no_attempt_begins_after_disconnect_or_with_more_than_the_remaining_time() {
     let left = || RequestRecord {
         closed: Some(2 * S),
         end: RequestEnd::Left,
@@ -167,19 +182,19 @@
         found(left(), vec![attempt(2 * S + 101 * MS)], |_| {}),
         ["lost"]
     );
-    let told = |told_ms| AttemptRecord {
-        deadline_ms: told_ms,
+    let notified = |deadline_ms| AttemptRecord {
+        deadline_ms,
         ..attempt(2 * S + 300 * MS)
     };
-    assert!(found(asked(RequestKind::Safe), vec![told(250)], |_| {}).is_empty());
+    assert!(found(asked(RequestKind::Safe), vec![notified(250)], |_| {}).is_empty());
     assert_eq!(
-        found(asked(RequestKind::Safe), vec![told(251)], |_| {}),
+        found(asked(RequestKind::Safe), vec![notified(251)], |_| {}),
         ["lost"]
     );
 }
 
 #[test]
-fn what_may_have_run_is_repeated_only_as_its_class_permits() {
+fn attempts_that_may_have_run_are_repeated_only_as_their_class_permits() {
     let twice = |effect, after: Nanos| {
         found(
             asked(effect),
@@ -216,7 +231,7 @@
 }
 
 #[test]
-fn a_cache_that_drains_gets_nothing_new_once_that_was_told_and_its_grace_is_over() {
+fn a_draining_cache_gets_nothing_new_after_notification_and_grace() {
     let drain = |written: Option<Nanos>, down: Option<TimeSpan>| {
         move |records: &mut Records| {
             let (version, at, caches) = (7, S, vec![0]);
@@ -242,10 +257,10 @@
         };
         found(asked, vec![attempt(began)], with)
     };
-    let told = Some(2 * S);
-    assert!(late(2 * S + 550 * MS, Box::new(drain(told, None))).is_empty());
+    let notified = Some(2 * S);
+    assert!(late(2 * S + 550 * MS, Box::new(drain(notified, None))).is_empty());
     assert_eq!(
-        late(2 * S + 551 * MS, Box::new(drain(told, None))),
+        late(2 * S + 551 * MS, Box::new(drain(notified, None))),
         ["drain"]
     );
     assert!(late(7 * S + 550 * MS, Box::new(drain(None, None))).is_empty());
@@ -267,7 +282,7 @@
 }
 
 #[test]
-fn a_cold_cache_bears_what_the_settings_allow_it_from_all_balancers_together() {
+fn a_cold_cache_gets_no_more_than_slow_start_allows_over_all_balancers() {
     let rules = rules();
     let most = rules.allowed(0.0) as usize;
     let cold = |records: &mut Records| {
@@ -293,7 +308,7 @@
 }
 
 #[test]
-fn a_process_must_not_end_by_itself_and_has_to_be_ready_in_time() {
+fn a_process_must_not_exit_by_itself_and_has_to_be_ready_in_time() {
     let life = |life: ProcessRecord| move |records: &mut Records| records.processes[0][0] = life;
     let crashed = ProcessRecord {
         ready: Some(1),
