--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -102,6 +102,22 @@
     host
 }
 
+/// A batch with one request of the tenant `one` that may take 400 ms.
+fn inbound(router: &str, id: &str, profile: &str, key: &Value, flags: u64) -> Value {
+    json!([[
+        "inbound",
+        router,
+        id,
+        profile,
+        "one",
+        key,
+        400_000_000u64,
+        null,
+        null,
+        flags
+    ]])
+}
+
 fn named<'a>(outbox: &'a [Value], name: &str) -> Vec<&'a Value> {
     outbox.iter().filter(|a| a[0] == name).collect()
 }
@@ -109,18 +125,13 @@
 #[test]
 fn a_read_is_forwarded_hedged_answered_and_its_loser_cancelled() {
     let mut host = enlisted();
-    let out = host.batch(&json!([[
-        "inbound",
+    let out = host.batch(&inbound(
         "router_3",
         ID,
         "read",
-        "one",
-        "91f03b7c55d20a64",
-        400_000_000u64,
-        null,
-        null,
-        0
-    ]]));
+        &json!("91f03b7c55d20a64"),
+        0,
+    ));
     let sent = named(&out, "deliver");
     assert_eq!(sent.len(), 1);
     assert_eq!(
@@ -170,18 +181,7 @@
 #[test]
 fn an_unknown_outcome_may_have_run() {
     let mut host = enlisted();
-    let out = host.batch(&json!([[
-        "inbound",
-        "router_3",
-        ID,
-        "pay",
-        "one",
-        null,
-        400_000_000u64,
-        null,
-        null,
-        4
-    ]]));
+    let out = host.batch(&inbound("router_3", ID, "pay", &json!(null), 4));
     let to = named(&out, "deliver")[0][3].clone();
     let out = host.batch(&json!([[
         "attempt_end",
@@ -206,39 +206,17 @@
         ["stop", "router_3"],
         ["enlist", "router_3", 77, setup()]
     ]));
-    let out = host.batch(&json!([[
-        "inbound",
-        "router_3",
-        ID,
-        "read",
-        "one",
-        null,
-        400_000_000u64,
-        null,
-        null,
-        0
-    ]]));
+    let out = host.batch(&inbound("router_3", ID, "read", &json!(null), 0));
     assert!(
         named(&out, "deliver").is_empty(),
-        "no list was told since the start"
+        "no endpoint list was received since the start"
     );
     host.batch(&json!([
         ["enlist", "router_4", 1, setup()],
         ["peers_known", "router_4", "stale_copy", 1, nodes()]
     ]));
     let other = "5d3a91c4-7460-4fcd-ab45-d5130e6a9ced";
-    let out = host.batch(&json!([[
-        "inbound",
-        "router_4",
-        other,
-        "read",
-        "one",
-        null,
-        400_000_000u64,
-        null,
-        null,
-        0
-    ]]));
+    let out = host.batch(&inbound("router_4", other, "read", &json!(null), 0));
     assert_eq!(named(&out, "deliver").len(), 1);
     assert_eq!(host.close().0, Some(0));
 }
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -12,7 +12,7 @@
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn trial(name: &str) -> ScenarioReport {
     let _one = ONE
@@ -93,7 +93,9 @@
         let mut cluster = Cluster::lay_out(plan).unwrap();
         cluster.start_all().unwrap();
         let ready = |g: &Cluster| g.members[0].call("/admin/health").is_some();
-        cluster.wait(PATIENCE, ready).expect("it becomes ready");
+        cluster
+            .wait(CONDITION_TIMEOUT, ready)
+            .expect("it becomes ready");
         let member = &cluster.members[0];
         assert_eq!(member.call("/admin/fleet").is_some(), fleet);
         let log = member.log();
@@ -136,7 +138,9 @@
     };
     let served = |g: &Cluster, i: usize| g.members[i].call("/admin/health").is_some();
     let both = |g: &Cluster| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
-    cluster.wait(PATIENCE, both).expect("each serves alone");
+    cluster
+        .wait(CONDITION_TIMEOUT, both)
+        .expect("each serves alone");
     cluster.members[0].start().unwrap();
     let met = |g: &Cluster| {
         [0, 2, 3]
@@ -144,7 +148,7 @@
             .all(|i| g.members[*i].view().is_some_and(|v| v.living == 3))
     };
     cluster
-        .wait(PATIENCE, met)
+        .wait(CONDITION_TIMEOUT, met)
         .expect("the one that was asked in vain brings them together");
 }
 
@@ -165,17 +169,19 @@
     cluster.members[0].start().unwrap();
     cluster.members[1].start().unwrap();
     let two = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
-    cluster.wait(PATIENCE, two).expect("the first two meet");
+    cluster
+        .wait(CONDITION_TIMEOUT, two)
+        .expect("the first two meet");
     cluster.members[2].start().unwrap();
     let three = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 3);
-    cluster.wait(PATIENCE, three).expect("both count");
+    cluster.wait(CONDITION_TIMEOUT, three).expect("both count");
     let named = |g: &Cluster| {
         g.members[0]
             .log()
             .iter()
             .any(|l| l.text.contains("are both called n1"))
     };
-    cluster.wait(PATIENCE, named).expect("it is said");
+    cluster.wait(CONDITION_TIMEOUT, named).expect("it is said");
 }
 
 /// Two regions of two: each member sees its own region's members and the other's summary, and
@@ -219,7 +225,7 @@
     };
     let all = |g: &Cluster| (0..4).all(|i| sees(g, i, 1, 2, 4));
     cluster
-        .wait(PATIENCE, all)
+        .wait(CONDITION_TIMEOUT, all)
         .expect("each sees its own region and the other's summary");
     assert_eq!(
         shown(&cluster, 0).expect("it answers")["members"][0]["zone"],
@@ -229,7 +235,7 @@
     // Its place is kept: one of two that hears nobody may be half of a split.
     let told = |g: &Cluster| (0..2).all(|i| sees(g, i, 1, 1, 4)) && sees(g, 2, 0, 2, 4);
     cluster
-        .wait(PATIENCE, told)
+        .wait(CONDITION_TIMEOUT, told)
         .expect("a death in one region is told to the other");
 }
 
@@ -275,7 +281,7 @@
         || std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).unwrap_or_default();
     let begun = std::time::Instant::now();
     while children().split_whitespace().count() < 2 {
-        assert!(begun.elapsed() < PATIENCE, "two processes start");
+        assert!(begun.elapsed() < CONDITION_TIMEOUT, "two processes start");
         std::thread::sleep(Duration::from_millis(10));
     }
     let members: Vec<String> = children().split_whitespace().map(str::to_string).collect();
@@ -334,7 +340,7 @@
     };
     let begun = std::time::Instant::now();
     while children().len() < 3 {
-        assert!(begun.elapsed() < PATIENCE, "three processes start");
+        assert!(begun.elapsed() < CONDITION_TIMEOUT, "three processes start");
         std::thread::sleep(Duration::from_millis(10));
     }
     let (members, files) = (children(), folder().expect("it has a folder"));
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -12,13 +12,13 @@
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 const MEMBERS: usize = 4;
 const CALM: f64 = 12.0;
 /// Some four times what two caches serve.
 const STORM: f64 = 200.0;
 
-fn one() -> MutexGuard<'static, ()> {
+fn lock_trials() -> MutexGuard<'static, ()> {
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -54,7 +54,7 @@
             .count()
             == MEMBERS
     };
-    cluster.wait(PATIENCE, met).expect("all meet");
+    cluster.wait(CONDITION_TIMEOUT, met).expect("all meet");
     cluster.start_clients();
     cluster
 }
@@ -67,7 +67,7 @@
 }
 
 /// All of these shed something, and nearly the same.
-fn alike(cluster: &Cluster, of: &[usize]) -> bool {
+fn shed_alike(cluster: &Cluster, of: &[usize]) -> bool {
     levels(cluster, of).is_some_and(|levels| {
         let (least, most) = levels
             .iter()
@@ -81,7 +81,7 @@
 }
 
 /// How often members refused for the sake of the level, and for want of room.
-fn refused(cluster: &Cluster) -> (u64, u64) {
+fn rejections(cluster: &Cluster) -> (u64, u64) {
     let _ = cluster.member_counts();
     std::thread::sleep(Duration::from_millis(300));
     let counts = cluster.member_counts();
@@ -93,7 +93,7 @@
 }
 
 /// Each request has one answer, but for those whose balancer was killed.
-fn answered_once(asked: &[ClientRequest], killed: bool) {
+fn assert_answered_once(asked: &[ClientRequest], killed: bool) {
     let mut ids: HashMap<&str, u32> = HashMap::new();
     for one in asked {
         *ids.entry(&one.id).or_default() += 1;
@@ -110,13 +110,21 @@
     assert!(ids.values().all(|times| *times == 1));
 }
 
+/// Ends the overload and waits until nothing is shed.
+fn end_overload(cluster: &Cluster) {
+    cluster.request_rate.set(CALM);
+    cluster
+        .wait(CONDITION_TIMEOUT, calm)
+        .expect("nothing is shed when it is over");
+}
+
 #[test]
 fn members_shed_an_overload_alike_through_a_partition_until_it_ends() {
-    let _one = one();
+    let _one = lock_trials();
     let mut cluster = cluster(true);
     cluster.request_rate.set(STORM);
     cluster
-        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
         .expect("all shed by one level");
     // Each half goes by its own counts, and goes on shedding.
     let cut = LinkFaults {
@@ -127,9 +135,13 @@
     cluster.set_links(&[2, 3], &[0, 1], cut);
     let split =
         |g: &Cluster| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
-    cluster.wait(PATIENCE, split).expect("the split is known");
     cluster
-        .wait(PATIENCE, |g| alike(g, &[0, 1]) && alike(g, &[2, 3]))
+        .wait(CONDITION_TIMEOUT, split)
+        .expect("the split is known");
+    cluster
+        .wait(CONDITION_TIMEOUT, |g| {
+            shed_alike(g, &[0, 1]) && shed_alike(g, &[2, 3])
+        })
         .expect("each half by one level");
     cluster.set_links(&[0, 1], &[2, 3], LinkFaults::default());
     cluster.set_links(&[2, 3], &[0, 1], LinkFaults::default());
@@ -142,60 +154,56 @@
             == MEMBERS
     };
     cluster
-        .wait(PATIENCE, healed)
+        .wait(CONDITION_TIMEOUT, healed)
         .expect("they find each other");
     cluster
-        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
         .expect("one level again");
-    assert!(refused(&cluster).0 > 0);
-    cluster.request_rate.set(CALM);
-    cluster
-        .wait(PATIENCE, calm)
-        .expect("nothing is shed when it is over");
-    answered_once(&cluster.stop_clients(), false);
+    assert!(rejections(&cluster).0 > 0);
+    end_overload(&cluster);
+    assert_answered_once(&cluster.stop_clients(), false);
 }
 
 #[test]
 fn members_that_start_or_resume_in_an_overload_adopt_the_shedding_level() {
-    let _one = one();
+    let _one = lock_trials();
     let mut cluster = cluster(true);
     cluster.request_rate.set(STORM);
     cluster
-        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
         .expect("all shed by one level");
     cluster.members[3].kill();
     cluster.members[2].stop();
     cluster
-        .wait(PATIENCE, |g| alike(g, &[0, 1]))
+        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1]))
         .expect("the others go on");
     let known = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
-    cluster.wait(PATIENCE, known).expect("both are given up");
+    cluster
+        .wait(CONDITION_TIMEOUT, known)
+        .expect("both are given up");
     cluster.members[2].go_on();
     cluster.members[3].start().unwrap();
     cluster
-        .wait(PATIENCE, |g| alike(g, &[0, 1, 2, 3]))
+        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
         .expect("the newcomer and the one that stood still too");
-    cluster.request_rate.set(CALM);
-    cluster
-        .wait(PATIENCE, calm)
-        .expect("nothing is shed when it is over");
-    answered_once(&cluster.stop_clients(), true);
+    end_overload(&cluster);
+    assert_answered_once(&cluster.stop_clients(), true);
 }
 
 #[test]
 fn without_the_key_members_agree_on_no_shedding_level() {
-    let _one = one();
+    let _one = lock_trials();
     let mut cluster = cluster(false);
     cluster.request_rate.set(STORM);
     cluster
-        .wait(PATIENCE, |g| refused(g).1 > 20)
-        .expect("they refuse for want of room");
+        .wait(CONDITION_TIMEOUT, |g| rejections(g).1 > 20)
+        .expect("they reject for lack of capacity");
     assert!(calm(&cluster));
-    assert_eq!(refused(&cluster).0, 0);
+    assert_eq!(rejections(&cluster).0, 0);
     let words = |i: usize| cluster.members[i].view().unwrap().datagrams["load"].as_u64();
     assert!(
         (0..MEMBERS).all(|i| words(i) == Some(0)),
         "not one word of load"
     );
-    answered_once(&cluster.stop_clients(), false);
+    assert_answered_once(&cluster.stop_clients(), false);
 }
