--- a/crates/balancer/src/config/fleet/tests.rs
+++ b/crates/balancer/src/config/fleet/tests.rs
@@ -45,10 +45,10 @@
     assert!(parse("null").unwrap().fleet.is_none());
 }
 
-#[test]
-fn faulty_key_is_named() {
+/// Values of the key `fleet`, each with the complaint about it.
+fn faulty_keys() -> Vec<(String, &'static str)> {
     let good = r#""name":"a","bind":"127.0.0.1:7946""#;
-    let cases = [
+    vec![
         (
             r#"{"bind":"127.0.0.1:7946"}"#.to_string(),
             "fleet: missing field `name`",
@@ -101,8 +101,12 @@
             format!("{{{good},\"seeds\":[]}}"),
             "fleet.seeds: unknown field",
         ),
-    ];
-    for (fleet, message) in cases {
+    ]
+}
+
+#[test]
+fn faulty_key_is_named() {
+    for (fleet, message) in faulty_keys() {
         let error = parse(&fleet).unwrap_err();
         assert!(
             error.starts_with(&format!("configuration: {message}")),
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -11,8 +11,8 @@
 pub use messages::ListPart;
 
 use crate::counters::Counters;
+use crate::poll::sockets::connect;
 use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
-use crate::sockets::connect;
 use crate::timers::{MS, TimerKind, Timers};
 use crate::watch_backoff::WatchBackoff;
 use call::{CONNECT_TIMEOUT, WatchCall};
--- a/crates/balancer/src/event_loop/tests/dispatch.rs
+++ b/crates/balancer/src/event_loop/tests/dispatch.rs
@@ -1,10 +1,10 @@
 //! Attempts that wait for a recent poll.
 
 use super::harness::{DEFAULTS, Harness, UPSTREAM_0, VALUE, local, read_command, read_to_end};
+use crate::poll::sockets::is_open_without_input;
 use crate::poll::{EventSource, PollOutcome};
 use crate::poll_timestamps::PollTimestamps;
 use crate::resp::write_command;
-use crate::sockets::is_open_without_input;
 use crate::timers::MS;
 use rstest::rstest;
 use serde_json::json;
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -7,8 +7,8 @@
 
 use super::CLOSE_TIMEOUT;
 use crate::counters::Counters;
+use crate::poll::sockets::discard;
 use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
-use crate::sockets::discard;
 use crate::timers::MS;
 use http::{HEAD_MAX, HttpError, encode, parse_request, state_body};
 use routing::Nanos;
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -29,6 +29,17 @@
     }
 }
 
+/// Reads the response to a health call of a serving process.
+fn expect_serving(mut client: TcpStream) {
+    let mut text = String::new();
+    client.read_to_string(&mut text).unwrap();
+    assert!(
+        text.starts_with("HTTP/1.1 200 OK\r\n")
+            && text.ends_with("\r\n\r\n{\"state\":\"serving\"}\n"),
+        "{text}"
+    );
+}
+
 #[test]
 fn silent_connections_delay_nobody_and_end_in_time() {
     let (mut listener, connect) = start_listener();
@@ -59,14 +70,7 @@
         })
     );
     listener.answer(number, 200, "serving");
-    let mut text = String::new();
-    client.read_to_string(&mut text).unwrap();
-    assert!(
-        text.starts_with("HTTP/1.1 200 OK\r\n")
-            && text.ends_with("\r\n\r\n{\"state\":\"serving\"}\n"),
-        "{text}"
-    );
-    drop(client);
+    expect_serving(client);
     assert_eq!(listener.ready(readable(number), &mut counters), None);
     assert_eq!(
         listener.connections.len(),
@@ -80,7 +84,7 @@
     // What crosses the answer does not reset it away: each gets its own, and the end behind it.
     silent[2].write_all(b"alth HTTP/1.1\r\n\r\n").unwrap();
     for client in &mut silent[1..] {
-        text.clear();
+        let mut text = String::new();
         client.read_to_string(&mut text).unwrap();
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
     }
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -13,10 +13,10 @@
 
 use crate::counters::Counters;
 use crate::lifecycle::{LifecyclePolicy, ListenerMode};
+use crate::poll::sockets::has_peer_closed;
 use crate::poll::{EventSource, Interest, Poll, Readiness, Registered};
 use crate::poll_timestamps::PollTimestamps;
 use crate::request::IncomingRequest;
-use crate::sockets::has_peer_closed;
 use connection::{ClientConnection, PendingResponse};
 use input::READ_SIZE;
 use routing::{Nanos, RequestId};
--- a/crates/balancer/src/listener/resp/connection.rs
+++ b/crates/balancer/src/listener/resp/connection.rs
@@ -3,10 +3,10 @@
 use super::ListenerEvent;
 use super::input::INPUT_MAX;
 use crate::lifecycle::{LifecyclePolicy, ListenerMode};
+use crate::poll::sockets::is_open_without_input;
 use crate::poll::{Interest, Registered};
 use crate::poll_timestamps::ClientPresence;
 use crate::resp::{VALUE_MAX, parse_command};
-use crate::sockets::is_open_without_input;
 use routing::{Nanos, RequestId};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Write};
--- a/crates/balancer/src/listener/resp/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/idle_reaper.rs
@@ -5,7 +5,7 @@
 use super::responses::encode_error;
 use super::{ListenerEvent, RespListener};
 use crate::counters::Counters;
-use crate::sockets::{has_peer_closed, is_open_without_input};
+use crate::poll::sockets::{has_peer_closed, is_open_without_input};
 use crate::timers::MS;
 use routing::Nanos;
 
--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -5,10 +5,10 @@
 use super::responses::{encode, encode_error};
 use super::{ListenerEvent, RespListener};
 use crate::counters::Counters;
+use crate::poll::sockets::has_peer_closed;
 use crate::poll_timestamps::ReadExtent;
 use crate::request::{FinalAnswer, IncomingRequest, Ticket};
 use crate::resp::{self, Command, RespError, parse_command};
-use crate::sockets::has_peer_closed;
 use routing::{Nanos, RequestId};
 use std::io::{ErrorKind, Read};
 
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -8,10 +8,10 @@
 };
 use crate::listener::resp::idle_reaper::CROWD_IDLE_MIN;
 use crate::listener::resp::{ListenerEvent, RespListener};
+use crate::poll::sockets::has_unsent_output;
 use crate::poll::{EventSource, Readiness};
 use crate::request::FinalAnswer;
 use crate::resp::VALUE_MAX;
-use crate::sockets::has_unsent_output;
 use routing::{Nanos, RequestId};
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -22,7 +22,6 @@
 mod request;
 mod resp;
 mod response_stream;
-mod sockets;
 mod state_transfer;
 mod timers;
 mod upstream_pool;
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -1,5 +1,9 @@
 //! Readiness of sockets: a wrapper round `polling` in which a socket is watched exactly as long as
 //! its guard lives.
+//!
+//! This module and its child `sockets` hold all unsafe code of the workspace.
+
+pub mod sockets;
 
 use polling::{AsSource, Event, Events, PollMode, Poller};
 use std::io;
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -11,8 +11,8 @@
 pub use exchange::{ExchangeResult, OutboundCommand, UpstreamEvent, UpstreamJob};
 
 use crate::counters::Counters;
+use crate::poll::sockets::connect;
 use crate::poll::{EventSource, Interest, Poll, Readiness};
-use crate::sockets::connect;
 use crate::timers::{TimerKind, Timers};
 use address_book::{AddressBook, AddressChange};
 use connection::{ConnectionState, UpstreamConnection};
--- a/crates/balancer/src/upstream_pool/idle.rs
+++ b/crates/balancer/src/upstream_pool/idle.rs
@@ -4,7 +4,7 @@
 use super::exchange::{ConnectError, UpstreamJob};
 use super::{ConnectionId, UpstreamPool};
 use crate::counters::Counters;
-use crate::sockets::is_open_without_input;
+use crate::poll::sockets::is_open_without_input;
 use crate::timers::MS;
 use routing::{EndpointId, Nanos};
 
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -188,32 +188,9 @@
             .add(&socket, event)
             .map_err(|e| HollowError::io("epoll", e))?;
         let now = self.now();
-        let name = format!("h{n}");
-        let location = match self.plan.regions {
-            1 => Location::default(),
-            _ => Location {
-                region: region_name(place.region),
-                ..Location::default()
-            },
-        };
-        let of_region = self
-            .places
-            .iter()
-            .filter(|other| other.region == place.region);
-        let mut join: Vec<SocketAddr> = of_region.take(2).map(|other| other.address).collect();
-        join.push(self.places[0].address);
-        let settings = MembershipSettings {
-            fleet: "hollow".into(),
-            name: name.clone(),
-            address: place.address,
-            join,
-            members_max: MEMBERS_MAX,
-            configured_balancers: self.plan.members,
-            timing: Timing::default(),
-            location,
-        };
-        let soft = MemberMetadata {
-            name,
+        let settings = self.member_settings(n);
+        let metadata = MemberMetadata {
+            name: settings.name.clone(),
             listen_address: place.address,
             phase: ServingPhase::Serving,
             build: env!("CARGO_PKG_VERSION").into(),
@@ -227,7 +204,7 @@
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(n as u64);
-        let member = Member::new(settings, soft, self.unix_ms + now / MS, seed, now);
+        let member = Member::new(settings, metadata, self.unix_ms + now / MS, seed, now);
         self.due.push(Reverse((now, n)));
         self.members.insert(
             n,
@@ -241,6 +218,33 @@
         Ok(())
     }
 
+    fn member_settings(&self, n: usize) -> MembershipSettings {
+        let place = self.places[n];
+        let location = match self.plan.regions {
+            1 => Location::default(),
+            _ => Location {
+                region: region_name(place.region),
+                ..Location::default()
+            },
+        };
+        let of_region = self
+            .places
+            .iter()
+            .filter(|other| other.region == place.region);
+        let mut join: Vec<SocketAddr> = of_region.take(2).map(|other| other.address).collect();
+        join.push(self.places[0].address);
+        MembershipSettings {
+            fleet: "hollow".into(),
+            name: format!("h{n}"),
+            address: place.address,
+            join,
+            members_max: MEMBERS_MAX,
+            configured_balancers: self.plan.members,
+            timing: Timing::default(),
+            location,
+        }
+    }
+
     fn read(&mut self, n: usize) {
         let now = self.now();
         let Some(hollow) = self.members.get_mut(&n) else {
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -195,7 +195,7 @@
                     part if part < first || balancers.len() == 1 => 0,
                     _ => 1 + worker % (balancers.len() - 1),
                 };
-                let mut client = Client {
+                let client = Client {
                     balancers: balancers.to_vec(),
                     home: at,
                     at,
@@ -208,30 +208,7 @@
                     sent: 0,
                     begun,
                 };
-                std::thread::spawn(move || {
-                    let mut next = Instant::now();
-                    while !end.load(Ordering::Relaxed) {
-                        let gap = -(1.0 - client.rng.random::<f64>()).ln();
-                        // How much of the gap is over; the load may change in the middle of it.
-                        let mut gone = 0.0;
-                        while gone < gap && !end.load(Ordering::Relaxed) {
-                            let per_s = load.get() / workers as f64;
-                            let left = if per_s > 0.0 {
-                                (gap - gone) / per_s
-                            } else {
-                                1.0
-                            };
-                            // What is shorter is over: steps that round to nothing would never end.
-                            let step = Duration::from_secs_f64(left.clamp(1e-4, 0.05));
-                            next += step;
-                            gone += step.as_secs_f64() * per_s;
-                            std::thread::sleep(next.saturating_duration_since(Instant::now()));
-                        }
-                        // One that was long at work does not send all at once what it missed.
-                        next = next.max(Instant::now() - Duration::from_millis(500));
-                        client.ask_until_done(&asked);
-                    }
-                })
+                std::thread::spawn(move || client.run(&load, workers, &end, &asked))
             })
             .collect();
         Clients {
@@ -258,6 +235,51 @@
 }
 
 impl Client {
+    /// Sends requests at this worker's part of the rate until the end.
+    fn run(
+        mut self,
+        load: &RequestRate,
+        workers: usize,
+        end: &AtomicBool,
+        asked: &Mutex<Vec<ClientRequest>>,
+    ) {
+        let mut next = Instant::now();
+        while !end.load(Ordering::Relaxed) {
+            next = self.wait_for_next(next, load, workers, end);
+            // One that was long at work does not send all at once what it missed.
+            next = next.max(Instant::now() - Duration::from_millis(500));
+            self.ask_until_done(asked);
+        }
+    }
+
+    /// Waits for an exponentially distributed gap after `previous`; the rate may change in the
+    /// middle of it.
+    fn wait_for_next(
+        &mut self,
+        previous: Instant,
+        load: &RequestRate,
+        workers: usize,
+        end: &AtomicBool,
+    ) -> Instant {
+        let mut next = previous;
+        let gap = -(1.0 - self.rng.random::<f64>()).ln();
+        let mut elapsed = 0.0;
+        while elapsed < gap && !end.load(Ordering::Relaxed) {
+            let per_second = load.get() / workers as f64;
+            let left = if per_second > 0.0 {
+                (gap - elapsed) / per_second
+            } else {
+                1.0
+            };
+            // Shorter steps would round to nothing and never end.
+            let step = Duration::from_secs_f64(left.clamp(1e-4, 0.05));
+            next += step;
+            elapsed += step.as_secs_f64() * per_second;
+            std::thread::sleep(next.saturating_duration_since(Instant::now()));
+        }
+        next
+    }
+
     fn connection(&mut self) -> io::Result<&mut (TcpStream, BufReader<TcpStream>)> {
         if self.stream.is_none() {
             let address = self.balancers[self.at];
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -302,6 +302,31 @@
     }
 }
 
+/// The next announcement of the same author, with other figures.
+fn newer_announcement(sound: &Announcement, alive: u32, places: u32) -> Announcement {
+    Announcement {
+        version: sound.version + 1,
+        payload: AnnouncementPayload::Summary(summary(alive, places)),
+        ..sound.clone()
+    }
+}
+
+/// Announcements whose figures, version or region are out of bounds.
+fn unsound_announcements(sound: &Announcement) -> [Announcement; 5] {
+    let year_ms = 31_536_000_000;
+    let mut far_future = sound.clone();
+    far_future.version += year_ms;
+    let mut long_name = sound.clone();
+    long_name.region = "x".repeat(21);
+    [
+        newer_announcement(sound, 6, u32::MAX),
+        newer_announcement(sound, 7, 6),
+        newer_announcement(sound, 0, 0),
+        far_future,
+        long_name,
+    ]
+}
+
 #[test]
 fn unsound_announcements_are_dropped_and_counted() {
     let mut fleet = settled_regions(&[12, 6], 7);
@@ -315,24 +340,9 @@
         version: leader.version,
         payload: AnnouncementPayload::Summary(summary(6, 6)),
     };
-    let with = |living, places| Announcement {
-        version: leader.version + 1,
-        payload: AnnouncementPayload::Summary(summary(living, places)),
-        ..sound.clone()
-    };
+    let with = |living, places| newer_announcement(&sound, living, places);
     let before = fleet.member(delegate).expect("it runs").regions_dropped().0;
-    let year_ms = 31_536_000_000;
-    let mut far_future = sound.clone();
-    far_future.version += year_ms;
-    let mut long_name = sound.clone();
-    long_name.region = "x".repeat(21);
-    let unsound = [
-        with(6, u32::MAX),
-        with(7, 6),
-        with(0, 0),
-        far_future,
-        long_name,
-    ];
+    let unsound = unsound_announcements(&sound);
     for announcement in &unsound {
         fleet.inject(
             delegate,
