--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -7,7 +7,7 @@
 //! Equal lists cost one small message and one smaller reply.
 
 use crate::envelope::PAYLOAD_MAX;
-use crate::payload::{PayloadError, PayloadRoom, decode, encode};
+use crate::payload::{PayloadBudget, PayloadError, decode, encode};
 use crate::{Identity, MS, Nanos};
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
@@ -178,13 +178,13 @@
                 by_bucket[bucket].push(entry);
             }
         }
-        let mut room = PayloadRoom::new(PAYLOAD_MAX - ENTRY_LENGTH_MAX - DELTA_HEADER_MAX);
+        let mut budget = PayloadBudget::new(PAYLOAD_MAX - ENTRY_LENGTH_MAX - DELTA_HEADER_MAX);
         let order = (0..BUCKETS).map(|n| (n + first_bucket) % BUCKETS);
         for bucket in order.filter(|bucket| buckets & (1 << bucket) != 0) {
             // Live members come first, should the bucket not fit.
             by_bucket[bucket].sort_by_key(|entry| entry.down);
             for entry in &by_bucket[bucket] {
-                if !room.push(&mut self.entries, *entry) {
+                if !budget.push(&mut self.entries, *entry) {
                     return self;
                 }
             }
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 
 /// A member that was heard directly within this span is alive, whatever a delta says.
-const RECENTLY_HEARD: Nanos = 1_000 * crate::MS;
+const RECENT_CONTACT: Nanos = 1_000 * crate::MS;
 /// The most requests for metadata records after one delta.
 const REQUESTS_MAX: usize = 2;
 
@@ -184,7 +184,7 @@
         let is_recently_heard = self
             .failure_detector
             .last_heard(&address)
-            .is_some_and(|at| self.context.now - at < RECENTLY_HEARD);
+            .is_some_and(|at| self.context.now - at < RECENT_CONTACT);
         (!is_recently_heard).then_some(foca::State::Suspect)
     }
 }
--- a/crates/membership/src/payload.rs
+++ b/crates/membership/src/payload.rs
@@ -50,11 +50,11 @@
 }
 
 /// The bytes that are left in a payload.
-pub(crate) struct PayloadRoom(usize);
+pub(crate) struct PayloadBudget(usize);
 
-impl PayloadRoom {
+impl PayloadBudget {
     pub(crate) fn new(bytes: usize) -> Self {
-        PayloadRoom(bytes)
+        PayloadBudget(bytes)
     }
 
     /// Takes the bytes of an item if they are left; whether they were.
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -10,7 +10,7 @@
 use crate::Nanos;
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
-use crate::payload::{PayloadRoom, encode};
+use crate::payload::{PayloadBudget, encode};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -137,7 +137,7 @@
         if is_injected(InjectedFault::SkipsRegionAntiEntropy) {
             return delta;
         }
-        let mut room = PayloadRoom::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
+        let mut budget = PayloadBudget::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
         let ids = self.ids_by_key();
         let mut listed = BTreeSet::new();
         for theirs in digest.versions.iter().take(DIGEST_VERSIONS_MAX) {
@@ -145,25 +145,25 @@
             let stored = ids.get(&theirs.key).and_then(|id| self.stored.get_mut(id));
             let Some(stored) = stored else {
                 if digest.from_delegate {
-                    room.push(&mut delta.requested, theirs.key);
+                    budget.push(&mut delta.requested, theirs.key);
                 }
                 continue;
             };
             let version = stored.announcement.version;
             if theirs.version > version && digest.from_delegate {
-                room.push(&mut delta.requested, theirs.key);
+                budget.push(&mut delta.requested, theirs.key);
             } else if theirs.version == version && theirs.heartbeats >= stored.heartbeats {
                 stored.record_heartbeats(now, theirs.heartbeats, theirs.age_seconds);
             } else if theirs.version == version {
-                room.push(&mut delta.versions, stored.version(now));
+                budget.push(&mut delta.versions, stored.version(now));
             } else if theirs.version < version {
-                room.push(&mut delta.announcements, stored.aged(now));
+                budget.push(&mut delta.announcements, stored.aged(now));
             }
         }
         if digest.complete {
             let unlisted = ids.iter().filter(|(key, _)| !listed.contains(key));
             for stored in unlisted.filter_map(|(_, id)| self.stored.get(id)) {
-                room.push(&mut delta.announcements, stored.aged(now));
+                budget.push(&mut delta.announcements, stored.aged(now));
             }
         }
         delta
@@ -180,11 +180,11 @@
             }
         }
         let new = self.merge(now, unix_ms, &delta.announcements);
-        let mut room = PayloadRoom::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
+        let mut budget = PayloadBudget::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
         let mut requested = Vec::new();
         let requested_ids = delta.requested.iter().filter_map(|key| ids.get(key));
         for stored in requested_ids.filter_map(|id| self.stored.get(id)) {
-            room.push(&mut requested, stored.aged(now));
+            budget.push(&mut requested, stored.aged(now));
         }
         MergedDelta { requested, new }
     }
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -10,7 +10,7 @@
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::location::LOCATION_NAME_MAX;
-use crate::payload::{PayloadError, PayloadRoom};
+use crate::payload::{PayloadBudget, PayloadError};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
@@ -188,10 +188,10 @@
     /// Writes what the leader knows now; parts that are equivalent to the stored ones are kept.
     pub fn write(&mut self, now: Nanos, unix_ms: u64, author: SocketAddr, rows: Vec<RegionStatus>) {
         let mut parts: Vec<Vec<RegionStatus>> = vec![Vec::new(); PARTS];
-        let mut rooms: Vec<PayloadRoom> = (0..PARTS).map(|_| message_room()).collect();
+        let mut budgets: Vec<PayloadBudget> = (0..PARTS).map(|_| message_budget()).collect();
         for row in rows.into_iter().take(REGIONS_MAX) {
             let number = part_of(&row.region);
-            rooms[number].push(&mut parts[number], row);
+            budgets[number].push(&mut parts[number], row);
         }
         for (stored, rows) in self.parts.iter_mut().zip(parts) {
             let former = &stored.part;
@@ -253,7 +253,7 @@
 
     /// The parts to broadcast, as many as fit into a datagram; counts the transmissions.
     pub fn next_broadcast(&mut self, now: Nanos) -> Vec<OverviewPart> {
-        let mut room = message_room();
+        let mut budget = message_budget();
         let mut broadcast = Vec::new();
         let mut order: Vec<usize> = (0..PARTS)
             .filter(|number| self.parts[*number].transmissions_left > 0)
@@ -261,7 +261,7 @@
         order.sort_by_key(|number| std::cmp::Reverse(self.parts[*number].transmissions_left));
         for number in order {
             let part = self.parts[number].aged(now);
-            if room.push(&mut broadcast, part) {
+            if budget.push(&mut broadcast, part) {
                 self.parts[number].transmissions_left -= 1;
             }
         }
@@ -295,19 +295,19 @@
                 actual: digest.len(),
             });
         }
-        let mut room = message_room();
+        let mut budget = message_budget();
         let mut parts = Vec::new();
         for number in (0..PARTS).map(|n| (n + first) % PARTS) {
             let stored = &self.parts[number];
             let theirs = &digest[4 * number..4 * number + 4];
             if stored.checksum().to_le_bytes() != theirs && stored.part.author.is_some() {
-                room.push(&mut parts, stored.aged(now));
+                budget.push(&mut parts, stored.aged(now));
             }
         }
         Ok(parts)
     }
 }
 
-fn message_room() -> PayloadRoom {
-    PayloadRoom::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX)
+fn message_budget() -> PayloadBudget {
+    PayloadBudget::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX)
 }
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -15,7 +15,7 @@
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
-use crate::payload::{PayloadError, PayloadRoom};
+use crate::payload::{PayloadBudget, PayloadError};
 use crate::{MS, Nanos};
 pub use routing::{AdmissionCounts, COUNTED_TIERS, MAX_SHED_FRACTION};
 use serde::{Deserialize, Serialize};
@@ -202,16 +202,16 @@
             .filter(|received| received.is_fresh(now))
             .collect();
         fresh.sort_by_key(|received| std::cmp::Reverse(received.made_at));
-        let mut room = PayloadRoom::new(PAYLOAD_MAX - COUNT_LENGTH_MAX);
+        let mut budget = PayloadBudget::new(PAYLOAD_MAX - COUNT_LENGTH_MAX);
         let mut reports = Vec::new();
-        room.push(&mut reports, self.own);
+        budget.push(&mut reports, self.own);
         for received in fresh {
             let age_ms = now.saturating_sub(received.made_at) / MS;
             let report = LevelReport {
                 age_ms: u16::try_from(age_ms).unwrap_or(u16::MAX),
                 ..received.report
             };
-            if !room.push(&mut reports, report) {
+            if !budget.push(&mut reports, report) {
                 break;
             }
         }
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -26,7 +26,7 @@
 const ANSWER_AFTER: Nanos = 8 * MS;
 /// A cache goes, and as long after it another comes.
 const CHANGE_EVERY: Nanos = S;
-const PATIENCE: Nanos = 1_000 * MS;
+const CLIENT_TIMEOUT: Nanos = 1_000 * MS;
 /// After so long nearly all slots have been requested.
 const WARM_UP: Nanos = 300 * S;
 
@@ -98,7 +98,7 @@
         classes: vec![RequestClass {
             idempotency: Idempotency::Idempotent,
             latency_objective: 200 * MS,
-            deadline: PATIENCE,
+            deadline: CLIENT_TIMEOUT,
             priority_weight: 1.0,
             late_value_fraction: 0.0,
         }],
@@ -209,7 +209,7 @@
             class: ClassId(0),
             tenant: None,
             key: Some(Key(self.rng.random())),
-            client_timeout: PATIENCE,
+            client_timeout: CLIENT_TIMEOUT,
             estimated_work: None,
             is_write: false,
         };
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Violations that are kept in full; the others are counted.
-const TOLD_MAX: usize = 50;
+const REPORTED_FAILURES_MAX: usize = 50;
 /// A member that stood still says so itself; whatever the machine made of it, nothing near it is
 /// held against anybody.
 const NEAR: f64 = 12.0;
@@ -93,7 +93,7 @@
     /// Notes a failure.
     pub fn fail(&mut self, at: f64, invariant: &'static str, what: String) {
         self.count += 1;
-        if self.failures.len() < TOLD_MAX {
+        if self.failures.len() < REPORTED_FAILURES_MAX {
             self.failures.push(InvariantViolation {
                 at,
                 invariant,
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -156,7 +156,7 @@
                 if wait.is_zero() {
                     self.pass(from, to, &bytes[..length]);
                 } else {
-                    self.hold(Instant::now() + wait, from, to, &bytes[..length]);
+                    self.schedule(Instant::now() + wait, from, to, &bytes[..length]);
                 }
             }
         }
@@ -168,7 +168,7 @@
         let _ = self.sockets[from].send_to(bytes, self.own[to]);
     }
 
-    fn hold(&self, at: Instant, from: usize, to: usize, bytes: &[u8]) {
+    fn schedule(&self, at: Instant, from: usize, to: usize, bytes: &[u8]) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         if queue.datagrams.len() < MAX_DELAYED {
             queue.number += 1;
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -433,9 +433,9 @@
         }
         let mut wait_ms = None;
         let end = match resp::answer(input) {
-            Ok(RespReply::Bulk(Some(value))) => judge(&value, key, write),
+            Ok(RespReply::Bulk(Some(value))) => classify_answer(&value, key, write),
             Ok(RespReply::Array(parts)) => match parts.first() {
-                Some(RespReply::Bulk(Some(value))) => judge(value, key, write),
+                Some(RespReply::Bulk(Some(value))) => classify_answer(value, key, write),
                 _ => RequestEnd::Failed,
             },
             Ok(RespReply::Error(text)) if text == "BUSY" || text.starts_with("BUSY ") => {
@@ -459,7 +459,7 @@
 }
 
 /// Whether a cache makes this for that key.
-fn judge(value: &[u8], key: &str, write: bool) -> RequestEnd {
+fn classify_answer(value: &[u8], key: &str, write: bool) -> RequestEnd {
     let text = String::from_utf8_lossy(value);
     let made = text.starts_with(&format!("tile {key} by ")) || text.starts_with("written by ");
     let right = if write { text == "stored" } else { made };
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -14,8 +14,8 @@
 const TIERS: usize = 6;
 const READS: usize = 3;
 const WRITES: usize = 5;
-const READ_WORTH: f64 = 3.0;
-const WRITE_WORTH: f64 = 10.0;
+const READ_WEIGHT: f64 = 3.0;
+const WRITE_WEIGHT: f64 = 10.0;
 const WRITE_PART: f64 = 0.1;
 /// The model moves on by so much at a time.
 /// How long the overload lasts, in seconds.
@@ -123,7 +123,7 @@
         .sum();
     let served = (capacity / attempts.max(1e-9)).min(1.0);
     for (n, reads, writes) in admitted {
-        sum.weight += served * (reads * READ_WORTH + writes * WRITE_WORTH);
+        sum.weight += served * (reads * READ_WEIGHT + writes * WRITE_WEIGHT);
         // Requests are whole; what is left over counts next time.
         let more = [reads, writes, (reads + writes) * (1.0 - served)];
         let mut whole = [0; 3];
@@ -141,7 +141,7 @@
     }
     let writes = (total * WRITE_PART).min(capacity);
     let reads = (total * (1.0 - WRITE_PART)).min(capacity - writes);
-    sum.perfect += writes * WRITE_WORTH + reads * READ_WORTH;
+    sum.perfect += writes * WRITE_WEIGHT + reads * READ_WEIGHT;
     (sum.attempts, sum.capacity) = (sum.attempts + attempts, sum.capacity + capacity);
     fleet.advance_to(fleet.now + TICK);
 }
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -152,7 +152,7 @@
             let Some(request) = client.open.pop_front() else {
                 continue;
             };
-            let end = judge(&answer, self.keys[request], &self.requests[request]);
+            let end = classify_answer(&answer, self.keys[request], &self.requests[request]);
             (self.requests[request].end, self.requests[request].ended) = (end, before);
             if let Some(next) = client.open.front() {
                 self.requests[*next].previous_answered = self.clock.now();
@@ -367,7 +367,7 @@
     }
 }
 
-fn judge(answer: &RespReply, key: u64, asked: &RequestRecord) -> RequestEnd {
+fn classify_answer(answer: &RespReply, key: u64, asked: &RequestRecord) -> RequestEnd {
     let value = match answer {
         RespReply::Bulk(Some(value)) => value,
         RespReply::Array(parts) => match parts.first() {
