--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -257,7 +257,7 @@
             .take(REQUEST_MAX)
     }
 
-    /// The payloads that answer a request, at most [`RESPONSES_MAX`].
+    /// The payloads that answer a request, at most `RESPONSES_MAX`.
     ///
     /// # Errors
     ///
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -2,7 +2,7 @@
 //!
 //! Every member that learns of a suspicion starts a timer. The suspect's watchers
 //! ([`crate::heartbeat`]) probe it until it refutes; a watcher that hears nothing for the whole
-//! timeout confirms the death and broadcasts it. All others wait [`NON_WATCHER_MULTIPLIER`] times
+//! timeout confirms the death and broadcasts it. All others wait `NON_WATCHER_MULTIPLIER` times
 //! as long, in case the watchers are gone. A death thus rests on direct silence at several members,
 //! not on one lost probe.
 
--- a/crates/simulator-adapter/src/wire/request_id.rs
+++ b/crates/simulator-adapter/src/wire/request_id.rs
@@ -2,7 +2,7 @@
 
 use routing::RequestId;
 
-/// Parses an id; only the form that [`format`] writes is accepted.
+/// Parses an id; only the form that [`format()`] writes is accepted.
 pub fn parse(text: &str) -> Option<RequestId> {
     let digits: String = text.chars().filter(|c| *c != '-').collect();
     let id = RequestId(u128::from_str_radix(&digits, 16).ok()?);
