--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -57,7 +57,7 @@
     streams: HashMap<RequestId, ActiveStream>,
     /// Bytes of all requests.
     buffered_bytes: usize,
-    /// How long the process has stood still so far, in all; no cache is to be blamed for that.
+    /// How long the process has been stalled so far, in all; no cache is blamed for that.
     total_stall: Nanos,
 }
 
@@ -81,7 +81,7 @@
         self.client_ids.contains(client_id)
     }
 
-    /// Notes how long the process has stood still so far, in all.
+    /// Records how long the process has been stalled so far, in all.
     pub fn set_total_stall(&mut self, total_stall: Nanos) {
         self.total_stall = total_stall;
     }
--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -1,5 +1,5 @@
-//! Charts and tables of what was measured: reports of plays as `run --out` writes them, rows as
-//! `measure` prints them.
+//! Charts and tables of measurements: reports as `run --out` writes them, rows as
+//! `detection-latency` prints them.
 
 use crate::error::TestbedError;
 use plotters::prelude::*;
@@ -104,7 +104,7 @@
         .draw()
 }
 
-/// Draws each play as a dot, a row for each thing that was waited for.
+/// Draws each run as a dot, with a row for each condition that was waited for.
 ///
 /// # Errors
 ///
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `testbed run`: plays one scenario on real processes, or one simulation trial.
+//! `testbed run`: runs one scenario with real processes, or one simulation trial.
 
 use super::CommandResult;
 use std::collections::BTreeSet;
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -175,7 +175,7 @@
         self.due.insert((at, self.set), due);
     }
 
-    /// Hands an event to the module, books its time, and plays what it asks for.
+    /// Hands an event to the engine, records its cost, and simulates the effect of its actions.
     fn handle(&mut self, now: Nanos, event: Event, account: CostAccount) {
         let mut actions = Vec::new();
         let begun = Instant::now();
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -9,8 +9,8 @@
 
 /// Violations that are kept in full; the others are counted.
 const REPORTED_FAILURES_MAX: usize = 50;
-/// A member that stood still says so itself; whatever the machine made of it, nothing near it is
-/// held against anybody.
+/// Seconds before and after a stall in which no violation is counted: a member that stalled reports
+/// it itself.
 const NEAR: f64 = 12.0;
 /// An answer that comes this much after its deadline is counted as late. It is no failure: how fast
 /// a machine is must not decide a verdict; none at all, or a connection that breaks though nothing
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -242,7 +242,7 @@
         }
     }
 
-    /// It stands still.
+    /// Stops the process until it is resumed.
     pub fn stop(&mut self) {
         self.signal(Signal::SIGSTOP);
         self.intended = IntendedState::Stopped;
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -68,7 +68,7 @@
             command.arg("--program").arg(program);
         }
         if let Some(fault) = fault {
-            // For the members, which are processes or play in this one.
+            // For the members, which are processes or run in this one.
             command
                 .args(["--planted", fault])
                 .env("PIPITRUN_PLANTED", fault);
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -24,7 +24,7 @@
     pub at: f64,
     /// What came to all caches.
     pub caches: CacheCounts,
-    /// Fetches and writes at the origin, and those that waited there in vain.
+    /// Fetches and writes at the origin, and those that timed out in its queue.
     pub origin: (u64, u64),
     /// The members' counters, summed over all their processes.
     pub members: BTreeMap<String, u64>,
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: one list of caches, told over HTTP, whole or as a watch. Each balancer may be told
-//! addresses of its own.
+//! A simulated discovery service: one endpoint list over HTTP, in full or as a watch. Each balancer
+//! may get addresses of its own.
 
 use super::TcpService;
 use std::collections::BTreeMap;
--- a/crates/testbed/src/simulated_services/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -50,14 +50,14 @@
         self.state().slowness = slowness.max(1.0);
     }
 
-    /// Fetches and writes it did, and those that waited in vain.
+    /// Fetches and writes that were served, and those that timed out in the queue.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         let state = self.state();
         (state.fetches, state.failed)
     }
 
-    /// One fetch or write, from its beginning to its end; false if it waited in vain.
+    /// One fetch or write, from its beginning to its end; false if it timed out in the queue.
     pub fn work(&self) -> bool {
         let until = Instant::now() + self.options.timeout;
         let mut state = self.state();
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -1,4 +1,4 @@
-//! Members of the `fleet` crate side by side in virtual time: the same seed plays the same course
+//! Members of the `membership` crate side by side in virtual time: the same seed gives the same run
 //! on every machine.
 
 mod network;
@@ -19,9 +19,9 @@
 
 struct MemberSlot {
     member: Option<Member>,
-    /// Stands still until then.
+    /// Stalled until then.
     stalled_until: Nanos,
-    /// Datagrams that wait while it stands still; the oldest ones beyond the bound are lost.
+    /// Datagrams that are queued during a stall; the oldest ones beyond the bound are lost.
     inbox: Vec<(SocketAddr, Vec<u8>)>,
     statistics: MemberStatistics,
     sent_max: u64,
@@ -70,7 +70,7 @@
     tape: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-/// Datagrams that wait at a member that stands still, at most.
+/// Datagrams that are queued at a stalled member, at most.
 const INBOX: usize = 1_000;
 /// Datagrams that are kept for replays, at most.
 const TAPE: usize = 5_000;
@@ -278,7 +278,7 @@
         }
     }
 
-    /// A member stands still for so long.
+    /// A member stalls for this long.
     pub fn stall(&mut self, n: usize, span: Nanos) {
         self.slots[n].stalled_until = self.now + span;
     }
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -89,7 +89,7 @@
     settle(&mut fleet, "hears again").map(|_| ())
 }
 
-/// One stands still, and what is sent to it meanwhile is lost: when it goes on it suspects nobody.
+/// A member stalls, and what is sent to it meanwhile is lost: when it resumes it suspects nobody.
 fn asleep(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = settled(8, seed)?;
     let before = fleet.statistics(4).suspicions;
@@ -105,8 +105,8 @@
     }
 }
 
-/// One comes to a fleet in which nothing has been news for long: it hears what each member says of
-/// itself.
+/// A member joins a fleet in which nothing has changed for long: it gets the metadata of all
+/// members.
 fn newcomer(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = SimulatedFleet::new(12, 3, seed);
     (0..11).for_each(|n| fleet.start(n, 0));
@@ -248,8 +248,8 @@
     pub memory_kb: Option<f64>,
     /// Suspicions that began at a member in an hour, of members that lived.
     pub suspicions_per_h: f64,
-    /// Deaths that were none, until the split: after it who hears late of a death in it is told of
-    /// one that was.
+    /// False deaths until the split: a death that a member learns of late, after the split, was
+    /// real when it was declared.
     pub false_deaths: u64,
 }
 
@@ -307,8 +307,8 @@
     }
 }
 
-/// The course of what `measure` plays, for tracing: what is untrue in how many pairs of members,
-/// each `every` until all is true, at most for `most`.
+/// A trace of what `measure` simulates: which views are wrong in how many pairs of members, each
+/// `every` until all views are true, at most for `most`.
 pub struct ConvergenceTrace {
     /// Members.
     pub members: usize,
--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -213,11 +213,11 @@
     Ok(Slopes { slopes })
 }
 
-/// Adds rows of virtual plays of fleets in regions, made apart since they last long, to slopes that
+/// Adds rows of simulated fleets in regions, which run apart since they take long, to slopes that
 /// were measured before.
 #[must_use]
 pub fn extend(mut slopes: Slopes, rows: &[RegionMeasurement]) -> Slopes {
-    // Each was played by a process of its own, in which nothing was freed before.
+    // Each ran in a process of its own, in which no memory was freed before.
     let alone: Vec<RegionMeasurement> =
         rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
     let memory = points(
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -206,7 +206,7 @@
         self.signal(Signal::SIGTERM);
     }
 
-    /// Lets it stand still for so long.
+    /// Stalls the process for this long.
     pub fn stall(&self, span: Duration) {
         let from = self.spec.clock.now();
         self.signal(Signal::SIGSTOP);
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,4 +1,4 @@
-//! `testbed soak`: plays seeds and prints a row for each, the breaches, and the verdict.
+//! `testbed soak`: runs seeds and prints a row for each, the violations, and the verdict.
 
 use super::plan::draw;
 use super::{SoakOutcome, play};
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -88,13 +88,13 @@
     Kill(usize),
     /// A balancer reads a new configuration, by which discovery is elsewhere.
     Reload(usize),
-    /// A balancer stands still for so long.
+    /// A balancer stalls for this long.
     HoldUp(usize, Nanos),
     /// A balancer has only this part of its time, in hundredths, for so long.
     Share(usize, u64, Nanos),
 }
 
-/// What one seed plays.
+/// The run that a seed draws.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
     /// The seed.
@@ -119,7 +119,7 @@
     of[rng.random_range(0..of.len())]
 }
 
-/// What this seed plays, in a small way if `short`.
+/// Draws the run of this seed, a small one if `short`.
 #[must_use]
 pub fn draw(seed: u64, short: bool) -> SoakPlan {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -79,7 +79,7 @@
         .get(request.generation)
 }
 
-/// How long the balancer stood still in this time.
+/// How long the balancer was stalled in this time.
 fn stalled_time(records: &Records, balancer: usize, from: Nanos, to: Nanos) -> Nanos {
     records.stalls.get(balancer).map_or(0, |stalls| {
         stalls.iter().map(|stall| stall.within(from, to)).sum()
@@ -101,7 +101,7 @@
 fn answer_limit(records: &Records, request: &RequestRecord) -> Nanos {
     let due = request.deadline() + ANSWER_SLACK;
     let mut limit = due;
-    // Standing still moves the limit, and the balancer may stand still until then too.
+    // A stall moves the limit, and the balancer may be stalled again until then.
     loop {
         let moved = due + stalled_time(records, request.balancer, request.sent, limit);
         if moved == limit {
