--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -184,7 +184,7 @@
 
 impl RegionRow {
     fn new(region: &RegionView, now: Nanos) -> Self {
-        let status = &region.overview;
+        let status = &region.status;
         let silent_since = region.silent_since;
         RegionRow {
             region: status.region.clone(),
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -206,7 +206,7 @@
     #[must_use]
     pub fn view(&self) -> View {
         let regions = self.region_rows().map(|(row, silent_since)| RegionView {
-            overview: row.clone(),
+            status: row.clone(),
             silent_since,
         });
         let places_elsewhere = self.region_rows().map(|(row, _)| row.places as usize);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionView {
     /// Its status by the overview.
-    pub overview: RegionStatus,
+    pub status: RegionStatus,
     /// Since when it has been silent.
     pub silent_since: Option<Nanos>,
 }
--- a/crates/testbed/src/simulation/region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -143,7 +143,7 @@
         .view(delegate)
         .regions
         .first()
-        .map(|seen| seen.overview.clone())
+        .map(|seen| seen.status.clone())
         .ok_or(SimulationFailure::OneRegion)?;
     let author = row.delegates[0];
     let announcement = |version: u64, places: u32| Announcement {
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -157,9 +157,9 @@
                     .view(30)
                     .regions
                     .iter()
-                    .find(|seen| seen.overview.region == region_name(0))
+                    .find(|seen| seen.status.region == region_name(0))
                     .cloned();
-                let row = row.expect("it is told of").overview;
+                let row = row.expect("it is told of").status;
                 told.insert((row.alive, row.places, row.authors));
             }
         }
@@ -332,7 +332,7 @@
     let mut fleet = settled_regions(&[12, 6], 7);
     fleet.advance_to(fleet.now + 20 * S);
     let delegate = delegates(&fleet, 0)[0];
-    let leader = fleet.view(delegate).regions[0].overview.clone();
+    let leader = fleet.view(delegate).regions[0].status.clone();
     let author = leader.delegates[0];
     let sound = Announcement {
         region: region_name(1),
