--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -181,7 +181,7 @@
     }
 
     /// The other regions by the overview, and since when a silent one has been silent.
-    pub fn region_rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
+    pub fn other_regions(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         self.federation.iter().flat_map(Federation::other_regions)
     }
 
@@ -196,7 +196,7 @@
 
     /// The number of announcements that it stores as a delegate.
     #[must_use]
-    pub fn announcements(&self) -> usize {
+    pub fn announcement_count(&self) -> usize {
         self.federation
             .as_ref()
             .map_or(0, Federation::announcements)
@@ -205,11 +205,11 @@
     /// Its view of the fleet.
     #[must_use]
     pub fn view(&self) -> View {
-        let regions = self.region_rows().map(|(row, silent_since)| RegionView {
+        let regions = self.other_regions().map(|(row, silent_since)| RegionView {
             status: row.clone(),
             silent_since,
         });
-        let places_elsewhere = self.region_rows().map(|(row, _)| row.places as usize);
+        let places_elsewhere = self.other_regions().map(|(row, _)| row.places as usize);
         View {
             members: self.table.members().cloned().collect(),
             regions: regions.collect(),
@@ -224,7 +224,7 @@
     /// Live members in all reachable regions, this one included.
     fn alive(&self) -> usize {
         let reachable = self
-            .region_rows()
+            .other_regions()
             .filter(|(_, silent_since)| silent_since.is_none());
         let elsewhere = reachable.map(|(row, _)| row.alive as usize);
         self.share_counter.alive() + elsewhere.sum::<usize>()
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -332,7 +332,7 @@
         }
         let rows: HashMap<&str, (u32, bool)> = hollow
             .member
-            .region_rows()
+            .other_regions()
             .map(|(row, silent_since)| (row.region.as_str(), (row.alive, silent_since.is_none())))
             .collect();
         let others = self.living.iter().filter(|(other, _)| **other != region);
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -105,7 +105,7 @@
         };
         let (own, side) = (self.slots[n].region, side(n));
         let heard: HashMap<&str, usize> = member
-            .region_rows()
+            .other_regions()
             .filter(|(_, silent_since)| silent_since.is_none())
             .map(|(row, _)| (row.region.as_str(), row.alive as usize))
             .collect();
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -409,7 +409,7 @@
     let false_deaths = fleet.false_deaths() - false_before;
     let entries = (0..fleet.len()).filter_map(|n| fleet.member(n));
     let entries = entries
-        .map(|m| m.members().count() + m.region_rows().count() + m.announcements())
+        .map(|m| m.members().count() + m.other_regions().count() + m.announcement_count())
         .max();
     RegionMeasurement {
         members: plan.members,
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -44,7 +44,7 @@
     let name = region_name(region);
     fleet
         .member(n)?
-        .region_rows()
+        .other_regions()
         .find(|(row, _)| row.region == name)
         .map(|(row, _)| row.alive)
 }
