--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -143,7 +143,7 @@
             delegates: view.delegates.iter().map(ToString::to_string).collect(),
             regions: regions.map(|region| RegionRow::new(region, now)).collect(),
             regions_dropped: DroppedRow {
-                unsound: dropped.unsound,
+                unsound: dropped.invalid,
                 outdated: dropped.outdated,
                 over_capacity: dropped.over_capacity,
                 refused_parts,
--- a/crates/balancer/src/gossip/counters_line.rs
+++ b/crates/balancer/src/gossip/counters_line.rs
@@ -81,7 +81,7 @@
             view.regions.len(),
             statistics.region_digests,
             statistics.deferred,
-            dropped.unsound,
+            dropped.invalid,
             dropped.outdated,
             dropped.over_capacity,
         )
--- a/crates/membership/src/fault_injection.rs
+++ b/crates/membership/src/fault_injection.rs
@@ -44,7 +44,7 @@
     /// An older announcement replaces a newer one.
     AcceptsOlderAnnouncements,
     /// The figures of an announcement are not validated.
-    AcceptsUnsoundAnnouncements,
+    AcceptsInvalidAnnouncements,
     /// Members neither pass the overview on nor compare it.
     WithholdsOverview,
     /// A member that learns of delegates of its own region does not join them.
@@ -107,7 +107,7 @@
             "believes-old-announcements",
         ),
         (
-            InjectedFault::AcceptsUnsoundAnnouncements,
+            InjectedFault::AcceptsInvalidAnnouncements,
             "believes-any-figures",
         ),
         (InjectedFault::WithholdsOverview, "keeps-overview-to-itself"),
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -229,7 +229,7 @@
         let current = self.announcements.as_ref();
         let current = current.map(AnnouncementStore::dropped).unwrap_or_default();
         DroppedAnnouncements {
-            unsound: self.former_dropped.unsound + current.unsound,
+            invalid: self.former_dropped.invalid + current.invalid,
             outdated: self.former_dropped.outdated + current.outdated,
             over_capacity: self.former_dropped.over_capacity + current.over_capacity,
         }
--- a/crates/membership/src/regions/announcement_store.rs
+++ b/crates/membership/src/regions/announcement_store.rs
@@ -26,7 +26,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DroppedAnnouncements {
     /// Beyond a bound: figures, names, a version from the future.
-    pub unsound: u64,
+    #[serde(rename = "unsound")]
+    pub invalid: u64,
     /// An older version of the same author.
     pub outdated: u64,
     /// Of more regions or authors than are stored.
@@ -323,9 +324,9 @@
     fn merge_one(&mut self, now: Nanos, unix_ms: u64, aged: &AgedAnnouncement) -> bool {
         let announcement = &aged.announcement;
         if !announcement.is_sound(unix_ms)
-            && !is_injected(InjectedFault::AcceptsUnsoundAnnouncements)
+            && !is_injected(InjectedFault::AcceptsInvalidAnnouncements)
         {
-            self.dropped.unsound += 1;
+            self.dropped.invalid += 1;
             return false;
         }
         let id = AnnouncementId::of(announcement);
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -32,7 +32,7 @@
     (InjectedFault::NeverReplacesDelegates, "regions-delegates"),
     (InjectedFault::SkipsRegionAntiEntropy, "regions-lossy"),
     (InjectedFault::AcceptsOlderAnnouncements, "regions-lies"),
-    (InjectedFault::AcceptsUnsoundAnnouncements, "regions-lies"),
+    (InjectedFault::AcceptsInvalidAnnouncements, "regions-lies"),
     (InjectedFault::WithholdsOverview, "regions-overview"),
     (InjectedFault::IgnoresReferrals, "regions-referral"),
 ];
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -365,7 +365,7 @@
     let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
     assert_eq!(
         (
-            after.unsound - before.unsound,
+            after.invalid - before.invalid,
             after.outdated - before.outdated
         ),
         (unsound.len() as u64, 1)
