--- a/crates/balancer/src/gossip/event_log.rs
+++ b/crates/balancer/src/gossip/event_log.rs
@@ -5,11 +5,23 @@
 /// Logs an event.
 pub(super) fn log_event(event: &MembershipEvent) {
     match event {
-        MembershipEvent::StatusChanged { name, id, was, is } => {
-            log_status(name, *id, *was, *is);
+        MembershipEvent::StatusChanged {
+            name,
+            id,
+            previous,
+            current,
+        } => {
+            log_status(name, *id, *previous, *current);
         }
-        MembershipEvent::ShareCountChanged { was, is, alive } => {
-            log::info!(was = *was, is = *is, alive = *alive; "fleet: shares are divided by {is}");
+        MembershipEvent::ShareCountChanged {
+            previous,
+            current,
+            alive,
+        } => {
+            log::info!(
+                was = *previous, is = *current, alive = *alive;
+                "fleet: shares are divided by {current}"
+            );
         }
         MembershipEvent::DuplicateName { name, addresses } => {
             let [first, second] = addresses;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -384,15 +384,15 @@
     /// Counts the balancers of the whole fleet.
     fn update_share_count(&mut self) {
         let size = self.own_region_size();
-        let was = self.share_count;
+        let previous = self.share_count;
         self.share_count = match &mut self.federation {
             Some(federation) => federation.share_count(self.context.now, size),
             None => self.table.share_count(),
         };
-        if self.share_count != was {
+        if self.share_count != previous {
             let event = MembershipEvent::ShareCountChanged {
-                was,
-                is: self.share_count,
+                previous,
+                current: self.share_count,
                 alive: self.alive(),
             };
             self.context.events.push(event);
--- a/crates/membership/src/member/membership_table.rs
+++ b/crates/membership/src/member/membership_table.rs
@@ -137,20 +137,25 @@
             let id = *member.id();
             present.insert(id.address);
             let published = metadata.get(&id).map(|record| &record.metadata);
-            let is = status(member.state(), published.map(|metadata| metadata.phase));
-            if is.is_present() {
+            let current = status(member.state(), published.map(|metadata| metadata.phase));
+            if current.is_present() {
                 let places = published.map_or(0, |metadata| usize::from(metadata.places));
                 reported_places = reported_places.max(places);
             }
-            match is {
+            match current {
                 MemberStatus::Left => share_counter.record_left(id.address),
                 MemberStatus::Dead => share_counter.record_vanished(now, id.address),
                 _ => share_counter.record_present(id.address),
             }
-            let was = self.update_member(now, member, is, published);
-            if was != Some(is) {
+            let previous = self.update_member(now, member, current, published);
+            if previous != Some(current) {
                 let name = self.members[&id.address].name();
-                events.push(MembershipEvent::StatusChanged { name, id, was, is });
+                events.push(MembershipEvent::StatusChanged {
+                    name,
+                    id,
+                    previous,
+                    current,
+                });
             }
         }
         self.members.retain(|address, _| present.contains(address));
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -80,16 +80,16 @@
         /// Who it is.
         id: Identity,
         /// The former status; `None` for a new member.
-        was: Option<MemberStatus>,
+        previous: Option<MemberStatus>,
         /// The new status.
-        is: MemberStatus,
+        current: MemberStatus,
     },
     /// The share count changed.
     ShareCountChanged {
         /// The former count.
-        was: usize,
+        previous: usize,
         /// The new count.
-        is: usize,
+        current: usize,
         /// Live members, this one included.
         alive: usize,
     },
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -304,7 +304,7 @@
         for change in hollow.member.take_events() {
             if let MembershipEvent::StatusChanged {
                 id,
-                is: MemberStatus::Dead,
+                current: MemberStatus::Dead,
                 ..
             } = change
                 && let Some(other) = self.by_address.get(&id.address)
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -410,7 +410,7 @@
         for change in changes {
             if let MembershipEvent::StatusChanged {
                 id,
-                is: MemberStatus::Dead,
+                current: MemberStatus::Dead,
                 ..
             } = change
                 && let Some(&other) = self.numbers.get(&id.address)
