--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -5,7 +5,7 @@
 mod outcome;
 
 use crate::counters::Counters;
-use crate::request::{AttemptRecord, FinalAnswer, IncomingRequest, RequestContext, Ticket};
+use crate::request::{AnswerToken, AttemptRecord, FinalAnswer, IncomingRequest, RequestContext};
 use crate::timers::MS;
 use crate::upstream_pool::{ExchangeResult, OutboundCommand, UpstreamJob};
 use health_checks::HealthChecks;
@@ -14,7 +14,7 @@
 use std::collections::{HashMap, HashSet};
 
 /// A final answer that is due now.
-pub type DueAnswer = (Ticket, FinalAnswer);
+pub type DueAnswer = (AnswerToken, FinalAnswer);
 
 /// An attempt that the engine wants sent.
 #[derive(Clone, Copy, Debug)]
@@ -91,8 +91,8 @@
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
         self.buffered_bytes += incoming.command.byte_size();
         self.client_ids.insert(incoming.command.request_id.clone());
-        let id = incoming.ticket.request;
-        let context = RequestContext::new(incoming.ticket, incoming.command, deadline);
+        let id = incoming.answer_token.request;
+        let context = RequestContext::new(incoming.answer_token, incoming.command, deadline);
         self.requests.insert(id, context);
     }
 
@@ -107,16 +107,16 @@
         length: usize,
         counters: &mut Counters,
     ) -> Option<(Event, DueAnswer)> {
-        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let answer_token = self.requests.get_mut(&request)?.answer_token.take()?;
         let event = self.end_attempt(now, request, attempt, AttemptOutcome::Ok, counters)?;
         counters.streamed += 1;
-        let client_connection = ticket.connection;
+        let client_connection = answer_token.connection;
         let stream = ActiveStream {
             client_connection,
             attempt,
         };
         self.streams.insert(request, stream);
-        Some((event, (ticket, FinalAnswer::Streaming(length))))
+        Some((event, (answer_token, FinalAnswer::Streaming(length))))
     }
 
     /// The client connection to which this attempt's value is being streamed.
@@ -141,16 +141,16 @@
     /// The client has left: nothing is owed any more.
     pub fn client_disconnected(&mut self, now: Nanos, request: RequestId) {
         if let Some(context) = self.requests.get_mut(&request) {
-            (context.ticket, context.client_left_at) = (None, Some(now));
+            (context.answer_token, context.client_left_at) = (None, Some(now));
         }
         self.remove_if_over(request);
     }
 
     /// The engine's own final answer.
     pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<DueAnswer> {
-        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let answer_token = self.requests.get_mut(&request)?.answer_token.take()?;
         self.remove_if_over(request);
-        Some((ticket, answer))
+        Some((answer_token, answer))
     }
 
     /// How much of a request's time is left, while it is open.
@@ -162,7 +162,13 @@
     /// The client connection to which an answer is owed.
     #[must_use]
     pub fn waiting_client(&self, request: RequestId) -> Option<u64> {
-        Some(self.requests.get(&request)?.ticket.as_ref()?.connection)
+        Some(
+            self.requests
+                .get(&request)?
+                .answer_token
+                .as_ref()?
+                .connection,
+        )
     }
 
     fn remove_if_over(&mut self, request: RequestId) {
@@ -217,9 +223,9 @@
         // microseconds may well need a millisecond once.
         let timeout = new.timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let deadline = now.saturating_add(timeout).min(context.deadline);
-        if context.ticket.is_none() || deadline < now + MS {
+        if context.answer_token.is_none() || deadline < now + MS {
             counters.attempts_not_sent += 1;
-            return Err(not_sent(context.ticket.is_none()));
+            return Err(not_sent(context.answer_token.is_none()));
         }
         counters.attempts += 1;
         counters.hedges += u64::from(!context.attempts.is_empty());
@@ -257,7 +263,7 @@
             let record = context.attempts.get(&attempt)?;
             // Caches get a timeout in whole milliseconds.
             let in_time = record.deadline >= now + MS && now < record.write_deadline;
-            (context.ticket.is_some() && in_time)
+            (context.answer_token.is_some() && in_time)
                 .then(|| context.command.encode((record.deadline - now) / MS))
         });
         command.ok_or_else(|| {
@@ -307,7 +313,7 @@
         let outcome = reply.outcome;
         let context = self.requests.get_mut(&request)?;
         let record = context.attempts.remove(&attempt)?;
-        let request_finished = context.ticket.is_none();
+        let request_finished = context.answer_token.is_none();
         self.remove_if_over(request);
         let stalled = self.total_stall - record.stalled_before;
         let latency = now.saturating_sub(record.sent_at).saturating_sub(stalled);
@@ -370,12 +376,12 @@
         // counts.
         let is_served = reply.served.is_some();
         let context = self.requests.get_mut(&request).filter(|_| is_served);
-        let ticket = context.and_then(|context| context.ticket.take());
+        let answer_token = context.and_then(|context| context.answer_token.take());
         let event = self
             .end_attempt_with(now, request, attempt, &reply, counters)
             .map(Event::AttemptEnded);
         let value = reply.served.map(|ServedValue { value, .. }| value);
-        let answer = ticket.zip(value.map(FinalAnswer::Served));
+        let answer = answer_token.zip(value.map(FinalAnswer::Served));
         JobCompletion { event, answer }
     }
 }
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -3,9 +3,13 @@
 use super::*;
 use crate::request::CacheCommand;
 
-fn incoming(ticket: Ticket, client_timeout: Nanos, command: CacheCommand) -> IncomingRequest {
+fn incoming(
+    answer_token: AnswerToken,
+    client_timeout: Nanos,
+    command: CacheCommand,
+) -> IncomingRequest {
     IncomingRequest {
-        ticket,
+        answer_token,
         class: String::new(),
         tenant: None,
         arrived_at: 0,
@@ -39,7 +43,7 @@
         fields: Vec::new(),
     };
     tracker.add(incoming(
-        Ticket {
+        AnswerToken {
             request: RequestId(1),
             connection: 0,
         },
@@ -79,11 +83,11 @@
         request_id: b"i".to_vec(),
         fields: Vec::new(),
     };
-    let ticket = Ticket {
+    let answer_token = AnswerToken {
         request: RequestId(1),
         connection: 0,
     };
-    tracker.add(incoming(ticket, 100 * MS, command));
+    tracker.add(incoming(answer_token, 100 * MS, command));
     assert!(tracker.is_open(b"i") && !tracker.is_open(b"j"));
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
@@ -126,11 +130,11 @@
             request_id: b"i".to_vec(),
             fields: Vec::new(),
         };
-        let ticket = Ticket {
+        let answer_token = AnswerToken {
             request: RequestId(1),
             connection: 0,
         };
-        tracker.add(incoming(ticket, client_timeout, command));
+        tracker.add(incoming(answer_token, client_timeout, command));
         // For caches that answer within 0.1 ms the engine sets timeouts of a fraction of one.
         let first = (RequestId(1), AttemptNumber(0));
         let started = tracker.start(0, attempt_order(first, 1, Some(MS / 4)), &mut counters);
--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -77,7 +77,7 @@
         let tenant = incoming.tenant.as_ref();
         let tenant = tenant.and_then(|name| position(&self.names.tenants, name));
         Some(Event::RequestArrived(NewRequest {
-            id: incoming.ticket.request,
+            id: incoming.answer_token.request,
             class: ClassId(class),
             tenant: tenant.map(TenantId),
             key: Some(key(&incoming.command.key)),
--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -39,8 +39,8 @@
         if let Some(answer) = self.rejection(&incoming, event.is_some()) {
             // Not by `send_answer`, which would recurse for each command of a long pipeline.
             let mut events = Vec::new();
-            let connection = incoming.ticket.connection;
-            self.listener.answer(incoming.ticket, answer);
+            let connection = incoming.answer_token.connection;
+            self.listener.answer(incoming.answer_token, answer);
             self.listener
                 .flush(connection, now, &mut events, &mut self.counters);
             return events;
@@ -49,7 +49,7 @@
             class = incoming.class.as_str(),
             tenant = incoming.tenant.as_deref(),
             client_timeout_ms = incoming.client_timeout / MS;
-            "request {} admitted", incoming.ticket.request.0
+            "request {} admitted", incoming.answer_token.request.0
         );
         self.pending_events.extend(event);
         self.attempt_tracker.add(incoming);
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -124,14 +124,14 @@
     }
 
     /// Sends a final answer to its client.
-    pub(super) fn send_answer(&mut self, now: Nanos, (ticket, answer): DueAnswer) {
+    pub(super) fn send_answer(&mut self, now: Nanos, (answer_token, answer): DueAnswer) {
         match answer {
             FinalAnswer::Served(_) | FinalAnswer::Streaming(_) => self.counters.served += 1,
             FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
             FinalAnswer::Failed | FinalAnswer::Invalid(_) => self.counters.failed += 1,
         }
-        let connection = ticket.connection;
-        self.listener.answer(ticket, answer);
+        let connection = answer_token.connection;
+        self.listener.answer(answer_token, answer);
         let mut events = Vec::new();
         self.listener
             .flush(connection, now, &mut events, &mut self.counters);
--- a/crates/balancer/src/listener/resp/commands.rs
+++ b/crates/balancer/src/listener/resp/commands.rs
@@ -2,7 +2,7 @@
 
 use super::responses::encode_error;
 use crate::lifecycle::LifecyclePolicy;
-use crate::request::{CacheCommand, IncomingRequest, Ticket};
+use crate::request::{AnswerToken, CacheCommand, IncomingRequest};
 use crate::timers::MS;
 use routing::Nanos;
 use std::ops::{Range, RangeInclusive};
@@ -68,7 +68,7 @@
 pub(super) fn interpret(
     input: &[u8],
     words: &[Range<usize>],
-    ticket: Ticket,
+    answer_token: AnswerToken,
     policy: LifecyclePolicy,
 ) -> ParsedCommand {
     let word = |i: usize| words.get(i).map_or(&[][..], |range| &input[range.clone()]);
@@ -79,7 +79,7 @@
     match (name.as_slice(), words.len()) {
         (b"C.GET", 4) | (b"C.SET", 5) => {
             let value = (words.len() == 5).then(|| word(4).to_vec());
-            request([word(1), word(2), word(3)], value, ticket).map_or_else(
+            request([word(1), word(2), word(3)], value, answer_token).map_or_else(
                 |e| ParsedCommand::Malformed(e.into()),
                 ParsedCommand::Request,
             )
@@ -100,7 +100,7 @@
 pub(super) fn request(
     [key, id, fields]: [&[u8]; 3],
     value: Option<Vec<u8>>,
-    ticket: Ticket,
+    answer_token: AnswerToken,
 ) -> Result<IncomingRequest, RequestError> {
     if key.is_empty() || id.is_empty() {
         return Err(RequestError::EmptyKeyOrId);
@@ -108,7 +108,7 @@
     let fields = std::str::from_utf8(fields).map_err(|_| RequestError::FieldsNotUtf8)?;
     let fields = RequestFields::parse(fields)?;
     Ok(IncomingRequest {
-        ticket,
+        answer_token,
         class: fields
             .class
             .ok_or(RequestError::MissingField(field::CLASS))?,
--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::poll::sockets::has_peer_closed;
 use crate::poll_timestamps::ReadExtent;
-use crate::request::{FinalAnswer, IncomingRequest, Ticket};
+use crate::request::{AnswerToken, FinalAnswer, IncomingRequest};
 use crate::resp::{self, Command, RespError, parse_command};
 use routing::{Nanos, RequestId};
 use std::io::{ErrorKind, Read};
@@ -97,13 +97,13 @@
             // lost.
             let is_accepted = self.policy.accepts_commands || !connection.has_sent_command;
             (connection.has_sent_command, connection.command_since) = (true, now);
-            let ticket = Ticket {
+            let answer_token = AnswerToken {
                 request: RequestId(self.next_request),
                 connection: number,
             };
             let input = &connection.input[parsed..parsed + length];
             parsed += length;
-            match interpret(input, &words, ticket, self.policy) {
+            match interpret(input, &words, answer_token, self.policy) {
                 ParsedCommand::Request(_) if !is_accepted => {
                     counters.rejected += 1;
                     connection.respond(encode(FinalAnswer::Rejected { retry_after: 0 }));
@@ -111,7 +111,7 @@
                 ParsedCommand::Request(request) => {
                     self.next_request += 1;
                     counters.requests += 1;
-                    let response = PendingResponse::Waiting(request.ticket.request);
+                    let response = PendingResponse::Waiting(request.answer_token.request);
                     connection.responses.push_back(response);
                     events.push(ListenerEvent::Request(IncomingRequest {
                         arrived_at,
--- a/crates/balancer/src/listener/resp/output.rs
+++ b/crates/balancer/src/listener/resp/output.rs
@@ -8,7 +8,7 @@
 use crate::listener::CLOSE_TIMEOUT;
 use crate::poll::Interest;
 use crate::poll::sockets::{discard, has_peer_closed};
-use crate::request::{FinalAnswer, Ticket};
+use crate::request::{AnswerToken, FinalAnswer};
 use routing::Nanos;
 use std::io::ErrorKind;
 use std::net::Shutdown;
@@ -18,14 +18,14 @@
 const DISCARD_MAX: usize = 256 * 1024;
 
 impl RespListener {
-    /// Gives the final answer for a ticket; it is sent once those before it on its connection are.
-    // Answering consumes the ticket.
+    /// Gives the final answer for a token; it is sent once those before it on its connection are.
+    // Answering consumes the token.
     #[allow(clippy::needless_pass_by_value)]
-    pub fn answer(&mut self, ticket: Ticket, answer: FinalAnswer) {
-        let Ticket {
+    pub fn answer(&mut self, answer_token: AnswerToken, answer: FinalAnswer) {
+        let AnswerToken {
             request,
             connection,
-        } = ticket;
+        } = answer_token;
         let Some(connection) = self.connections.get_mut(&connection) else {
             return;
         };
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -135,7 +135,7 @@
     };
     // More than the client's side takes unread: the kernel holds the rest for it.
     listener.answer(
-        incoming.ticket,
+        incoming.answer_token,
         FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]),
     );
     listener.flush(0, 0, &mut events, &mut counters);
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -6,7 +6,7 @@
 use crate::listener::resp::input::READ_SIZE;
 use crate::listener::resp::{ListenerEvent, MemoryPressure, RespListener, StreamEnd};
 use crate::poll::{EventSource, Readiness};
-use crate::request::{FinalAnswer, Ticket};
+use crate::request::{AnswerToken, FinalAnswer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
@@ -14,7 +14,7 @@
 const LENGTH: usize = 64 << 20;
 
 /// A listener with two requests taken on one connection, and that connection.
-fn two_requests() -> (RespListener, TcpStream, Vec<Ticket>, Counters) {
+fn two_requests() -> (RespListener, TcpStream, Vec<AnswerToken>, Counters) {
     let (mut listener, connect) = start_listener(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
@@ -23,18 +23,18 @@
     client.write_all(&command.repeat(2)).unwrap();
     let ready = readable(0);
     listener.ready(0, ready, &mut events, &mut counters);
-    let tickets = events.into_iter().map(|event| match event {
-        ListenerEvent::Request(incoming) => incoming.ticket,
+    let answer_tokens = events.into_iter().map(|event| match event {
+        ListenerEvent::Request(incoming) => incoming.answer_token,
         other => panic!("{other:?}"),
     });
-    let tickets = tickets.collect();
-    (listener, client, tickets, counters)
+    let answer_tokens = answer_tokens.collect();
+    (listener, client, answer_tokens, counters)
 }
 
 #[test]
 fn answers_stay_in_order_around_a_streamed_value() {
-    let (mut listener, mut client, mut tickets, mut counters) = two_requests();
-    let (second, first) = (tickets.pop().unwrap(), tickets.pop().unwrap());
+    let (mut listener, mut client, mut answer_tokens, mut counters) = two_requests();
+    let (second, first) = (answer_tokens.pop().unwrap(), answer_tokens.pop().unwrap());
     let (one, two) = (first.request, second.request);
     let mut events = Vec::new();
     // The second arrives while the first is in flight: what fits into the window waits.
@@ -71,8 +71,8 @@
 
 #[test]
 fn cache_is_paused_while_its_client_does_not_read() {
-    let (mut listener, mut client, mut tickets, mut counters) = two_requests();
-    let first = tickets.remove(0);
+    let (mut listener, mut client, mut answer_tokens, mut counters) = two_requests();
+    let first = answer_tokens.remove(0);
     let (request, mut events) = (first.request, Vec::new());
     listener.answer(first, FinalAnswer::Streaming(LENGTH));
     let mut sent = 0;
--- a/crates/balancer/src/listener/resp/tests/commands.rs
+++ b/crates/balancer/src/listener/resp/tests/commands.rs
@@ -3,7 +3,7 @@
 use super::{read_request, readable, start_listener};
 use crate::counters::Counters;
 use crate::listener::resp::commands::request;
-use crate::request::Ticket;
+use crate::request::AnswerToken;
 use crate::timers::MS;
 use routing::RequestId;
 use std::io::Write;
@@ -25,11 +25,11 @@
 fn estimated_work_is_taken_and_forwarded_and_nonsense_is_only_forwarded() {
     let read = |h: &str| {
         let fields = format!("c=read,h={h},d=480");
-        let ticket = Ticket {
+        let answer_token = AnswerToken {
             request: RequestId(1),
             connection: 0,
         };
-        request([b"key", b"id", fields.as_bytes()], None, ticket).unwrap()
+        request([b"key", b"id", fields.as_bytes()], None, answer_token).unwrap()
     };
     for (h, work) in [
         ("48000", Some(48 * MS)),
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -96,7 +96,7 @@
             !listener.connections.is_empty(),
             "what was taken is answered first"
         );
-        listener.answer(incoming.ticket, FinalAnswer::Failed);
+        listener.answer(incoming.answer_token, FinalAnswer::Failed);
         listener.flush(1, IDLE_DRAINING + 5, &mut Vec::new(), &mut counters);
     }
     assert!(open_connections(&listener).is_empty());
@@ -139,7 +139,10 @@
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
-    listener.answer(incoming.ticket, FinalAnswer::Served(vec![b'v'; VALUE_MAX]));
+    listener.answer(
+        incoming.answer_token,
+        FinalAnswer::Served(vec![b'v'; VALUE_MAX]),
+    );
     listener.flush(0, 0, &mut events, &mut counters);
     match close {
         Close::Garbled => {}
@@ -250,7 +253,7 @@
             };
             listener.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
-            listener.answer(incoming.ticket, FinalAnswer::Served(b"v".to_vec()));
+            listener.answer(incoming.answer_token, FinalAnswer::Served(b"v".to_vec()));
             listener.flush(0, 1, &mut events, &mut counters);
         }
     }
@@ -258,7 +261,7 @@
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
-    listener.answer(incoming.ticket, FinalAnswer::Served(b"w".to_vec()));
+    listener.answer(incoming.answer_token, FinalAnswer::Served(b"w".to_vec()));
     listener.flush(0, 2, &mut events, &mut counters);
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -7,7 +7,7 @@
 /// The right and the duty to answer one request. It can't be copied, and answering consumes it, so
 /// that no request is answered twice.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct AnswerToken {
     /// The request.
     pub request: RequestId,
     /// The client connection that waits for the answer.
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// The duty to answer it.
-    pub ticket: Ticket,
+    pub answer_token: AnswerToken,
     /// The name of its class.
     pub class: String,
     /// The name of its tenant.
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub struct RequestContext {
     /// Until it is answered or its client has disconnected.
-    pub ticket: Option<Ticket>,
+    pub answer_token: Option<AnswerToken>,
     /// When its client disconnected.
     pub client_left_at: Option<Nanos>,
     /// What is forwarded.
@@ -126,9 +126,9 @@
 impl RequestContext {
     /// The context of a request that has just arrived.
     #[must_use]
-    pub fn new(ticket: Ticket, command: CacheCommand, deadline: Nanos) -> Self {
+    pub fn new(answer_token: AnswerToken, command: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
-            ticket: Some(ticket),
+            answer_token: Some(answer_token),
             client_left_at: None,
             command,
             deadline,
@@ -139,6 +139,6 @@
     /// Whether no answer is owed and no attempt is in flight.
     #[must_use]
     pub fn is_finished(&self) -> bool {
-        self.ticket.is_none() && self.attempts.is_empty()
+        self.answer_token.is_none() && self.attempts.is_empty()
     }
 }
