--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -141,7 +141,7 @@
     /// The client has left: nothing is owed any more.
     pub fn client_disconnected(&mut self, now: Nanos, request: RequestId) {
         if let Some(context) = self.requests.get_mut(&request) {
-            (context.answer_token, context.client_left_at) = (None, Some(now));
+            (context.answer_token, context.client_disconnected_at) = (None, Some(now));
         }
         self.remove_if_over(request);
     }
@@ -278,7 +278,7 @@
         if let Some(left) = self
             .requests
             .get(&request)
-            .and_then(|context| context.client_left_at)
+            .and_then(|context| context.client_disconnected_at)
         {
             let ms = now.saturating_sub(left).div_ceil(MS);
             counters.unsent_after_disconnect += 1;
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -114,7 +114,7 @@
     /// Until it is answered or its client has disconnected.
     pub answer_token: Option<AnswerToken>,
     /// When its client disconnected.
-    pub client_left_at: Option<Nanos>,
+    pub client_disconnected_at: Option<Nanos>,
     /// What is forwarded.
     pub command: CacheCommand,
     /// When the client times out.
@@ -129,7 +129,7 @@
     pub fn new(answer_token: AnswerToken, command: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
             answer_token: Some(answer_token),
-            client_left_at: None,
+            client_disconnected_at: None,
             command,
             deadline,
             attempts: BTreeMap::new(),
