--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -233,7 +233,7 @@
         let record = AttemptRecord {
             endpoint: new.endpoint,
             sent_at: now,
-            stalled_before: self.total_stall,
+            total_stall_at_send: self.total_stall,
             deadline,
             write_deadline: write_within.map_or(Nanos::MAX, |within| now.saturating_add(within)),
         };
@@ -315,7 +315,7 @@
         let record = context.attempts.remove(&attempt)?;
         let request_finished = context.answer_token.is_none();
         self.remove_if_over(request);
-        let stalled = self.total_stall - record.stalled_before;
+        let stalled = self.total_stall - record.total_stall_at_send;
         let latency = now.saturating_sub(record.sent_at).saturating_sub(stalled);
         log::trace!(
             "request {} attempt {} at endpoint {}: {outcome:?} after {} ms",
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -101,7 +101,7 @@
     /// When it was sent.
     pub sent_at: Nanos,
     /// For how long the process had stalled by then, in all.
-    pub stalled_before: Nanos,
+    pub total_stall_at_send: Nanos,
     /// When it times out.
     pub deadline: Nanos,
     /// Its first byte is written by then or never.
