--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -186,7 +186,7 @@
     fn connect(&self, number: u64) -> Result<Registered<TcpStream>, WatchError> {
         let stream = connect(self.address).map_err(WatchError::Connect)?;
         let source = EventSource::Discovery(number);
-        let registered = self.poll.watch(stream, source, Interest::WRITABLE);
+        let registered = self.poll.register(stream, source, Interest::WRITABLE);
         registered.map_err(WatchError::Register)
     }
 
--- a/crates/balancer/src/event_loop/signals.rs
+++ b/crates/balancer/src/event_loop/signals.rs
@@ -15,7 +15,11 @@
         for signal in signals {
             signal_hook::low_level::pipe::register(*signal, write.try_clone()?)?;
         }
-        Ok(SignalPipe(poll.watch(read, source, Interest::READABLE)?))
+        Ok(SignalPipe(poll.register(
+            read,
+            source,
+            Interest::READABLE,
+        )?))
     }
 
     /// Empties the pipe: several signals may have come.
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -107,7 +107,7 @@
         );
         let registered = self
             .poll
-            .watch(socket, EventSource::Gossip, Interest::READABLE)?;
+            .register(socket, EventSource::Gossip, Interest::READABLE)?;
         self.socket = Some(registered);
         Ok(())
     }
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -143,7 +143,7 @@
         let listener = TcpListener::bind(address)?;
         log::info!("management listens on {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, EventSource::AdminListener, Interest::READABLE)?;
+        let listener = poll.register(listener, EventSource::AdminListener, Interest::READABLE)?;
         Ok(AdminListener {
             poll: poll.clone(),
             listener,
@@ -176,7 +176,7 @@
         let number = self.next_connection;
         let watched = stream.set_nonblocking(true).and_then(|()| {
             let source = EventSource::AdminConnection(number);
-            self.poll.watch(stream, source, Interest::READABLE)
+            self.poll.register(stream, source, Interest::READABLE)
         });
         match watched {
             Ok(stream) => {
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -73,7 +73,7 @@
             listener.local_addr()?
         );
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, EventSource::Listener, Interest::READABLE)?;
+        let listener = poll.register(listener, EventSource::Listener, Interest::READABLE)?;
         let mut resp_listener = RespListener {
             poll: poll.clone(),
             listener: Some(listener),
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -120,7 +120,7 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.poll
-            .watch(stream, EventSource::Client(number), Interest::READABLE)
+            .register(stream, EventSource::Client(number), Interest::READABLE)
     }
 
     /// Accepts clients again, unless the lifecycle leaves them to the other process.
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -154,7 +154,7 @@
     /// # Errors
     /// If the kernel refuses to watch it.
     #[allow(unsafe_code)]
-    pub fn watch<S: AsSource>(
+    pub fn register<S: AsSource>(
         &self,
         socket: S,
         source: EventSource,
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -200,7 +200,7 @@
         let number = self.next_connection;
         let socket = self
             .poll
-            .watch(stream, EventSource::Upstream(number), Interest::WRITABLE)
+            .register(stream, EventSource::Upstream(number), Interest::WRITABLE)
             .map_err(|source| ConnectError::Socket { address, source })?;
         self.next_connection += 1;
         counters.upstream_opened += 1;
