--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -7,7 +7,7 @@
 /// The right and the duty to answer one request. It can't be copied, and answering consumes it, so
 /// that no request is answered twice.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct AnswerToken {
     /// The request.
     pub request: RequestId,
     /// The client connection that waits for the answer.
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// The duty to answer it.
-    pub ticket: Ticket,
+    pub answer_token: AnswerToken,
     /// The name of its class.
     pub class: String,
     /// The name of its tenant.
@@ -101,7 +101,7 @@
     /// When it was sent.
     pub sent_at: Nanos,
     /// For how long the process had stalled by then, in all.
-    pub stalled_before: Nanos,
+    pub total_stall_at_send: Nanos,
     /// When it times out.
     pub deadline: Nanos,
     /// Its first byte is written by then or never.
@@ -112,9 +112,9 @@
 #[derive(Debug)]
 pub struct RequestContext {
     /// Until it is answered or its client has disconnected.
-    pub ticket: Option<Ticket>,
+    pub answer_token: Option<AnswerToken>,
     /// When its client disconnected.
-    pub client_left_at: Option<Nanos>,
+    pub client_disconnected_at: Option<Nanos>,
     /// What is forwarded.
     pub command: CacheCommand,
     /// When the client times out.
@@ -126,10 +126,10 @@
 impl RequestContext {
     /// The context of a request that has just arrived.
     #[must_use]
-    pub fn new(ticket: Ticket, command: CacheCommand, deadline: Nanos) -> Self {
+    pub fn new(answer_token: AnswerToken, command: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
-            ticket: Some(ticket),
-            client_left_at: None,
+            answer_token: Some(answer_token),
+            client_disconnected_at: None,
             command,
             deadline,
             attempts: BTreeMap::new(),
@@ -139,6 +139,6 @@
     /// Whether no answer is owed and no attempt is in flight.
     #[must_use]
     pub fn is_finished(&self) -> bool {
-        self.ticket.is_none() && self.attempts.is_empty()
+        self.answer_token.is_none() && self.attempts.is_empty()
     }
 }
