--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -163,7 +163,7 @@
     /// Discovery is at another address from now on: the watch moves there, and goes on from the
     /// version that is known. It begins at once, whatever the engine waits for after a failed call:
     /// the former address may send nothing more, and the balancer counts as notified all the same.
-    pub fn move_to(
+    pub fn change_address(
         &mut self,
         address: SocketAddr,
         now: Nanos,
--- a/crates/balancer/src/event_loop/configuration.rs
+++ b/crates/balancer/src/event_loop/configuration.rs
@@ -32,9 +32,12 @@
         if config.discovery != self.config.discovery {
             self.pending_events.push(Event::DiscoveryAvailable);
         }
-        let failed =
-            self.discovery
-                .move_to(config.discovery, now, &mut self.timers, &mut self.counters);
+        let failed = self.discovery.change_address(
+            config.discovery,
+            now,
+            &mut self.timers,
+            &mut self.counters,
+        );
         self.handle_discovery_events(failed.into_iter().collect());
         self.config = config;
         self.apply_limits();
