--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -93,7 +93,7 @@
 
     /// Whether something of the list has arrived, or may have, that is not taken yet.
     #[must_use]
-    pub fn is_behind(&self) -> bool {
+    pub fn has_unprocessed_data(&self) -> bool {
         self.has_pending() || self.call.as_ref().is_some_and(|call| call.has_unread)
     }
 
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -327,7 +327,7 @@
     client
         .list
         .push(Message::read(whole(5, hosts(150..400)).into_bytes()).unwrap());
-    assert!(client.is_behind());
+    assert!(client.has_unprocessed_data());
     assert_eq!(
         [take(&mut client, 100), take(&mut client, 100)],
         [(100, false), (100, false)]
@@ -340,7 +340,7 @@
         (
             client.version(),
             client.list.endpoints().len(),
-            client.is_behind()
+            client.has_unprocessed_data()
         ),
         (Some(5), 250, false)
     );
--- a/crates/balancer/src/event_loop/stalls.rs
+++ b/crates/balancer/src/event_loop/stalls.rs
@@ -45,7 +45,7 @@
 
     /// A poll was processed: the wait ends early once no more of a discovery message is pending.
     pub(super) fn update_catch_up(&mut self) {
-        self.catch_up_polls_left = if self.discovery.is_behind() {
+        self.catch_up_polls_left = if self.discovery.has_unprocessed_data() {
             self.catch_up_polls_left.saturating_sub(1)
         } else {
             0
