--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -116,7 +116,7 @@
     }
 
     fn remove_unlisted(&mut self, listed: &BTreeSet<EndpointId>, events: &mut Vec<UpstreamEvent>) {
-        for endpoint in self.upstream_pool.listed() {
+        for endpoint in self.upstream_pool.listed_endpoints() {
             if !listed.contains(&endpoint) {
                 self.upstream_pool
                     .drain(endpoint, events, &mut self.counters);
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -121,8 +121,8 @@
 
     /// The endpoints with an address.
     #[must_use]
-    pub fn listed(&self) -> Vec<EndpointId> {
-        self.endpoints.listed().collect()
+    pub fn listed_endpoints(&self) -> Vec<EndpointId> {
+        self.endpoints.listed_endpoints().collect()
     }
 
     fn close_unwritten(
--- a/crates/balancer/src/upstream_pool/address_book.rs
+++ b/crates/balancer/src/upstream_pool/address_book.rs
@@ -69,7 +69,7 @@
     }
 
     /// The endpoints with an address.
-    pub(super) fn listed(&self) -> impl Iterator<Item = EndpointId> {
+    pub(super) fn listed_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         let listed = self.endpoints.iter().filter(|(_, r)| r.address.is_some());
         listed.map(|(id, _)| *id)
     }
