--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -84,7 +84,7 @@
 
     /// Whether another request could end the process for its memory, and all open ones with it.
     fn is_at_limits(&self) -> bool {
-        self.attempt_tracker.buffered_bytes() + self.listener.buffered() > self.memory_limit
+        self.attempt_tracker.buffered_bytes() + self.listener.buffered_bytes() > self.memory_limit
             || self.attempt_tracker.open_requests() >= self.open_requests_max
     }
 
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -90,7 +90,7 @@
     /// cause that.
     fn memory_pressure(&self, connection: u64, request: RequestId) -> MemoryPressure {
         let is_waiting = self.listener.pending_bytes(connection, request) > 0;
-        let held = || self.attempt_tracker.buffered_bytes() + self.listener.buffered();
+        let held = || self.attempt_tracker.buffered_bytes() + self.listener.buffered_bytes();
         if is_waiting && held() > self.memory_limit / 2 {
             MemoryPressure::High
         } else {
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -133,10 +133,10 @@
 
     /// Bytes held for clients: commands that are not parsed yet, and unsent answers.
     #[must_use]
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.connections
             .values()
-            .map(ClientConnection::buffered)
+            .map(ClientConnection::buffered_bytes)
             .sum()
     }
 
--- a/crates/balancer/src/listener/resp/connection.rs
+++ b/crates/balancer/src/listener/resp/connection.rs
@@ -34,7 +34,7 @@
 
 impl PendingResponse {
     /// Bytes that it holds.
-    fn buffered(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         match self {
             PendingResponse::Answered(bytes) | PendingResponse::Streaming { bytes, .. } => {
                 bytes.len()
@@ -89,8 +89,12 @@
     }
 
     /// Bytes held in memory.
-    pub(super) fn buffered(&self) -> usize {
-        let responses: usize = self.responses.iter().map(PendingResponse::buffered).sum();
+    pub(super) fn buffered_bytes(&self) -> usize {
+        let responses: usize = self
+            .responses
+            .iter()
+            .map(PendingResponse::buffered_bytes)
+            .sum();
         self.input.len() + self.unsent_bytes() + responses
     }
 
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -83,7 +83,7 @@
         assert!(sent < LENGTH, "the sockets' buffers are smaller");
     }
     assert!(
-        listener.buffered() <= STREAM_WINDOW + READ_SIZE,
+        listener.buffered_bytes() <= STREAM_WINDOW + READ_SIZE,
         "what one long value holds"
     );
     client.set_nonblocking(true).unwrap();
@@ -97,7 +97,7 @@
         listener.ready(2, ready, &mut events, &mut counters);
     }
     assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
-    assert_eq!(listener.buffered(), 0);
+    assert_eq!(listener.buffered_bytes(), 0);
     // The cache breaks off: the client must be able to tell, and the request behind has nobody to
     // wait for.
     events.clear();
