--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -15,7 +15,7 @@
         if outcome == PollOutcome::Completed {
             self.listener.set_poll_timestamps(self.poll_timestamps);
             if !ready.iter().any(|r| r.source == EventSource::Listener) {
-                self.listener.note_empty_backlog();
+                self.listener.record_empty_backlog();
             }
         }
         self.attempt_tracker
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -80,7 +80,7 @@
     }
 
     /// The last poll did not report the listening socket: nobody waits there.
-    pub fn note_empty_backlog(&mut self) {
+    pub fn record_empty_backlog(&mut self) {
         if self.accepting {
             self.backlog_since = None;
         }
