--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -17,7 +17,7 @@
         if ready.source == EventSource::AdminListener {
             return admin_listener.accept(now, &mut self.counters);
         }
-        let Some(request) = admin_listener.ready(ready, &mut self.counters) else {
+        let Some(request) = admin_listener.handle_ready(ready, &mut self.counters) else {
             return;
         };
         let AdminRequest {
--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -113,7 +113,7 @@
         for readiness in clients {
             let mut events = Vec::new();
             self.listener
-                .ready(now, readiness, &mut events, &mut self.counters);
+                .handle_ready(now, readiness, &mut events, &mut self.counters);
             self.handle_listener_events(now, events);
         }
     }
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -199,7 +199,11 @@
 
     /// Reads and writes what a connection is ready for. Returns a request that waits for its
     /// response.
-    pub fn ready(&mut self, ready: Readiness, counters: &mut Counters) -> Option<AdminRequest> {
+    pub fn handle_ready(
+        &mut self,
+        ready: Readiness,
+        counters: &mut Counters,
+    ) -> Option<AdminRequest> {
         let EventSource::AdminConnection(number) = ready.source else {
             return None;
         };
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -63,7 +63,7 @@
     );
     let number = CONNECTIONS_MAX as u64;
     assert_eq!(
-        listener.ready(readable(number), &mut counters),
+        listener.handle_ready(readable(number), &mut counters),
         Some(AdminRequest {
             connection: number,
             command: AdminCommand::Health
@@ -71,7 +71,7 @@
     );
     listener.answer(number, 200, "serving");
     expect_serving(client);
-    assert_eq!(listener.ready(readable(number), &mut counters), None);
+    assert_eq!(listener.handle_ready(readable(number), &mut counters), None);
     assert_eq!(
         listener.connections.len(),
         CONNECTIONS_MAX - 1,
@@ -96,7 +96,7 @@
     );
     drop(silent);
     for client in 1..CONNECTIONS_MAX as u64 {
-        assert_eq!(listener.ready(readable(client), &mut counters), None);
+        assert_eq!(listener.handle_ready(readable(client), &mut counters), None);
     }
     assert!(listener.connections.is_empty(), "who closes is let go of");
 }
@@ -110,7 +110,7 @@
         .write_all(b"GET /nowhere HTTP/1.1\r\n\r\n")
         .unwrap();
     listener.accept(0, &mut counters);
-    assert_eq!(listener.ready(readable(1), &mut counters), None);
+    assert_eq!(listener.handle_ready(readable(1), &mut counters), None);
     listener.reap(REQUEST_TIMEOUT, &mut counters);
     listener.reap(REQUEST_TIMEOUT + CLOSE_TIMEOUT - 1, &mut counters);
     assert_eq!(listener.connections.len(), 2);
@@ -127,7 +127,7 @@
         .write_all(&[b"GET /nowhere HTTP/1.1\r\n\r\n".as_slice(), &[b'x'; 20_000]].concat())
         .unwrap();
     listener.accept(0, &mut counters);
-    assert_eq!(listener.ready(readable(0), &mut counters), None);
+    assert_eq!(listener.handle_ready(readable(0), &mut counters), None);
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 404 Not Found\r\n"), "{text}");
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -153,7 +153,7 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         now: Nanos,
         ready: Readiness,
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -40,10 +40,10 @@
         "something to read"
     );
     let ready = readable(0);
-    listener.ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
+    listener.handle_ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
     assert!(!listener.connections[&0].is_idle(), "half a command");
     first.write_all(b"$4\r\nPING\r\n").unwrap();
-    listener.ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
+    listener.handle_ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
     listener.accept(2 * CROWD_IDLE_MIN, &mut counters);
     assert_eq!(
         (counters.clients_accepted, counters.clients_closed),
@@ -67,7 +67,7 @@
     let mut say = |listener: &mut RespListener, number: u64, now: Nanos, text: &[u8]| {
         clients[number as usize].write_all(text).unwrap();
         let ready = readable(number);
-        listener.ready(now, ready, &mut events, &mut Counters::default());
+        listener.handle_ready(now, ready, &mut events, &mut Counters::default());
     };
     say(&mut listener, 0, 0, b"*1\r\n");
     say(&mut listener, 1, 0, b"*1\r\n");
@@ -108,7 +108,7 @@
     listener.accept(0, &mut counters);
     usual.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     let ready = readable(0);
-    listener.ready(0, ready, &mut Vec::new(), &mut counters);
+    listener.handle_ready(0, ready, &mut Vec::new(), &mut counters);
     let _mute: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
     for turn in 1..9 {
         listener.accept(turn * CROWD_IDLE_MIN, &mut counters);
@@ -129,7 +129,7 @@
         readable: true,
         writable: true,
     };
-    listener.ready(0, ready, &mut events, &mut counters);
+    listener.handle_ready(0, ready, &mut events, &mut counters);
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -22,7 +22,7 @@
     let command = read_request(9);
     client.write_all(&command.repeat(2)).unwrap();
     let ready = readable(0);
-    listener.ready(0, ready, &mut events, &mut counters);
+    listener.handle_ready(0, ready, &mut events, &mut counters);
     let tickets = events.into_iter().map(|event| match event {
         ListenerEvent::Request(incoming) => incoming.ticket,
         other => panic!("{other:?}"),
@@ -94,7 +94,7 @@
     };
     while events.is_empty() {
         while matches!(client.read(&mut [0; READ_SIZE]), Ok(n) if n > 0) {}
-        listener.ready(2, ready, &mut events, &mut counters);
+        listener.handle_ready(2, ready, &mut events, &mut counters);
     }
     assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
     assert_eq!(listener.buffered_bytes(), 0);
--- a/crates/balancer/src/listener/resp/tests/commands.rs
+++ b/crates/balancer/src/listener/resp/tests/commands.rs
@@ -17,7 +17,7 @@
     let command = read_request(9);
     client.write_all(&command.repeat(100)).unwrap();
     let ready = readable(0);
-    listener.ready(0, ready, &mut events, &mut counters);
+    listener.handle_ready(0, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 100);
 }
 
--- a/crates/balancer/src/listener/resp/tests/disconnects.rs
+++ b/crates/balancer/src/listener/resp/tests/disconnects.rs
@@ -50,7 +50,7 @@
     };
     let ready = readable(0);
     while listener.connections[&0].reads_input() {
-        listener.ready(0, ready, &mut events, &mut counters);
+        listener.handle_ready(0, ready, &mut events, &mut counters);
         if matches!(unread, Unread::Owed) {
             // More is unsent than a client may leave untaken.
             listener.connections.get_mut(&0).unwrap().output = vec![0; UNSENT_MAX];
--- a/crates/balancer/src/listener/resp/tests/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/tests/idle_reaper.rs
@@ -20,7 +20,7 @@
     clients[2].write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     for number in 0..3 {
         let ready = readable(number);
-        listener.ready(1, ready, &mut events, &mut counters);
+        listener.handle_ready(1, ready, &mut events, &mut counters);
     }
     listener.reap(COMMAND_TIMEOUT - 1, &mut events, &mut counters);
     assert_eq!(listener.connections.len(), 4);
@@ -65,9 +65,9 @@
     listener.accept(0, &mut counters);
     let ready = readable(0);
     client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
-    listener.ready(0, ready, &mut events, &mut counters);
+    listener.handle_ready(0, ready, &mut events, &mut counters);
     client.write_all(b"*1\r\n$4").unwrap();
-    listener.ready(COMMAND_TIMEOUT - 1, ready, &mut events, &mut counters);
+    listener.handle_ready(COMMAND_TIMEOUT - 1, ready, &mut events, &mut counters);
     for (now, open) in [
         (2 * COMMAND_TIMEOUT - 2, true),
         (2 * COMMAND_TIMEOUT - 1, false),
@@ -92,7 +92,7 @@
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
         clients.push(client);
         let ready = readable(number);
-        listener.ready(number, ready, &mut events, &mut counters);
+        listener.handle_ready(number, ready, &mut events, &mut counters);
     }
     listener.reap(CROWD_IDLE_MIN - 1, &mut events, &mut counters);
     assert_eq!(listener.connections.len(), 6, "not at once");
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -74,7 +74,7 @@
         "the idle one is closed"
     );
     let ready = readable(1);
-    listener.ready(IDLE_DRAINING + 2, ready, &mut events, &mut counters);
+    listener.handle_ready(IDLE_DRAINING + 2, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2);
     listener.apply_policy(
         LifecyclePolicy {
@@ -86,7 +86,7 @@
         &mut counters,
     );
     endless.write_all(&command).unwrap();
-    listener.ready(IDLE_DRAINING + 4, ready, &mut events, &mut counters);
+    listener.handle_ready(IDLE_DRAINING + 4, ready, &mut events, &mut counters);
     assert_eq!(events.len(), 2, "no further command is taken");
     for event in std::mem::take(&mut events) {
         let ListenerEvent::Request(incoming) = event else {
@@ -108,7 +108,7 @@
         "what came too late is answered too"
     );
     drop(endless);
-    listener.ready(IDLE_DRAINING + 6, ready, &mut events, &mut counters);
+    listener.handle_ready(IDLE_DRAINING + 6, ready, &mut events, &mut counters);
     assert!(listener.connections.is_empty());
 }
 
@@ -135,7 +135,7 @@
         readable: true,
         writable: true,
     };
-    listener.ready(0, ready, &mut events, &mut counters);
+    listener.handle_ready(0, ready, &mut events, &mut counters);
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
@@ -163,7 +163,7 @@
     let mut now = 1;
     let end = loop {
         // The kernel sends on as the client takes what has come; the loop has its turns meanwhile.
-        listener.ready(now, ready, &mut events, &mut counters);
+        listener.handle_ready(now, ready, &mut events, &mut counters);
         now += CLOSE_TIMEOUT / 100_000;
         listener.reap(now, &mut events, &mut counters);
         let mut some = [0; 2_048];
@@ -234,7 +234,7 @@
         Crosses::InTwoParts => {
             // It has asked before.
             client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
-            listener.ready(0, ready, &mut events, &mut counters);
+            listener.handle_ready(0, ready, &mut events, &mut counters);
             let (half, rest) = command.split_at(command.len() / 2);
             client.write_all(half).unwrap();
             listener.apply_policy(ending, 1, &mut events, &mut counters);
@@ -244,7 +244,7 @@
         // the connection end.
         Crosses::BehindAnAnswer => {
             client.write_all(&command).unwrap();
-            listener.ready(1, ready, &mut events, &mut counters);
+            listener.handle_ready(1, ready, &mut events, &mut counters);
             let Some(ListenerEvent::Request(incoming)) = events.pop() else {
                 panic!("it is taken")
             };
@@ -254,7 +254,7 @@
             listener.flush(0, 1, &mut events, &mut counters);
         }
     }
-    listener.ready(2, ready, &mut events, &mut counters);
+    listener.handle_ready(2, ready, &mut events, &mut counters);
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("it is taken")
     };
