--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -77,7 +77,7 @@
     /// Whether a request with this id of a client's is open: a second one would be taken for the
     /// first.
     #[must_use]
-    pub fn is_open(&self, client_id: &[u8]) -> bool {
+    pub fn is_request_id_in_use(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
     }
 
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -84,7 +84,7 @@
         connection: 0,
     };
     tracker.add(incoming(ticket, 100 * MS, command));
-    assert!(tracker.is_open(b"i") && !tracker.is_open(b"j"));
+    assert!(tracker.is_request_id_in_use(b"i") && !tracker.is_request_id_in_use(b"j"));
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tracker
@@ -98,7 +98,7 @@
             .is_some()
     );
     tracker.client_disconnected(1, RequestId(1));
-    assert!(!tracker.is_open(b"i"), "nothing is left of it");
+    assert!(!tracker.is_request_id_in_use(b"i"), "nothing is left of it");
     let second = (RequestId(1), AttemptNumber(1));
     let Err(end) = tracker.start(1, attempt_order(second, 2, None), &mut counters) else {
         panic!("sent")
--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -67,7 +67,10 @@
         if !is_class_known {
             self.counters.unknown_class += 1;
             Some(FinalAnswer::Invalid("unknown class"))
-        } else if self.attempt_tracker.is_open(&incoming.command.request_id) {
+        } else if self
+            .attempt_tracker
+            .is_request_id_in_use(&incoming.command.request_id)
+        {
             self.counters.duplicate_id += 1;
             Some(FinalAnswer::Invalid("a request with this id is open"))
         } else if self.is_at_limits() {
