--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -246,7 +246,7 @@
     /// # Errors
     ///
     /// Gives the attempt's end for the engine, if it is still out: it is never sent.
-    pub fn command(
+    pub fn encode_command(
         &mut self,
         now: Nanos,
         request: RequestId,
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -147,7 +147,7 @@
             UpstreamJob::Attempt(request, attempt) => {
                 self.check_client_connection(now, request);
                 self.attempt_tracker
-                    .command(now, request, attempt, &mut self.counters)
+                    .encode_command(now, request, attempt, &mut self.counters)
             }
             // Where endpoints report their load, the health check asks for it.
             UpstreamJob::HealthCheck(_) if !self.engine.names().report_columns.is_empty() => {
