--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -87,7 +87,7 @@
     }
 
     /// Adds a request. Its time counts from when it can have arrived.
-    pub fn add(&mut self, incoming: IncomingRequest) {
+    pub fn add_request(&mut self, incoming: IncomingRequest) {
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
         self.buffered_bytes += incoming.command.byte_size();
         self.client_ids.insert(incoming.command.request_id.clone());
@@ -191,7 +191,7 @@
     ///
     /// Gives the attempt's end for the engine if it is never sent: its request is over, or has no
     /// time left.
-    pub fn start(
+    pub fn start_attempt(
         &mut self,
         now: Nanos,
         new: AttemptOrder,
@@ -348,7 +348,7 @@
     }
 
     /// What a finished job means to the engine and to the request.
-    pub fn complete(
+    pub fn complete_job(
         &mut self,
         now: Nanos,
         job: UpstreamJob,
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -38,7 +38,7 @@
         request_id: b"i".to_vec(),
         fields: Vec::new(),
     };
-    tracker.add(incoming(
+    tracker.add_request(incoming(
         Ticket {
             request: RequestId(1),
             connection: 0,
@@ -50,7 +50,7 @@
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tracker
-            .start(0, attempt_order(first, 1, None), &mut counters)
+            .start_attempt(0, attempt_order(first, 1, None), &mut counters)
             .is_ok()
     );
     tracker.set_total_stall(690 * MS);
@@ -83,12 +83,12 @@
         request: RequestId(1),
         connection: 0,
     };
-    tracker.add(incoming(ticket, 100 * MS, command));
+    tracker.add_request(incoming(ticket, 100 * MS, command));
     assert!(tracker.is_request_id_in_use(b"i") && !tracker.is_request_id_in_use(b"j"));
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tracker
-            .start(0, attempt_order(first, 1, None), &mut counters)
+            .start_attempt(0, attempt_order(first, 1, None), &mut counters)
             .is_ok()
     );
     let outcome = AttemptOutcome::Reset;
@@ -100,7 +100,7 @@
     tracker.client_disconnected(1, RequestId(1));
     assert!(!tracker.is_request_id_in_use(b"i"), "nothing is left of it");
     let second = (RequestId(1), AttemptNumber(1));
-    let Err(end) = tracker.start(1, attempt_order(second, 2, None), &mut counters) else {
+    let Err(end) = tracker.start_attempt(1, attempt_order(second, 2, None), &mut counters) else {
         panic!("sent")
     };
     assert!(
@@ -130,10 +130,11 @@
             request: RequestId(1),
             connection: 0,
         };
-        tracker.add(incoming(ticket, client_timeout, command));
+        tracker.add_request(incoming(ticket, client_timeout, command));
         // For caches that answer within 0.1 ms the engine sets timeouts of a fraction of one.
         let first = (RequestId(1), AttemptNumber(0));
-        let started = tracker.start(0, attempt_order(first, 1, Some(MS / 4)), &mut counters);
+        let started =
+            tracker.start_attempt(0, attempt_order(first, 1, Some(MS / 4)), &mut counters);
         assert_eq!(
             started.ok().map(|o| o.deadline),
             sent.then_some(MS),
--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -52,7 +52,7 @@
             "request {} admitted", incoming.ticket.request.0
         );
         self.pending_events.extend(event);
-        self.attempt_tracker.add(incoming);
+        self.attempt_tracker.add_request(incoming);
         Vec::new()
     }
 
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -28,7 +28,9 @@
 impl EventLoop {
     /// Starts an attempt, unless its request has no time left.
     pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptOrder) {
-        let started = self.attempt_tracker.start(now, order, &mut self.counters);
+        let started = self
+            .attempt_tracker
+            .start_attempt(now, order, &mut self.counters);
         match started {
             Ok(outbound) => {
                 if let UpstreamJob::Attempt(request, attempt) = outbound.job {
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -34,7 +34,7 @@
         self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoCapacity);
         let JobCompletion { event, answer } =
             self.attempt_tracker
-                .complete(now, job, end, &mut self.counters);
+                .complete_job(now, job, end, &mut self.counters);
         self.pending_events.extend(event);
         if let Some(answer) = answer {
             self.send_answer(now, answer);
