--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -18,7 +18,7 @@
 
 /// An attempt that the engine wants sent.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOrder {
+pub struct AttemptSpec {
     /// The request.
     pub request: RequestId,
     /// Its number among the request's attempts, by the engine.
@@ -194,7 +194,7 @@
     pub fn start_attempt(
         &mut self,
         now: Nanos,
-        new: AttemptOrder,
+        new: AttemptSpec,
         counters: &mut Counters,
     ) -> Result<OutboundCommand, Box<Event>> {
         // The engine's own attempt number: with another one it would wait for an end for good.
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -19,8 +19,8 @@
     (request, attempt): (RequestId, AttemptNumber),
     endpoint: u64,
     timeout: Option<Nanos>,
-) -> AttemptOrder {
-    AttemptOrder {
+) -> AttemptSpec {
+    AttemptSpec {
         request,
         attempt,
         endpoint: EndpointId(endpoint),
--- a/crates/balancer/src/event_loop/decisions.rs
+++ b/crates/balancer/src/event_loop/decisions.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use super::turn_meter::TurnStep;
-use crate::attempt_tracker::AttemptOrder;
+use crate::attempt_tracker::AttemptSpec;
 use crate::counters::DecisionStep;
 use crate::request::FinalAnswer;
 use crate::timers::TimerKind;
@@ -39,7 +39,7 @@
                 write_within,
             } => self.start_attempt(
                 now,
-                AttemptOrder {
+                AttemptSpec {
                     request,
                     attempt,
                     endpoint,
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -2,7 +2,7 @@
 //! at that moment still allows it.
 
 use super::EventLoop;
-use crate::attempt_tracker::AttemptOrder;
+use crate::attempt_tracker::AttemptSpec;
 use crate::poll_timestamps::PollTimestamps;
 use crate::resp::write_command;
 use crate::timers::{MS, TimerKind};
@@ -27,7 +27,7 @@
 
 impl EventLoop {
     /// Starts an attempt, unless its request has no time left.
-    pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptOrder) {
+    pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptSpec) {
         let started = self
             .attempt_tracker
             .start_attempt(now, order, &mut self.counters);
