--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -130,7 +130,7 @@
             Ok(command) => {
                 let mut events = Vec::new();
                 self.upstream_pool
-                    .begin(job, command, &mut events, &mut self.counters);
+                    .send_command(job, command, &mut events, &mut self.counters);
                 self.handle_upstream_events(now, events);
             }
             Err(not_sent) => {
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -212,7 +212,7 @@
     }
 
     /// Writes a job's command; its connection is up.
-    pub fn begin(
+    pub fn send_command(
         &mut self,
         job: UpstreamJob,
         command: Vec<u8>,
--- a/crates/balancer/src/upstream_pool/exchange.rs
+++ b/crates/balancer/src/upstream_pool/exchange.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum UpstreamEvent {
     /// Its connection is up and nothing of it is written: it begins now with
-    /// [`UpstreamPool::begin`](super::UpstreamPool::begin) or is abandoned.
+    /// [`UpstreamPool::send_command`](super::UpstreamPool::send_command) or is abandoned.
     Connected {
         /// The job.
         job: UpstreamJob,
--- a/crates/balancer/src/upstream_pool/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -84,7 +84,7 @@
             };
             let command = self.commands.remove(&job).expect("up once");
             self.pool
-                .begin(job, command, &mut self.events, &mut self.counters);
+                .send_command(job, command, &mut self.events, &mut self.counters);
         }
     }
 
