--- a/crates/balancer/src/attempt_tracker/outcome.rs
+++ b/crates/balancer/src/attempt_tracker/outcome.rs
@@ -32,7 +32,7 @@
 impl From<ExchangeResult> for AttemptReply {
     fn from(result: ExchangeResult) -> Self {
         AttemptReply::without_value(match result {
-            ExchangeResult::Answer(answer) => return AttemptReply::from(answer),
+            ExchangeResult::Response(answer) => return AttemptReply::from(answer),
             ExchangeResult::Unreadable | ExchangeResult::Reply(_) => AttemptOutcome::Unreadable,
             ExchangeResult::ConnectFailed => AttemptOutcome::ConnectFailed,
             ExchangeResult::Reset => AttemptOutcome::Reset,
@@ -109,7 +109,7 @@
             ExchangeResult::Reply(_) => AttemptOutcome::Error,
             ExchangeResult::ConnectFailed => AttemptOutcome::ConnectFailed,
             ExchangeResult::Reset => AttemptOutcome::Reset,
-            ExchangeResult::Unreadable | ExchangeResult::Answer(_) => AttemptOutcome::Unreadable,
+            ExchangeResult::Unreadable | ExchangeResult::Response(_) => AttemptOutcome::Unreadable,
             ExchangeResult::NoCapacity => AttemptOutcome::NotSent,
         };
         HealthCheckReply {
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -107,7 +107,7 @@
     ) {
         self.attempt_tracker.end_stream(request);
         let stream_end = match end {
-            ExchangeResult::Answer(_) => StreamEnd::Complete,
+            ExchangeResult::Response(_) => StreamEnd::Complete,
             _ => StreamEnd::Aborted,
         };
         self.counters.streams_aborted += u64::from(stream_end == StreamEnd::Aborted);
--- a/crates/balancer/src/upstream_pool/connection.rs
+++ b/crates/balancer/src/upstream_pool/connection.rs
@@ -242,7 +242,7 @@
         }
         let end = stream.tail(&self.input)?;
         Ok(end.map(|StreamTail { answer, length }| ParsedReply {
-            result: ExchangeResult::Answer(answer),
+            result: ExchangeResult::Response(answer),
             length,
         }))
     }
--- a/crates/balancer/src/upstream_pool/exchange.rs
+++ b/crates/balancer/src/upstream_pool/exchange.rs
@@ -31,7 +31,7 @@
     /// The endpoint's reply to a health check.
     Reply(Reply),
     /// The endpoint's answer to an attempt.
-    Answer(Answer),
+    Response(Answer),
     /// The answer breaks the protocol or ended short: the command may have run.
     Unreadable,
     /// No connection came up, or it broke before the last byte was written: the command never ran.
--- a/crates/balancer/src/upstream_pool/reply.rs
+++ b/crates/balancer/src/upstream_pool/reply.rs
@@ -23,7 +23,7 @@
 ) -> Result<Option<ParsedReply>, RespError> {
     Ok(match job {
         UpstreamJob::Attempt(..) => parse_response(input)?.map(|(answer, length)| ParsedReply {
-            result: ExchangeResult::Answer(answer),
+            result: ExchangeResult::Response(answer),
             length,
         }),
         UpstreamJob::HealthCheck(_) => {
