--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -18,7 +18,7 @@
 
 /// An attempt that the engine wants sent.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOrder {
+pub struct AttemptSpec {
     /// The request.
     pub request: RequestId,
     /// Its number among the request's attempts, by the engine.
@@ -77,7 +77,7 @@
     /// Whether a request with this id of a client's is open: a second one would be taken for the
     /// first.
     #[must_use]
-    pub fn is_open(&self, client_id: &[u8]) -> bool {
+    pub fn is_request_id_in_use(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Adds a request. Its time counts from when it can have arrived.
-    pub fn add(&mut self, incoming: IncomingRequest) {
+    pub fn add_request(&mut self, incoming: IncomingRequest) {
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
         self.buffered_bytes += incoming.command.byte_size();
         self.client_ids.insert(incoming.command.request_id.clone());
@@ -197,10 +197,10 @@
     ///
     /// Gives the attempt's end for the engine if it is never sent: its request is over, or has no
     /// time left.
-    pub fn start(
+    pub fn start_attempt(
         &mut self,
         now: Nanos,
-        new: AttemptOrder,
+        new: AttemptSpec,
         counters: &mut Counters,
     ) -> Result<OutboundCommand, Box<Event>> {
         // The engine's own attempt number: with another one it would wait for an end for good.
@@ -252,7 +252,7 @@
     /// # Errors
     ///
     /// Gives the attempt's end for the engine, if it is still out: it is never sent.
-    pub fn command(
+    pub fn encode_command(
         &mut self,
         now: Nanos,
         request: RequestId,
@@ -354,7 +354,7 @@
     }
 
     /// What a finished job means to the engine and to the request.
-    pub fn complete(
+    pub fn complete_job(
         &mut self,
         now: Nanos,
         job: UpstreamJob,
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -93,7 +93,7 @@
 
     /// Whether something of the list has arrived, or may have, that is not taken yet.
     #[must_use]
-    pub fn is_behind(&self) -> bool {
+    pub fn has_unprocessed_data(&self) -> bool {
         self.has_pending() || self.call.as_ref().is_some_and(|call| call.has_unread)
     }
 
@@ -163,7 +163,7 @@
     /// Discovery is at another address from now on: the watch moves there, and goes on from the
     /// version that is known. It begins at once, whatever the engine waits for after a failed call:
     /// the former address may send nothing more, and the balancer counts as notified all the same.
-    pub fn move_to(
+    pub fn change_address(
         &mut self,
         address: SocketAddr,
         now: Nanos,
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -34,7 +34,7 @@
         self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoCapacity);
         let JobCompletion { event, answer } =
             self.attempt_tracker
-                .complete(now, job, end, &mut self.counters);
+                .complete_job(now, job, end, &mut self.counters);
         self.pending_events.extend(event);
         if let Some(answer) = answer {
             self.send_answer(now, answer);
@@ -90,7 +90,7 @@
     /// cause that.
     fn memory_pressure(&self, connection: u64, request: RequestId) -> MemoryPressure {
         let is_waiting = self.listener.pending_bytes(connection, request) > 0;
-        let held = || self.attempt_tracker.buffered_bytes() + self.listener.buffered();
+        let held = || self.attempt_tracker.buffered_bytes() + self.listener.buffered_bytes();
         if is_waiting && held() > self.memory_limit / 2 {
             MemoryPressure::High
         } else {
@@ -107,7 +107,7 @@
     ) {
         self.attempt_tracker.end_stream(request);
         let stream_end = match end {
-            ExchangeResult::Answer(_) => StreamEnd::Complete,
+            ExchangeResult::Response(_) => StreamEnd::Complete,
             _ => StreamEnd::Aborted,
         };
         self.counters.streams_aborted += u64::from(stream_end == StreamEnd::Aborted);
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -22,7 +22,7 @@
     let command = read_request(9);
     client.write_all(&command.repeat(2)).unwrap();
     let ready = readable(0);
-    listener.ready(0, ready, &mut events, &mut counters);
+    listener.handle_ready(0, ready, &mut events, &mut counters);
     let answer_tokens = events.into_iter().map(|event| match event {
         ListenerEvent::Request(incoming) => incoming.answer_token,
         other => panic!("{other:?}"),
@@ -83,7 +83,7 @@
         assert!(sent < LENGTH, "the sockets' buffers are smaller");
     }
     assert!(
-        listener.buffered() <= STREAM_WINDOW + READ_SIZE,
+        listener.buffered_bytes() <= STREAM_WINDOW + READ_SIZE,
         "what one long value holds"
     );
     client.set_nonblocking(true).unwrap();
@@ -94,10 +94,10 @@
     };
     while events.is_empty() {
         while matches!(client.read(&mut [0; READ_SIZE]), Ok(n) if n > 0) {}
-        listener.ready(2, ready, &mut events, &mut counters);
+        listener.handle_ready(2, ready, &mut events, &mut counters);
     }
     assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
-    assert_eq!(listener.buffered(), 0);
+    assert_eq!(listener.buffered_bytes(), 0);
     // The cache breaks off: the client must be able to tell, and the request behind has nobody to
     // wait for.
     events.clear();
--- a/crates/balancer/src/upstream_pool/exchange.rs
+++ b/crates/balancer/src/upstream_pool/exchange.rs
@@ -31,7 +31,7 @@
     /// The endpoint's reply to a health check.
     Reply(Reply),
     /// The endpoint's answer to an attempt.
-    Answer(Answer),
+    Response(Answer),
     /// The answer breaks the protocol or ended short: the command may have run.
     Unreadable,
     /// No connection came up, or it broke before the last byte was written: the command never ran.
@@ -46,7 +46,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum UpstreamEvent {
     /// Its connection is up and nothing of it is written: it begins now with
-    /// [`UpstreamPool::begin`](super::UpstreamPool::begin) or is abandoned.
+    /// [`UpstreamPool::send_command`](super::UpstreamPool::send_command) or is abandoned.
     Connected {
         /// The job.
         job: UpstreamJob,
