--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -47,7 +47,7 @@
     /// The most requests a second that the timeline asks for; so many clients are there.
     pub rate_most: f64,
     /// The key `fleet` is set.
-    pub fleet: bool,
+    pub fleet_enabled: bool,
     /// How many members are join addresses.
     pub joins: usize,
     /// Members are of so many fleets, in turn.
@@ -61,14 +61,14 @@
     /// Further keys of `fleet`, as JSON.
     pub fleet_keys: serde_json::Map<String, serde_json::Value>,
     /// A fault that is injected into each process, where the program was built for it.
-    pub planted: Option<String>,
+    pub injected_fault: Option<String>,
     /// Where the members' log lines are written, in the order in which they came.
-    pub logs: Option<PathBuf>,
+    pub log_dir: Option<PathBuf>,
 }
 
 impl ClusterPlan {
     /// The cluster of a scenario.
-    pub fn of(scenario: &Scenario) -> Self {
+    pub fn from_scenario(scenario: &Scenario) -> Self {
         ClusterPlan {
             instances: scenario.instances,
             caches: scenario.caches,
@@ -99,15 +99,15 @@
             origin: None,
             clients: ClientOptions::default(),
             rate_most: 0.0,
-            fleet: true,
+            fleet_enabled: true,
             joins: 3,
             fleets: 1,
             rate: 0.0,
             seed: 1,
             program: None,
             fleet_keys: serde_json::Map::new(),
-            planted: None,
-            logs: None,
+            injected_fault: None,
+            log_dir: None,
         }
     }
 }
@@ -178,7 +178,7 @@
         }
         let program = process::find_program(plan.program.as_deref())?;
         let network =
-            LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
+            LoopbackNetwork::reserve().map_err(|e| TestbedError::io("a loopback network", e))?;
         let folder = make_folder(&network)?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
@@ -204,7 +204,7 @@
                 advertised: advertised[i],
                 group_size: n,
                 seed: member_seed(&plan, i),
-                planted: plan.planted.clone(),
+                planted: plan.injected_fault.clone(),
             }));
         }
         Ok(Cluster {
@@ -318,7 +318,7 @@
 
     /// Puts a cache on the list.
     pub fn list_cache(&self, n: usize, born_ms: u64) {
-        self.endpoint_list.put(
+        self.endpoint_list.insert(
             &cache_name(n),
             ListedHost {
                 health: "in_service",
--- a/crates/testbed/src/cluster/loopback_network.rs
+++ b/crates/testbed/src/cluster/loopback_network.rs
@@ -12,7 +12,7 @@
 }
 
 impl LoopbackNetwork {
-    pub(crate) fn take() -> io::Result<Self> {
+    pub(crate) fn reserve() -> io::Result<Self> {
         static TAKEN: AtomicU32 = AtomicU32::new(0);
         let begin = std::process::id()
             .wrapping_mul(7)
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -42,7 +42,7 @@
             origin.cloned(),
         );
         caches.push(Some(cache.map_err(|e| TestbedError::io("cache", e))?));
-        list.put(
+        list.insert(
             &cache_name(n),
             ListedHost {
                 health: "in_service",
@@ -100,7 +100,7 @@
     bind: SocketAddr,
     advertised: &[SocketAddr],
 ) -> Option<serde_json::Value> {
-    if !plan.fleet {
+    if !plan.fleet_enabled {
         return None;
     }
     let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
--- a/crates/testbed/src/commands/list.rs
+++ b/crates/testbed/src/commands/list.rs
@@ -9,7 +9,7 @@
     for name in scenario_catalog::names() {
         println!("{name:14} {}", scenario_catalog::find(name)?.about);
     }
-    for (name, _) in trials::ALL {
+    for (name, _) in trials::TRIALS {
         println!("{name:14} in virtual time");
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/testbed/src/commands/regions.rs
+++ b/crates/testbed/src/commands/regions.rs
@@ -54,9 +54,9 @@
     fn events(&self) -> RegionEvents {
         let has = |choice| self.events.contains(&choice);
         RegionEvents {
-            deaths: has(EventChoice::Deaths),
-            losses: has(EventChoice::Losses),
-            cut: has(EventChoice::Cut),
+            member_deaths: has(EventChoice::Deaths),
+            group_deaths: has(EventChoice::Losses),
+            region_cut: has(EventChoice::Cut),
         }
     }
 }
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -9,7 +9,7 @@
 use testbed::error::TestbedError;
 use testbed::overload_metrics::SpanMetrics;
 use testbed::scenario::Scenario;
-use testbed::scenario_runner::{ScenarioReport, play};
+use testbed::scenario_runner::{ScenarioReport, run_scenario};
 use testbed::{mutations, scenario_catalog};
 
 #[derive(clap::Args)]
@@ -61,7 +61,7 @@
     let scenario = scenario_catalog::find(&arguments.scenario)?;
     let mut reports = Vec::new();
     for seed in arguments.seed..arguments.seed + arguments.repeat {
-        let report = play(&scenario, arguments.plan(&scenario, seed), interrupted)?;
+        let report = run_scenario(&scenario, arguments.plan(&scenario, seed), interrupted)?;
         print_report(&report);
         if let Some(out) = &arguments.out {
             write_report(out, &report)?;
@@ -89,7 +89,7 @@
 
 impl RunArguments {
     fn plan(&self, scenario: &Scenario, seed: u64) -> ClusterPlan {
-        let mut plan = ClusterPlan::of(scenario);
+        let mut plan = ClusterPlan::from_scenario(scenario);
         if self.shed_together {
             plan.fleet_keys.insert("shed_together".into(), true.into());
         }
@@ -97,9 +97,9 @@
             instances: self.instances.unwrap_or(plan.instances),
             seed,
             program: self.program.clone(),
-            fleet: !self.no_fleet,
-            planted: self.planted.clone(),
-            logs: self.logs.clone(),
+            fleet_enabled: !self.no_fleet,
+            injected_fault: self.planted.clone(),
+            log_dir: self.logs.clone(),
             ..plan
         }
     }
@@ -113,7 +113,7 @@
     for (at, what) in &report.timeline {
         println!("  {at:7.2} s  {what}");
     }
-    for (what, seconds) in &report.settled {
+    for (what, seconds) in &report.converged_s {
         println!("  {what}: all views true after {seconds:.2} s");
     }
     println!(
@@ -169,7 +169,7 @@
     let problem = |e: std::io::Error| TestbedError::io(format!("--out {}", out.display()), e);
     std::fs::create_dir_all(out).map_err(problem)?;
     let planted = report
-        .planted
+        .injected_fault
         .as_ref()
         .map(|fault| format!("-{fault}"))
         .unwrap_or_default();
@@ -182,11 +182,11 @@
 }
 
 fn print_summary(reports: &[ScenarioReport]) {
-    let names: BTreeSet<&String> = reports.iter().flat_map(|r| r.settled.keys()).collect();
+    let names: BTreeSet<&String> = reports.iter().flat_map(|r| r.converged_s.keys()).collect();
     for name in names {
         let mut all: Vec<f64> = reports
             .iter()
-            .filter_map(|r| r.settled.get(name).copied())
+            .filter_map(|r| r.converged_s.get(name).copied())
             .collect();
         all.sort_by(f64::total_cmp);
         let (median, worst) = (all[all.len() / 2], all[all.len() - 1]);
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -10,7 +10,7 @@
 mod messages;
 mod processes;
 
-use crate::simulation::regions::sizes;
+use crate::simulation::regions::region_sizes;
 use membership::MS;
 use messages::{MemberCommand, MemberReport};
 use processes::Processes;
@@ -116,7 +116,7 @@
 
 fn layout(plan: &HollowPlan) -> Vec<MemberPlacement> {
     let sizes = if plan.regions > 1 {
-        sizes(plan.members, plan.regions)
+        region_sizes(plan.members, plan.regions)
     } else {
         vec![plan.members]
     };
@@ -165,7 +165,7 @@
             });
         }
         let sizes = if self.regions > 1 {
-            sizes(self.members, self.regions)
+            region_sizes(self.members, self.regions)
         } else {
             vec![self.members]
         };
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::Cluster;
 use crate::member_process::{IntendedState, MemberView};
-use crate::simulated_services::clients::{ClientRequest, RequestEnd, deadline};
+use crate::simulated_services::clients::{ClientRequest, RequestOutcome, class_deadline_s};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,7 +12,7 @@
 /// Seconds before and after a stall in which no violation is counted: a member that stalled reports
 /// it itself.
 const NEAR: f64 = 12.0;
-/// An answer that comes this much after its deadline is counted as late. It is no failure: how fast
+/// An answer that comes this much after its class_deadline_s is counted as late. It is no failure: how fast
 /// a machine is must not decide a verdict; none at all, or a connection that breaks though nothing
 /// was done to its balancer, does.
 const SLACK: f64 = 0.05;
@@ -258,21 +258,21 @@
     pub fn check_clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
         let mut ends: BTreeMap<String, usize> = BTreeMap::new();
         for one in asked {
-            *ends.entry(one.end.report_key().into()).or_default() += 1;
+            *ends.entry(one.outcome.report_key().into()).or_default() += 1;
             let what = || {
                 format!(
                     "{} ({}) at n{}: {:?} after {:.3} s",
-                    one.id, one.class, one.balancer, one.end, one.latency_s
+                    one.id, one.class, one.balancer, one.outcome, one.latency_s
                 )
             };
-            if one.extra {
+            if one.extra_data {
                 self.fail(
                     one.at,
                     "one-answer",
                     format!("more than one answer: {}", what()),
                 );
             }
-            if one.end == RequestEnd::Wrong {
+            if one.outcome == RequestOutcome::Wrong {
                 self.fail(one.at, "true-answer", what());
             }
             let away = near(
@@ -281,15 +281,15 @@
                 one.at + one.latency_s,
             );
             let answered = matches!(
-                one.end,
-                RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed
+                one.outcome,
+                RequestOutcome::Served | RequestOutcome::Refused | RequestOutcome::Failed
             );
-            if answered && one.latency_s > deadline(one.class) + SLACK && !away {
+            if answered && one.latency_s > class_deadline_s(one.class) + SLACK && !away {
                 *ends.entry("late".into()).or_default() += 1;
             }
             if matches!(
-                one.end,
-                RequestEnd::Never | RequestEnd::Broken | RequestEnd::NoConnection
+                one.outcome,
+                RequestOutcome::Never | RequestOutcome::Broken | RequestOutcome::NoConnection
             ) && !away
             {
                 self.fail(one.at, "answered", what());
@@ -302,7 +302,7 @@
     pub fn check_caches(&mut self, at: f64, cluster: &Cluster) {
         let mut effects: HashMap<String, u32> = HashMap::new();
         for cache in cluster.caches.iter().flatten() {
-            for (id, done) in cache.executed() {
+            for (id, done) in cache.executed_requests() {
                 if done.class == "map-publish" {
                     *effects.entry(id).or_default() += done.effects;
                 }
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -28,29 +28,29 @@
         balancer: 2,
         at,
         latency_s: took,
-        end,
-        extra,
+        outcome: end,
+        extra_data: extra,
         is_retry: false,
-        wait_ms: None,
+        retry_after_ms: None,
     };
     let mut checker = InvariantChecker::default();
     checker.set_away(10.0, 2, true);
     checker.set_away(12.0, 2, false);
     let fine = [
-        one(1.0, RequestEnd::Served, 0.1, false),
-        one(10.5, RequestEnd::Broken, 0.1, false),
-        one(11.0, RequestEnd::NoConnection, 0.0, false),
+        one(1.0, RequestOutcome::Served, 0.1, false),
+        one(10.5, RequestOutcome::Broken, 0.1, false),
+        one(11.0, RequestOutcome::NoConnection, 0.0, false),
     ];
     assert_eq!(checker.check_clients(&fine)["served"], 1);
     assert_eq!(checker.failures().1, 0);
     let bad = [
-        one(1.0, RequestEnd::Broken, 0.1, false),
-        one(1.0, RequestEnd::Wrong, 0.1, false),
-        one(20.0, RequestEnd::Never, 20.0, false),
-        one(1.0, RequestEnd::Served, 0.1, true),
+        one(1.0, RequestOutcome::Broken, 0.1, false),
+        one(1.0, RequestOutcome::Wrong, 0.1, false),
+        one(20.0, RequestOutcome::Never, 20.0, false),
+        one(1.0, RequestOutcome::Served, 0.1, true),
     ];
     assert_eq!(
-        checker.check_clients(&[one(1.0, RequestEnd::Served, 1.7, false)])["late"],
+        checker.check_clients(&[one(1.0, RequestOutcome::Served, 1.7, false)])["late"],
         1
     );
     assert_eq!(checker.failures().1, 0, "a busy machine is no failure");
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -106,7 +106,7 @@
 
 /// Plays a trial in virtual time, if there is one of this name.
 pub fn play_virtual(name: &str, seed: u64) -> Option<Result<(), SimulationFailure>> {
-    trials::ALL
+    trials::TRIALS
         .iter()
         .find(|(n, _)| *n == name)
         .map(|(_, trial)| trial(seed))
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -2,7 +2,7 @@
 //! results of clients.
 
 use crate::simulated_services::cache::CacheCounts;
-use crate::simulated_services::clients::{ClientRequest, RequestEnd};
+use crate::simulated_services::clients::{ClientRequest, RequestOutcome};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -132,7 +132,8 @@
 }
 
 fn in_time(one: &ClientRequest) -> bool {
-    one.end == RequestEnd::Served && one.latency_s <= class_weight_and_objective(one.class).1
+    one.outcome == RequestOutcome::Served
+        && one.latency_s <= class_weight_and_objective(one.class).1
 }
 
 fn delta(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, name: &str) -> u64 {
@@ -291,15 +292,15 @@
                 sums.requests += 1;
                 sums.requested_weight += class_weight_and_objective(one.class).0;
             }
-            match one.end {
-                RequestEnd::Served if in_time(one) => {
+            match one.outcome {
+                RequestOutcome::Served if in_time(one) => {
                     class.served += 1;
                     sums.served_weight += class_weight_and_objective(one.class).0;
                 }
-                RequestEnd::Served => class.late += 1,
-                RequestEnd::Refused => class.rejected += 1,
-                RequestEnd::Failed | RequestEnd::Wrong => class.failed += 1,
-                RequestEnd::Broken | RequestEnd::NoConnection | RequestEnd::Never => {
+                RequestOutcome::Served => class.late += 1,
+                RequestOutcome::Refused => class.rejected += 1,
+                RequestOutcome::Failed | RequestOutcome::Wrong => class.failed += 1,
+                RequestOutcome::Broken | RequestOutcome::NoConnection | RequestOutcome::Never => {
                     class.unanswered += 1;
                 }
             }
@@ -307,7 +308,7 @@
                 .entry((one.class.into(), one.balancer))
                 .or_default();
             of.0 += 1;
-            of.1 += u64::from(one.end == RequestEnd::Refused);
+            of.1 += u64::from(one.outcome == RequestOutcome::Refused);
         }
         for (name, class) in &mut sums.classes {
             let shares = balancers
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -2,17 +2,23 @@
 
 use super::*;
 
-fn one(at: f64, class: &'static str, end: RequestEnd, took: f64, balancer: usize) -> ClientRequest {
+fn one(
+    at: f64,
+    class: &'static str,
+    end: RequestOutcome,
+    took: f64,
+    balancer: usize,
+) -> ClientRequest {
     ClientRequest {
         id: "1".into(),
         class,
         balancer,
         at,
         latency_s: took,
-        end,
-        extra: false,
+        outcome: end,
+        extra_data: false,
         is_retry: false,
-        wait_ms: None,
+        retry_after_ms: None,
     }
 }
 
@@ -41,13 +47,13 @@
     for i in 0..40 {
         let at = 100.0 + i as f64 / 10.0;
         let end = if i % 2 == 0 {
-            RequestEnd::Served
+            RequestOutcome::Served
         } else {
-            RequestEnd::Refused
+            RequestOutcome::Refused
         };
         asked.push(one(at, "tile-read", end, 0.1, i % 2));
     }
-    asked.push(one(100.5, "status-set", RequestEnd::Served, 0.31, 0));
+    asked.push(one(100.5, "status-set", RequestOutcome::Served, 0.31, 0));
     let observations = Observations {
         samples: &samples,
         requests: &asked,
@@ -100,9 +106,12 @@
 #[test]
 fn seconds_collect_client_requests_and_cache_counts() {
     let samples: Vec<ClusterSample> = (0..=2).map(|s| sample(s as f64, 30 * s, 0)).collect();
-    let mut again = one(101.2, "tile-read", RequestEnd::Served, 0.1, 0);
+    let mut again = one(101.2, "tile-read", RequestOutcome::Served, 0.1, 0);
     again.is_retry = true;
-    let asked = [one(100.2, "tile-read", RequestEnd::Refused, 0.1, 0), again];
+    let asked = [
+        one(100.2, "tile-read", RequestOutcome::Refused, 0.1, 0),
+        again,
+    ];
     let seconds = seconds(&samples, &asked, 100.0);
     assert_eq!(
         (
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -123,7 +123,7 @@
 
 /// The most resident memory that a process has had, in KiB.
 #[must_use]
-pub fn peak_kb(pid: u32) -> Option<u64> {
+pub fn peak_resident_kb(pid: u32) -> Option<u64> {
     status_kb(&pid.to_string(), "VmHWM:")
 }
 
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -98,7 +98,7 @@
         CacheOptions {
             slots: self.slots,
             queue: self.queue,
-            service: Duration::from_millis(self.service_ms),
+            service_time: Duration::from_millis(self.service_ms),
             slow_start_fraction: if cold { self.cold_from } else { 1.0 },
             slow_start_duration: Duration::from_secs_f64(self.warm_s),
             ..CacheOptions::default()
@@ -131,7 +131,7 @@
     pub fn options(&self) -> OriginOptions {
         OriginOptions {
             slots: self.slots,
-            service: Duration::from_millis(self.service_ms),
+            service_time: Duration::from_millis(self.service_ms),
             timeout: Duration::from_millis(self.timeout_ms),
         }
     }
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -30,7 +30,7 @@
     invariants: InvariantChecker,
     scenario: &'a Scenario,
     timeline: Vec<(f64, String)>,
-    settled: BTreeMap<String, f64>,
+    converged_s: BTreeMap<String, f64>,
     requests: BTreeMap<String, usize>,
     interrupted: &'a AtomicBool,
     /// The start of the timeline.
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// If the trial can't be played to its end; what it finds wrong stands in the report.
-pub fn play(
+pub fn run_scenario(
     scenario: &Scenario,
     plan: ClusterPlan,
     interrupted: &AtomicBool,
@@ -59,7 +59,7 @@
         invariants: InvariantChecker::default(),
         scenario,
         timeline: Vec::new(),
-        settled: BTreeMap::new(),
+        converged_s: BTreeMap::new(),
         requests: BTreeMap::new(),
         interrupted,
         begun: Instant::now(),
@@ -70,7 +70,7 @@
         recovered_s: None,
     };
     let played = play.run();
-    if let Some(folder) = &play.cluster.plan.logs {
+    if let Some(folder) = &play.cluster.plan.log_dir {
         play.write_logs(folder)?;
     }
     played?;
@@ -247,7 +247,7 @@
             let views = self.observe();
             // What was true when the last member was asked was so a little earlier.
             let took = since.elapsed();
-            let untrue = if self.cluster.plan.fleet {
+            let untrue = if self.cluster.plan.fleet_enabled {
                 self.invariants
                     .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
             } else {
@@ -261,7 +261,7 @@
                     .map(|m| format!("{} is not ready", m.spec.name))
             };
             let Some(untrue) = untrue else {
-                self.settled.insert(name.into(), took.as_secs_f64());
+                self.converged_s.insert(name.into(), took.as_secs_f64());
                 return self.note(format!("{name}: settled"));
             };
             if took >= ceiling || self.interrupted.load(Ordering::Relaxed) {
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -29,9 +29,11 @@
     /// By which seed.
     pub seed: u64,
     /// The fault that was injected.
-    pub planted: Option<String>,
+    #[serde(rename = "planted")]
+    pub injected_fault: Option<String>,
     /// Seconds from each measured step until all views agreed and were true.
-    pub settled: BTreeMap<String, f64>,
+    #[serde(rename = "settled")]
+    pub converged_s: BTreeMap<String, f64>,
     /// The greatest sum of shares that was seen.
     #[serde(rename = "shares_most")]
     pub max_share_sum: f64,
@@ -99,8 +101,8 @@
             scenario: self.scenario.name.clone(),
             instances: self.cluster.plan.instances,
             seed: self.cluster.plan.seed,
-            planted: self.cluster.plan.planted.clone(),
-            settled: self.settled,
+            injected_fault: self.cluster.plan.injected_fault.clone(),
+            converged_s: self.converged_s,
             max_share_sum: self.invariants.max_share_sum,
             false_deaths: failures
                 .iter()
--- a/crates/testbed/src/simulated_services.rs
+++ b/crates/testbed/src/simulated_services.rs
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// If the address can't be bound.
-    pub fn open(
+    pub fn start(
         address: SocketAddr,
         serve: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
     ) -> io::Result<Self> {
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -17,9 +17,9 @@
     /// Requests that wait for a slot; more are rejected.
     pub queue: usize,
     /// What a request takes when the cache is warm.
-    pub service: Duration,
+    pub service_time: Duration,
     /// What a miss takes beyond that.
-    pub fetch: Duration,
+    pub fetch_time: Duration,
     /// The share of its speed that it starts with.
     pub slow_start_fraction: f64,
     /// It is warm after this.
@@ -33,8 +33,8 @@
         CacheOptions {
             slots: 4,
             queue: 32,
-            service: Duration::from_millis(8),
-            fetch: Duration::from_millis(20),
+            service_time: Duration::from_millis(8),
+            fetch_time: Duration::from_millis(20),
             slow_start_fraction: 1.0,
             slow_start_duration: Duration::ZERO,
             deduplication_window: Duration::from_secs(2),
@@ -44,7 +44,7 @@
 
 /// What a cache did for one request id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Executed {
+pub struct ExecutedRequest {
     /// How often it began it.
     pub times: u32,
     /// It was a write that took effect so often; a dropped repeat took none.
@@ -85,7 +85,7 @@
     cached_keys: HashSet<Vec<u8>>,
     written: HashMap<Vec<u8>, Vec<u8>>,
     seen: HashMap<String, Instant>,
-    executed: HashMap<String, Executed>,
+    executed: HashMap<String, ExecutedRequest>,
 }
 
 struct SharedCache {
@@ -165,7 +165,7 @@
             freed: Condvar::new(),
         });
         let serving = Arc::clone(&shared);
-        let service = TcpService::open(address, move |stream| serve(&serving, stream))?;
+        let service = TcpService::start(address, move |stream| serve(&serving, stream))?;
         Ok(Cache {
             shared,
             _service: service,
@@ -174,7 +174,7 @@
 
     /// What it did, by request id.
     #[must_use]
-    pub fn executed(&self) -> HashMap<String, Executed> {
+    pub fn executed_requests(&self) -> HashMap<String, ExecutedRequest> {
         self.shared.state().executed.clone()
     }
 
@@ -204,7 +204,7 @@
     let mut output = stream;
     shared.state().connections += 1;
     loop {
-        let words = resp::command(&mut input)?;
+        let words = resp::read_command(&mut input)?;
         let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
         match words[..] {
             [b"C.GET", key, id, options] => {
@@ -274,7 +274,7 @@
     };
     let Execution { note, value } = execute(shared, &mut state, command);
     drop(state);
-    std::thread::sleep(shared.options.service.mul_f64(shared.slowness()));
+    std::thread::sleep(shared.options.service_time.mul_f64(shared.slowness()));
     // The slot is the cache's own work; what waits for the origin has none.
     shared.state().in_service -= 1;
     shared.freed.notify_one();
@@ -333,7 +333,7 @@
         return origin.work();
     }
     if is_read {
-        std::thread::sleep(shared.options.fetch);
+        std::thread::sleep(shared.options.fetch_time);
     }
     true
 }
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -21,7 +21,7 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// A value or receipt.
     Served,
     /// `-BUSY`.
@@ -39,18 +39,18 @@
     Never,
 }
 
-impl RequestEnd {
+impl RequestOutcome {
     /// The key under which reports count it.
     #[must_use]
     pub fn report_key(self) -> &'static str {
         match self {
-            RequestEnd::Served => "served",
-            RequestEnd::Refused => "refused",
-            RequestEnd::Failed => "failed",
-            RequestEnd::Wrong => "wrong",
-            RequestEnd::Broken => "broken",
-            RequestEnd::NoConnection => "nodoor",
-            RequestEnd::Never => "never",
+            RequestOutcome::Served => "served",
+            RequestOutcome::Refused => "refused",
+            RequestOutcome::Failed => "failed",
+            RequestOutcome::Wrong => "wrong",
+            RequestOutcome::Broken => "broken",
+            RequestOutcome::NoConnection => "nodoor",
+            RequestOutcome::Never => "never",
         }
     }
 }
@@ -69,13 +69,16 @@
     /// See `at`.
     pub latency_s: f64,
     /// How it ended.
-    pub end: RequestEnd,
+    #[serde(rename = "end")]
+    pub outcome: RequestOutcome,
     /// More came on the connection than the answer.
-    pub extra: bool,
+    #[serde(rename = "extra")]
+    pub extra_data: bool,
     /// It was said again for one that was refused or failed.
     pub is_retry: bool,
     /// The retry-after time of a rejection, in milliseconds.
-    pub wait_ms: Option<u64>,
+    #[serde(rename = "wait_ms")]
+    pub retry_after_ms: Option<u64>,
 }
 
 /// A class of requests: its name, its share, its deadline, and whether it is a write and carries a
@@ -88,7 +91,7 @@
 
 /// How long a client of this class waits, in seconds; 0 of an unknown class.
 #[must_use]
-pub fn deadline(class: &str) -> f64 {
+pub fn class_deadline_s(class: &str) -> f64 {
     let found = CLASSES.iter().find(|(name, ..)| *name == class);
     found.map_or(0.0, |(_, _, ms, ..)| *ms as f64 / 1e3)
 }
@@ -298,15 +301,15 @@
         let mut again = 0;
         loop {
             let one = self.ask(&order, again > 0);
-            let (end, wait_ms) = (one.end, one.wait_ms);
+            let (end, wait_ms) = (one.outcome, one.retry_after_ms);
             asked
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(one);
             // After a failure only what may run twice is said again; a refusal says that a return
             // is harmless.
-            let harmless = end == RequestEnd::Refused
-                || end == RequestEnd::Failed && order.class != "map-publish";
+            let harmless = end == RequestOutcome::Refused
+                || end == RequestOutcome::Failed && order.class != "map-publish";
             if !harmless || again >= self.behaviour.retries {
                 break;
             }
@@ -379,14 +382,14 @@
         if write {
             words.push(value.as_bytes());
         }
-        let command = resp::write_command(&words);
+        let command = resp::encode_command(&words);
         let (begun, sent) = (self.begun, Instant::now());
         let balancer = self.at;
         let most = Duration::from_millis(deadline) + GRACE;
         let (end, extra, wait_ms) = self.exchange(&command, most, key, write);
         if matches!(
             end,
-            RequestEnd::Broken | RequestEnd::NoConnection | RequestEnd::Never
+            RequestOutcome::Broken | RequestOutcome::NoConnection | RequestOutcome::Never
         ) {
             self.stream = None;
             self.at = self.rng.random_range(0..self.balancers.len());
@@ -398,10 +401,10 @@
             balancer,
             at,
             latency_s: sent.elapsed().as_secs_f64(),
-            end,
-            extra,
+            outcome: end,
+            extra_data: extra,
             is_retry: again,
-            wait_ms,
+            retry_after_ms: wait_ms,
         }
     }
 
@@ -411,7 +414,7 @@
         most: Duration,
         key: &str,
         write: bool,
-    ) -> (RequestEnd, bool, Option<u64>) {
+    ) -> (RequestOutcome, bool, Option<u64>) {
         // Between requests a balancer may close a connection: then the request goes once more, on a
         // new one.
         if self.stream.as_ref().is_some_and(|(stream, _)| {
@@ -426,32 +429,32 @@
             self.stream = None;
         }
         let Ok((stream, input)) = self.connection() else {
-            return (RequestEnd::NoConnection, false, None);
+            return (RequestOutcome::NoConnection, false, None);
         };
         if stream.set_read_timeout(Some(most)).is_err() || stream.write_all(command).is_err() {
-            return (RequestEnd::Broken, false, None);
+            return (RequestOutcome::Broken, false, None);
         }
         let mut wait_ms = None;
-        let end = match resp::answer(input) {
+        let end = match resp::read_reply(input) {
             Ok(RespReply::Bulk(Some(value))) => classify_answer(&value, key, write),
             Ok(RespReply::Array(parts)) => match parts.first() {
                 Some(RespReply::Bulk(Some(value))) => classify_answer(value, key, write),
-                _ => RequestEnd::Failed,
+                _ => RequestOutcome::Failed,
             },
             Ok(RespReply::Error(text)) if text == "BUSY" || text.starts_with("BUSY ") => {
                 wait_ms = text.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok());
-                RequestEnd::Refused
+                RequestOutcome::Refused
             }
-            Ok(_) => RequestEnd::Failed,
+            Ok(_) => RequestOutcome::Failed,
             Err(e)
                 if matches!(
                     e.kind(),
                     io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                 ) =>
             {
-                RequestEnd::Never
+                RequestOutcome::Never
             }
-            Err(_) => RequestEnd::Broken,
+            Err(_) => RequestOutcome::Broken,
         };
         // One request is out at a time: whatever else came is a second answer.
         (end, !input.buffer().is_empty(), wait_ms)
@@ -459,13 +462,13 @@
 }
 
 /// Whether a cache makes this for that key.
-fn classify_answer(value: &[u8], key: &str, write: bool) -> RequestEnd {
+fn classify_answer(value: &[u8], key: &str, write: bool) -> RequestOutcome {
     let text = String::from_utf8_lossy(value);
     let made = text.starts_with(&format!("tile {key} by ")) || text.starts_with("written by ");
     let right = if write { text == "stored" } else { made };
     if right {
-        RequestEnd::Served
+        RequestOutcome::Served
     } else {
-        RequestEnd::Wrong
+        RequestOutcome::Wrong
     }
 }
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -33,7 +33,7 @@
     }
 
     /// Puts a cache on the list, or changes what is said of it.
-    pub fn put(&self, name: &str, host: ListedHost) {
+    pub fn insert(&self, name: &str, host: ListedHost) {
         let mut list = self.lock();
         list.0 += 1;
         list.1.insert(name.into(), host);
@@ -48,7 +48,7 @@
 
     /// The whole list as it goes over the wire, and its version; `None` if it is not newer than
     /// what was sent before.
-    pub fn line(
+    pub fn encode_if_newer(
         &self,
         sent_version: u64,
         dial: &impl Fn(&str) -> Option<SocketAddr>,
@@ -91,7 +91,7 @@
         dial: impl Fn(&str) -> Option<SocketAddr> + Clone + Send + 'static,
     ) -> io::Result<Self> {
         Ok(Discovery {
-            _service: TcpService::open(address, move |stream| serve(stream, &list, &dial))?,
+            _service: TcpService::start(address, move |stream| serve(stream, &list, &dial))?,
         })
     }
 }
@@ -113,7 +113,7 @@
     )?;
     let (mut sent_version, mut silent) = (0, 0);
     loop {
-        match list.line(sent_version, dial) {
+        match list.encode_if_newer(sent_version, dial) {
             Some((version, line)) => {
                 (sent_version, silent) = (version, 0);
                 write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
--- a/crates/testbed/src/simulated_services/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -10,7 +10,7 @@
     /// Fetches and writes at work at a time.
     pub slots: usize,
     /// What one takes.
-    pub service: Duration,
+    pub service_time: Duration,
     /// One that has waited this long for a slot fails.
     pub timeout: Duration,
 }
@@ -78,7 +78,7 @@
         state.fetches += 1;
         let slowness = state.slowness.max(1.0);
         drop(state);
-        std::thread::sleep(self.options.service.mul_f64(slowness));
+        std::thread::sleep(self.options.service_time.mul_f64(slowness));
         self.state().in_service -= 1;
         self.state.1.notify_one();
         true
--- a/crates/testbed/src/simulated_services/origin/tests.rs
+++ b/crates/testbed/src/simulated_services/origin/tests.rs
@@ -6,7 +6,7 @@
 fn slots_are_limited_and_waiting_requests_time_out() {
     let options = OriginOptions {
         slots: 1,
-        service: Duration::from_millis(200),
+        service_time: Duration::from_millis(200),
         timeout: Duration::from_millis(1),
     };
     let origin = Origin::new(options);
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -13,7 +13,7 @@
     /// A bulk string, or null.
     Bulk(Option<Vec<u8>>),
     /// A simple string or an integer.
-    Line(String),
+    Simple(String),
     /// An error.
     Error(String),
     /// An array.
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// If the connection fails, or the input breaks the protocol.
-pub fn command(input: &mut impl BufRead) -> io::Result<Vec<Vec<u8>>> {
+pub fn read_command(input: &mut impl BufRead) -> io::Result<Vec<Vec<u8>>> {
     let head = line(input)?;
     let words = number(head.strip_prefix('*').unwrap_or_default(), WORDS_MAX)?;
     (0..words)
@@ -61,7 +61,7 @@
 
 /// A command on the wire.
 #[must_use]
-pub fn write_command(words: &[&[u8]]) -> Vec<u8> {
+pub fn encode_command(words: &[&[u8]]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
         bytes.extend(format!("${}\r\n", word.len()).as_bytes());
@@ -76,11 +76,11 @@
 /// # Errors
 ///
 /// If the connection fails, or the input breaks the protocol.
-pub fn answer(input: &mut impl BufRead) -> io::Result<RespReply> {
+pub fn read_reply(input: &mut impl BufRead) -> io::Result<RespReply> {
     let head = line(input)?;
     let (kind, rest) = head.split_at_checked(1).unwrap_or(("", ""));
     match kind {
-        "+" | ":" => Ok(RespReply::Line(rest.into())),
+        "+" | ":" => Ok(RespReply::Simple(rest.into())),
         "-" => Ok(RespReply::Error(rest.into())),
         "$" if rest == "-1" => Ok(RespReply::Bulk(None)),
         "$" => Ok(RespReply::Bulk(Some(word(input, number(rest, WORD_MAX)?)?))),
@@ -88,7 +88,7 @@
             let length = number(rest, WORDS_MAX)?;
             Ok(RespReply::Array(
                 (0..length)
-                    .map(|_| answer(input))
+                    .map(|_| read_reply(input))
                     .collect::<io::Result<_>>()?,
             ))
         }
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -49,19 +49,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RegionEvents {
     /// One dies and is back, then the leader of the largest region.
-    pub deaths: bool,
+    pub member_deaths: bool,
     /// A rack dies and is back, then a zone.
-    pub losses: bool,
+    pub group_deaths: bool,
     /// A region is cut off for a minute and is back.
-    pub cut: bool,
+    pub region_cut: bool,
 }
 
 impl RegionEvents {
     /// All of them.
     pub const ALL: RegionEvents = RegionEvents {
-        deaths: true,
-        losses: true,
-        cut: true,
+        member_deaths: true,
+        group_deaths: true,
+        region_cut: true,
     };
 }
 
@@ -127,7 +127,7 @@
 
 /// The sizes of uneven regions that have so many members in all.
 #[must_use]
-pub fn sizes(members: usize, regions: usize) -> Vec<usize> {
+pub fn region_sizes(members: usize, regions: usize) -> Vec<usize> {
     let weights: Vec<f64> = (1..=regions).map(|n| (n as f64).powf(UNEVEN)).collect();
     let sum: f64 = weights.iter().sum();
     let mut sizes: Vec<usize> = weights
@@ -239,7 +239,7 @@
 /// Starts a fleet and plays until all views are true.
 fn started(plan: RegionPlan) -> (SimulatedFleet, Option<Nanos>) {
     let mut fleet = if plan.regions > 1 {
-        SimulatedFleet::in_regions(&sizes(plan.members, plan.regions), plan.seed)
+        SimulatedFleet::in_regions(&region_sizes(plan.members, plan.regions), plan.seed)
     } else {
         SimulatedFleet::new(plan.members, 3, plan.seed)
     };
@@ -306,13 +306,13 @@
 
 fn events(fleet: &mut SimulatedFleet, which: RegionEvents) -> Vec<RegionEvent> {
     let mut events = Vec::new();
-    if which.deaths {
+    if which.member_deaths {
         events.extend(deaths(fleet));
     }
-    if which.losses {
+    if which.group_deaths {
         events.extend(losses(fleet));
     }
-    if which.cut {
+    if which.region_cut {
         events.extend(cut(fleet));
     }
     events
@@ -414,7 +414,7 @@
     RegionMeasurement {
         members: plan.members,
         regions: plan.regions,
-        largest: sizes(plan.members, plan.regions)
+        largest: region_sizes(plan.members, plan.regions)
             .into_iter()
             .max()
             .unwrap_or(0),
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -18,7 +18,7 @@
 type SimulationTrial = fn(u64) -> Result<(), SimulationFailure>;
 
 /// All of them, by name.
-pub const ALL: [(&str, SimulationTrial); 13] = [
+pub const TRIALS: [(&str, SimulationTrial); 13] = [
     ("virtual-lossy", lossy),
     ("virtual-deaf", deaf),
     ("virtual-asleep", asleep),
--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -293,7 +293,7 @@
     let bytes = |count: usize| {
         let list = EndpointList::default();
         for n in 0..count {
-            list.put(
+            list.insert(
                 &format!("cache-{n:04}"),
                 ListedHost {
                     health: "in_service",
@@ -302,7 +302,7 @@
             );
         }
         let address = SocketAddr::from(([10, 250, 250, 250], 7_100));
-        list.line(0, &|_: &str| Some(address))
+        list.encode_if_newer(0, &|_: &str| Some(address))
             .map_or(0, |(_, line)| line.len())
     };
     let points = points(caches, |count| *count as f64, |count| bytes(*count) as f64);
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -270,7 +270,7 @@
         let pid = self.child.as_ref()?.id();
         Some(ProcessUsage {
             cpu_s: process::cpu_seconds(pid)?,
-            peak_mb: process::peak_kb(pid)? as f64 / 1_024.0,
+            peak_mb: process::peak_resident_kb(pid)? as f64 / 1_024.0,
             descriptors: process::open_descriptors(pid)?,
         })
     }
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -206,7 +206,7 @@
         while let Some(served) = self.connections.get_mut(&number) {
             let mut input = served.connection.input.as_slice();
             let held = input.len();
-            let Ok(words) = resp::command(&mut input) else {
+            let Ok(words) = resp::read_command(&mut input) else {
                 break;
             };
             let (used, began) = (held - input.len(), served.began);
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -4,7 +4,7 @@
 use super::balancers::{ClientAccess, StatusBoard};
 use super::connections::{Clock, Connection, ConnectionState, readable};
 use super::records::{MS, Nanos, RequestEnd, RequestKind, RequestRecord};
-use crate::simulated_services::resp::{self, RespReply, write_command};
+use crate::simulated_services::resp::{self, RespReply, encode_command};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeMap, VecDeque};
@@ -143,7 +143,7 @@
         loop {
             let mut input = client.connection.input.as_slice();
             let held = input.len();
-            let Ok(answer) = resp::answer(&mut input) else {
+            let Ok(answer) = resp::read_reply(&mut input) else {
                 break;
             };
             let used = held - input.len();
@@ -346,7 +346,7 @@
             words[0] = b"C.SET";
             words.push(b"value");
         }
-        let bytes = write_command(&words);
+        let bytes = encode_command(&words);
         let (balancer, life) = (client.balancer, client.generation - 1);
         let sent = self.clock.now();
         self.requests.push(RequestRecord {
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -205,7 +205,7 @@
     /// If the address is taken.
     pub fn listen(&self, address: SocketAddr, balancer: usize) -> io::Result<TcpService> {
         let list = self.clone();
-        TcpService::open(address, move |stream| list.serve(stream, balancer))
+        TcpService::start(address, move |stream| list.serve(stream, balancer))
     }
 
     fn serve(&self, mut stream: TcpStream, balancer: usize) -> io::Result<()> {
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -104,7 +104,7 @@
         let discovery = start_discovery(&plan, &caches, clock);
         let status = StatusBoard::new(plan.balancers);
         let network =
-            LoopbackNetwork::take().map_err(|e| TestbedError::io("a loopback network", e))?;
+            LoopbackNetwork::reserve().map_err(|e| TestbedError::io("a loopback network", e))?;
         let (mut balancers, mut addresses, mut services) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..plan.balancers {
             let pair = DISCOVERY_PORTS.map(|port| network.member(number, port));
--- a/crates/testbed/src/stall.rs
+++ b/crates/testbed/src/stall.rs
@@ -5,7 +5,7 @@
 use crate::error::TestbedError;
 use crate::process::{self, ChildGuard};
 use crate::simulated_services::cache::{Cache, CacheOptions};
-use crate::simulated_services::resp::{self, write_command};
+use crate::simulated_services::resp::{self, encode_command};
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -193,8 +193,8 @@
             id.as_bytes(),
             b"c=tile-read,d=600",
         ];
-        stream.write_all(&write_command(&words))?;
-        resp::answer(&mut input)?;
+        stream.write_all(&encode_command(&words))?;
+        resp::read_reply(&mut input)?;
     }
     Ok(())
 }
@@ -211,8 +211,8 @@
 ) -> Result<StallMeasurement, TestbedError> {
     let quick = CacheOptions {
         slots: 64,
-        service: Duration::ZERO,
-        fetch: Duration::ZERO,
+        service_time: Duration::ZERO,
+        fetch_time: Duration::ZERO,
         ..CacheOptions::default()
     };
     let mut dials = Vec::new();
@@ -250,7 +250,7 @@
     Ok(StallMeasurement {
         calm,
         around,
-        peak_kb: process::peak_kb(balancer.id()).unwrap_or(0),
+        peak_kb: process::peak_resident_kb(balancer.id()).unwrap_or(0),
     })
 }
 
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use testbed::cluster::{Cluster, ClusterPlan};
 use testbed::scenario_catalog;
-use testbed::scenario_runner::{ScenarioReport, play};
+use testbed::scenario_runner::{ScenarioReport, run_scenario};
 
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
@@ -22,9 +22,9 @@
     let plan = ClusterPlan {
         instances: 6,
         rate: 20.0,
-        ..ClusterPlan::of(&scenario)
+        ..ClusterPlan::from_scenario(&scenario)
     };
-    let report = play(&scenario, plan, &AtomicBool::new(false)).unwrap();
+    let report = run_scenario(&scenario, plan, &AtomicBool::new(false)).unwrap();
     assert_eq!(
         report.failed,
         0,
@@ -51,18 +51,20 @@
 #[test]
 fn deaths_are_detected_and_restarted_members_rejoin_under_their_names() {
     let report = trial("kill-quarter");
-    assert!(report.settled.contains_key("death known") && report.settled.contains_key("back"));
+    assert!(
+        report.converged_s.contains_key("death known") && report.converged_s.contains_key("back")
+    );
 }
 
 #[test]
 fn a_stalled_member_suspects_nobody_and_rejoins() {
-    assert!(trial("stall").settled.contains_key("back"));
+    assert!(trial("stall").converged_s.contains_key("back"));
 }
 
 #[test]
 fn a_partition_is_no_mass_death_and_heals_by_itself() {
     let report = trial("split");
-    assert!(report.settled.contains_key("healed") && report.max_share_sum <= 1.5);
+    assert!(report.converged_s.contains_key("healed") && report.max_share_sum <= 1.5);
 }
 
 #[test]
@@ -87,7 +89,7 @@
         let plan = ClusterPlan {
             instances: 1,
             caches: 1,
-            fleet,
+            fleet_enabled: fleet,
             ..ClusterPlan::default()
         };
         let mut cluster = Cluster::lay_out(plan).unwrap();
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -7,7 +7,7 @@
 use testbed::cluster::{Cluster, ClusterPlan};
 use testbed::network_emulation::faults::LinkFaults;
 use testbed::simulated_services::cache::CacheOptions;
-use testbed::simulated_services::clients::{ClientRequest, RequestEnd};
+use testbed::simulated_services::clients::{ClientRequest, RequestOutcome};
 
 /// One trial at a time: they are many processes each, and CI has few cores.
 static ONE: Mutex<()> = Mutex::new(());
@@ -31,8 +31,8 @@
     let cache = CacheOptions {
         slots: 1,
         queue: 8,
-        service,
-        fetch: Duration::ZERO,
+        service_time: service,
+        fetch_time: Duration::ZERO,
         ..CacheOptions::default()
     };
     let plan = ClusterPlan {
@@ -97,13 +97,17 @@
     let mut ids: HashMap<&str, u32> = HashMap::new();
     for one in asked {
         *ids.entry(&one.id).or_default() += 1;
-        assert!(!one.extra, "two answers: {one:?}");
+        assert!(!one.extra_data, "two answers: {one:?}");
         assert!(
-            !matches!(one.end, RequestEnd::Wrong | RequestEnd::Never),
+            !matches!(one.outcome, RequestOutcome::Wrong | RequestOutcome::Never),
             "{one:?}"
         );
         assert!(
-            killed || !matches!(one.end, RequestEnd::Broken | RequestEnd::NoConnection),
+            killed
+                || !matches!(
+                    one.outcome,
+                    RequestOutcome::Broken | RequestOutcome::NoConnection
+                ),
             "{one:?}"
         );
     }
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use testbed::simulation::fleet::{NetworkConditions, SimulatedFleet, address, region_name};
 use testbed::simulation::region_trials as trials;
-use testbed::simulation::regions::{RegionEvents, RegionPlan, measure, sizes};
+use testbed::simulation::regions::{RegionEvents, RegionPlan, measure, region_sizes};
 
 const S: Nanos = 1_000 * MS;
 const CEILING: Nanos = 60 * S;
@@ -417,5 +417,5 @@
         small.entries,
         large.entries
     );
-    assert_eq!(sizes(4_600, 26).iter().sum::<usize>(), 4_600);
+    assert_eq!(region_sizes(4_600, 26).iter().sum::<usize>(), 4_600);
 }
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -23,14 +23,14 @@
 fn main() -> io::Result<()> {
     let list = EndpointList::default();
     let options = CacheOptions {
-        service: Duration::from_millis(20),
-        fetch: Duration::ZERO,
+        service_time: Duration::from_millis(20),
+        fetch_time: Duration::ZERO,
         ..CacheOptions::default()
     };
     let caches = (1..=CACHES).map(|n| Cache::start(&name(n), address(n), options, None));
     let _caches = caches.collect::<io::Result<Vec<_>>>()?;
     (1..=CACHES).for_each(|n| {
-        list.put(
+        list.insert(
             &name(n),
             ListedHost {
                 health: "in_service",
@@ -53,14 +53,14 @@
             .and_then(|n| n.parse().ok())
             .filter(|n| (1..=CACHES).contains(n));
         match (line.split(' ').next(), cache) {
-            (Some("drain"), Some(n)) => list.put(
+            (Some("drain"), Some(n)) => list.insert(
                 &name(n),
                 ListedHost {
                     health: "terminating",
                     born_ms: 0,
                 },
             ),
-            (Some("up"), Some(n)) => list.put(
+            (Some("up"), Some(n)) => list.insert(
                 &name(n),
                 ListedHost {
                     health: "in_service",
