--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration: the only place where the environment and the configuration file are read,
-//! checked and given defaults.
+//! Configuration: reads the environment and the configuration file, validates them and applies
+//! defaults. No other module reads them.
 
 mod error;
 mod fleet;
@@ -22,54 +22,55 @@
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Descriptors, where the configuration has no limit.
+/// Default for `limits.sockets`, the maximum number of file descriptors.
 const DESCRIPTORS_DEFAULT: usize = 1024;
-/// With fewer descriptors there is not enough for clients, caches and the rest.
+/// Minimum of `limits.sockets`. Fewer descriptors don't suffice for clients, caches and the
+/// process's other sockets.
 const DESCRIPTORS_MIN: usize = 64;
-/// Memory in MiB, where the configuration has no limit.
+/// Default for `limits.memory_mb`, in MiB.
 const MEMORY_MIB_DEFAULT: usize = 192;
-/// The lowest limit of memory, in MiB.
+/// Minimum of `limits.memory_mb`, in MiB.
 const MEMORY_MIB_MIN: usize = 16;
 const MIB: usize = 1 << 20;
 
-/// The configuration of the process.
+/// Validated configuration of the process.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The balancer's name.
+    /// Name of the balancer; `balancer` if neither the file nor `GW_NAME` sets one.
     pub name: String,
-    /// The address of the client listener.
+    /// Address of the client listener.
     pub listen: SocketAddr,
-    /// The address of the admin listener, if there is one.
+    /// Address of the admin listener; `None` if there is no admin listener.
     pub management: Option<SocketAddr>,
-    /// The descriptor of the client listener's socket, if the process was started with it.
+    /// Descriptor of the inherited client listener, from `GW_SOCKET_FD`.
     pub socket_fd: Option<RawFd>,
-    /// The directory through which two processes of one balancer exchange state.
+    /// Directory of the files by which two processes of one balancer exchange state, from `TMPDIR`.
     pub hot_restart_directory: Option<PathBuf>,
     /// Membership in a fleet, if configured.
     pub fleet: Option<FleetConfig>,
-    /// The address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The address of discovery in the file, whether or not the environment overrides it.
+    /// Address of the discovery service in the file, even if the environment overrides it.
     discovery_in_file: Option<String>,
-    /// The seed of the engine's random numbers.
+    /// Seed of the engine's random numbers.
     pub seed: u64,
-    /// How many file descriptors the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub descriptors_max: usize,
-    /// How much memory the process may use, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_max: usize,
-    /// The endpoint list as this balancer last had it.
-    pub known_endpoints: Option<EndpointList>,
-    /// The engine's settings.
+    /// Endpoint list from the configuration file (key `known`), which may be outdated.
+    pub stored_endpoint_list: Option<EndpointList>,
+    /// Settings of the engine.
     pub settings: Settings,
-    /// The names that messages use in place of the engine's indices.
+    /// Names in messages that correspond to the engine's indices.
     pub names: NameTables,
-    /// The settings of the network side.
+    /// Settings of connections and request limits.
     pub transport: TransportSettings,
-    /// What in the settings is accepted, but probably not meant.
+    /// Warnings about settings that are valid but probably unintended.
     pub warnings: Vec<String>,
 }
 
-/// The configuration file.
+/// Content of the configuration file.
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
@@ -93,11 +94,11 @@
 }
 
 impl Config {
-    /// Reads the file that `GW_CONFIG` names. `GW_NAME`, `GW_LISTEN`, `GW_MANAGEMENT` and
-    /// `GW_DISCOVERY` override the file.
+    /// Loads the file at the path in `GW_CONFIG`. The variables `GW_NAME`, `GW_LISTEN`,
+    /// `GW_MANAGEMENT` and `GW_DISCOVERY` override the file.
     ///
     /// # Errors
-    /// If the file can't be read, or a value is missing or wrong.
+    /// If the file can't be read, or a value is missing or invalid.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = variable("GW_CONFIG")
             .ok_or_else(|| ConfigError::new("GW_CONFIG", ConfigProblem::NotSet))?;
@@ -107,17 +108,19 @@
         Config::parse(&text, variable)
     }
 
-    /// Reads the file again for a process that runs by `self`. A new address of discovery in the
-    /// file overrides the environment too: that can't change while the process runs, so the file is
-    /// the later source.
+    /// Loads the file again for a running process whose configuration is `self`. A discovery
+    /// address that has changed in the file overrides the environment, because the environment
+    /// can't change while the process runs and the file is therefore the later source.
     ///
     /// # Errors
     /// As for [`Config::load`].
     pub fn reload(&self, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        self.successor(Config::load(variable)?)
+        self.with_current_discovery(Config::load(variable)?)
     }
 
-    fn successor(&self, mut new: Config) -> Result<Config, ConfigError> {
+    /// Returns `new` with the discovery address of `self`, unless the address in the file has
+    /// changed.
+    fn with_current_discovery(&self, mut new: Config) -> Result<Config, ConfigError> {
         new.discovery = match &new.discovery_in_file {
             Some(text) if new.discovery_in_file != self.discovery_in_file => {
                 parse_address("discovery", text)?
@@ -127,9 +130,9 @@
         Ok(new)
     }
 
-    /// The keys that differ from `former` and take effect at the start only.
+    /// Returns the keys that differ from `former` and take effect only at startup.
     #[must_use]
-    pub fn start_only(&self, former: &Config) -> Vec<&'static str> {
+    pub fn changed_startup_keys(&self, former: &Config) -> Vec<&'static str> {
         let settings = self.settings != former.settings
             || self.names != former.names
             || self.transport != former.transport;
@@ -147,7 +150,7 @@
             .collect()
     }
 
-    /// The configuration in this text, without an environment.
+    /// Parses a configuration file without any environment variables.
     #[cfg(test)]
     pub fn read(text: &str) -> Result<Config, ConfigError> {
         Config::parse(text, |_| None)
@@ -185,7 +188,7 @@
             seed: parse_seed(&file.seed),
             descriptors_max: file.limits.descriptors_max()?,
             memory_max: file.limits.memory_max()?,
-            known_endpoints: file.known,
+            stored_endpoint_list: file.known,
             settings,
             names,
             transport,
@@ -228,18 +231,18 @@
     } else {
         Err(ConfigError::new(
             key,
-            ConfigProblem::TooLow { value, minimum },
+            ConfigProblem::BelowMinimum { value, minimum },
         ))
     }
 }
 
-/// The environment, which overrides the file.
+/// Access to environment variables, whose values override the file.
 struct Sources<V> {
     variable: V,
 }
 
 impl<V: Fn(&str) -> Option<String>> Sources<V> {
-    /// A value with the key or variable that it comes from.
+    /// Returns the value in effect with the name of the variable or key that it comes from.
     fn value(
         &self,
         variable: &'static str,
@@ -274,7 +277,8 @@
         };
         let address = parse_address(key, &text)?;
         if address == listen && address.port() != 0 {
-            return Err(ConfigError::new(key, ConfigProblem::ClientAddress(text)));
+            let problem = ConfigProblem::ClientListenerAddress(text);
+            return Err(ConfigError::new(key, problem));
         }
         Ok(Some(address))
     }
@@ -310,7 +314,7 @@
         .map_err(|_| ConfigError::new(key, ConfigProblem::NotAnAddress(text.to_string())))
 }
 
-/// The seed is hex digits; any other text is hashed.
+/// Returns the seed: the value of a text of hexadecimal digits, or the hash of any other text.
 fn parse_seed(value: &Value) -> u64 {
     let text = value
         .as_str()
--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -1,15 +1,15 @@
-//! Errors in the configuration.
+//! Configuration errors.
 
 use routing_config::TranslationError;
 use std::io;
 
-/// An unusable configuration: which key, and what is wrong with it.
+/// Error in the configuration, with the key that it concerns.
 #[derive(Debug, thiserror::Error)]
 #[error("configuration: {key}: {problem}")]
 pub struct ConfigError {
-    /// The key in the file, as a path, or the environment variable.
+    /// Path of the key in the file, or name of the environment variable.
     pub key: String,
-    /// What is wrong with its value.
+    /// Problem with the value of the key.
     #[source]
     pub problem: ConfigProblem,
 }
@@ -23,37 +23,37 @@
     }
 }
 
-/// What is wrong with the value of a key.
+/// Problem with the value of a key. The text follows the key in the message of [`ConfigError`].
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigProblem {
     /// The environment variable is not set.
-    #[error("is not set")]
+    #[error("is not set; expected the path of the configuration file")]
     NotSet,
     /// The file can't be read.
-    #[error("{path}: {source}")]
+    #[error("can't read {path}: {source}")]
     Unreadable {
-        /// The path of the file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The file is not valid JSON, or a value is of a wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Neither the file nor the environment has it.
-    #[error("is missing, and {variable} is not set")]
+    /// Neither the file nor the environment has the value.
+    #[error("is missing from the file, and {variable} is not set")]
     Missing {
-        /// The environment variable.
+        /// Name of the environment variable.
         variable: &'static str,
     },
-    /// It is not an address with a port.
-    #[error("\"{0}\" is no address with a port")]
+    /// The value is not an IP address with a port.
+    #[error("\"{0}\" is not an IP address with a port")]
     NotAnAddress(String),
     /// The admin listener has the address of the client listener.
-    #[error("\"{0}\" is where clients connect; it must be another address")]
-    ClientAddress(String),
-    /// It is not the number of a descriptor.
-    #[error("\"{0}\" is no number of a descriptor; a listening TCP socket is expected")]
+    #[error("\"{0}\" is the address of the client listener; expected a different address")]
+    ClientListenerAddress(String),
+    /// The value is not the number of a descriptor.
+    #[error("\"{0}\" is not a descriptor number; expected that of a listening TCP socket")]
     NotADescriptor(String),
     /// The settings can't be translated.
     #[error(transparent)]
@@ -61,54 +61,56 @@
     /// The engine rejects the value.
     #[error("{0}")]
     Rejected(&'static str),
-    /// A limit is too low.
-    #[error("{value} is too little, {minimum} is the least")]
-    TooLow {
-        /// The value.
+    /// The limit is below its minimum.
+    #[error("{value} is below the minimum of {minimum}")]
+    BelowMinimum {
+        /// The configured value.
         value: f64,
-        /// The lowest value.
+        /// Minimum value.
         minimum: usize,
     },
-    /// A name is empty or too long.
-    #[error("has {length} bytes; 1 to {maximum} are expected")]
+    /// The name is empty or too long.
+    #[error("the name has {length} bytes; expected 1 to {maximum}")]
     NameLength {
-        /// Its length in bytes.
+        /// Length of the name in bytes.
         length: usize,
-        /// The longest, in bytes.
+        /// Maximum length in bytes.
         maximum: usize,
     },
-    /// Other members can't send to the address.
-    #[error("\"{0}\" is no address that others can send to; name one in fleet.advertise")]
+    /// Other members can't send to the address: its IP address is unspecified or its port is 0.
+    #[error(
+        "other members can't send to \"{0}\"; set fleet.advertise to an address that they can reach"
+    )]
     NotReachable(String),
-    /// There are too many addresses.
-    #[error("names {count} addresses; {maximum} are the most")]
+    /// The list has too many addresses.
+    #[error("has {count} addresses; the maximum is {maximum}")]
     TooManyAddresses {
-        /// How many there are.
+        /// Number of addresses in the list.
         count: usize,
-        /// How many there may be.
+        /// Maximum number of addresses.
         maximum: usize,
     },
-    /// A number is out of range.
-    #[error("{value} is not in {minimum} to {maximum}")]
+    /// The number is out of range.
+    #[error("{value} is out of range; expected {minimum} to {maximum}")]
     OutOfRange {
-        /// The value.
+        /// The configured value.
         value: usize,
-        /// The lowest value.
+        /// Minimum value.
         minimum: usize,
-        /// The highest value.
+        /// Maximum value.
         maximum: usize,
     },
-    /// A time is out of range.
-    #[error("{value} ms is not in {minimum} to {maximum}")]
+    /// The time is out of range.
+    #[error("{value} ms is out of range; expected {minimum} to {maximum} ms")]
     TimeOutOfRange {
-        /// The value, in milliseconds.
+        /// The configured value, in milliseconds.
         value: u64,
-        /// The lowest value, in milliseconds.
+        /// Minimum value, in milliseconds.
         minimum: u64,
-        /// The highest value, in milliseconds.
+        /// Maximum value, in milliseconds.
         maximum: u64,
     },
-    /// It names a part of a region, but there is no region.
-    #[error("says where in a region, and fleet.region is not set")]
+    /// A zone or site is configured without a region.
+    #[error("is set without fleet.region; a zone or site requires a region")]
     WithoutRegion,
 }
--- a/crates/balancer/src/config/fleet.rs
+++ b/crates/balancer/src/config/fleet.rs
@@ -1,4 +1,5 @@
-//! The key `fleet`: membership in a fleet. Off unless it is there.
+//! The key `fleet`: membership in a fleet. Without this key the balancer is not a member of any
+//! fleet.
 
 use super::{ConfigError, ConfigProblem, parse_address};
 use membership::{LOCATION_NAME_MAX, Location, MS, MembershipSettings, Timing};
@@ -6,22 +7,23 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The longest name of a fleet, in bytes.
+/// Maximum length of a fleet name, in bytes.
 const FLEET_NAME_MAX: usize = 64;
-/// The most join addresses.
+/// Maximum number of join addresses.
 const JOIN_ADDRESSES_MAX: usize = 64;
-/// How many members are kept, where the key does not say.
+/// Default for `members_max`, the maximum number of members that are tracked.
 const MEMBERS_DEFAULT: usize = 1_024;
-/// How many members may be kept.
+/// Range of `members_max`.
 const MEMBERS_RANGE: RangeInclusive<usize> = 2..=8_192;
-/// The suspicion timeout, in milliseconds.
-const SUSPECT_MS: RangeInclusive<u64> = 300..=60_000;
-/// The longest share retention, in milliseconds; at least it is the suspicion timeout.
+/// Range of `suspect_ms`, the suspicion timeout in milliseconds.
+const SUSPECT_MS_RANGE: RangeInclusive<u64> = 300..=60_000;
+/// Maximum of `hold_ms`, the share retention in milliseconds. Its minimum is the suspicion timeout.
 const HOLD_MS_MAX: u64 = 3_600_000;
-/// The longest tombstone retention, in milliseconds; at least it is twice the share retention.
+/// Maximum of `forget_ms`, the tombstone retention in milliseconds. Its minimum is twice the share
+/// retention.
 const FORGET_MS_MAX: u64 = 86_400_000;
 
-/// The key in the file; times are in milliseconds.
+/// Content of the key `fleet` in the file; times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetFile {
@@ -41,10 +43,10 @@
     site: Option<String>,
 }
 
-/// This balancer's membership in a fleet.
+/// Validated configuration of this balancer's membership in a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// The address that the gossip socket is bound to.
+    /// Address that the gossip socket is bound to.
     pub bind: SocketAddr,
     name: String,
     advertise: SocketAddr,
@@ -52,12 +54,13 @@
     members_max: usize,
     timing: Timing,
     location: Location,
-    /// Load is shed by a level that all members agree on.
+    /// Whether load is shed according to a level that all members agree on.
     pub shed_together: bool,
 }
 
 impl FleetConfig {
-    /// The settings of the member: this balancer's name, and the settings' number of balancers.
+    /// Returns the membership settings of this balancer, given its name and the number of balancers
+    /// in its settings.
     #[must_use]
     pub fn settings(&self, name: &str, configured: usize) -> MembershipSettings {
         MembershipSettings {
@@ -102,7 +105,7 @@
         })
     }
 
-    /// The address that other members send to.
+    /// Returns the address that other members send to: `advertise`, or `bind` if it is not set.
     fn advertise_address(&self) -> Result<SocketAddr, ConfigError> {
         let (key, text) = match &self.advertise {
             Some(text) => ("fleet.advertise", text),
@@ -137,7 +140,7 @@
             "fleet.suspect_ms",
             self.suspect_ms,
             default.suspicion_timeout,
-            SUSPECT_MS,
+            SUSPECT_MS_RANGE,
         )?;
         let share_retention = time(
             "fleet.hold_ms",
@@ -160,7 +163,8 @@
     }
 }
 
-/// A time that is given in milliseconds, in nanoseconds.
+/// Returns a configured time in nanoseconds, after checking it against its range in milliseconds.
+/// The default, in nanoseconds, is used if no time is configured.
 fn time(
     key: &str,
     value_ms: Option<u64>,
@@ -190,7 +194,8 @@
     Err(ConfigError::new(key, problem))
 }
 
-/// The location of this balancer; without a region there is none, and no part of one may be named.
+/// Returns the location of this balancer. Without a region the location is empty, and neither a
+/// zone nor a site may be set.
 fn location(
     region: Option<String>,
     zone: Option<String>,
--- a/crates/balancer/src/config/settings_checksum.rs
+++ b/crates/balancer/src/config/settings_checksum.rs
@@ -1,7 +1,7 @@
-//! The checksum of the settings, by which members of a fleet notice that their settings differ.
+//! Checksum of the settings, by which members of a fleet detect that their settings differ.
 //!
-//! It is sent to other members, so it must be the same in all versions. It is taken of a text that
-//! keeps the names that settings had when the checksum was introduced.
+//! The checksum is sent to other members, so it must be the same in all versions. It is computed
+//! from a text that contains the names which the settings had when the checksum was introduced.
 
 use routing::{
     Capabilities, DeduplicationScope, DiscoveryMode, Idempotency, OriginMode, RequestClass,
@@ -10,7 +10,7 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The checksum of these settings.
+/// Returns the checksum of the settings.
 #[must_use]
 pub fn settings_checksum(settings: &Settings) -> u64 {
     xxh3_64(canonical_text(settings).as_bytes())
--- a/crates/balancer/src/config/settings_checksum/tests.rs
+++ b/crates/balancer/src/config/settings_checksum/tests.rs
@@ -1,4 +1,4 @@
-//! The canonical text, as commit cab609d made it of the same settings.
+//! The canonical text must equal the one that commit cab609d produced for the same settings.
 
 use super::*;
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn text_is_that_of_former_versions() {
+fn canonical_text_is_the_same_as_in_former_versions() {
     let alone = settings(OriginMode::ReadThrough, DiscoveryMode::Push, Vec::new());
     assert_eq!(
         canonical_text(&alone),
--- a/crates/balancer/src/config/tests.rs
+++ b/crates/balancer/src/config/tests.rs
@@ -1,22 +1,24 @@
-//! Which configurations are accepted, and which key is named otherwise.
+//! Accepted configurations, and the key and problem that errors report for invalid ones.
 
 use super::*;
 use routing::DiscoveryMode;
 
-const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.2:8500","seed":"ff",
+const VALID: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.2:8500",
+    "seed":"ff",
     "limits":{"cores":1.0,"memory_mb":128,"sockets":512},
     "known":{"seq":4,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.3:1"}]},
-    "settings":{"profiles":[{"name":"read","repeat":"safe","give_up_ns":1000}],"caps":{"max_attempts":3}}}"#;
+    "settings":{"profiles":[{"name":"read","repeat":"safe","give_up_ns":1000}],
+        "caps":{"max_attempts":3}}}"#;
 
 fn load(from: &str, to: &str) -> Result<Config, String> {
-    assert!(GOOD.contains(from), "{from}");
-    Config::parse(&GOOD.replace(from, to), |_| None).map_err(|e| e.to_string())
+    assert!(VALID.contains(from), "{from}");
+    Config::parse(&VALID.replace(from, to), |_| None).map_err(|e| e.to_string())
 }
 
 #[test]
 fn valid_configuration_is_read_and_overridden_by_the_environment() {
     let variable = |name: &str| (name == "GW_LISTEN").then(|| "127.0.0.9:1".to_string());
-    let config = Config::parse(GOOD, variable).unwrap();
+    let config = Config::parse(VALID, variable).unwrap();
     assert_eq!(
         (config.listen.to_string().as_str(), config.seed),
         ("127.0.0.9:1", 255)
@@ -33,26 +35,26 @@
 }
 
 #[test]
-fn doubtful_settings_yield_warnings() {
+fn unusual_settings_yield_warnings() {
     let load_with = |settings: &str| {
-        let text = GOOD.replace("\"settings\":{", &format!("\"settings\":{{{settings}"));
+        let text = VALID.replace("\"settings\":{", &format!("\"settings\":{{{settings}"));
         Config::parse(&text, |_| None).unwrap()
     };
-    let sound = "\"group_size\":3,\"obligations\":{\"drain_grace_ns\":5},\"membership_mode\":";
+    let usual = "\"group_size\":3,\"obligations\":{\"drain_grace_ns\":5},\"membership_mode\":";
     for (mode, discovery) in [
         ("automatic", DiscoveryMode::Push),
         ("subscribe", DiscoveryMode::Poll { staleness_limit: 0 }),
         ("carrier", DiscoveryMode::Poll { staleness_limit: 0 }),
     ] {
-        let config = load_with(&format!("{sound}\"{mode}\","));
+        let config = load_with(&format!("{usual}\"{mode}\","));
         assert_eq!(config.settings.discovery, discovery);
-        let named = config
+        let mode_warnings = config
             .warnings
             .iter()
-            .filter(|r| r.contains("membership_mode: \"carrier\""))
+            .filter(|warning| warning.contains("membership_mode: \"carrier\""))
             .count();
         assert_eq!(
-            (named, config.warnings.len()),
+            (mode_warnings, config.warnings.len()),
             if mode == "carrier" { (1, 1) } else { (0, 0) }
         );
     }
@@ -66,7 +68,7 @@
         bare.warnings
             .iter()
             .zip(keys)
-            .all(|(r, key)| r.starts_with(key)),
+            .all(|(warning, key)| warning.starts_with(key)),
         "{:?}",
         bare.warnings
     );
@@ -74,81 +76,83 @@
 }
 
 #[test]
-fn inherited_socket_is_named_by_its_descriptor() {
+fn inherited_socket_is_configured_by_its_descriptor_number() {
     let fd = |text: &str| {
         let variable = |name: &str| (name == "GW_SOCKET_FD").then(|| text.to_string());
-        Config::parse(GOOD, variable)
+        Config::parse(VALID, variable)
             .map(|c| c.socket_fd)
             .map_err(|e| e.to_string())
     };
     assert_eq!(fd("7"), Ok(Some(7)));
-    let error = "configuration: GW_SOCKET_FD: \"seven\" is no number of a descriptor; a listening TCP socket is expected";
+    let error = "configuration: GW_SOCKET_FD: \"seven\" is not a descriptor number; \
+                 expected that of a listening TCP socket";
     assert_eq!(fd("seven"), Err(error.into()));
 }
 
 #[test]
 fn new_discovery_address_in_the_file_overrides_the_environment_at_a_reload() {
     let variable = |name: &str| (name == "GW_DISCOVERY").then(|| "127.0.0.9:1".to_string());
-    let first = Config::parse(GOOD, variable).unwrap();
+    let first = Config::parse(VALID, variable).unwrap();
     let same = first
-        .successor(Config::parse(GOOD, variable).unwrap())
+        .with_current_discovery(Config::parse(VALID, variable).unwrap())
         .unwrap();
     assert_eq!(
         same.discovery.to_string(),
         "127.0.0.9:1",
-        "the file says nothing new"
+        "the address in the file has not changed"
     );
-    let moved = GOOD
+    let moved = VALID
         .replace("127.0.0.2:8500", "127.0.0.4:8500")
         .replace("\"ff\"", "\"fe\"");
     let moved = same
-        .successor(Config::parse(&moved, variable).unwrap())
+        .with_current_discovery(Config::parse(&moved, variable).unwrap())
         .unwrap();
     assert_eq!(moved.discovery.to_string(), "127.0.0.4:8500");
-    assert_eq!(moved.start_only(&first), ["seed"]);
+    assert_eq!(moved.changed_startup_keys(&first), ["seed"]);
     let again = moved
-        .successor(Config::parse(GOOD, variable).unwrap())
+        .with_current_discovery(Config::parse(VALID, variable).unwrap())
         .unwrap();
     assert_eq!(
         again.discovery.to_string(),
         "127.0.0.2:8500",
-        "moved back, in the file"
+        "the address in the file has changed back"
     );
-    let bad = Config::parse(&GOOD.replace("127.0.0.2:8500", "there"), variable).unwrap();
-    let error = again.successor(bad).unwrap_err().to_string();
+    let bad = Config::parse(&VALID.replace("127.0.0.2:8500", "there"), variable).unwrap();
+    let error = again.with_current_discovery(bad).unwrap_err().to_string();
     assert_eq!(
         error,
-        "configuration: discovery: \"there\" is no address with a port"
+        "configuration: discovery: \"there\" is not an IP address with a port"
     );
 }
 
 #[test]
-fn faulty_key_is_named() {
+fn error_reports_the_invalid_key_and_its_problem() {
     let cases = [
         (
             "\"listen\":\"127.0.0.1:6379\",",
             "",
-            "listen: is missing, and GW_LISTEN is not set",
+            "listen: is missing from the file, and GW_LISTEN is not set",
         ),
         (
             "127.0.0.2:8500",
             "there",
-            "discovery: \"there\" is no address with a port",
+            "discovery: \"there\" is not an IP address with a port",
         ),
         (
             "\"seed\"",
             "\"management\":\"x:1\",\"seed\"",
-            "management: \"x:1\" is no address with a port",
+            "management: \"x:1\" is not an IP address with a port",
         ),
         (
             "\"seed\"",
             "\"management\":\"127.0.0.1:6379\",\"seed\"",
-            "management: \"127.0.0.1:6379\" is where clients connect; it must be another address",
+            "management: \"127.0.0.1:6379\" is the address of the client listener; \
+             expected a different address",
         ),
         (
             "\"sockets\":512",
             "\"sockets\":5",
-            "limits.sockets: 5 is too little, 64 is the least",
+            "limits.sockets: 5 is below the minimum of 64",
         ),
         (
             "\"give_up_ns\":1000",
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -1,18 +1,18 @@
-//! Counters, printed on `SIGUSR1` and at the end of the process.
+//! Process counters, printed on `SIGUSR1` and on exit.
 
 use routing::DecisionReason;
 use std::fmt;
 
-/// A decision of the engine that has a reason.
+/// A kind of engine decision that comes with a reason and is counted by it.
 #[derive(Clone, Copy)]
 pub enum DecisionStep {
     /// The request was rejected.
     Rejected,
     /// The request failed.
     Failed,
-    /// The request waits for capacity.
+    /// The request was queued until capacity is available.
     Queued,
-    /// The request was late and got no hedge.
+    /// The attempt exceeded its expected latency, but no hedge was sent.
     HedgeSuppressed,
 }
 
@@ -24,7 +24,7 @@
         DecisionStep::HedgeSuppressed,
     ];
 
-    /// Its name in logs and counters.
+    /// Returns the step's name in logs and counters.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -36,18 +36,18 @@
     }
 }
 
-/// How often each step was taken for each reason.
+/// Number of decisions by step and reason.
 #[derive(Default)]
 pub struct DecisionCounts([[u64; DecisionReason::ALL.len()]; DecisionStep::ALL.len()]);
 
 impl DecisionCounts {
-    /// Counts one.
+    /// Counts one decision.
     pub fn count(&mut self, step: DecisionStep, reason: DecisionReason) {
         self.0[step as usize][reason as usize] += 1;
     }
 }
 
-/// Those that occurred, as `rejected.origin=3`.
+/// Formats the counts that are not 0, such as `rejected.origin=3`.
 impl fmt::Display for DecisionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for step in DecisionStep::ALL {
@@ -64,77 +64,78 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start, printed as `name=value` pairs.
+        /// Counters since the start of the process, printed as `name=value` pairs.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
-            /// Why requests were rejected, failed or queued, and hedges suppressed.
-            pub steps: DecisionCounts,
+            /// Requests rejected, failed or queued and hedges suppressed, by reason.
+            pub decisions: DecisionCounts,
         }
 
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("counters:")?;
                 $(write!(f, concat!(" ", stringify!($name), "={}"), self.$name)?;)*
-                write!(f, "{}", self.steps)
+                write!(f, "{}", self.decisions)
             }
         }
     };
 }
 
 counters! {
-    /// Requests that arrived from clients.
+    /// Requests received from clients.
     requests,
-    /// Commands that are no request: malformed, or lacking a field.
+    /// Commands that can't be interpreted as a request: malformed, or without a required field.
     malformed_commands,
-    /// Requests of a class that the settings don't name.
+    /// Requests of a class that the settings don't define.
     unknown_class,
-    /// Requests with the id of one that is still open.
+    /// Requests with the id of a request that is still open.
     duplicate_id,
-    /// Requests rejected without asking the engine: the limit of memory or of open requests.
+    /// Requests rejected without asking the engine, at the limit of memory or of open requests.
     rejected_at_limits,
-    /// Requests whose client timeout was over when they were read.
+    /// Requests whose client timeout had already passed when they were read.
     expired_when_read,
-    /// Clients whose connection was checked right before something was sent for them, as the last
-    /// poll was too long ago.
+    /// Checks of a client's connection right before an attempt is written, made because the last
+    /// poll is not recent enough.
     client_checks,
-    /// Of these, clients that had disconnected.
+    /// Checks of `client_checks` that found the client disconnected.
     client_checks_disconnected,
-    /// Attempts that waited for the next poll, as the last was too long ago.
+    /// Attempts postponed until the next poll, because the last poll is not recent enough.
     attempts_postponed,
     /// Stalls of the process between two polls.
     stalls,
-    /// The longest of these, in milliseconds.
+    /// Longest stall, in milliseconds.
     longest_stall_ms,
-    /// Turns of the event loop that took long.
+    /// Turns of the event loop that took longer than 20 ms.
     long_turns,
-    /// The longest turn, in microseconds.
+    /// Longest turn of the event loop, in microseconds.
     longest_turn_us,
-    /// Attempts, the first of each request included.
+    /// Attempts, including the first of each request.
     attempts,
-    /// Attempts made while another of the request was in flight.
+    /// Attempts started while another attempt of the same request was in flight.
     hedges,
-    /// Health checks.
+    /// Health checks started.
     health_checks,
-    /// Attempts that were answered.
+    /// Attempts that received a value or a receipt.
     attempts_ok,
-    /// Attempts that the cache answered with an error.
+    /// Attempts that received an error from the cache.
     attempts_error,
     /// Attempts that the cache rejected.
     attempts_rejected,
     /// Attempts that timed out.
     attempts_timeout,
-    /// Attempts whose connection was never established, or broke before all was written.
+    /// Attempts whose connection was not established, or failed before the command was written
+    /// completely.
     attempts_connect_failed,
-    /// Attempts whose connection broke after that.
+    /// Attempts whose connection failed after the command was written completely.
     attempts_reset,
-    /// Attempts whose answer is unreadable.
+    /// Attempts that received an unreadable response.
     attempts_unreadable,
-    /// Attempts that the cache answered with an error about the request itself.
+    /// Attempts that received an error about the request itself from the cache.
     attempts_invalid,
     /// Attempts cancelled by the engine.
     attempts_cancelled,
-    /// Attempts never sent, for want of time or of a connection.
+    /// Attempts not sent because no time or no connection was available.
     attempts_not_sent,
     /// Requests answered with a value or receipt.
     served,
@@ -144,56 +145,58 @@
     failed,
     /// Requests whose client disconnected before the answer.
     client_disconnects,
-    /// Attempts never sent because the client had disconnected before.
+    /// Attempts not sent because the client had disconnected.
     unsent_after_disconnect,
-    /// The longest time between the two, in milliseconds, rounded up.
+    /// Longest time from a client's disconnect until its unsent attempt ended, in milliseconds,
+    /// rounded up.
     longest_unsent_after_disconnect_ms,
-    /// Clients found to be disconnected while their connections were not read.
+    /// Clients found disconnected while reading from their connections was paused.
     disconnects_while_unread,
     /// Client connections accepted.
     clients_accepted,
     /// Client connections closed, by either side.
     clients_closed,
-    /// Unreadable answers of caches.
+    /// Unreadable responses of caches.
     upstream_unreadable,
-    /// Of these, those that stalled before their end.
+    /// Unreadable responses that stalled before they were complete.
     upstream_stalled,
-    /// Long values that were streamed.
+    /// Long values streamed to clients.
     streamed,
-    /// Of these, aborted by the cache: the client's connection was closed.
+    /// Streamed values that the cache aborted; the client's connection was closed.
     streams_aborted,
-    /// Attempts and health checks without a slot for another connection.
+    /// Attempts and health checks for which no upstream connection slot was available.
     upstream_slots_exhausted,
-    /// Client connections closed for sending nothing, or half a command, for too long.
+    /// Client connections closed because no complete command arrived in time.
     clients_incomplete,
-    /// Client connections closed for being idle.
+    /// Client connections closed because they were idle.
     clients_idle,
-    /// Upstream connections begun.
+    /// Upstream connections opened, including those that were never established.
     upstream_opened,
     /// Upstream connections closed, by either side.
     upstream_closed,
-    /// Messages of discovery.
+    /// Messages received from discovery.
     discovery_messages,
-    /// Lines of the endpoint list that were skipped: of an older version than the line before.
+    /// Lines of discovery messages skipped because their version is older than that of the
+    /// line before.
     discovery_outdated_lines,
     /// Calls to discovery.
     discovery_calls,
     /// Calls to discovery that failed or ended.
     discovery_failed,
-    /// Of these, given up for being silent.
+    /// Calls to discovery closed because nothing was received within the silence timeout.
     discovery_silent,
-    /// The longest silence before that, in milliseconds.
+    /// Longest silence before such a call was closed, in milliseconds.
     longest_discovery_silence_ms,
     /// Admin calls.
     admin_calls,
-    /// Invalid ones: no HTTP, an unknown path, a wrong method, too long.
+    /// Invalid admin calls: not HTTP, an unknown path, a wrong method, or too long.
     admin_calls_invalid,
-    /// Admin connections on which no whole call came in time.
+    /// Admin connections on which no complete call arrived in time.
     admin_calls_incomplete,
-    /// Unfinished admin connections closed for new ones.
+    /// Admin connections without a complete call that were closed to accept new ones.
     admin_calls_evicted,
-    /// Configurations reloaded.
+    /// Successful reloads of the configuration.
     reloads,
-    /// Configurations that were faulty when reloaded; the old one stayed.
+    /// Reloads rejected because the configuration was invalid; the current one stayed in force.
     reloads_failed,
 }
--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter to the engine: names become its numbers, events go in together, actions come out.
+//! Adapter to the decision engine: translates names to the engine's ids, passes events to the
+//! engine and returns its actions.
 
 use crate::discovery::{EndpointList, ListedEndpoint};
 use crate::request::IncomingRequest;
@@ -9,40 +10,40 @@
 use routing_config::NameTables;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Marks the numbers of zones that the settings don't name.
-const UNNAMED_ZONE: u64 = 1 << 63;
-/// The length of a key that is written as hexadecimal digits.
+/// Bit that is set in the numbers of zones that are not in the settings.
+const UNLISTED_ZONE_BIT: u64 = 1 << 63;
+/// Length of a key that consists of hexadecimal digits, in bytes.
 const HEX_KEY_LENGTH: usize = 16;
 
-/// Where an endpoint list comes from.
+/// Origin of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// Discovery.
+    /// A message of discovery.
     Discovery,
-    /// An earlier process, or the configuration; it may be out of date.
-    Remembered,
+    /// A state transfer or the configuration; the list may be outdated.
+    Stored,
 }
 
-/// The engine, with the names of its classes, tenants, zones and kinds.
+/// The engine, with the names of classes, tenants, zones and kinds from the settings.
 pub struct EngineAdapter {
     engine: Engine,
     names: NameTables,
 }
 
 impl EngineAdapter {
-    /// An adapter for this engine.
+    /// Creates an adapter for an engine whose settings have these names.
     #[must_use]
     pub fn new(engine: Engine, names: NameTables) -> Self {
         EngineAdapter { engine, names }
     }
 
-    /// The names that the settings give.
+    /// Returns the names of classes, tenants, zones and kinds in the settings.
     #[must_use]
     pub fn names(&self) -> &NameTables {
         &self.names
     }
 
-    /// Hands the engine all that happened and returns what is to be done, in order.
+    /// Passes events to the engine and returns the actions to be executed, in order.
     pub fn decide(&mut self, now: Nanos, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in events {
@@ -51,26 +52,28 @@
         actions
     }
 
-    /// What the engine admitted and rejected for want of capacity since the last call.
+    /// Returns the numbers of requests that the engine admitted, and rejected for lack of capacity,
+    /// since the last call.
     pub fn take_admission_counts(&mut self) -> AdmissionCounts {
         self.engine.take_admission_counts()
     }
 
-    /// What the engine has learnt, for the next process of this balancer.
+    /// Returns a snapshot of the engine's state for the next process of this balancer.
     pub fn take_snapshot(&mut self) -> Snapshot {
         self.engine.take_snapshot()
     }
 
-    /// Takes over what another process's engine had learnt.
+    /// Restores a snapshot of another process's engine.
     ///
     /// # Errors
     ///
-    /// Says which part of the snapshot is invalid; then nothing is taken over.
+    /// If a part of the snapshot is invalid; then nothing is restored.
     pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         self.engine.restore(snapshot)
     }
 
-    /// A client's request for the engine; none if the settings don't name its class.
+    /// Returns the engine's event for a client's request; `None` if its class is not in the
+    /// settings.
     #[must_use]
     pub fn request_event(&self, incoming: &IncomingRequest) -> Option<Event> {
         let class = position(&self.names.classes, &incoming.class)?;
@@ -87,11 +90,11 @@
         }))
     }
 
-    /// A list for the engine.
+    /// Returns the engine's event for an endpoint list.
     #[must_use]
     pub fn update_event(&self, list: &EndpointList, source: ListSource) -> Event {
         let kind = match (source, list.is_full) {
-            (ListSource::Remembered, _) => UpdateKind::Stale,
+            (ListSource::Stored, _) => UpdateKind::Stale,
             (ListSource::Discovery, true) => UpdateKind::Full,
             (ListSource::Discovery, false) => UpdateKind::Delta,
         };
@@ -102,21 +105,22 @@
     }
 
     fn endpoint(&self, listed: &ListedEndpoint) -> Endpoint {
-        // A zone that the settings don't name counts as one of its own, and an endpoint without one
-        // as alone in its zone; cells likewise. If two were taken for one, their caches would be
-        // trusted to discard each other's repeats.
-        let own_number = |name: &str| {
+        // Each zone that is not in the settings gets a number of its own, and an endpoint without
+        // a zone is alone in its zone; the same holds for cells. If two zones shared a number, the
+        // engine would assume that their caches discard each other's repeated writes.
+        let unique_number = |name: &str| {
             let name = if name.is_empty() { &listed.name } else { name };
             xxh3_64(name.as_bytes())
         };
         let zone = position(&self.names.zones, &listed.zone);
         let cell = || match &listed.cell {
-            serde_json::Value::Null => own_number(""),
-            other => own_number(&other.to_string()),
+            serde_json::Value::Null => unique_number(""),
+            other => unique_number(&other.to_string()),
         };
         Endpoint {
             id: endpoint_id(&listed.name),
-            zone: zone.unwrap_or_else(|| (own_number(&listed.zone) | UNNAMED_ZONE) as usize),
+            zone: zone
+                .unwrap_or_else(|| (unique_number(&listed.zone) | UNLISTED_ZONE_BIT) as usize),
             kind: position(&self.names.kinds, &listed.kind).unwrap_or(usize::MAX),
             cell: listed.cell.as_u64().unwrap_or_else(cell),
             state: endpoint_state(&listed.state),
@@ -130,15 +134,16 @@
     names.iter().position(|n| n == name)
 }
 
-/// The state of a listed endpoint. One whose state this version does not know gets nothing new.
+/// Returns the state of a listed endpoint. An endpoint with an unknown state counts as draining, so
+/// that it gets no new requests.
 #[must_use]
 pub fn endpoint_state(text: &str) -> EndpointState {
-    known_endpoint_state(text).unwrap_or(EndpointState::Draining)
+    parse_endpoint_state(text).unwrap_or(EndpointState::Draining)
 }
 
-/// The same, for the states that this version knows.
+/// Parses the state of a listed endpoint; `None` if this version does not know the state.
 #[must_use]
-pub fn known_endpoint_state(text: &str) -> Option<EndpointState> {
+pub fn parse_endpoint_state(text: &str) -> Option<EndpointState> {
     match text {
         "in_service" => Some(EndpointState::Active),
         "terminating" => Some(EndpointState::Draining),
@@ -147,14 +152,15 @@
     }
 }
 
-/// The engine's id of an endpoint: from its name, which is the same at every balancer, unlike its
-/// address.
+/// Returns the engine's id of an endpoint, a hash of its name. Unlike its address, the name is the
+/// same at all balancers.
 #[must_use]
 pub fn endpoint_id(name: &str) -> EndpointId {
     EndpointId(xxh3_64(name.as_bytes()))
 }
 
-/// Keys are hexadecimal digits; any other text is hashed.
+/// Returns the engine's key for a client's key: the value of 16 hexadecimal digits, or the hash of
+/// any other text.
 fn key(text: &[u8]) -> Key {
     let digits = std::str::from_utf8(text).ok();
     let digits = digits.filter(|digits| digits.len() == HEX_KEY_LENGTH);
--- a/crates/balancer/src/engine_adapter/tests.rs
+++ b/crates/balancer/src/engine_adapter/tests.rs
@@ -1,10 +1,10 @@
-//! Endpoints whose zones and cells the settings name, or not.
+//! Numbers of zones and cells that are in the settings, and of those that are not.
 
 use super::*;
 use crate::config::Config;
 
 #[test]
-fn unnamed_zones_and_cells_are_not_taken_for_one() {
+fn zones_and_cells_outside_the_settings_get_different_numbers() {
     let config = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"areas":["a"],
         "profiles":[{"name":"put","repeat":"keyed","group":"zone","give_up_ns":1}]}}"#;
     let config = Config::read(config).unwrap();
@@ -13,20 +13,24 @@
         {"host":"h0","site":"a","block":3}, {"host":"h1","site":"b","block":3},
         {"host":"h2","site":"c","block":"x"},
         {"host":"h3","site":"b","block":"x"}, {"host":"h4"}, {"host":"h5"}]}"#;
-    let Event::EndpointUpdate {
-        endpoints: entries, ..
-    } = adapter.update_event(&serde_json::from_str(list).unwrap(), ListSource::Discovery)
+    let Event::EndpointUpdate { endpoints, .. } =
+        adapter.update_event(&serde_json::from_str(list).unwrap(), ListSource::Discovery)
     else {
-        panic!("a list");
+        panic!("expected an endpoint update");
     };
-    // Which hosts share a zone, and which a cell.
+    // Index pairs of the endpoints that share a property.
     let pairs = |same: &dyn Fn(&Endpoint, &Endpoint) -> bool| {
-        let pairs = (0..entries.len()).flat_map(|a| (a + 1..entries.len()).map(move |b| (a, b)));
+        let count = endpoints.len();
+        let pairs = (0..count).flat_map(|a| (a + 1..count).map(move |b| (a, b)));
         pairs
-            .filter(|(a, b)| same(&entries[*a], &entries[*b]))
+            .filter(|(a, b)| same(&endpoints[*a], &endpoints[*b]))
             .collect::<Vec<_>>()
     };
-    assert_eq!(entries[0].zone, 0, "by its place in the settings");
-    assert_eq!(pairs(&|a, b| a.zone == b.zone), [(1, 3)], "both in b");
+    assert_eq!(endpoints[0].zone, 0, "the zone's index in the settings");
+    assert_eq!(
+        pairs(&|a, b| a.zone == b.zone),
+        [(1, 3)],
+        "the endpoints in zone b"
+    );
     assert_eq!(pairs(&|a, b| a.cell == b.cell), [(0, 1), (2, 3)]);
 }
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop. One turn decides on what the previous one read, polls the sockets, and processes
-//! what is ready, which yields the events of the next turn.
+//! The event loop. Each turn passes the pending events to the engine and executes its actions,
+//! polls the sockets, and processes the ready ones, which yields the events of the next turn.
 
 mod admin;
 mod admission;
@@ -44,45 +44,48 @@
 use std::time::Duration;
 use turn_meter::TurnMeter;
 
-/// The event loop failed at run time.
+/// The sockets can't be polled; the process can't continue.
 #[derive(Debug, thiserror::Error)]
-#[error("waiting: {0}")]
+#[error("polling the sockets failed: {0}")]
 pub struct PollError(#[from] io::Error);
 
-/// The balancer at run time: all state that a turn reads and changes.
+/// The running balancer, with all state that a turn reads and changes.
 pub struct EventLoop {
-    /// The configuration in force, but for the known endpoint list, which is taken out at the
-    /// start.
+    /// Configuration in force. Its `stored_endpoint_list` is `None`: the list is moved out at
+    /// startup.
     config: Config,
     clock: Clock,
     poll: Poll,
     timers: Timers,
     counters: Counters,
     engine: EngineAdapter,
-    /// What has happened and the engine has not handled yet.
+    /// Events that the engine has not handled yet.
     pending_events: Vec<Event>,
     listener: RespListener,
     discovery: DiscoveryClient,
     upstream_pool: UpstreamPool,
     attempt_tracker: AttemptTracker,
-    /// Jobs with an established connection of which nothing is written yet.
+    /// Jobs whose connection is established and whose command is not written yet.
     connected_jobs: VecDeque<UpstreamJob>,
-    /// How many turns in a row some of these have waited for a recent poll.
+    /// Number of consecutive turns in which connected jobs were postponed for lack of a recent
+    /// poll.
     postponed_turns: u32,
     signals: SignalPipes,
-    /// When the sockets were last polled.
+    /// Times of the latest polls of the sockets.
     poll_timestamps: PollTimestamps,
     turn_meter: TurnMeter,
-    /// After a stall: how many more polls attempts wait for discovery messages that came meanwhile.
+    /// Maximum number of further polls for which attempts are held back after a stall, until the
+    /// discovery messages that arrived during the stall are read; 0 if none are held back.
     catch_up_polls_left: u32,
-    /// Bytes that requests and responses may hold together.
+    /// Maximum number of bytes that requests and responses may hold together.
     memory_limit: usize,
     open_requests_max: usize,
     lifecycle: Lifecycle,
     admin_listener: Option<AdminListener>,
     /// Membership in a fleet, if one is configured.
     gossip: Option<GossipTransport>,
-    /// This process and its possible other one during a hot restart.
+    /// Slot files shared with the other process of a hot restart; `None` if hot restart is
+    /// unavailable.
     process_slots: Option<ProcessSlots>,
     hot_restart: HotRestart,
 }
@@ -111,7 +114,7 @@
         Ok(())
     }
 
-    /// Waits for ready sockets.
+    /// Waits for ready sockets and records the time of the poll.
     fn poll_sockets(
         &mut self,
         events: &mut Events,
@@ -124,7 +127,7 @@
         Ok(outcome)
     }
 
-    /// How long to wait for sockets: not at all while work is left.
+    /// Returns the maximum time to wait for ready sockets: zero while other work is pending.
     fn poll_timeout(&self) -> Duration {
         if self.is_catching_up() || !self.connected_jobs.is_empty() || self.discovery.has_pending()
         {
@@ -136,9 +139,9 @@
             .map_or(longest, |wait| wait.min(longest))
     }
 
-    /// Prints on standard output, so that no choice of log level hides the counters.
+    /// Prints the counters on standard output, independent of the log level.
     fn print_counters(&self) {
-        // Nobody may be reading any more; that is no reason to fail.
+        // A closed standard output must not end the process.
         let _ = writeln!(io::stdout(), "{}", self.counters);
         if let Some(gossip) = &self.gossip {
             let _ = writeln!(io::stdout(), "{gossip}");
--- a/crates/balancer/src/event_loop/admin.rs
+++ b/crates/balancer/src/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Admin calls, carried out on the lifecycle.
+//! Admin calls: they query and change the lifecycle of the process.
 
 use super::EventLoop;
 use crate::listener::admin::{AdminCommand, AdminRequest};
@@ -38,12 +38,12 @@
             admin_listener.answer(connection, status, state);
         }
         if state != former {
-            log::info!("admin: {command:?}: {former}, now {state}");
+            log::info!("admin command {command:?} changed the state from {former} to {state}");
             self.apply_lifecycle(now);
         }
     }
 
-    /// Carries a command out, and returns the status of its answer.
+    /// Executes a command and returns the HTTP status of its answer.
     fn execute_admin(&mut self, now: Nanos, command: AdminCommand) -> u16 {
         match command {
             AdminCommand::Health if !self.lifecycle.is_ready() => SERVICE_UNAVAILABLE,
--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -1,5 +1,5 @@
-//! Arrival and admission of requests: events of the listener go to the engine, unless the request
-//! can't be forwarded at all.
+//! Arrival and admission of requests. Requests that can't be forwarded are answered at once; the
+//! others are passed to the engine.
 
 use super::EventLoop;
 use crate::listener::resp::ListenerEvent;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Admits a request, or answers it at once; returns what its connection yields then.
+    /// Admits a request, or answers it at once and returns the further events of its connection.
     fn handle_request(&mut self, now: Nanos, mut incoming: IncomingRequest) -> Vec<ListenerEvent> {
         if let Some(deadline) = self.lifecycle.answer_deadline() {
             let time_left = deadline.saturating_sub(incoming.arrived_at);
@@ -37,7 +37,7 @@
         }
         let event = self.engine.request_event(&incoming);
         if let Some(answer) = self.rejection(&incoming, event.is_some()) {
-            // Not by `send_answer`, which would recurse for each command of a long pipeline.
+            // Calling `send_answer` here would recurse for each command of a long pipeline.
             let mut events = Vec::new();
             let connection = incoming.answer_token.connection;
             self.listener.answer(incoming.answer_token, answer);
@@ -56,9 +56,11 @@
         Vec::new()
     }
 
-    /// The answer to a request that is not admitted. A request of an unknown class, or with the id
-    /// of an open one, must reach no cache: the cache would confuse the two, or answer with an
-    /// error that the engine would count against it.
+    /// Returns the answer to a request that is not admitted, or `None` if the request is admitted.
+    ///
+    /// A request of an unknown class, or with the id of an open request, must not be forwarded: the
+    /// cache would confuse the two requests, or respond with an error that the engine would count
+    /// against that cache.
     fn rejection(
         &mut self,
         incoming: &IncomingRequest,
@@ -74,7 +76,7 @@
             self.counters.rejected_at_limits += 1;
             Some(FinalAnswer::Rejected { retry_after: 0 })
         } else if incoming.arrived_at.saturating_add(incoming.client_timeout) <= self.clock.now() {
-            // It waited unread while the process was stalled.
+            // The request was waiting in the socket while the process was stalled.
             self.counters.expired_when_read += 1;
             Some(FinalAnswer::Rejected { retry_after: 0 })
         } else {
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Whether another request could end the process for its memory, and all open ones with it.
+    /// Returns whether the limit of memory or of open requests is reached. Exceeding the memory
+    /// limit could get the process killed, and all open requests would be lost.
     fn is_at_limits(&self) -> bool {
         self.attempt_tracker.buffered_bytes() + self.listener.buffered() > self.memory_limit
             || self.attempt_tracker.open_requests() >= self.open_requests_max
--- a/crates/balancer/src/event_loop/decisions.rs
+++ b/crates/balancer/src/event_loop/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions: events go to the engine, its actions are executed.
+//! Decisions: passes pending events to the engine and executes its actions.
 
 use super::EventLoop;
 use super::turn_meter::TurnStep;
@@ -9,14 +9,14 @@
 use routing::{Action, Deferral, Event, Explanation, Nanos, RequestId};
 
 impl EventLoop {
-    /// Has the engine handle what happened, and executes its actions, until no event is left.
+    /// Passes the pending events to the engine and executes its actions, until no event is pending.
     pub(super) fn run_decisions(&mut self) {
         self.turn_meter.step(TurnStep::Decisions, self.clock.now());
         while !self.pending_events.is_empty() {
             let now = self.clock.now();
             let mut events = std::mem::take(&mut self.pending_events);
             for event in &mut events {
-                // Time has passed since the request was read.
+                // The client has been waiting since the request was read.
                 if let Event::RequestArrived(request) = event
                     && let Some(time_left) = self.attempt_tracker.remaining_time(now, request.id)
                 {
@@ -87,25 +87,31 @@
         }
     }
 
-    /// Answers a request by the engine's decision, if an answer is still owed.
+    /// Answers a request as the engine decided, unless it is already answered or its client has
+    /// disconnected.
     fn end_request(&mut self, now: Nanos, request: RequestId, answer: FinalAnswer) {
         if let Some(answer) = self.attempt_tracker.answer(request, answer) {
             self.send_answer(now, answer);
         }
     }
 
-    /// Counts a decision and logs it with the figures that it was based on.
-    fn record_decision(&mut self, request: RequestId, step: DecisionStep, why: &Explanation) {
-        self.counters.steps.count(step, why.reason);
+    /// Counts a decision and logs it with the values that it is based on.
+    fn record_decision(
+        &mut self,
+        request: RequestId,
+        step: DecisionStep,
+        explanation: &Explanation,
+    ) {
+        self.counters.decisions.count(step, explanation.reason);
         log::debug!(
             step = step.name(),
-            reason = why.reason.name(),
-            in_flight = why.in_flight,
-            limit = why.limit,
-            origin_admitted = why.origin_admitted_fraction,
-            baseline_us = why.baseline_latency / 1_000,
-            recent_us = why.recent_latency / 1_000;
-            "request {}", request.0
+            reason = explanation.reason.name(),
+            in_flight = explanation.in_flight,
+            limit = explanation.limit,
+            origin_admitted = explanation.origin_admitted_fraction,
+            baseline_us = explanation.baseline_latency / 1_000,
+            recent_us = explanation.recent_latency / 1_000;
+            "decision for request {}", request.0
         );
     }
 }
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -1,19 +1,20 @@
-//! Endpoint updates: what discovery sends goes to the engine and to the upstream pool, a part at a
-//! time.
+//! Endpoint updates: messages of discovery are applied to the engine and the upstream pool in
+//! parts, at most one part per turn.
 
 use super::EventLoop;
 use crate::discovery::{DiscoveryEvent, EndpointList, ListPart, ListedEndpoint};
-use crate::engine_adapter::{ListSource, endpoint_id, endpoint_state, known_endpoint_state};
+use crate::engine_adapter::{ListSource, endpoint_id, endpoint_state, parse_endpoint_state};
 use crate::timers::TimerKind;
 use crate::upstream_pool::UpstreamEvent;
 use routing::{EndpointId, EndpointState, Event, Nanos, UpdateKind};
 use std::collections::BTreeSet;
 
-/// Endpoints of a list that are applied in one turn: at some microseconds each, they delay nothing
-/// else.
+/// Maximum number of endpoints that are applied in one turn. Each takes a few microseconds, so a
+/// part does not delay the other work of a turn noticeably.
 const ENDPOINTS_PER_TURN: usize = 128;
 
-/// In a part with more endpoints than this each is logged at the level `debug` only.
+/// Maximum number of endpoints in a part that are logged one by one at level `info`; the endpoints
+/// of a larger part are logged at level `debug`.
 const LOGGED_ENDPOINTS_MAX: usize = 32;
 
 impl EventLoop {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Schedules the next watch, or tells the engine, which schedules it where lists are polled.
+    /// Schedules the next watch. Where lists are polled, notifies the engine, which schedules it.
     fn watch_failed(&mut self) {
         match self.discovery.next_watch(self.clock.now()) {
             Some(at) => self.timers.set(at, TimerKind::Watch),
@@ -63,7 +64,7 @@
         } = part;
         log::debug!(
             version, is_full, endpoints = endpoints.len(), is_last;
-            "discovery: a part of a message"
+            "discovery: applying a part of a message"
         );
         let delta = EndpointList {
             version,
@@ -76,29 +77,30 @@
         }
     }
 
-    /// Applies a list that is known from before, in one turn: no client is served before it.
-    pub(super) fn load_known_list(&mut self, list: &EndpointList) {
+    /// Applies a list from the configuration or from another process, as a whole: no client is
+    /// served before it is applied.
+    pub(super) fn load_stored_list(&mut self, list: &EndpointList) {
         self.discovery.apply(list);
-        self.apply_list(list, ListSource::Remembered);
+        self.apply_list(list, ListSource::Stored);
         if !list.endpoints.is_empty() {
             self.endpoints_listed();
         }
     }
 
-    /// Endpoints are known: the process may serve.
+    /// Notifies the lifecycle that endpoints are listed, so that the process may start to serve.
     fn endpoints_listed(&mut self) {
         let now = self.clock.now();
         self.lifecycle.endpoints_listed();
         self.apply_lifecycle(now);
     }
 
-    /// Tells the engine and the upstream pool of endpoints.
+    /// Applies a list to the upstream pool and queues it for the engine.
     fn apply_list(&mut self, list: &EndpointList, source: ListSource) {
         let mut events = Vec::new();
         let level = log_level(list);
         if level == log::Level::Debug {
             log::info!(
-                "discovery: version {}: {} endpoints",
+                "discovery: applying version {} of the endpoint list with {} endpoints",
                 list.version,
                 list.endpoints.len()
             );
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Tells the upstream pool of one endpoint.
+    /// Applies one endpoint to the upstream pool.
     fn apply_endpoint(
         &mut self,
         endpoint: &ListedEndpoint,
@@ -134,9 +136,12 @@
     ) -> EndpointId {
         let id = endpoint_id(&endpoint.name);
         let name = &endpoint.name;
-        if known_endpoint_state(&endpoint.state).is_none() {
+        if parse_endpoint_state(&endpoint.state).is_none() {
             let health = &endpoint.state;
-            log::warn!("discovery: {name}: health \"{health}\" is unknown; it gets nothing new");
+            log::warn!(
+                "discovery: endpoint {name} has the unknown health \"{health}\"; \
+                 it gets no new requests"
+            );
         }
         match endpoint.address.parse() {
             Ok(address) => {
@@ -144,17 +149,20 @@
                     self.upstream_pool
                         .set_address(id, address, events, &mut self.counters);
                 if is_new {
-                    // The engine's log lines name endpoints by their numbers only.
+                    // Log lines of the engine contain endpoint ids only.
                     log::log!(
                         level,
-                        "discovery: {name} is endpoint {}, at {address}",
+                        "discovery: endpoint {name} has id {} and address {address}",
                         id.0
                     );
                 }
             }
             Err(_) => {
                 let dial = &endpoint.address;
-                log::warn!("discovery: {name}: \"{dial}\" is no address with a port");
+                log::warn!(
+                    "discovery: endpoint {name}: \"{dial}\" is not an IP address with a port; \
+                     ignoring this address"
+                );
             }
         }
         let state = endpoint_state(&endpoint.state);
@@ -168,7 +176,8 @@
     }
 }
 
-/// A line for each of thousands of endpoints would stall the process, and crowd the log.
+/// Returns the log level for the endpoints of a list. Logging each of thousands of endpoints at
+/// level `info` would stall the process and flood the log.
 fn log_level(list: &EndpointList) -> log::Level {
     if list.endpoints.len() > LOGGED_ENDPOINTS_MAX {
         log::Level::Debug
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -1,5 +1,5 @@
-//! Dispatch of attempts and health checks: they get a connection, and are written if what is known
-//! at that moment still allows it.
+//! Dispatch of attempts and health checks: each gets a connection, and its command is written if
+//! the client, the deadlines and the endpoint list still allow it at that moment.
 
 use super::EventLoop;
 use crate::attempt_tracker::AttemptOrder;
@@ -9,19 +9,22 @@
 use crate::upstream_pool::{OutboundCommand, UpstreamJob};
 use routing::{AttemptNumber, AttemptOutcome, EndpointId, Event, Nanos, RequestId};
 
-/// How long a health check may take.
+/// Timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
-/// Right after a poll was processed attempts are written although processing took long, up to this:
-/// whether each client is still connected is checked then.
+/// Maximum age of the last poll at which attempts are still written if its results have just been
+/// processed. Processing them may take longer than a poll counts as fresh; each client's connection
+/// is checked again before its attempt is written.
 const PROCESSED_POLL_AGE_MAX: Nanos = 100 * MS;
-/// For how many turns attempts wait for a recent poll. Where each turn takes long, they would
-/// otherwise wait for good.
+/// Number of turns after which attempts no longer wait for a fresh poll. Without this limit they
+/// would never be sent where every turn takes long.
 const POSTPONED_TURNS_MAX: u32 = 3;
 
-/// Whether everything that the last poll reported has been processed just now.
+/// Progress of processing what the last poll reported.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PollState {
+    /// All of it has just been processed.
     JustProcessed,
+    /// It may be unprocessed in part, or was processed in an earlier turn.
     Earlier,
 }
 
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Cancels an attempt by the engine's decision.
+    /// Cancels an attempt as the engine decided.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Nanos,
@@ -94,8 +97,9 @@
         self.start_connected_jobs(PollState::Earlier);
     }
 
-    /// Writes the jobs whose connections are established, as far as what is known is recent enough:
-    /// nothing is sent by what was true before the process stalled.
+    /// Writes the commands of jobs whose connections are established, while the last poll is recent
+    /// enough. After a stall nothing is sent until disconnects and endpoint updates are polled
+    /// again.
     pub(super) fn start_connected_jobs(&mut self, poll_state: PollState) {
         while let Some(job) = self.connected_jobs.pop_front() {
             let now = self.clock.now();
@@ -110,7 +114,8 @@
         self.postponed_turns = 0;
     }
 
-    /// Whether disconnects and endpoint updates were polled recently enough to send something.
+    /// Returns whether disconnects and endpoint updates were polled recently enough to write an
+    /// attempt.
     fn may_send_now(&self, now: Nanos, poll_state: PollState) -> bool {
         if self.is_catching_up() {
             return false;
@@ -122,7 +127,8 @@
                     || self.postponed_turns >= POSTPONED_TURNS_MAX)
     }
 
-    /// Writes a job on its established connection, unless it is not wanted any more.
+    /// Writes a job's command on its established connection, or abandons the job if it must not be
+    /// sent any more.
     fn start_job(&mut self, now: Nanos, job: UpstreamJob) {
         match self.command_for(now, job) {
             Ok(command) => {
@@ -141,7 +147,11 @@
         }
     }
 
-    /// What a job writes; or, if it is not wanted any more, the event that tells the engine so.
+    /// Returns a job's command.
+    ///
+    /// # Errors
+    ///
+    /// If the job must not be sent any more; the event, if any, reports that to the engine.
     fn command_for(&mut self, now: Nanos, job: UpstreamJob) -> Result<Vec<u8>, Option<Box<Event>>> {
         match job {
             UpstreamJob::Attempt(request, attempt) => {
@@ -149,7 +159,7 @@
                 self.attempt_tracker
                     .command(now, request, attempt, &mut self.counters)
             }
-            // Where endpoints report their load, the health check asks for it.
+            // Where endpoints report their load, the health check requests the load report.
             UpstreamJob::HealthCheck(_) if !self.engine.names().report_columns.is_empty() => {
                 Ok(write_command(&[b"INFO", b"load"]))
             }
@@ -157,7 +167,8 @@
         }
     }
 
-    /// Nothing is owed to a client that has disconnected, though this has not been read yet.
+    /// Checks whether the client of a request is still connected and handles a disconnect that has
+    /// not been read yet, so that nothing is sent for a client that has gone.
     fn check_client_connection(&mut self, now: Nanos, request: RequestId) {
         let Some(connection) = self.attempt_tracker.waiting_client(request) else {
             return;
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -1,5 +1,5 @@
-//! Fleet membership: the event loop drives gossip and tells the engine by how many balancers shares
-//! are divided, and how much the fleet sheds.
+//! Fleet membership: the event loop drives the gossip transport and passes two values of the fleet
+//! to the engine, the number of balancers that shares are divided by and the shedding level.
 
 use super::{EventLoop, StartupError};
 use crate::config::settings_checksum;
@@ -9,7 +9,7 @@
 use routing::{Event, Nanos};
 
 impl EventLoop {
-    /// Joins the fleet, where one is configured.
+    /// Joins the fleet, if one is configured.
     pub(super) fn join_fleet(&mut self, now: Nanos) -> Result<(), StartupError> {
         let Some(config) = &self.config.fleet else {
             return Ok(());
@@ -35,14 +35,14 @@
         Ok(())
     }
 
-    /// What this balancer tells other members of itself at its start.
+    /// Returns the metadata that this balancer announces to other members at its start.
     fn metadata(&self) -> MemberMetadata {
         MemberMetadata {
             name: self.config.name.clone(),
             listen_address: self.listener.address().unwrap_or(self.config.listen),
             phase: ServingPhase::Joining,
             build: env!("CARGO_PKG_VERSION").into(),
-            // Balancers of one fleet differ in names and addresses, but not in their settings.
+            // Balancers of one fleet have different names and addresses, but equal settings.
             config_checksum: settings_checksum(&self.config.settings),
             request_rate_tenths: 0,
             places: 1,
--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Hot restart: the event loop checks on the other process of this balancer, and hands its state
-//! over or takes that of the other.
+//! Hot restart: the event loop checks for another process of this balancer and exchanges state
+//! with it.
 
 use super::EventLoop;
 use crate::hot_restart::Observation;
@@ -8,7 +8,7 @@
 use routing::Nanos;
 
 impl EventLoop {
-    /// Checks on the other process, and does what follows.
+    /// Checks for the other process, executes the resulting actions and schedules the next check.
     pub(super) fn check_other_process(&mut self, now: Nanos) {
         let Some(slots) = &mut self.process_slots else {
             return;
@@ -16,18 +16,18 @@
         let actions = self.hot_restart.observe(
             now,
             Observation {
-                other: slots.other(),
+                other: slots.other_process(),
                 has_transfer: slots.transfer().exists(),
                 is_serving: self.lifecycle.is_ready(),
             },
         );
         if actions.apply_limits {
             log::info!(
-                "another process of this balancer: {}",
+                "another process of this balancer is running: {}",
                 self.hot_restart.has_other()
             );
         }
-        // Before this process's own state is written: both use the same file.
+        // Must precede writing this process's own state: both use the same file.
         let received = actions
             .read_state
             .then(|| slots.transfer().read::<StateTransfer>());
@@ -40,14 +40,17 @@
         match received {
             Some(Ok(state)) => self.restore_state(&state),
             Some(Err(e)) => {
-                log::warn!("state transfer from the other process: {e}; continuing without it");
+                log::warn!(
+                    "state transfer from the other process can't be read: {e}; \
+                     continuing without it"
+                );
             }
             None => {}
         }
         self.lifecycle
-            .set_awaiting_snapshot(self.hot_restart.awaits_state());
+            .set_awaiting_state_transfer(self.hot_restart.awaits_state());
         self.lifecycle
-            .set_other_serves(self.hot_restart.other_serves());
+            .set_other_process_serves(self.hot_restart.other_process_serves());
         self.apply_lifecycle(now);
         self.timers.set(
             now + self.hot_restart.check_interval(),
@@ -55,8 +58,8 @@
         );
     }
 
-    /// Leaves this process's state for a new process.
-    fn write_state(&mut self, process: &str) {
+    /// Writes this process's state to the transfer file for the new process `recipient`.
+    fn write_state(&mut self, recipient: &str) {
         let (Some(slots), Some(endpoint_list)) =
             (&mut self.process_slots, self.discovery.full_list())
         else {
@@ -66,27 +69,35 @@
             endpoint_list,
             snapshot: self.engine.take_snapshot(),
         };
-        match slots.transfer().write(process, state) {
-            Ok(bytes) => log::info!("state transfer: {bytes} bytes written for process {process}"),
-            Err(e) => log::warn!("state transfer for process {process}: {e}"),
+        match slots.transfer().write(recipient, state) {
+            Ok(bytes) => {
+                log::info!("state transfer: {bytes} bytes written for process {recipient}");
+            }
+            Err(e) => log::warn!(
+                "state transfer for process {recipient} failed: {e}; \
+                 the process starts without this state"
+            ),
         }
     }
 
-    /// Takes over the state of the other process; its endpoint list only if discovery has sent no
-    /// newer one.
+    /// Restores the state of the other process. Its endpoint list is applied only if its version is
+    /// newer than the current one.
     fn restore_state(&mut self, state: &StateTransfer) {
-        let known = self.discovery.version().unwrap_or(0);
+        let current = self.discovery.version().unwrap_or(0);
         log::info!(
-            "state transfer from the other process: list version {}, {known} is known",
+            "state transfer from the other process: received list version {}, \
+             current version {current}",
             state.endpoint_list.version,
         );
-        if state.endpoint_list.version > known {
-            self.load_known_list(&state.endpoint_list);
+        if state.endpoint_list.version > current {
+            self.load_stored_list(&state.endpoint_list);
         }
-        // The list goes first: the snapshot is of endpoints that are listed.
+        // The list must be applied first: the snapshot refers to listed endpoints.
         self.run_decisions();
         if let Err(e) = self.engine.restore(&state.snapshot) {
-            log::warn!("state transfer from the other process: {e}; continuing without it");
+            log::warn!(
+                "the snapshot from the other process is rejected: {e}; continuing without it"
+            );
         }
     }
 }
--- a/crates/balancer/src/event_loop/lifecycle.rs
+++ b/crates/balancer/src/event_loop/lifecycle.rs
@@ -1,11 +1,12 @@
-//! The lifecycle's effect on the listener, and graceful shutdown.
+//! Applies the lifecycle to the listener, and starts and completes a graceful shutdown.
 
 use super::EventLoop;
 use crate::timers::TimerKind;
 use routing::{Event, Nanos};
 
 impl EventLoop {
-    /// Has the listener do what follows from the lifecycle now.
+    /// Applies the current lifecycle policy to the listener and publishes readiness to the other
+    /// process of a hot restart.
     pub(super) fn apply_lifecycle(&mut self, now: Nanos) {
         let mut events = Vec::new();
         if let Some(slots) = &mut self.process_slots {
@@ -23,24 +24,26 @@
         }
     }
 
-    /// Starts a graceful shutdown, unless one is under way.
+    /// Starts a graceful shutdown, unless one is in progress.
     pub(super) fn begin_shutdown(&mut self, now: Nanos) {
-        // The signal may have come at any time since the poll before.
-        if !self.lifecycle.stop(self.poll_timestamps.earliest_arrival()) {
+        // The signal may have arrived at any time since the previous poll.
+        let requested_at = self.poll_timestamps.earliest_arrival();
+        if !self.lifecycle.begin_shutdown(requested_at) {
             return;
         }
-        log::info!("asked to stop: answering open requests");
-        // The process may be killed after that, also with older requests that have more time.
+        log::info!("shutdown requested: answering open requests before the process exits");
+        // The process may be killed after the deadline, even if open requests have more time left.
         if let Some(deadline) = self.lifecycle.answer_deadline() {
             self.attempt_tracker.limit_deadlines(deadline);
             self.pending_events.push(Event::ShuttingDown(deadline));
         }
-        // The signal may have been sent as soon as the other process was ready.
+        // The other process may have become ready since the last check, right before the signal.
         self.check_other_process(now);
         self.apply_lifecycle(now);
     }
 
-    /// Whether a graceful shutdown is complete: no new clients, and every answer is written.
+    /// Returns whether a graceful shutdown is complete: no new clients are accepted, and all client
+    /// connections are closed.
     pub(super) fn is_finished(&self) -> bool {
         self.lifecycle
             .is_finished(self.clock.now(), self.listener.open_connections())
--- a/crates/balancer/src/event_loop/limits.rs
+++ b/crates/balancer/src/event_loop/limits.rs
@@ -1,29 +1,30 @@
-//! How the process's descriptors and memory are divided among listener and upstream pool.
+//! Limits of the process: file descriptors and memory, divided among the listener and the upstream
+//! pool.
 
 use super::EventLoop;
 use crate::listener::admin::{AdminListener, CONNECTIONS_MAX};
 
-/// Descriptors reserved for the client listener, the poller, discovery, signals and the standard
-/// streams.
+/// Number of descriptors reserved for the client listener, the poller, discovery, signals and the
+/// standard streams.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors of the admin listener: its socket and its connections.
+/// Number of descriptors of the admin listener: its socket and its connections.
 pub(super) const ADMIN_DESCRIPTORS: usize = 1 + CONNECTIONS_MAX;
-/// However few descriptors there are, upstream and client connections get this many.
+/// Minimum number of descriptors for upstream and client connections together.
 const CONNECTION_DESCRIPTORS_MIN: usize = 12;
-/// One in so many of the other descriptors is for upstream connections: most attempts end before
-/// the next command of their client comes.
-const UPSTREAM_SHARE: usize = 3;
-/// Requests and responses together may hold one in so many bytes of the memory.
-const REQUEST_MEMORY_SHARE: usize = 4;
-/// Processes of this balancer during a hot restart.
+/// Upstream connections get 1/3 of the connection descriptors, clients the others: most attempts
+/// end before the next command of their client arrives.
+const UPSTREAM_DIVISOR: usize = 3;
+/// Requests and responses together may hold 1/4 of the process's memory limit.
+const REQUEST_MEMORY_DIVISOR: usize = 4;
+/// Number of processes of this balancer during a hot restart.
 const HOT_RESTART_PROCESSES: usize = 2;
 
-/// Descriptors that an admin listener needs, if there is one.
+/// Returns the number of descriptors to reserve for the admin listener.
 fn admin_descriptors(listener: Option<&AdminListener>) -> usize {
     listener.map_or(0, |_| ADMIN_DESCRIPTORS)
 }
 
-/// How many connections the descriptors allow.
+/// Maximum numbers of upstream and client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DescriptorBudget {
     pub(super) upstream: usize,
@@ -31,12 +32,13 @@
 }
 
 impl DescriptorBudget {
-    /// Divides this many descriptors, of which some are reserved for the admin listener.
+    /// Divides `descriptors` among upstream and client connections, after subtracting the reserved
+    /// descriptors and those of the admin listener.
     pub(super) fn new(descriptors: usize, admin_descriptors: usize) -> Self {
         let available = descriptors
             .saturating_sub(RESERVED_DESCRIPTORS + admin_descriptors)
             .max(CONNECTION_DESCRIPTORS_MIN);
-        let upstream = available / UPSTREAM_SHARE;
+        let upstream = available / UPSTREAM_DIVISOR;
         DescriptorBudget {
             upstream,
             clients: available - upstream,
@@ -45,7 +47,7 @@
 }
 
 impl EventLoop {
-    /// Applies the configured limits: half of each while another process of this balancer lives.
+    /// Applies the configured limits. Each is halved while another process of this balancer runs.
     pub(super) fn apply_limits(&mut self) {
         let processes = if self.hot_restart.has_other() {
             HOT_RESTART_PROCESSES
@@ -56,7 +58,7 @@
             self.config.descriptors_max / processes,
             admin_descriptors(self.admin_listener.as_ref()),
         );
-        self.memory_limit = self.config.memory_max / processes / REQUEST_MEMORY_SHARE;
+        self.memory_limit = self.config.memory_max / processes / REQUEST_MEMORY_DIVISOR;
         self.upstream_pool.set_max_connections(descriptors.upstream);
         self.upstream_pool
             .set_max_buffered_bytes(self.memory_limit / 2);
--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -1,6 +1,6 @@
-//! Processing of ready sockets, in the order in which one matters to the next: endpoint
-//! updates first, outcomes before new requests, so that the engine decides by the latest state.
-//! What waits to be written goes last, behind disconnects and endpoint updates of the same poll.
+//! Processing of ready sockets in a fixed order, so that the engine decides on the latest state:
+//! endpoint updates come first and outcomes of attempts before new requests. Postponed attempts are
+//! written last, after the disconnects and endpoint updates of the same poll.
 
 use super::EventLoop;
 use super::dispatch::PollState;
@@ -9,7 +9,7 @@
 use routing::Nanos;
 
 impl EventLoop {
-    /// Processes all that is ready, expired timers included.
+    /// Processes the ready sockets and the expired timers.
     pub(super) fn process_ready(&mut self, ready: &mut Vec<Readiness>, outcome: PollOutcome) {
         let now = self.clock.now();
         if outcome == PollOutcome::Completed {
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Admin calls go first: whatever the load, an answer waits for one turn at most.
+    /// Processes admin calls. They come first, so that under any load their answer is delayed by at
+    /// most one turn.
     fn process_admin_calls(&mut self, now: Nanos, ready: &[Readiness]) {
         for readiness in ready {
             if matches!(
@@ -67,7 +68,7 @@
                 | EventSource::AdminConnection(_)
                 | EventSource::Discovery(_) => {}
                 EventSource::Upstream(_) => self.process_upstream(now, readiness),
-                EventSource::Stop => {
+                EventSource::Shutdown => {
                     self.signals.shutdown.drain();
                     self.begin_shutdown(now);
                 }
@@ -99,8 +100,9 @@
         self.handle_upstream_events(now, events);
     }
 
-    /// A timeout for something to come counts until the last poll that did not report it, no
-    /// longer.
+    /// Processes the timers that expired by the last poll. A timer that expired since then may
+    /// wait for input that has arrived but is not polled yet, so it must not fire before the next
+    /// poll.
     fn process_timers(&mut self, now: Nanos) {
         self.turn_meter.step(TurnStep::Timers, self.clock.now());
         while let Some(timer) = self.timers.pop_expired(self.poll_timestamps.last_poll()) {
--- a/crates/balancer/src/event_loop/responses.rs
+++ b/crates/balancer/src/event_loop/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of caches: attempts end, long values are streamed, requests are answered.
+//! Responses of caches: they complete attempts, stream long values and answer requests.
 
 use super::EventLoop;
 use crate::attempt_tracker::{DueAnswer, JobCompletion};
@@ -12,7 +12,7 @@
     pub(super) fn handle_upstream_events(&mut self, now: Nanos, events: Vec<UpstreamEvent>) {
         for event in events {
             match event {
-                // A job that waits for a recent poll is reported again by each poll.
+                // The connection of a postponed job is reported as writable by every poll.
                 UpstreamEvent::Connected { job } if self.connected_jobs.contains(&job) => {}
                 UpstreamEvent::Connected { job } => self.connected_jobs.push_back(job),
                 UpstreamEvent::StreamStarted { job, length } => {
@@ -24,24 +24,25 @@
         }
     }
 
-    fn finish_job(&mut self, now: Nanos, job: UpstreamJob, end: ExchangeResult) {
+    fn finish_job(&mut self, now: Nanos, job: UpstreamJob, result: ExchangeResult) {
         if let UpstreamJob::Attempt(request, attempt) = job {
             self.timers.cancel(TimerKind::Attempt(request, attempt));
             if let Some(connection) = self.attempt_tracker.stream_client(request, attempt) {
-                return self.finish_streaming(now, connection, request, &end);
+                return self.finish_streaming(now, connection, request, &result);
             }
         }
-        self.counters.upstream_slots_exhausted += u64::from(end == ExchangeResult::NoCapacity);
+        self.counters.upstream_slots_exhausted += u64::from(result == ExchangeResult::NoCapacity);
         let JobCompletion { event, answer } =
             self.attempt_tracker
-                .complete(now, job, end, &mut self.counters);
+                .complete(now, job, result, &mut self.counters);
         self.pending_events.extend(event);
         if let Some(answer) = answer {
             self.send_answer(now, answer);
         }
     }
 
-    /// A long value has started to arrive.
+    /// Starts streaming a long value whose first bytes have arrived, or cancels the attempt if its
+    /// request needs no answer any more.
     fn start_streaming(&mut self, now: Nanos, job: UpstreamJob, length: usize) {
         let UpstreamJob::Attempt(request, attempt) = job else {
             return;
@@ -54,7 +55,7 @@
             self.pending_events.push(event);
             return self.send_answer(now, answer);
         }
-        // Another attempt has answered, or the client has disconnected.
+        // Another attempt has completed the request, or the client has disconnected.
         self.upstream_pool.abandon(job, &mut self.counters);
         let outcome = AttemptOutcome::Cancelled;
         let ended =
@@ -63,8 +64,8 @@
         self.pending_events.extend(ended);
     }
 
-    /// Forwards the next bytes of a long value, and stops reading its cache while the client can't
-    /// take more.
+    /// Forwards the next bytes of a long value, and pauses reading from the cache while the client
+    /// can't accept more.
     fn stream_chunk(&mut self, now: Nanos, job: UpstreamJob, bytes: &[u8]) {
         let UpstreamJob::Attempt(request, attempt) = job else {
             return;
@@ -86,12 +87,12 @@
         self.handle_listener_events(now, events);
     }
 
-    /// Memory is short at half of the limit at which requests are rejected: long values must not
-    /// cause that.
+    /// Returns the memory pressure for a streamed value. It is high above half of the limit at
+    /// which requests are rejected, so that long values don't cause rejections.
     fn memory_pressure(&self, connection: u64, request: RequestId) -> MemoryPressure {
-        let is_waiting = self.listener.pending_bytes(connection, request) > 0;
-        let held = || self.attempt_tracker.buffered_bytes() + self.listener.buffered();
-        if is_waiting && held() > self.memory_limit / 2 {
+        let has_pending_bytes = self.listener.pending_bytes(connection, request) > 0;
+        let buffered_bytes = || self.attempt_tracker.buffered_bytes() + self.listener.buffered();
+        if has_pending_bytes && buffered_bytes() > self.memory_limit / 2 {
             MemoryPressure::High
         } else {
             MemoryPressure::Low
@@ -103,10 +104,10 @@
         now: Nanos,
         connection: u64,
         request: RequestId,
-        end: &ExchangeResult,
+        result: &ExchangeResult,
     ) {
         self.attempt_tracker.end_stream(request);
-        let stream_end = match end {
+        let stream_end = match result {
             ExchangeResult::Answer(_) => StreamEnd::Complete,
             _ => StreamEnd::Aborted,
         };
@@ -123,7 +124,7 @@
         self.handle_listener_events(now, events);
     }
 
-    /// Sends a final answer to its client.
+    /// Counts a final answer and sends it to its client.
     pub(super) fn send_answer(&mut self, now: Nanos, (answer_token, answer): DueAnswer) {
         match answer {
             FinalAnswer::Served(_) | FinalAnswer::Streaming(_) => self.counters.served += 1,
--- a/crates/balancer/src/event_loop/signals.rs
+++ b/crates/balancer/src/event_loop/signals.rs
@@ -1,11 +1,11 @@
-//! Signals as readable pipes.
+//! Signal handling: each signal writes to a pipe that the event loop polls.
 
 use crate::poll::{EventSource, Interest, Poll, Registered};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// A pipe that is readable once one of its signals has come.
+/// The read end of a pipe that becomes readable when one of its signals arrives.
 pub(super) struct SignalPipe(Registered<UnixStream>);
 
 impl SignalPipe {
@@ -22,7 +22,7 @@
         )?))
     }
 
-    /// Empties the pipe: several signals may have come.
+    /// Empties the pipe, as several signals may have arrived since the last turn.
     pub(super) fn drain(&self) {
         let mut bytes = [0; 64];
         while matches!(self.0.socket().read(&mut bytes), Ok(count) if count > 0) {}
@@ -31,18 +31,18 @@
 
 /// The signals that the process handles.
 pub(super) struct SignalPipes {
-    /// `SIGTERM` and `SIGINT`.
+    /// Pipe of `SIGTERM` and `SIGINT`.
     pub(super) shutdown: SignalPipe,
-    /// `SIGUSR1`.
+    /// Pipe of `SIGUSR1`.
     pub(super) print_counters: SignalPipe,
-    /// `SIGHUP`.
+    /// Pipe of `SIGHUP`.
     pub(super) reload: SignalPipe,
 }
 
 impl SignalPipes {
     pub(super) fn register(poll: &Poll) -> io::Result<Self> {
         Ok(SignalPipes {
-            shutdown: SignalPipe::register(poll, &[SIGTERM, SIGINT], EventSource::Stop)?,
+            shutdown: SignalPipe::register(poll, &[SIGTERM, SIGINT], EventSource::Shutdown)?,
             print_counters: SignalPipe::register(poll, &[SIGUSR1], EventSource::PrintCounters)?,
             reload: SignalPipe::register(poll, &[SIGHUP], EventSource::Reload)?,
         })
--- a/crates/balancer/src/event_loop/stalls.rs
+++ b/crates/balancer/src/event_loop/stalls.rs
@@ -1,5 +1,5 @@
-//! Stalls of the process: a long gap between two polls, or a long turn. After a stall attempts wait
-//! until the discovery messages that came meanwhile are read.
+//! Detection of stalls: a long gap between two polls, or a long turn. After a stall, attempts are
+//! held back until the discovery messages that arrived meanwhile are read.
 
 use super::EventLoop;
 use super::turn_meter::{StepTime, TurnMeter, TurnStep};
@@ -7,14 +7,15 @@
 use crate::timers::MS;
 use routing::Nanos;
 
-/// A longer turn is counted, and logged with its longest step.
+/// Duration above which a turn is counted, and logged with its longest step.
 const LONG_TURN: Nanos = 20 * MS;
-/// For how many polls after a stall attempts wait for discovery messages. Each poll reads 32 KiB,
-/// all together half of the longest list.
+/// Maximum number of polls after a stall for which attempts are held back. Each poll reads 32 KiB
+/// of discovery messages; all of them together read half of the longest list.
 const CATCH_UP_POLLS: u32 = 64;
 
 impl EventLoop {
-    /// Records when a wait for ready sockets started and returned; a new turn starts then.
+    /// Records when a wait for ready sockets started and returned, counts and logs a stall, and
+    /// starts measuring the next turn.
     pub(super) fn record_poll(
         &mut self,
         started_at: Nanos,
@@ -34,16 +35,17 @@
         self.counters.longest_stall_ms = self.counters.longest_stall_ms.max(ms);
         log::log!(
             sampled_level(self.counters.stalls),
-            "stalled for {ms} ms between two polls of the sockets"
+            "the event loop stalled for {ms} ms between two polls of its sockets"
         );
     }
 
-    /// Whether the process stalled, and discovery messages that came meanwhile may be unread.
+    /// Returns whether discovery messages that arrived during a stall may still be unread.
     pub(super) fn is_catching_up(&self) -> bool {
         self.catch_up_polls_left > 0
     }
 
-    /// A poll was processed: the wait ends early once no more of a discovery message is pending.
+    /// Updates the number of polls for which attempts are held back, after a poll was processed.
+    /// The hold ends as soon as no discovery message is pending.
     pub(super) fn update_catch_up(&mut self) {
         self.catch_up_polls_left = if self.discovery.is_behind() {
             self.catch_up_polls_left.saturating_sub(1)
@@ -52,10 +54,10 @@
         };
     }
 
-    /// Ends a turn, and logs it if it was long.
+    /// Ends the measurement of a turn, and counts and logs the turn if it was long.
     pub(super) fn end_turn(&mut self) {
         let now = self.clock.now();
-        // Ends the last step.
+        // Starting another step ends the measurement of the last one.
         self.turn_meter.step(TurnStep::AdminCalls, now);
         let elapsed = self.turn_meter.elapsed(now);
         self.counters.longest_turn_us = self.counters.longest_turn_us.max(elapsed / 1_000);
@@ -64,7 +66,7 @@
             let StepTime { step, time } = self.turn_meter.longest();
             log::log!(
                 sampled_level(self.counters.long_turns),
-                "a turn took {} ms, {} of them for {step:?}",
+                "a turn of the event loop took {} ms; its longest step took {} ms: {step:?}",
                 elapsed / MS,
                 time / MS
             );
@@ -72,8 +74,8 @@
     }
 }
 
-/// Shows the first, second, fourth and so on of such lines: a machine without spare time would
-/// log one in each turn.
+/// Returns the log level of the `count`th line of its kind: `warn` for the first, second, fourth,
+/// eighth and so on, `debug` for the others. An overloaded machine would log one in each turn.
 fn sampled_level(count: u64) -> log::Level {
     if count.is_power_of_two() {
         log::Level::Warn
--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -1,4 +1,5 @@
-//! Start-up: everything that has to be open before the first client can be served.
+//! Startup: opens the sockets and creates the state that the event loop needs before it can serve
+//! clients.
 
 use super::EventLoop;
 use super::limits::{ADMIN_DESCRIPTORS, DescriptorBudget};
@@ -27,62 +28,63 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::RawFd;
 
-/// Why the process can't start.
+/// Error that prevents the process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
-    /// There is no way to wait for sockets.
-    #[error("poller: {0}")]
+    /// The poller can't be created.
+    #[error("can't create the poller: {0}")]
     Poller(#[source] io::Error),
-    /// A signal can't be handled.
-    #[error("signals: {0}")]
+    /// A signal handler can't be registered.
+    #[error("can't register the signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The engine rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The client listener can't be opened.
-    #[error("listening on {address}: {source}")]
+    #[error("can't listen for clients at {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The descriptor that this process was started with is not a listener.
+    /// The descriptor in `GW_SOCKET_FD` is not a listening TCP socket.
     #[error(
-        "configuration: GW_SOCKET_FD: {descriptor} {source}; a listening TCP socket is expected"
+        "configuration: GW_SOCKET_FD: expected a listening TCP socket, but descriptor {descriptor} \
+         {source}"
     )]
     InheritListener {
-        /// Its number.
+        /// The descriptor in `GW_SOCKET_FD`.
         descriptor: RawFd,
-        /// What it is.
+        /// The reason why it can't be used.
         source: InheritError,
     },
-    /// The address of the inherited listener can't be read.
-    #[error("GW_SOCKET_FD: {0}")]
+    /// The local address of the inherited listener can't be read.
+    #[error("GW_SOCKET_FD: can't read the address of the inherited socket: {0}")]
     InheritedAddress(#[source] io::Error),
     /// The admin listener can't be opened.
     #[error(
-        "configuration: management (GW_MANAGEMENT): {address}: {source}; a free address of this \
-         machine is expected"
+        "configuration: management (GW_MANAGEMENT): can't listen at {address}: {source}; expected \
+         a free address of this machine"
     )]
     AdminListen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The gossip socket can't be opened.
-    #[error("configuration: fleet.bind: {address}: {source}")]
+    #[error("configuration: fleet.bind: can't open the gossip socket at {address}: {source}")]
     Gossip {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
 impl EventLoop {
-    /// Opens everything that is needed before the first client can be served.
+    /// Opens all sockets, joins the fleet if one is configured, and loads the stored endpoint list.
     ///
     /// # Errors
     /// If a socket can't be opened, or the engine rejects the settings.
@@ -90,9 +92,9 @@
         let clock = Clock::start();
         let now = clock.now();
         let poll = Poll::new().map_err(StartupError::Poller)?;
-        let known_list = config.known_endpoints.take();
+        let stored_list = config.stored_endpoint_list.take();
         let mut event_loop = EventLoop::open(config, clock, poll, now)?;
-        event_loop.begin(known_list, now)?;
+        event_loop.begin(stored_list, now)?;
         Ok(event_loop)
     }
 
@@ -147,17 +149,17 @@
         })
     }
 
-    /// Sets the first timers, joins the fleet and loads the endpoint list, if one is known.
-    fn begin(&mut self, known: Option<EndpointList>, now: Nanos) -> Result<(), StartupError> {
+    /// Sets the first timers, joins the fleet and loads the stored endpoint list, if there is one.
+    fn begin(&mut self, stored_list: Option<EndpointList>, now: Nanos) -> Result<(), StartupError> {
         self.apply_limits();
         self.timers.set(now + REAP_INTERVAL, TimerKind::ReapIdle);
         self.check_other_process(now);
         self.join_fleet(now)?;
-        match known {
-            Some(list) => self.load_known_list(&list),
-            // The engine asks discovery on its first event. Without a list there would be none
-            // before the first client comes, and clients are not sent to a process that isn't
-            // ready.
+        match stored_list {
+            Some(list) => self.load_stored_list(&list),
+            // The engine queries discovery on its first event, whatever that is. Without a stored
+            // list the first event would be a client's request, but the platform sends no clients
+            // to a process that is not ready.
             None => self.pending_events.push(Event::TimerFired(TimerToken(0))),
         }
         if self.discovery.is_pushed() {
@@ -176,13 +178,13 @@
     Lifecycle::new(socket, client_timeouts.max().unwrap_or_default())
 }
 
-/// The backoff between watches, where lists are pushed.
+/// Returns the backoff between watches; `None` if the engine polls discovery instead.
 fn watch_backoff(config: &Config) -> Option<WatchBackoff> {
     let grace = config.settings.rules.drain_grace;
     (config.settings.discovery == DiscoveryMode::Push).then(|| WatchBackoff::new(grace))
 }
 
-/// The client listener's socket: the inherited one, or a new one.
+/// Returns the client listener's socket: the inherited one if there is one, otherwise a new one.
 fn client_listener(config: &Config) -> Result<TcpListener, StartupError> {
     let Some(descriptor) = config.socket_fd else {
         return TcpListener::bind(config.listen).map_err(|source| StartupError::Listen {
@@ -197,21 +199,27 @@
         .map_err(StartupError::InheritedAddress)?;
     if address != config.listen {
         log::warn!(
-            "GW_SOCKET_FD: descriptor {descriptor} listens on {address}, not on {}",
+            "GW_SOCKET_FD: using the inherited descriptor {descriptor}, which listens at {address} \
+             and not at the configured address {}",
             config.listen
         );
     }
     Ok(listener)
 }
 
-/// A process slot beside the other process of a hot restart; without one this process serves as if
-/// it were alone.
+/// Opens the slot files of a hot restart and takes a slot. Without them the process serves as if it
+/// were the only one of this balancer.
 fn take_process_slot(config: &Config, now: Nanos) -> Option<ProcessSlots> {
     config.socket_fd?;
     let directory = config.hot_restart_directory.as_ref()?;
     let process = format!("{}-{now}", std::process::id());
     ProcessSlots::take(directory, process)
-        .map_err(|e| log::warn!("process slot in $TMPDIR {}: {e}", directory.display()))
+        .map_err(|e| {
+            log::warn!(
+                "hot restart is unavailable: the process slots in $TMPDIR {} can't be opened: {e}",
+                directory.display()
+            );
+        })
         .ok()
 }
 
--- a/crates/balancer/src/event_loop/tests.rs
+++ b/crates/balancer/src/event_loop/tests.rs
@@ -1,5 +1,5 @@
-//! Events that cross, on real connections: each test says which sockets the event loop processes in
-//! one turn and in which order, whatever the kernel and the clock make of it.
+//! Races between events, on real connections: each test determines which sockets the event loop
+//! processes in one turn and in which order, independent of the kernel and the clock.
 
 mod deadlines;
 mod disconnects;
--- a/crates/balancer/src/event_loop/tests/deadlines.rs
+++ b/crates/balancer/src/event_loop/tests/deadlines.rs
@@ -1,7 +1,8 @@
-//! Attempts that meet the deadline of their request.
+//! Attempts at the deadline of their request.
 
 use super::harness::{
-    DEFAULTS, Harness, Options, UPSTREAM_0, VALUE, forwarded_timeout_ms, read_to_end, received,
+    DEFAULTS, Harness, Options, UPSTREAM_0, VALUE, forwarded_timeout_ms, read_to_end,
+    received_so_far,
 };
 use crate::timers::MS;
 use std::io::Write;
@@ -11,28 +12,28 @@
     let mut harness = Harness::new(DEFAULTS);
     harness.send_request("once", 1_000);
     let mut cache = harness.accept(0);
-    let up = harness.wait(UPSTREAM_0);
-    let asked = harness.event_loop.clock.now();
-    harness.turn_at(asked + 1_020 * MS, up);
+    let connected = harness.wait(UPSTREAM_0);
+    let sent_at = harness.event_loop.clock.now();
+    harness.turn_at(sent_at + 1_020 * MS, connected);
     assert_eq!(read_to_end(&mut cache), "");
     assert_eq!(
         harness.event_loop.attempt_tracker.open_requests(),
         0,
-        "answered as well"
+        "the request is answered"
     );
     harness.expect_answer(0, "-");
 }
 
 #[test]
-fn attempt_on_a_late_connection_carries_the_time_that_is_left() {
+fn attempt_on_a_slow_connection_carries_the_remaining_time() {
     let mut harness = Harness::new(DEFAULTS);
     harness.send_request("read", 50_000);
     let mut cache = harness.accept(0);
-    let asked = harness.event_loop.clock.now();
-    while harness.event_loop.clock.now() < asked + 50 * MS {}
+    let sent_at = harness.event_loop.clock.now();
+    while harness.event_loop.clock.now() < sent_at + 50 * MS {}
     harness.turn(&[UPSTREAM_0]);
-    let d = forwarded_timeout_ms(&mut cache);
-    assert!(d <= 49_950, "{d}");
+    let timeout_ms = forwarded_timeout_ms(&mut cache);
+    assert!(timeout_ms <= 49_950, "{timeout_ms}");
 }
 
 #[test]
@@ -41,7 +42,7 @@
         window_ms: 100,
         ..DEFAULTS
     });
-    // A keyed write's first attempt has three quarters of the window.
+    // The first attempt of a keyed write times out after three quarters of the window.
     harness.send_request("put", 50_000);
     let _cache = harness.accept(0);
     harness.run_until(|event_loop| {
@@ -57,16 +58,16 @@
 }
 
 #[test]
-fn answer_in_the_turn_of_the_deadline_is_the_only_one() {
+fn response_in_the_turn_of_the_deadline_yields_one_answer() {
     let mut harness = Harness::new(DEFAULTS);
-    let (_, mut cache) = harness.forwarded("once", 1_000);
+    let (_, mut cache) = harness.forward_request("once", 1_000);
     cache.write_all(VALUE).unwrap();
-    let answer = harness.wait(UPSTREAM_0);
-    let asked = harness.event_loop.clock.now();
-    // The answer, the attempt's timeout and the engine's deadline, all due.
-    harness.turn_at(asked + 1_020 * MS, answer);
+    let response = harness.wait(UPSTREAM_0);
+    let sent_at = harness.event_loop.clock.now();
+    // In this turn the response is ready, and the attempt's and the engine's timers have expired.
+    harness.turn_at(sent_at + 1_020 * MS, response);
     harness.turn(&[]);
-    assert_eq!(received(&mut harness.clients[0]), "$1\r\nv\r\n");
+    assert_eq!(received_so_far(&mut harness.clients[0]), "$1\r\nv\r\n");
     assert_eq!(
         (
             harness.event_loop.counters.served,
--- a/crates/balancer/src/event_loop/tests/disconnects.rs
+++ b/crates/balancer/src/event_loop/tests/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while something is under way for them.
+//! Clients that disconnect while their requests are open.
 
 use super::harness::{CLIENT_0, DEFAULTS, Harness, Options, UPSTREAM_0, read_to_end};
 use crate::poll::EventSource;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[rstest]
-fn request_of_a_client_that_leaves_as_the_connection_is_established_is_not_forwarded(
+fn request_is_not_forwarded_if_the_client_disconnects_in_the_turn_of_the_connect(
     #[values([UPSTREAM_0, CLIENT_0], [CLIENT_0, UPSTREAM_0])] order: [EventSource; 2],
     #[values("read", "put", "once")] class: &str,
 ) {
@@ -23,7 +23,7 @@
 }
 
 #[rstest]
-fn request_of_a_client_that_left_during_a_slow_connect_is_not_forwarded(
+fn request_is_not_forwarded_if_the_client_disconnects_during_a_slow_connect(
     #[values(true, false)] cancel: bool,
     #[values(true, false)] reset: bool,
     #[values("read", "put", "once")] class: &str,
@@ -56,7 +56,7 @@
             .counters
             .longest_unsent_after_disconnect_ms
             < 300,
-        "as long as the connection took"
+        "the time from the disconnect until the connection was established"
     );
     assert_eq!(harness.event_loop.attempt_tracker.open_requests(), 0);
 }
@@ -67,7 +67,7 @@
         caches: 2,
         ..DEFAULTS
     });
-    let (_, mut cache) = harness.forwarded("read", 50_000);
+    let (_, mut cache) = harness.forward_request("read", 50_000);
     cache.write_all(b"-BUSY\r\n").unwrap();
     drop(harness.clients.pop());
     harness.turn(&[UPSTREAM_0, CLIENT_0]);
@@ -82,25 +82,25 @@
 }
 
 #[rstest]
-fn disconnect_before_the_hedge_or_in_its_turn_prevents_it(
+fn disconnect_before_the_hedge_or_in_its_turn_prevents_the_hedge(
     #[values(true, false)] cancel: bool,
-    #[values(true, false)] in_that_turn: bool,
+    #[values(true, false)] in_turn_of_hedge: bool,
 ) {
     let mut harness = Harness::new(Options {
         caches: 2,
         cancel,
         ..DEFAULTS
     });
-    // The hedge is due after half of this.
-    let (_, _cache) = harness.forwarded("read", 400);
+    // The hedge is due after half of the client timeout.
+    let (_, _cache) = harness.forward_request("read", 400);
     drop(harness.clients.pop());
-    let due = harness.event_loop.clock.now() + 200 * MS;
-    if in_that_turn {
-        let end = harness.wait(CLIENT_0);
-        harness.turn_at(due, end);
+    let hedge_at = harness.event_loop.clock.now() + 200 * MS;
+    if in_turn_of_hedge {
+        let disconnect = harness.wait(CLIENT_0);
+        harness.turn_at(hedge_at, disconnect);
     } else {
         harness.turn(&[CLIENT_0]);
-        while harness.event_loop.clock.now() < due {
+        while harness.event_loop.clock.now() < hedge_at {
             harness.turn(&[]);
         }
     }
@@ -120,7 +120,7 @@
     let mut harness = Harness::new(DEFAULTS);
     for client in 0..8 {
         harness.connect_client();
-        let ask = |n| {
+        let command = |n| {
             write_command(&[
                 b"C.GET",
                 b"a",
@@ -128,19 +128,19 @@
                 b"c=read,d=50000",
             ])
         };
-        let asks: Vec<u8> = (0..125).flat_map(ask).collect();
-        harness.clients[client].write_all(&asks).unwrap();
+        let commands: Vec<u8> = (0..125).flat_map(command).collect();
+        harness.clients[client].write_all(&commands).unwrap();
         harness.turn(&[EventSource::Client(client as u64)]);
     }
     assert_eq!(harness.event_loop.attempt_tracker.open_requests(), 1_000);
     assert!(
         harness.event_loop.counters.attempts < 100,
-        "most are queued: {}",
+        "most requests are queued, but {} attempts were started",
         harness.event_loop.counters.attempts
     );
     harness.clients.clear();
-    let all: Vec<EventSource> = (0..8).map(EventSource::Client).collect();
-    harness.turn(&all);
+    let all_clients: Vec<EventSource> = (0..8).map(EventSource::Client).collect();
+    harness.turn(&all_clients);
     let attempts = harness.event_loop.counters.attempts;
     assert_eq!(
         (
@@ -150,13 +150,13 @@
         ),
         (0, 0, 1_000)
     );
-    let asked = harness.event_loop.clock.now();
-    // The engine releases queued requests ten times a second.
-    while harness.event_loop.clock.now() < asked + 300 * MS {
+    let disconnected_at = harness.event_loop.clock.now();
+    // The engine processes its queue ten times a second.
+    while harness.event_loop.clock.now() < disconnected_at + 300 * MS {
         harness.turn(&[]);
     }
     assert_eq!(
         harness.event_loop.counters.attempts, attempts,
-        "none is sent later"
+        "no attempt is started after the disconnects"
     );
 }
--- a/crates/balancer/src/event_loop/tests/discovery.rs
+++ b/crates/balancer/src/event_loop/tests/discovery.rs
@@ -1,7 +1,8 @@
-//! Endpoint updates and discovery calls that cross with requests.
+//! Endpoint updates and discovery calls that coincide with requests.
 
 use super::harness::{
-    DEFAULTS, Harness, Options, UPSTREAM_0, UPSTREAM_1, VALUE, local, read_command, read_to_end,
+    DEFAULTS, Harness, Options, UPSTREAM_0, UPSTREAM_1, VALUE, local_address, read_command,
+    read_to_end,
 };
 use crate::event_loop::limits::DescriptorBudget;
 use crate::poll::{EventSource, PollOutcome};
@@ -17,15 +18,15 @@
         caches: 2,
         ..DEFAULTS
     });
-    let (first, mut cache) = harness.forwarded("read", 50_000);
+    let (first, mut cache) = harness.forward_request("read", 50_000);
     cache.write_all(b"-BUSY\r\n").unwrap();
     let other = 1 - first;
     harness.turn(&[EventSource::Discovery(0)]);
-    let drains = json!({"seq": 8, "hosts": [
-        {"host": format!("s-{other}"), "dial": local(&harness.caches[other]), "health": "terminating"}]});
-    harness.send_list(&drains.to_string());
-    // The outcome that makes the other the next candidate, and behind it the update that it
-    // drains.
+    let dial = local_address(&harness.caches[other]);
+    let host = json!({"host": format!("s-{other}"), "dial": dial, "health": "terminating"});
+    harness.send_list(&json!({"seq": 8, "hosts": [host]}).to_string());
+    // One turn reports the outcome that makes the other cache the next candidate, and then the
+    // update that this cache is draining.
     harness.turn(&[UPSTREAM_0, EventSource::Discovery(0)]);
     assert_eq!(
         (
@@ -37,19 +38,19 @@
     harness.caches[other].set_nonblocking(true).unwrap();
     assert!(
         harness.caches[other].accept().is_err(),
-        "no connection to the one that drains"
+        "no connection to the draining cache is opened"
     );
 }
 
 #[rstest]
-fn job_in_flight_to_a_former_address_ends_there(#[values(false, true)] up: bool) {
+fn job_in_flight_to_a_former_address_ends_there(#[values(false, true)] connected: bool) {
     let mut harness = Harness::new(Options {
         caches: 1,
         ..DEFAULTS
     });
     harness.send_request("read", 50_000);
     let mut former = harness.accept(0);
-    if up {
+    if connected {
         harness.turn(&[UPSTREAM_0]);
         read_command(&mut former);
     }
@@ -57,17 +58,18 @@
         .caches
         .push(TcpListener::bind("127.0.0.1:0").unwrap());
     harness.turn(&[EventSource::Discovery(0)]);
-    let moved = json!({"seq": 8, "hosts": [{"host": "s-0", "dial": local(&harness.caches[1])}]});
+    let dial = local_address(&harness.caches[1]);
+    let moved = json!({"seq": 8, "hosts": [{"host": "s-0", "dial": dial}]});
     harness.send_list(&moved.to_string());
     harness.turn(&[EventSource::Discovery(0)]);
-    if up {
-        // What has begun there may end there, but the connection carries nothing more.
+    if connected {
+        // A job in progress may complete at the former address; its connection is not reused.
         former.write_all(VALUE).unwrap();
         harness.turn(&[UPSTREAM_0]);
         harness.expect_answer(0, "$1\r\nv\r\n");
     }
     assert_eq!(read_to_end(&mut former), "");
-    if up {
+    if connected {
         harness.send_request("read", 50_000);
     }
     let mut cache = harness.accept(1);
@@ -79,7 +81,10 @@
 #[case::empty_line("HTTP/1.1 200 OK\r\n\r\n\n", true)]
 #[case::head("HTTP/1.1 200 OK\r\n\r\n", false)]
 #[case::busy("HTTP/1.1 503 Service Unavailable\r\n\r\n\n", false)]
-fn open_watch_without_updates_clears_former_failures(#[case] text: &str, #[case] stands: bool) {
+fn established_watch_without_updates_clears_former_failures(
+    #[case] text: &str,
+    #[case] established: bool,
+) {
     let mut harness = Harness::new(DEFAULTS);
     harness.run_until(|event_loop| event_loop.counters.discovery_calls == 1);
     harness.turn(&[EventSource::Discovery(0)]);
@@ -94,11 +99,11 @@
             .event_loop
             .pending_events
             .contains(&Event::DiscoveryAvailable),
-        stands
+        established
     );
     harness.event_loop.run_decisions();
-    // A second empty line does not say it again.
-    if stands {
+    // A second empty line does not repeat the event.
+    if established {
         watch.write_all(b"\n").unwrap();
         let ready = harness.wait(EventSource::Discovery(0));
         harness
@@ -113,27 +118,27 @@
     }
 }
 
-/// Idle clients fill the places while calls of discovery fail: the descriptors that are kept stay
-/// free, and the call goes out again.
+/// Guards against idle clients that use up all descriptors, so that a failed discovery call could
+/// not be repeated. Some descriptors are reserved for discovery.
 #[test]
 fn idle_clients_at_the_limit_leave_discovery_its_descriptor() {
     const SOCKETS: usize = 64;
     let mut harness = Harness::with_config(DEFAULTS, |config| config.descriptors_max = SOCKETS);
-    let places = DescriptorBudget::new(SOCKETS, 0).clients;
+    let clients_max = DescriptorBudget::new(SOCKETS, 0).clients;
     harness.run_until(|event_loop| event_loop.counters.discovery_calls == 1);
     harness.turn(&[EventSource::Discovery(0)]);
-    let (down, _) = harness.discovery.accept().unwrap();
+    let (watch, _) = harness.discovery.accept().unwrap();
     let address = harness
         .event_loop
         .listener
         .address()
-        .expect("the listener is open");
-    let _idle: Vec<TcpStream> = (0..2 * places)
+        .expect("the listener is closed");
+    let _idle: Vec<TcpStream> = (0..2 * clients_max)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
     harness.turn(&[EventSource::Listener]);
-    harness.run_until(|event_loop| event_loop.counters.clients_accepted >= places as u64);
-    drop(down);
+    harness.run_until(|event_loop| event_loop.counters.clients_accepted >= clients_max as u64);
+    drop(watch);
     let ended = harness.wait(EventSource::Discovery(0));
     harness
         .event_loop
@@ -143,22 +148,28 @@
     harness.run_until(|event_loop| event_loop.counters.discovery_calls == 2);
     let open =
         harness.event_loop.counters.clients_accepted - harness.event_loop.counters.clients_closed;
-    assert!(open <= places as u64, "{open} of {places}");
     assert!(
-        places + 8 < SOCKETS,
-        "{places}: the rest is for caches, discovery and the listener"
+        open <= clients_max as u64,
+        "{open} clients; maximum {clients_max}"
+    );
+    assert!(
+        clients_max + 8 < SOCKETS,
+        "{clients_max} of {SOCKETS} descriptors for clients leave too few for other sockets"
     );
     harness.turn(&[EventSource::Discovery(1)]);
-    harness.discovery.accept().expect("it is called again");
+    harness
+        .discovery
+        .accept()
+        .expect("discovery is not called again");
 }
 
 #[test]
 fn reload_with_another_discovery_address_clears_former_failures() {
     let mut harness = Harness::new(DEFAULTS);
     let now = harness.event_loop.clock.now();
-    for (moves, address) in [
-        (false, local(&harness.discovery)),
-        (true, local(&harness.caches[0])),
+    for (has_changed, address) in [
+        (false, local_address(&harness.discovery)),
+        (true, local_address(&harness.caches[0])),
     ] {
         let mut new = harness.event_loop.config.clone();
         new.discovery = address.parse().unwrap();
@@ -168,7 +179,7 @@
                 .event_loop
                 .pending_events
                 .contains(&Event::DiscoveryAvailable),
-            moves
+            has_changed
         );
         harness.event_loop.run_decisions();
     }
--- a/crates/balancer/src/event_loop/tests/harness.rs
+++ b/crates/balancer/src/event_loop/tests/harness.rs
@@ -1,5 +1,5 @@
-//! An event loop between caches, a discovery service and clients that the test plays. The test
-//! decides which sockets are reported in a turn, and in which order.
+//! Test harness: an event loop whose caches, discovery service and clients are sockets of the test.
+//! The test determines which sockets are reported in a turn, and in which order.
 
 use crate::config::Config;
 use crate::event_loop::EventLoop;
@@ -14,10 +14,10 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// After this a step has failed; no step of a working loop comes near it.
+/// Time after which a step counts as failed, far above the time that any step needs.
 pub(super) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The loop with caches, a discovery and clients, all played by the test.
+/// An event loop with the sockets of its caches, discovery service and clients.
 pub(super) struct Harness {
     pub(super) event_loop: EventLoop,
     pub(super) events: Events,
@@ -26,15 +26,18 @@
     pub(super) clients: Vec<TcpStream>,
 }
 
-pub(super) fn local(listener: &TcpListener) -> String {
+pub(super) fn local_address(listener: &TcpListener) -> String {
     listener.local_addr().unwrap().to_string()
 }
 
-/// What some tests have otherwise.
+/// Settings that differ between tests.
 #[derive(Clone, Copy)]
 pub(super) struct Options {
+    /// Number of caches.
     pub(super) caches: usize,
+    /// Whether attempts may be cancelled.
     pub(super) cancel: bool,
+    /// Deduplication window of keyed writes, in milliseconds.
     pub(super) window_ms: u64,
 }
 
@@ -49,23 +52,25 @@
         Harness::with_config(options, |_| {})
     }
 
-    /// With more in its configuration than the file says.
+    /// Starts an event loop whose configuration is modified by `change` after it is parsed.
     pub(super) fn with_config(options: Options, change: impl FnOnce(&mut Config)) -> Self {
-        let listen = || TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listen = || TcpListener::bind("127.0.0.1:0").expect("no free port");
         let caches: Vec<TcpListener> = (0..options.caches).map(|_| listen()).collect();
         let discovery = listen();
-        // Also for what it accepts: a step that is missing fails, and does not hang.
+        // Accepted connections inherit the timeout, so that a missing step fails instead of
+        // blocking the test.
         SockRef::from(&discovery)
             .set_read_timeout(Some(TEST_TIMEOUT))
             .unwrap();
-        let host = |(n, cache)| json!({"host": format!("s-{n}"), "dial": local(cache)});
+        let host = |(n, cache)| json!({"host": format!("s-{n}"), "dial": local_address(cache)});
         let hosts: Vec<_> = caches.iter().enumerate().map(host).collect();
         let class = |name: &str, repeat: &str| {
-            json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": options.window_ms * MS,
-                "goal_time_ns": 60_000 * MS, "give_up_ns": 90_000 * MS, "worth": 1})
+            json!({"name": name, "repeat": repeat, "group": "all",
+                "memory_span_ns": options.window_ms * MS, "goal_time_ns": 60_000 * MS,
+                "give_up_ns": 90_000 * MS, "worth": 1})
         };
         let config = json!({
-            "listen": "127.0.0.1:0", "discovery": local(&discovery), "seed": "2a",
+            "listen": "127.0.0.1:0", "discovery": local_address(&discovery), "seed": "2a",
             "known": {"seq": 7, "whole": true, "hosts": hosts},
             "settings": {
                 "membership_mode": "automatic", "group_size": 1, "step_ns": MS,
@@ -75,9 +80,9 @@
                 "profiles": [class("read", "safe"), class("put", "keyed"), class("once", "unsafe")],
             },
         });
-        let mut config = Config::read(&config.to_string()).expect("it is sound");
+        let mut config = Config::read(&config.to_string()).expect("invalid configuration");
         change(&mut config);
-        let event_loop = EventLoop::new(config).expect("it starts");
+        let event_loop = EventLoop::new(config).expect("the event loop does not start");
         Harness {
             event_loop,
             events: Events::new(),
@@ -87,12 +92,13 @@
         }
     }
 
+    /// Connects a client, has the event loop accept it, and returns the client's index.
     pub(super) fn connect_client(&mut self) -> usize {
         let client = TcpStream::connect(
             self.event_loop
                 .listener
                 .address()
-                .expect("the listener is open"),
+                .expect("the listener is closed"),
         )
         .unwrap();
         client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -101,10 +107,11 @@
         self.clients.len() - 1
     }
 
-    /// A new client sends a request, and the engine has decided.
-    pub(super) fn send_request(&mut self, class: &str, d: u64) {
+    /// Connects a client that sends a request with this client timeout, and runs the event loop
+    /// until the engine has decided on the request.
+    pub(super) fn send_request(&mut self, class: &str, client_timeout_ms: u64) {
         let number = self.connect_client();
-        let fields = format!("c={class},d={d}");
+        let fields = format!("c={class},d={client_timeout_ms}");
         let mut words: Vec<&[u8]> = vec![b"C.GET", b"a", b"1", fields.as_bytes()];
         if class != "read" {
             words[0] = b"C.SET";
@@ -116,36 +123,41 @@
         self.turn(&[EventSource::Client(number as u64)]);
     }
 
-    /// A new client asks, and which cache has got the command, with its connection.
-    pub(super) fn forwarded(&mut self, class: &str, d: u64) -> (usize, TcpStream) {
-        self.send_request(class, d);
+    /// Sends a request of a new client until a cache has received its command. Returns the index of
+    /// the cache and its connection.
+    pub(super) fn forward_request(
+        &mut self,
+        class: &str,
+        client_timeout_ms: u64,
+    ) -> (usize, TcpStream) {
+        self.send_request(class, client_timeout_ms);
         self.turn(&[UPSTREAM_0]);
         let (number, mut cache) = self.next_connection();
         read_command(&mut cache);
         (number, cache)
     }
 
-    /// One turn that comes no sooner than this, in which just this is ready.
+    /// Runs one turn at `at` or later, in which only `ready` is reported.
     pub(super) fn turn_at(&mut self, at: Nanos, ready: Readiness) {
         while self.event_loop.clock.now() < at {}
         self.process(vec![ready]);
     }
 
-    /// One turn in which just these are ready, in this order. Each is waited for, however long the
-    /// kernel takes.
+    /// Runs one turn in which only these sources are reported, in this order, after waiting until
+    /// each of them is ready.
     pub(super) fn turn(&mut self, sources: &[EventSource]) {
         self.event_loop.run_decisions();
         let ready: Vec<Readiness> = sources.iter().map(|source| self.wait(*source)).collect();
         self.process(ready);
     }
 
-    /// A turn after a poll that reports just these, and as many more without any as attempts wait
-    /// for, however slow the machine is.
+    /// Processes a poll that reports only `ready`, then polls that report nothing until no attempt
+    /// is postponed, so that the result does not depend on the speed of the machine.
     pub(super) fn process(&mut self, mut ready: Vec<Readiness>) {
         loop {
             let now = self.event_loop.clock.now();
-            // For the loop these turns follow each other without a pause.
-            self.event_loop.poll_timestamps.prompt(now);
+            // The event loop must not detect a stall between these turns.
+            self.event_loop.poll_timestamps.record_prompt_poll(now);
             self.event_loop
                 .process_ready(&mut ready, PollOutcome::Completed);
             self.event_loop.run_decisions();
@@ -155,41 +167,48 @@
         }
     }
 
+    /// Waits until a source is ready, and returns its readiness without processing it.
     pub(super) fn wait(&mut self, source: EventSource) -> Readiness {
-        let asked = Instant::now();
-        while asked.elapsed() < TEST_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < TEST_TIMEOUT {
             let mut ready = Vec::new();
             self.event_loop
                 .poll
                 .wait(&mut self.events, Some(Duration::from_millis(1)), &mut ready)
                 .unwrap();
-            if let Some(one) = ready.into_iter().find(|one| one.source == source) {
-                return one;
+            let found = ready
+                .into_iter()
+                .find(|readiness| readiness.source == source);
+            if let Some(readiness) = found {
+                return readiness;
             }
         }
         panic!("{source:?} does not become ready")
     }
 
-    /// Turns without a socket until this is so.
-    pub(super) fn run_until(&mut self, is_so: impl Fn(&EventLoop) -> bool) {
-        let asked = Instant::now();
-        while !is_so(&self.event_loop) {
-            assert!(asked.elapsed() < TEST_TIMEOUT, "the condition is never met");
+    /// Runs turns that report no sockets until the condition is met.
+    pub(super) fn run_until(&mut self, condition: impl Fn(&EventLoop) -> bool) {
+        let started = Instant::now();
+        while !condition(&self.event_loop) {
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "the condition is never met"
+            );
             self.turn(&[]);
         }
     }
 
-    /// A cache's next connection.
+    /// Accepts the next upstream connection, which must be to this cache.
     pub(super) fn accept(&self, cache: usize) -> TcpStream {
         let (number, stream) = self.next_connection();
-        assert_eq!(number, cache, "another cache is asked");
+        assert_eq!(number, cache, "the connection is to another cache");
         stream
     }
 
-    /// Which cache the next connection goes to, and that.
+    /// Accepts the next upstream connection, and returns the index of its cache and the connection.
     pub(super) fn next_connection(&self) -> (usize, TcpStream) {
-        let asked = Instant::now();
-        while asked.elapsed() < TEST_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < TEST_TIMEOUT {
             for (number, cache) in self.caches.iter().enumerate() {
                 cache.set_nonblocking(true).unwrap();
                 let next = cache.accept();
@@ -201,35 +220,36 @@
                 }
             }
         }
-        panic!("no cache is asked")
+        panic!("no upstream connection is opened")
     }
 
-    pub(super) fn expect_answer(&mut self, client: usize, want: &str) {
-        let mut got = vec![0; want.len()];
-        self.clients[client].read_exact(&mut got).unwrap();
-        assert_eq!(String::from_utf8_lossy(&got), want);
+    pub(super) fn expect_answer(&mut self, client: usize, expected: &str) {
+        let mut received = vec![0; expected.len()];
+        self.clients[client].read_exact(&mut received).unwrap();
+        assert_eq!(String::from_utf8_lossy(&received), expected);
     }
 
+    /// Accepts the next watch and sends a message on it.
     pub(super) fn send_list(&mut self, text: &str) {
         let (mut watch, _) = self.discovery.accept().unwrap();
         write!(watch, "HTTP/1.1 200 OK\r\n\r\n{text}\n").unwrap();
-        // As an agent does that goes on: the connection stays.
+        // Keeps the connection open, as the discovery service does.
         std::mem::forget(watch);
     }
 }
 
-/// What comes on a connection before it ends.
+/// Returns all bytes that are received on a connection until it ends.
 pub(super) fn read_to_end(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     match stream.read_to_end(&mut text) {
         Ok(_) => {}
         Err(e) if e.kind() == io::ErrorKind::ConnectionReset => {}
-        Err(e) => panic!("it does not end: {e}"),
+        Err(e) => panic!("the connection does not end: {e}"),
     }
     String::from_utf8(text).unwrap()
 }
 
-/// A whole command, as it comes to a cache.
+/// Reads one complete command from an upstream connection.
 pub(super) fn read_command(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     while crate::resp::parse_command(&text).unwrap().is_none() {
@@ -237,7 +257,7 @@
         assert_eq!(
             stream.read(&mut byte).unwrap(),
             1,
-            "after {}",
+            "the connection ends after {}",
             text.escape_ascii()
         );
         text.push(byte[0]);
@@ -245,15 +265,15 @@
     String::from_utf8(text).unwrap()
 }
 
-/// What a cache makes of a read.
+/// A cache's response to a read.
 pub(super) const VALUE: &[u8] = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n";
 
-/// The time that a cache is told to be waited for, in milliseconds.
+/// Reads a command from an upstream connection and returns its timeout in milliseconds.
 pub(super) fn forwarded_timeout_ms(stream: &mut TcpStream) -> u64 {
     read_command(stream)
         .trim_end()
         .rsplit_once("d=")
-        .expect("a field")
+        .expect("the command has no timeout field")
         .1
         .parse()
         .unwrap()
@@ -269,30 +289,30 @@
         self.event_loop.check_other_process(now);
     }
 
-    pub(super) fn stop(&mut self) {
+    pub(super) fn begin_shutdown(&mut self) {
         let now = self.event_loop.clock.now();
         self.event_loop.begin_shutdown(now);
     }
 
-    /// Takes the next client and answers it.
-    pub(super) fn serves(&mut self, mut client: TcpStream, want: &str) {
+    /// Has the event loop accept the next client and checks its answer to the client's command.
+    pub(super) fn accept_and_answer(&mut self, mut client: TcpStream, expected: &str) {
         let number = self.event_loop.counters.clients_accepted;
         self.turn(&[EventSource::Listener]);
         self.turn(&[EventSource::Client(number)]);
-        let mut got = vec![0; want.len()];
-        client.read_exact(&mut got).unwrap();
-        assert_eq!(String::from_utf8_lossy(&got), want);
+        let mut received = vec![0; expected.len()];
+        client.read_exact(&mut received).unwrap();
+        assert_eq!(String::from_utf8_lossy(&received), expected);
     }
 }
 
-/// All that this client is sent until now.
-pub(super) fn received(client: &mut TcpStream) -> String {
+/// Returns all bytes that the client has received so far; its connection must be open.
+pub(super) fn received_so_far(client: &mut TcpStream) -> String {
     client.set_nonblocking(true).unwrap();
     let mut text = Vec::new();
     let end = client.read_to_end(&mut text);
     assert!(
         matches!(end, Err(e) if e.kind() == io::ErrorKind::WouldBlock),
-        "it stays open"
+        "the connection is closed"
     );
     String::from_utf8(text).unwrap()
 }
--- a/crates/balancer/src/event_loop/tests/hedges.rs
+++ b/crates/balancer/src/event_loop/tests/hedges.rs
@@ -1,19 +1,20 @@
 //! Hedged requests.
 
 use super::harness::{
-    DEFAULTS, Harness, Options, UPSTREAM_0, UPSTREAM_1, VALUE, read_command, read_to_end, received,
+    DEFAULTS, Harness, Options, UPSTREAM_0, UPSTREAM_1, VALUE, read_command, read_to_end,
+    received_so_far,
 };
 use crate::poll::EventSource;
 use rstest::rstest;
 use std::io::Write;
 
 #[test]
-fn hedge_that_is_connected_after_the_answer_is_not_sent() {
+fn hedge_whose_connection_is_established_after_the_response_is_not_sent() {
     let mut harness = Harness::new(Options {
         caches: 2,
         ..DEFAULTS
     });
-    // The hedge is due after half of this.
+    // The hedge is due after half of the client timeout.
     harness.send_request("read", 4_000);
     harness.turn(&[UPSTREAM_0]);
     let (_, mut first) = harness.next_connection();
@@ -34,7 +35,7 @@
 }
 
 #[rstest]
-fn answers_of_a_read_and_its_hedge_in_one_turn_yield_one_answer(
+fn responses_to_a_read_and_its_hedge_in_one_turn_yield_one_answer(
     #[values([UPSTREAM_0, UPSTREAM_1], [UPSTREAM_1, UPSTREAM_0])] order: [EventSource; 2],
     #[values(VALUE, b"-ERR failed\r\n", b"*3\r\n$x")] other: &[u8],
 ) {
@@ -54,7 +55,7 @@
     first.write_all(VALUE).unwrap();
     second.write_all(other).unwrap();
     harness.turn(&order);
-    assert_eq!(received(&mut harness.clients[0]), "$1\r\nv\r\n");
+    assert_eq!(received_so_far(&mut harness.clients[0]), "$1\r\nv\r\n");
     assert_eq!(
         (
             harness.event_loop.counters.served,
--- a/crates/balancer/src/event_loop/tests/hot_restart.rs
+++ b/crates/balancer/src/event_loop/tests/hot_restart.rs
@@ -5,31 +5,31 @@
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::IntoRawFd;
 
-/// Two processes of one balancer on one listening socket, with a folder for what they tell each
-/// other.
-struct Pair {
+/// A listening socket for two processes of one balancer, and the folder of their slot and transfer
+/// files.
+struct HotRestartPair {
     folder: std::path::PathBuf,
     listener: TcpListener,
 }
 
-impl Drop for Pair {
+impl Drop for HotRestartPair {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Pair {
+impl HotRestartPair {
     fn new(name: &str) -> Self {
         let folder =
             std::env::temp_dir().join(format!("pipitrun-pair-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Pair {
+        HotRestartPair {
             folder,
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
         }
     }
 
-    /// One that has just started, and is ready as soon as it waits for no notes.
+    /// Starts a process. It is ready as soon as it awaits no state transfer.
     fn start(&self) -> Harness {
         let socket = self.listener.try_clone().unwrap();
         Harness::with_config(DEFAULTS, |config| {
@@ -38,21 +38,21 @@
         })
     }
 
-    /// An old one, and a new one that is ready; the old one has not checked on it since.
-    fn both(&self) -> (Harness, Harness) {
+    /// Starts an old process, and a new one that has become ready since the old one's last check.
+    fn start_both(&self) -> (Harness, Harness) {
         let mut old = self.start();
         let mut new = self.start();
         old.check_other_process();
         new.check_other_process();
         assert!(
             old.event_loop.lifecycle.is_ready() && new.event_loop.lifecycle.is_ready(),
-            "its notes lay there"
+            "the new process has not received its state"
         );
         (old, new)
     }
 
-    /// A client that asks whether it is served.
-    fn ping(&self) -> TcpStream {
+    /// Connects a client that sends `PING`.
+    fn connect_ping_client(&self) -> TcpStream {
         let mut client = TcpStream::connect(self.listener.local_addr().unwrap()).unwrap();
         client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
         client
@@ -60,92 +60,92 @@
 }
 
 #[test]
-fn stop_right_after_the_new_process_is_ready_hands_the_listener_over() {
-    let pair = Pair::new("yes");
-    let (mut old, mut new) = pair.both();
-    old.stop();
+fn shutdown_right_after_the_new_process_is_ready_hands_the_listener_over() {
+    let pair = HotRestartPair::new("yes");
+    let (mut old, mut new) = pair.start_both();
+    old.begin_shutdown();
     assert!(
         old.event_loop.is_finished(),
-        "nothing is owed here any more"
+        "the old process has no clients left"
     );
-    new.serves(pair.ping(), "+PONG\r\n");
+    new.accept_and_answer(pair.connect_ping_client(), "+PONG\r\n");
 }
 
 #[test]
-fn state_is_written_for_each_new_process_once_it_has_written_its_name() {
-    let pair = Pair::new("names");
-    let notes = pair.folder.join("pipitrun.notes");
+fn state_is_written_for_each_new_process_once_it_has_written_its_slot() {
+    let pair = HotRestartPair::new("names");
+    let transfer = pair.folder.join("pipitrun.notes");
     let mut old = pair.start();
-    // A new process has its slot, and has not written its name yet.
+    // As if a new process held its slot, but had not written its name yet.
     let slot = pair.folder.join("pipitrun.seat-1");
     let slot = std::fs::File::options().write(true).open(slot).unwrap();
     slot.lock().unwrap();
     old.check_other_process();
     assert!(
-        old.event_loop.hot_restart.has_other() && !notes.exists(),
-        "nobody could tell that they are for him"
+        old.event_loop.hot_restart.has_other() && !transfer.exists(),
+        "no state is written for a process without a name"
     );
     drop(slot);
-    // The next dies before it reads its notes.
+    // The next process dies before it reads its state.
     let new = pair.start();
     old.check_other_process();
-    assert!(notes.exists());
+    assert!(transfer.exists());
     drop(new);
     let mut new = pair.start();
     assert!(
-        !notes.exists() && !new.event_loop.lifecycle.is_ready(),
-        "it waits for its own"
+        !transfer.exists() && !new.event_loop.lifecycle.is_ready(),
+        "a new process discards the state for the dead one and awaits its own"
     );
     old.check_other_process();
     new.check_other_process();
-    assert!(new.event_loop.lifecycle.is_ready() && !notes.exists());
+    assert!(new.event_loop.lifecycle.is_ready() && !transfer.exists());
 }
 
 #[test]
-fn old_process_keeps_the_listener_if_the_new_one_died_once_ready() {
-    let pair = Pair::new("died");
-    let (mut old, new) = pair.both();
+fn old_process_keeps_the_listener_if_the_new_one_dies_once_ready() {
+    let pair = HotRestartPair::new("died");
+    let (mut old, new) = pair.start_both();
     old.check_other_process();
-    assert!(old.event_loop.hot_restart.other_serves());
+    assert!(old.event_loop.hot_restart.other_process_serves());
     drop(new);
-    old.stop();
+    old.begin_shutdown();
     assert!(!old.event_loop.is_finished());
-    old.serves(pair.ping(), "-LOADING ending\r\n");
+    old.accept_and_answer(pair.connect_ping_client(), "-LOADING ending\r\n");
 }
 
 #[test]
 fn listener_is_taken_back_if_the_new_process_dies_during_shutdown() {
-    let pair = Pair::new("back");
-    let (mut old, new) = pair.both();
+    let pair = HotRestartPair::new("back");
+    let (mut old, new) = pair.start_both();
     old.send_request("read", 50_000);
     old.turn(&[UPSTREAM_0]);
-    old.stop();
-    assert!(!old.event_loop.is_finished(), "an answer is owed");
+    old.begin_shutdown();
+    assert!(!old.event_loop.is_finished(), "a request is still open");
     drop(new);
-    let client = pair.ping();
+    let client = pair.connect_ping_client();
     old.check_other_process();
-    old.serves(client, "-LOADING ending\r\n");
+    old.accept_and_answer(client, "-LOADING ending\r\n");
 }
 
 #[test]
-fn two_processes_that_both_stop_both_accept_late_clients() {
-    let pair = Pair::new("both");
-    let (mut old, mut new) = pair.both();
+fn two_processes_that_both_shut_down_both_accept_further_clients() {
+    let pair = HotRestartPair::new("both");
+    let (mut old, mut new) = pair.start_both();
     old.check_other_process();
-    new.stop();
-    old.stop();
+    new.begin_shutdown();
+    old.begin_shutdown();
     new.check_other_process();
-    for one in [&mut old, &mut new] {
-        assert!(!one.event_loop.is_finished());
-        one.serves(pair.ping(), "-LOADING ending\r\n");
+    for process in [&mut old, &mut new] {
+        assert!(!process.event_loop.is_finished());
+        process.accept_and_answer(pair.connect_ping_client(), "-LOADING ending\r\n");
     }
 }
 
 #[test]
-fn limits_are_halved_while_two_processes_live_whatever_admin_calls_come() {
-    let pair = Pair::new("split");
+fn limits_are_halved_while_two_processes_run_even_after_admin_calls_and_reloads() {
+    let pair = HotRestartPair::new("split");
     let mut old = pair.start();
-    let alone = old.event_loop.memory_limit;
+    let full_limit = old.event_loop.memory_limit;
     let new = pair.start();
     old.check_other_process();
     let now = old.event_loop.clock.now();
@@ -153,18 +153,18 @@
     old.event_loop.apply_lifecycle(now);
     assert_eq!(
         (old.event_loop.memory_limit, new.event_loop.memory_limit),
-        (alone / 2, alone / 2)
+        (full_limit / 2, full_limit / 2)
     );
     let mut reloaded = old.event_loop.config.clone();
     reloaded.memory_max *= 2;
     old.event_loop.apply_config(reloaded, now);
     assert_eq!(
-        old.event_loop.memory_limit, alone,
-        "half of what is twice as much"
+        old.event_loop.memory_limit, full_limit,
+        "half of the doubled limit"
     );
     drop(new);
     old.event_loop.lifecycle.resume().unwrap();
     old.check_other_process();
-    assert_eq!(old.event_loop.memory_limit, 2 * alone);
-    old.serves(pair.ping(), "+PONG\r\n");
+    assert_eq!(old.event_loop.memory_limit, 2 * full_limit);
+    old.accept_and_answer(pair.connect_ping_client(), "+PONG\r\n");
 }
--- a/crates/balancer/src/event_loop/tests/shutdown.rs
+++ b/crates/balancer/src/event_loop/tests/shutdown.rs
@@ -12,10 +12,10 @@
     harness.send_request("read", 80_000);
     harness.turn(&[UPSTREAM_0]);
     let mut cache = harness.accept(0);
-    let d = forwarded_timeout_ms(&mut cache);
+    let timeout_ms = forwarded_timeout_ms(&mut cache);
     assert!(
-        d <= 3_600,
-        "{d}: the process is killed 3.7 s after the request to stop at the earliest"
+        timeout_ms <= 3_600,
+        "{timeout_ms} ms; the process may be killed 3.7 s after the shutdown request"
     );
 }
 
@@ -28,14 +28,14 @@
     #[values(true, false)] cancel: bool,
 ) {
     let mut harness = Harness::new(Options { cancel, ..DEFAULTS });
-    let (_, _cache) = harness.forwarded(class, 80_000);
-    harness.stop();
-    let by = harness
+    let (_, _cache) = harness.forward_request(class, 80_000);
+    harness.begin_shutdown();
+    let deadline = harness
         .event_loop
         .lifecycle
         .answer_deadline()
-        .expect("it ends");
-    while harness.event_loop.clock.now() <= by {
+        .expect("the process is not shutting down");
+    while harness.event_loop.clock.now() <= deadline {
         harness.turn(&[]);
     }
     harness.turn(&[]);
@@ -44,28 +44,28 @@
 }
 
 #[test]
-fn attempt_connected_after_the_stop_carries_the_time_until_the_kill() {
+fn attempt_connected_during_shutdown_carries_the_time_until_the_kill() {
     let mut harness = Harness::new(DEFAULTS);
     harness.send_request("read", 80_000);
     let mut cache = harness.accept(0);
-    harness.stop();
+    harness.begin_shutdown();
     harness.turn(&[UPSTREAM_0]);
-    let d = forwarded_timeout_ms(&mut cache);
-    assert!(d <= 3_600, "{d}");
+    let timeout_ms = forwarded_timeout_ms(&mut cache);
+    assert!(timeout_ms <= 3_600, "{timeout_ms}");
 }
 
 #[test]
-fn stop_before_any_endpoint_list_answers_open_requests() {
+fn shutdown_before_any_endpoint_list_answers_open_requests() {
     let mut harness = Harness::new(Options {
         caches: 0,
         ..DEFAULTS
     });
     harness.send_request("once", 1_000);
-    harness.stop();
+    harness.begin_shutdown();
     assert_eq!(
         harness.event_loop.attempt_tracker.open_requests(),
         1,
-        "it waits for a list"
+        "the request waits for an endpoint list"
     );
     harness.run_until(|event_loop| event_loop.attempt_tracker.open_requests() == 0);
     harness.expect_answer(0, "-BUSY\r\n");
--- a/crates/balancer/src/event_loop/timeouts.rs
+++ b/crates/balancer/src/event_loop/timeouts.rs
@@ -1,11 +1,11 @@
-//! Expired timers.
+//! Handling of expired timers.
 
 use super::EventLoop;
 use crate::timers::{MS, TimerKind};
 use crate::upstream_pool::UpstreamJob;
 use routing::{AttemptNumber, AttemptOutcome, Event, Nanos, RequestId};
 
-/// How often idle and stuck connections are looked for.
+/// Interval between checks for connections that are idle or incomplete for too long.
 pub(super) const REAP_INTERVAL: Nanos = 50 * MS;
 
 impl EventLoop {
@@ -27,7 +27,7 @@
 
     fn attempt_timed_out(&mut self, now: Nanos, request: RequestId, attempt: AttemptNumber) {
         let job = UpstreamJob::Attempt(request, attempt);
-        // What was not sent whole never ran, and may be repeated.
+        // A command that was not sent completely has not run, so the request may be retried.
         let outcome = if self.upstream_pool.is_unsent(job) {
             AttemptOutcome::ConnectFailed
         } else {
@@ -59,7 +59,7 @@
 
     fn response_stalled(&mut self, now: Nanos, connection: u64) {
         let mut events = Vec::new();
-        // What came since the last poll is not read yet.
+        // Bytes that arrived since the last poll are not read yet.
         let seen = self.poll_timestamps.last_poll();
         self.upstream_pool
             .handle_stall_timeout(seen, connection, &mut events, &mut self.counters);
--- a/crates/balancer/src/event_loop/turn_meter.rs
+++ b/crates/balancer/src/event_loop/turn_meter.rs
@@ -1,43 +1,43 @@
-//! How long the turns of the event loop take, and which step of a turn takes longest.
+//! Measures how long a turn of the event loop takes, and which of its steps takes longest.
 
 use routing::Nanos;
 
-/// A step of a turn.
+/// A step of a turn. The variant names appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TurnStep {
-    /// Admin calls.
+    /// Processing of admin calls.
     AdminCalls,
-    /// Messages of discovery.
+    /// Processing of discovery messages.
     DiscoveryUpdates,
-    /// Upstream connections, signals and new clients.
+    /// Processing of upstream connections, signals, gossip and new clients.
     Upstreams,
-    /// Expired timers.
+    /// Processing of expired timers.
     Timers,
-    /// Commands and disconnects of clients, and attempts that start.
+    /// Processing of client commands and disconnects, and writing of connected attempts.
     Clients,
-    /// Decisions of the engine, and their execution.
+    /// Decisions of the engine and execution of its actions.
     Decisions,
 }
 
-/// A step with a time: when it started, or how long it took.
+/// A step with its start time or its duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StepTime {
     pub(super) step: TurnStep,
     pub(super) time: Nanos,
 }
 
-/// Measures a turn by its steps.
+/// Time measurement of one turn and its steps.
 #[derive(Debug)]
 pub(super) struct TurnMeter {
     started_at: Nanos,
-    /// The current step, and when it started.
+    /// Current step with its start time.
     current: StepTime,
-    /// The longest step so far, and how long it took.
+    /// Longest completed step with its duration.
     longest: StepTime,
 }
 
 impl TurnMeter {
-    /// Starts a turn.
+    /// Starts the measurement of a turn at `now`, in its first step.
     pub(super) fn start(now: Nanos) -> Self {
         let step = TurnStep::AdminCalls;
         TurnMeter {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Ends the current step and starts the next.
+    /// Ends the current step and starts `step`.
     pub(super) fn step(&mut self, step: TurnStep, now: Nanos) {
         let duration = now.saturating_sub(self.current.time);
         if duration > self.longest.time {
@@ -59,12 +59,12 @@
         self.current = StepTime { step, time: now };
     }
 
-    /// How long the turn has taken.
+    /// Returns the time since the start of the turn.
     pub(super) fn elapsed(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.started_at)
     }
 
-    /// The longest step, and how long it took.
+    /// Returns the longest completed step with its duration.
     pub(super) fn longest(&self) -> StepTime {
         self.longest
     }
--- a/crates/balancer/src/event_loop/turn_meter/tests.rs
+++ b/crates/balancer/src/event_loop/turn_meter/tests.rs
@@ -1,10 +1,10 @@
-//! What a turn's figures say.
+//! Measurement of a turn and its steps.
 
 use super::*;
 use crate::timers::MS;
 
 #[test]
-fn a_turn_is_measured_from_its_start_and_named_by_its_longest_step() {
+fn turn_is_measured_from_its_start_and_reports_its_longest_step() {
     let mut turn = TurnMeter::start(5 * MS);
     for (step, ms) in [
         (TurnStep::DiscoveryUpdates, 6),
--- a/crates/balancer/src/hot_restart.rs
+++ b/crates/balancer/src/hot_restart.rs
@@ -1,28 +1,30 @@
-//! The two processes of one balancer during a hot restart, without I/O: fed with what the other's
-//! process slot says, and when.
+//! Coordination of the two processes of one balancer during a hot restart.
+//!
+//! It does no I/O: the caller passes the content of the other process's slot with the time of each
+//! check.
 
 use crate::timers::MS;
 use routing::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// How often a process checks on the other one.
+/// Interval between checks for the other process.
 const CHECK_INTERVAL: Nanos = 100 * MS;
-/// How often a new process checks for the state transfer that it awaits.
+/// Interval between checks of a new process for the state transfer that it awaits.
 const TRANSFER_CHECK_INTERVAL: Nanos = 10 * MS;
-/// How long a new process awaits it.
+/// Maximum time that a new process waits for a state transfer.
 const TRANSFER_TIMEOUT: Nanos = 500 * MS;
 
-/// The other process, as its slot describes it. The fields are the keys in the file.
+/// The other process, as described by its slot file. The field names are the keys in the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OtherProcess {
-    /// A name of its own for each start; empty as long as its slot can't be read.
+    /// Name of the process, different for each start; empty while its slot can't be read.
     pub process: String,
-    /// It is ready to serve.
+    /// Whether the process is ready to serve.
     pub ready: bool,
 }
 
 impl OtherProcess {
-    /// A process that holds a slot which can't be read yet.
+    /// Returns the description of a process that holds a slot but has not written it yet.
     #[must_use]
     pub fn unknown() -> Self {
         OtherProcess {
@@ -36,41 +38,42 @@
     }
 }
 
-/// What a check on the other process found.
+/// Result of a check for the other process.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// The other process, if one lives.
+    /// The other process, if one is running.
     pub other: Option<OtherProcess>,
-    /// A state transfer is there, which may be for this process.
+    /// Whether a state transfer file exists. Its recipient is known only once it is read.
     pub has_transfer: bool,
-    /// This process serves clients.
+    /// Whether this process serves clients.
     pub is_serving: bool,
 }
 
-/// What is to be done after a check.
+/// Actions to be executed after a check.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct HotRestartActions {
-    /// The limits are to be divided anew.
+    /// The limits must be applied again, as the other process appeared or disappeared.
     pub apply_limits: bool,
-    /// State is to be written for this process.
+    /// State must be written for the process of this name.
     pub write_state_for: Option<String>,
-    /// The state that was awaited is to be read, if it is there.
+    /// The wait for a state transfer is over; the transfer must be read, if there is one.
     pub read_state: bool,
 }
 
-/// What one process knows of the other.
+/// State of one process in a hot restart.
 #[derive(Debug)]
 pub struct HotRestart {
     other: Option<OtherProcess>,
-    /// Until when state is awaited: only by a process that found another one at its start.
+    /// Time until which a state transfer is awaited; `None` if none is awaited. Only a process that
+    /// finds a serving process at its start awaits one.
     transfer_deadline: Option<Nanos>,
     is_first_check: bool,
-    /// The process that state was last written for.
+    /// Process that state was last written for.
     last_recipient: Option<String>,
 }
 
 impl HotRestart {
-    /// A process that has not checked yet.
+    /// Creates the state of a process that has not checked for another one yet.
     #[must_use]
     pub fn new() -> Self {
         HotRestart {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Decides what follows from a check on the other process.
+    /// Records the result of a check and returns the actions that follow from it.
     pub fn observe(&mut self, now: Nanos, observation: Observation) -> HotRestartActions {
         let Observation {
             other,
@@ -89,8 +92,8 @@
             is_serving,
         } = observation;
         let apply_limits = other.is_some() != self.other.is_some();
-        // One whose slot can't be read may serve, or may be the new process; state for it waits
-        // until that is known.
+        // A process whose slot can't be read yet may be serving, or may be a new process. State is
+        // awaited from it, but is written for it only once its slot can be read.
         let may_serve = |other: &OtherProcess| other.ready || other.is_unknown();
         if std::mem::take(&mut self.is_first_check) && other.as_ref().is_some_and(may_serve) {
             self.transfer_deadline = Some(now + TRANSFER_TIMEOUT);
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Whether the awaited state is there, overdue, or will not come.
+    /// Returns whether the wait for a state transfer is over: the transfer has arrived, is overdue,
+    /// or its sender has died.
     fn ends_waiting(&mut self, now: Nanos, has_transfer: bool) -> bool {
         let Some(deadline) = self.transfer_deadline else {
             return false;
@@ -115,7 +119,7 @@
         is_over
     }
 
-    /// The new process that state is to be written for: once for each.
+    /// Returns the new process that state must be written for. Each process is returned once.
     fn next_recipient(&mut self) -> Option<String> {
         let is_new = |other: &&OtherProcess| !other.ready && !other.is_unknown();
         let recipient = &self.other.as_ref().filter(is_new)?.process;
@@ -126,25 +130,25 @@
         self.last_recipient.clone()
     }
 
-    /// Another process lives beside this one.
+    /// Returns whether another process of this balancer is running.
     #[must_use]
     pub fn has_other(&self) -> bool {
         self.other.is_some()
     }
 
-    /// The other process serves clients.
+    /// Returns whether the other process serves clients.
     #[must_use]
-    pub fn other_serves(&self) -> bool {
+    pub fn other_process_serves(&self) -> bool {
         self.other.as_ref().is_some_and(|other| other.ready)
     }
 
-    /// State may still come; until then this process is not ready.
+    /// Returns whether a state transfer is awaited; meanwhile this process is not ready.
     #[must_use]
     pub fn awaits_state(&self) -> bool {
         self.transfer_deadline.is_some()
     }
 
-    /// How long until the next check.
+    /// Returns the time until the next check.
     #[must_use]
     pub fn check_interval(&self) -> Nanos {
         if self.awaits_state() {
--- a/crates/balancer/src/hot_restart/tests.rs
+++ b/crates/balancer/src/hot_restart/tests.rs
@@ -1,4 +1,4 @@
-//! What a process does once it sees the other one.
+//! Actions of a process after each check for the other process.
 
 use super::*;
 use proptest::prelude::*;
@@ -29,17 +29,19 @@
 }
 
 #[test]
-fn a_new_process_awaits_state_but_not_for_long_nor_from_a_dead_one() {
-    let there = |s: &mut HotRestart| s.check(1, other("a", true), true, false);
-    let late = |s: &mut HotRestart| s.check(TRANSFER_TIMEOUT, other("a", true), false, false);
-    let dead = |s: &mut HotRestart| s.check(1, None, false, false);
-    for (end, beside) in [
+fn new_process_awaits_state_until_it_arrives_times_out_or_the_sender_dies() {
+    let transfer_arrives =
+        |process: &mut HotRestart| process.check(1, other("a", true), true, false);
+    let timeout_passes =
+        |process: &mut HotRestart| process.check(TRANSFER_TIMEOUT, other("a", true), false, false);
+    let sender_dies = |process: &mut HotRestart| process.check(1, None, false, false);
+    for (final_check, has_other) in [
         (
-            &there as &dyn Fn(&mut HotRestart) -> HotRestartActions,
+            &transfer_arrives as &dyn Fn(&mut HotRestart) -> HotRestartActions,
             true,
         ),
-        (&late, true),
-        (&dead, false),
+        (&timeout_passes, true),
+        (&sender_dies, false),
     ] {
         let mut process = HotRestart::new();
         let first = process.check(0, other("a", true), false, false);
@@ -56,22 +58,22 @@
                 .check(TRANSFER_TIMEOUT - 1, other("a", true), false, false)
                 .read_state
         );
-        assert!(end(&mut process).read_state);
+        assert!(final_check(&mut process).read_state);
         assert_eq!(
             (process.awaits_state(), process.has_other()),
-            (false, beside)
+            (false, has_other)
         );
         assert!(
             !process
                 .check(2 * TRANSFER_TIMEOUT, other("a", true), true, false)
                 .read_state,
-            "only once"
+            "state is read only once"
         );
     }
 }
 
 #[test]
-fn a_process_alone_or_beside_one_that_never_served_awaits_nothing() {
+fn process_alone_or_beside_one_that_is_not_ready_awaits_no_state() {
     for found in [None, other("a", false)] {
         let mut process = HotRestart::new();
         assert!(!process.check(0, found, false, false).read_state);
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn a_serving_process_writes_state_once_for_each_new_one() {
+fn serving_process_writes_state_once_for_each_new_process() {
     let mut process = HotRestart::new();
     assert_eq!(
         process.check(0, None, false, true),
@@ -99,13 +101,13 @@
         process.check(2, other("b", false), false, true),
         HotRestartActions::default()
     );
-    assert!(!process.other_serves());
+    assert!(!process.other_process_serves());
     assert_eq!(
         process.check(3, other("b", true), false, true),
         HotRestartActions::default()
     );
-    assert!(process.other_serves());
-    // It was killed, and another one started.
+    assert!(process.other_process_serves());
+    // The new process was killed, and another one started.
     assert!(process.check(4, None, false, true).apply_limits && !process.has_other());
     assert_eq!(
         process
@@ -118,13 +120,13 @@
         idle.check(0, other("c", false), false, false)
             .write_state_for,
         None,
-        "it serves no clients"
+        "a process that serves no clients writes no state"
     );
 }
 
 #[test]
-fn state_is_neither_written_for_nor_ruled_out_from_a_process_whose_slot_can_not_be_read_yet() {
-    // The old process checks when the new one has its slot and has not written its name.
+fn state_is_awaited_from_but_not_written_for_a_process_whose_slot_is_unreadable() {
+    // The old process checks while the new one holds its slot but has not written its name.
     let mut old = HotRestart::new();
     old.check(0, None, false, true);
     assert_eq!(
@@ -138,7 +140,7 @@
         old.check(2, other("b", false), false, true).write_state_for,
         Some("b".into())
     );
-    // The new process checks when the old one rewrites its slot.
+    // The new process checks while the old one is rewriting its slot.
     let mut new = HotRestart::new();
     new.check(0, other("", false), false, false);
     assert!(new.awaits_state());
@@ -146,36 +148,46 @@
 }
 
 proptest! {
-    // The same cases every time.
+    // The fixed seed makes every run generate the same cases.
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default()
     })]
     #[test]
-    fn whatever_is_observed_no_process_waits_for_long_or_writes_twice(
-        seen in prop::collection::vec(
+    fn no_sequence_of_checks_exceeds_the_timeout_or_writes_state_twice(
+        checks in prop::collection::vec(
             (prop::option::of((0..3u8, any::<bool>())), any::<bool>(), any::<bool>()),
             1..40,
         ),
     ) {
         let mut process = HotRestart::new();
-        let (mut beside, mut went_on, mut last) = (false, 0, None);
-        for (turn, (who, there, serves)) in seen.into_iter().enumerate() {
-            let now = turn as Nanos * CHECK_INTERVAL;
-            let other = who.map(|(name, ready)| OtherProcess { process: name.to_string(), ready });
-            let actions = process.check(now, other.clone(), there, serves);
-            let has_changed = other.is_some() != beside;
+        let (mut has_other, mut reads, mut last_recipient) = (false, 0, None);
+        for (index, (found, has_transfer, is_serving)) in checks.into_iter().enumerate() {
+            let now = index as Nanos * CHECK_INTERVAL;
+            let other = found.map(|(name, ready)| {
+                let process = name.to_string();
+                OtherProcess { process, ready }
+            });
+            let actions = process.check(now, other.clone(), has_transfer, is_serving);
+            let has_changed = other.is_some() != has_other;
             prop_assert_eq!(
-                actions.apply_limits, has_changed, "limits follow whether the other lives"
+                actions.apply_limits, has_changed,
+                "limits change exactly when the other process appears or disappears"
             );
-            beside = other.is_some();
-            went_on += u32::from(actions.read_state);
-            prop_assert!(!process.awaits_state() || now < TRANSFER_TIMEOUT && beside);
-            if let Some(to) = actions.write_state_for {
-                prop_assert!(serves && last.as_ref() != Some(&to), "written twice in a row");
-                prop_assert_eq!(other, Some(OtherProcess { process: to.clone(), ready: false }));
-                last = Some(to);
+            has_other = other.is_some();
+            reads += u32::from(actions.read_state);
+            prop_assert!(!process.awaits_state() || now < TRANSFER_TIMEOUT && has_other);
+            if let Some(recipient) = actions.write_state_for {
+                prop_assert!(
+                    is_serving && last_recipient.as_ref() != Some(&recipient),
+                    "state is written twice in a row for one process"
+                );
+                prop_assert_eq!(
+                    other,
+                    Some(OtherProcess { process: recipient.clone(), ready: false })
+                );
+                last_recipient = Some(recipient);
             }
         }
-        prop_assert!(went_on <= 1);
+        prop_assert!(reads <= 1);
     }
 }
--- a/crates/balancer/src/lifecycle.rs
+++ b/crates/balancer/src/lifecycle.rs
@@ -1,152 +1,166 @@
-//! The lifecycle of the process, without I/O: starting, serving, quiesced, ending. It is notified
-//! of what happens and when; what the listeners answer and do follows from it alone.
+//! Lifecycle of the process: starting, serving, quiesced, shutting down (reported as `ending`).
+//!
+//! The state machine does no I/O. It is notified of events with their times, and its policy alone
+//! determines what the listeners accept and answer.
 
 use crate::timers::MS;
 use routing::Nanos;
 
-/// How long idle client connections stay open once the process drains: a load balancer in front
-/// that checks health ten times a second and takes 0.2 s to redirect clients has done so by then. A
-/// client that is disconnected sooner only comes back.
+/// Time for which idle client connections stay open after a quiesce. A load balancer in front that
+/// checks health ten times a second and takes 0.2 s to redirect clients has done so by then; a
+/// client that is disconnected earlier would reconnect to this process.
 const IDLE_CLOSE_DELAY: Nanos = 400 * MS;
-/// How long new connections are accepted after a request to stop: they keep coming for up to 0.4 s.
-/// By the protocol what comes later has to be answered before the process is killed.
-const ACCEPT_TIME_WHILE_ENDING: Nanos = 700 * MS;
-/// How long commands are accepted on a connection that is to close as soon as it is idle: a client
-/// that sends without pause would keep it open for good. A shutdown may leave less time.
+/// Time for which new connections are accepted after SIGTERM. Clients keep connecting for up to
+/// 0.4 s, and by the protocol even later ones must be answered before the process is killed.
+const ACCEPT_TIME_DURING_SHUTDOWN: Nanos = 700 * MS;
+/// Maximum time for which commands are still accepted on connections that are to be closed once
+/// idle. Without this limit a client that sends without pause would keep its connection open
+/// forever. A shutdown may leave less time.
 const COMMAND_INTAKE_TIME: Nanos = 1_500 * MS;
-/// By the protocol a process is killed no sooner than `ACCEPT_TIME_WHILE_ENDING` and the longest
-/// client timeout after the request to stop. A longer client timeout than this counts as this.
+/// Maximum client timeout that a shutdown allows for; longer client timeouts count as this one. By
+/// the protocol a process is killed no sooner than `ACCEPT_TIME_DURING_SHUTDOWN` plus the longest
+/// client timeout after SIGTERM.
 const CLIENT_TIMEOUT_MAX: Nanos = 3_000 * MS;
-/// The last answer is given this long before that.
+/// Time between the last answer and the earliest time at which the process may be killed.
 const KILL_MARGIN: Nanos = 100 * MS;
 
-/// What becomes of clients that connect.
+/// How the client listener treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerMode {
-    /// They are accepted.
+    /// New connections are accepted.
     Open,
-    /// They wait, or go to the other process that shares the socket.
+    /// New connections stay in the backlog, or are accepted by the other process that shares the
+    /// socket.
     Paused,
-    /// The socket is closed for good; those in its backlog are accepted before.
+    /// The socket is closed permanently, after the connections in its backlog were accepted.
     Closed,
-    /// The socket and its backlog are left to the other process; for good, unless that one dies
-    /// meanwhile.
+    /// The socket and its backlog are left to the other process. This is permanent unless that
+    /// process dies before this one exits.
     HandedOver,
 }
 
 impl ListenerMode {
-    /// Nobody is accepted here: clients wait, or are the other process's.
+    /// Returns whether this process accepts no connections and leaves the socket open for the other
+    /// process, or for itself later.
     #[must_use]
     pub fn is_left_to_other_process(self) -> bool {
         matches!(self, ListenerMode::Paused | ListenerMode::HandedOver)
     }
 }
 
-/// What follows for client connections at a moment.
+/// Policy for client connections that follows from the lifecycle state at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LifecyclePolicy {
-    /// The state's name in logs, admin responses and `PING`.
+    /// Name of the state in logs, admin responses and answers to `PING`.
     pub state: &'static str,
-    /// `PING` is answered with `PONG`.
+    /// Whether `PING` is answered with `PONG`.
     pub ready: bool,
     /// Whether new connections are accepted.
     pub listener_mode: ListenerMode,
-    /// A connection is closed once nothing is owed on it.
+    /// Whether a connection is closed once all of its requests are answered.
     pub closes_idle: bool,
-    /// Commands are accepted on open connections.
+    /// Whether commands are accepted on open connections.
     pub accepts_commands: bool,
 }
 
 /// Whether other processes may accept from the client listener's socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketOwnership {
-    /// This process has opened it.
+    /// The socket was opened by this process, which alone accepts from it.
     Exclusive,
-    /// The platform has opened it, and hands it to each process of this balancer.
+    /// The socket was opened by the platform, which passes it to each process of this balancer.
     Shared,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LifecycleState {
-    /// There is no endpoint list yet, or there is one but the state of another process is awaited.
+    /// No endpoint list is loaded yet, or a state transfer from another process is awaited.
     Starting {
+        /// Whether an endpoint list is loaded.
         listed: bool,
     },
     Serving,
-    /// Drained by an operator since then; whether there is an endpoint list.
+    /// Drained by an operator.
     Quiesced {
+        /// Time of the operator's command.
         since: Nanos,
+        /// Whether an endpoint list is loaded.
         listed: bool,
     },
-    /// Asked to stop at that time.
-    Ending {
+    /// A graceful shutdown is in progress.
+    ShuttingDown {
+        /// Time at which the shutdown was requested.
         since: Nanos,
     },
 }
 
-/// Where a process stands between its start and its end.
+/// Lifecycle state of the process, with the conditions that its policy depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
     state: LifecycleState,
     socket: SocketOwnership,
-    /// Another process of this balancer serves clients.
-    other_serves: bool,
-    /// The state of another process is awaited.
-    awaiting_snapshot: bool,
-    /// How long after a request to stop the last answer is given.
+    /// Whether another process of this balancer serves clients.
+    other_process_serves: bool,
+    /// Whether a state transfer from another process is awaited.
+    awaiting_state_transfer: bool,
+    /// Maximum time from the request to shut down until the last answer.
     longest_answer_time: Nanos,
 }
 
-/// The process is ending, and can't resume.
+/// The process is shutting down and can't resume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the process is ending")]
+#[error("the process is shutting down and can't resume")]
 pub struct ResumeConflict;
 
 impl Lifecycle {
-    /// A process that has just started; no client waits longer for an answer than
-    /// `longest_client_timeout`.
+    /// Creates the lifecycle of a process that has just started. `longest_client_timeout` is the
+    /// maximum time that a client waits for an answer.
     #[must_use]
     pub fn new(socket: SocketOwnership, longest_client_timeout: Nanos) -> Self {
         let client_timeout = longest_client_timeout.min(CLIENT_TIMEOUT_MAX);
         Lifecycle {
             state: LifecycleState::Starting { listed: false },
             socket,
-            other_serves: false,
-            awaiting_snapshot: false,
-            longest_answer_time: client_timeout + ACCEPT_TIME_WHILE_ENDING - KILL_MARGIN,
+            other_process_serves: false,
+            awaiting_state_transfer: false,
+            longest_answer_time: client_timeout + ACCEPT_TIME_DURING_SHUTDOWN - KILL_MARGIN,
         }
     }
 
-    /// While the process ends: by when open requests are answered, whatever their client timeouts.
-    /// The process may be killed then.
+    /// Returns the time by which all open requests must be answered, whatever their client
+    /// timeouts, as the process may be killed shortly afterwards. `None` unless the process is
+    /// shutting down.
     #[must_use]
     pub fn answer_deadline(&self) -> Option<Nanos> {
         match self.state {
-            LifecycleState::Ending { since } => Some(since + self.longest_answer_time),
+            LifecycleState::ShuttingDown { since } => Some(since + self.longest_answer_time),
             _ => None,
         }
     }
 
-    /// How long commands are accepted on a connection that is to close.
+    /// Returns the time for which commands are accepted on connections that are to be closed.
     fn command_intake_time(&self) -> Nanos {
         match self.state {
-            LifecycleState::Ending { .. } => COMMAND_INTAKE_TIME.min(self.longest_answer_time),
+            LifecycleState::ShuttingDown { .. } => {
+                COMMAND_INTAKE_TIME.min(self.longest_answer_time)
+            }
             _ => COMMAND_INTAKE_TIME,
         }
     }
 
-    /// Notes whether another process that shares the socket serves clients.
-    pub fn set_other_serves(&mut self, serves: bool) {
-        self.other_serves = serves;
+    /// Sets whether another process that shares the socket serves clients.
+    pub fn set_other_process_serves(&mut self, serves: bool) {
+        self.other_process_serves = serves;
     }
 
-    /// Notes whether the state of another process is awaited.
-    pub fn set_awaiting_snapshot(&mut self, awaiting: bool) {
-        self.awaiting_snapshot = awaiting;
+    /// Sets whether a state transfer from another process is awaited. Once the process serves, this
+    /// does not change its state any more.
+    pub fn set_awaiting_state_transfer(&mut self, awaiting: bool) {
+        self.awaiting_state_transfer = awaiting;
         self.serve_if_ready();
     }
 
-    /// Notes that there is an endpoint list.
+    /// Records that an endpoint list is loaded.
     pub fn endpoints_listed(&mut self) {
         if let LifecycleState::Starting { listed } | LifecycleState::Quiesced { listed, .. } =
             &mut self.state
@@ -157,64 +171,67 @@
     }
 
     fn serve_if_ready(&mut self) {
-        if self.state == (LifecycleState::Starting { listed: true }) && !self.awaiting_snapshot {
+        if self.state == (LifecycleState::Starting { listed: true })
+            && !self.awaiting_state_transfer
+        {
             self.state = LifecycleState::Serving;
         }
     }
 
-    /// Drains the process by an operator's command. A second time changes nothing.
+    /// Drains the process on an operator's command. No effect if it is already drained or shutting
+    /// down.
     pub fn quiesce(&mut self, now: Nanos) {
         let listed = match self.state {
             LifecycleState::Starting { listed } => listed,
             LifecycleState::Serving => true,
-            LifecycleState::Quiesced { .. } | LifecycleState::Ending { .. } => return,
+            LifecycleState::Quiesced { .. } | LifecycleState::ShuttingDown { .. } => return,
         };
         self.state = LifecycleState::Quiesced { since: now, listed };
     }
 
-    /// Ends a drain by an operator's command.
+    /// Ends a drain on an operator's command.
     ///
     /// # Errors
-    /// If the process is ending: clients have been disconnected for good.
+    /// If the process is shutting down, because clients have been disconnected permanently.
     pub fn resume(&mut self) -> Result<(), ResumeConflict> {
         match self.state {
             LifecycleState::Quiesced { listed, .. } => {
                 self.state = LifecycleState::Starting { listed };
             }
             LifecycleState::Starting { .. } | LifecycleState::Serving => {}
-            LifecycleState::Ending { .. } => return Err(ResumeConflict),
+            LifecycleState::ShuttingDown { .. } => return Err(ResumeConflict),
         }
         self.serve_if_ready();
         Ok(())
     }
 
-    /// Begins the end of the process. False if it is ending already.
-    pub fn stop(&mut self, now: Nanos) -> bool {
-        let is_first = !matches!(self.state, LifecycleState::Ending { .. });
+    /// Starts a graceful shutdown. Returns false if one is already in progress.
+    pub fn begin_shutdown(&mut self, now: Nanos) -> bool {
+        let is_first = !matches!(self.state, LifecycleState::ShuttingDown { .. });
         if is_first {
-            self.state = LifecycleState::Ending { since: now };
+            self.state = LifecycleState::ShuttingDown { since: now };
         }
         is_first
     }
 
-    /// Whether `PING` and the health endpoint say that it serves.
+    /// Returns whether `PING` and the health endpoint report the process as ready.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == LifecycleState::Serving
     }
 
-    /// The state's name in logs and admin responses.
+    /// Returns the name of the state in logs and admin responses.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self.state {
             LifecycleState::Starting { .. } => "starting",
             LifecycleState::Serving => "serving",
             LifecycleState::Quiesced { .. } => "quiesced",
-            LifecycleState::Ending { .. } => "ending",
+            LifecycleState::ShuttingDown { .. } => "ending",
         }
     }
 
-    /// What follows for client connections now.
+    /// Returns the policy for client connections at `now`.
     #[must_use]
     pub fn policy(&self, now: Nanos) -> LifecyclePolicy {
         LifecyclePolicy {
@@ -230,21 +247,21 @@
 
     fn listener_mode(&self, now: Nanos) -> ListenerMode {
         let is_shared = self.socket == SocketOwnership::Shared;
-        let is_others = is_shared && self.other_serves;
+        let other_accepts = is_shared && self.other_process_serves;
         match self.state {
-            // A client that can't be answered yet is better off with the other process, or in the
+            // This process can't answer clients yet: the other process may, or they wait in the
             // backlog.
             LifecycleState::Starting { .. } if is_shared => ListenerMode::Paused,
-            LifecycleState::Quiesced { .. } if is_others => ListenerMode::Paused,
-            // Quiesced it still accepts: health checks come on new connections.
+            LifecycleState::Quiesced { .. } if other_accepts => ListenerMode::Paused,
+            // A quiesced process still accepts, because health checks use new connections.
             LifecycleState::Starting { .. }
             | LifecycleState::Serving
             | LifecycleState::Quiesced { .. } => ListenerMode::Open,
-            LifecycleState::Ending { .. } if is_others => ListenerMode::HandedOver,
-            LifecycleState::Ending { since } if now < since + ACCEPT_TIME_WHILE_ENDING => {
+            LifecycleState::ShuttingDown { .. } if other_accepts => ListenerMode::HandedOver,
+            LifecycleState::ShuttingDown { since } if now < since + ACCEPT_TIME_DURING_SHUTDOWN => {
                 ListenerMode::Open
             }
-            LifecycleState::Ending { .. } => ListenerMode::Closed,
+            LifecycleState::ShuttingDown { .. } => ListenerMode::Closed,
         }
     }
 
@@ -252,27 +269,27 @@
         match self.state {
             LifecycleState::Starting { .. } | LifecycleState::Serving => false,
             LifecycleState::Quiesced { since, .. } => now >= since + IDLE_CLOSE_DELAY,
-            LifecycleState::Ending { .. } => true,
+            LifecycleState::ShuttingDown { .. } => true,
         }
     }
 
-    /// Since when the process drains, if it does.
+    /// Returns the time since which the process drains, by a quiesce or a shutdown.
     fn draining_since(&self) -> Option<Nanos> {
         match self.state {
             LifecycleState::Starting { .. } | LifecycleState::Serving => None,
-            LifecycleState::Quiesced { since, .. } | LifecycleState::Ending { since } => {
+            LifecycleState::Quiesced { since, .. } | LifecycleState::ShuttingDown { since } => {
                 Some(since)
             }
         }
     }
 
-    /// When the policy changes next by time alone, if it does.
+    /// Returns the next time at which the policy changes without a further event, if it does.
     #[must_use]
     pub fn next_change(&self, now: Nanos) -> Option<Nanos> {
         let since = self.draining_since()?;
         [
             IDLE_CLOSE_DELAY,
-            ACCEPT_TIME_WHILE_ENDING,
+            ACCEPT_TIME_DURING_SHUTDOWN,
             self.command_intake_time(),
         ]
         .into_iter()
@@ -281,10 +298,10 @@
         .min()
     }
 
-    /// Whether the process may exit, with this many client connections open.
+    /// Returns whether the process may exit, given the number of open client connections.
     #[must_use]
     pub fn is_finished(&self, now: Nanos, open_connections: usize) -> bool {
-        matches!(self.state, LifecycleState::Ending { .. })
+        matches!(self.state, LifecycleState::ShuttingDown { .. })
             && matches!(
                 self.listener_mode(now),
                 ListenerMode::Closed | ListenerMode::HandedOver
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -1,9 +1,11 @@
-//! `pipitrun`, a load balancer for tile caches: the daemon round the decision engine of `routing`.
+//! `pipitrun`, a load balancer for tile caches: the daemon that runs the decision engine of the
+//! `routing` crate on real sockets.
 //!
-//! A request passes these modules: `listener` parses the client's command, `event_loop::admission`
-//! admits it, `event_loop::decisions` asks the engine, `event_loop::dispatch` and `upstream_pool`
-//! send attempts, `attempt_tracker` matches their outcomes to the request, and
-//! `event_loop::responses` has the listener answer it. All decisions are the engine's.
+//! A request passes through these modules: `listener` parses the client's command,
+//! `event_loop::admission` admits the request, `event_loop::decisions` passes it to the engine,
+//! `event_loop::dispatch` and `upstream_pool` send attempts, `attempt_tracker` matches their
+//! outcomes to the request, and `event_loop::responses` returns the answer through the listener.
+//! The engine makes all routing decisions; this crate executes them.
 #![deny(unsafe_code)]
 
 mod attempt_tracker;
@@ -45,7 +47,11 @@
 
 fn run() -> Result<(), Box<dyn Error>> {
     let config = Config::load(|name| std::env::var(name).ok())?;
-    log::info!("{}: discovery is at {}", config.name, config.discovery);
+    log::info!(
+        "balancer {} uses the discovery service at {}",
+        config.name,
+        config.discovery
+    );
     for warning in &config.warnings {
         log::warn!("configuration: settings.{warning}");
     }
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -1,7 +1,7 @@
-//! Readiness of sockets: a wrapper round `polling` in which a socket is watched exactly as long as
-//! its guard lives.
+//! Readiness of sockets: a wrapper around `polling` in which a socket is registered exactly as long
+//! as its guard exists.
 //!
-//! This module and its child `sockets` hold all unsafe code of the workspace.
+//! This module and its child `sockets` contain all unsafe code of the workspace.
 
 pub mod sockets;
 
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The owner of a socket.
+/// The socket, or kind of connection, that an event comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
-    /// The socket on which clients connect.
+    /// The client listener's socket.
     Listener,
     /// A client connection, by its number.
     Client(u64),
@@ -21,8 +21,8 @@
     Upstream(u64),
     /// A connection to discovery, by its number.
     Discovery(u64),
-    /// The signal pipe for a graceful shutdown.
-    Stop,
+    /// The signal pipe for starting a graceful shutdown.
+    Shutdown,
     /// The signal pipe for printing the counters.
     PrintCounters,
     /// The signal pipe for reloading the configuration.
@@ -36,7 +36,8 @@
 }
 
 impl EventSource {
-    /// Keys carry the number of a connection, times this, plus the kind of the source.
+    /// Number of kinds of sources. The key of a source is the number of its connection times this,
+    /// plus the number of its kind.
     const KINDS: u64 = 10;
 
     fn key(self) -> usize {
@@ -45,7 +46,7 @@
             EventSource::Client(n) => (n, 1),
             EventSource::Upstream(n) => (n, 2),
             EventSource::Discovery(n) => (n, 3),
-            EventSource::Stop => (0, 4),
+            EventSource::Shutdown => (0, 4),
             EventSource::PrintCounters => (0, 5),
             EventSource::Reload => (0, 6),
             EventSource::AdminListener => (0, 7),
@@ -62,7 +63,7 @@
             1 => EventSource::Client(number),
             2 => EventSource::Upstream(number),
             3 => EventSource::Discovery(number),
-            4 => EventSource::Stop,
+            4 => EventSource::Shutdown,
             5 => EventSource::PrintCounters,
             6 => EventSource::Reload,
             7 => EventSource::AdminListener,
@@ -72,49 +73,49 @@
     }
 }
 
-/// What one socket is ready for. A broken one is reported as ready for both.
+/// Readiness of one socket. A socket with an error is reported as both readable and writable.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
-    /// The owner of the socket.
+    /// Source of the event.
     pub source: EventSource,
-    /// It can be read, or has ended.
+    /// Whether the socket can be read, or its peer has closed.
     pub readable: bool,
-    /// It can be written, or has broken.
+    /// Whether the socket can be written, or has failed.
     pub writable: bool,
 }
 
-/// What a socket is watched for. Its end and its errors are reported in any case.
+/// Kinds of readiness that a socket is registered for. Hang-ups and errors are always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Report when it can be read.
+    /// Report the socket when it can be read.
     pub readable: bool,
-    /// Report when it can be written.
+    /// Report the socket when it can be written.
     pub writable: bool,
 }
 
 impl Interest {
-    /// Nothing but the end and errors.
+    /// Only hang-ups and errors.
     pub const NONE: Interest = Interest {
         readable: false,
         writable: false,
     };
-    /// Input.
+    /// Readable sockets.
     pub const READABLE: Interest = Interest {
         readable: true,
         writable: false,
     };
-    /// Space for output.
+    /// Writable sockets.
     pub const WRITABLE: Interest = Interest {
         readable: false,
         writable: true,
     };
 
-    /// Input, and space for output as long as some is unsent.
+    /// Returns the interest in reading and, if `has_unsent` output, in writing.
     #[must_use]
-    pub fn readable_and(unsent: bool) -> Self {
+    pub fn readable_and(has_unsent: bool) -> Self {
         Interest {
             readable: true,
-            writable: unsent,
+            writable: has_unsent,
         }
     }
 
@@ -123,16 +124,16 @@
     }
 }
 
-/// Whether a wait saw the state of the sockets.
+/// Outcome of a wait for ready sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
     /// All sockets were checked.
     Completed,
-    /// A signal interrupted the wait before the sockets were checked.
+    /// A signal interrupted the wait; the sockets may not have been checked.
     Interrupted,
 }
 
-/// The set of watched sockets.
+/// The set of registered sockets.
 #[derive(Clone)]
 pub struct Poll {
     poller: Rc<Poller>,
@@ -142,17 +143,17 @@
     /// Creates an empty set.
     ///
     /// # Errors
-    /// If the kernel has no descriptor for it.
+    /// If the kernel can't create the poller, for example for lack of descriptors.
     pub fn new() -> io::Result<Self> {
         Ok(Poll {
             poller: Rc::new(Poller::new()?),
         })
     }
 
-    /// Watches a socket until the returned guard is dropped.
+    /// Registers a socket until the returned guard is dropped.
     ///
     /// # Errors
-    /// If the kernel refuses to watch it.
+    /// If the kernel refuses the registration.
     #[allow(unsafe_code)]
     pub fn register<S: AsSource>(
         &self,
@@ -160,9 +161,9 @@
         source: EventSource,
         interest: Interest,
     ) -> io::Result<Registered<S>> {
-        // SAFETY: the socket must leave the poller before it is closed. It moves into `Registered`,
-        // which owns it, never gives it away, and removes it from the poller when dropped, before
-        // the socket itself is dropped.
+        // SAFETY: the socket must be removed from the poller before it is closed. `Registered`
+        // takes ownership of the socket, never releases it, and removes it from the poller when
+        // dropped, before the socket itself is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&socket.source(), interest.event(source), PollMode::Level)?;
@@ -175,11 +176,12 @@
         })
     }
 
-    /// Waits until a socket is ready or the time is over, and appends what is ready. `events` has a
-    /// capacity beyond the number of descriptors a process may have.
+    /// Waits until a socket is ready or the timeout has passed, and appends all ready sockets to
+    /// `ready`. The capacity of `events` exceeds the number of descriptors of a process, so that
+    /// one wait reports every ready socket.
     ///
     /// # Errors
-    /// If the wait fails for another reason than a signal.
+    /// If the wait fails for a reason other than a signal.
     pub fn wait(
         &self,
         events: &mut Events,
@@ -189,7 +191,7 @@
         events.clear();
         match self.poller.wait(events, timeout) {
             Ok(_) => {}
-            // The signal's pipe is readable in the next turn.
+            // The signal's pipe is reported as readable by the next poll.
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {
                 return Ok(PollOutcome::Interrupted);
             }
@@ -204,7 +206,7 @@
     }
 }
 
-/// A socket that is watched as long as this lives.
+/// Guard that owns a registered socket. Dropping the guard removes the registration.
 pub struct Registered<S: AsSource> {
     socket: S,
     source: EventSource,
@@ -213,13 +215,13 @@
 }
 
 impl<S: AsSource> Registered<S> {
-    /// The socket.
+    /// Returns the registered socket.
     #[must_use]
     pub fn socket(&self) -> &S {
         &self.socket
     }
 
-    /// Changes what the socket is watched for.
+    /// Changes the interest that the socket is registered with.
     ///
     /// # Errors
     /// If the kernel refuses the change.
@@ -238,7 +240,7 @@
 
 impl<S: AsSource> Drop for Registered<S> {
     fn drop(&mut self) {
-        // It fails only for a socket that is not in the set; then there is nothing to remove.
+        // Fails only if the socket is not in the set, in which case nothing has to be removed.
         let _ = self.poller.delete(&self.socket);
     }
 }
