--- a/crates/balancer/src/poll/sockets.rs
+++ b/crates/balancer/src/poll/sockets.rs
@@ -1,4 +1,4 @@
-//! Operations on TCP sockets that the standard library lacks, all without blocking.
+//! Non-blocking operations on TCP sockets that the standard library lacks.
 
 use rustix::event::{PollFd, PollFlags, Timespec};
 use rustix::ioctl::{Getter, Opcode};
@@ -8,26 +8,26 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 
-/// What a non-blocking connect answers while it is under way (Linux; std has no stable name for
-/// it).
+/// Error number of a non-blocking connect in progress on Linux; std has no stable name for it.
 const EINPROGRESS: i32 = 115;
 
-/// Why an inherited descriptor can't be used as a listener.
+/// Reason why an inherited descriptor can't be used as a listener. The text completes a sentence
+/// whose subject is the descriptor.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritError {
-    /// Its number is that of standard input, output or error.
+    /// The descriptor is standard input, output or error.
     #[error("is a standard stream")]
     StandardStream,
-    /// The descriptor is closed, or something other than a socket.
-    #[error("is no open socket: {0}")]
+    /// The descriptor is closed, or not a socket.
+    #[error("is not an open socket: {0}")]
     NotASocket(#[source] io::Error),
-    /// The socket is not TCP, or does not listen.
-    #[error("is no listening TCP socket")]
+    /// The socket is not a TCP socket, or not listening.
+    #[error("is not a listening TCP socket")]
     NotListening,
 }
 
-/// Starts a connection without waiting for it: once the socket is writable, it is established or
-/// has failed.
+/// Starts to connect to `address` without blocking. Once the socket is writable, the connection is
+/// established or has failed.
 ///
 /// # Errors
 /// If the connection is refused at once, or the process has no descriptor left.
@@ -45,8 +45,8 @@
     }
 }
 
-/// Takes over the listening TCP socket that this process was started with under this descriptor.
-/// Called once, before the process listens anywhere itself.
+/// Takes ownership of the listening TCP socket that this process inherited under this descriptor.
+/// Must be called once, before the process opens any listener itself.
 ///
 /// # Errors
 /// If the descriptor is not a listening TCP socket.
@@ -55,8 +55,8 @@
     if descriptor <= 2 {
         return Err(InheritError::StandardStream);
     }
-    // SAFETY: the descriptor is only inspected until it is known to be an open socket, and never
-    // closed through this borrow.
+    // SAFETY: the descriptor is only inspected through this borrow, and never closed through it.
+    // If it is not open, the inspection fails with an error.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     let socket = SockRef::from(&borrowed);
     let kind = socket.r#type().map_err(InheritError::NotASocket)?;
@@ -68,19 +68,20 @@
         .ok()
         .and_then(|address| address.as_socket())
         .ok_or(InheritError::NotListening)?;
-    // SAFETY: it is open and listens, so whoever started this process passed it on; nothing else
-    // in this process owns it, as this is called once, before anything else listens.
+    // SAFETY: the descriptor is an open listener, so it was passed by the parent process. Nothing
+    // else in this process owns it, as this function is called once, before the process opens a
+    // listener itself.
     Ok(unsafe { TcpListener::from_raw_fd(descriptor) })
 }
 
-/// Whether a connection is open in both directions and has no unread input.
+/// Returns whether a connection is open in both directions and has no unread input.
 #[must_use]
 pub fn is_open_without_input(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the peer has closed, or will send nothing more. Unlike a read this sees the end behind
-/// input that is still unread.
+/// Returns whether the peer has closed its sending direction. Unlike a read, this detects the end
+/// of the stream behind input that is still unread.
 #[must_use]
 pub fn has_peer_closed(stream: &TcpStream) -> bool {
     let mut watched = [PollFd::new(stream, PollFlags::RDHUP)];
@@ -88,21 +89,23 @@
     matches!(polled, Ok(ready) if ready > 0)
 }
 
-/// Whether the kernel holds written bytes that it has not sent yet. If the connection were closed
-/// then, a byte from the peer would destroy them. False where the kernel can't tell.
+/// Returns whether the kernel's send buffer holds bytes that it has not sent yet. They would be
+/// lost if the connection were closed now and the peer sent another byte, which resets the
+/// connection. Returns false if the kernel can't report it.
 #[must_use]
 #[allow(unsafe_code)]
 pub fn has_unsent_output(stream: &TcpStream) -> bool {
-    // Linux's SIOCOUTQNSD. Bytes that were sent but not acknowledged arrive before any reset.
+    // Linux's SIOCOUTQNSD. It does not count sent but unacknowledged bytes, which arrive before any
+    // reset.
     const UNSENT: Opcode = 0x894B;
-    // SAFETY: for this request the kernel writes one int, which is what the getter holds.
+    // SAFETY: for this request the kernel writes one int, which is the getter's type.
     let unsent = unsafe { rustix::ioctl::ioctl(stream, Getter::<UNSENT, c_int>::new()) };
     unsent.is_ok_and(|bytes| bytes > 0)
 }
 
-/// Reads and drops up to `bytes_max` bytes of input: closing over unread input would reset the
-/// connection, and the peer might lose the last answer. False once the connection has ended, or if
-/// more than that has come.
+/// Reads and discards up to `bytes_max` bytes of input. Closing a connection with unread input
+/// resets it, and the peer could lose the last answer. Returns false if the connection has ended,
+/// or if there is more input than that.
 pub fn discard(mut stream: &TcpStream, bytes_max: usize) -> bool {
     let mut bytes = [0; 4096];
     for _ in 0..bytes_max / bytes.len() {
--- a/crates/balancer/src/poll_timestamps.rs
+++ b/crates/balancer/src/poll_timestamps.rs
@@ -1,39 +1,41 @@
-//! When the sockets were last polled, and so the earliest time at which what is found on one can
-//! have arrived there.
+//! Times of the latest polls of the sockets, and the earliest arrival times of input that follow
+//! from them.
 //!
-//! A process can stall anywhere: by its scheduler, by SIGSTOP, by a long turn of its own. What it
-//! finds afterwards may have waited for as long. A *poll* here is one wait for ready sockets that
-//! no signal interrupted. What a poll does not report had not arrived by then; what it reports
-//! arrived after the poll before. All spans are taken from a monotonic clock. No I/O.
+//! A process can stall at any point: by the scheduler, by SIGSTOP, or by a long turn of its own.
+//! Input that it finds afterwards may have been waiting for the whole stall. A *poll* here is one
+//! wait for ready sockets that no signal interrupted. Input that a poll does not report had not
+//! arrived by then; input that it reports arrived after the previous poll. All times come from a
+//! monotonic clock. This module does no I/O.
 
 use crate::poll::PollOutcome;
 use crate::timers::MS;
 use routing::Nanos;
 
-/// The longest wait for ready sockets; a longer one shows that the process stalled.
+/// Maximum wait for ready sockets. A longer wait shows that the process stalled.
 pub const MAX_POLL_WAIT: Nanos = 30 * MS;
-/// A longer gap between two polls is a stall: what is found after it may have arrived at its
-/// beginning. Shorter gaps count against deadlines, of which 150 ms are allowed to be inexact.
+/// Gap between two polls above which the process counts as stalled, so that input found after the
+/// gap may have arrived at its beginning. Shorter gaps are within the 150 ms by which deadlines may
+/// be inexact.
 const STALL_THRESHOLD: Nanos = 40 * MS;
-/// What a poll showed holds for this long; later it is checked again before anything is sent.
-/// Together with [`STALL_THRESHOLD`] it is under the 100 ms after which nothing may be sent for a
-/// client that has disconnected.
+/// Maximum age at which the result of a poll is used without another check before something is
+/// sent. Together with [`STALL_THRESHOLD`] it is under the 100 ms after which nothing may be sent
+/// for a client that has disconnected.
 const FRESHNESS: Nanos = 25 * MS;
 
-/// The polls of one process.
+/// Times of the polls of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct PollTimestamps {
-    /// How many there were.
+    /// Number of completed polls.
     count: u64,
     last_poll: Nanos,
     earliest_arrival: Nanos,
-    /// When the last wait returned, interrupted or not.
+    /// Time at which the last wait returned, interrupted or not.
     last_return: Nanos,
     total_stall: Nanos,
 }
 
 impl PollTimestamps {
-    /// Nothing can have arrived before `now`.
+    /// Creates the timestamps of a process that starts at `now`; no input can have arrived earlier.
     #[must_use]
     pub fn start(now: Nanos) -> Self {
         PollTimestamps {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Records when a wait for ready sockets started and returned. Returns for how long the process
-    /// stalled since the wait before, as a rule 0.
+    /// Records when a wait for ready sockets started and returned. Returns the duration of a stall
+    /// since the previous wait returned; 0 if the process did not stall.
     pub fn record_poll(
         &mut self,
         started_at: Nanos,
@@ -63,7 +65,7 @@
             } else {
                 self.last_poll
             };
-            // A wait that stalled may have checked the sockets at its beginning.
+            // A wait that took too long may have checked the sockets at its beginning.
             self.last_poll = if waited <= STALL_THRESHOLD {
                 returned_at
             } else {
@@ -76,54 +78,55 @@
         stalled
     }
 
-    /// What the last poll did not report had not arrived by this time.
+    /// Returns the time by which input that the last poll did not report had not arrived.
     #[must_use]
     pub fn last_poll(&self) -> Nanos {
         self.last_poll
     }
 
-    /// What the last poll reported did not arrive before this time.
+    /// Returns the earliest time at which input that the last poll reported can have arrived.
     #[must_use]
     pub fn earliest_arrival(&self) -> Nanos {
         self.earliest_arrival
     }
 
-    /// For how long the process has stalled so far, in all.
+    /// Returns the total time for which the process has stalled so far.
     #[must_use]
     pub fn total_stall(&self) -> Nanos {
         self.total_stall
     }
 
-    /// Whether what was true at `seen` may be acted on without checking again.
+    /// Returns whether a state observed at `observed_at` may be used without checking again.
     #[must_use]
-    pub fn is_fresh(seen: Nanos, now: Nanos) -> bool {
-        now.saturating_sub(seen) <= FRESHNESS
+    pub fn is_fresh(observed_at: Nanos, now: Nanos) -> bool {
+        now.saturating_sub(observed_at) <= FRESHNESS
     }
 }
 
-/// By how much a gap between polls exceeds the usual, if it is a stall.
-fn stall(gap: Nanos, usual: Nanos) -> Nanos {
+/// Returns the part of a gap that counts as a stall: the excess over the expected duration, or 0 if
+/// the gap is within the stall threshold.
+fn stall(gap: Nanos, expected: Nanos) -> Nanos {
     if gap > STALL_THRESHOLD {
-        gap - usual
+        gap - expected
     } else {
         0
     }
 }
 
-/// Whether a read emptied its socket.
+/// Whether a read took all input of its socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadExtent {
-    /// Nothing was left.
+    /// No input was left.
     All,
-    /// More may be unread.
+    /// More input may be unread.
     Partial,
 }
 
 impl ReadExtent {
-    /// The extent of a read of `count` bytes for which there was this much space.
+    /// Returns the extent of a read of `count` bytes into a buffer of `buffer_size` bytes.
     #[must_use]
-    pub fn new(count: usize, space: usize) -> Self {
-        if count == space {
+    pub fn new(count: usize, buffer_size: usize) -> Self {
+        if count == buffer_size {
             ReadExtent::Partial
         } else {
             ReadExtent::All
@@ -131,20 +134,21 @@
     }
 }
 
-/// What polls show of one client connection.
+/// Times at which a client connection was read and found to be connected, as far as the polls show.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPresence {
-    /// The poll in whose turn it was last read or accepted.
+    /// Number of the poll in whose turn the connection was last read or accepted.
     poll: u64,
-    /// What was found then did not arrive before this time.
+    /// Earliest time at which the input found in that turn can have arrived.
     earliest_arrival: Nanos,
     last_read: ReadExtent,
-    /// The client was connected at this time.
+    /// Latest time at which the client was confirmed to be connected, by a read or by a check.
     confirmed_at: Nanos,
 }
 
 impl ClientPresence {
-    /// A connection that was just accepted; it may have waited for that since then.
+    /// Returns the presence of a connection that was just accepted, after waiting in the backlog
+    /// possibly since `waited_since`.
     #[must_use]
     pub fn accepted(polls: &PollTimestamps, waited_since: Nanos) -> Self {
         ClientPresence {
@@ -155,11 +159,12 @@
         }
     }
 
-    /// Bytes were read from it. Returns the earliest time at which they can have arrived.
+    /// Records a read from the connection. Returns the earliest time at which the bytes that were
+    /// read can have arrived.
     pub fn record_read(&mut self, polls: &PollTimestamps, extent: ReadExtent) -> Nanos {
-        let may_be_left_over =
+        let may_predate_last_poll =
             self.last_read == ReadExtent::Partial && self.poll + 1 >= polls.count;
-        let earliest_arrival = if may_be_left_over {
+        let earliest_arrival = if may_predate_last_poll {
             self.earliest_arrival.min(polls.earliest_arrival)
         } else {
             polls.earliest_arrival
@@ -173,15 +178,16 @@
         earliest_arrival
     }
 
-    /// The earliest time at which what was read in the turn of this poll can have arrived; none if
-    /// nothing was.
+    /// Returns the earliest arrival time of the input that was read in the turn of the last poll;
+    /// `None` if nothing was read in it.
     #[must_use]
     pub fn arrival_in_turn(&self, polls: &PollTimestamps) -> Option<Nanos> {
         (self.poll == polls.count).then_some(self.earliest_arrival)
     }
 
-    /// When the client was connected for sure, if the connection is watched for reading: a poll
-    /// that does not report its end confirms it.
+    /// Returns the latest time at which the client is known to have been connected, for a
+    /// connection that is polled for reading. A later poll that does not report the end of the
+    /// connection confirms that the client is connected.
     #[must_use]
     pub fn last_seen(&self, polls: &PollTimestamps) -> Nanos {
         if self.poll < polls.count {
@@ -191,13 +197,14 @@
         }
     }
 
-    /// The same for a connection that is not watched for reading.
+    /// Returns the latest time at which the client is known to have been connected, for a
+    /// connection that is not polled for reading.
     #[must_use]
     pub fn last_confirmed(&self) -> Nanos {
         self.confirmed_at
     }
 
-    /// The kernel was asked, and the client is connected.
+    /// Records that a check of the socket at `now` found the client connected.
     pub fn confirm(&mut self, now: Nanos) {
         self.confirmed_at = now;
     }
--- a/crates/balancer/src/poll_timestamps/tests.rs
+++ b/crates/balancer/src/poll_timestamps/tests.rs
@@ -1,10 +1,10 @@
-//! Polls that come in time, late and not at all.
+//! Prompt, delayed and interrupted polls.
 
 use super::*;
 
 impl PollTimestamps {
-    /// As if a poll had just returned, and none had been late.
-    pub(crate) fn prompt(&mut self, now: Nanos) {
+    /// Sets the timestamps as if a poll had just returned and the process had never stalled.
+    pub(crate) fn record_prompt_poll(&mut self, now: Nanos) {
         *self = PollTimestamps {
             count: self.count + 1,
             ..PollTimestamps::start(now)
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_a_prompt_poll_reports_has_just_arrived() {
+fn input_reported_by_a_prompt_poll_has_just_arrived() {
     let mut polls = PollTimestamps::start(START);
     assert_eq!(polls.record_poll(at(1), at(21), PollOutcome::Completed), 0);
     assert_eq!(
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn after_a_long_turn_or_wait_it_may_have_arrived_right_after_the_poll_before() {
+fn input_after_a_long_turn_or_wait_may_have_arrived_right_after_the_previous_poll() {
     let mut polls = PollTimestamps::start(START);
     assert_eq!(
         polls.record_poll(at(650), at(650), PollOutcome::Completed),
         650 * MS,
-        "the turn was long"
+        "the turn stalled"
     );
     assert_eq!(
         (polls.last_poll(), polls.earliest_arrival()),
@@ -56,12 +56,12 @@
     assert_eq!(
         polls.record_poll(at(660), at(1_330), PollOutcome::Completed),
         640 * MS,
-        "the wait was longer than asked for"
+        "the wait exceeded its maximum"
     );
     assert_eq!(
         (polls.last_poll(), polls.earliest_arrival()),
         (at(660), at(650)),
-        "and may have checked the sockets at its beginning"
+        "the wait may have checked the sockets at its beginning"
     );
     assert_eq!(
         polls.record_poll(at(1_331), at(1_331), PollOutcome::Completed),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_interrupted_wait_is_no_poll() {
+fn interrupted_wait_does_not_count_as_a_poll() {
     let mut polls = PollTimestamps::start(START);
     polls.record_poll(at(1), at(2), PollOutcome::Completed);
     polls.record_poll(at(3), at(653), PollOutcome::Interrupted);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_client_was_connected_at_the_last_poll_unless_it_is_not_watched() {
+fn client_is_known_connected_at_the_last_poll_only_if_polled_for_reading() {
     let mut polls = PollTimestamps::start(START);
     polls.record_poll(at(10), at(10), PollOutcome::Completed);
     let mut presence = ClientPresence::accepted(&polls, at(4));
@@ -111,18 +111,22 @@
     assert_eq!(
         presence.last_seen(&polls),
         at(20),
-        "a poll that did not report its end"
+        "the poll did not report the end of the connection"
+    );
+    assert_eq!(
+        presence.last_confirmed(),
+        at(4),
+        "a connection that is not polled for reading is not confirmed by a poll"
     );
-    assert_eq!(presence.last_confirmed(), at(4), "it was not watched");
     assert_eq!(
         presence.record_read(&polls, ReadExtent::All),
         at(4),
-        "it may have waited to be accepted"
+        "the input may have arrived while the connection was in the backlog"
     );
     assert_eq!(
         presence.last_seen(&polls),
         at(4),
-        "what was read may be followed by an end"
+        "the end of the connection may be behind the input that was read"
     );
     polls.record_poll(at(30), at(30), PollOutcome::Completed);
     assert_eq!(presence.record_read(&polls, ReadExtent::Partial), at(30));
@@ -132,7 +136,7 @@
     assert_eq!(
         presence.record_read(&polls, ReadExtent::All),
         at(30),
-        "not all was read before"
+        "the input may be left over from the partial read"
     );
     polls.record_poll(at(50), at(50), PollOutcome::Completed);
     polls.record_poll(at(60), at(60), PollOutcome::Completed);
--- a/crates/balancer/src/process_slots.rs
+++ b/crates/balancer/src/process_slots.rs
@@ -1,5 +1,6 @@
-//! The slot files in `$TMPDIR` by which the two processes of a hot restart know of each other: a
-//! slot each, locked as long as its process lives. The kernel frees a lock however a process ends.
+//! Slot files in `$TMPDIR`, by which the two processes of a hot restart find each other. Each
+//! process holds a lock on its own slot file while it runs; the kernel releases the lock however
+//! the process ends.
 
 use crate::hot_restart::OtherProcess;
 use crate::state_transfer::TransferFile;
@@ -7,13 +8,13 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
 
-/// The longest content of a slot file in bytes.
+/// Maximum length of a slot file, in bytes.
 const MAX_SLOT_BYTES: u64 = 256;
 
-/// The two slots, of which this process holds one.
+/// The two slot files, one of which this process holds.
 pub struct ProcessSlots {
     files: [File; 2],
-    /// The one that is held; none while others hold both.
+    /// Index of the slot that this process holds; `None` while other processes hold both.
     own: Option<usize>,
     process: String,
     ready: bool,
@@ -21,15 +22,15 @@
 }
 
 impl ProcessSlots {
-    /// Takes a free slot in this folder under this process's name.
+    /// Opens the slot files in `folder` and takes a free slot for the process named `process`.
     ///
     /// # Errors
     ///
-    /// Passes on the system's error if a slot file can't be opened.
+    /// If a slot file can't be opened.
     pub fn take(folder: &Path, process: String) -> io::Result<Self> {
         let transfer = TransferFile::new(folder, process.clone());
-        // Left for a process that died before it read it. Nothing is written for this process
-        // before it has a slot.
+        // An existing transfer is for a process that died before reading it: nothing is written
+        // for this process before it holds a slot.
         transfer.discard();
         let mut slots = ProcessSlots {
             files: [open_slot(folder, 0)?, open_slot(folder, 1)?],
@@ -42,8 +43,8 @@
         Ok(slots)
     }
 
-    /// Takes a free slot if this process has none: the other one may only have been checking
-    /// whether a slot is free.
+    /// Takes a free slot if this process holds none. An earlier attempt can fail although a slot is
+    /// free, because the other process locks the slot for a moment to check it.
     fn take_free_slot(&mut self) {
         if self.own.is_none() {
             self.own = (0..2).find(|slot| self.files[*slot].try_lock().is_ok());
@@ -64,11 +65,11 @@
             .and_then(|_| file.set_len(0))
             .and_then(|()| file.write_all(&text));
         if let Err(e) = written {
-            log::warn!("process slot in $TMPDIR: {e}");
+            log::warn!("writing the process slot in $TMPDIR failed: {e}; its content is outdated");
         }
     }
 
-    /// From now on the slot says that this process is ready, or no longer.
+    /// Sets whether this process is ready and writes that to its slot.
     pub fn set_ready(&mut self, ready: bool) {
         if self.ready != ready {
             self.ready = ready;
@@ -76,16 +77,17 @@
         }
     }
 
-    /// The other process, if one lives. One whose slot can't be read yet is unknown.
-    pub fn other(&mut self) -> Option<OtherProcess> {
+    /// Returns the other process, if one is running. If its slot can't be read yet, the result is
+    /// [`OtherProcess::unknown`].
+    pub fn other_process(&mut self) -> Option<OtherProcess> {
         self.take_free_slot();
         let Some(own) = self.own else {
             return Some(OtherProcess::unknown());
         };
         let file = &mut self.files[1 - own];
         if file.try_lock().is_ok() {
-            // Nobody holds it. What a dead process left is cleared: the next one has the lock
-            // before it has written its name, and would be taken for the dead one.
+            // No process holds this slot. Its content is cleared, because the next process locks
+            // the slot before it writes its name, and would be mistaken for the dead process.
             let _ = file.set_len(0);
             let _ = file.unlock();
             return None;
@@ -98,7 +100,7 @@
         Some(other.unwrap_or_else(OtherProcess::unknown))
     }
 
-    /// The file by which state is handed over.
+    /// Returns the file for the state transfer between the two processes.
     #[must_use]
     pub fn transfer(&self) -> &TransferFile {
         &self.transfer
--- a/crates/balancer/src/process_slots/tests.rs
+++ b/crates/balancer/src/process_slots/tests.rs
@@ -1,9 +1,9 @@
-//! Two processes that see each other by their slots.
+//! Detection of the other process by the slot files.
 
 use super::*;
 use std::path::PathBuf;
 
-/// A folder of its own that goes with the test.
+/// Temporary folder of one test, removed at the test's end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn two_processes_see_each_other_as_long_as_both_live() {
+fn two_processes_find_each_other_as_long_as_both_run() {
     let folder = Folder::new("two");
     let mut a = folder.slots("a");
-    assert_eq!(a.other(), None);
+    assert_eq!(a.other_process(), None);
     let mut b = folder.slots("b");
     assert_eq!(
-        a.other(),
+        a.other_process(),
         Some(OtherProcess {
             process: "b".into(),
             ready: false
@@ -40,45 +40,56 @@
     );
     b.set_ready(true);
     assert_eq!(
-        a.other(),
+        a.other_process(),
         Some(OtherProcess {
             process: "b".into(),
             ready: true
         })
     );
     assert_eq!(
-        b.other(),
+        b.other_process(),
         Some(OtherProcess {
             process: "a".into(),
             ready: false
         })
     );
     let mut c = folder.slots("c");
-    assert_eq!(c.other().map(|o| o.ready), Some(false), "no slot is free");
+    assert_eq!(
+        c.other_process().map(|other| other.ready),
+        Some(false),
+        "no slot is free"
+    );
     drop(a);
     assert_eq!(
-        b.other(),
+        b.other_process(),
         None,
-        "what a dead process left in its slot counts for nothing"
+        "the slot content of a dead process is ignored"
+    );
+    assert_eq!(
+        c.other_process().map(|other| other.process),
+        Some("b".into()),
+        "the freed slot is taken"
+    );
+    assert_eq!(
+        b.other_process().map(|other| other.process),
+        Some("c".into())
     );
-    assert_eq!(c.other().map(|o| o.process), Some("b".into()), "now one is");
-    assert_eq!(b.other().map(|o| o.process), Some("c".into()));
 }
 
 #[test]
-fn a_process_that_has_not_written_its_name_is_not_taken_for_the_dead_one_before_it() {
+fn process_that_has_not_written_its_slot_is_not_mistaken_for_its_dead_predecessor() {
     let folder = Folder::new("dead");
     let mut a = folder.slots("a");
     let mut b = folder.slots("b");
     b.set_ready(true);
-    assert_eq!(a.other().map(|o| o.ready), Some(true));
-    // Killed: nothing is written any more.
+    assert_eq!(a.other_process().map(|other| other.ready), Some(true));
+    // As if the process was killed: its slot content stays.
     drop(b);
-    assert_eq!(a.other(), None);
+    assert_eq!(a.other_process(), None);
     let next = File::options()
         .write(true)
         .open(folder.0.join("pipitrun.seat-1"))
         .unwrap();
     next.lock().unwrap();
-    assert_eq!(a.other(), Some(OtherProcess::unknown()));
+    assert_eq!(a.other_process(), Some(OtherProcess::unknown()));
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,53 +1,54 @@
-//! Requests: what all of them have in common, whichever listener they came by.
+//! Requests and their answers, independent of the protocol of the client listener.
 
 use crate::resp::write_command;
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::collections::BTreeMap;
 
-/// The right and the duty to answer one request. It can't be copied, and answering consumes it, so
-/// that no request is answered twice.
+/// Token that entitles its holder to answer one request. The token can't be copied, and answering
+/// consumes it, so that no request is answered twice.
 #[derive(Debug)]
 pub struct AnswerToken {
-    /// The request.
+    /// The request to be answered.
     pub request: RequestId,
     /// The client connection that waits for the answer.
     pub connection: u64,
 }
 
-/// A request as the listener hands it over.
+/// A request as the listener passes it to the event loop.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The duty to answer it.
+    /// Token for answering the request.
     pub answer_token: AnswerToken,
-    /// The name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// The name of its tenant.
+    /// Name of the tenant, if the client sent one.
     pub tenant: Option<String>,
-    /// The earliest time at which it can have arrived.
+    /// Earliest time at which the request can have arrived.
     pub arrived_at: Nanos,
-    /// How long the client waits from then on.
+    /// Time that the client waits for the answer, measured from `arrived_at`.
     pub client_timeout: Nanos,
-    /// The client's estimate of the work on a standard core, if it gives one.
+    /// Client's estimate of the processing time on a standard core, if it sent one.
     pub estimated_work: Option<Nanos>,
-    /// What is forwarded.
+    /// The command to be forwarded to a cache.
     pub command: CacheCommand,
 }
 
-/// What a cache is to do, in the client's words.
+/// A command for a cache, as the client sent it.
 #[derive(Debug)]
 pub struct CacheCommand {
-    /// The value of a write; a read has none.
+    /// Value of a write; `None` for a read.
     pub value: Option<Vec<u8>>,
-    /// The key.
+    /// Key that is read or written, as the client wrote it.
     pub key: Vec<u8>,
-    /// The client's id for the request.
+    /// Request id chosen by the client.
     pub request_id: Vec<u8>,
-    /// The client's fields but for its timeout, which is sent anew with each attempt.
+    /// Names and values of the client's fields, except for its timeout, which each attempt sets
+    /// to its own.
     pub fields: Vec<(String, String)>,
 }
 
 impl CacheCommand {
-    /// Encodes the command for an attempt with this timeout.
+    /// Encodes the command for an attempt with a timeout of `timeout_ms` milliseconds.
     #[must_use]
     pub fn encode(&self, timeout_ms: u64) -> Vec<u8> {
         let mut fields = String::new();
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Bytes that it holds.
+    /// Returns the number of bytes that the command's value, key, id and fields hold.
     #[must_use]
     pub fn byte_size(&self) -> usize {
         let fields: usize = self
@@ -78,53 +79,53 @@
 /// The final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The value or receipt that a cache gave for this request.
+    /// The value or receipt that a cache returned for the request.
     Served(Vec<u8>),
-    /// The same, of this length; the value arrives in parts and may still break off.
+    /// A value of this length in bytes that arrives in chunks and may still be aborted.
     Streaming(usize),
-    /// Rejected: a retry is harmless.
+    /// The request was rejected without effect; the client may safely retry it.
     Rejected {
-        /// How long the client should wait before it; 0 for no advice.
+        /// Minimum delay before a retry by the client; 0 if none is advised.
         retry_after: Nanos,
     },
-    /// Failed: the request may have had an effect.
+    /// The request failed and may have had an effect.
     Failed,
-    /// The request makes no sense and was forwarded to no cache; why.
+    /// The request is invalid and was not forwarded, for this reason.
     Invalid(&'static str),
 }
 
-/// One attempt.
+/// An attempt in flight.
 #[derive(Debug)]
 pub struct AttemptRecord {
-    /// The endpoint that it was sent to.
+    /// Endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
-    /// When it was sent.
+    /// Time at which the attempt was started.
     pub sent_at: Nanos,
-    /// For how long the process had stalled by then, in all.
+    /// Total stall time of the process at `sent_at`.
     pub total_stall_at_send: Nanos,
-    /// When it times out.
+    /// Time at which the attempt times out.
     pub deadline: Nanos,
-    /// Its first byte is written by then or never.
+    /// Latest time at which writing the command may start; later the attempt is not sent.
     pub write_deadline: Nanos,
 }
 
-/// A request from its arrival until it is answered and none of its attempts is in flight.
+/// State of a request, from its arrival until it is answered and none of its attempts is in flight.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Until it is answered or its client has disconnected.
+    /// Token for answering the request; `None` once it is answered or its client has disconnected.
     pub answer_token: Option<AnswerToken>,
-    /// When its client disconnected.
+    /// Time at which the client disconnected, if it did before the answer.
     pub client_disconnected_at: Option<Nanos>,
-    /// What is forwarded.
+    /// The command to be forwarded to a cache.
     pub command: CacheCommand,
-    /// When the client times out.
+    /// Time at which the client stops waiting for the answer.
     pub deadline: Nanos,
     /// Attempts in flight.
     pub attempts: BTreeMap<AttemptNumber, AttemptRecord>,
 }
 
 impl RequestContext {
-    /// The context of a request that has just arrived.
+    /// Creates the context of a request that has just arrived.
     #[must_use]
     pub fn new(answer_token: AnswerToken, command: CacheCommand, deadline: Nanos) -> Self {
         RequestContext {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Whether no answer is owed and no attempt is in flight.
+    /// Returns whether the request needs no answer any more and has no attempt in flight.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.answer_token.is_none() && self.attempts.is_empty()
--- a/crates/balancer/src/state_transfer.rs
+++ b/crates/balancer/src/state_transfer.rs
@@ -1,5 +1,5 @@
-//! The state that one process of a balancer hands to its successor during a hot restart, and the
-//! file in `$TMPDIR` by which it does.
+//! State transfer of a hot restart: the state that the old process of a balancer passes to the new
+//! one, and the file in `$TMPDIR` that contains it.
 
 use crate::discovery::EndpointList;
 use routing::Snapshot;
@@ -10,96 +10,96 @@
 use std::path::{Path, PathBuf};
 
 const FILE_NAME: &str = "pipitrun.notes";
-/// A transfer under this name is being written.
+/// Name of a transfer file while it is being written.
 const PARTIAL_FILE_NAME: &str = "pipitrun.notes.new";
-/// The longest transfer in bytes.
+/// Maximum length of a transfer file, in bytes.
 const MAX_BYTES: usize = 1 << 20;
-/// The version of the format; others are not read.
+/// Version of the file format; files of other versions are rejected.
 const VERSION: u32 = 1;
 
-/// What one process of a balancer leaves for the next. The keys are those of the file.
+/// State that the old process passes to the new one.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StateTransfer {
-    /// The endpoints that the old process knows.
+    /// Endpoint list of the old process.
     #[serde(rename = "list")]
     pub endpoint_list: EndpointList,
-    /// What its engine has learnt.
+    /// Snapshot of the old process's engine.
     #[serde(rename = "learnt")]
     pub snapshot: Snapshot,
 }
 
-/// Why state can't be written, or is not read.
+/// Error in writing or reading a state transfer.
 #[derive(Debug, thiserror::Error)]
 pub enum TransferError {
-    /// The file system reports an error.
+    /// The file can't be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the transfer file.
         path: PathBuf,
-        /// The error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// It can't be written as JSON.
-    #[error("can't be written: {0}")]
+    /// The state can't be serialized.
+    #[error("the state can't be serialized as JSON: {0}")]
     Serialize(#[source] serde_json::Error),
-    /// It would be, or is, too long.
-    #[error("longer than {limit} bytes")]
+    /// The state to be written, or the file, is too long.
+    #[error("the state transfer is longer than the maximum of {limit} bytes")]
     TooLong {
-        /// The longest transfer in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// It has no readable head: it is incomplete, or no transfer.
-    #[error("{0}")]
-    Head(#[source] serde_json::Error),
-    /// It is of another version.
-    #[error("of version {found}, not {VERSION}")]
+    /// The header can't be parsed: the file is incomplete, or not a state transfer.
+    #[error("invalid header of the state transfer: {0}")]
+    Header(#[source] serde_json::Error),
+    /// The file has another format version.
+    #[error("the state transfer has version {found}; expected version {VERSION}")]
     Version {
-        /// The version that it states.
+        /// Version in the file.
         found: u32,
     },
-    /// It is for another process.
-    #[error("for process {found}, not for {own}")]
+    /// The file is for another process.
+    #[error("the state transfer is for process {found}; expected this process, {own}")]
     Recipient {
-        /// The process that it is for.
+        /// Recipient in the file.
         found: String,
-        /// This process.
+        /// Name of this process.
         own: String,
     },
-    /// A key can't be read.
+    /// The state in the file can't be parsed; the error contains the path of the invalid key.
     #[error("{0}")]
     Key(#[from] serde_path_to_error::Error<serde_json::Error>),
 }
 
-/// The file's content. The keys are those of the file.
+/// Content of a transfer file.
 #[derive(Serialize, Deserialize)]
 struct Envelope<T> {
     version: u32,
-    /// The process that it is written for.
+    /// Name of the process that the state is for.
     #[serde(rename = "to")]
     recipient: String,
     #[serde(rename = "notes")]
     state: T,
 }
 
-/// What is read of the file first.
+/// Header of a transfer file, which is checked before the state is parsed.
 #[derive(Deserialize)]
-struct EnvelopeHead {
+struct EnvelopeHeader {
     version: u32,
     #[serde(rename = "to")]
     recipient: String,
 }
 
-/// The file by which state is handed over.
+/// The file through which state is passed to another process.
 #[derive(Debug)]
 pub struct TransferFile {
     path: PathBuf,
     partial_path: PathBuf,
-    /// This process.
+    /// Name of this process.
     process: String,
 }
 
 impl TransferFile {
-    /// The file in this folder, as seen by this process.
+    /// Returns the transfer file in `folder`, for use by the process named `process`.
     #[must_use]
     pub fn new(folder: &Path, process: String) -> Self {
         TransferFile {
@@ -109,24 +109,24 @@
         }
     }
 
-    /// Whether a transfer is there that nobody has read yet. Its recipient is known once it is
-    /// read.
+    /// Returns whether a transfer exists that has not been read yet. Its recipient is known only
+    /// once it is read.
     #[must_use]
     pub fn exists(&self) -> bool {
         self.path.exists()
     }
 
-    /// Removes the file, if it is there.
+    /// Removes the file, if it exists.
     pub fn discard(&self) {
         let _ = std::fs::remove_file(&self.path);
     }
 
-    /// Writes state for another process, which finds all of it or nothing. Returns its length in
-    /// bytes.
+    /// Writes state for the process named `recipient` and returns the file's length in bytes. The
+    /// file is renamed into place, so that the recipient never finds a partial transfer.
     ///
     /// # Errors
     ///
-    /// Says why it can't be written; then the recipient finds nothing.
+    /// If the state is too long or can't be written; then no transfer exists for the recipient.
     pub fn write<T: Serialize>(&self, recipient: &str, state: T) -> Result<usize, TransferError> {
         let envelope = Envelope {
             version: VERSION,
@@ -143,12 +143,12 @@
         Ok(text.len())
     }
 
-    /// Reads the state that was written for this process, and removes the file: nobody else needs
-    /// it.
+    /// Reads the state that was written for this process, and removes the file. The file is removed
+    /// even if it is invalid or for another process, as no process can use it later.
     ///
     /// # Errors
     ///
-    /// Says why there is none for this process.
+    /// If there is no readable state for this process.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, TransferError> {
         let mut text = Vec::new();
         File::open(&self.path)
@@ -158,22 +158,22 @@
         if text.len() > MAX_BYTES {
             return Err(TransferError::TooLong { limit: MAX_BYTES });
         }
-        self.check_head(&text)?;
+        self.check_header(&text)?;
         let mut json = serde_json::Deserializer::from_slice(&text);
         let envelope: Envelope<T> = serde_path_to_error::deserialize(&mut json)?;
         Ok(envelope.state)
     }
 
-    fn check_head(&self, text: &[u8]) -> Result<(), TransferError> {
-        let head: EnvelopeHead = serde_json::from_slice(text).map_err(TransferError::Head)?;
-        if head.version != VERSION {
+    fn check_header(&self, text: &[u8]) -> Result<(), TransferError> {
+        let header: EnvelopeHeader = serde_json::from_slice(text).map_err(TransferError::Header)?;
+        if header.version != VERSION {
             return Err(TransferError::Version {
-                found: head.version,
+                found: header.version,
             });
         }
-        if head.recipient != self.process {
+        if header.recipient != self.process {
             return Err(TransferError::Recipient {
-                found: head.recipient,
+                found: header.recipient,
                 own: self.process.clone(),
             });
         }
--- a/crates/balancer/src/state_transfer/tests.rs
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -1,5 +1,5 @@
-//! The state that a process hands over: complete, partial and foreign transfers, and the files that
-//! commit cab609d wrote, which are read and written again byte for byte.
+//! State transfers: complete, partial and invalid ones, and the files that commit cab609d wrote,
+//! which must be read, and be written again byte for byte.
 
 use super::*;
 use crate::config::Config;
@@ -12,15 +12,15 @@
 const OLD_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-0");
 const NEW_SLOT: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.seat-1");
 const TRANSFER: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.notes");
-/// What commit cab609d writes after it has read `TRANSFER`: two figures change in their last
-/// digits.
+/// Transfer that commit cab609d writes after it has read `TRANSFER`. Two numbers differ in their
+/// last digits.
 const REWRITTEN: &[u8] = include_bytes!("../../tests/fixtures/cab609d/pipitrun.notes.rewritten");
 const OLD_PROCESS: &str = "517-1796285826037045501";
 const NEW_PROCESS: &str = "1226-1796285832640383780";
-/// Shortly after the files were written.
+/// Unix time in nanoseconds shortly after the fixture files were written.
 const NOW: Nanos = 1_796_285_833_000_000_000;
 
-/// A folder of its own that goes with the test.
+/// Temporary folder of one test, removed at the test's end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -68,8 +68,12 @@
             process: process.into(),
             ready,
         };
-        assert_eq!(slots.other(), Some(expected));
-        assert_eq!(folder.read(file), bytes, "nobody writes another's slot");
+        assert_eq!(slots.other_process(), Some(expected));
+        assert_eq!(
+            folder.read(file),
+            bytes,
+            "the slot of another process is not written"
+        );
     }
 }
 
@@ -84,7 +88,7 @@
 }
 
 #[test]
-fn a_state_transfer_of_the_former_version_is_read() {
+fn state_transfer_of_the_former_version_is_read() {
     let folder = Folder::new("transfer");
     let slots = folder.slots(NEW_PROCESS);
     folder.write("pipitrun.notes", TRANSFER);
@@ -93,10 +97,13 @@
     assert!(!slots.transfer().exists());
     let list = &transfer.endpoint_list;
     assert_eq!((list.version, list.is_full), (8, true));
-    let hosts = list.endpoints.iter();
-    let hosts = hosts.map(|h| (h.name.as_str(), h.state.as_str(), h.weight, h.started_ms));
+    let endpoints = list.endpoints.iter();
+    let endpoints = endpoints.map(|endpoint| {
+        let (name, state) = (endpoint.name.as_str(), endpoint.state.as_str());
+        (name, state, endpoint.weight, endpoint.started_ms)
+    });
     assert_eq!(
-        hosts.collect::<Vec<_>>(),
+        endpoints.collect::<Vec<_>>(),
         [
             ("toy-1", "in_service", 1.0, 0.0),
             ("toy-2", "terminating", 0.5, 1_796_285_822_997.0),
@@ -107,7 +114,7 @@
 }
 
 #[test]
-fn a_state_transfer_is_written_byte_for_byte_as_by_the_former_version() {
+fn state_transfer_is_written_byte_for_byte_as_by_the_former_version() {
     let folder = Folder::new("write-transfer");
     let slots = folder.slots(NEW_PROCESS);
     for stored in [TRANSFER, REWRITTEN] {
@@ -121,7 +128,7 @@
 }
 
 #[test]
-fn an_engine_takes_over_the_snapshot_of_the_former_version() {
+fn engine_restores_the_snapshot_of_the_former_version() {
     let folder = Folder::new("snapshot");
     let slots = folder.slots(NEW_PROCESS);
     folder.write("pipitrun.notes", TRANSFER);
@@ -137,7 +144,7 @@
     for key in ["record", "fetch", "hits", "origin_room", "bad", "usual"] {
         assert_eq!(taken[key], stored[key], "{key}");
     }
-    // A process hands on half of the budgets that it has.
+    // A snapshot contains half of the budgets, as both processes use them during a hot restart.
     let half = |value: &Value| value.as_f64().unwrap() / 2.0;
     for (taken, stored) in pairs(&taken["budgets"], &stored["budgets"]) {
         assert_eq!(taken.as_f64(), Some(half(stored)));
@@ -157,7 +164,7 @@
 }
 
 #[test]
-fn a_partial_transfer_is_not_found() {
+fn partial_transfer_is_not_found() {
     let folder = Folder::new("half");
     let a = folder.slots("a");
     let b = folder.slots("b");
@@ -172,26 +179,35 @@
 }
 
 #[test]
-fn partial_foreign_outdated_and_oversized_transfers_are_named_and_removed() {
+fn invalid_transfers_are_reported_and_removed() {
     let folder = Folder::new("invalid");
     let slots = folder.slots("b");
     let long = format!("\"{}\"", "x".repeat(MAX_BYTES));
     let cases = [
-        ("", "EOF while parsing a value at line 1 column 0"),
+        (
+            "",
+            "invalid header of the state transfer: EOF while parsing a value at line 1 column 0",
+        ),
         (
             "{\"version\":1,\"to\":\"b\",\"no",
-            "EOF while parsing a string at line 1 column 25",
+            "invalid header of the state transfer: EOF while parsing a string at line 1 column 25",
+        ),
+        (
+            "{\"version\":2,\"to\":\"b\"}",
+            "the state transfer has version 2; expected version 1",
         ),
-        ("{\"version\":2,\"to\":\"b\"}", "of version 2, not 1"),
         (
             "{\"version\":1,\"to\":\"a\",\"notes\":[1]}",
-            "for process a, not for b",
+            "the state transfer is for process a; expected this process, b",
         ),
         (
             "{\"version\":1,\"to\":\"b\",\"notes\":[1,\"x\"]}",
             "notes[1]: invalid type: string \"x\", expected u64 at line 1 column 36",
         ),
-        (&long, "longer than 1048576 bytes"),
+        (
+            &long,
+            "the state transfer is longer than the maximum of 1048576 bytes",
+        ),
     ];
     for (text, problem) in cases {
         std::fs::write(&slots.transfer().path, text).unwrap();
@@ -203,5 +219,8 @@
     a.transfer().write("b", [5, 7]).unwrap();
     assert_eq!(slots.transfer().read::<Vec<u64>>().unwrap(), [5, 7]);
     assert!(a.transfer().write("b", "x".repeat(MAX_BYTES)).is_err());
-    assert!(!slots.transfer().exists(), "nothing is better than a part");
+    assert!(
+        !slots.transfer().exists(),
+        "no part of an oversized transfer is written"
+    );
 }
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,5 +1,7 @@
-//! The clock, and timers. Whoever sets a timer ignores it once it is out of date; those that would
-//! stand for long are cancelled, or many short requests with long deadlines would pile them up.
+//! The clock and the timers of the event loop.
+//!
+//! The handler of an expired timer ignores it if its subject has ended. Timers with long deadlines
+//! are cancelled when their subject ends; otherwise those of many short requests would accumulate.
 
 use routing::{AttemptNumber, Nanos, RequestId, TimerToken};
 use std::collections::{BTreeMap, HashMap};
@@ -8,14 +10,15 @@
 /// One millisecond.
 pub const MS: Nanos = 1_000_000;
 
-/// Unix time in nanoseconds that never goes back: the system's clock is read once, at the start.
+/// Monotonic clock that returns Unix time in nanoseconds. The system's clock is read only once, at
+/// the start.
 pub struct Clock {
     started_at: Nanos,
     start: Instant,
 }
 
 impl Clock {
-    /// Starts now.
+    /// Starts the clock with the current Unix time.
     #[must_use]
     pub fn start() -> Self {
         let unix_time = SystemTime::now()
@@ -27,44 +30,45 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Nanos {
         self.started_at + self.start.elapsed().as_nanos() as Nanos
     }
 }
 
-/// What a timer was set for.
+/// Purpose of a timer. At most one timer of each value is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TimerKind {
-    /// The engine set it.
+    /// A timer of the engine.
     Engine(TimerToken),
-    /// The timeout of an attempt.
+    /// Timeout of an attempt.
     Attempt(RequestId, AttemptNumber),
-    /// The timeout of a health check, by its number.
+    /// Timeout of a health check, by its number.
     HealthCheck(u64),
-    /// The connect timeout of an upstream connection, by its number.
+    /// Connect timeout of an upstream connection, by its number.
     Connect(u64),
-    /// A response that has begun may have stalled, by its connection's number.
+    /// Timeout between two reads of a response that has started to arrive, by the number of its
+    /// connection.
     ResponseStall(u64),
-    /// The silence timeout of a discovery connection, by its number.
+    /// Silence timeout of a discovery connection, by its number.
     Discovery(u64),
-    /// Where lists are pushed, the next watch starts.
+    /// Start of the next watch, where lists are pushed.
     Watch,
-    /// Idle and stuck connections are looked for.
+    /// Next check for idle and incomplete connections.
     ReapIdle,
-    /// The other process of a hot restart is checked on.
+    /// Next check for the other process of a hot restart.
     CheckOtherProcess,
-    /// The lifecycle changes by time alone.
+    /// Next change of the lifecycle policy.
     Lifecycle,
-    /// Gossip takes its turn.
+    /// Next gossip turn.
     Gossip,
 }
 
-/// The place of a timer in the queue: its time, then the order in which timers were set.
+/// Position of a timer in the queue: its time, then a sequence number in the order of setting.
 type Position = (Nanos, u64);
 
-/// All timers.
+/// Queue of timers, ordered by time.
 #[derive(Default)]
 pub struct Timers {
     queue: BTreeMap<Position, TimerKind>,
@@ -73,7 +77,7 @@
 }
 
 impl Timers {
-    /// Sets a timer, or moves it if it is set.
+    /// Sets a timer to expire at `at`, replacing an earlier setting.
     pub fn set(&mut self, at: Nanos, kind: TimerKind) {
         self.cancel(kind);
         self.next_sequence += 1;
@@ -89,7 +93,8 @@
         }
     }
 
-    /// Takes the next timer that has expired at `now`; among equals the one set first.
+    /// Removes and returns the earliest timer that has expired by `now`. Among timers of equal time
+    /// the one set first comes first.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<TimerKind> {
         let next = self
             .queue
@@ -100,7 +105,7 @@
         Some(kind)
     }
 
-    /// How long until the next timer expires.
+    /// Returns the time until the next timer expires; `None` if no timer is set.
     #[must_use]
     pub fn time_to_next(&self, now: Nanos) -> Option<Duration> {
         let (at, _) = self.queue.first_key_value()?.0;
--- a/crates/balancer/src/timers/tests.rs
+++ b/crates/balancer/src/timers/tests.rs
@@ -1,4 +1,4 @@
-//! The order in which timers expire.
+//! Order in which timers expire.
 
 use super::*;
 
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -218,12 +218,14 @@
         let new = pair.start();
         new.wait_ready();
         old.wait_log("bytes written for process");
-        new.wait_log("state transfer from the other process: list version 41, 41 is known");
+        new.wait_log(
+            "state transfer from the other process: received list version 41, current version 41",
+        );
         clients.wait(50);
         old.signal("TERM");
         assert!(old.process.wait().unwrap().success(), "it leaves by itself");
         clients.wait(200);
-        new.wait_log("another process of this balancer: false");
+        new.wait_log("another process of this balancer is running: false");
         old = new;
     }
     assert_eq!(clients.end(), Vec::<String>::new());
@@ -236,14 +238,14 @@
     // As soon as it has begun, and once both serve.
     for ready in [false, true] {
         let mut new = pair.start();
-        old.wait_log("another process of this balancer: true");
+        old.wait_log("another process of this balancer is running: true");
         if ready {
             new.wait_ready();
             clients.wait(100);
         }
         new.process.kill().unwrap();
         new.process.wait().unwrap();
-        old.wait_log("another process of this balancer: false");
+        old.wait_log("another process of this balancer is running: false");
         clients.wait(200);
     }
     assert!(old.is_ready());
@@ -259,7 +261,7 @@
     new.wait_ready();
     old.process.kill().unwrap();
     old.process.wait().unwrap();
-    new.wait_log("another process of this balancer: false");
+    new.wait_log("another process of this balancer is running: false");
     clients.wait(200);
     assert!(clients.end().len() <= 4);
 }
@@ -275,7 +277,7 @@
     assert!(text.ends_with("{\"state\":\"quiesced\"}\n"), "{text}");
     assert!(ask(&mut connect(&pair.address), "1"));
     old.signal("TERM");
-    old.wait_log("asked to stop");
+    old.wait_log("shutdown requested");
     assert!(ask(&mut connect(&pair.address), "2"));
     assert!(old.process.wait().unwrap().success());
     assert!(
