--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -3,7 +3,7 @@
 use routing::DecisionReason;
 use std::fmt;
 
-/// A kind of engine decision that comes with a reason and is counted by it.
+/// A kind of engine decision that is counted by its reason.
 #[derive(Clone, Copy)]
 pub enum DecisionStep {
     /// The request was rejected.
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -19,12 +19,12 @@
 /// would never be sent where every turn takes long.
 const POSTPONED_TURNS_MAX: u32 = 3;
 
-/// Progress of processing what the last poll reported.
+/// Whether the sockets that the last poll reported have been processed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PollState {
-    /// All of it has just been processed.
+    /// All of them have just been processed.
     JustProcessed,
-    /// It may be unprocessed in part, or was processed in an earlier turn.
+    /// Some may be unprocessed, or they were processed before other work of the loop.
     Earlier,
 }
 
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Checks whether the client of a request is still connected and handles a disconnect that has
-    /// not been read yet, so that nothing is sent for a client that has gone.
+    /// Checks whether the client of a request is still connected, and handles a disconnect that has
+    /// not been read yet, so that no attempt is sent for a disconnected client.
     fn check_client_connection(&mut self, now: Nanos, request: RequestId) {
         let Some(connection) = self.attempt_tracker.waiting_client(request) else {
             return;
--- a/crates/balancer/src/hot_restart.rs
+++ b/crates/balancer/src/hot_restart.rs
@@ -101,14 +101,14 @@
         self.other = other;
         HotRestartActions {
             apply_limits,
-            read_state: self.ends_waiting(now, has_transfer),
+            read_state: self.end_transfer_wait(now, has_transfer),
             write_state_for: is_serving.then(|| self.next_recipient()).flatten(),
         }
     }
 
-    /// Returns whether the wait for a state transfer is over: the transfer has arrived, is overdue,
-    /// or its sender has died.
-    fn ends_waiting(&mut self, now: Nanos, has_transfer: bool) -> bool {
+    /// Ends the wait for a state transfer if the transfer has arrived, is overdue, or its sender has
+    /// died. Returns whether a wait ended now.
+    fn end_transfer_wait(&mut self, now: Nanos, has_transfer: bool) -> bool {
         let Some(deadline) = self.transfer_deadline else {
             return false;
         };
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -55,7 +55,7 @@
     for warning in &config.warnings {
         log::warn!("configuration: settings.{warning}");
     }
-    log::debug!("{:?}", config.settings);
+    log::debug!("settings: {:?}", config.settings);
     EventLoop::new(config)?.run()?;
     Ok(())
 }
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The socket, or kind of connection, that an event comes from.
+/// The socket that a readiness event is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
     /// The client listener's socket.
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -48,8 +48,7 @@
     HealthCheck(u64),
     /// Connect timeout of an upstream connection, by its number.
     Connect(u64),
-    /// Timeout between two reads of a response that has started to arrive, by the number of its
-    /// connection.
+    /// Stall timeout of a response that has started to arrive, by the number of its connection.
     ResponseStall(u64),
     /// Silence timeout of a discovery connection, by its number.
     Discovery(u64),
--- a/examples/fleet/start.sh
+++ b/examples/fleet/start.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Starts a fleet of three balancers with toy caches and a toy discovery service. Ctrl-C stops all of them.
+# Starts a fleet of three balancers with toy caches and a toy discovery service. Ctrl-C stops all.
 # Run `cargo build --release --workspace --all-targets` first, then `sh examples/fleet/start.sh`.
 cd "$(dirname "$0")/../.." || exit 1
 target/release/examples/toy_server < /dev/null &
