--- a/crates/routing/src/actions.rs
+++ b/crates/routing/src/actions.rs
@@ -1,21 +1,21 @@
-//! The actions that the engine asks the balancer to take, and the reasons it gives.
+//! Actions that the engine returns to the balancer, and the reasons for its decisions.
 
 use crate::identifiers::{AttemptNumber, EndpointId, Nanos, RequestId, TimerToken};
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// Why a request was rejected, queued or failed, or why an attempt was not made.
+        /// Reason for rejecting, queueing or failing a request, or for not making an attempt.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
         pub enum DecisionReason {
             $($(#[$doc])* $variant,)*
         }
 
         impl DecisionReason {
-            /// Every reason, in the order of its number (`reason as usize`).
+            /// All reasons, ordered by their number (`reason as usize`).
             pub const ALL: [DecisionReason; [$(DecisionReason::$variant),*].len()] =
                 [$(DecisionReason::$variant),*];
 
-            /// The name of the reason in logs and counters.
+            /// Returns the name of the reason in logs and counters.
             #[must_use]
             pub fn name(self) -> &'static str {
                 match self {
@@ -27,124 +27,125 @@
 }
 
 reasons! {
-    /// Too small a fraction of recent requests was answered in time.
+    /// The fraction of recent requests that were answered in time is too low.
     FleetOverload = "fleet_overload",
-    /// All balancers shed requests of this tier for now.
+    /// All balancers currently shed requests of this tier.
     FleetShedding = "fleet_shedding",
-    /// The key is probably not cached, and fetches from the origin fail or are slow.
+    /// The key is probably not cached, and fetches from the origin currently fail or are slow.
     OriginProtection = "origin_protection",
     /// Every eligible candidate is at its concurrency limit.
     ConcurrencyLimit = "concurrency_limit",
-    /// A candidate's limit is under one, and the time between two attempts has not passed.
+    /// A candidate's concurrency limit is below one, and the minimum interval between two attempts
+    /// has not passed yet.
     Pacing = "pacing",
-    /// A candidate is in slow start and its budget is spent.
+    /// A candidate is in slow start and its token budget is exhausted.
     SlowStart = "slow_start",
     /// The endpoint list is empty.
     NoEndpoints = "no_endpoints",
-    /// No endpoint may receive the request, or all attempts are used.
+    /// No endpoint may receive the request, or the request has used up its attempts.
     NoEligibleEndpoint = "no_eligible_endpoint",
     /// The deadline has passed.
     #[default]
     DeadlineExceeded = "deadline_exceeded",
-    /// Endpoints reject so much that another attempt would most likely fail.
+    /// Endpoints reject so many attempts that another would most likely fail too.
     RetryFutile = "retry_futile",
-    /// Fetches fail so often that another attempt would prolong the origin's overload.
+    /// Fetches from the origin fail so often that another attempt would prolong its overload.
     OriginOverload = "origin_overload",
-    /// The budget for hedges or retries is spent.
+    /// The budget for hedges or retries is exhausted.
     BudgetExhausted = "budget_exhausted",
-    /// An endpoint answered that the request itself is invalid.
+    /// An endpoint reported that the request itself is invalid.
     InvalidRequest = "invalid_request",
-    /// The settings have no such class.
+    /// The settings do not contain the request's class.
     UnknownClass = "unknown_class",
 }
 
-/// A reason with the figures that the decision was based on.
+/// Reason for a decision, with the values that the decision was based on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Explanation {
-    /// The reason.
+    /// Reason for the decision.
     pub reason: DecisionReason,
-    /// Attempts in flight at the request's first candidate.
+    /// Number of attempts in flight at the request's first candidate.
     pub in_flight: usize,
-    /// That candidate's concurrency limit.
+    /// Concurrency limit of the first candidate.
     pub limit: f64,
-    /// Fraction of reads of keys not known to be cached that is admitted, 0 to 1.
+    /// Admitted fraction, 0 to 1, of the reads whose key is not known to be cached.
     pub origin_admitted_fraction: f64,
-    /// Mean latency with little queueing: of the candidate, or of fetches where the origin is the
-    /// reason.
+    /// Mean latency with little queueing, in nanoseconds: of fetches from the origin if the reason
+    /// concerns the origin, otherwise of the first candidate.
     pub baseline_latency: Nanos,
-    /// The same mean lately.
+    /// Recent mean latency in nanoseconds, of the same source as `baseline_latency`.
     pub recent_latency: Nanos,
 }
 
-/// What was not done for a request that is still open.
+/// Step that was not taken for a request that stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
-    /// It waits for capacity.
+    /// The request waits for capacity instead of being sent.
     Queued,
-    /// It was late and was not hedged.
+    /// The request's attempt was overdue, and no hedge was sent.
     HedgeSuppressed,
 }
 
-/// What the balancer is to do, in the given order.
+/// Instruction to the balancer; instructions are executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of the request.
     Send {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Which of its attempts this is.
+        /// Number of this attempt within the request.
         attempt: AttemptNumber,
-        /// The endpoint to send it to.
+        /// Endpoint that receives the attempt.
         endpoint: EndpointId,
-        /// The attempt's timeout; `None`: until the client gives up.
+        /// Timeout of the attempt; with `None` it lasts until the client's timeout.
         timeout: Option<Nanos>,
-        /// The first byte has to be written within this time, or the attempt must not be sent:
-        /// later the endpoints no longer discard it as a repeat. `None`: no such bound.
+        /// Maximum time until the first byte is written; if it cannot be kept, the attempt must not
+        /// be sent, because endpoints would no longer discard it as a repeat. `None` sets no bound.
         write_within: Option<Nanos>,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Answer the request as failed. It may have had an effect. This is its final answer.
     Fail {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Why.
+        /// Reason, with the values it is based on.
         explanation: Explanation,
     },
-    /// Final answer: rejected, a retry by the client is harmless.
+    /// Reject the request: a retry by the client is harmless. This is its final answer.
     Reject {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// How long the client should wait; 0 for no advice.
+        /// Time after which the client should retry; 0 gives no advice.
         retry_after: Nanos,
-        /// Why.
+        /// Reason, with the values it is based on.
         explanation: Explanation,
     },
-    /// Nothing to do; for counters and logs.
+    /// Count or log a step that was not taken; nothing else has to be done.
     Defer {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// What was not done.
+        /// Step that was not taken.
         deferral: Deferral,
-        /// Why.
+        /// Reason, with the values it is based on.
         explanation: Explanation,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request.
         attempt: AttemptNumber,
     },
     /// Send a health check to an endpoint.
     HealthCheck(EndpointId),
     /// Close the idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Ask discovery for the endpoint list and for changes from now on.
+    /// Query discovery for the endpoint list and subscribe to its changes.
     QueryDiscovery,
-    /// Report [`Event::TimerFired`](crate::Event::TimerFired) after this time.
+    /// Report [`Event::TimerFired`](crate::Event::TimerFired) after the given time.
     SetTimer {
-        /// How long from now.
+        /// Time from now until the timer fires.
         after: Nanos,
-        /// Comes back with the event.
+        /// Token that the event returns.
         token: TimerToken,
     },
     /// A log line for operators.
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: which arriving requests are within their tenant's quota, and which are rejected at
-//! once because the fleet sheds them or has no capacity.
+//! Admission: decides which arriving requests are beyond their tenant's quota, and which are
+//! rejected at once because the fleet sheds them or lacks capacity.
 
 use crate::actions::DecisionReason;
 use crate::concurrency_limit::min_limits_exceed_initial;
@@ -13,27 +13,28 @@
 use crate::settings::Settings;
 use crate::traffic::{Traffic, new_rate};
 
-/// Tiers that are counted apart; the greatest beyond them are counted as one.
+/// Number of tiers with their own counter; requests of higher tiers share the last counter.
 pub const COUNTED_TIERS: usize = 16;
 
-/// Requests admitted for each that is served usefully: after an overload the admitted fraction
-/// doubles within the time constant of the rates.
+/// Number of requests admitted for each one that is usefully answered. With 2, the admitted
+/// fraction doubles within the time constant of the rates after an overload.
 const ADMITTED_PER_USEFUL: f64 = 2.0;
-/// Requests admitted besides, in the time constant, to see whether there is capacity again.
+/// Additional requests admitted within the time constant, to detect that capacity has returned.
 const PROBE_REQUESTS: f64 = 1.0;
-/// The least admitted fraction: clients retry a few times only, and not all failures are overload.
+/// Minimum admitted fraction: clients retry only a few times, and not all failures are caused by
+/// overload.
 const MIN_ADMITTED_FRACTION: f64 = 0.3;
-/// The least number of requests that a fraction is computed from.
+/// Minimum number of requests that the admitted fraction is computed from; avoids a division by 0.
 const MIN_REQUESTS: f64 = 0.1;
 
-/// What a balancer has admitted, and how much of it was rejected for lack of capacity.
+/// Counts of the requests that a balancer admitted and of those it rejected for lack of capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct AdmissionCounts {
-    /// Requests admitted, by tier (see [`SheddingLevel::level`]).
+    /// Admitted requests by tier (see [`SheddingLevel::level`]).
     pub admitted: [u32; COUNTED_TIERS],
-    /// Those that were rejected later for lack of capacity at the caches. Late answers are not
-    /// among them: they result from what was admitted a second ago, and a level that followed
-    /// them would oscillate.
+    /// Requests rejected after admission for lack of capacity at the caches. Late answers are not
+    /// counted: they result from requests admitted about a second earlier, and a shedding level
+    /// that followed them would oscillate.
     pub capacity_rejections: u32,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// All requests admitted.
+    /// Returns the number of admitted requests over all tiers.
     #[must_use]
     pub fn total_admitted(&self) -> u32 {
         let counts = self.admitted.iter();
@@ -56,7 +57,7 @@
     }
 }
 
-/// The state of admission.
+/// State of admission control.
 pub(crate) struct Admission {
     pub(crate) traffic: Traffic,
     tenants: Vec<TenantUsage>,
@@ -64,7 +65,7 @@
     counts: AdmissionCounts,
 }
 
-/// A tenant's quota over all balancers, and its requests at this one.
+/// Quota of a tenant over all balancers, and the rate of its requests at this balancer.
 struct TenantUsage {
     quota_per_second: f64,
     requests: Rate,
@@ -94,7 +95,7 @@
         &self.shedding
     }
 
-    /// Counts an arriving request. Returns whether it is beyond its tenant's quota.
+    /// Counts an arriving request and returns whether it exceeds its tenant's quota.
     pub(crate) fn record_arrival(
         &mut self,
         tenant: Option<TenantId>,
@@ -109,7 +110,7 @@
         usage.requests.per_second(now) > usage.quota_per_second / fleet.balancers() as f64
     }
 
-    /// Why an arriving request is not admitted; none if it is.
+    /// Returns the reason for not admitting an arriving request, or `None` if it is admitted.
     pub(crate) fn check(
         &mut self,
         request: &Request,
@@ -126,9 +127,10 @@
         (!has_capacity).then_some(DecisionReason::FleetOverload)
     }
 
-    /// Whether the fleet, as far as this balancer saw, has capacity for one more request. Where
-    /// there are so many balancers that their least limits overload an endpoint, each learns too
-    /// little of a single endpoint, but enough of all of them.
+    /// Returns whether the fleet has capacity for one more request, judged by what this balancer
+    /// observed. With so many balancers that their minimum limits together overload an endpoint,
+    /// each one sees too few requests to judge a single endpoint, but enough to judge all of them
+    /// together.
     pub(crate) fn fleet_has_capacity(
         &mut self,
         fleet: FleetSize,
@@ -146,7 +148,7 @@
         has_capacity
     }
 
-    /// Counts a final answer with this reason.
+    /// Counts a final answer that was given for this reason.
     pub(crate) fn record_rejection(&mut self, reason: DecisionReason) {
         let is_for_lack_of_capacity = matches!(
             reason,
--- a/crates/routing/src/attempt_budget.rs
+++ b/crates/routing/src/attempt_budget.rs
@@ -1,12 +1,13 @@
-//! A token budget for attempts beyond the first of each request.
+//! Token budget for attempts beyond the first one of each request.
 
 use crate::fleet_size::FleetSize;
 
-/// The burst of a balancer is at least this, however many share the endpoints: failures come a few
-/// at a time.
+/// Minimum burst of a balancer, however many balancers share the endpoints: failures come a few at
+/// a time.
 const MIN_BURST: f64 = 3.0;
 
-/// Gains a fraction of a token with each request and loses one with each attempt it pays for.
+/// Budget that gains a fraction of a token with each request and loses one token with each attempt
+/// that is charged to it.
 pub(crate) struct AttemptBudget {
     tokens: f64,
     tokens_per_request: f64,
@@ -14,7 +15,8 @@
 }
 
 impl AttemptBudget {
-    /// A full budget. `fleet_burst` is what the balancers may save up together.
+    /// Creates a full budget. `fleet_burst` is the burst in tokens that is divided among the
+    /// balancers of the fleet.
     pub(crate) fn new(tokens_per_request: f64, fleet_burst: f64, fleet: FleetSize) -> Self {
         AttemptBudget {
             tokens: fleet_burst / fleet.square_root(),
@@ -23,7 +25,7 @@
         }
     }
 
-    /// Credits one request.
+    /// Adds the tokens of one request, up to the burst.
     pub(crate) fn refill(&mut self, fleet: FleetSize) {
         let burst = (self.fleet_burst / fleet.square_root()).max(MIN_BURST);
         self.tokens = (self.tokens + self.tokens_per_request).min(burst);
@@ -41,12 +43,12 @@
         self.tokens
     }
 
-    /// Gives half of the tokens to the process that takes over.
+    /// Halves the tokens; the process that takes over gets the other half.
     pub(crate) fn halve(&mut self) {
         self.tokens /= 2.0;
     }
 
-    /// Keeps no more than what another process has handed over.
+    /// Reduces the tokens to at most the number that another process handed over.
     pub(crate) fn cap(&mut self, tokens: f64) {
         self.tokens = self.tokens.min(tokens);
     }
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -1,62 +1,63 @@
-//! How many attempts may be in flight at an endpoint: additive increase while its latency stays
-//! near the baseline, multiplicative decrease when it rises. A limit under one paces attempts.
+//! Limit on the attempts in flight at an endpoint: additive increase while the latency stays near
+//! its baseline, multiplicative decrease when it rises. A limit below one paces the attempts.
 
 use crate::actions::DecisionReason;
 use crate::estimators::LatencyMean;
 use crate::fleet_size::FleetSize;
 use crate::identifiers::Nanos;
 
-/// Limit of an endpoint of mean size until more is known, over all balancers.
+/// Initial limit of an endpoint of mean weight, summed over all balancers.
 pub(crate) const INITIAL_FLEET_LIMIT: f64 = 4.0;
-/// The least limit. Under 1, attempts are paced: hundreds of balancers with one attempt each would
-/// overload an endpoint.
+/// Minimum limit of one balancer. Below 1 attempts are paced: hundreds of balancers with one
+/// attempt each would overload an endpoint.
 pub(crate) const MIN_LIMIT: f64 = 0.2;
-/// The greatest limit of one balancer at an endpoint of mean size.
+/// Maximum limit of one balancer at an endpoint of mean weight.
 const MAX_LIMIT: f64 = 16.0;
-/// An unused limit returns to the initial one by this factor at each housekeeping.
+/// Factor at each housekeeping by which an unused limit decays toward the initial limit.
 const UNUSED_DECAY: f64 = 0.98;
-/// Growth of a reached limit with a hit whose latency is near the baseline.
+/// Growth of a fully used limit per hit whose latency is near the baseline; divided by the limit.
 pub(crate) const HIT_INCREASE: f64 = 0.5;
-/// The same with a miss, which says less of the cache's own load.
+/// Growth per miss, which reveals less about the cache's own load; divided by the limit.
 const MISS_INCREASE: f64 = 0.1;
-/// The same beyond the knee: latency lags behind a surge.
+/// Growth per answer above the knee, where it is slow because latency lags behind a surge of load.
 pub(crate) const INCREASE_BEYOND_KNEE: f64 = 0.05;
-/// Recent latency over the baseline up to which a limit grows ...
-const UNCROWDED_RATIO: f64 = 1.2;
-/// ... and from which on it shrinks.
-const CROWDED_RATIO: f64 = 1.8;
-/// The same thresholds as fractions of the shortest latency objective, if that is more: a wait that
-/// makes no answer late is no reason to shrink a limit.
-const UNCROWDED_OBJECTIVE_FRACTION: f64 = 0.13;
-const CROWDED_OBJECTIVE_FRACTION: f64 = 0.2;
-/// A limit's factor for an answer that is slow ...
+/// Maximum ratio of recent latency to baseline at which a limit grows.
+const GROWTH_LATENCY_RATIO: f64 = 1.2;
+/// Ratio of recent latency to baseline above which a limit shrinks.
+const SHRINK_LATENCY_RATIO: f64 = 1.8;
+/// Lower bounds of the two latency thresholds, as fractions of the shortest latency objective: a
+/// wait that makes no answer late is no reason to shrink a limit.
+const GROWTH_OBJECTIVE_FRACTION: f64 = 0.13;
+const SHRINK_OBJECTIVE_FRACTION: f64 = 0.2;
+/// Factor applied to a limit for a slow answer.
 const SLOW_ANSWER_FACTOR: f64 = 0.92;
-/// ... and for a timeout, or a rejection of a read that is probably cached there.
+/// Factor applied to a limit for a timeout, or for a rejection of a read that is probably cached at
+/// the endpoint.
 const OVERLOAD_FACTOR: f64 = 0.7;
-/// The part of a limit that reads which probably hit may use.
+/// Fraction of a limit that is available to reads that probably hit.
 pub(crate) const HIT_LIMIT_FRACTION: f64 = 1.25;
 
-/// What the adjustment of a limit depends on besides latency.
+/// Inputs to the adjustment of a limit besides latency.
 #[derive(Clone, Copy)]
 pub(crate) struct LimitContext {
     pub(crate) fleet: FleetSize,
-    /// The endpoint's weight over the mean one.
+    /// Ratio of the endpoint's weight to the mean weight.
     pub(crate) relative_size: f64,
-    /// The shortest latency objective of a class, in nanoseconds.
+    /// Shortest latency objective of all classes, in nanoseconds.
     pub(crate) latency_objective: f64,
-    /// Attempts in flight at the endpoint after the one that was answered.
+    /// Number of attempts in flight at the endpoint, without the one that was just answered.
     pub(crate) in_flight: usize,
 }
 
-/// The concurrency limit of one endpoint.
+/// Concurrency limit of one endpoint.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
 }
 
 impl ConcurrencyLimit {
-    /// The limit of an endpoint of which nothing is known: other balancers are assumed to send
-    /// likewise.
+    /// Returns the limit of an endpoint without observations; other balancers are assumed to send
+    /// the same load.
     pub(crate) fn initial(fleet: FleetSize, relative_size: f64) -> Self {
         let even_share = INITIAL_FLEET_LIMIT / fleet.balancers() as f64 * relative_size;
         Self::from_stored(even_share.max(MIN_LIMIT))
@@ -70,34 +71,35 @@
         self.limit
     }
 
-    /// Whether it still has to be set to [`ConcurrencyLimit::initial`].
+    /// Returns whether the limit still has to be set to [`ConcurrencyLimit::initial`].
     pub(crate) fn is_unset(&self) -> bool {
         self.limit == 0.0
     }
 
-    /// Adjusts the limit to an answer from the cache, by the endpoint's latency.
+    /// Adjusts the limit after an answer from the cache, by the endpoint's latency.
     pub(crate) fn record_hit(&mut self, latency: &LatencyMean, context: &LimitContext) {
         let objective = context.latency_objective;
-        let crowded =
-            (CROWDED_RATIO * latency.baseline()).max(CROWDED_OBJECTIVE_FRACTION * objective);
-        let uncrowded =
-            (UNCROWDED_RATIO * latency.baseline()).max(UNCROWDED_OBJECTIVE_FRACTION * objective);
-        if latency.recent() > crowded {
+        let shrink_threshold =
+            (SHRINK_LATENCY_RATIO * latency.baseline()).max(SHRINK_OBJECTIVE_FRACTION * objective);
+        let growth_threshold =
+            (GROWTH_LATENCY_RATIO * latency.baseline()).max(GROWTH_OBJECTIVE_FRACTION * objective);
+        if latency.recent() > shrink_threshold {
             self.limit = (self.limit * SLOW_ANSWER_FACTOR).max(MIN_LIMIT);
-        } else if latency.recent() < uncrowded {
+        } else if latency.recent() < growth_threshold {
             self.grow(HIT_INCREASE, context);
         }
     }
 
-    /// Adjusts the limit to an answer that had to be fetched, by the latency of fetches. A miss is
-    /// as slow as the origin and can't show that the cache is crowded.
+    /// Adjusts the limit after an answer that had to be fetched, by the latency of fetches. A miss
+    /// is as slow as the origin, so its own latency does not show whether the cache is overloaded.
     pub(crate) fn record_miss(&mut self, fetch_latency: &LatencyMean, context: &LimitContext) {
-        if fetch_latency.recent() < UNCROWDED_RATIO * fetch_latency.baseline() {
+        if fetch_latency.recent() < GROWTH_LATENCY_RATIO * fetch_latency.baseline() {
             self.grow(MISS_INCREASE, context);
         }
     }
 
-    /// Only a limit that was reached has shown that it may grow.
+    /// Increases the limit, but only if it is fully used: otherwise the answer does not show that
+    /// more attempts would be served as well.
     fn grow(&mut self, increase_below_knee: f64, context: &LimitContext) {
         if context.in_flight as f64 + 1.0 < self.limit {
             return;
@@ -113,20 +115,21 @@
         self.limit = grown.min((MAX_LIMIT * size).max(1.0));
     }
 
-    /// Adjusts the limit to a timeout or a rejection for lack of capacity.
+    /// Reduces the limit after a timeout or a rejection for lack of capacity.
     pub(crate) fn record_overload(&mut self) {
         self.limit = (self.limit * OVERLOAD_FACTOR).max(MIN_LIMIT);
     }
 
-    /// Returns a limit that is not half used toward `initial`: it must not admit a surge before
-    /// latency shows it, and one that was cut recovers.
+    /// Decays a limit that is less than half used toward `initial`. A large unused limit would
+    /// admit a surge before latency shows it, and a reduced limit has to recover.
     pub(crate) fn decay_unused(&mut self, in_flight: usize, initial: &ConcurrencyLimit) {
         if (in_flight as f64) < self.limit / 2.0 {
             self.limit = (self.limit * UNUSED_DECAY).max(initial.limit);
         }
     }
 
-    /// Why this fraction of the limit does not permit one more attempt; none if it does.
+    /// Returns the reason why this fraction of the limit permits no further attempt, or `None` if
+    /// it permits one.
     pub(crate) fn shortage(
         &self,
         fraction: f64,
@@ -149,8 +152,8 @@
     }
 }
 
-/// Whether there are so many balancers that their least limits together exceed the initial limit
-/// of an endpoint: then limits alone cannot protect it.
+/// Returns whether the minimum limits of all balancers together exceed the initial limit of an
+/// endpoint; the limits alone then cannot protect it.
 pub(crate) fn min_limits_exceed_initial(fleet: FleetSize) -> bool {
     fleet.balancers() as f64 * MIN_LIMIT > INITIAL_FLEET_LIMIT
 }
--- a/crates/routing/src/discovery_schedule.rs
+++ b/crates/routing/src/discovery_schedule.rs
@@ -1,20 +1,23 @@
-//! When discovery is queried: at the start, and again after a failed call with exponential backoff.
+//! Schedule of calls to discovery: one at the start, and one after each failed call with
+//! exponential backoff.
 
 use crate::identifiers::Nanos;
 use crate::random::Random;
 use crate::settings::DiscoveryMode;
 
-/// The first calls of balancers that restart together are spread over this time, in nanoseconds.
+/// Maximum delay of the first call, in nanoseconds; spreads the calls of balancers that restart
+/// together.
 const FIRST_CALL_SPREAD: Nanos = 300_000_000;
-/// Mean wait after a first failed call, in nanoseconds; doubles with each.
+/// Mean delay after the first failed call, in nanoseconds; doubles with each further failure.
 const MIN_BACKOFF: Nanos = 400_000_000;
-/// The longest mean wait, in nanoseconds. A wait is at most half longer and a call that hangs is
-/// abandoned after 1.6 s: together under the 6 s after which the balancer counts as notified.
+/// Maximum mean delay, in nanoseconds. A delay is at most half longer than the mean, and a call
+/// without a response is abandoned after 1.6 s. Both together stay below the 6 s after which the
+/// balancer counts as notified of a change.
 pub(crate) const MAX_BACKOFF: Nanos = 2_500_000_000;
-/// The wait is at most this multiple of the staleness limit.
+/// Maximum mean delay as a multiple of the staleness limit.
 const MAX_STALENESS_LIMITS: Nanos = 2;
 
-/// The backoff of calls to discovery.
+/// Backoff state of the calls to discovery.
 pub(crate) struct DiscoverySchedule {
     mode: DiscoveryMode,
     backoff: Nanos,
@@ -28,7 +31,7 @@
         }
     }
 
-    /// The wait before the first call; none where discovery pushes.
+    /// Returns the delay before the first call, or `None` if discovery pushes changes.
     pub(crate) fn first_call(&self, random: &mut Random) -> Option<Nanos> {
         match self.mode {
             DiscoveryMode::Push => None,
@@ -36,7 +39,7 @@
         }
     }
 
-    /// The wait after a failed call.
+    /// Returns the delay after a failed call and doubles the backoff.
     pub(crate) fn after_failure(&mut self, random: &mut Random) -> Nanos {
         let wait = self.backoff / 2 + random.below(self.backoff);
         self.backoff = (self.backoff * 2).min(self.max_backoff());
@@ -52,7 +55,7 @@
         }
     }
 
-    /// A call succeeded, or discovery has moved: the backoff starts again.
+    /// Resets the backoff after a successful call or a change of discovery's address.
     pub(crate) fn reset(&mut self) {
         self.backoff = MIN_BACKOFF;
     }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,8 +1,8 @@
-//! The endpoint list, and what this balancer knows of each endpoint.
+//! The endpoint list, and the state that this balancer keeps for each endpoint.
 
 use crate::actions::DecisionReason;
 use crate::concurrency_limit::ConcurrencyLimit;
-use crate::estimators::{LatencyMean, WorkPace};
+use crate::estimators::{LatencyMean, LatencyPerWork};
 use crate::events::{Endpoint, EndpointState, LoadReport, UpdateKind};
 use crate::fleet_size::FleetSize;
 use crate::identifiers::{AttemptNumber, EndpointId, Nanos, RequestId};
@@ -12,14 +12,14 @@
 use crate::slow_start::{SlowStart, TotalWeights};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hit ratio of an endpoint that has not reported one.
+/// Assumed hit ratio of an endpoint until it reports one.
 const INITIAL_HIT_RATIO: f64 = 0.5;
-/// Weight of a new sample in the time that estimated work takes.
-pub(crate) const WORK_PACE_GAIN: f64 = 0.05;
-/// Bounds of a listed weight.
+/// Weight of a new sample in the means of [`LatencyPerWork`].
+pub(crate) const LATENCY_PER_WORK_GAIN: f64 = 0.05;
+/// Bounds of a weight from the endpoint list.
 const MIN_WEIGHT: f64 = 0.01;
 const MAX_WEIGHT: f64 = 100.0;
-/// The weight of an endpoint whose listed weight is not used.
+/// Weight of an endpoint whose entry has no usable weight, or whose weight follows its load.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// An attempt in flight at an endpoint.
@@ -30,17 +30,17 @@
     pub(crate) number: AttemptNumber,
 }
 
-/// What this balancer knows of one listed endpoint.
+/// State that this balancer keeps for one endpoint of the list.
 #[derive(Default)]
 pub(crate) struct EndpointRecord {
-    pub(crate) listed: Endpoint,
+    pub(crate) entry: Endpoint,
     pub(crate) in_flight: Vec<InFlightAttempt>,
     pub(crate) last_answer_at: Nanos,
-    /// Nothing has been in flight since then, but a connection may be open.
+    /// Time since which no attempt has been in flight while a connection may be open.
     pub(crate) idle_since: Option<Nanos>,
     pub(crate) latency: LatencyMean,
-    pub(crate) work_pace: WorkPace,
-    /// Hit ratio that the endpoint reports.
+    pub(crate) latency_per_work: LatencyPerWork,
+    /// Hit ratio that the endpoint last reported.
     pub(crate) hit_ratio: f64,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) health: EndpointHealth,
@@ -48,10 +48,10 @@
 }
 
 impl EndpointRecord {
-    /// Of an endpoint of which nothing is known but its entry.
-    pub(crate) fn new(listed: Endpoint, slow_start: SlowStart) -> Self {
+    /// Creates the record of an endpoint without observations.
+    pub(crate) fn new(entry: Endpoint, slow_start: SlowStart) -> Self {
         EndpointRecord {
-            listed,
+            entry,
             hit_ratio: INITIAL_HIT_RATIO,
             health: EndpointHealth::new(),
             slow_start,
@@ -60,10 +60,11 @@
     }
 
     pub(crate) fn is_active(&self) -> bool {
-        self.listed.state == EndpointState::Active
+        self.entry.state == EndpointState::Active
     }
 
-    /// Why this fraction of the concurrency limit does not permit one more attempt.
+    /// Returns the reason why this fraction of the concurrency limit permits no further attempt, or
+    /// `None` if it permits one.
     pub(crate) fn capacity_shortage(&self, fraction: f64, now: Nanos) -> Option<DecisionReason> {
         self.limit.shortage(
             fraction,
@@ -80,7 +81,7 @@
         self.slow_start.spend();
     }
 
-    /// Takes out an attempt that has ended; none if it was not in flight here.
+    /// Removes an attempt that has ended and returns it, or `None` if it was not in flight here.
     pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
@@ -97,26 +98,26 @@
         self.hit_ratio = report.hit_ratio.filter(is_ratio).unwrap_or(self.hit_ratio);
     }
 
-    /// Adds the latency of a hit.
+    /// Records the latency of a hit.
     pub(crate) fn record_hit_latency(&mut self, latency: Nanos, estimated_work: Option<Nanos>) {
         self.latency.add(latency);
         if let Some(work) = estimated_work {
-            self.work_pace
-                .add(latency as f64, work as f64, WORK_PACE_GAIN);
+            self.latency_per_work
+                .add(latency as f64, work as f64, LATENCY_PER_WORK_GAIN);
         }
     }
 
-    /// Attempts that are overdue while nothing has been heard of the endpoint since they were sent.
-    pub(crate) fn silent_attempts(&self, now: Nanos, overdue_after: Nanos) -> usize {
-        let is_silent = |attempt: &&InFlightAttempt| {
+    /// Returns the number of overdue attempts since whose start the endpoint has answered nothing.
+    pub(crate) fn unanswered_attempts(&self, now: Nanos, overdue_after: Nanos) -> usize {
+        let is_unanswered = |attempt: &&InFlightAttempt| {
             attempt.sent_at >= self.last_answer_at
                 && now.saturating_sub(attempt.sent_at) > overdue_after
         };
-        self.in_flight.iter().filter(is_silent).count()
+        self.in_flight.iter().filter(is_unanswered).count()
     }
 }
 
-/// How the settings have entries of the list read.
+/// Settings that determine how entries of the endpoint list are interpreted.
 #[derive(Clone, Copy)]
 pub(crate) struct ListInterpretation {
     dynamic_weights: bool,
@@ -124,12 +125,12 @@
 }
 
 impl ListInterpretation {
-    /// Whether an endpoint is the origin, by [`OriginMode::CacheAside`].
+    /// Returns whether an endpoint is an origin server according to [`OriginMode::CacheAside`].
     pub(crate) fn is_origin(self, endpoint: &Endpoint) -> bool {
         matches!(self.origin, OriginMode::CacheAside { kind } if kind == endpoint.kind)
     }
 
-    /// The weight of an endpoint by the list alone.
+    /// Returns the weight of an endpoint according to its entry.
     pub(crate) fn weight(self, endpoint: &Endpoint) -> f64 {
         if !self.dynamic_weights && endpoint.weight.is_finite() {
             endpoint.weight.clamp(MIN_WEIGHT, MAX_WEIGHT)
@@ -139,7 +140,7 @@
     }
 }
 
-/// All listed endpoints.
+/// All endpoints of the list, with their state.
 pub(crate) struct EndpointList {
     records: BTreeMap<EndpointId, EndpointRecord>,
     interpretation: ListInterpretation,
@@ -148,7 +149,7 @@
 }
 
 impl EndpointList {
-    /// An empty list.
+    /// Creates an empty list.
     pub(crate) fn new(settings: &Settings) -> Self {
         EndpointList {
             records: BTreeMap::new(),
@@ -188,16 +189,16 @@
         self.interpretation
     }
 
-    /// The origins, by [`OriginMode::CacheAside`].
+    /// Returns the origin servers according to [`OriginMode::CacheAside`].
     pub(crate) fn origins(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.records()
-            .filter(|record| self.interpretation.is_origin(&record.listed))
+            .filter(|record| self.interpretation.is_origin(&record.entry))
     }
 
-    /// An endpoint's weight over the mean one.
+    /// Returns the ratio of an endpoint's weight to the mean weight.
     pub(crate) fn relative_size(&self, id: EndpointId) -> f64 {
         self.get(id).map_or(1.0, |record| {
-            self.interpretation.weight(&record.listed) / self.mean_weight.max(MIN_WEIGHT)
+            self.interpretation.weight(&record.entry) / self.mean_weight.max(MIN_WEIGHT)
         })
     }
 
@@ -209,12 +210,12 @@
         self.totals.ready = ready;
     }
 
-    /// Whether no cache takes requests.
+    /// Returns whether no active cache is listed.
     pub(crate) fn has_no_caches(&self) -> bool {
         self.totals.all == 0.0
     }
 
-    /// Applies an update that did not fail.
+    /// Applies a successful update.
     pub(crate) fn apply(
         &mut self,
         kind: UpdateKind,
@@ -226,29 +227,31 @@
             let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
             self.records.retain(|id, _| listed.contains(id));
         }
-        // What the first list names may have run for as long as it says.
-        let joins_known_list = !self.records.is_empty();
+        // Start times in the first list are accepted as stated; endpoints that join later started
+        // recently.
+        let joins_existing_list = !self.records.is_empty();
         for entry in entries {
             if entry.state == EndpointState::Removed {
                 self.records.remove(&entry.id);
                 continue;
             }
             let initial_tokens = random.coarse_fraction();
-            let slow_start = SlowStart::new(entry.started, now, joins_known_list, initial_tokens);
+            let slow_start =
+                SlowStart::new(entry.started, now, joins_existing_list, initial_tokens);
             self.upsert(entry, slow_start);
         }
     }
 
-    /// Adds or changes an entry. An endpoint with another start is another process, of which
-    /// nothing is known.
+    /// Adds or changes an entry. An endpoint whose start time changed is a new process, so nothing
+    /// learnt about it is kept.
     fn upsert(&mut self, entry: Endpoint, slow_start: SlowStart) {
         let Some(record) = self.records.get_mut(&entry.id) else {
             let record = EndpointRecord::new(entry, slow_start);
             self.records.insert(entry.id, record);
             return;
         };
-        if record.listed.started == entry.started {
-            record.listed = entry;
+        if record.entry.started == entry.started {
+            record.entry = entry;
             return;
         }
         let in_flight = std::mem::take(&mut record.in_flight);
@@ -258,20 +261,20 @@
         };
     }
 
-    /// The caches that take requests with their weights, in the order of their identifiers.
+    /// Returns the active caches with their weights, ordered by identifier.
     pub(crate) fn weighted_caches(&self) -> Vec<(EndpointId, f64)> {
         let is_cache = |record: &EndpointRecord| {
-            record.is_active() && !self.interpretation.is_origin(&record.listed)
+            record.is_active() && !self.interpretation.is_origin(&record.entry)
         };
         self.records
             .iter()
             .filter(|(_, record)| is_cache(record))
-            .map(|(id, record)| (*id, self.interpretation.weight(&record.listed)))
+            .map(|(id, record)| (*id, self.interpretation.weight(&record.entry)))
             .collect()
     }
 
-    /// Sums up the weights of the caches that take requests, and gives endpoints that have no
-    /// concurrency limit their initial one.
+    /// Recomputes the sum of the active caches' weights, and sets the initial concurrency limit of
+    /// endpoints that have none.
     pub(crate) fn update_weights(&mut self, caches: &[(EndpointId, f64)], fleet: FleetSize) {
         let total = caches.iter().map(|(_, weight)| weight).sum();
         self.totals = TotalWeights {
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: a state machine without I/O, clock or shared state that turns events into actions.
 //!
-//! It dispatches events and composes the components; each of them owns its state.
+//! The engine dispatches events to its components; each component owns its state.
 
 mod answers;
 mod attempt_results;
@@ -33,25 +33,26 @@
 use crate::{DecisionReason, Explanation};
 use std::collections::BTreeMap;
 
-/// The interval of housekeeping, in nanoseconds: short against every deadline.
+/// Interval of housekeeping, in nanoseconds; short compared to every deadline.
 const HOUSEKEEPING_INTERVAL: Nanos = 100_000_000;
-/// A timer may fire up to one tick late, and its event is handled up to one tick after that.
+/// Maximum delay of a timer in ticks: it fires up to one tick late, and its event is handled up to
+/// one tick after that.
 const MAX_TIMER_DELAY_TICKS: Nanos = 2;
 
-/// The decisions of one balancer.
+/// Decision state machine of one balancer.
 pub struct Engine {
     settings: Settings,
     now: Nanos,
     fleet: FleetSize,
-    /// The shortest latency objective of a class, in nanoseconds.
+    /// Shortest latency objective of all classes, in nanoseconds.
     latency_objective: f64,
-    /// The actions that the current event has led to so far.
+    /// Actions that the current event has produced so far.
     actions: Vec<Action>,
     random: Random,
     timers: Timers,
     endpoints: EndpointList,
     placement: Placement,
-    /// Requests that are owed an answer or have attempts in flight.
+    /// Requests that still need a final answer or have attempts in flight.
     requests: BTreeMap<RequestId, Request>,
     queue: RequestQueue,
     hedging: Hedging,
@@ -63,11 +64,11 @@
 }
 
 impl Engine {
-    /// An engine that starts at `now`.
+    /// Creates an engine that starts at `now`.
     ///
     /// # Errors
     ///
-    /// Names the setting that contradicts the rest.
+    /// Returns the name of the first inconsistent setting.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
         let fleet = FleetSize::new(settings.balancers);
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Handles one event and appends the actions that it leads to, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in order.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.timers.is_unused() {
@@ -119,7 +120,7 @@
             Event::HealthCheckEnded {
                 endpoint, outcome, ..
             } => self.on_health_check_ended(endpoint, outcome),
-            Event::ShuttingDown(by) => self.on_shutting_down(by),
+            Event::ShuttingDown(deadline) => self.on_shutting_down(deadline),
             Event::DiscoveryAvailable => self.discovery.reset(),
             Event::BalancerCount(balancers) => self.fleet = FleetSize::new(balancers),
             Event::FleetShedding(level) => self.admission.set_shedding_level(level),
@@ -128,7 +129,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// What was admitted, and rejected for lack of capacity, since the last call.
+    /// Returns the counts of admitted requests and of rejections for lack of capacity since the
+    /// last call, and resets them.
     pub fn take_admission_counts(&mut self) -> AdmissionCounts {
         self.admission.take_counts()
     }
@@ -192,8 +194,8 @@
         });
     }
 
-    /// How long before the deadline a request is given up: not at all if the grace for final
-    /// answers covers late timers, as an attempt may still be answered at the deadline itself.
+    /// Returns how long before its deadline a request is given up: 0 if the grace for final answers
+    /// covers the delay of timers, because an attempt may still be answered at the deadline itself.
     fn deadline_margin(&self) -> Nanos {
         let timer_delay = MAX_TIMER_DELAY_TICKS * self.settings.tick;
         if self.settings.rules.final_answer_grace < timer_delay {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Why an arriving request is rejected at once; none if it is not.
+    /// Returns the reason for rejecting an arriving request at once, or `None` if it is admitted.
     fn admission_rejection(&mut self, request: &Request) -> Option<DecisionReason> {
         let rejection = self
             .admission
@@ -214,9 +216,9 @@
         })
     }
 
-    /// Whether a request is admitted although the origin may have to fetch its value. An overloaded
-    /// origin works on what no client waits for any more, and clients' retries prolong that; only
-    /// fewer misses let it recover.
+    /// Returns whether a request is admitted although its value may have to be fetched from the
+    /// origin. An overloaded origin works on fetches for which no client waits any more, and
+    /// clients' retries prolong that; only fewer misses let it recover.
     fn origin_admits(&mut self, request: &Request) -> bool {
         let key = request.details.key;
         let is_cached = self.is_cached_at_candidate(request.slot, key);
@@ -232,7 +234,8 @@
         candidates.any(|id| self.placement.recent_keys.is_cached(key, id))
     }
 
-    /// The answer has begun to reach the client: the other attempts are of no use any more.
+    /// Marks a request as streaming when its answer begins to reach the client, and cancels its
+    /// other attempts, which are no longer needed.
     fn on_response_started(&mut self, request: &mut Request, number: AttemptNumber) {
         if !request.is_closed && request.in_flight_attempt(number).is_some() {
             request.is_streaming = true;
@@ -246,16 +249,19 @@
         }
         let time_left = request.deadline.saturating_sub(self.now);
         if time_left > MAX_TIMER_DELAY_TICKS * self.settings.tick {
-            // The caller's timers have an upper limit; a longer timeout takes several.
+            // The balancer's timers have a maximum duration, so a longer timeout needs several
+            // timers.
             self.set_timer(time_left, TimerPurpose::Deadline(request.details.id));
         } else if !request.is_streaming {
             self.reject_or_fail(request, DecisionReason::DeadlineExceeded);
         }
     }
 
-    fn on_shutting_down(&mut self, by: Nanos) {
+    fn on_shutting_down(&mut self, deadline: Nanos) {
         for id in self.requests.keys().copied().collect::<Vec<_>>() {
-            self.update_request(id, |engine, request| engine.shorten_deadline(request, by));
+            self.update_request(id, |engine, request| {
+                engine.shorten_deadline(request, deadline);
+            });
         }
     }
 
@@ -267,8 +273,8 @@
         }
     }
 
-    /// Runs `update` on an open request; it stays in the table while an answer is owed or an
-    /// attempt is in flight.
+    /// Runs `update` on a tracked request. The request stays in the table until it has its final
+    /// answer and no attempt is in flight.
     fn update_request(&mut self, id: RequestId, update: impl FnOnce(&mut Self, &mut Request)) {
         let Some(mut request) = self.requests.remove(&id) else {
             return;
--- a/crates/routing/src/engine/answers.rs
+++ b/crates/routing/src/engine/answers.rs
@@ -1,4 +1,4 @@
-//! The engine's own final answers, and the queue of requests that wait for capacity.
+//! Final answers given by the engine itself, and the queue of requests that wait for capacity.
 
 use super::Engine;
 use crate::actions::{Action, DecisionReason, Deferral, Explanation};
@@ -10,8 +10,8 @@
 use crate::request_queue::max_wait;
 
 impl Engine {
-    /// Ends a request without an endpoint's answer: rejects it where that is truthful, else fails
-    /// it.
+    /// Ends a request without an answer from an endpoint: rejects it if a retry by the client is
+    /// certain to be harmless, otherwise fails it.
     pub(super) fn reject_or_fail(&mut self, request: &mut Request, reason: DecisionReason) {
         self.admission.record_rejection(reason);
         let explanation = self.explain(request, reason);
@@ -40,9 +40,10 @@
         retry_after.min(self.settings.capabilities.max_retry_after)
     }
 
-    /// When a rejected client should come back, spread so that not all do at once: within its
-    /// latency objective if capacity may return by then, beyond it if the fleet or the origin is
-    /// overloaded, which an attempt in time would only prolong.
+    /// Returns the time after which a rejected client should retry, spread at random so that
+    /// clients do not retry simultaneously. The retry falls within the latency objective if
+    /// capacity may return by then, and beyond it if the fleet or the origin is overloaded, because
+    /// an earlier retry would prolong the overload.
     pub(super) fn retry_after(&mut self, request: &Request, reason: DecisionReason) -> Nanos {
         let class = self.settings.class(request.details.class);
         let objective = class.latency_objective;
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Ends a request: nothing more is sent, and attempts in flight are cancelled.
+    /// Closes a request with this answer, if any, and cancels its attempts in flight.
     pub(super) fn close(&mut self, request: &mut Request, answer: Option<Action>) {
         self.queue.remove(request.details.id);
         if request.is_closed {
@@ -84,7 +85,7 @@
         self.cancel_attempts(request, None);
     }
 
-    /// Cancels the attempts in flight but this one.
+    /// Cancels the attempts in flight, except the given one.
     pub(super) fn cancel_attempts(&mut self, request: &Request, except: Option<AttemptNumber>) {
         if !self.settings.capabilities.cancellation {
             return;
@@ -99,9 +100,10 @@
         }
     }
 
-    /// Sends queued requests as capacity returns, in the order of their priority, and rejects those
-    /// that have waited too long. They are not sent to whichever endpoint has capacity: scattered
-    /// reads would displace what is cached there, and ever more would have to be fetched.
+    /// Sends queued requests for which there is capacity, in order of priority, and rejects those
+    /// that have waited too long. They are not sent to arbitrary endpoints with capacity: reads
+    /// away from their candidates would displace cached values there, and the number of fetches
+    /// would keep growing.
     pub(super) fn retry_queued(&mut self) {
         for queued in self.queue.by_priority(&self.requests, &self.settings) {
             self.update_request(queued.id, |engine, request| {
@@ -127,7 +129,7 @@
         explain(reason, first, &self.origin)
     }
 
-    /// Reports what was not done for a request that is still open.
+    /// Reports a step that was not taken for a request that stays open.
     pub(super) fn report_deferral(
         &mut self,
         request: &Request,
@@ -143,7 +145,8 @@
     }
 }
 
-/// Whether an attempt took an endpoint's time: rejections and errors are answered quickly.
+/// Returns whether an attempt took up an endpoint's time; rejections and errors are answered
+/// quickly.
 fn has_consumed(attempt: &Attempt) -> bool {
     matches!(
         attempt.outcome,
--- a/crates/routing/src/engine/attempt_results.rs
+++ b/crates/routing/src/engine/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its endpoint and of the origin.
+//! Updates the state of endpoints and of the origin after the end of an attempt or health check.
 
 use super::Engine;
 use crate::actions::Action;
@@ -10,20 +10,23 @@
 use crate::request::Request;
 use crate::settings::OriginMode;
 
-/// What is known of the request that an attempt was for.
+/// Properties of the request that an attempt belonged to.
 struct ResultContext {
-    /// None if the request is over.
+    /// `None` if the request is no longer tracked.
     details: Option<NewRequest>,
-    /// The endpoint's rank among the candidates, for a read.
+    /// Rank of the endpoint among the candidates; `None` for a write or an endpoint beyond the
+    /// candidates.
     rank: Option<usize>,
-    /// Whether a timeout is evidence of a fault.
-    is_timeout_evidence: bool,
-    /// Whether a rejection was for lack of capacity, not of a slot for another fetch.
-    is_rejection_for_capacity: bool,
+    /// Whether a timeout is evidence of a fault: not if the client waits less than answers usually
+    /// take.
+    timeout_counts_as_failure: bool,
+    /// Whether a rejection shows that the cache is overloaded, and not only that it has no free
+    /// slot for another fetch.
+    rejection_shows_overload: bool,
 }
 
 impl Engine {
-    /// Adjusts what is known of the endpoint that an attempt was sent to.
+    /// Updates the state of the endpoint that an attempt was sent to.
     pub(super) fn record_endpoint_result(&mut self, result: &AttemptResult) {
         let context = self.result_context(result);
         let Some(record) = self.endpoints.get_mut(result.endpoint) else {
@@ -55,8 +58,8 @@
             return ResultContext {
                 details: None,
                 rank: None,
-                is_timeout_evidence: true,
-                is_rejection_for_capacity: self.settings.origin != OriginMode::ReadThrough,
+                timeout_counts_as_failure: true,
+                rejection_shows_overload: self.settings.origin != OriginMode::ReadThrough,
             };
         };
         let id = result.endpoint;
@@ -70,15 +73,15 @@
         ResultContext {
             details: Some(details),
             rank,
-            is_timeout_evidence: self.is_timeout_evidence(&details),
-            is_rejection_for_capacity: self.settings.origin != OriginMode::ReadThrough || is_cached,
+            timeout_counts_as_failure: self.timeout_counts_as_failure(&details),
+            rejection_shows_overload: self.settings.origin != OriginMode::ReadThrough || is_cached,
         }
     }
 
-    fn is_timeout_evidence(&self, details: &NewRequest) -> bool {
+    fn timeout_counts_as_failure(&self, details: &NewRequest) -> bool {
         let objective = self.settings.class(details.class).latency_objective;
         self.hedging
-            .is_timeout_evidence(details.client_timeout, objective)
+            .timeout_counts_as_failure(details.client_timeout, objective)
     }
 
     fn record_answer(&mut self, result: &AttemptResult, context: &ResultContext) {
@@ -112,7 +115,8 @@
         }
     }
 
-    /// Counts a result that is no answer, and both in the failure ratios.
+    /// Counts a failed attempt against its endpoint, and every answer or failure in the failure
+    /// ratios.
     fn record_failure(
         &mut self,
         result: &AttemptResult,
@@ -123,20 +127,20 @@
         let Some(record) = self.endpoints.get_mut(result.endpoint) else {
             return;
         };
-        let is_silent = record.last_answer_at <= attempt.sent_at;
+        let is_unanswered = record.last_answer_at <= attempt.sent_at;
         let is_overdue = result.latency >= overdue_after;
         let evidence = match result.outcome {
             AttemptOutcome::Timeout => {
-                FailureEvidence::strong_if(context.is_timeout_evidence && is_silent)
+                FailureEvidence::strong_if(context.timeout_counts_as_failure && is_unanswered)
             }
-            // Nothing was heard of the endpoint until the attempt was cancelled.
-            AttemptOutcome::Cancelled => FailureEvidence::strong_if(is_overdue && is_silent),
-            outcome => FailureEvidence::of(outcome),
+            // The endpoint answered nothing between the start of the attempt and its cancellation.
+            AttemptOutcome::Cancelled => FailureEvidence::strong_if(is_overdue && is_unanswered),
+            outcome => FailureEvidence::from_outcome(outcome),
         };
         record.health.record_failure(evidence);
         let is_rejection = result.outcome == AttemptOutcome::Rejected;
-        if is_rejection && context.is_rejection_for_capacity
-            || result.outcome == AttemptOutcome::Timeout && context.is_timeout_evidence
+        if is_rejection && context.rejection_shows_overload
+            || result.outcome == AttemptOutcome::Timeout && context.timeout_counts_as_failure
         {
             record.limit.record_overload();
         }
@@ -147,16 +151,16 @@
         }
     }
 
-    /// Ejects an endpoint whose failures reach the threshold, together with attempts that are
-    /// overdue in silence.
-    pub(super) fn eject_if_due(&mut self, id: EndpointId, silent_attempts: f64) {
+    /// Ejects an endpoint if its consecutive failures plus its unanswered overdue attempts reach
+    /// the threshold.
+    pub(super) fn eject_if_due(&mut self, id: EndpointId, unanswered_attempts: f64) {
         let threshold = self.outliers.ejection_threshold();
         let Some(record) = self.endpoints.get_mut(id) else {
             return;
         };
         let is_ejected = self.outliers.eject_if_due(
             &mut record.health,
-            silent_attempts,
+            unanswered_attempts,
             threshold,
             self.now,
             &mut self.random,
@@ -166,8 +170,8 @@
         }
     }
 
-    /// A health check has ended. It goes to an ejected endpoint first, so that no client pays for
-    /// finding out that it has not recovered.
+    /// Handles the end of a health check. An ejected endpoint is checked before a request is sent
+    /// to it, so that no client request fails if the endpoint has not recovered.
     pub(super) fn on_health_check_ended(&mut self, id: EndpointId, outcome: AttemptOutcome) {
         let is_success = outcome == AttemptOutcome::Ok;
         let Some(record) = self.endpoints.get_mut(id) else {
@@ -182,22 +186,22 @@
         }
     }
 
-    /// Adjusts what is known of the origin and of where keys are cached.
+    /// Updates the state of the origin and the record of where keys are cached.
     pub(super) fn record_origin_result(&mut self, request: &Request, result: &AttemptResult) {
         self.placement.recent_keys.expire(self.now);
         let key = request.details.key;
         let id = result.endpoint;
         match result.outcome {
-            // The endpoint answered others meanwhile: the fetch takes too long.
+            // The endpoint answered other attempts meanwhile, so the fetch from the origin is slow.
             AttemptOutcome::Timeout
                 if self.has_answered_since(request, result)
-                    && self.is_timeout_evidence(&request.details)
+                    && self.timeout_counts_as_failure(&request.details)
                     && !self.placement.recent_keys.is_cached(key, id) =>
             {
                 self.origin.record_failure(self.fleet);
             }
             AttemptOutcome::Error => {
-                // What fails at a few endpoints only is not the origin's fault.
+                // Errors at only a few endpoints are not caused by the origin.
                 if is_fault_fleet_wide(self.endpoints.records()) {
                     self.origin.record_failure(self.fleet);
                 }
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Whether the endpoint has answered since the attempt was sent.
+    /// Returns whether the endpoint has answered since the attempt was sent.
     fn has_answered_since(&self, request: &Request, result: &AttemptResult) -> bool {
         let attempt = request.attempts.get(result.attempt.0 as usize);
         let record = self.endpoints.get(result.endpoint);
@@ -227,7 +231,7 @@
     }
 }
 
-/// The log line for an endpoint that was not ejected before.
+/// Creates the log line for an endpoint that has just been ejected.
 pub(super) fn ejection_log(id: EndpointId) -> Action {
     Action::Log(format!("endpoint {} ejected: no answer lately", id.0))
 }
--- a/crates/routing/src/engine/attempts.rs
+++ b/crates/routing/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Sends attempts: the first, retries and hedges, to caches and to the origin.
+//! Sends the first attempt, retries and hedges, to caches or to the origin.
 
 use super::Engine;
 use super::selection::Selection;
@@ -12,12 +12,12 @@
 use crate::settings::{Idempotency, OriginMode};
 use crate::timers::TimerPurpose;
 
-/// A keyed request's first attempt ends after this part of the time in which a repeat is still
-/// discarded.
-const KEYED_TIMEOUT_DIVISOR: Nanos = 4;
-const KEYED_TIMEOUT_PARTS: Nanos = 3;
+/// Timeout of a keyed request's first attempt, as a fraction of the time during which a repeat is
+/// still discarded; the remaining time is left for the repeat.
+const KEYED_TIMEOUT_DENOMINATOR: Nanos = 4;
+const KEYED_TIMEOUT_NUMERATOR: Nanos = 3;
 
-/// Where an attempt is sent.
+/// Destination of an attempt.
 #[derive(Clone, Copy)]
 pub(super) enum Target {
     Cache(EndpointId),
@@ -33,7 +33,7 @@
 }
 
 impl Engine {
-    /// Sends the next attempt, queues the request, or answers it.
+    /// Sends the next attempt, queues the request, or answers it if neither is possible.
     pub(super) fn advance(&mut self, request: &mut Request) {
         self.queue.remove(request.details.id);
         if self.is_for_origin(request) {
@@ -53,31 +53,32 @@
         }
     }
 
-    /// Whether the balancer reads the value from the origin itself: with cache-aside, for writes
-    /// and reads that missed.
+    /// Returns whether the next attempt goes to the origin: with cache-aside, for writes and for
+    /// reads that missed.
     fn is_for_origin(&self, request: &Request) -> bool {
         let has_missed = |attempt: &Attempt| attempt.outcome == Some(AttemptOutcome::CacheMiss);
         matches!(self.settings.origin, OriginMode::CacheAside { .. })
             && (request.details.is_write || request.attempts.iter().any(has_missed))
     }
 
-    /// Sends a read that missed to the origin once, and every write.
+    /// Sends a write or a read that missed to the origin; a read only once, unless the origin
+    /// rejected it before it ran.
     fn advance_at_origin(&mut self, request: &mut Request) {
         let has_run = |attempt: &Attempt| {
             attempt.is_to_origin && attempt.outcome != Some(AttemptOutcome::Rejected)
         };
         let may_send = request.details.is_write || !request.attempts.iter().any(has_run);
         let is_permitted = |record: &&EndpointRecord| {
-            self.permits_attempt(request, record.listed.id, AttemptKind::Regular)
+            self.permits_attempt(request, record.entry.id, AttemptKind::Regular)
         };
         let least_loaded = self
             .endpoints
             .origins()
             .filter(is_permitted)
-            .min_by_key(|record| (record.in_flight.len(), record.listed.id))
+            .min_by_key(|record| (record.in_flight.len(), record.entry.id))
             .filter(|_| may_send);
         let origin =
-            least_loaded.map(|record| (record.listed.id, record.capacity_shortage(1.0, self.now)));
+            least_loaded.map(|record| (record.entry.id, record.capacity_shortage(1.0, self.now)));
         match origin {
             Some((id, None)) => self.send(request, Target::Origin(id)),
             Some((_, Some(reason))) => self.enqueue(request, reason),
@@ -111,8 +112,8 @@
         });
         request.attempts.push(Attempt {
             endpoint,
-            zone: record.listed.zone,
-            cell: record.listed.cell,
+            zone: record.entry.zone,
+            cell: record.entry.cell,
             sent_at: self.now,
             outcome: None,
             is_to_origin: matches!(target, Target::Origin(_)),
@@ -142,16 +143,20 @@
         self.set_timer(after, TimerPurpose::Hedge(request.details.id));
     }
 
-    /// The timeout of the next attempt: one that will most likely never be answered is abandoned
-    /// while another attempt may follow.
+    /// Returns the timeout of the next attempt. An attempt that will most likely never be answered
+    /// is abandoned as long as another attempt may follow.
     fn attempt_timeout(&self, request: &Request) -> Option<Nanos> {
         let time_left = request.deadline.saturating_sub(self.now);
         let abandon_after = self.hedging.abandon_after();
         let sent = request.attempts.len();
         match self.settings.class(request.details.class).idempotency {
             Idempotency::Keyed { window, .. } if sent == 0 => {
-                let repeatable = time_left.min(window) / KEYED_TIMEOUT_DIVISOR;
-                Some((repeatable * KEYED_TIMEOUT_PARTS).min(abandon_after).max(1))
+                let repeatable = time_left.min(window) / KEYED_TIMEOUT_DENOMINATOR;
+                Some(
+                    (repeatable * KEYED_TIMEOUT_NUMERATOR)
+                        .min(abandon_after)
+                        .max(1),
+                )
             }
             Idempotency::Idempotent
                 if sent + 1 < self.settings.capabilities.max_attempts as usize =>
@@ -162,7 +167,8 @@
         }
     }
 
-    /// How long the endpoints still discard the next attempt of a keyed request as a repeat.
+    /// Returns how long endpoints still discard the next attempt of a keyed request as a repeat;
+    /// `None` if no earlier attempt may have run.
     fn write_within(&self, request: &Request) -> Option<Nanos> {
         let class = self.settings.class(request.details.class);
         let Idempotency::Keyed { window, .. } = class.idempotency else {
@@ -177,7 +183,7 @@
         )
     }
 
-    /// The attempt in flight is overdue: the request is hedged if the budget, the origin and a
+    /// Handles an overdue attempt: hedges the request if the budget, the state of the origin and a
     /// healthy candidate permit it.
     pub(super) fn on_overdue(&mut self, request: &mut Request) {
         let is_at_origin = |attempt: &Attempt| attempt.is_to_origin;
@@ -206,13 +212,14 @@
         self.report_deferral(request, Deferral::HedgeSuppressed, reason);
     }
 
-    /// Whether the fault is probably not everywhere, so that a hedge can help.
+    /// Returns whether a hedge can help: either few attempts fail overall, or this endpoint is
+    /// healthy and the failures are not fleet-wide.
     fn is_hedge_promising(&self, id: EndpointId) -> bool {
         !self.outliers.is_fleet_failing()
             || self.is_healthy(id) && !is_fault_fleet_wide(self.endpoints.records())
     }
 
-    /// Hedges again later, as the candidates lack capacity only for now.
+    /// Sets another hedge timer, because the candidates' lack of capacity is temporary.
     fn postpone_hedge(&mut self, request: &Request) {
         let time_left = request.deadline.saturating_sub(self.now);
         let delay = self.hedging.delay(time_left).max(self.settings.tick);
--- a/crates/routing/src/engine/endpoint_updates.rs
+++ b/crates/routing/src/engine/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Applies updates of the endpoint list.
+//! Handling of updates of the endpoint list.
 
 use super::Engine;
 use crate::events::{Endpoint, UpdateKind};
@@ -20,10 +20,11 @@
         self.retry_queued();
     }
 
-    /// One call waits at a time: with two, both would fail and be repeated for ever.
+    /// Schedules the next call after a failed one. At most one call is scheduled at a time; two
+    /// would both fail and be repeated indefinitely.
     fn on_discovery_failed(&mut self) {
         let wait = self.discovery.after_failure(&mut self.random);
-        self.timers.drop_all(TimerPurpose::DiscoveryQuery);
+        self.timers.cancel_all(TimerPurpose::DiscoveryQuery);
         self.set_timer(wait, TimerPurpose::DiscoveryQuery);
     }
 }
--- a/crates/routing/src/engine/housekeeping.rs
+++ b/crates/routing/src/engine/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What happens at regular intervals, in one pass over the endpoints: ejection of silent endpoints,
+//! Periodic housekeeping in one pass over the endpoints: ejection of unresponsive endpoints,
 //! recovery probes, decay of limits, closing of idle connections.
 
 use super::attempt_results::ejection_log;
@@ -11,14 +11,14 @@
 use crate::outlier_detection::IDLE_DECAY;
 use crate::timers::TimerPurpose;
 
-/// What one pass over the endpoints gathers.
+/// Summary of one pass over the endpoints.
 #[derive(Default)]
 struct FleetSummary {
     /// Recent mean latencies of active caches.
     latencies: Vec<f64>,
-    /// The summed weight of the same, those in slow start at their present share.
+    /// Sum of the weights of active caches; those in slow start count with their present capacity.
     ready_weight: f64,
-    /// Active endpoints that are unhealthy, origins included.
+    /// Number of unhealthy active endpoints, including origin servers.
     unhealthy: usize,
     idle: Vec<IdleEndpoint>,
 }
@@ -44,30 +44,30 @@
         let threshold = self.outliers.ejection_threshold();
         let interpretation = self.endpoints.interpretation();
         for record in self.endpoints.records_mut() {
-            let silent = record.silent_attempts(self.now, overdue_after);
+            let unanswered = record.unanswered_attempts(self.now, overdue_after);
             if self.settings.capabilities.health_checks
                 && record.is_active()
                 && record.health.is_health_check_due(self.now)
             {
-                self.actions.push(Action::HealthCheck(record.listed.id));
+                self.actions.push(Action::HealthCheck(record.entry.id));
                 record.health.begin_health_check(self.now);
             }
             decay(record, &initial_limit);
             let is_ejected = self.outliers.eject_if_due(
                 &mut record.health,
-                silent as f64,
+                unanswered as f64,
                 threshold,
                 self.now,
                 &mut self.random,
             );
             if is_ejected {
-                self.actions.push(ejection_log(record.listed.id));
+                self.actions.push(ejection_log(record.entry.id));
             }
-            let is_active_cache = record.is_active() && !interpretation.is_origin(&record.listed);
+            let is_active_cache = record.is_active() && !interpretation.is_origin(&record.entry);
             let ready_weight = is_active_cache.then(|| {
                 let slow_start = &record.slow_start;
                 let capacity = slow_start.capacity_fraction(self.now, &self.settings.rules);
-                interpretation.weight(&record.listed) * capacity
+                interpretation.weight(&record.entry) * capacity
             });
             summary.add(record, ready_weight);
         }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Moves what has not been renewed by attempts toward its initial value.
+/// Decays statistics that no recent attempt has updated toward their initial values.
 fn decay(record: &mut EndpointRecord, initial_limit: &ConcurrencyLimit) {
     record
         .limit
@@ -99,9 +99,9 @@
 }
 
 impl FleetSummary {
-    /// Adds an endpoint; `ready_weight` is that of an active cache.
+    /// Adds an endpoint; `ready_weight` is `None` unless it is an active cache.
     fn add(&mut self, record: &EndpointRecord, ready_weight: Option<f64>) {
-        let id = record.listed.id;
+        let id = record.entry.id;
         let idle_since = record.idle_since;
         self.idle
             .extend(idle_since.map(|since| IdleEndpoint { since, id }));
--- a/crates/routing/src/engine/retries.rs
+++ b/crates/routing/src/engine/retries.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt: the request is over, or it is retried.
+//! Handling of the end of an attempt: the request is completed, answered or retried.
 
 use super::Engine;
 use super::attempts::Target;
@@ -9,7 +9,7 @@
 use crate::settings::OriginMode;
 
 impl Engine {
-    /// An attempt of an open request has ended.
+    /// Handles the end of an attempt of a tracked request.
     pub(super) fn on_attempt_ended(&mut self, request: &mut Request, result: &AttemptResult) {
         let Some(attempt) = request.in_flight_attempt(result.attempt) else {
             return;
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Counts an answer that earned something.
+    /// Counts an answer that has value for the client: within the latency objective, or of a class
+    /// for which later answers still have value.
     fn record_useful_answer(&mut self, request: &Request) {
         let class = self.settings.class(request.details.class);
         let elapsed = self.now.saturating_sub(request.arrived_at);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Sends another attempt after this outcome, or answers the request.
+    /// Sends another attempt after this outcome, or answers the request if no retry is allowed.
     fn retry(&mut self, request: &mut Request, outcome: AttemptOutcome) {
         let alternative = self.select_healthy_alternative(request);
         let is_free = is_free_retry(outcome, alternative);
@@ -60,7 +61,7 @@
         if !is_free {
             self.retry_budget.spend();
         }
-        // An endpoint that refused a connection would refuse the next at once.
+        // An endpoint that refused a connection would refuse the next one immediately.
         let avoids_endpoint = is_overload(outcome) || outcome == AttemptOutcome::ConnectFailed;
         match alternative {
             Some(id) if avoids_endpoint => self.send(request, Target::Cache(id)),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Why no other attempt is made; none if one is.
+    /// Returns the reason for not retrying, or `None` if a retry is allowed.
     fn retry_obstacle(
         &self,
         request: &Request,
@@ -92,13 +93,13 @@
     }
 }
 
-/// Whether an outcome is a sign of overload.
+/// Returns whether an outcome is a sign of overload.
 fn is_overload(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::Timeout)
 }
 
-/// Whether a retry is not charged to the budget, as the attempt took no endpoint's time: it did not
-/// connect, or was rejected while a healthy endpoint is left.
+/// Returns whether a retry is not charged to the budget because the failed attempt cost no endpoint
+/// time: it did not connect, or it was rejected and a healthy endpoint is available.
 fn is_free_retry(outcome: AttemptOutcome, alternative: Option<EndpointId>) -> bool {
     outcome == AttemptOutcome::ConnectFailed
         || outcome == AttemptOutcome::Rejected && alternative.is_some()
--- a/crates/routing/src/engine/selection.rs
+++ b/crates/routing/src/engine/selection.rs
@@ -1,4 +1,4 @@
-//! Selects the endpoint of the next attempt: permitted, healthy and with capacity.
+//! Selection of the endpoint for the next attempt: it must be permitted, healthy and have capacity.
 
 use super::Engine;
 use crate::actions::DecisionReason;
@@ -10,15 +10,15 @@
 use crate::settings::Idempotency;
 use crate::slow_start::warm_rate;
 
-/// Where the next attempt goes.
+/// Result of selecting an endpoint for the next attempt.
 pub(super) enum Selection {
     Endpoint(EndpointId),
-    /// An eligible endpoint lacks capacity for this reason.
+    /// Every usable endpoint lacks capacity, the first one for this reason.
     AtCapacity(DecisionReason),
     NoneEligible,
 }
 
-/// Whether an endpoint can take one more attempt.
+/// Availability of an endpoint for one more attempt.
 #[derive(PartialEq)]
 pub(super) enum Availability {
     Available,
@@ -26,7 +26,7 @@
     Ejected,
 }
 
-/// Whether a read will probably be answered from the cache.
+/// Expected cache status of a read.
 #[derive(Clone, Copy)]
 pub(super) enum CacheExpectation {
     Hit,
@@ -34,7 +34,7 @@
 }
 
 impl Engine {
-    /// Whether an attempt of this kind may be sent to an endpoint.
+    /// Returns whether an attempt of this kind may be sent to an endpoint.
     pub(super) fn permits_attempt(
         &self,
         request: &Request,
@@ -47,15 +47,15 @@
                 class.idempotency,
                 &self.settings.capabilities,
                 request,
-                &record.listed,
+                &record.entry,
                 kind,
                 self.now,
             )
         })
     }
 
-    /// An available candidate by placement; an endpoint beyond the candidates only if none of them
-    /// is usable, and not for a hedge.
+    /// Selects an available candidate by placement. An endpoint beyond the candidates is selected
+    /// only if no candidate is usable, and never for a hedge.
     pub(super) fn select_endpoint(&mut self, request: &Request, kind: AttemptKind) -> Selection {
         let mut available = Vec::new();
         let mut shortage = None;
@@ -71,7 +71,8 @@
         if let Some(id) = self.place(request, &available) {
             return Selection::Endpoint(id);
         }
-        // Capacity returns within milliseconds, a slow start's budget within seconds.
+        // Queueing is worthwhile only for capacity, which returns within milliseconds; a slow start
+        // budget takes seconds to refill.
         if let Some(reason) = shortage.filter(|reason| *reason != DecisionReason::SlowStart) {
             return Selection::AtCapacity(reason);
         }
@@ -81,8 +82,8 @@
         }
     }
 
-    /// The candidates that may receive the attempt; those that were tried already only if there is
-    /// no other and it is no hedge.
+    /// Returns the candidates that may receive the attempt. Candidates that were already tried are
+    /// included only if there is no other, and never for a hedge.
     fn eligible_candidates(&mut self, request: &Request, kind: AttemptKind) -> Vec<RankedEndpoint> {
         let candidates = self.placement.candidates(request.slot).into_iter();
         let mut eligible: Vec<RankedEndpoint> = candidates
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Drops unhealthy candidates if another is available.
+    /// Removes unhealthy candidates if a healthy one is available, unless outlier detection is
+    /// suspended.
     fn prefer_healthy(&self, available: &mut Vec<RankedEndpoint>) {
         if !self.outliers.is_suspended()
             && available
@@ -137,8 +139,8 @@
         )
     }
 
-    /// The first available endpoint in rank order. If none is, the first permitted one: it is
-    /// better to fail open than to reject everything.
+    /// Selects the first available endpoint in rank order. If none is available, selects the first
+    /// permitted one: failing open is better than rejecting everything.
     fn select_beyond_candidates(&mut self, request: &Request) -> Selection {
         let mut first_permitted = None;
         for id in self.placement.ranking(request.slot) {
@@ -171,7 +173,8 @@
         let Some(record) = self.endpoints.get(id) else {
             return Availability::Ejected;
         };
-        // One recovery probe at a time, and only with a request that a hedge can save.
+        // At most one recovery probe is in flight, and only idempotent requests serve as probes,
+        // because a hedge can still answer them.
         let class = self.settings.class(request.details.class);
         let may_be_probe =
             record.in_flight.is_empty() && class.idempotency == Idempotency::Idempotent;
@@ -191,29 +194,30 @@
         }
     }
 
-    /// Refills an endpoint's slow start budget and tells whether it pays for one attempt.
+    /// Refills an endpoint's slow start budget and returns whether it covers one attempt.
     fn has_slow_start_budget(&mut self, id: EndpointId) -> bool {
         let totals = self.endpoints.total_weights();
         let interpretation = self.endpoints.interpretation();
         let (now, traffic) = (self.now, &self.admission.traffic);
         self.endpoints.get_mut(id).is_some_and(|record| {
-            let weight = interpretation.weight(&record.listed);
+            let weight = interpretation.weight(&record.entry);
             record.slow_start.has_budget(now, &self.settings.rules, || {
                 warm_rate(traffic, totals, weight, now)
             })
         })
     }
 
-    /// Whether an endpoint fails little and is not far slower than the others.
+    /// Returns whether an endpoint has a low failure ratio and is not much slower than the others.
     pub(super) fn is_healthy(&self, id: EndpointId) -> bool {
         let record = self.endpoints.get(id);
         record.is_some_and(|record| self.outliers.is_healthy(record))
     }
 
-    /// A healthy endpoint that the request has not tried: a candidate, or if those are unhealthy,
-    /// the next in rank.
+    /// Selects a healthy endpoint that the request has not tried: a candidate, or if all candidates
+    /// are unhealthy, the next one in rank order.
     pub(super) fn select_healthy_alternative(&mut self, request: &Request) -> Option<EndpointId> {
-        // While most of the fleet is unhealthy, the few others must not get all the load.
+        // While most of the fleet is unhealthy, the few healthy endpoints must not receive the
+        // whole load.
         if self.outliers.is_suspended() {
             return None;
         }
--- a/crates/routing/src/engine/state_transfer.rs
+++ b/crates/routing/src/engine/state_transfer.rs
@@ -1,4 +1,4 @@
-//! Hands over what the engine has learnt to the process that replaces this one.
+//! Transfer of the engine's learnt state to the process that replaces this one.
 
 use super::Engine;
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -10,8 +10,8 @@
 use crate::snapshot::{EndpointSnapshot, Snapshot, SnapshotError};
 
 impl Engine {
-    /// What this engine has learnt. It halves its own budgets, so that it and the engine that
-    /// restores the snapshot together send no more than one.
+    /// Returns the engine's learnt state and halves its own token budgets, so that this engine and
+    /// the one that restores the snapshot together send no more than one engine would.
     #[must_use]
     pub fn take_snapshot(&mut self) -> Snapshot {
         self.hedging.budget.halve();
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Takes over what another engine has learnt, as far as it concerns endpoints that this one has
-    /// listed. If a figure is invalid, nothing is taken over.
+    /// Restores the learnt state of another engine, limited to endpoints that are in this engine's
+    /// list with the same start time. If a value is invalid, nothing is restored.
     ///
     /// # Errors
     ///
-    /// Names the part that is invalid.
+    /// Returns the part of the snapshot that is invalid.
     pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         let rank_hit_ratios = snapshot.check()?;
         if !self.hedging.restore(&snapshot.latency_histogram) {
@@ -55,7 +55,7 @@
         self.admission.traffic.restore(snapshot.rates, self.now);
         for stored in &snapshot.endpoints {
             let record = self.endpoints.get_mut(EndpointId(stored.id));
-            if let Some(record) = record.filter(|record| record.listed.started == stored.started) {
+            if let Some(record) = record.filter(|record| record.entry.started == stored.started) {
                 restore_endpoint(record, stored, self.now);
             }
         }
@@ -67,8 +67,8 @@
     let health = record.health.to_stored();
     let budget = record.slow_start.to_stored();
     EndpointSnapshot {
-        id: record.listed.id.0,
-        started: record.listed.started,
+        id: record.entry.id.0,
+        started: record.entry.started,
         latency: record.latency.to_stored(),
         hit_ratio: record.hit_ratio,
         limit: record.limit.value(),
--- a/crates/routing/src/engine/tests.rs
+++ b/crates/routing/src/engine/tests.rs
@@ -107,7 +107,7 @@
 
     fn endpoint_ids(&self) -> Vec<EndpointId> {
         let records = self.endpoints.records();
-        records.map(|record| record.listed.id).collect()
+        records.map(|record| record.entry.id).collect()
     }
 
     /// The endpoint of a request's first attempt.
--- a/crates/routing/src/engine/tests/concurrency_limit.rs
+++ b/crates/routing/src/engine/tests/concurrency_limit.rs
@@ -203,7 +203,7 @@
         engine.on_endpoint_update(UpdateKind::Full, entries.collect());
         engine.now = 1_000 * MS;
         for record in engine.endpoints.records_mut() {
-            record.idle_since = Some(400 * MS + record.listed.id.0);
+            record.idle_since = Some(400 * MS + record.entry.id.0);
         }
         engine.actions.clear();
         let idle = engine
@@ -212,7 +212,7 @@
             .filter_map(|record| {
                 Some(IdleEndpoint {
                     since: record.idle_since?,
-                    id: record.listed.id,
+                    id: record.entry.id,
                 })
             })
             .collect();
--- a/crates/routing/src/engine/tests/origin_protection.rs
+++ b/crates/routing/src/engine/tests/origin_protection.rs
@@ -46,7 +46,7 @@
     );
     let mut fetch_latency = LatencyMean::default();
     for latency in std::iter::repeat_n(50e6, 20).chain(std::iter::repeat_n(100e6, 200)) {
-        fetch_latency.add_with_creep(latency, 0.0);
+        fetch_latency.add_with_baseline_growth(latency, 0.0);
     }
     let admitted_fraction = engine.origin.admitted_fraction();
     engine.origin.restore(admitted_fraction, fetch_latency);
@@ -115,7 +115,7 @@
         for id in 1..=failing {
             let record = engine.record_mut(EndpointId(id));
             record.health.set_failure_ratio(0.5);
-            record.listed.state = EndpointState::Active;
+            record.entry.state = EndpointState::Active;
         }
         let request = Request {
             attempts: vec![Attempt {
--- a/crates/routing/src/engine/tests/placement.rs
+++ b/crates/routing/src/engine/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: ranks, weighted draws, keys that stay where they are cached.
 
 use super::{MS, candidates_of_key_9, endpoint, engine, open_read};
-use crate::endpoints::{InFlightAttempt, WORK_PACE_GAIN};
+use crate::endpoints::{InFlightAttempt, LATENCY_PER_WORK_GAIN};
 use crate::engine::Engine;
 use crate::engine::selection::Selection;
 use crate::estimators::LatencyMean;
@@ -155,7 +155,9 @@
     let three = [ranked(1, 1), ranked(1, 2), ranked(1, 3)];
     for (id, latency) in [(1, 100e6), (2, 50e6), (3, 50e6)] {
         let record = engine.record_mut(EndpointId(id));
-        record.work_pace.add(latency, 50e6, WORK_PACE_GAIN);
+        record
+            .latency_per_work
+            .add(latency, 50e6, LATENCY_PER_WORK_GAIN);
     }
     engine.latency_objective = 1_000e6;
     let mut at_slow = |work| count_placed(&mut engine, &read_with(None, work), &three, 1, 3_000);
--- a/crates/routing/src/engine/tests/slow_start.rs
+++ b/crates/routing/src/engine/tests/slow_start.rs
@@ -27,7 +27,7 @@
     let candidates = candidates_of_key_9(&mut engine);
     for id in &candidates {
         let record = engine.record_mut(*id);
-        record.listed.started = 999 * MS;
+        record.entry.started = 999 * MS;
         record.slow_start = SlowStart::new(999 * MS, 0, false, 0.0);
         let empty = StoredBudget {
             tokens: 0.0,
--- a/crates/routing/src/engine/tests/state_transfer.rs
+++ b/crates/routing/src/engine/tests/state_transfer.rs
@@ -101,11 +101,11 @@
     let cases: [(Corruption, SnapshotError); 5] = [
         (
             |snapshot| snapshot.endpoints[1].limit = f64::NAN,
-            SnapshotError::InvalidEndpointFigure,
+            SnapshotError::InvalidEndpointValue,
         ),
         (
             |snapshot| snapshot.rates[0] = -1.0,
-            SnapshotError::InvalidFigure,
+            SnapshotError::InvalidValue,
         ),
         (
             |snapshot| snapshot.rank_hit_ratios = vec![0.5],
--- a/crates/routing/src/estimators.rs
+++ b/crates/routing/src/estimators.rs
@@ -1,27 +1,27 @@
-//! Statistics over streams of samples: event rates, mean latencies, a latency quantile.
+//! Statistics over streams of samples: event rates, mean latencies, and a latency quantile.
 
 use crate::identifiers::Nanos;
 
-/// Nanoseconds in a second.
+/// Number of nanoseconds in a second.
 pub(crate) const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Width of a histogram bucket, as the factor between its edges: the most by which the quantile is
-/// overestimated.
+/// Ratio of a histogram bucket's upper to its lower edge; the quantile is overestimated by at most
+/// this factor.
 const BUCKET_GROWTH: f64 = 1.06;
-/// Lower edge of the first bucket, in nanoseconds.
+/// Lower edge of the first histogram bucket, in nanoseconds.
 const FIRST_BUCKET_NANOS: f64 = 1e5;
-/// Buckets of the histogram; they reach some 100 s.
+/// Number of histogram buckets; the last one ends at about 100 s.
 const BUCKETS: usize = 240;
-/// The greatest weight of a bucket that is accepted from another process.
+/// Upper bound of a bucket's weight when a histogram from another process is restored.
 const MAX_BUCKET_WEIGHT: f64 = 1e9;
 
 /// Weight of a new sample in a mean latency.
 const LATENCY_GAIN: f64 = 0.1;
-/// Rise of the baseline of a mean latency with each sample, so that an exceptional low is
-/// forgotten.
-const BASELINE_CREEP: f64 = 0.0003;
+/// Relative rise of the baseline of a mean latency with each sample, so that an exceptionally low
+/// mean is forgotten over time.
+const BASELINE_GROWTH: f64 = 0.0003;
 
-/// A quantile of latencies, over a histogram in which old samples decay.
+/// Quantile of latencies, computed from a histogram in which old samples decay.
 pub(crate) struct LatencyQuantile {
     buckets: Vec<f64>,
     samples: u64,
@@ -30,11 +30,12 @@
     quantile: f64,
 }
 
-/// A histogram as it is stored in a snapshot: its buckets, and how many samples it has had.
+/// Stored form of a histogram in a snapshot: the weights of its buckets and the number of samples.
 pub(crate) type StoredHistogram = (Vec<f64>, u64);
 
 impl LatencyQuantile {
-    /// This quantile of samples of which one weighs 1/e after `memory` more.
+    /// Creates an estimator of this quantile; the weight of a sample decays to 1/e after `memory`
+    /// further samples.
     pub(crate) fn new(memory: f64, quantile: f64) -> Self {
         LatencyQuantile {
             buckets: vec![0.0; BUCKETS],
@@ -56,12 +57,12 @@
         self.value = Self::upper_edge(&self.buckets, self.quantile);
     }
 
-    /// How many samples there have been.
+    /// Returns the number of samples so far.
     pub(crate) fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// The quantile as of the last sample; 0 without samples.
+    /// Returns the quantile as of the last sample, in nanoseconds; 0 without samples.
     pub(crate) fn value(&self) -> Nanos {
         self.value
     }
@@ -70,7 +71,7 @@
         (self.buckets.clone(), self.samples)
     }
 
-    /// Takes over a stored histogram; false if it is of another form.
+    /// Restores a stored histogram; returns false if its bucket count or a weight is invalid.
     #[must_use]
     pub(crate) fn restore(&mut self, (buckets, samples): &StoredHistogram) -> bool {
         let is_valid = |weight: &f64| (0.0..MAX_BUCKET_WEIGHT).contains(weight);
@@ -85,7 +86,7 @@
         true
     }
 
-    /// Upper edge of the bucket that contains the quantile.
+    /// Returns the upper edge of the bucket that contains the quantile.
     fn upper_edge(buckets: &[f64], quantile: f64) -> Nanos {
         let mut remaining = buckets.iter().sum::<f64>() * quantile;
         let index = buckets.iter().position(|weight| {
@@ -96,7 +97,7 @@
         (FIRST_BUCKET_NANOS * growth) as Nanos
     }
 
-    /// The upper edge of the bucket that contains this latency in milliseconds.
+    /// Returns the upper edge of the bucket that contains this latency in milliseconds.
     #[cfg(test)]
     pub(crate) fn bucket_edge(milliseconds: f64) -> Nanos {
         let index = ((milliseconds * 1e6 / FIRST_BUCKET_NANOS).ln() / BUCKET_GROWTH.ln()) as i32;
@@ -109,7 +110,7 @@
     }
 }
 
-/// An exponentially weighted mean of latencies, and its value with little queueing: the baseline.
+/// Exponentially weighted mean of latencies, with its baseline: the mean with little queueing.
 #[derive(Default)]
 pub(crate) struct LatencyMean {
     recent: f64,
@@ -117,40 +118,40 @@
     samples: f64,
 }
 
-/// A latency mean as it is stored in a snapshot: recent mean, baseline, samples.
+/// Stored form of a latency mean in a snapshot: recent mean, baseline, number of samples.
 pub(crate) type StoredLatencyMean = [f64; 3];
 
 impl LatencyMean {
-    /// The mean lately, in nanoseconds.
+    /// Returns the recent mean, in nanoseconds.
     pub(crate) fn recent(&self) -> f64 {
         self.recent
     }
 
-    /// The mean with little queueing, in nanoseconds.
+    /// Returns the mean with little queueing, in nanoseconds.
     pub(crate) fn baseline(&self) -> f64 {
         self.baseline
     }
 
-    /// Adds a latency. The baseline is the least mean so far, which slowly rises. While the first
-    /// samples arrive it equals their plain mean: one quick answer must not make all later ones
-    /// look slow.
+    /// Adds a latency. The baseline is the lowest mean so far, raised slowly with each sample.
+    /// During the first samples it equals their plain mean, so that one quick answer does not make
+    /// all later ones look slow.
     pub(crate) fn add(&mut self, latency: Nanos) {
-        self.add_with_creep(latency as f64, BASELINE_CREEP);
+        self.add_with_baseline_growth(latency as f64, BASELINE_GROWTH);
     }
 
-    /// Adds a latency; the baseline rises by `creep`.
-    pub(crate) fn add_with_creep(&mut self, latency: f64, creep: f64) {
+    /// Adds a latency; the baseline rises by the fraction `growth`.
+    pub(crate) fn add_with_baseline_growth(&mut self, latency: f64, growth: f64) {
         self.samples += 1.0;
         self.recent += LATENCY_GAIN.max(1.0 / self.samples) * (latency - self.recent);
-        let is_settling = self.samples * LATENCY_GAIN <= 1.0;
-        self.baseline = if is_settling {
+        let has_few_samples = self.samples * LATENCY_GAIN <= 1.0;
+        self.baseline = if has_few_samples {
             self.recent
         } else {
-            (self.baseline * (1.0 + creep)).min(self.recent)
+            (self.baseline * (1.0 + growth)).min(self.recent)
         };
     }
 
-    /// Reduces what the recent mean exceeds the baseline by to this fraction.
+    /// Reduces the excess of the recent mean over the baseline to this fraction.
     pub(crate) fn decay_toward_baseline(&mut self, fraction: f64) {
         self.recent = self.baseline + (self.recent - self.baseline) * fraction;
     }
@@ -168,27 +169,27 @@
     }
 }
 
-/// How long answers take in proportion to the work that clients estimate: a ratio of two means, as
-/// a single estimate says little.
+/// Ratio of answer latency to the work that clients estimate. It is a ratio of two means, because a
+/// single estimate is unreliable.
 #[derive(Default)]
-pub(crate) struct WorkPace {
+pub(crate) struct LatencyPerWork {
     latency: f64,
     estimated_work: f64,
 }
 
-impl WorkPace {
+impl LatencyPerWork {
     pub(crate) fn add(&mut self, latency: f64, estimated_work: f64, gain: f64) {
         self.latency += gain * (latency - self.latency);
         self.estimated_work += gain * (estimated_work - self.estimated_work);
     }
 
-    /// How long this much work takes, once there are samples.
+    /// Returns the expected latency of this amount of work, or `None` without samples.
     pub(crate) fn expected_latency(&self, estimated_work: f64) -> Option<f64> {
         (self.estimated_work > 0.0).then(|| estimated_work * self.latency / self.estimated_work)
     }
 }
 
-/// A rate of events that decays with a time constant.
+/// Event rate that decays exponentially with a time constant.
 pub(crate) struct Rate {
     count: f64,
     updated_at: Nanos,
@@ -196,7 +197,7 @@
 }
 
 impl Rate {
-    /// A rate of 0 with this time constant in nanoseconds.
+    /// Creates a rate of 0 with this time constant, in nanoseconds.
     pub(crate) fn new(time_constant: f64, now: Nanos) -> Self {
         Rate {
             count: 0.0,
@@ -222,7 +223,7 @@
     }
 }
 
-/// The median of the values over 0.
+/// Returns the median of the values above 0, or `None` if there are none.
 pub(crate) fn median(mut values: Vec<f64>) -> Option<f64> {
     values.retain(|value| *value > 0.0);
     if values.is_empty() {
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -1,108 +1,109 @@
-//! The events that the balancer reports to the engine.
+//! Events that the balancer reports to the engine.
 
 use crate::identifiers::{
     AttemptNumber, ClassId, EndpointId, Key, Nanos, RequestId, TenantId, TimerToken,
 };
 
-/// The state of an endpoint as discovery lists it.
+/// State of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     #[default]
     Active,
-    /// Finishes its work; nothing new may be sent.
+    /// The endpoint finishes its attempts in flight; no new attempt may be sent to it.
     Draining,
-    /// Gone.
+    /// The endpoint is no longer part of the list.
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Its identifier.
+    /// Identifier of the endpoint, the same at every balancer.
     pub id: EndpointId,
-    /// Its zone.
+    /// Index of the endpoint's zone.
     pub zone: usize,
-    /// Its kind of machine.
+    /// Index of the endpoint's kind of machine.
     pub kind: usize,
-    /// Its cell.
+    /// Number of the endpoint's cell.
     pub cell: u64,
-    /// Its state.
+    /// Whether the endpoint is active, draining or removed.
     pub state: EndpointState,
-    /// Its stated capacity, comparable across endpoints.
+    /// Capacity relative to other endpoints, as stated by discovery.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// Time of the endpoint's last start; 0 if it started long ago.
     pub started: Nanos,
 }
 
-/// What the entries of an endpoint update stand for.
+/// Meaning of the entries of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The changed entries only.
+    /// The entries that changed; all others stay.
     Delta,
-    /// All entries; an endpoint without one is gone.
+    /// The complete list; endpoints without an entry are removed.
     Full,
-    /// All entries as this balancer last had them; may be out of date.
+    /// The complete list as this balancer last received it; it may be out of date.
     Stale,
-    /// A call failed or the watch broke; no entries.
+    /// A call to discovery failed or the watch was interrupted; there are no entries.
     Failed,
 }
 
-/// An endpoint's report of its load; what it does not state is `None`.
+/// Load reported by an endpoint; values that the report does not contain are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight there.
+    /// Number of requests in flight at the endpoint.
     pub in_flight: Option<f64>,
-    /// Requests waiting there.
+    /// Number of requests queued at the endpoint.
     pub queue_depth: Option<f64>,
-    /// How busy its cores are.
+    /// Utilization of the endpoint's cores.
     pub utilization: Option<f64>,
-    /// Its recent service time in milliseconds, without waiting.
+    /// Recent service time without queueing, in milliseconds.
     pub service_time_ms: Option<f64>,
-    /// Requests it serves a second.
+    /// Requests served per second.
     pub requests_per_second: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_second: Option<f64>,
-    /// Fraction of recent reads that hit.
+    /// Fraction of recent reads that were cache hits, 0 to 1.
     pub hit_ratio: Option<f64>,
-    /// Fetches in flight to the origin.
+    /// Number of fetches in flight to the origin.
     pub origin_fetches: Option<f64>,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered.
+    /// The endpoint answered.
     Ok,
-    /// The endpoint answered with an error; may have run.
+    /// The endpoint answered with an error; the attempt may have run.
     Error,
-    /// Rejected before it ran.
+    /// The endpoint rejected the attempt before it ran.
     Rejected,
-    /// No answer in time; may have run.
+    /// No answer arrived in time; the attempt may have run.
     Timeout,
-    /// No connection.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection was reset; the attempt may have run.
     Reset,
-    /// Cancelled by the balancer; may have run.
+    /// The balancer cancelled the attempt; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
     /// The cache has no value for the key.
     CacheMiss,
-    /// Unknown to this version, or not readable; may have run.
+    /// The answer is unreadable or of a kind unknown to this version; the attempt may have run.
     Unreadable,
-    /// The request itself is invalid; every other endpoint would say so too.
+    /// The endpoint reported that the request itself is invalid; every other endpoint would report
+    /// the same.
     InvalidRequest,
 }
 
 impl AttemptOutcome {
-    /// Whether the endpoint answered the attempt.
+    /// Returns whether the endpoint answered the attempt.
     pub(crate) fn is_answer(self) -> bool {
         matches!(self, AttemptOutcome::Ok | AttemptOutcome::CacheMiss)
     }
 
-    /// Whether this outcome proves that the attempt had no effect.
+    /// Returns whether this outcome proves that the attempt had no effect.
     #[must_use]
     pub fn proves_no_effect(self) -> bool {
         matches!(
@@ -115,112 +116,114 @@
     }
 }
 
-/// What the endpoint says of its cache with an answer.
+/// Cache status that an endpoint states with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
     /// The value was cached.
     Hit,
-    /// It was not.
+    /// The value was not cached.
     Miss,
-    /// It was not, and another request is fetching it.
+    /// The value was not cached, and another request is already fetching it.
     MissPending,
 }
 
-/// A client request as it arrives.
+/// Properties of an arriving client request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its identifier.
+    /// Identifier of the request; never reused.
     pub id: RequestId,
-    /// Its class.
+    /// Index of the request's class.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Index of the request's tenant; `None` for requests without a tenant.
     pub tenant: Option<TenantId>,
-    /// The key that it concerns, if any.
+    /// Hash of the key that the request reads or writes, if any.
     pub key: Option<Key>,
-    /// How long until the client gives up.
+    /// Time from arrival until the client gives up.
     pub client_timeout: Nanos,
-    /// The client's estimate of the work on a standard core.
+    /// Time that the request takes on a standard core, as estimated by the client.
     pub estimated_work: Option<Nanos>,
-    /// Whether it changes the value of its key.
+    /// Whether the request changes the value of its key.
     pub is_write: bool,
 }
 
-/// The end of an attempt.
+/// Result of an attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// Number of the attempt within the request.
     pub attempt: AttemptNumber,
-    /// The endpoint that it was sent to.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub latency: Nanos,
-    /// Whether the request has its final answer, by this attempt or before.
+    /// Whether the request has received its final answer, from this attempt or earlier.
     pub request_finished: bool,
-    /// What the cache said.
+    /// Cache status stated with the answer, if any.
     pub cache_status: Option<CacheStatus>,
-    /// The load report that came along.
+    /// Load report sent with the answer, if any.
     pub load_report: Option<LoadReport>,
 }
 
-/// How far all balancers of a fleet shed load together.
+/// Extent to which all balancers of a fleet shed load together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SheddingLevel {
-    /// How many tiers are shed: 0 for none,
-    /// [`Settings::tiers`](crate::Settings::tiers) for all. A tier is a class within or beyond its
-    /// tenant's quota, in ascending order of priority weight; of the last tier the fractional part
-    /// is shed. A twentieth of every tier is always admitted.
+    /// Number of tiers that are shed: 0 for none, [`Settings::tiers`](crate::Settings::tiers) for
+    /// all. A tier is a class, either within or beyond its tenant's quota; tiers are ordered by
+    /// ascending priority weight. Of the last shed tier only the fractional part is shed. A
+    /// twentieth of every tier is always admitted.
     pub level: f64,
-    /// Selects which requests of a tier are shed; the same at all balancers at a time.
+    /// Number of the rotation, which determines the requests of a tier that are shed. All balancers
+    /// use the same number at the same time.
     pub rotation: u64,
-    /// When the next rotation begins, on the caller's clock.
+    /// Start time of the next rotation, on the caller's clock.
     pub rotation_ends: Nanos,
 }
 
-/// What happened.
+/// Event that the balancer reports to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list changed, or could not be read.
+    /// The endpoint list changed, or a call to discovery failed.
     EndpointUpdate {
-        /// What the entries stand for.
+        /// Meaning of the entries.
         kind: UpdateKind,
-        /// The entries.
+        /// Entries of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A client request arrived; exactly one final answer is owed from now on.
+    /// A client request arrived; it must receive exactly one final answer.
     RequestArrived(NewRequest),
-    /// An attempt ended; each `Send` leads to exactly one of these.
+    /// An attempt ended; each `Send` leads to exactly one such event.
     AttemptEnded(AttemptResult),
     /// The first byte of a streamed answer has reached the client.
     ResponseStarted {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request.
         attempt: AttemptNumber,
     },
-    /// The client disconnected; no answer is owed any more.
+    /// The client disconnected; the request no longer needs an answer.
     ClientDisconnected(RequestId),
     /// A health check ended.
     HealthCheckEnded {
-        /// The endpoint.
+        /// Identifier of the endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: AttemptOutcome,
-        /// The load report that came along.
+        /// Load report sent with the answer, if any.
         load_report: Option<LoadReport>,
     },
-    /// A timer is due.
+    /// A timer set by the engine is due.
     TimerFired(TimerToken),
-    /// The balancer shuts down at this time: open requests are answered by then.
+    /// The balancer shuts down at this time; open requests are answered by then.
     ShuttingDown(Nanos),
-    /// Discovery answers or has moved: earlier failures say nothing of it.
+    /// Discovery is reachable again or has a new address; the backoff from earlier failures no
+    /// longer applies.
     DiscoveryAvailable,
-    /// How many balancers share the endpoints now, this one included; replaces
+    /// Number of balancers that share the endpoints from now on, including this one; replaces
     /// [`Settings::balancers`](crate::Settings::balancers).
     BalancerCount(usize),
-    /// The shedding level that all balancers apply from now on; none is shed without it.
+    /// Shedding level that all balancers apply from now on; without this event nothing is shed.
     FleetShedding(SheddingLevel),
 }
--- a/crates/routing/src/explanations.rs
+++ b/crates/routing/src/explanations.rs
@@ -1,12 +1,12 @@
-//! The figures that explain a decision to logs and counters.
+//! The values with which logs and counters explain a decision.
 
 use crate::actions::{DecisionReason, Explanation};
 use crate::endpoints::EndpointRecord;
 use crate::identifiers::Nanos;
 use crate::origin_protection::OriginProtection;
 
-/// A reason with the figures of the request's first candidate, or of fetches where the origin is
-/// the reason.
+/// Returns a reason with the values of the request's first candidate; if the reason concerns the
+/// origin, the latencies are those of fetches.
 pub(crate) fn explain(
     reason: DecisionReason,
     first_candidate: Option<&EndpointRecord>,
--- a/crates/routing/src/fleet_shedding.rs
+++ b/crates/routing/src/fleet_shedding.rs
@@ -1,5 +1,5 @@
-//! Fleet shedding: all balancers shed the same tiers of requests together, those of the least
-//! priority weight first.
+//! Fleet shedding: all balancers shed the same tiers of requests, those with the lowest priority
+//! weight first.
 
 use crate::events::SheddingLevel;
 use crate::identifiers::Nanos;
@@ -7,19 +7,22 @@
 use crate::settings::{RequestClass, Settings};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The greatest fraction of a tier that is shed: if nothing were admitted, nothing would show that
-/// there is capacity again.
+/// Maximum fraction of a tier that is shed: if nothing were admitted, nothing would show that
+/// capacity has returned.
 pub const MAX_SHED_FRACTION: f64 = 0.95;
-/// How far the shed part of the key space moves with each rotation: by over half, as otherwise
-/// rotations would alternate between the same two halves.
+/// Shift of the shed part of the key space with each rotation, as a fraction of the key space. It
+/// is over one half, because with exactly one half the rotations would alternate between the same
+/// two halves.
 const ROTATION_STEP: f64 = 0.55;
-/// Rotations after which the shed part starts again, so that the product keeps its precision.
+/// Number of rotations after which the position of the shed part repeats, so that the product with
+/// the step keeps its precision.
 const ROTATION_PERIOD: u64 = 1_000;
 
-/// The shedding level, and the tier of each class.
+/// Current shedding level, and the tiers of each class.
 pub(crate) struct FleetShedding {
     level: SheddingLevel,
-    /// Two for each class, within and beyond its tenant's quota: how many have less weight.
+    /// Tiers of each class, within and beyond its tenant's quota: the number of tiers with a lower
+    /// weight.
     tiers: Vec<usize>,
 }
 
@@ -35,14 +38,14 @@
         self.level = level;
     }
 
-    /// The tier of a request.
+    /// Returns the tier of a request.
     pub(crate) fn tier(&self, request: &Request) -> usize {
         self.tiers[2 * request.details.class.0 + usize::from(request.is_over_quota)]
     }
 
-    /// Whether all balancers shed this request: it is in a tier that is shed, and its key is in the
-    /// part of the key space that is shed in this rotation. A client that returns in the next
-    /// rotation is admitted as long as half of the tier is.
+    /// Returns whether all balancers shed this request: its tier is shed, and its key lies in the
+    /// part of the key space that is shed in this rotation. A client that retries in the next
+    /// rotation is admitted if at most half of the tier is shed.
     pub(crate) fn sheds(&self, request: &Request) -> bool {
         let tier = self.tier(request) as f64;
         let fraction = (self.level.level - tier).clamp(0.0, MAX_SHED_FRACTION);
@@ -57,7 +60,7 @@
         (position + ROTATION_STEP * rotation).fract() < fraction
     }
 
-    /// How long until the next rotation.
+    /// Returns the time until the next rotation.
     pub(crate) fn time_to_rotation(&self, now: Nanos) -> Nanos {
         self.level.rotation_ends.saturating_sub(now)
     }
@@ -68,8 +71,8 @@
     }
 }
 
-/// The tiers of all classes. Of two of equal weight the earlier class is shed first, and what lies
-/// within a quota last.
+/// Returns the tiers of all classes. Tiers of equal weight are ordered by class index, and those
+/// within a quota are shed after those beyond one.
 fn tiers(settings: &Settings) -> Vec<usize> {
     let over_quota = settings.over_quota_weight.clamp(0.0, 1.0);
     let weights_of =
--- a/crates/routing/src/fleet_size.rs
+++ b/crates/routing/src/fleet_size.rs
@@ -1,6 +1,6 @@
-//! How many balancers share the endpoints, and how limits follow from it.
+//! Number of balancers that share the endpoints, from which their limits are derived.
 
-/// The number of balancers, this one included.
+/// Number of balancers, including this one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FleetSize {
     balancers: usize,
@@ -8,7 +8,7 @@
 }
 
 impl FleetSize {
-    /// A fleet of this many balancers; at least one, as this one counts.
+    /// Creates a fleet of this many balancers; 0 counts as 1 because this balancer is included.
     pub(crate) fn new(balancers: usize) -> Self {
         let balancers = balancers.max(1);
         FleetSize {
@@ -21,8 +21,9 @@
         self.balancers
     }
 
-    /// The square root of the number: what is divided by it lets each balancer use more than its
-    /// even share at times, as independent loads seldom peak together.
+    /// Returns the square root of the number of balancers. A budget divided by it lets each
+    /// balancer temporarily use more than its even share, because independent loads seldom peak
+    /// together.
     pub(crate) fn square_root(self) -> f64 {
         self.square_root
     }
--- a/crates/routing/src/hedging.rs
+++ b/crates/routing/src/hedging.rs
@@ -1,25 +1,26 @@
-//! When a read is hedged: after a quantile of recent latencies, within a budget.
+//! Hedging: reads are hedged after a quantile of recent latencies, within a budget.
 
 use crate::attempt_budget::AttemptBudget;
 use crate::estimators::{LatencyQuantile, StoredHistogram};
 use crate::fleet_size::FleetSize;
 use crate::identifiers::Nanos;
 
-/// The quantile of latencies after which an attempt is overdue.
+/// Quantile of recent latencies after which an attempt is overdue.
 pub(crate) const OVERDUE_QUANTILE: f64 = 0.99;
-/// Samples until an old one weighs 1/e: a count, so that little traffic does not swing the
-/// quantile.
+/// Number of further samples after which a sample's weight has decayed to 1/e. A count instead of a
+/// time keeps the quantile steady at low traffic.
 pub(crate) const QUANTILE_MEMORY_SAMPLES: f64 = 500.0;
-/// With fewer samples the quantile is not used.
+/// Minimum number of samples for the quantile to be used.
 pub(crate) const MIN_SAMPLES: u64 = 20;
-/// An attempt is abandoned after this multiple of the quantile while another may be made.
+/// Multiple of the quantile after which an attempt is abandoned, if another one may be made.
 pub(crate) const ABANDON_FACTOR: f64 = 2.5;
-/// Hedges per request, so that they cannot double an overload ...
+/// Hedges per request beyond the burst; limited so that hedges cannot double an overload.
 const HEDGES_PER_REQUEST: f64 = 0.1;
-/// ... beyond a burst that covers the detection of an endpoint or two that went silent.
+/// Burst of hedges over all balancers; covers the time until one or two unresponsive endpoints are
+/// detected.
 pub(crate) const HEDGE_BURST: f64 = 6.0;
 
-/// Recent latencies of reads, and the budget for hedges.
+/// Latency quantile of reads, and the budget for hedges.
 pub(crate) struct Hedging {
     latencies: LatencyQuantile,
     pub(crate) budget: AttemptBudget,
@@ -38,7 +39,7 @@
         &self.latencies
     }
 
-    /// Adds the latency of an answered read.
+    /// Records the latency of an answered read.
     pub(crate) fn record_latency(&mut self, latency: Nanos) {
         self.latencies.add(latency);
     }
@@ -47,7 +48,8 @@
         self.latencies.samples() >= MIN_SAMPLES
     }
 
-    /// How long an attempt is in flight before it is overdue; `Nanos::MAX` while that is unknown.
+    /// Returns the time in flight after which an attempt is overdue; `Nanos::MAX` without enough
+    /// samples.
     pub(crate) fn overdue_after(&self) -> Nanos {
         if self.has_samples() {
             self.latencies.value()
@@ -56,19 +58,19 @@
         }
     }
 
-    /// How long after its attempt a read with this much time left is hedged.
+    /// Returns the delay from an attempt to its hedge, for a read with this much time left.
     pub(crate) fn delay(&self, time_left: Nanos) -> Nanos {
         self.overdue_after().min(time_left / 2)
     }
 
-    /// How long an attempt is in flight before it will most likely never be answered.
+    /// Returns the time in flight after which an attempt will most likely never be answered.
     pub(crate) fn abandon_after(&self) -> Nanos {
         (self.overdue_after() as f64 * ABANDON_FACTOR) as Nanos
     }
 
-    /// Whether a timeout after this time is evidence of a fault: it is not if the client waits less
-    /// long than answers take.
-    pub(crate) fn is_timeout_evidence(
+    /// Returns whether a timeout after this time is evidence of a fault. It is not if the client
+    /// waits less than answers take.
+    pub(crate) fn timeout_counts_as_failure(
         &self,
         client_timeout: Nanos,
         latency_objective: Nanos,
@@ -80,7 +82,7 @@
         self.latencies.to_stored()
     }
 
-    /// Takes over a stored histogram; false if it is of another form.
+    /// Restores a stored histogram; returns false if it is invalid.
     #[must_use]
     pub(crate) fn restore(&mut self, stored: &StoredHistogram) -> bool {
         self.latencies.restore(stored)
--- a/crates/routing/src/idempotency.rs
+++ b/crates/routing/src/idempotency.rs
@@ -1,12 +1,12 @@
-//! Which attempts and rejections of a request are permitted: a request that must not run twice
-//! never does, and an attempt goes only to an active endpoint before the deadline.
+//! Rules for the attempts and rejections that a request permits: a request that must not run twice
+//! never does, and attempts go only to active endpoints and only before the deadline.
 
 use crate::events::{Endpoint, EndpointState};
 use crate::identifiers::Nanos;
 use crate::request::{Attempt, Request};
 use crate::settings::{Capabilities, DeduplicationScope, Idempotency};
 
-/// What an attempt is made for.
+/// Purpose of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptKind {
     /// The first attempt or a retry.
@@ -15,8 +15,9 @@
     Hedge,
 }
 
-/// Whether a rejection is truthful. It tells the client that a retry is harmless: not so once an
-/// attempt may have run that endpoints would not recognise as a repeat.
+/// Returns whether a request may be rejected. A rejection tells the client that a retry is
+/// harmless, which is not true if an attempt may have run and endpoints would not recognise the
+/// repeat.
 pub(crate) fn permits_rejection(idempotency: Idempotency, request: &Request) -> bool {
     if request.is_closed || request.is_streaming {
         return false;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Whether an attempt may be sent to an endpoint.
+/// Returns whether an attempt may be sent to an endpoint.
 pub(crate) fn permits_attempt(
     idempotency: Idempotency,
     capabilities: &Capabilities,
@@ -49,7 +50,7 @@
         && permits_repeat(idempotency, request, endpoint, now)
 }
 
-/// Whether a further attempt may be in flight beside those that are.
+/// Returns whether one more attempt may be in flight concurrently.
 fn permits_concurrency(
     idempotency: Idempotency,
     capabilities: &Capabilities,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Whether the endpoint may receive the request although earlier attempts may have run.
+/// Returns whether the endpoint may receive the request even though earlier attempts may have run.
 fn permits_repeat(
     idempotency: Idempotency,
     request: &Request,
--- a/crates/routing/src/identifiers.rs
+++ b/crates/routing/src/identifiers.rs
@@ -1,21 +1,21 @@
-//! Identifiers and the unit of time that settings, events and actions share.
+//! Identifiers and the unit of time shared by settings, events and actions.
 
-/// A point in time or a duration, in nanoseconds on the caller's monotonic clock.
+/// Point in time or duration, in nanoseconds on the caller's monotonic clock.
 pub type Nanos = u64;
 
-/// A client request, by a number that the balancer never uses twice.
+/// Number of a client request; a balancer never uses the same number twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
-/// A cache or the origin; the same number at every balancer.
+/// Number of a cache or origin server, the same at every balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// Which attempt of a request, counted from 0 in the order in which they are sent.
+/// Number of an attempt within its request, counted from 0 in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// Hash of the key that a request concerns.
+/// Hash of the key that a request reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// Issued with [`Action::SetTimer`](crate::Action::SetTimer), returned with
+/// Token of a timer, issued with [`Action::SetTimer`](crate::Action::SetTimer) and returned with
 /// [`Event::TimerFired`](crate::Event::TimerFired).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
--- a/crates/routing/src/idle_connections.rs
+++ b/crates/routing/src/idle_connections.rs
@@ -1,24 +1,24 @@
-//! Which idle connections are closed: hundreds of balancers would fill an endpoint's connection
-//! table with connections that they hardly use.
+//! Selection of the idle connections to close. Without it, hundreds of balancers would fill an
+//! endpoint's connection table with connections that they hardly use.
 
 use crate::fleet_size::FleetSize;
 use crate::identifiers::{EndpointId, Nanos};
 
-/// Idle connections kept open at an endpoint, over all balancers.
+/// Maximum number of idle connections to one endpoint, over all balancers.
 const MAX_IDLE_PER_ENDPOINT: usize = 60;
-/// Idle connections that one balancer keeps open in all: each is a descriptor.
+/// Maximum number of idle connections of one balancer; each occupies a file descriptor.
 pub(crate) const MAX_IDLE_PER_BALANCER: usize = 64;
-/// Those beyond are closed once idle for this long, in nanoseconds.
+/// Minimum idle time before an excess connection is closed, in nanoseconds.
 const MIN_IDLE_TIME: Nanos = 500_000_000;
 
-/// An endpoint with nothing in flight and perhaps an open connection.
+/// Endpoint without attempts in flight that may have an open connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct IdleEndpoint {
     pub(crate) since: Nanos,
     pub(crate) id: EndpointId,
 }
 
-/// The endpoints whose connections are to be closed, the longest idle first.
+/// Returns the endpoints whose connections are to be closed, longest idle first.
 pub(crate) fn to_close(
     mut idle: Vec<IdleEndpoint>,
     endpoints: usize,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,12 @@
-//! The decisions of a load balancer that spreads keys over caches before a slow origin.
+//! Decision engine of a load balancer that spreads keys over caches in front of a slow origin.
 //!
-//! An [`Engine`] decides for one balancer. It does no I/O and has no clock: the balancer reports
-//! each [`Event`] with the time, and carries out the [`Action`]s that come back, in order. The same
-//! settings, seed and events give the same actions.
+//! An [`Engine`] makes the decisions of one balancer. It does no I/O and has no clock: the balancer
+//! passes in each [`Event`] with its time and executes the returned [`Action`]s in order. The same
+//! settings, seed and events always give the same actions.
 //!
-//! The engine dispatches events and composes components that each own their state: the endpoint
-//! list, placement, slow start, concurrency limits, outlier detection, hedging, retries, admission
-//! and origin protection.
+//! The engine dispatches events to components that each own their state: the endpoint list,
+//! placement, slow start, concurrency limits, outlier detection, hedging, retries, admission and
+//! origin protection.
 //!
 //! # Embedding in a balancer
 //!
@@ -53,13 +53,13 @@
 //! let mut engine = Engine::new(settings, 42, 0)?;
 //! let mut actions = Vec::new();
 //!
-//! // What discovery lists.
+//! // Discovery lists four endpoints.
 //! let endpoints = (1..=4)
 //!     .map(|id| Endpoint { id: EndpointId(id), weight: 1.0, ..Endpoint::default() })
 //!     .collect();
 //! engine.handle(0, Event::EndpointUpdate { kind: UpdateKind::Full, endpoints }, &mut actions);
 //!
-//! // A client's read arrives; carry out what comes back.
+//! // A client's read arrives; the balancer executes the returned actions.
 //! let read = NewRequest {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
@@ -78,12 +78,12 @@
 //!             assert_eq!(*request, RequestId(1)); // open the connection here
 //!             sent_to = Some(*endpoint);
 //!         }
-//!         Action::SetTimer { .. } => {} // report Event::TimerFired when it is due
-//!         other => panic!("nothing else is due: {other:?}"),
+//!         Action::SetTimer { .. } => {} // report Event::TimerFired after this time
+//!         other => panic!("unexpected action: {other:?}"),
 //!     }
 //! }
 //!
-//! // The cache answers; the first answer finishes the request.
+//! // The cache answers; the first answer completes the request.
 //! let result = AttemptResult {
 //!     request: RequestId(1),
 //!     attempt: AttemptNumber(0),
--- a/crates/routing/src/origin_protection.rs
+++ b/crates/routing/src/origin_protection.rs
@@ -1,5 +1,5 @@
-//! Origin protection: while fetches from the origin fail or slow down, fewer reads are admitted
-//! that would most likely have to be fetched.
+//! Origin protection: while fetches from the origin fail or slow down, fewer of the reads that
+//! probably need a fetch are admitted.
 
 use crate::estimators::LatencyMean;
 use crate::events::CacheStatus;
@@ -7,27 +7,32 @@
 use crate::identifiers::Nanos;
 use crate::random::Random;
 
-/// The admitted fraction's factor for a failed fetch.
+/// Factor applied to the admitted fraction for a failed fetch.
 pub(crate) const FAILURE_FACTOR: f64 = 0.9;
-/// Its factor for a successful fetch. The fraction settles where a sixth of fetches fail.
+/// Factor applied to the admitted fraction for a successful fetch. With both factors the fraction
+/// stays constant when about a sixth of fetches fail.
 pub(crate) const SUCCESS_FACTOR: f64 = 1.02;
-/// Its factor for a successful fetch while fetches are slow: the queue at the origin grows.
+/// Factor applied to the admitted fraction for a successful fetch while fetches are slow, which
+/// means that the queue at the origin grows.
 const SLOW_FACTOR: f64 = 0.97;
-/// Fetch latency over its baseline from which on fetches are slow.
+/// Ratio of recent fetch latency to its baseline above which fetches count as slow.
 const SLOW_RATIO: f64 = 2.5;
-/// The least admitted fraction.
+/// Minimum admitted fraction.
 const MIN_FRACTION: f64 = 0.05;
-/// Above this fraction nothing is rejected: a timeout or two are no evidence of overload.
+/// Admitted fraction above which nothing is rejected: one or two timeouts are no evidence of
+/// overload.
 const TOLERATED_FRACTION: f64 = 0.8;
-/// Under this fraction the origin is overloaded: no hedges, and no retries of errors.
+/// Admitted fraction below which the origin counts as overloaded: reads are not hedged and errors
+/// are not retried.
 pub(crate) const OVERLOAD_FRACTION: f64 = 0.6;
-/// The part of a concurrency limit open to reads that probably miss while the origin is well: a
-/// read that leaves the endpoint that has its key cached is fetched again.
+/// Fraction of a concurrency limit that is available to probable misses while the origin is not
+/// overloaded. It is below 1 because a read that is sent away from the endpoint that has its key
+/// cached causes another fetch.
 pub(crate) const MISS_LIMIT_FRACTION: f64 = 0.6;
 
-/// What this balancer knows of fetches from the origin.
+/// State that this balancer keeps about fetches from the origin.
 pub(crate) struct OriginProtection {
-    /// Fraction of reads that are admitted if their key is not known to be cached.
+    /// Admitted fraction of the reads whose key is not known to be cached.
     admitted_fraction: f64,
     fetch_latency: LatencyMean,
 }
@@ -48,17 +53,17 @@
         &self.fetch_latency
     }
 
-    /// Whether fetches fail so often that another attempt would only prolong it.
+    /// Returns whether fetches fail so often that another attempt would only prolong the overload.
     pub(crate) fn is_overloaded(&self) -> bool {
         self.admitted_fraction < OVERLOAD_FRACTION
     }
 
-    /// Whether a read that would most likely have to be fetched is admitted.
+    /// Returns whether a read that probably needs a fetch is admitted.
     pub(crate) fn admits(&self, random: &mut Random) -> bool {
         random.chance(self.admitted_fraction / TOLERATED_FRACTION)
     }
 
-    /// The part of a concurrency limit open to reads that probably miss.
+    /// Returns the fraction of a concurrency limit that is available to probable misses.
     pub(crate) fn miss_limit_fraction(&self) -> f64 {
         let latency = &self.fetch_latency;
         MISS_LIMIT_FRACTION * self.admitted_fraction * latency.baseline().max(1.0)
@@ -69,8 +74,8 @@
         self.adjust(FAILURE_FACTOR, fleet);
     }
 
-    /// Counts an answer that was not a hit. Where the answer does not state its cache status, its
-    /// latency says nothing of fetches.
+    /// Records an answer that was not a hit. If the answer does not state its cache status, its
+    /// latency is no evidence about fetches.
     pub(crate) fn record_fetch(
         &mut self,
         latency: Nanos,
@@ -84,7 +89,8 @@
         self.adjust(if is_slow { SLOW_FACTOR } else { SUCCESS_FACTOR }, fleet);
     }
 
-    /// Moves the admitted fraction; faster at one of many balancers, as it sees few fetches.
+    /// Multiplies the admitted fraction by a factor, with a larger step the more balancers there
+    /// are, because each of them then sees fewer fetches.
     pub(crate) fn adjust(&mut self, factor: f64, fleet: FleetSize) {
         let step = factor.powf((fleet.square_root() - 2.0).max(1.0));
         self.admitted_fraction = (self.admitted_fraction * step).clamp(MIN_FRACTION, 1.0);
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -1,47 +1,52 @@
-//! Outlier detection: consecutive failures eject an endpoint; after a growing backoff a recovery
-//! probe, a health check or a request, decides whether it is readmitted.
+//! Outlier detection: consecutive failures eject an endpoint. After a growing backoff a recovery
+//! probe, which is a health check or a request, decides whether it is readmitted.
 
 use crate::endpoints::EndpointRecord;
 use crate::events::AttemptOutcome;
 use crate::identifiers::Nanos;
 use crate::random::Random;
 
-/// The least number of consecutive failures that ejects an endpoint.
+/// Minimum number of consecutive failures that ejects an endpoint.
 const MIN_CONSECUTIVE_FAILURES: f64 = 2.0;
-/// As many failures in a row eject as come by chance less often than this.
-const CHANCE_PROBABILITY: f64 = 0.05;
-/// Bounds of the failure ratio that chance is computed from.
+/// Probability below which a run of consecutive failures counts as more than chance and ejects the
+/// endpoint.
+const CHANCE_THRESHOLD: f64 = 0.05;
+/// Bounds of the failure ratio from which that probability is computed.
 const MIN_FAILURE_RATIO: f64 = 0.01;
 const MAX_FAILURE_RATIO: f64 = 0.99;
 /// Weight of a new attempt in a failure ratio.
 const FAILURE_RATIO_GAIN: f64 = 0.1;
-/// An endpoint that fails more is not used for hedges and retries.
+/// Maximum failure ratio of a healthy endpoint; unhealthy endpoints receive no hedges or retries.
 const MAX_HEALTHY_FAILURE_RATIO: f64 = 0.3;
-/// Nor is one that is slower than the median endpoint by this factor.
+/// Maximum ratio of a healthy endpoint's latency to the fleet's median latency.
 const MAX_HEALTHY_LATENCY_FACTOR: f64 = 3.0;
-/// Factor of an endpoint's failure ratio at each housekeeping: one that gets no requests recovers.
+/// Factor applied to an endpoint's failure ratio at each housekeeping, so that an endpoint without
+/// requests recovers.
 pub(crate) const IDLE_DECAY: f64 = 0.98;
-/// The failure ratio of an endpoint that has failed an attempt in the last seconds.
+/// Minimum failure ratio of an endpoint that has failed an attempt in the last seconds.
 const MIN_FAILING_RATIO: f64 = 0.05;
-/// With this fraction of the endpoints failing the cause lies behind them all.
+/// Minimum fraction of failing endpoints for the cause to lie in a dependency that they share.
 const FLEET_WIDE_FRACTION: f64 = 0.5;
-/// With more of the fleet unhealthy, ejection says nothing. Half of it may be cut off with a zone.
+/// Fraction of unhealthy endpoints above which ejection is suspended, because it no longer singles
+/// out faulty endpoints. It is above one half because half of the fleet may become unreachable with
+/// a zone.
 const MAX_EJECTED_FRACTION: f64 = 0.75;
-/// First wait before an ejected endpoint is probed, in nanoseconds; doubles each time.
+/// Initial backoff before an ejected endpoint is probed, in nanoseconds; doubles with each further
+/// ejection.
 pub(crate) const MIN_BACKOFF: Nanos = 1_000_000_000;
-/// Longest such wait, in nanoseconds: about what a restart takes to be listed.
+/// Maximum backoff, in nanoseconds; about the time until discovery lists a restarted endpoint.
 pub(crate) const MAX_BACKOFF: Nanos = 8_000_000_000;
-/// The wait is spread by this factor at least ...
+/// Minimum factor by which a backoff is multiplied to spread the probes of several balancers.
 const MIN_BACKOFF_FACTOR: f64 = 0.75;
-/// ... and by up to so much more.
+/// Width of the range of that factor.
 const BACKOFF_FACTOR_SPREAD: f64 = 0.5;
 
-/// What a failed attempt counts.
+/// Strength of the evidence that a failed attempt gives against its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FailureEvidence {
-    /// The attempt says nothing against its endpoint.
+    /// The attempt is no evidence against its endpoint.
     None,
-    /// An error answer, which may be the origin's doing.
+    /// The endpoint answered with an error, which the origin may have caused.
     Ambiguous,
     /// The endpoint did not answer.
     Strong,
@@ -56,9 +61,10 @@
         }
     }
 
-    /// The evidence of an outcome alone: none for timeouts and cancellations, which depend on
-    /// whether the endpoint was silent, nor for what would suit no other endpoint either.
-    pub(crate) fn of(outcome: AttemptOutcome) -> Self {
+    /// Returns the evidence that follows from the outcome alone. Timeouts and cancellations give
+    /// none, because they count only if the endpoint was unresponsive; neither do outcomes that
+    /// every other endpoint would have produced too.
+    pub(crate) fn from_outcome(outcome: AttemptOutcome) -> Self {
         match outcome {
             AttemptOutcome::Error => FailureEvidence::Ambiguous,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => FailureEvidence::Strong,
@@ -82,20 +88,21 @@
     }
 }
 
-/// The health of one endpoint.
+/// Health of one endpoint.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
     consecutive_failures: f64,
     /// Fraction of recent attempts that were rejected or failed.
     failure_ratio: f64,
-    /// Ejected at least until then; a recovery probe is due after.
+    /// Earliest time of the next recovery probe; `None` if the endpoint is not ejected.
     ejected_until: Option<Nanos>,
-    /// A health check has succeeded since, or none may be sent: a request may be the probe.
+    /// Whether a request may serve as recovery probe: a health check has succeeded since the
+    /// ejection, or health checks are not supported.
     may_probe_with_request: bool,
     backoff: Nanos,
 }
 
-/// An endpoint's health as it is stored in a snapshot.
+/// Stored form of an endpoint's health in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StoredHealth {
     pub(crate) consecutive_failures: f64,
@@ -113,7 +120,7 @@
         }
     }
 
-    /// Counts an answer. Returns whether it readmits an ejected endpoint.
+    /// Records an answer and returns whether it readmits an ejected endpoint.
     #[must_use]
     pub(crate) fn record_success(&mut self) -> bool {
         self.consecutive_failures = 0.0;
@@ -125,7 +132,7 @@
         self.consecutive_failures += evidence.weight();
     }
 
-    /// Counts an attempt in the failure ratio.
+    /// Updates the failure ratio with an attempt.
     pub(crate) fn update_failure_ratio(&mut self, has_failed: bool) {
         self.failure_ratio += FAILURE_RATIO_GAIN * (f64::from(has_failed) - self.failure_ratio);
     }
@@ -138,23 +145,24 @@
         self.ejected_until.is_some()
     }
 
-    /// Whether a request may go to the endpoint, if it is ejected only as a recovery probe.
+    /// Returns whether a request may be sent to the endpoint; to an ejected one only as a recovery
+    /// probe.
     pub(crate) fn accepts_request(&self, now: Nanos, may_be_probe: bool) -> bool {
         self.ejected_until
             .is_none_or(|until| self.may_probe_with_request && may_be_probe && now >= until)
     }
 
-    /// Whether a health check is due.
+    /// Returns whether a health check is due.
     pub(crate) fn is_health_check_due(&self, now: Nanos) -> bool {
         self.ejected_until.is_some_and(|until| now >= until) && !self.may_probe_with_request
     }
 
-    /// A health check has been sent; until it ends, no other is due.
+    /// Postpones the next health check until the one that was just sent has ended.
     pub(crate) fn begin_health_check(&mut self, now: Nanos) {
         self.ejected_until = Some(now + MAX_BACKOFF);
     }
 
-    /// The wait is over; after a successful health check a request may be the probe.
+    /// Ends the backoff. After a successful health check a request may serve as recovery probe.
     pub(crate) fn end_health_check(&mut self, now: Nanos, is_success: bool) {
         self.ejected_until = Some(now);
         self.may_probe_with_request |= is_success;
@@ -193,14 +201,15 @@
     }
 }
 
-/// Outlier detection over all endpoints.
+/// State of outlier detection over all endpoints.
 pub(crate) struct OutlierDetection {
     has_health_checks: bool,
-    /// Fraction of recent attempts, at any endpoint, that were rejected or failed.
+    /// Fraction of recent attempts at all endpoints that were rejected or failed.
     failure_ratio: f64,
-    /// The median of the endpoints' recent mean latencies, in nanoseconds.
+    /// Median of the endpoints' recent mean latencies, in nanoseconds.
     median_latency: f64,
-    /// Most of the fleet is unhealthy: the fault lies elsewhere, and ejection is ignored.
+    /// Whether ejection is ignored because most of the fleet is unhealthy, which means that the
+    /// cause is not a single endpoint.
     is_suspended: bool,
 }
 
@@ -214,12 +223,12 @@
         }
     }
 
-    /// Counts an attempt in the fleet's failure ratio; a failure counts from 0 to 1.
+    /// Updates the fleet's failure ratio with an attempt; `failure` is its weight, 0 to 1.
     pub(crate) fn update_failure_ratio(&mut self, failure: f64) {
         self.failure_ratio += FAILURE_RATIO_GAIN * (failure - self.failure_ratio);
     }
 
-    /// Whether endpoints anywhere reject or fail much.
+    /// Returns whether the failure ratio of the whole fleet is high.
     pub(crate) fn is_fleet_failing(&self) -> bool {
         self.failure_ratio > MAX_HEALTHY_FAILURE_RATIO
     }
@@ -228,7 +237,7 @@
         self.is_suspended
     }
 
-    /// Takes over what one pass over the endpoints has gathered.
+    /// Updates the fleet's state from the summary of one pass over the endpoints.
     pub(crate) fn update_fleet(
         &mut self,
         median_latency: Option<f64>,
@@ -239,34 +248,36 @@
         self.is_suspended = unhealthy as f64 > MAX_EJECTED_FRACTION * endpoints as f64;
     }
 
-    /// Whether an endpoint fails little and is not far slower than the others.
+    /// Returns whether an endpoint has a low failure ratio and is not much slower than the others.
     pub(crate) fn is_healthy(&self, record: &EndpointRecord) -> bool {
         record.health.failure_ratio <= MAX_HEALTHY_FAILURE_RATIO
             && record.latency.recent() <= MAX_HEALTHY_LATENCY_FACTOR * self.median_latency
     }
 
-    /// How many failures in a row are seldom chance, by the fleet's failure ratio.
+    /// Returns the number of consecutive failures that ejects an endpoint: at the fleet's failure
+    /// ratio, such a run is unlikely to be chance.
     pub(crate) fn ejection_threshold(&self) -> f64 {
         let ratio = self
             .failure_ratio
             .clamp(MIN_FAILURE_RATIO, MAX_FAILURE_RATIO);
-        MIN_CONSECUTIVE_FAILURES.max(CHANCE_PROBABILITY.ln() / ratio.ln())
+        MIN_CONSECUTIVE_FAILURES.max(CHANCE_THRESHOLD.ln() / ratio.ln())
     }
 
-    /// Ejects an endpoint whose failures reach the threshold, together with attempts that are
-    /// overdue in silence, unless it is waiting already. Returns whether it was not ejected before.
+    /// Ejects an endpoint if its consecutive failures plus its unanswered overdue attempts reach
+    /// the threshold, unless its backoff is still running. Returns whether it was not ejected
+    /// before.
     #[must_use]
     pub(crate) fn eject_if_due(
         &self,
         health: &mut EndpointHealth,
-        silent_attempts: f64,
+        unanswered_attempts: f64,
         threshold: f64,
         now: Nanos,
         random: &mut Random,
     ) -> bool {
         let spread = random.coarse_fraction();
-        let is_waiting = health.ejected_until.is_some_and(|until| now < until);
-        if health.consecutive_failures + silent_attempts < threshold || is_waiting {
+        let is_backing_off = health.ejected_until.is_some_and(|until| now < until);
+        if health.consecutive_failures + unanswered_attempts < threshold || is_backing_off {
             return false;
         }
         let is_new = !health.is_ejected();
@@ -297,7 +308,7 @@
     }
 }
 
-/// Whether so many endpoints failed an attempt lately that it is not their own doing.
+/// Returns whether so many endpoints recently failed an attempt that a shared cause is likely.
 pub(crate) fn is_fault_fleet_wide<'a>(
     endpoints: impl ExactSizeIterator<Item = &'a EndpointRecord>,
 ) -> bool {
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -1,5 +1,5 @@
 //! Placement: power of two choices among the candidates of a key's slot, weighted so that the reads
-//! of a key gather at the endpoint that has it cached.
+//! of a key concentrate on the endpoint that has it cached.
 
 use crate::endpoints::{EndpointList, EndpointRecord};
 use crate::events::CacheStatus;
@@ -9,47 +9,49 @@
 use crate::rendezvous::{CANDIDATES, Candidates, Ranking, SlotTable};
 use crate::settings::ServiceRules;
 
-/// Hit ratio of each rank until answers show it: balancers that see few answers gather reads at
-/// the first rank too.
+/// Initial hit ratio of each rank, before answers are observed. It favours the first rank, so that
+/// balancers that receive few answers also concentrate reads there.
 const INITIAL_RANK_HIT_RATIOS: [f64; CANDIDATES] = [0.9, 0.5, 0.5];
 /// Weight of a new answer in the hit ratio of a rank.
 const HIT_RATIO_GAIN: f64 = 0.02;
-/// The least miss ratio that is believed.
+/// Minimum miss ratio of a rank that is used in weights.
 const MIN_MISS_RATIO: f64 = 0.03;
-/// How steeply draws follow the miss ratio of a rank.
+/// Exponent with which a rank's miss ratio reduces the sampling weight.
 const MISS_RATIO_EXPONENT: i32 = 4;
-/// The least reported hit ratio that counts, so that a cache that fills gets reads.
+/// Minimum reported hit ratio that is used in weights, so that an empty cache receives reads and
+/// can fill.
 const MIN_HIT_RATIO: f64 = 0.05;
-/// Draw weight of an endpoint that answered the key lately, over that of others.
+/// Factor on the sampling weight of an endpoint that recently answered the key.
 const CACHED_KEY_FACTOR: f64 = 1e4;
-/// Work that takes one part in so many of the latency objective halves a draw weight.
+/// Strength with which estimated work reduces a sampling weight: work that takes 1/30 of the
+/// latency objective halves it.
 const WORK_FACTOR: f64 = 30.0;
 
-/// A candidate and its rank at the slot.
+/// Candidate with its rank at the slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RankedEndpoint {
     pub(crate) rank: usize,
     pub(crate) id: EndpointId,
 }
 
-/// A candidate with the weight by which it is drawn.
+/// Candidate with its sampling weight.
 struct WeightedEndpoint {
     endpoint: RankedEndpoint,
     weight: f64,
 }
 
-/// What is placed.
+/// Properties of a request that placement depends on.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementRequest<'a> {
     pub(crate) key: Option<Key>,
     pub(crate) estimated_work: Option<Nanos>,
     pub(crate) now: Nanos,
     pub(crate) rules: &'a ServiceRules,
-    /// The shortest latency objective of a class, in nanoseconds.
+    /// Shortest latency objective of all classes, in nanoseconds.
     pub(crate) latency_objective: f64,
 }
 
-/// The candidates of each slot, and where keys are probably cached.
+/// Candidates of each slot, and a record of where keys are probably cached.
 pub(crate) struct Placement {
     slots: SlotTable,
     rank_hit_ratios: [f64; CANDIDATES],
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Takes over the caches that may be candidates, with their weights, in ascending order of
-    /// their identifiers.
+    /// Sets the caches that may be candidates, with their weights, in ascending order of
+    /// identifiers.
     pub(crate) fn set_caches(&mut self, caches: &[(EndpointId, f64)]) {
         self.slots.set_caches(caches);
     }
@@ -76,17 +78,18 @@
         &mut self.slots
     }
 
-    /// The candidates of a slot, best first. The endpoint list alone decides, never health.
+    /// Returns the candidates of a slot, best first. They depend only on the endpoint list, not on
+    /// health.
     pub(crate) fn candidates(&mut self, slot: usize) -> Candidates {
         self.slots.candidates(slot)
     }
 
-    /// All caches in the order of their ranks at a slot.
+    /// Returns all caches in rank order at a slot.
     pub(crate) fn ranking(&self, slot: usize) -> Ranking {
         self.slots.ranking(slot)
     }
 
-    /// Counts an answer of the candidate at this rank.
+    /// Records the cache status of an answer from the candidate at this rank.
     pub(crate) fn record_cache_status(&mut self, rank: usize, status: CacheStatus) {
         let ratio = &mut self.rank_hit_ratios[rank];
         *ratio += HIT_RATIO_GAIN * (f64::from(status == CacheStatus::Hit) - *ratio);
@@ -100,10 +103,10 @@
         self.rank_hit_ratios = ratios;
     }
 
-    /// Draws two of the available candidates by weight. The one with fewer attempts in flight wins,
-    /// on a tie the better rank. A fetch that would be necessary counts as one in flight; a key
-    /// that no candidate answered lately is taken to be cached at the first rank, where other
-    /// balancers look for it too.
+    /// Samples two of the available candidates by weight and returns the one with fewer attempts in
+    /// flight, or the better rank on a tie. A necessary fetch counts as one attempt in flight. A
+    /// key that no candidate answered recently is assumed to be cached at the first rank, because
+    /// other balancers look for it there too.
     pub(crate) fn choose(
         &self,
         available: &[RankedEndpoint],
@@ -115,14 +118,17 @@
             .iter()
             .filter_map(|endpoint| {
                 let record = endpoints.get(endpoint.id)?;
-                let weight = self.draw_weight(record, *endpoint, request);
+                let weight = self.sampling_weight(record, *endpoint, request);
                 Some(WeightedEndpoint {
                     endpoint: *endpoint,
                     weight,
                 })
             })
             .collect();
-        let drawn = [draw(&mut pool, random), draw(&mut pool, random)];
+        let sampled = [
+            take_by_weight(&mut pool, random),
+            take_by_weight(&mut pool, random),
+        ];
         let key = request.key;
         let is_cached = |id| self.recent_keys.is_cached(key, id);
         let is_cached_nowhere = !available.iter().any(|endpoint| is_cached(endpoint.id));
@@ -133,17 +139,17 @@
                 .map_or(0, |record| record.in_flight.len());
             in_flight + usize::from(!is_hit)
         };
-        drawn
+        sampled
             .into_iter()
             .flatten()
             .min_by_key(|endpoint| (load(endpoint), endpoint.rank))
             .map(|endpoint| endpoint.id)
     }
 
-    /// The draw weight of a candidate: its reported hit ratio over the miss ratio of its rank, less
-    /// during slow start, less where the estimated work takes much of the latency objective, and
-    /// far more if it answered the key lately.
-    fn draw_weight(
+    /// Returns the sampling weight of a candidate: its reported hit ratio divided by a power of its
+    /// rank's miss ratio, reduced during slow start and where the estimated work takes a large part
+    /// of the latency objective, and greatly increased if it recently answered the key.
+    fn sampling_weight(
         &self,
         record: &EndpointRecord,
         endpoint: RankedEndpoint,
@@ -154,7 +160,7 @@
             .powi(MISS_RATIO_EXPONENT);
         let latency = request
             .estimated_work
-            .and_then(|work| record.work_pace.expected_latency(work as f64))
+            .and_then(|work| record.latency_per_work.expected_latency(work as f64))
             .unwrap_or(0.0);
         let capacity = record
             .slow_start
@@ -170,14 +176,14 @@
     }
 }
 
-/// Takes one out of the pool, with a probability in proportion to its weight.
-fn draw(pool: &mut Vec<WeightedEndpoint>, random: &mut Random) -> Option<RankedEndpoint> {
+/// Removes a candidate from the pool, chosen at random in proportion to its weight.
+fn take_by_weight(pool: &mut Vec<WeightedEndpoint>, random: &mut Random) -> Option<RankedEndpoint> {
     let last = pool.len().checked_sub(1)?;
     let total: f64 = pool.iter().map(|candidate| candidate.weight).sum();
     let mut remaining = random.fraction() * total;
-    let drawn = pool.iter().position(|candidate| {
+    let selected = pool.iter().position(|candidate| {
         remaining -= candidate.weight;
         remaining < 0.0
     });
-    Some(pool.remove(drawn.unwrap_or(last)).endpoint)
+    Some(pool.remove(selected.unwrap_or(last)).endpoint)
 }
--- a/crates/routing/src/recent_keys.rs
+++ b/crates/routing/src/recent_keys.rs
@@ -1,13 +1,14 @@
-//! Which endpoint answered which key lately, and so probably has it cached.
+//! Record of which endpoint recently answered which key and so probably has it cached.
 
 use crate::identifiers::{EndpointId, Key, Nanos};
 use std::collections::BTreeSet;
 
-/// A key is remembered for one to two such periods after its last answer.
+/// Length of a period, in nanoseconds. A key is remembered for one to two periods after its last
+/// answer.
 const PERIOD: Nanos = 4_000_000_000;
 
-/// Pairs of key and endpoint of the current period and of the one before, so that memory stays
-/// bounded.
+/// Pairs of key and endpoint of the current and the previous period; dropping older periods bounds
+/// the memory.
 pub(crate) struct RecentKeys {
     current: BTreeSet<(Key, EndpointId)>,
     previous: BTreeSet<(Key, EndpointId)>,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Begins a new period when it is time.
+    /// Begins a new period if the current one has ended, and drops the pairs of the previous one.
     pub(crate) fn expire(&mut self, now: Nanos) {
         if now.saturating_sub(self.period_started) > PERIOD {
             std::mem::swap(&mut self.current, &mut self.previous);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Whether the endpoint answered this key lately, so that it probably still has it cached.
+    /// Returns whether the endpoint recently answered this key and so probably still has it cached.
     pub(crate) fn is_cached(&self, key: Option<Key>, endpoint: EndpointId) -> bool {
         key.is_some_and(|key| {
             let pair = (key, endpoint);
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -1,14 +1,16 @@
-//! Rendezvous hashing: the candidates of each slot, in a flat table whose rows are brought up to
-//! date when they are next asked for.
+//! Rendezvous hashing: the candidates of each slot, in a flat table whose rows are updated lazily
+//! when they are read.
 //!
-//! Each cache has a score at each slot ([`score`]); the caches with the least scores are the slot's
-//! candidates, in that order. Computing them takes a hash for each cache. A row therefore stores
-//! them with the [`Version`] of the endpoint list that they belong to. A change of the list is an
-//! entry in a bounded log and costs nothing for each slot. When a row is asked for, the changes
-//! since its version are checked, with a hash for each cache that was added; only if one of them
-//! affects the row, or the row is too far behind, its candidates are computed again.
+//! Each cache has a score at each slot ([`score`]); the caches with the lowest scores are the
+//! slot's candidates, in ascending order of score. Computing them takes one hash per cache. A row
+//! therefore stores its candidates together with the [`Version`] of the endpoint list they were
+//! computed for. A change of the list is appended to a bounded log and costs nothing per slot. When
+//! a row is read, the changes since its version are checked, with one hash per added cache. The
+//! candidates are recomputed only if a change affects the row or the row is too many changes
+//! behind.
 //!
-//! The table has [`SLOTS`] rows of fourteen bytes from the start, so that its memory does not grow.
+//! The table has [`SLOTS`] rows of fourteen bytes, allocated at the start so that its memory does
+//! not grow.
 
 use crate::identifiers::{EndpointId, Key};
 use std::cmp::Reverse;
@@ -16,40 +18,41 @@
 use std::ops::Deref;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Candidates of a slot.
+/// Maximum number of candidates of a slot.
 pub(crate) const CANDIDATES: usize = 3;
 
-/// Slots of the key space: so many that each of 150 caches has its even share to a twentieth.
+/// Number of slots of the key space; large enough that the share of each of 150 caches deviates by
+/// at most about a twentieth from an even share.
 pub(crate) const SLOTS: usize = 65_536;
 
-/// The seed with which keys are hashed to slots.
+/// Seed of the hash from keys to slots.
 const KEY_HASH_SEED: u64 = 0;
 
-/// Stands in a row where there are fewer candidates. A cache with this index or a greater one fits
-/// into no row: the candidates of its slots are computed each time.
+/// Marks the unused places of a row with fewer candidates. A cache whose index is this value or
+/// greater cannot be stored in a row; the candidates of its slots are recomputed on each read.
 const NO_CACHE: u16 = u16::MAX;
 
-/// The most changes that are logged. A row that is further behind is computed again.
+/// Maximum number of logged changes. A row that is further behind is recomputed.
 const MAX_LOGGED_CHANGES: usize = 4_096;
 
-/// Counts the changes of the list.
+/// Version of the endpoint list; incremented with each change.
 type Version = u32;
 
-/// The version of a row that contains no candidates.
-const NEVER: Version = 0;
+/// Version of a row whose candidates have not been computed.
+const NO_VERSION: Version = 0;
 
-/// Covers the rounding errors of [`CacheEntry::min_score`].
-const ROUNDED_DOWN: f64 = 1.0 - 1e-9;
+/// Factor that covers the rounding errors of [`CacheEntry::min_score`].
+const ROUNDING_MARGIN: f64 = 1.0 - 1e-9;
 
-/// Bits of a hash that a floating point index keeps exactly.
+/// Number of bits of a hash that an `f64` represents exactly.
 const MANTISSA_BITS: u32 = 53;
 
-/// The slot of a key.
+/// Returns the slot of a key.
 pub(crate) fn slot_of_key(key: Key) -> usize {
     xxh3_64_with_seed(&key.0.to_le_bytes(), KEY_HASH_SEED) as usize % SLOTS
 }
 
-/// The position of a cache at a slot, in (0, 1]: a hash of both.
+/// Returns the position of a cache at a slot, in (0, 1], from a hash of both.
 fn position(slot: usize, cache: EndpointId) -> f64 {
     #[cfg(test)]
     tests::count_hash();
@@ -57,13 +60,13 @@
     ((hash >> (u64::BITS - MANTISSA_BITS)) as f64 + 1.0) / (1u64 << MANTISSA_BITS) as f64
 }
 
-/// The score of a cache of this weight: exponentially distributed, so that a cache's share of first
-/// ranks follows its weight.
+/// Returns the score of a cache of this weight. Scores are exponentially distributed, so a cache's
+/// share of first ranks is proportional to its weight.
 fn score(position: f64, weight: f64) -> f64 {
     -position.ln() / weight
 }
 
-/// The candidates of one slot, best first.
+/// Candidates of one slot, best first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Candidates {
     caches: [EndpointId; CANDIDATES],
@@ -94,13 +97,13 @@
     }
 }
 
-/// One cache of the table.
+/// Cache of the table.
 #[derive(Clone, Copy, Debug)]
 struct CacheEntry {
     cache: EndpointId,
     weight: f64,
-    /// The factor from 1 - position to a lower bound of the score.
-    bound: f64,
+    /// Factor that turns `1 - position` into a lower bound of the score.
+    min_score_factor: f64,
 }
 
 impl CacheEntry {
@@ -108,28 +111,28 @@
         CacheEntry {
             cache,
             weight,
-            bound: ROUNDED_DOWN / weight,
+            min_score_factor: ROUNDING_MARGIN / weight,
         }
     }
 
-    /// A lower bound of the score at this position, as -ln(u) is never under 1 - u. It saves the
-    /// logarithm for nearly all caches.
+    /// Returns a lower bound of the score at this position, which saves computing the logarithm for
+    /// nearly all caches. It holds because -ln(u) is never below 1 - u.
     fn min_score(&self, position: f64) -> f64 {
-        (1.0 - position) * self.bound
+        (1.0 - position) * self.min_score_factor
     }
 }
 
-/// A cache's score at one slot, in the order of ranks: least first, then by id.
+/// Score of a cache at one slot. Ordered by rank: lowest score first, then by identifier.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Scored {
+struct ScoredCache {
     score: f64,
     cache: EndpointId,
     index: usize,
 }
 
-impl Eq for Scored {}
+impl Eq for ScoredCache {}
 
-impl Ord for Scored {
+impl Ord for ScoredCache {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.score
             .total_cmp(&other.score)
@@ -137,14 +140,14 @@
     }
 }
 
-impl PartialOrd for Scored {
+impl PartialOrd for ScoredCache {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// All caches in the order of their ranks at one slot, computed lazily.
-pub(crate) struct Ranking(BinaryHeap<Reverse<Scored>>);
+/// Iterator over all caches in rank order at one slot, computed lazily.
+pub(crate) struct Ranking(BinaryHeap<Reverse<ScoredCache>>);
 
 impl Iterator for Ranking {
     type Item = EndpointId;
@@ -154,21 +157,21 @@
     }
 }
 
-/// A change of the list.
+/// Change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    /// The cache with this index was removed; the index may be in use again since.
+    /// The cache with this index was removed; the index may have been reused since.
     Removed(usize),
     /// A cache was added.
     Added(CacheEntry),
 }
 
-/// The candidates of one slot as they were at a version of the list.
+/// Candidates of one slot at a version of the list.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    /// The indexes of the candidates; [`NO_CACHE`] where there are fewer.
+    /// Indexes of the candidates; unused places contain [`NO_CACHE`].
     indexes: [u16; CANDIDATES],
-    /// Not under the score of the last candidate: a cache with a greater score is none.
+    /// Upper bound of the last candidate's score: a cache with a higher score is no candidate.
     score_bound: f32,
     version: Version,
 }
@@ -177,7 +180,7 @@
     const EMPTY: Row = Row {
         indexes: [NO_CACHE; CANDIDATES],
         score_bound: f32::NEG_INFINITY,
-        version: NEVER,
+        version: NO_VERSION,
     };
 
     fn contains_index(&self, index: usize) -> bool {
@@ -188,7 +191,7 @@
                 .any(|stored| usize::from(*stored) == index)
     }
 
-    /// Whether a change alters the candidates of this row, or may do so.
+    /// Returns whether a change alters, or may alter, the candidates of this row.
     fn is_affected_by(&self, slot: usize, change: &Change) -> bool {
         match change {
             Change::Removed(index) => self.contains_index(*index),
@@ -199,51 +202,52 @@
     }
 }
 
-/// The candidates of all slots.
+/// Table of the candidates of all slots.
 pub(crate) struct SlotTable {
-    /// By index; the indexes of removed caches are used again.
+    /// Caches by index; the indexes of removed caches are reused.
     entries: Vec<Option<CacheEntry>>,
     indexes: BTreeMap<EndpointId, usize>,
     free_indexes: Vec<usize>,
     rows: Vec<Row>,
-    /// The version of the present list.
+    /// Version of the current list.
     version: Version,
-    /// The latest changes; the last one led to `version`.
+    /// The latest changes; the last of them led to `version`.
     changes: VecDeque<Change>,
 }
 
 impl SlotTable {
-    /// A table without caches.
+    /// Creates a table without caches.
     pub(crate) fn new() -> Self {
         SlotTable {
             entries: Vec::new(),
             indexes: BTreeMap::new(),
             free_indexes: Vec::new(),
             rows: vec![Row::EMPTY; SLOTS],
-            version: NEVER + 1,
+            version: NO_VERSION + 1,
             changes: VecDeque::new(),
         }
     }
 
-    /// Takes over the caches that may be candidates now, with their weights, in ascending order of
-    /// their identifiers.
+    /// Sets the caches that may be candidates, with their weights, in ascending order of
+    /// identifiers.
     pub(crate) fn set_caches(&mut self, caches: &[(EndpointId, f64)]) {
         let (mut removed, mut added) = (Vec::new(), Vec::new());
-        let mut former = self.indexes.iter().peekable();
+        let mut previous = self.indexes.iter().peekable();
         for (cache, weight) in caches {
-            while let Some((earlier, index)) = former.next_if(|(id, _)| *id < cache) {
-                removed.push((*earlier, *index));
+            while let Some((absent, index)) = previous.next_if(|(id, _)| *id < cache) {
+                removed.push((*absent, *index));
             }
-            let former_entry = former.next_if(|(id, _)| *id == cache);
-            let known = former_entry.and_then(|(_, index)| Some((*index, self.entries[*index]?)));
-            if let Some((index, _)) = known.filter(|(_, entry)| entry.weight != *weight) {
+            let previous_entry = previous.next_if(|(id, _)| *id == cache);
+            let existing =
+                previous_entry.and_then(|(_, index)| Some((*index, self.entries[*index]?)));
+            if let Some((index, _)) = existing.filter(|(_, entry)| entry.weight != *weight) {
                 removed.push((*cache, index));
             }
-            if known.is_none_or(|(_, entry)| entry.weight != *weight) {
+            if existing.is_none_or(|(_, entry)| entry.weight != *weight) {
                 added.push(CacheEntry::new(*cache, *weight));
             }
         }
-        removed.extend(former.map(|(cache, index)| (*cache, *index)));
+        removed.extend(previous.map(|(cache, index)| (*cache, *index)));
         for (cache, index) in removed {
             self.indexes.remove(&cache);
             self.entries[index] = None;
@@ -267,10 +271,10 @@
 
     fn log(&mut self, change: Change) {
         if self.version == Version::MAX {
-            // Versions start again, so that none stands for two lists.
+            // Versions restart and all rows are cleared, so that no version refers to two lists.
             self.rows.fill(Row::EMPTY);
             self.changes.clear();
-            self.version = NEVER + 1;
+            self.version = NO_VERSION + 1;
             return;
         }
         self.version += 1;
@@ -280,21 +284,22 @@
         self.changes.push_back(change);
     }
 
-    /// Whether the candidates of a row are those of the present list.
+    /// Returns whether the stored candidates of a row are those of the current list.
     fn is_current(&self, slot: usize) -> bool {
         let row = &self.rows[slot];
-        let behind = (self.version - row.version) as usize;
-        // With more changes than caches, computing the row costs less than checking the changes.
-        if row.version == NEVER || behind > self.changes.len().min(self.entries.len()) {
+        let missed_changes = (self.version - row.version) as usize;
+        // With more changes than caches, recomputing the row costs less than checking the changes.
+        if row.version == NO_VERSION || missed_changes > self.changes.len().min(self.entries.len())
+        {
             return false;
         }
-        let since = self.changes.range(self.changes.len() - behind..);
+        let since = self.changes.range(self.changes.len() - missed_changes..);
         !since
             .into_iter()
             .any(|change| row.is_affected_by(slot, change))
     }
 
-    /// The candidates of a slot.
+    /// Returns the candidates of a slot, and updates its row if a change affects it.
     pub(crate) fn candidates(&mut self, slot: usize) -> Candidates {
         let mut candidates = Candidates::default();
         if !self.is_current(slot) {
@@ -314,16 +319,16 @@
         candidates
     }
 
-    fn store(&mut self, slot: usize, best: &[Scored]) {
-        self.rows[slot].version = NEVER;
+    fn store(&mut self, slot: usize, best: &[ScoredCache]) {
+        self.rows[slot].version = NO_VERSION;
         let mut indexes = [NO_CACHE; CANDIDATES];
         for (scored, index) in best.iter().zip(&mut indexes) {
             match u16::try_from(scored.index) {
-                Ok(fits) if fits != NO_CACHE => *index = fits,
+                Ok(valid) if valid != NO_CACHE => *index = valid,
                 _ => return,
             }
         }
-        // With fewer than three, every cache that is added is a candidate.
+        // With fewer than three candidates, every added cache becomes one.
         let score_bound = match best.get(CANDIDATES - 1) {
             Some(last) => (last.score as f32).next_up(),
             None => f32::INFINITY,
@@ -335,9 +340,10 @@
         };
     }
 
-    /// Computes the candidates of a slot: one hash for each cache, and a logarithm for a few.
-    fn compute(&self, slot: usize) -> Vec<Scored> {
-        let mut best: Vec<Scored> = Vec::with_capacity(CANDIDATES + 1);
+    /// Computes the candidates of a slot, with one hash per cache and a logarithm for a few of
+    /// them.
+    fn compute(&self, slot: usize) -> Vec<ScoredCache> {
+        let mut best: Vec<ScoredCache> = Vec::with_capacity(CANDIDATES + 1);
         let mut score_bound = f64::INFINITY;
         for (index, entry) in self.entries.iter().enumerate() {
             let Some(entry) = entry else { continue };
@@ -346,7 +352,7 @@
                 continue;
             }
             let score = score(position, entry.weight);
-            let scored = Scored {
+            let scored = ScoredCache {
                 score,
                 cache: entry.cache,
                 index,
@@ -361,11 +367,11 @@
         best
     }
 
-    /// All caches in the order of their ranks at a slot.
+    /// Returns all caches in rank order at a slot.
     pub(crate) fn ranking(&self, slot: usize) -> Ranking {
         let scored = self.entries.iter().flatten().map(|entry| {
             let score = score(position(slot, entry.cache), entry.weight);
-            Reverse(Scored {
+            Reverse(ScoredCache {
                 score,
                 cache: entry.cache,
                 index: usize::MAX,
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for capacity.
+//! Queue of the requests that wait for capacity.
 
 use crate::identifiers::{Nanos, RequestId};
 use crate::request::Request;
@@ -6,15 +6,15 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request waits at most this part of its latency objective, as a divisor ...
+/// Divisor of the latency objective that gives the maximum time a request waits in the queue.
 const MAX_WAIT_DIVISOR: Nanos = 2;
-/// ... or this, beyond its tenant's quota.
+/// The same divisor for requests beyond their tenant's quota.
 const MAX_WAIT_DIVISOR_OVER_QUOTA: Nanos = 8;
-/// It waits at most two fifths of its client's timeout.
-const TIMEOUT_DIVISOR: Nanos = 5;
-const TIMEOUT_PARTS: Nanos = 2;
+/// Maximum time a request waits in the queue, as a fraction of its client's timeout: two fifths.
+const MAX_WAIT_TIMEOUT_DENOMINATOR: Nanos = 5;
+const MAX_WAIT_TIMEOUT_NUMERATOR: Nanos = 2;
 
-/// The queued requests.
+/// Identifiers of the queued requests.
 #[derive(Default)]
 pub(crate) struct RequestQueue {
     requests: BTreeSet<RequestId>,
@@ -34,7 +34,7 @@
         self.requests.is_empty()
     }
 
-    /// The queued requests in the order in which they are tried.
+    /// Returns the queued requests in the order in which they are retried.
     pub(crate) fn by_priority(
         &self,
         open: &BTreeMap<RequestId, Request>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A queued request with what its priority depends on.
+/// Queued request with the properties that its priority depends on.
 pub(crate) struct QueuedRequest {
     pub(crate) id: RequestId,
     is_over_quota: bool,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Within quota first, then by priority weight, then by age.
+    /// Compares two requests: within quota first, then by priority weight, then by age.
     fn compare_priority(&self, other: &Self) -> Ordering {
         self.is_over_quota
             .cmp(&other.is_over_quota)
@@ -77,7 +77,8 @@
     }
 }
 
-/// How long a request is queued before it is rejected: an answer after more would be late.
+/// Returns the maximum time a request is queued before it is rejected; an answer after a longer
+/// wait would be late.
 pub(crate) fn max_wait(request: &Request, settings: &Settings) -> Nanos {
     let divisor = if request.is_over_quota {
         MAX_WAIT_DIVISOR_OVER_QUOTA
@@ -85,6 +86,7 @@
         MAX_WAIT_DIVISOR
     };
     let objective = settings.class(request.details.class).latency_objective;
-    let by_timeout = request.details.client_timeout / TIMEOUT_DIVISOR * TIMEOUT_PARTS;
+    let by_timeout =
+        request.details.client_timeout / MAX_WAIT_TIMEOUT_DENOMINATOR * MAX_WAIT_TIMEOUT_NUMERATOR;
     (objective / divisor).min(by_timeout)
 }
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,58 +1,58 @@
-//! The settings of one engine.
+//! Settings of one engine.
 
 use crate::identifiers::{ClassId, Nanos};
 
-/// What a repeat of a request may do.
+/// Effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Carries an idempotency key: the endpoints of `scope` discard repeats for `window` after the
-    /// first attempt that may have run.
+    /// The request carries an idempotency key: the endpoints of `scope` discard repeats for
+    /// `window` after the first attempt that may have run.
     Keyed {
-        /// Which endpoints discard a repeat.
+        /// Endpoints that discard a repeat.
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// Time during which they discard it.
         window: Nanos,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     NotIdempotent,
 }
 
-/// The endpoints that share their memory of idempotency keys.
+/// Set of endpoints that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every endpoint.
+    /// All endpoints.
     All,
-    /// The endpoints of one zone.
+    /// The endpoints of the same zone.
     Zone,
-    /// The endpoints of one cell.
+    /// The endpoints of the same cell.
     Cell,
 }
 
-/// One class of requests.
+/// Class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Whether a repeat is harmless.
+    /// Whether a request of this class may run more than once.
     pub idempotency: Idempotency,
-    /// An answer within this time earns the full priority weight.
+    /// Time from arrival within which an answer has its full value, the priority weight.
     pub latency_objective: Nanos,
-    /// How long the client waits, over all its attempts; must not be 0.
+    /// Maximum time that the client waits, over all its attempts; must not be 0.
     pub deadline: Nanos,
-    /// What one request is worth against others.
+    /// Value of one request relative to those of other classes.
     pub priority_weight: f64,
-    /// The fraction of the weight that an answer past the objective still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still has.
     pub late_value_fraction: f64,
 }
 
-/// One tenant.
+/// Tenant with its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all balancers, that lie within its quota.
+    /// Quota in requests per second, over all balancers.
     pub quota_per_second: f64,
 }
 
-/// How a read that a cache lacks is served.
+/// Handling of reads whose value is not cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OriginMode {
     /// The cache fetches the value and answers.
@@ -60,100 +60,104 @@
     /// The cache answers [`AttemptOutcome::CacheMiss`](crate::AttemptOutcome::CacheMiss) and the
     /// balancer reads from the origin.
     CacheAside {
-        /// The kind of machine that is the origin.
+        /// Index of the kind of machine that origin servers have.
         kind: usize,
     },
 }
 
-/// How the endpoint list arrives.
+/// Way in which the balancer receives the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery pushes changes.
+    /// Discovery pushes changes without being queried.
     Push,
-    /// Changes arrive in response to [`Action::QueryDiscovery`](crate::Action::QueryDiscovery).
+    /// Changes are received in response to
+    /// [`Action::QueryDiscovery`](crate::Action::QueryDiscovery).
     Poll {
-        /// How long without a call until the balancer counts as notified.
+        /// Time since the last call after which the balancer counts as notified of a change.
         staleness_limit: Nanos,
     },
 }
 
-/// What the deployment supports.
+/// Features that the deployment supports, with their limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capabilities {
-    /// Most attempts for one request, hedges included.
+    /// Maximum number of attempts for one request, including hedges.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight concurrently.
     pub hedging: bool,
-    /// [`Action::Cancel`](crate::Action::Cancel) is supported.
+    /// Whether [`Action::Cancel`](crate::Action::Cancel) is supported.
     pub cancellation: bool,
-    /// [`Action::HealthCheck`](crate::Action::HealthCheck) is supported.
+    /// Whether [`Action::HealthCheck`](crate::Action::HealthCheck) is supported.
     pub health_checks: bool,
-    /// Clients receive the `retry_after` of [`Action::Reject`](crate::Action::Reject).
+    /// Whether clients receive the `retry_after` of [`Action::Reject`](crate::Action::Reject).
     pub retry_after: bool,
-    /// The longest `retry_after` that a client respects.
+    /// Maximum `retry_after` that clients respect.
     pub max_retry_after: Nanos,
 }
 
-/// The limits that the service agreement sets.
+/// Limits set by the service agreement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRules {
-    /// A final answer still counts this long after the deadline.
+    /// Time after the deadline during which a final answer still counts.
     pub final_answer_grace: Nanos,
-    /// Nothing new may reach a draining endpoint later than this after the balancer was notified.
+    /// Time after the notification of a drain during which new attempts may still reach the
+    /// endpoint.
     pub drain_grace: Nanos,
-    /// The least fraction of its capacity that a fresh endpoint starts with.
+    /// Minimum fraction of its capacity with which an endpoint starts.
     pub slow_start_fraction: f64,
-    /// A fresh endpoint is warm this long after its start at the latest.
+    /// Maximum time from an endpoint's start until it has its full capacity.
     pub slow_start_duration: Nanos,
-    /// An endpoint in slow start collapses when sent more than this multiple of its present
-    /// capacity ...
+    /// Multiple of its present capacity above which load makes an endpoint in slow start collapse,
+    /// if it lasts for `overload_window`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Time for which such a load has to last for the endpoint to collapse.
     pub overload_window: Nanos,
 }
 
-/// The settings of one engine.
+/// Settings of one engine, checked by [`Settings::check`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The request classes; at least one.
+    /// Request classes; at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its priority weight that a request beyond its tenant's quota keeps.
+    /// Fraction of its priority weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// How many balancers share the endpoints, this one included.
+    /// Number of balancers that share the endpoints, including this one.
     pub balancers: usize,
-    /// How reads that a cache lacks are served.
+    /// Handling of reads whose value is not cached.
     pub origin: OriginMode,
-    /// How the endpoint list arrives.
+    /// Way in which the balancer receives the endpoint list.
     pub discovery: DiscoveryMode,
-    /// Whether the listed weights follow the load; such weights are left out of the hashing.
+    /// Whether the weights in the endpoint list follow the load. Such weights are ignored:
+    /// all endpoints then have the same weight.
     pub dynamic_weights: bool,
-    /// What the deployment supports.
+    /// Features that the deployment supports.
     pub capabilities: Capabilities,
-    /// The limits that the service agreement sets.
+    /// Limits set by the service agreement.
     pub rules: ServiceRules,
-    /// The shortest time between two calls of `handle`; a timer may fire this much late.
+    /// Resolution of timers and minimum interval between two calls of `handle`; a timer may fire
+    /// this much late.
     pub tick: Nanos,
 }
 
 impl Settings {
-    /// How many tiers a [`SheddingLevel`](crate::SheddingLevel) has: each class, within and beyond
-    /// its tenant's quota.
+    /// Returns the number of tiers of a [`SheddingLevel`](crate::SheddingLevel): each class has
+    /// two, within and beyond its tenant's quota.
     #[must_use]
     pub fn tiers(&self) -> usize {
         2 * self.classes.len()
     }
 
-    /// Whether the settings are consistent.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
     ///
-    /// Names the first field that contradicts the rest.
+    /// Returns the first field that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         let invalid = |field: String, problem| Err(SettingsError { field, problem });
         if self.classes.is_empty() {
-            return invalid("classes".into(), "there is no class");
+            return invalid("classes".into(), "must list at least one class");
         }
         if let Some(index) = self.classes.iter().position(|class| class.deadline == 0) {
             return invalid(format!("classes[{index}].deadline"), "must be over 0");
@@ -162,29 +166,32 @@
             return invalid("capabilities.max_attempts".into(), "must be over 0");
         }
         if self.balancers == 0 {
-            return invalid("balancers".into(), "must be over 0: this one counts");
+            return invalid(
+                "balancers".into(),
+                "must be over 0, because this balancer is included",
+            );
         }
         Ok(())
     }
 
-    /// The class with this index.
+    /// Returns the class with this index.
     pub(crate) fn class(&self, id: ClassId) -> &RequestClass {
         &self.classes[id.0]
     }
 
-    /// The shortest latency objective of a class, in nanoseconds.
+    /// Returns the shortest latency objective of all classes, in nanoseconds.
     pub(crate) fn shortest_latency_objective(&self) -> f64 {
         let objectives = self.classes.iter().map(|class| class.latency_objective);
         objectives.min().unwrap_or(0) as f64
     }
 }
 
-/// A setting that contradicts itself or the rest.
+/// Error for a setting that is invalid or inconsistent with others.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct SettingsError {
-    /// The field, as a path such as `classes[0].deadline`.
+    /// Path of the field, such as `classes[0].deadline`.
     pub field: String,
-    /// What is wrong with it.
+    /// Requirement that the field violates.
     pub problem: &'static str,
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,75 +1,81 @@
-//! Slow start: an endpoint that has started lately gets a growing share of its traffic, within a
-//! token budget.
+//! Slow start: a recently started endpoint receives a gradually growing share of its traffic,
+//! limited by a token budget.
 
 use crate::estimators::NANOS_PER_SECOND;
 use crate::identifiers::Nanos;
 use crate::settings::ServiceRules;
 use crate::traffic::Traffic;
 
-/// An endpoint that joins a known list has started at most this long before, in nanoseconds.
+/// Maximum time between the start of an endpoint and its first listing, in nanoseconds, for an
+/// endpoint that joins an existing list.
 const MAX_LISTING_DELAY: Nanos = 6_000_000_000;
-/// An endpoint in slow start gets this multiple of what warm ones of its size are served ...
+/// Warm rate of an endpoint, as a multiple of the rate at which endpoints of its weight usefully
+/// answer requests.
 const SERVED_FACTOR: f64 = 1.2;
-/// ... or this multiple of what is requested, if that is more: a fleet that is all cold must grow.
+/// Warm rate of an endpoint, as a multiple of the requested rate. Used if it is higher, so that a
+/// fleet whose endpoints are all in slow start can increase its load.
 const REQUESTED_FACTOR: f64 = 0.5;
-/// The least fraction of its capacity that an endpoint is taken to start with.
+/// Minimum assumed fraction of its capacity with which an endpoint starts.
 const MIN_START_FRACTION: f64 = 0.01;
-/// The least total weight that traffic is divided by.
+/// Minimum total weight that traffic is divided by; avoids a division by 0.
 const MIN_WEIGHT: f64 = 0.01;
-/// The most that is saved up, as a divisor of what is due in the overload window.
+/// Divisor of the tokens gained in one overload window that gives the maximum number of saved
+/// tokens.
 const BURST_DIVISOR: f64 = 2.0;
 
-/// The slow start of one endpoint.
+/// Slow start state of one endpoint.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// Stated start; 0 for long ago.
+    /// Start time stated by discovery; 0 if the endpoint started long ago.
     started: Nanos,
     listed_at: Nanos,
-    /// Others were listed before.
-    joined_known_list: bool,
-    /// Attempts that may be sent now; under 0 if more were sent than were due.
+    /// Whether other endpoints were listed before this one.
+    joined_existing_list: bool,
+    /// Number of attempts that may be sent now; negative if more were sent than the budget allowed.
     tokens: f64,
     refilled_at: Nanos,
 }
 
-/// A budget as it is stored in a snapshot.
+/// Stored form of a token budget in a snapshot.
 #[derive(Clone, Copy)]
 pub(crate) struct StoredBudget {
     pub(crate) tokens: f64,
     pub(crate) refilled_at: Nanos,
 }
 
-/// The summed weights of caches that take requests.
+/// Sums of the weights of active caches.
 #[derive(Clone, Copy)]
 pub(crate) struct TotalWeights {
     pub(crate) all: f64,
-    /// Those in slow start at their present share.
+    /// Sum in which caches in slow start count with their present capacity.
     pub(crate) ready: f64,
 }
 
 impl SlowStart {
-    /// Of an endpoint that is first listed at `now`. It begins with a random part of a token, so
-    /// that hundreds of balancers do not send their first attempts at once.
+    /// Creates the state of an endpoint that is first listed at `now`. It begins with a random
+    /// fraction of a token, so that hundreds of balancers do not send their first attempts
+    /// simultaneously.
     pub(crate) fn new(
         started: Nanos,
         now: Nanos,
-        joined_known_list: bool,
+        joined_existing_list: bool,
         initial_tokens: f64,
     ) -> Self {
         SlowStart {
             started,
             listed_at: now,
-            joined_known_list,
+            joined_existing_list,
             tokens: initial_tokens,
             refilled_at: now,
         }
     }
 
-    /// How long the endpoint has run: by its stated start as far as that fits with when it was
-    /// listed, as this machine's wall clock may have been off when the process started.
+    /// Returns how long the endpoint has been running. Its stated start time is bounded by the time
+    /// of its listing, because this machine's wall clock may have been wrong when the balancer
+    /// started.
     fn age(&self, now: Nanos) -> Nanos {
         let since_listed = now.saturating_sub(self.listed_at);
-        let oldest = if self.joined_known_list {
+        let oldest = if self.joined_existing_list {
             since_listed.saturating_add(MAX_LISTING_DELAY)
         } else {
             Nanos::MAX
@@ -77,7 +83,7 @@
         now.saturating_sub(self.started).clamp(since_listed, oldest)
     }
 
-    /// The fraction of its capacity that the endpoint has at least.
+    /// Returns the minimum fraction of its capacity that the endpoint has at `now`.
     pub(crate) fn capacity_fraction(&self, now: Nanos, rules: &ServiceRules) -> f64 {
         let age = self.age(now);
         if self.started == 0 || age >= rules.slow_start_duration {
@@ -87,9 +93,9 @@
         start + (1.0 - start) * age as f64 / rules.slow_start_duration as f64
     }
 
-    /// Refills the budget and tells whether it pays for one attempt. `warm_rate` is what is due to
-    /// the endpoint a second when it is warm. Each balancer keeps to its own part, so that all
-    /// together stay far under what overloads the endpoint.
+    /// Refills the budget and returns whether it covers one attempt. `warm_rate` returns the rate
+    /// per second at which the endpoint receives attempts when it is warm. Each balancer limits its
+    /// own share, so that the total stays far below the load that overloads the endpoint.
     pub(crate) fn has_budget(
         &mut self,
         now: Nanos,
@@ -109,12 +115,12 @@
         self.tokens >= 1.0
     }
 
-    /// Charges one attempt.
+    /// Charges one attempt to the budget.
     pub(crate) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Gives half of the tokens to the process that takes over.
+    /// Halves the tokens; the process that takes over gets the other half.
     pub(crate) fn halve(&mut self) {
         self.tokens /= 2.0;
     }
@@ -132,7 +138,7 @@
     }
 }
 
-/// What is due a second to a warm endpoint of this weight.
+/// Returns the rate per second at which a warm endpoint of this weight receives attempts.
 pub(crate) fn warm_rate(traffic: &Traffic, totals: TotalWeights, weight: f64, now: Nanos) -> f64 {
     let served = SERVED_FACTOR * traffic.useful_per_second(now) / totals.ready.max(MIN_WEIGHT);
     let requested =
--- a/crates/routing/src/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What an engine has learnt, in the form in which it is handed over to the process that replaces
-//! this one. The names of the fields in stored form are part of the format.
+//! Serialized form of an engine's learnt state, for transfer to the process that replaces this one.
+//! The stored field names are part of the format.
 
 use crate::estimators::{StoredHistogram, StoredLatencyMean};
 use crate::identifiers::Nanos;
@@ -7,8 +7,8 @@
 use crate::traffic::StoredRates;
 use serde::{Deserialize, Serialize};
 
-/// What an engine has learnt of endpoints, of latencies and of load. It contains nothing of
-/// requests and keys.
+/// Learnt state of an engine about endpoints, latencies and load. It contains no requests and no
+/// keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     #[serde(rename = "servers")]
@@ -25,16 +25,16 @@
     pub(crate) failure_ratio: f64,
     #[serde(rename = "usual")]
     pub(crate) median_latency: f64,
-    /// Tokens for hedges and for retries.
+    /// Tokens for hedges, then tokens for retries.
     pub(crate) budgets: [f64; 2],
     pub(crate) rates: StoredRates,
 }
 
-/// What an engine has learnt of one endpoint.
+/// Learnt state about one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndpointSnapshot {
     pub(crate) id: u64,
-    /// Another start is another process, of which nothing is known.
+    /// Start time; after a restart nothing is restored, because the endpoint is a new process.
     pub(crate) started: Nanos,
     pub(crate) latency: StoredLatencyMean,
     #[serde(rename = "hits")]
@@ -55,39 +55,39 @@
     pub(crate) slow_start_refilled_at: Nanos,
 }
 
-/// Why a snapshot was not taken over.
+/// Reason why a snapshot was not restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// A figure of an endpoint is negative or no number.
-    #[error("servers: a figure is negative or no number")]
-    InvalidEndpointFigure,
-    /// Another figure is negative or no number.
-    #[error("a figure is negative or no number")]
-    InvalidFigure,
-    /// There is not one hit ratio for each rank.
-    #[error("hits: not one for each rank")]
+    /// A value of an endpoint is negative or not finite.
+    #[error("servers: a value is negative or not a finite number")]
+    InvalidEndpointValue,
+    /// A value that belongs to no endpoint is negative or not finite.
+    #[error("a value outside of servers is negative or not a finite number")]
+    InvalidValue,
+    /// The number of hit ratios differs from the number of ranks.
+    #[error("hits: expected one hit ratio for each rank")]
     RankCount,
-    /// The histogram of latencies is of another form.
-    #[error("record: not a histogram of this version")]
+    /// The latency histogram has an invalid weight or another number of buckets.
+    #[error("record: the latency histogram is invalid or of another version")]
     InvalidHistogram,
 }
 
 impl Snapshot {
-    /// Checks the figures and returns the hit ratios of the ranks.
+    /// Checks the values and returns the hit ratios of the ranks.
     pub(crate) fn check(&self) -> Result<[f64; CANDIDATES], SnapshotError> {
-        let is_valid = |figure: f64| figure.is_finite() && figure >= 0.0;
-        let mut of_endpoints = self.endpoints.iter().flat_map(EndpointSnapshot::figures);
-        if !of_endpoints.all(is_valid) {
-            return Err(SnapshotError::InvalidEndpointFigure);
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        let mut endpoint_values = self.endpoints.iter().flat_map(EndpointSnapshot::values);
+        if !endpoint_values.all(is_valid) {
+            return Err(SnapshotError::InvalidEndpointValue);
         }
-        if !self.figures().all(is_valid) {
-            return Err(SnapshotError::InvalidFigure);
+        if !self.values().all(is_valid) {
+            return Err(SnapshotError::InvalidValue);
         }
         let ratios = self.rank_hit_ratios.as_slice().try_into();
         ratios.map_err(|_| SnapshotError::RankCount)
     }
 
-    fn figures(&self) -> impl Iterator<Item = f64> {
+    fn values(&self) -> impl Iterator<Item = f64> {
         [
             self.origin_admitted_fraction,
             self.failure_ratio,
@@ -102,15 +102,15 @@
 }
 
 impl EndpointSnapshot {
-    fn figures(&self) -> impl Iterator<Item = f64> {
-        let figures = [
+    fn values(&self) -> impl Iterator<Item = f64> {
+        let values = [
             self.hit_ratio,
             self.limit,
             self.consecutive_failures,
             self.failure_ratio,
-            // Under 0 if more attempts were sent than were due.
+            // The tokens may be negative, if more attempts were sent than the budget allowed.
             self.slow_start_tokens.abs(),
         ];
-        self.latency.into_iter().chain(figures)
+        self.latency.into_iter().chain(values)
     }
 }
--- a/crates/routing/src/timers.rs
+++ b/crates/routing/src/timers.rs
@@ -1,23 +1,23 @@
-//! The timers that the balancer keeps for the engine.
+//! Timers that the balancer runs for the engine.
 
 use crate::actions::Action;
 use crate::identifiers::{Nanos, RequestId, TimerToken};
 use std::collections::BTreeMap;
 
-/// What a timer was set for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum TimerPurpose {
-    /// The request's deadline.
+    /// The request's deadline passes.
     Deadline(RequestId),
-    /// The request's attempt is overdue and may be hedged.
+    /// The request's attempt becomes overdue and may be hedged.
     Hedge(RequestId),
-    /// What happens at regular intervals.
+    /// Periodic housekeeping is due.
     Housekeeping,
-    /// The next call to discovery.
+    /// The next call to discovery is due.
     DiscoveryQuery,
 }
 
-/// The timers that have not fired yet.
+/// Timers that have not fired yet.
 pub(crate) struct Timers {
     pending: BTreeMap<TimerToken, TimerPurpose>,
     last_token: u64,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether no timer has been set yet.
+    /// Returns whether no timer has been set yet.
     pub(crate) fn is_unused(&self) -> bool {
         self.last_token == 0
     }
@@ -43,13 +43,13 @@
         actions.push(Action::SetTimer { after, token });
     }
 
-    /// Takes out the purpose of a timer that fires; none if it was dropped.
+    /// Removes a timer that fires and returns its purpose, or `None` if it was cancelled.
     pub(crate) fn fire(&mut self, token: TimerToken) -> Option<TimerPurpose> {
         self.pending.remove(&token)
     }
 
-    /// Drops all timers for this purpose.
-    pub(crate) fn drop_all(&mut self, purpose: TimerPurpose) {
+    /// Cancels all timers with this purpose.
+    pub(crate) fn cancel_all(&mut self, purpose: TimerPurpose) {
         self.pending.retain(|_, other| *other != purpose);
     }
 
