--- a/crates/routing/src/traffic.rs
+++ b/crates/routing/src/traffic.rs
@@ -1,21 +1,21 @@
-//! Rates of requests: those that arrive, those that cost endpoints time, those served usefully.
+//! Rates of requests: arriving, consuming endpoint time, and usefully answered.
 
 use crate::estimators::{NANOS_PER_SECOND, Rate};
 use crate::identifiers::Nanos;
 
-/// Time constant of the rates, in nanoseconds: under the slow start's overload window.
+/// Time constant of the rates, in nanoseconds; shorter than the overload window of slow start.
 const TIME_CONSTANT: f64 = 2.0 * NANOS_PER_SECOND;
 
-/// The rates of one balancer.
+/// Request rates of one balancer.
 pub(crate) struct Traffic {
     requested: Rate,
-    /// Requests that took an endpoint's time, or were rejected to spare it.
+    /// Requests that took up an endpoint's time, or were rejected by admission to spare it.
     consumed: Rate,
-    /// Requests answered with an answer that earned something.
+    /// Requests whose answer had value for the client.
     useful: Rate,
 }
 
-/// Rates as they are stored in a snapshot: requested, consumed, useful, a second.
+/// Stored form of the rates in a snapshot: requested, consumed, useful, each per second.
 pub(crate) type StoredRates = [f64; 3];
 
 impl Traffic {
@@ -47,12 +47,12 @@
         self.useful.per_second(now)
     }
 
-    /// Requests within the time constant that cost endpoints time.
+    /// Returns the number of requests within the time constant that took up endpoint time.
     pub(crate) fn recently_consumed(&self, now: Nanos) -> f64 {
         self.consumed.per_second(now) * TIME_CONSTANT / NANOS_PER_SECOND
     }
 
-    /// Requests within the time constant that were served usefully.
+    /// Returns the number of usefully answered requests within the time constant.
     pub(crate) fn recently_useful(&self, now: Nanos) -> f64 {
         self.useful.per_second(now) * TIME_CONSTANT / NANOS_PER_SECOND
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A rate with the time constant of all traffic.
+/// Creates a rate with the time constant of all request rates.
 pub(crate) fn new_rate(now: Nanos) -> Rate {
     Rate::new(TIME_CONSTANT, now)
 }
