--- a/crates/routing-config/src/lib.rs
+++ b/crates/routing-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' settings in JSON, as they stand on the simulator's wire and in a balancer's
-//! configuration alike, and their translation into the settings of the decision module.
+//! The operators' settings in JSON, which the simulator's wire and a balancer's configuration
+//! share, and their translation into the settings of the routing engine.
 //!
-//! [`operator_settings`](OperatorSettings) names the JSON keys, [`TranslatedSettings`] is what they
-//! become, and [`parse_load_report`] reads the load reports whose columns the settings name.
+//! [`OperatorSettings`] defines the JSON keys, [`TranslatedSettings`] is the result of the
+//! translation, and [`parse_load_report`] reads load reports, whose columns the settings name.
 #![forbid(unsafe_code)]
 
 mod load_report;
--- a/crates/routing-config/src/load_report.rs
+++ b/crates/routing-config/src/load_report.rs
@@ -1,14 +1,14 @@
-//! Load reports, by the column names that the operators give to their values.
+//! Parsing of load reports, whose columns have the operators' names.
 
 use routing::LoadReport;
 
-/// Builds a load report from named values; unknown names are skipped, as are values that are not
-/// finite.
+/// Builds a load report from named values. Unknown names and values that are not finite are
+/// ignored.
 #[must_use]
 pub fn parse_load_report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (column, value) in values {
-        let value = Some(value).filter(|v| v.is_finite());
+        let value = Some(value).filter(|value| value.is_finite());
         match column {
             "concurrent" => report.in_flight = value,
             "depth" => report.queue_depth = value,
--- a/crates/routing-config/src/translation.rs
+++ b/crates/routing-config/src/translation.rs
@@ -1,7 +1,8 @@
-//! Translation of the operators' settings into those of the decision module.
+//! Translation of the operators' settings into those of the routing engine and the transport.
 
 use crate::operator_settings::{
-    Account, Caps, DISCOVERY_PUSHED, Obligations, OperatorSettings, Profile, Specifics,
+    CapabilitySettings, ClassSettings, DISCOVERY_PUSHED, OperatorSettings, OriginSettings,
+    ServiceRuleSettings, TenantSettings,
 };
 use routing::{
     Capabilities, DeduplicationScope, DiscoveryMode, Idempotency, Nanos, OriginMode, RequestClass,
@@ -14,55 +15,55 @@
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 10_000;
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 
-/// The settings, sorted by who needs them.
+/// Translated settings, grouped by the component that uses them.
 #[derive(Clone, Debug)]
 pub struct TranslatedSettings {
-    /// The decision module's settings.
+    /// Settings of the routing engine.
     pub settings: Settings,
-    /// The names that messages use in place of indices.
+    /// Names that messages use in place of indices.
     pub names: NameTables,
-    /// What only the network side needs.
+    /// Settings of the transport only.
     pub transport: TransportSettings,
 }
 
-/// The names by which events of one instance speak of classes, tenants, zones and kinds.
+/// Tables that map the names in messages to the engine's indices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameTables {
-    /// Request classes, in the order of [`Settings::classes`].
+    /// Names of the request classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Tenants, in the order of [`Settings::tenants`].
+    /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Names of the kinds of machine.
     pub kinds: Vec<String>,
-    /// The columns of a load report.
+    /// Names of the columns of a load report, in order.
     pub report_columns: Vec<String>,
 }
 
-/// What only the network side needs of the settings.
+/// Settings of the transport, which the engine does not use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransportSettings {
-    /// Endpoints close a connection that was idle for so long.
+    /// Idle time after which endpoints close a connection, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// A connection that is not established within this has failed.
+    /// Timeout for establishing a connection, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// Open requests at most.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
 }
 
-/// Settings that have no translation.
+/// Error for settings that cannot be translated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TranslationError {
     /// A keyed class with an unknown deduplication scope.
-    #[error("profiles: {profile}: unknown group")]
+    #[error("profiles: {profile}: group must be \"all\", \"zone\" or \"cell\" for keyed requests")]
     UnknownDeduplicationScope {
-        /// The class's name.
+        /// Name of the class.
         profile: String,
     },
 }
 
-/// Paths of the decision module's settings, and the operators' keys for them.
+/// Names in paths of the routing engine's settings, with the operators' keys for them.
 const OPERATOR_KEYS: [(&str, &str); 4] = [
     ("classes", "profiles"),
     ("deadline", "give_up_ns"),
@@ -70,23 +71,22 @@
     ("balancers", "group_size"),
 ];
 
-/// The path of a rejected setting, in the operators' keys.
+/// Returns the path of a rejected setting in the operators' keys.
 #[must_use]
 pub fn operator_key(error: &SettingsError) -> String {
     OPERATOR_KEYS
         .iter()
-        .fold(error.field.clone(), |path, (module, operator)| {
-            path.replace(module, operator)
+        .fold(error.field.clone(), |path, (engine_name, operator_key)| {
+            path.replace(engine_name, operator_key)
         })
 }
 
 impl OperatorSettings {
-    /// Translates the settings; whether they contradict each other is for [`Settings::check`] to
-    /// say.
+    /// Translates the settings. Their consistency is checked separately by [`Settings::check`].
     ///
     /// # Errors
     ///
-    /// If a value that can't be defaulted is unknown.
+    /// Returns an error if a value without a default is unknown.
     pub fn translate(self) -> Result<TranslatedSettings, TranslationError> {
         let classes = self.profiles.iter().map(RequestClass::try_from);
         let settings = Settings {
@@ -95,8 +95,8 @@
             over_quota_weight: self.over_share_worth,
             balancers: self.group_size.max(1),
             origin: OriginMode::from(&self.specifics),
-            // Unknown modes poll: with its backoff that suits a local agent and a shared service
-            // alike.
+            // Unknown modes poll, because polling with backoff suits a local agent and a shared
+            // service alike.
             discovery: match self.membership_mode.as_str() {
                 DISCOVERY_PUSHED => DiscoveryMode::Push,
                 _ => DiscoveryMode::Poll {
@@ -110,8 +110,12 @@
         };
         let transport = TransportSettings::from(&self.caps);
         let names = NameTables {
-            classes: self.profiles.into_iter().map(|p| p.name).collect(),
-            tenants: self.accounts.into_iter().map(|a| a.name).collect(),
+            classes: self.profiles.into_iter().map(|class| class.name).collect(),
+            tenants: self
+                .accounts
+                .into_iter()
+                .map(|tenant| tenant.name)
+                .collect(),
             zones: self.areas,
             kinds: self.machine_types,
             report_columns: self.feedback.columns,
@@ -124,28 +128,28 @@
     }
 }
 
-impl From<&Account> for Tenant {
-    fn from(account: &Account) -> Self {
+impl From<&TenantSettings> for Tenant {
+    fn from(tenant: &TenantSettings) -> Self {
         Tenant {
-            quota_per_second: account.allowance_per_s,
+            quota_per_second: tenant.allowance_per_s,
         }
     }
 }
 
-impl From<&Specifics> for OriginMode {
-    fn from(specifics: &Specifics) -> Self {
-        let kind = specifics
+impl From<&OriginSettings> for OriginMode {
+    fn from(origin: &OriginSettings) -> Self {
+        let kind = origin
             .origin_kind
             .and_then(|kind| usize::try_from(kind).ok());
-        match (specifics.mode.as_str(), kind) {
+        match (origin.mode.as_str(), kind) {
             ("aside", Some(kind)) => OriginMode::CacheAside { kind },
             _ => OriginMode::ReadThrough,
         }
     }
 }
 
-impl From<&Caps> for Capabilities {
-    fn from(caps: &Caps) -> Self {
+impl From<&CapabilitySettings> for Capabilities {
+    fn from(caps: &CapabilitySettings) -> Self {
         Capabilities {
             max_attempts: caps.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
             hedging: caps.second_copies,
@@ -157,8 +161,8 @@
     }
 }
 
-impl From<&Caps> for TransportSettings {
-    fn from(caps: &Caps) -> Self {
+impl From<&CapabilitySettings> for TransportSettings {
+    fn from(caps: &CapabilitySettings) -> Self {
         TransportSettings {
             idle_timeout: caps.conn_idle_ns.unwrap_or(DEFAULT_IDLE_TIMEOUT_NS),
             connect_timeout: caps
@@ -169,48 +173,48 @@
     }
 }
 
-impl From<&Obligations> for ServiceRules {
-    fn from(obligations: &Obligations) -> Self {
+impl From<&ServiceRuleSettings> for ServiceRules {
+    fn from(rules: &ServiceRuleSettings) -> Self {
         ServiceRules {
-            final_answer_grace: obligations.grace_to_answer_ns,
-            drain_grace: obligations.drain_grace_ns,
-            slow_start_fraction: obligations.cold_from.unwrap_or(1.0),
-            slow_start_duration: obligations.warm_after_ns,
-            overload_factor: obligations.overload_factor.unwrap_or(1.0),
-            overload_window: obligations.tip_after_ns,
+            final_answer_grace: rules.grace_to_answer_ns,
+            drain_grace: rules.drain_grace_ns,
+            slow_start_fraction: rules.cold_from.unwrap_or(1.0),
+            slow_start_duration: rules.warm_after_ns,
+            overload_factor: rules.overload_factor.unwrap_or(1.0),
+            overload_window: rules.tip_after_ns,
         }
     }
 }
 
-impl TryFrom<&Profile> for RequestClass {
+impl TryFrom<&ClassSettings> for RequestClass {
     type Error = TranslationError;
 
-    fn try_from(profile: &Profile) -> Result<Self, Self::Error> {
-        let keyed = profile.repeat == "keyed";
-        let scope = match profile.group.as_str() {
+    fn try_from(class: &ClassSettings) -> Result<Self, Self::Error> {
+        let is_keyed = class.repeat == "keyed";
+        let scope = match class.group.as_str() {
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
-            _ if keyed => {
+            _ if is_keyed => {
                 return Err(TranslationError::UnknownDeduplicationScope {
-                    profile: profile.name.clone(),
+                    profile: class.name.clone(),
                 });
             }
             _ => DeduplicationScope::Cell,
         };
         Ok(RequestClass {
-            idempotency: match profile.repeat.as_str() {
+            idempotency: match class.repeat.as_str() {
                 "safe" => Idempotency::Idempotent,
                 "keyed" => Idempotency::Keyed {
                     scope,
-                    window: profile.memory_span_ns,
+                    window: class.memory_span_ns,
                 },
                 _ => Idempotency::NotIdempotent,
             },
-            latency_objective: profile.goal_time_ns,
-            deadline: profile.give_up_ns,
-            priority_weight: profile.worth,
-            late_value_fraction: profile.late_value,
+            latency_objective: class.goal_time_ns,
+            deadline: class.give_up_ns,
+            priority_weight: class.worth,
+            late_value_fraction: class.late_value,
         })
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! One engine for each instance that the simulator has enlisted.
+//! The instances that the simulator has enlisted, each with its own engine.
 
 use crate::wire::{Arrival, ArrivalError, Batch, EngineEvent, OutboxMessage, Reply};
 use routing::{Engine, Nanos};
@@ -6,24 +6,24 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// A batch that could not be handled.
+/// Error in the handling of a batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// The line is no batch.
-    #[error("batch: not valid: {0}")]
+    /// The line is not a valid batch.
+    #[error("batch is not valid: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// One of its arrivals was rejected.
+    /// An arrival of the batch was rejected.
     #[error("batch {serial}: arrival {index}: {source}")]
     Arrival {
-        /// The batch's serial number.
+        /// Serial number of the batch.
         serial: u64,
-        /// The arrival's place in the batch.
+        /// Index of the arrival in the batch.
         index: usize,
-        /// What is wrong with it.
+        /// Reason for the rejection.
         source: ArrivalError,
     },
-    /// The reply could not be written as JSON.
-    #[error("reply: {0}")]
+    /// The reply could not be serialized as JSON.
+    #[error("reply could not be serialized as JSON: {0}")]
     Reply(#[source] serde_json::Error),
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-/// All instances that this process hosts; they share nothing.
+/// All instances that this process runs; they share no state.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
 }
 
 impl Host {
-    /// Handles one batch and returns its reply, each a line of JSON.
+    /// Handles one batch and returns its reply; both are a line of JSON.
     ///
     /// # Errors
     ///
-    /// Names the first arrival that is malformed or that speaks of an unknown instance.
+    /// Returns the first arrival that is malformed or refers to an unknown instance.
     pub fn handle_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Batch = serde_json::from_str(line).map_err(BatchError::Malformed)?;
         let mut outbox = Vec::new();
@@ -93,7 +93,7 @@
                 .remove(instance)
                 .map(|_| ())
                 .ok_or_else(|| ArrivalError::unknown_instance("stop", instance)),
-            // Instances share nothing, so messages between them are dropped.
+            // Instances share no state, so messages between them are ignored.
             Arrival::PeerMessage(instance) => self.instance("note_from", instance).map(|_| ()),
             Arrival::Engine(event) => self.handle_event(now, &event, outbox),
         }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts routing's decision module on the simulator's wire: batches of events on standard input,
-//! one reply each on standard output. It takes no decisions.
+//! Runs the routing engine on the simulator's wire protocol: reads batches of events from standard
+//! input and writes one reply per batch to standard output. All decisions are made by the engine.
 #![forbid(unsafe_code)]
 
 mod host;
@@ -10,16 +10,16 @@
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Why the adapter ends before its input does.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 enum AdapterError {
-    #[error("reading: {0}")]
+    #[error("failed to read standard input: {0}")]
     Read(#[source] io::Error),
-    #[error("batch: not UTF-8: {0}")]
+    #[error("batch is not valid UTF-8: {0}")]
     NotUtf8(#[from] Utf8Error),
     #[error(transparent)]
     Batch(#[from] host::BatchError),
-    #[error("writing: {0}")]
+    #[error("failed to write to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Handles batches until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut host = host::Host::default();
     let mut input = io::stdin().lock();
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,6 @@
-//! The simulator's wire: one JSON object a line in each direction. Events and actions are rows
-//! whose first value is their name and whose second is the instance (`router_id`) they belong to.
+//! The simulator's wire protocol: one JSON object per line in each direction. Events and actions
+//! are arrays ("rows") whose first value is their name and whose second is the instance
+//! (`router_id`) they belong to.
 
 mod arrival;
 mod fields;
@@ -13,22 +14,22 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Events that happened at one moment.
+/// Batch of events that happened at the same time.
 #[derive(Deserialize)]
 pub struct Batch {
-    /// The simulator's time.
+    /// Simulated time, in nanoseconds.
     pub moment_ns: Nanos,
-    /// Pairs the batch with its reply.
+    /// Serial number, which the reply repeats.
     pub serial: u64,
-    /// The events, each a row.
+    /// Events, each as a row.
     pub arrivals: Vec<Vec<Value>>,
 }
 
-/// The actions that a batch led to.
+/// Reply to a batch.
 #[derive(Serialize)]
 pub struct Reply<'a> {
-    /// The actions, each a row.
+    /// Actions, each as a row.
     pub outbox: Vec<OutboxMessage<'a>>,
-    /// The batch's number.
+    /// Serial number of the batch.
     pub serial: u64,
 }
--- a/crates/simulator-adapter/src/wire/arrival.rs
+++ b/crates/simulator-adapter/src/wire/arrival.rs
@@ -1,4 +1,4 @@
-//! Rows of a batch as events of an engine.
+//! Parsing of the rows of a batch into events for an engine.
 
 use super::fields::Fields;
 use routing::{
@@ -10,79 +10,79 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Bits of a request's `flags`.
+/// Bits of the field `flags` of a request.
 const FLAG_WORK_IS_ESTIMATED: u64 = 1;
 const FLAG_IS_WRITE: u64 = 4;
 
-/// An arrival that was rejected.
+/// Error in an arrival.
 #[derive(Debug, Error)]
 pub enum ArrivalError {
-    /// The row does not begin with a name.
-    #[error("event has no name")]
+    /// The first value of the row is not an event name.
+    #[error("event has no name: the first value of a row must be a string")]
     Unnamed,
-    /// No event has this name.
-    #[error("{0}: unknown event")]
+    /// There is no event of this name.
+    #[error("unknown event \"{0}\"")]
     UnknownEvent(String),
-    /// A value of the row is of the wrong form.
-    #[error("{event}.{field}: {problem}: {value}")]
+    /// A value of the row is invalid.
+    #[error("{event}.{field}: {problem}, but it is {value}")]
     Field {
-        /// The event's name.
+        /// Name of the event.
         event: String,
-        /// The field's name.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong.
+        /// Requirement that the value violates.
         problem: &'static str,
-        /// The value, as JSON.
+        /// The invalid value, as JSON.
         value: String,
     },
     /// An entry of an endpoint list is not an array.
-    #[error("peers_known.nodes_list: a line is not a row: {0}")]
+    #[error("peers_known.nodes_list: an entry must be an array, but it is {0}")]
     EndpointNotARow(Value),
-    /// The settings object can't be read.
-    #[error("enlist.setup: {0}")]
+    /// The settings object is malformed.
+    #[error("enlist.setup: malformed settings: {0}")]
     MalformedSettings(#[source] serde_json::Error),
-    /// The settings have no translation.
-    #[error("enlist.setup: {0}")]
+    /// The settings cannot be translated.
+    #[error("enlist.setup: invalid settings: {0}")]
     UntranslatableSettings(#[from] TranslationError),
-    /// The settings contradict themselves.
-    #[error("enlist.setup: {0}")]
+    /// The settings are inconsistent.
+    #[error("enlist.setup: inconsistent settings: {0}")]
     InvalidSettings(#[from] SettingsError),
 }
 
 impl ArrivalError {
-    /// The event speaks of an instance that is not enlisted.
+    /// Creates the error for an event of an instance that is not enlisted.
     pub fn unknown_instance(event: &str, instance: &str) -> Self {
         ArrivalError::Field {
             event: event.into(),
             field: "router_id",
-            problem: "unknown instance",
+            problem: "must be an enlisted instance",
             value: instance.into(),
         }
     }
 }
 
-/// One row of a batch.
+/// Parsed row of a batch.
 pub enum Arrival<'a> {
     /// `enlist`: starts an instance.
     Enlist {
-        /// Its name.
+        /// Name of the instance.
         instance: &'a str,
-        /// For its random numbers.
+        /// Seed of the engine's random numbers.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<OperatorSettings>,
     },
     /// `stop`: ends an instance.
     Stop(&'a str),
     /// `note_from`: a message from another instance.
     PeerMessage(&'a str),
-    /// Any other event.
+    /// Any other event, which the instance's engine handles.
     Engine(EngineEvent<'a>),
 }
 
-/// An event for an instance's engine. Its values are read with the instance's name tables.
+/// Event for an instance's engine. Its values are parsed later, with the instance's name tables.
 pub struct EngineEvent<'a> {
-    /// The instance.
+    /// Name of the instance.
     pub instance: &'a str,
     fields: Fields<'a>,
 }
@@ -110,23 +110,23 @@
     }
 }
 
-/// Any JSON number is a seed.
+/// Returns the seed of an `enlist` row; any JSON number is accepted.
 fn seed(fields: &Fields) -> Result<u64, ArrivalError> {
     let value = fields.get(1);
     value
         .as_u64()
-        .or(value.as_i64().map(|i| i as u64))
+        .or(value.as_i64().map(|signed| signed as u64))
         .or(value.as_f64().map(f64::to_bits))
-        .ok_or_else(|| fields.error(1, "prng", "not a number"))
+        .ok_or_else(|| fields.error(1, "prng", "must be a number"))
 }
 
 impl EngineEvent<'_> {
-    /// The event's name on the wire.
+    /// Returns the event's name on the wire.
     pub fn name(&self) -> &str {
         self.fields.event
     }
 
-    /// The event for the engine, with names replaced by their indices.
+    /// Converts the event into one for the engine, with names replaced by their indices.
     pub fn translate(&self, names: &NameTables) -> Result<Event, ArrivalError> {
         let fields = &self.fields;
         Ok(match fields.event {
@@ -156,7 +156,13 @@
             "whole" => UpdateKind::Full,
             "stale_copy" => UpdateKind::Stale,
             "broken" => UpdateKind::Failed,
-            _ => return Err(fields.error(1, "scope", "unknown")),
+            _ => {
+                return Err(fields.error(
+                    1,
+                    "scope",
+                    "must be \"patch\", \"whole\", \"stale_copy\" or \"broken\"",
+                ));
+            }
         },
         endpoints: match fields.get(3) {
             Value::Array(rows) => rows
@@ -164,7 +170,7 @@
                 .map(|row| endpoint(row, names))
                 .collect::<Result<_, _>>()?,
             Value::Null => Vec::new(),
-            _ => return Err(fields.error(3, "nodes_list", "not a list")),
+            _ => return Err(fields.error(3, "nodes_list", "must be an array or null")),
         },
     })
 }
@@ -177,10 +183,10 @@
         event: "peers_known.nodes_list",
         values,
     };
-    // A zone or kind that the settings don't name equals none of theirs.
-    let index = |at: usize, names: &[String]| {
-        let name = fields.get(at).as_str();
-        name.and_then(|name| names.iter().position(|n| n == name))
+    // A zone or kind that the settings do not name gets an index that differs from all of theirs.
+    let name_index = |column: usize, names: &[String]| {
+        let name = fields.get(column).as_str();
+        name.and_then(|name| names.iter().position(|candidate| candidate == name))
             .unwrap_or(usize::MAX)
     };
     Ok(Endpoint {
@@ -188,11 +194,17 @@
             "up" => EndpointState::Active,
             "draining" => EndpointState::Draining,
             "removed" => EndpointState::Removed,
-            _ => return Err(fields.error(4, "phase", "unknown")),
+            _ => {
+                return Err(fields.error(
+                    4,
+                    "phase",
+                    "must be \"up\", \"draining\" or \"removed\"",
+                ));
+            }
         },
         id: fields.endpoint_id(0)?,
-        zone: index(1, &names.zones),
-        kind: index(2, &names.kinds),
+        zone: name_index(1, &names.zones),
+        kind: name_index(2, &names.kinds),
         cell: fields.optional_integer(3, "bay")?.unwrap_or(0),
         weight: fields.get(5).as_f64().unwrap_or(1.0),
         started: fields.optional_integer(6, "up_since_ns")?.unwrap_or(0),
@@ -212,7 +224,7 @@
                 Some(TenantId(index))
             }
             Value::Null | Value::Number(_) => None,
-            _ => return Err(fields.error(3, "customer", "not a name")),
+            _ => return Err(fields.error(3, "customer", "must be a name, a number or null")),
         },
         client_timeout: fields.integer(5, "grace_ns")?,
         estimated_work: fields
@@ -228,7 +240,7 @@
     }
     u64::from_str_radix(fields.text(4, "target_key")?, 16)
         .map(|key| Some(Key(key)))
-        .map_err(|_| fields.error(4, "target_key", "not hex digits"))
+        .map_err(|_| fields.error(4, "target_key", "must be 1 to 16 hexadecimal digits"))
 }
 
 fn attempt_result(fields: &Fields, names: &NameTables) -> Result<AttemptResult, ArrivalError> {
@@ -239,9 +251,9 @@
         outcome: attempt_outcome(fields.text(4, "disposition")?),
         latency: fields.integer(5, "delay_seen_ns")?,
         request_finished: match fields.get(6) {
-            Value::Bool(settled) => *settled,
+            Value::Bool(is_finished) => *is_finished,
             Value::Null => false,
-            _ => return Err(fields.error(6, "settled", "not true or false")),
+            _ => return Err(fields.error(6, "settled", "must be true, false or null")),
         },
         cache_status: match fields.optional_integer(7, "remark")? {
             Some(1) => Some(CacheStatus::Hit),
@@ -253,7 +265,8 @@
     })
 }
 
-/// An outcome by its name; one that is not known may have run.
+/// Returns the outcome of this name. An unknown name counts as unreadable, so the attempt may have
+/// run.
 fn attempt_outcome(name: &str) -> AttemptOutcome {
     match name {
         "delivered" => AttemptOutcome::Ok,
--- a/crates/simulator-adapter/src/wire/outbox.rs
+++ b/crates/simulator-adapter/src/wire/outbox.rs
@@ -1,52 +1,54 @@
-//! Actions of an engine as rows of a reply.
+//! Serialization of an engine's actions as rows of a reply.
 
 use super::request_id;
 use routing::{Action, AttemptNumber, EndpointId, Nanos, RequestId, TimerToken};
 use serde::{Serialize, Serializer};
 
-/// The longest timer on the wire is 71 minutes; the engine sets a longer one again.
+/// Maximum duration of a timer, in nanoseconds. The wire allows up to 71 minutes; the engine sets
+/// another timer if its deadline is later.
 const MAX_TIMER_NS: Nanos = 70 * 60 * 1_000_000_000;
 
-/// An action and the instance that takes it.
+/// Action with the instance it belongs to.
 pub struct OutboxMessage<'a> {
     instance: &'a str,
     action: WireAction,
 }
 
-/// The actions that the wire has.
+/// Actions that the wire protocol supports.
 enum WireAction {
-    /// `deliver`: sends an attempt; a timeout of 0 is none.
+    /// `deliver`: sends an attempt; a timeout of 0 means none.
     Send {
         request: RequestId,
         endpoint: EndpointId,
         timeout: Nanos,
     },
-    /// `report_failure`
+    /// `report_failure`: answers a request as failed.
     Fail(RequestId),
-    /// `overload_reply`
+    /// `overload_reply`: rejects a request.
     Reject {
         request: RequestId,
         retry_after: Nanos,
     },
-    /// `withdraw`
+    /// `withdraw`: cancels an attempt.
     Cancel {
         request: RequestId,
         attempt: AttemptNumber,
     },
-    /// `ping`
+    /// `ping`: sends a health check.
     HealthCheck(EndpointId),
-    /// `let_go`
+    /// `let_go`: closes the idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// `observe`
+    /// `observe`: queries discovery.
     QueryDiscovery,
-    /// `notify_me`
+    /// `notify_me`: sets a timer.
     SetTimer { after: Nanos, token: TimerToken },
-    /// `emit`
+    /// `emit`: writes a log line.
     Log(String),
 }
 
 impl<'a> OutboxMessage<'a> {
-    /// The message for an action; `None` for one that stays within the balancer.
+    /// Creates the message for an action; returns `None` for an action without a counterpart on the
+    /// wire.
     pub fn new(instance: &'a str, action: Action) -> Option<Self> {
         let action = match action {
             Action::Defer { .. } => return None,
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,10 +1,12 @@
-//! The real binary spoken to over pipes, with lines written for the test.
+//! End-to-end tests of the binary over pipes: what it replies to batches, and which batches it
+//! rejects.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-struct Host {
+/// Running adapter process with pipes to its standard streams.
+struct AdapterProcess {
     child: Child,
     input: Option<ChildStdin>,
     output: BufReader<ChildStdout>,
@@ -12,16 +14,16 @@
     now: u64,
 }
 
-fn start() -> Host {
+fn start_adapter() -> AdapterProcess {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
+        .expect("the adapter starts");
     let input = child.stdin.take();
     let output = BufReader::new(child.stdout.take().expect("piped"));
-    Host {
+    AdapterProcess {
         child,
         input,
         output,
@@ -30,38 +32,51 @@
     }
 }
 
-impl Host {
-    fn line(&mut self, line: &str) {
-        let input = self.input.as_mut().expect("open");
-        writeln!(input, "{line}").expect("the binary reads");
-        input.flush().expect("the binary reads");
+impl AdapterProcess {
+    fn write_line(&mut self, line: &str) {
+        let input = self.input.as_mut().expect("the input is open");
+        writeln!(input, "{line}").expect("the adapter reads its input");
+        input.flush().expect("the adapter reads its input");
     }
 
+    /// Sends a batch and returns the outbox of the reply.
     fn batch(&mut self, arrivals: &Value) -> Vec<Value> {
         self.serial += 1;
-        self.line(
+        self.write_line(
             &json!({"moment_ns": self.now, "serial": self.serial, "arrivals": arrivals})
                 .to_string(),
         );
         let mut reply = String::new();
-        self.output.read_line(&mut reply).expect("a reply");
-        let reply: Value = serde_json::from_str(&reply).expect("a reply is JSON");
+        self.output
+            .read_line(&mut reply)
+            .expect("the adapter replies");
+        let reply: Value = serde_json::from_str(&reply).expect("the reply is JSON");
         assert_eq!(reply["serial"], self.serial);
-        reply["outbox"].as_array().expect("a list").clone()
+        reply["outbox"]
+            .as_array()
+            .expect("the outbox is an array")
+            .clone()
     }
 
-    /// Closes the input; the exit code, what else stood on standard output, and standard error.
+    /// Closes the input and returns the exit code, the remaining standard output, and standard
+    /// error.
     fn close(mut self) -> (Option<i32>, String, String) {
         drop(self.input.take());
-        let (mut rest, mut errors) = (String::new(), String::new());
-        self.output.read_to_string(&mut rest).expect("readable");
+        let (mut remaining_output, mut errors) = (String::new(), String::new());
+        self.output
+            .read_to_string(&mut remaining_output)
+            .expect("standard output is readable");
         self.child
             .stderr
             .take()
             .expect("piped")
             .read_to_string(&mut errors)
-            .expect("readable");
-        (self.child.wait().expect("it ends").code(), rest, errors)
+            .expect("standard error is readable");
+        (
+            self.child.wait().expect("the adapter exits").code(),
+            remaining_output,
+            errors,
+        )
     }
 }
 
@@ -69,11 +84,11 @@
     json!({
         "profiles": [
             {"name": "read", "repeat": "safe", "goal_time_ns": 200_000_000u64, "give_up_ns": 1_000_000_000u64,
-             "worth": 1.0, "surprise": [1, 2]},
+             "worth": 1.0, "unknown_list": [1, 2]},
             {"name": "pay", "repeat": "unsafe", "goal_time_ns": 200_000_000u64, "give_up_ns": 1_000_000_000u64}
         ],
         "areas": ["a", "b"], "machine_types": ["m"], "group_size": 1, "step_ns": 5_000_000u64,
-        "membership_mode": "automatic", "unheard_of": {"x": 1},
+        "membership_mode": "automatic", "unknown_object": {"x": 1},
         "accounts": [{"name": "one", "allowance_per_s": 10.0}],
         "feedback": {"how": "piggyback", "columns": ["concurrent", "x0"]},
         "caps": {"may_cancel": true, "second_copies": true, "max_attempts": 3},
@@ -90,19 +105,20 @@
     ])
 }
 
-const ID: &str = "5d3a91c4-7460-4fcd-ab45-d5130e6a9cec";
+const REQUEST_ID: &str = "5d3a91c4-7460-4fcd-ab45-d5130e6a9cec";
 
-fn enlisted() -> Host {
-    let mut host = start();
-    assert!(host.batch(&json!([])).is_empty());
-    host.batch(&json!([
+/// Starts an adapter with the instance `router_3`, which has an endpoint list.
+fn adapter_with_instance() -> AdapterProcess {
+    let mut adapter = start_adapter();
+    assert!(adapter.batch(&json!([])).is_empty());
+    adapter.batch(&json!([
         ["enlist", "router_3", 77, setup()],
         ["peers_known", "router_3", "stale_copy", 1, nodes()]
     ]));
-    host
+    adapter
 }
 
-/// A batch with one request of the tenant `one` that may take 400 ms.
+/// Returns the arrivals of a batch: one request of the tenant `one` with a timeout of 400 ms.
 fn inbound(router: &str, id: &str, profile: &str, key: &Value, flags: u64) -> Value {
     json!([[
         "inbound",
@@ -118,41 +134,45 @@
     ]])
 }
 
-fn named<'a>(outbox: &'a [Value], name: &str) -> Vec<&'a Value> {
-    outbox.iter().filter(|a| a[0] == name).collect()
+/// Returns the rows with this name.
+fn rows_named<'a>(outbox: &'a [Value], name: &str) -> Vec<&'a Value> {
+    outbox.iter().filter(|row| row[0] == name).collect()
 }
 
 #[test]
-fn a_read_is_forwarded_hedged_answered_and_its_loser_cancelled() {
-    let mut host = enlisted();
-    let out = host.batch(&inbound(
+fn overdue_read_is_hedged_and_the_other_attempt_is_cancelled_after_the_answer() {
+    let mut adapter = adapter_with_instance();
+    let outbox = adapter.batch(&inbound(
         "router_3",
-        ID,
+        REQUEST_ID,
         "read",
         &json!("91f03b7c55d20a64"),
         0,
     ));
-    let sent = named(&out, "deliver");
+    let sent = rows_named(&outbox, "deliver");
     assert_eq!(sent.len(), 1);
     assert_eq!(
         (&sent[0][1], &sent[0][2], &sent[0][4]),
-        (&json!("router_3"), &json!(ID), &json!(0))
+        (&json!("router_3"), &json!(REQUEST_ID), &json!(0))
     );
     let first = sent[0][3].clone();
-    let timers: Vec<Value> = named(&out, "notify_me").into_iter().cloned().collect();
-    let copy = timers
+    let timers: Vec<Value> = rows_named(&outbox, "notify_me")
+        .into_iter()
+        .cloned()
+        .collect();
+    let hedge_timer = timers
         .iter()
-        .find(|t| t[2] == 200_000_000u64)
-        .expect("T is half the time left at first");
-    host.now += 200_000_000;
-    let out = host.batch(&json!([["deadline_hit", "router_3", copy[3]]]));
-    let second = named(&out, "deliver")[0][3].clone();
+        .find(|timer| timer[2] == 200_000_000u64)
+        .expect("the hedge delay is half of the remaining time until latencies are known");
+    adapter.now += 200_000_000;
+    let outbox = adapter.batch(&json!([["deadline_hit", "router_3", hedge_timer[3]]]));
+    let second = rows_named(&outbox, "deliver")[0][3].clone();
     assert_ne!(first, second);
-    host.now += 10_000_000;
-    let out = host.batch(&json!([[
+    adapter.now += 10_000_000;
+    let outbox = adapter.batch(&json!([[
         "attempt_end",
         "router_3",
-        ID,
+        REQUEST_ID,
         1,
         second,
         "delivered",
@@ -161,11 +181,11 @@
         1,
         [3, 0.5]
     ]]));
-    assert_eq!(out, vec![json!(["withdraw", "router_3", ID, 0])]);
-    let out = host.batch(&json!([[
+    assert_eq!(outbox, vec![json!(["withdraw", "router_3", REQUEST_ID, 0])]);
+    let outbox = adapter.batch(&json!([[
         "attempt_end",
         "router_3",
-        ID,
+        REQUEST_ID,
         0,
         first,
         "revoked",
@@ -174,79 +194,83 @@
         null,
         null
     ]]));
-    assert!(out.is_empty());
-    assert_eq!(host.close(), (Some(0), String::new(), String::new()));
+    assert!(outbox.is_empty());
+    assert_eq!(adapter.close(), (Some(0), String::new(), String::new()));
 }
 
 #[test]
-fn an_unknown_outcome_may_have_run() {
-    let mut host = enlisted();
-    let out = host.batch(&inbound("router_3", ID, "pay", &json!(null), 4));
-    let to = named(&out, "deliver")[0][3].clone();
-    let out = host.batch(&json!([[
+fn request_whose_attempt_has_an_unknown_outcome_is_failed_and_not_rejected() {
+    let mut adapter = adapter_with_instance();
+    let outbox = adapter.batch(&inbound("router_3", REQUEST_ID, "pay", &json!(null), 4));
+    let endpoint = rows_named(&outbox, "deliver")[0][3].clone();
+    let outbox = adapter.batch(&json!([[
         "attempt_end",
         "router_3",
-        ID,
+        REQUEST_ID,
         0,
-        to,
-        "vaporised",
+        endpoint,
+        "outcome_of_a_later_version",
         1,
         false,
         null,
         null
     ]]));
-    assert_eq!(out, vec![json!(["report_failure", "router_3", ID])]);
-    assert_eq!(host.close().0, Some(0));
+    assert_eq!(
+        outbox,
+        vec![json!(["report_failure", "router_3", REQUEST_ID])]
+    );
+    assert_eq!(adapter.close().0, Some(0));
 }
 
 #[test]
-fn instances_share_nothing_and_a_stopped_one_starts_empty() {
-    let mut host = enlisted();
-    host.batch(&json!([
+fn instances_share_no_state_and_a_restarted_instance_has_no_endpoint_list() {
+    let mut adapter = adapter_with_instance();
+    adapter.batch(&json!([
         ["stop", "router_3"],
         ["enlist", "router_3", 77, setup()]
     ]));
-    let out = host.batch(&inbound("router_3", ID, "read", &json!(null), 0));
+    let outbox = adapter.batch(&inbound("router_3", REQUEST_ID, "read", &json!(null), 0));
     assert!(
-        named(&out, "deliver").is_empty(),
-        "no endpoint list was received since the start"
+        rows_named(&outbox, "deliver").is_empty(),
+        "the restarted instance has no endpoint list yet"
     );
-    host.batch(&json!([
+    adapter.batch(&json!([
         ["enlist", "router_4", 1, setup()],
         ["peers_known", "router_4", "stale_copy", 1, nodes()]
     ]));
-    let other = "5d3a91c4-7460-4fcd-ab45-d5130e6a9ced";
-    let out = host.batch(&inbound("router_4", other, "read", &json!(null), 0));
-    assert_eq!(named(&out, "deliver").len(), 1);
-    assert_eq!(host.close().0, Some(0));
+    let other_id = "5d3a91c4-7460-4fcd-ab45-d5130e6a9ced";
+    let outbox = adapter.batch(&inbound("router_4", other_id, "read", &json!(null), 0));
+    assert_eq!(rows_named(&outbox, "deliver").len(), 1);
+    assert_eq!(adapter.close().0, Some(0));
 }
 
 #[test]
-fn malformed_batches_are_reported_and_end_the_run() {
-    let list = |lines: Value| json!([["peers_known", "router_3", "whole", 2, lines]]).to_string();
+fn malformed_batch_is_reported_and_ends_the_adapter() {
+    let endpoint_list =
+        |entries: Value| json!([["peers_known", "router_3", "whole", 2, entries]]).to_string();
     let cases = [
         ("[1, 2".to_string(), "not valid"),
-        (json!([["inbound", "router_9", ID, "read", "one", null, 1, null, null, 0]]).to_string(), "router_9"),
+        (json!([["inbound", "router_9", REQUEST_ID, "read", "one", null, 1, null, null, 0]]).to_string(), "router_9"),
         (json!([["jump", "router_3"]]).to_string(), "jump"),
         (json!([[]]).to_string(), "no name"),
         (json!([["inbound", "router_3", "me", "read", "one", null, 1, null, null, 0]]).to_string(), "rid"),
-        (json!([["inbound", "router_3", ID, "write", "one", null, 1, null, null, 0]]).to_string(), "profile"),
-        (json!([["inbound", "router_3", ID, "read", "two", null, 1, null, null, 0]]).to_string(), "customer"),
+        (json!([["inbound", "router_3", REQUEST_ID, "write", "one", null, 1, null, null, 0]]).to_string(), "profile"),
+        (json!([["inbound", "router_3", REQUEST_ID, "read", "two", null, 1, null, null, 0]]).to_string(), "customer"),
         (
-            json!([["inbound", "router_3", ID, "read", "one", "xyz", 1, null, null, 0]]).to_string(),
+            json!([["inbound", "router_3", REQUEST_ID, "read", "one", "xyz", 1, null, null, 0]]).to_string(),
             "target_key",
         ),
         (
-            json!([["inbound", "router_3", ID, "read", "one", null, -5, null, null, 0]]).to_string(),
+            json!([["inbound", "router_3", REQUEST_ID, "read", "one", null, -5, null, null, 0]]).to_string(),
             "grace_ns",
         ),
-        (json!([["attempt_end", "router_3", ID, "0", 7, "delivered", 1, true]]).to_string(), "trial"),
-        (json!([["attempt_end", "router_3", ID, 0, null, "delivered", 1, true]]).to_string(), "server"),
-        (json!([["attempt_end", "router_3", ID, 0, 7, "delivered", 1, "yes"]]).to_string(), "settled"),
+        (json!([["attempt_end", "router_3", REQUEST_ID, "0", 7, "delivered", 1, true]]).to_string(), "trial"),
+        (json!([["attempt_end", "router_3", REQUEST_ID, 0, null, "delivered", 1, true]]).to_string(), "server"),
+        (json!([["attempt_end", "router_3", REQUEST_ID, 0, 7, "delivered", 1, "yes"]]).to_string(), "settled"),
         (json!([["deadline_hit", "router_3"]]).to_string(), "cookie"),
         (json!([["stop", "router_5"]]).to_string(), "router_5"),
-        (list(json!([[7, "a", "m", 0, "resting", 1, null]])), "phase"),
-        (list(json!([7])), "nodes_list"),
+        (endpoint_list(json!([[7, "a", "m", 0, "resting", 1, null]])), "phase"),
+        (endpoint_list(json!([7])), "nodes_list"),
         (json!([["enlist", "router_6", 1, {"profiles": []}]]).to_string(), "classes"),
         (json!([["enlist", "router_6", 1, {"profiles": 3}]]).to_string(), "setup"),
         (json!([["enlist", "router_6", "x", setup()]]).to_string(), "prng"),
@@ -256,18 +280,19 @@
             "group",
         ),
     ];
-    for (arrivals, named) in cases {
-        let mut host = enlisted();
-        host.line(&format!(
+    for (arrivals, expected) in cases {
+        let mut adapter = adapter_with_instance();
+        adapter.write_line(&format!(
             "{{\"moment_ns\":{},\"serial\":41,\"arrivals\":{arrivals}}}",
-            host.now
+            adapter.now
         ));
-        let (code, output, errors) = host.close();
+        let (code, output, errors) = adapter.close();
         assert_eq!((code, output.as_str()), (Some(1), ""), "{arrivals}");
         assert_eq!(errors.lines().count(), 1, "{errors}");
         assert!(
-            errors.contains(named)
-                || named.starts_with("router_") && errors.contains("unknown instance"),
+            errors.contains(expected)
+                && (!expected.starts_with("router_")
+                    || errors.contains("must be an enlisted instance")),
             "{errors}"
         );
         assert!(
