--- a/crates/routing/src/engine/tests.rs
+++ b/crates/routing/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the engine and its components, grouped by component, with exact values.
+//! Tests of the engine and its components with exact values, grouped by component.
 
 mod admission;
 mod concurrency_limit;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Settings for a fleet of this many balancers.
+/// Returns settings for a fleet of this many balancers.
 fn settings_of_fleet(balancers: usize) -> Settings {
     Settings {
         balancers,
@@ -71,12 +71,12 @@
     }
 }
 
-/// An engine that has no endpoint list yet.
+/// Creates an engine without an endpoint list.
 fn new_engine(settings: Settings, seed: u64) -> Engine {
     Engine::new(settings, seed, 0).expect("settings are consistent")
 }
 
-/// An engine with endpoints 1 to `endpoints` of weight 1.
+/// Creates an engine with endpoints 1 to `endpoints` of weight 1.
 fn engine_with(settings: Settings, seed: u64, endpoints: u64) -> Engine {
     let mut engine = new_engine(settings, seed);
     let entries = (1..=endpoints).map(endpoint).collect();
@@ -98,11 +98,11 @@
 
 impl Engine {
     fn record(&self, id: EndpointId) -> &EndpointRecord {
-        self.endpoints.get(id).expect("listed")
+        self.endpoints.get(id).expect("the endpoint is listed")
     }
 
     fn record_mut(&mut self, id: EndpointId) -> &mut EndpointRecord {
-        self.endpoints.get_mut(id).expect("listed")
+        self.endpoints.get_mut(id).expect("the endpoint is listed")
     }
 
     fn endpoint_ids(&self) -> Vec<EndpointId> {
@@ -110,12 +110,12 @@
         records.map(|record| record.entry.id).collect()
     }
 
-    /// The endpoint of a request's first attempt.
+    /// Returns the endpoint of a request's first attempt.
     fn first_endpoint(&self, id: u128) -> EndpointId {
         self.requests[&RequestId(id)].attempts[0].endpoint
     }
 
-    /// Handles an event at the present time.
+    /// Handles an event at the engine's current time.
     fn handle_now(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.handle(self.now, event, &mut actions);
@@ -124,7 +124,7 @@
 }
 
 impl EndpointRecord {
-    /// Puts this many attempts of other requests in flight.
+    /// Sets the attempts in flight to this number of attempts of other requests.
     fn set_in_flight(&mut self, count: u128) {
         self.set_in_flight_since(count, 0);
     }
@@ -135,11 +135,11 @@
             request: RequestId(request),
             number: AttemptNumber(0),
         };
-        self.in_flight = (0..count).map(|n| attempt(100 + n)).collect();
+        self.in_flight = (0..count).map(|number| attempt(100 + number)).collect();
     }
 }
 
-/// A read of this key.
+/// Returns a read of this key.
 fn read_request(id: u128, key: u64, client_timeout: Nanos) -> NewRequest {
     NewRequest {
         id: RequestId(id),
@@ -152,7 +152,7 @@
     }
 }
 
-/// An open read of key 9 that has just arrived.
+/// Returns an open read of key 9 that arrived at time 0.
 fn open_read(id: u128) -> Request {
     Request::new(read_request(id, 9, 1_000 * MS), 0, slot_of_key_9())
 }
@@ -165,12 +165,13 @@
     engine.placement.candidates(slot_of_key_9()).to_vec()
 }
 
-/// A read of key 9 arrives.
+/// Delivers a read of key 9 to the engine.
 fn arrive(engine: &mut Engine, id: u128) -> Vec<Action> {
     engine.handle_now(Event::RequestArrived(read_request(id, 9, 1_000 * MS)))
 }
 
-/// The end of a request's attempt, of which the rest is unknown.
+/// Returns the result of a request's first attempt, with a latency of 10 ms and without cache
+/// status and load report.
 fn attempt_result(id: u128, endpoint: EndpointId, outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult {
         request: RequestId(id),
@@ -184,13 +185,13 @@
     }
 }
 
-/// The first attempt of a request ends.
+/// Ends the first attempt of a request.
 fn end_first_attempt(engine: &mut Engine, id: u128, outcome: AttemptOutcome) -> Vec<Action> {
     let result = attempt_result(id, engine.first_endpoint(id), outcome);
     engine.handle_now(Event::AttemptEnded(result))
 }
 
-/// The endpoint of the first attempt that these actions send.
+/// Returns the endpoint of the first attempt that these actions send.
 fn first_send(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Send { endpoint, .. } => Some(*endpoint),
--- a/crates/routing/src/engine/tests/concurrency_limit.rs
+++ b/crates/routing/src/engine/tests/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! Concurrency limits: growth, cuts, decay, and what part of them is open to whom. Idle connections
-//! too, as their number is limited.
+//! Tests of concurrency limits: growth, reduction, decay, and the fractions available to probable
+//! hits and misses. Also of the limits on idle connections.
 
 use super::{
     MS, arrive, attempt_result, candidates_of_key_9, end_first_attempt, engine, engine_with,
@@ -30,7 +30,8 @@
     engine.record_mut(id).limit = ConcurrencyLimit::from_stored(limit);
 }
 
-/// Puts attempts of requests 0 to `count` in flight at the first endpoint.
+/// Sets the attempts in flight at the first endpoint to those of requests 0 to `count`, excluding
+/// `count`.
 fn put_in_flight(engine: &mut Engine, count: u128) {
     let attempt = |request| InFlightAttempt {
         sent_at: 0,
@@ -40,7 +41,7 @@
     engine.record_mut(FIRST).in_flight = (0..count).map(attempt).collect();
 }
 
-/// An attempt of this request is answered from the cache.
+/// Ends the attempt of this request with an answer from the cache.
 fn answer_hit(engine: &mut Engine, request: u128, latency: Nanos) {
     engine.record_endpoint_result(&AttemptResult {
         latency,
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn unused_limits_decay_to_the_initial_one_and_used_ones_stay() {
+fn unused_limits_decay_to_the_initial_limit_and_used_limits_do_not() {
     let mut engine = engine(2);
     for id in 1..=2 {
         set_limit(&mut engine, EndpointId(id), 12.0);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn unused_limit_stays_above_the_least_among_hundreds_of_balancers() {
+fn unused_limit_does_not_fall_below_the_minimum_with_hundreds_of_balancers() {
     let mut engine = new_engine(settings_of_fleet(900), 1);
     engine.on_endpoint_update(UpdateKind::Full, vec![Endpoint::default()]);
     (0..1_000).for_each(|_| engine.housekeeping());
@@ -91,7 +92,8 @@
     };
     assert!(has_capacity(8.0, 9, true) && !has_capacity(8.0, 10, true));
     assert!(has_capacity(8.0, 4, false) && !has_capacity(8.0, 5, false));
-    // A key's first candidate with 3 of 4 in flight takes its next read, no other candidate would.
+    // With 3 of 4 attempts in flight at each candidate, only a key's first candidate accepts its
+    // next read.
     let candidates = candidates_of_key_9(&mut engine);
     for id in &candidates {
         set_limit(&mut engine, *id, 4.0);
@@ -107,7 +109,7 @@
     assert_eq!(
         sent_to,
         [candidates[0], candidates[0]],
-        "two more fit at the first candidate, none elsewhere"
+        "the first candidate accepts two more attempts, the others none"
     );
 }
 
@@ -131,7 +133,8 @@
     );
 }
 
-/// What two hits of this latency make of a limit of 2 that is reached; the baseline is 10 ms.
+/// Returns the limit after two hits of this latency, starting from a fully used limit of 2 and a
+/// baseline of 10 ms.
 fn limit_after(latency: Nanos, objective: Nanos) -> f64 {
     let mut settings = settings();
     for class in &mut settings.classes {
@@ -148,23 +151,27 @@
 }
 
 #[test]
-fn wait_far_under_the_latency_objective_does_not_shrink_a_limit() {
-    // After two answers of 100 ms the mean is at 27 ms, 2.7 times the baseline.
+fn wait_far_below_the_latency_objective_does_not_shrink_a_limit() {
+    // After two answers of 100 ms the mean is 27 ms, 2.7 times the baseline.
     assert!(
         limit_after(100 * MS, 100 * MS) < 2.0,
-        "more than a fifth of the objective"
+        "27 ms are more than a fifth of the objective"
     );
     assert!(
         limit_after(100 * MS, 1_200 * MS) > 2.0,
-        "less than an eighth of the objective"
+        "27 ms are less than an eighth of the objective"
+    );
+    assert_eq!(
+        limit_after(100 * MS, 140 * MS),
+        2.0,
+        "27 ms lie between the two thresholds"
     );
-    assert_eq!(limit_after(100 * MS, 140 * MS), 2.0, "between the two");
     assert!(limit_after(3_000 * MS, 1_200 * MS) < 2.0);
 }
 
 #[test]
-fn rejection_cuts_the_limit_only_where_the_key_is_cached() {
-    for (is_cached, is_write, is_cut) in [
+fn rejection_reduces_the_limit_only_if_the_key_is_cached() {
+    for (is_cached, is_write, is_reduced) in [
         (false, false, false),
         (true, false, true),
         (true, true, false),
@@ -181,14 +188,14 @@
         end_first_attempt(&mut engine, 1, AttemptOutcome::Rejected);
         assert_eq!(
             limit(&engine, 1) < before,
-            is_cut,
+            is_reduced,
             "cached {is_cached}, write {is_write}"
         );
     }
 }
 
 #[test]
-fn hundreds_of_balancers_keep_few_connections_idle_and_a_few_balancers_theirs() {
+fn idle_connections_are_limited_per_balancer_and_per_endpoint() {
     for (balancers, endpoints, kept) in [
         (2, 40, 40),
         (200, 40, 12),
@@ -224,23 +231,27 @@
             .collect();
         let excess = endpoints as usize - kept;
         assert_eq!((closed.len(), engine.actions.len()), (excess, excess));
-        let last_used = Action::CloseIdleConnections(EndpointId(endpoints - 1));
-        assert!(!closed.contains(&&last_used), "the last used stay");
+        let most_recently_used = Action::CloseIdleConnections(EndpointId(endpoints - 1));
+        assert!(
+            !closed.contains(&&most_recently_used),
+            "the most recently used connection stays open"
+        );
     }
 }
 
 #[test]
-fn reported_balancer_count_replaces_the_settings_from_then_on() {
+fn reported_balancer_count_replaces_the_one_in_the_settings() {
     let mut engine = new_engine(settings_of_fleet(2), 1);
     engine.handle_now(Event::BalancerCount(100));
-    let of_settings = new_engine(settings_of_fleet(100), 1);
+    let configured = new_engine(settings_of_fleet(100), 1);
     assert_eq!(
         (engine.fleet.balancers(), engine.fleet.square_root()),
-        (
-            of_settings.fleet.balancers(),
-            of_settings.fleet.square_root()
-        )
+        (configured.fleet.balancers(), configured.fleet.square_root())
     );
     engine.handle_now(Event::BalancerCount(0));
-    assert_eq!(engine.fleet, FleetSize::new(1), "this one counts");
+    assert_eq!(
+        engine.fleet,
+        FleetSize::new(1),
+        "a count of 0 is replaced by 1"
+    );
 }
--- a/crates/routing/src/engine/tests/discovery_schedule.rs
+++ b/crates/routing/src/engine/tests/discovery_schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of calls to discovery after failures.
+//! Tests of the schedule of calls to discovery after failures.
 
 use super::{MS, engine_with, settings};
 use crate::actions::Action;
@@ -9,7 +9,7 @@
 use crate::settings::{DiscoveryMode, Settings};
 use crate::timers::TimerPurpose;
 
-/// An engine with one endpoint that polls discovery.
+/// Creates an engine with one endpoint that polls discovery.
 fn polling_engine(staleness_limit: Nanos) -> Engine {
     let settings = Settings {
         discovery: DiscoveryMode::Poll { staleness_limit },
@@ -18,7 +18,7 @@
     engine_with(settings, 1, 1)
 }
 
-fn call_failed() -> Event {
+fn failed_call() -> Event {
     Event::EndpointUpdate {
         kind: UpdateKind::Failed,
         endpoints: Vec::new(),
@@ -33,52 +33,52 @@
 }
 
 #[test]
-fn next_call_comes_before_a_failed_one_counts_as_notified() {
-    // 3.75 s, and 1.6 s for a call that hangs: under the 6 s after which a change counts as
-    // notified whatever failed.
-    for (staleness_limit, longest) in [(10_000, 3_750), (1_000, 3_000), (0, 3_750)] {
+fn delay_after_a_failed_call_is_bounded() {
+    // A delay of at most 3.75 s plus 1.6 s for a call that does not return stays below the 6 s
+    // after which the balancer counts as notified of a change.
+    for (staleness_limit, maximum) in [(10_000, 3_750), (1_000, 3_000), (0, 3_750)] {
         let mut engine = polling_engine(staleness_limit * MS);
-        let mut longest_seen = 0;
+        let mut longest_wait = 0;
         for _ in 0..200 {
-            let actions = engine.handle_now(call_failed());
+            let actions = engine.handle_now(failed_call());
             let waits = actions.iter().filter_map(as_timer).filter(|(_, token)| {
                 let purpose = engine.timers.pending().get(token);
                 matches!(purpose, Some(TimerPurpose::DiscoveryQuery))
             });
             let wait = waits.map(|(after, _)| after).max().unwrap_or(0);
-            longest_seen = longest_seen.max(wait);
+            longest_wait = longest_wait.max(wait);
         }
         assert!(
-            longest_seen > longest * MS / 2 && longest_seen <= longest * MS,
-            "{staleness_limit}: {longest_seen}"
+            longest_wait > maximum * MS / 2 && longest_wait <= maximum * MS,
+            "staleness limit {staleness_limit} ms: longest wait {longest_wait} ns"
         );
     }
 }
 
 #[test]
-fn failures_before_discovery_moved_or_answered_delay_no_later_call() {
+fn backoff_is_reset_when_discovery_is_available_again() {
     let mut engine = polling_engine(10_000 * MS);
     for _ in 0..9 {
-        engine.handle_now(call_failed());
+        engine.handle_now(failed_call());
     }
     assert_eq!(engine.discovery.backoff(), MAX_BACKOFF);
     engine.handle_now(Event::DiscoveryAvailable);
-    let actions = engine.handle_now(call_failed());
+    let actions = engine.handle_now(failed_call());
     let timers = actions.iter().filter_map(as_timer);
     let wait = timers.map(|(after, _)| after).max();
     assert!(
         wait.is_some_and(|wait| wait <= 600 * MS),
-        "{wait:?}: the balancer counts as notified 4 s after a move, or 6 s after silence began"
+        "{wait:?}: the balancer counts as notified 4 s after a new address, 6 s after an outage"
     );
 }
 
 #[test]
-fn one_of_several_failed_calls_is_repeated() {
+fn several_failed_calls_lead_to_one_repeated_call() {
     let mut engine = polling_engine(10_000 * MS);
     let mut actions = Vec::new();
-    // A call failed, and the one to the new address that a reload began meanwhile.
+    // A call failed, and so did the call to the new address after a reload.
     for _ in 0..2 {
-        actions.extend(engine.handle_now(call_failed()));
+        actions.extend(engine.handle_now(failed_call()));
     }
     let tokens: Vec<TimerToken> = actions
         .iter()
--- a/crates/routing/src/engine/tests/fleet_shedding.rs
+++ b/crates/routing/src/engine/tests/fleet_shedding.rs
@@ -1,4 +1,4 @@
-//! Fleet shedding: all balancers shed the same requests.
+//! Tests of fleet shedding: all balancers shed the same requests.
 
 use super::{MS, engine_with, read_request, settings};
 use crate::actions::{Action, DecisionReason};
@@ -9,7 +9,8 @@
 use crate::identifiers::{ClassId, TenantId};
 use crate::settings::{RequestClass, Settings, Tenant};
 
-/// Two classes, of which the first has less weight, and a tenant with a small quota.
+/// Returns settings with two classes, of which the first has the lower weight, and a tenant with a
+/// small quota.
 fn two_classes() -> Settings {
     let mut settings = settings();
     settings.classes.push(RequestClass {
@@ -25,7 +26,7 @@
     settings
 }
 
-/// An engine whose endpoints have no limits to speak of.
+/// Creates an engine whose endpoints have very high concurrency limits.
 fn unlimited_engine(seed: u64) -> Engine {
     let mut engine = engine_with(two_classes(), seed, 9);
     for record in engine.endpoints.records_mut() {
@@ -42,7 +43,7 @@
     })
 }
 
-/// Which of the keys 0 to 999 are shed of a class.
+/// Returns which of the keys 0 to 999 are shed in a class.
 fn shed_keys(engine: &mut Engine, class: usize, tenant: Option<TenantId>) -> Vec<u64> {
     let is_shed = |action: &Action| match action {
         Action::Reject { explanation, .. } => explanation.reason == DecisionReason::FleetShedding,
@@ -62,40 +63,48 @@
 }
 
 #[test]
-fn all_balancers_shed_the_same_requests_of_least_weight_and_others_in_the_next_rotation() {
-    let (mut one, mut other) = (unlimited_engine(1), unlimited_engine(2));
-    // The tiers: beyond the quota 0 and 1, within it 2 (or 1) and 3.
+fn all_balancers_shed_the_same_low_weight_requests_and_different_ones_in_the_next_rotation() {
+    let (mut first, mut second) = (unlimited_engine(1), unlimited_engine(2));
+    // Tiers of the first class, within and beyond its quota, then of the second class.
     assert_eq!(
-        one.admission.shedding().tiers(),
+        first.admission.shedding().tiers(),
         [1, 0, 3, 2],
-        "0.2, 1.0, 2.0, 10.0"
+        "tiers by ascending weight: 0.2, 1.0, 2.0, 10.0"
     );
     let mut actions = Vec::new();
-    for engine in [&mut one, &mut other] {
+    for engine in [&mut first, &mut second] {
         engine.handle(0, shedding(1.4, 6), &mut actions);
     }
-    let before = shed_keys(&mut one, 0, None);
-    assert_eq!(before, shed_keys(&mut other, 0, None), "the same at both");
+    let before = shed_keys(&mut first, 0, None);
+    assert_eq!(
+        before,
+        shed_keys(&mut second, 0, None),
+        "both balancers shed the same keys"
+    );
     assert!((350..450).contains(&before.len()), "{}", before.len());
-    assert_eq!(shed_keys(&mut one, 1, None), [0; 0], "ten times the weight");
-    let over_quota = shed_keys(&mut one, 0, Some(TenantId(0)));
+    assert_eq!(
+        shed_keys(&mut first, 1, None),
+        [0; 0],
+        "the class with ten times the weight is not shed"
+    );
+    let over_quota = shed_keys(&mut first, 0, Some(TenantId(0)));
     assert!(
         (930..970).contains(&over_quota.len()),
-        "beyond its quota, and some are still admitted: {}",
+        "most requests beyond the quota are shed, but not all: {}",
         over_quota.len()
     );
-    one.handle(1_000 * MS, shedding(1.4, 7), &mut actions);
-    let after = shed_keys(&mut one, 0, None);
+    first.handle(1_000 * MS, shedding(1.4, 7), &mut actions);
+    let after = shed_keys(&mut first, 0, None);
     assert!(
         !after.iter().any(|key| before.contains(key)),
-        "a client that returns in the next rotation is admitted"
+        "a client that retries in the next rotation is admitted"
     );
-    one.handle(1_000 * MS, shedding(0.0, 8), &mut actions);
-    assert_eq!(shed_keys(&mut one, 0, None), [0; 0]);
+    first.handle(1_000 * MS, shedding(0.0, 8), &mut actions);
+    assert_eq!(shed_keys(&mut first, 0, None), [0; 0]);
 }
 
 #[test]
-fn shed_client_is_asked_to_return_after_the_rotation() {
+fn retry_after_of_a_shed_request_lies_beyond_the_rotation() {
     let mut engine = unlimited_engine(1);
     let mut actions = Vec::new();
     engine.handle(300 * MS, shedding(4.0, 0), &mut actions);
@@ -113,7 +122,7 @@
     assert!(waits.len() > 180);
     assert!(
         waits.iter().all(|wait| (700 * MS..900 * MS).contains(wait)),
-        "0.7 s are left, and the objective is spread over"
+        "0.7 s until the rotation plus a random part of the objective"
     );
     let counts = engine.take_admission_counts();
     assert_eq!(
@@ -123,27 +132,32 @@
     assert_eq!(
         (counts.capacity_rejections, engine.take_admission_counts()),
         (0, AdmissionCounts::default()),
-        "shedding is no lack of capacity"
+        "shedding is not counted as lack of capacity"
     );
 }
 
 #[test]
 fn shedding_level_of_zero_changes_no_decision() {
-    let (mut without, mut with) = (unlimited_engine(7), unlimited_engine(7));
-    let (mut actions_without, mut actions_with) = (Vec::new(), Vec::new());
-    with.handle(0, shedding(0.0, 3), &mut actions_with);
+    let (mut engine_without_level, mut engine_with_level) =
+        (unlimited_engine(7), unlimited_engine(7));
+    let (mut actions_without_level, mut actions_with_level) = (Vec::new(), Vec::new());
+    engine_with_level.handle(0, shedding(0.0, 3), &mut actions_with_level);
     for id in 0..300u64 {
         let now = id * 3 * MS;
         let details = NewRequest {
             class: ClassId(id as usize % 2),
             ..read_request(id.into(), id % 40, 300 * MS)
         };
-        without.handle(now, Event::RequestArrived(details), &mut actions_without);
-        with.handle(now, Event::RequestArrived(details), &mut actions_with);
+        engine_without_level.handle(
+            now,
+            Event::RequestArrived(details),
+            &mut actions_without_level,
+        );
+        engine_with_level.handle(now, Event::RequestArrived(details), &mut actions_with_level);
         if id % 100 == 99 {
-            with.handle(now, shedding(0.0, id), &mut actions_with);
+            engine_with_level.handle(now, shedding(0.0, id), &mut actions_with_level);
         }
     }
-    assert_eq!(actions_without, actions_with);
-    assert!(actions_without.len() > 600);
+    assert_eq!(actions_without_level, actions_with_level);
+    assert!(actions_without_level.len() > 600);
 }
--- a/crates/routing/src/engine/tests/hedging.rs
+++ b/crates/routing/src/engine/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: delay, timeout and budget.
+//! Tests of hedging: delay, timeout and budget.
 
 use super::{MS, arrive, candidates_of_key_9, count_sends, end_first_attempt, engine};
 use crate::actions::Action;
@@ -10,7 +10,7 @@
 use crate::timers::TimerPurpose;
 
 #[test]
-fn hedge_delay_is_half_the_time_left_until_twenty_samples_and_never_above_it() {
+fn hedge_delay_is_half_the_remaining_time_until_twenty_samples_and_never_more() {
     let mut engine = engine(3);
     assert_eq!(engine.hedging.delay(1_000 * MS), 500 * MS);
     for _ in 0..19 {
@@ -25,7 +25,7 @@
     assert_eq!(engine.hedging.delay(12 * MS), 6 * MS);
 }
 
-/// Fires all hedge timers 11 ms later and counts the attempts that are sent.
+/// Advances time by 11 ms, fires all hedge timers and returns the number of attempts sent.
 fn hedges_after_delay(engine: &mut Engine) -> usize {
     engine.now += 11 * MS;
     let due: Vec<TimerToken> = engine
@@ -64,7 +64,7 @@
             hedges_after_delay(&mut engine)
         ),
         (0, 0),
-        "no capacity yet"
+        "the candidates have no capacity yet"
     );
     set_load(&mut engine, 0);
     assert_eq!(
@@ -73,7 +73,7 @@
             hedges_after_delay(&mut engine)
         ),
         (1, 0),
-        "one hedge and no more"
+        "exactly one hedge is sent"
     );
 }
 
@@ -89,7 +89,7 @@
     assert_eq!(
         timeout(arrive(&mut engine, 1)),
         Some(None),
-        "the quantile is not known yet"
+        "there are too few samples for the quantile"
     );
     for _ in 0..MIN_SAMPLES {
         engine.hedging.record_latency(10 * MS);
@@ -104,6 +104,6 @@
     assert_eq!(
         timeout(arrive(&mut engine, 3)),
         Some(None),
-        "there would be no other"
+        "no other attempt would be allowed"
     );
 }
--- a/crates/routing/src/engine/tests/idempotency.rs
+++ b/crates/routing/src/engine/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency: concurrent attempts and the window of idempotency keys.
+//! Tests of idempotency: concurrent attempts and the window of idempotency keys.
 
 use super::{MS, arrive, end_first_attempt, engine, read_request};
 use crate::actions::Action;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn keyed_repeat_is_written_within_its_window_and_what_never_ran_does_not_bound_it() {
+fn keyed_repeat_must_be_written_within_the_window_unless_no_attempt_may_have_run() {
     for (outcome, bound) in [
         (AttemptOutcome::Reset, Some(250 * MS)),
         (AttemptOutcome::ConnectFailed, None),
@@ -53,7 +53,7 @@
         assert_eq!(
             write_within(arrive(&mut engine, 1)),
             Some(None),
-            "the first is no repeat"
+            "the first attempt is no repeat and has no bound"
         );
         engine.now += 50 * MS;
         assert_eq!(
--- a/crates/routing/src/engine/tests/origin_protection.rs
+++ b/crates/routing/src/engine/tests/origin_protection.rs
@@ -1,4 +1,4 @@
-//! Origin protection: what counts as evidence, and what is admitted.
+//! Tests of origin protection: evidence against the origin, and admission of probable misses.
 
 use super::{
     MS, arrive, attempt_result, candidates_of_key_9, end_first_attempt, engine, is_send,
@@ -14,7 +14,7 @@
 use crate::request::{Attempt, Request};
 
 #[test]
-fn one_quick_answer_does_not_make_all_others_look_slow() {
+fn single_fast_answer_does_not_make_later_fetches_count_as_slow() {
     let mut engine = engine(3);
     let mut actions = Vec::new();
     for id in 1..=200u128 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn error_is_retried_unless_the_origin_is_overloaded_and_the_key_counts_as_not_cached() {
+fn error_is_retried_unless_the_origin_is_overloaded_and_marks_the_key_as_not_cached() {
     for (admitted_fraction, is_retried) in [(1.0, true), (OVERLOAD_FRACTION - 0.1, false)] {
         let mut engine = engine(3);
         let first = candidates_of_key_9(&mut engine)[0];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn timeout_at_an_endpoint_that_answers_others_is_evidence_against_the_origin() {
+fn timeout_at_a_responsive_endpoint_is_evidence_against_the_origin() {
     let mut engine = engine(1);
     arrive(&mut engine, 1);
     arrive(&mut engine, 2);
@@ -80,7 +80,7 @@
     end_first_attempt(&mut engine, 2, AttemptOutcome::Ok);
     assert_eq!(engine.origin.admitted_fraction(), 1.0);
     end_first_attempt(&mut engine, 1, AttemptOutcome::Timeout);
-    // The endpoint has answered this key: it did not have to fetch it.
+    // The endpoint has answered this key, so the timed-out read did not need a fetch.
     assert_eq!(engine.origin.admitted_fraction(), 1.0);
     let keys = &mut engine.placement.recent_keys;
     keys.remove(Some(Key(9)), EndpointId(1));
@@ -95,21 +95,24 @@
 }
 
 #[test]
-fn few_timeouts_reject_nothing_and_many_do() {
+fn few_failures_reject_no_reads_and_many_reject_a_fraction() {
     let mut engine = engine(3);
     let request = open_read(1);
-    for (failures, least, most) in [(2, 1_000, 1_000), (5, 690, 780), (10, 400, 470)] {
+    for (failures, minimum, maximum) in [(2, 1_000, 1_000), (5, 690, 780), (10, 400, 470)] {
         let admitted_fraction = FAILURE_FACTOR.powi(failures);
         engine.origin.set_admitted_fraction(admitted_fraction);
         let admitted = (0..1_000)
             .filter(|_| engine.origin_admits(&request))
             .count();
-        assert!((least..=most).contains(&admitted), "{failures}: {admitted}");
+        assert!(
+            (minimum..=maximum).contains(&admitted),
+            "{failures} failures: {admitted} admitted"
+        );
     }
 }
 
 #[test]
-fn errors_of_few_endpoints_are_their_own_fault_and_those_of_many_the_origins() {
+fn errors_count_against_the_origin_only_if_many_endpoints_fail() {
     for (failing, admitted_fraction) in [(1, 1.0), (4, 1.0), (5, FAILURE_FACTOR)] {
         let mut engine = engine(9);
         for id in 1..=failing {
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn admitted_fraction_moves_faster_at_one_of_many_balancers() {
+fn admitted_fraction_changes_faster_with_many_balancers() {
     for (balancers, failures, successes) in [(2, 5, 80), (100, 1, 11)] {
         let mut engine = new_engine(settings_of_fleet(balancers), 1);
         let steps_until = |engine: &mut Engine, factor: f64, is_reached: fn(f64) -> bool| {
--- a/crates/routing/src/engine/tests/outlier_detection.rs
+++ b/crates/routing/src/engine/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: evidence, ejection and recovery probes.
+//! Tests of outlier detection: evidence, ejection and recovery probes.
 
 use super::{
     MS, arrive, candidates_of_key_9, count_sends, end_first_attempt, engine, first_send, open_read,
@@ -16,8 +16,8 @@
 
 const FIRST: EndpointId = EndpointId(1);
 
-/// Forty reads, one after the other, time out: at first at endpoints that answer others, then at
-/// silent ones. Returns the endpoints.
+/// Sends forty consecutive reads that time out: the first twenty at endpoints that answer other
+/// attempts, the others at unresponsive endpoints. Returns the endpoints.
 fn time_out_reads(engine: &mut Engine, client_timeout: Nanos) -> BTreeSet<EndpointId> {
     let mut endpoints = BTreeSet::new();
     for id in 1..=40u128 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn timeouts_of_clients_that_wait_less_than_answers_take_are_no_evidence() {
+fn timeouts_shorter_than_usual_latencies_are_no_evidence() {
     for (client_timeout, is_evidence) in [(5 * MS, false), (400 * MS, true)] {
         let mut engine = engine(3);
         for _ in 0..MIN_SAMPLES {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn one_recovery_probe_at_a_time() {
+fn ejected_endpoint_gets_one_recovery_probe_at_a_time() {
     let mut engine = engine(1);
     arrive(&mut engine, 1);
     let request = engine.requests.remove(&RequestId(1)).expect("open");
@@ -85,7 +85,8 @@
     assert!(availability(&mut engine) == Availability::Available);
 }
 
-/// How many failures in a row eject an endpoint at this failure ratio of the fleet.
+/// Returns the number of consecutive failures that eject an endpoint at this failure ratio of the
+/// fleet.
 fn failures_to_ejection(fleet_failure_ratio: f64) -> u32 {
     let mut engine = engine(3);
     engine.outliers.set_failure_ratio(fleet_failure_ratio);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn failures_that_are_common_everywhere_eject_nobody_and_lead_to_no_hedges_or_retries() {
+fn fleet_wide_failures_raise_the_ejection_threshold_and_suppress_hedges_and_retries() {
     assert_eq!(
         [0.0, 0.15, 0.5, 0.7].map(failures_to_ejection),
         [2, 2, 5, 9]
@@ -116,12 +117,16 @@
         assert_eq!(count_sends(&actions), sends, "after a rejection");
         arrive(&mut engine, 2);
         engine.update_request(RequestId(2), Engine::on_overdue);
-        assert_eq!(count_sends(&engine.actions), sends, "when overdue");
+        assert_eq!(
+            count_sends(&engine.actions),
+            sends,
+            "when the attempt is overdue"
+        );
     }
 }
 
 #[test]
-fn rejected_request_is_retried_at_a_healthy_endpoint_at_once_and_beyond_the_budget() {
+fn rejected_request_is_retried_immediately_at_a_healthy_endpoint_without_using_the_budget() {
     let mut engine = engine(9);
     let candidates = candidates_of_key_9(&mut engine);
     engine.outliers.set_failure_ratio(0.6);
@@ -138,8 +143,8 @@
         retry.is_some_and(|id| !candidates.contains(&id)),
         "{retry:?}"
     );
-    // With one healthy candidate reads go there in the first place, and to the others again when
-    // their failures are long ago.
+    // With one healthy candidate, reads are sent to it first; the other candidates are used again
+    // when their failures have decayed.
     set_failure_ratio(&mut engine, candidates[2], 0.0);
     let request = open_read(2);
     let selected =
--- a/crates/routing/src/engine/tests/placement.rs
+++ b/crates/routing/src/engine/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: ranks, weighted draws, keys that stay where they are cached.
+//! Tests of placement: ranks, weighted sampling, and keys that stay at the endpoint that has them
+//! cached.
 
 use super::{MS, candidates_of_key_9, endpoint, engine, open_read};
 use crate::endpoints::{InFlightAttempt, LATENCY_PER_WORK_GAIN};
@@ -20,7 +21,7 @@
     }
 }
 
-/// A read of this key with this estimate of its work.
+/// Returns a read of this key with this estimate of its work.
 fn read_with(key: Option<Key>, estimated_work: Option<Nanos>) -> Request {
     let mut request = open_read(1);
     request.details.key = key;
@@ -28,19 +29,20 @@
     request
 }
 
-/// How often in `draws` the endpoint is placed first.
+/// Returns how often in `repetitions` placements the endpoint is chosen.
 fn count_placed(
     engine: &mut Engine,
     request: &Request,
     candidates: &[RankedEndpoint],
     id: u64,
-    draws: usize,
+    repetitions: usize,
 ) -> usize {
-    let placed = (0..draws).filter(|_| engine.place(request, candidates) == Some(EndpointId(id)));
+    let placed =
+        (0..repetitions).filter(|_| engine.place(request, candidates) == Some(EndpointId(id)));
     placed.count()
 }
 
-/// The endpoint that is selected for a read of key 9.
+/// Returns the endpoint that is selected for a read of key 9.
 fn selected(engine: &mut Engine) -> Option<EndpointId> {
     match engine.select_endpoint(&open_read(2), AttemptKind::Regular) {
         Selection::Endpoint(id) => Some(id),
@@ -101,12 +103,13 @@
 }
 
 #[test]
-fn fewer_attempts_in_flight_win_and_rank_breaks_ties() {
+fn endpoint_with_fewer_attempts_in_flight_is_chosen_and_rank_breaks_ties() {
     let mut engine = engine(3);
-    let two = [ranked(0, 2), ranked(1, 1)];
+    let candidates = [ranked(0, 2), ranked(1, 1)];
     let request = read_with(None, None);
-    assert_eq!(engine.place(&request, &two), Some(EndpointId(2)));
-    // One in flight at the first rank is what a fetch elsewhere counts for; the second decides.
+    assert_eq!(engine.place(&request, &candidates), Some(EndpointId(2)));
+    // One attempt in flight at the first rank equals the fetch that the other endpoint would need;
+    // the second attempt decides.
     for expected in [EndpointId(2), EndpointId(1)] {
         engine
             .record_mut(EndpointId(2))
@@ -116,43 +119,43 @@
                 request: RequestId(1),
                 number: AttemptNumber(0),
             });
-        assert_eq!(engine.place(&request, &two), Some(expected));
+        assert_eq!(engine.place(&request, &candidates), Some(expected));
     }
     assert_eq!(engine.place(&request, &[]), None);
 }
 
 #[test]
-fn draws_follow_the_reported_hit_ratio() {
+fn placement_follows_the_reported_hit_ratio() {
     let mut engine = engine(3);
-    // The same at all ranks.
+    // The hit ratio is the same at all ranks.
     engine.placement.restore_rank_hit_ratios([0.5; CANDIDATES]);
     engine.record_mut(EndpointId(3)).hit_ratio = 0.25;
-    let three = [ranked(0, 3), ranked(1, 1), ranked(2, 2)];
-    let placed = count_placed(&mut engine, &read_with(None, None), &three, 3, 4_000);
-    // Weights 1, 2, 2: drawn first 1/5, or second 2 x 2/5 x 1/3; best rank, so it wins when drawn:
-    // 46.7 %.
+    let candidates = [ranked(0, 3), ranked(1, 1), ranked(2, 2)];
+    let placed = count_placed(&mut engine, &read_with(None, None), &candidates, 3, 4_000);
+    // The weights are 1, 2, 2. Endpoint 3 is sampled first with probability 1/5, or second with 2 x
+    // 2/5 x 1/3. It has the best rank, so it is chosen whenever it is sampled: 46.7 %.
     assert!((1_800..1_940).contains(&placed), "{placed}");
 }
 
 #[test]
-fn key_returns_to_the_endpoint_that_answered_it_lately() {
+fn key_is_placed_at_the_endpoint_that_recently_answered_it() {
     let mut engine = engine(3);
-    let three = [ranked(0, 2), ranked(1, 1), ranked(2, 3)];
+    let candidates = [ranked(0, 2), ranked(1, 1), ranked(2, 3)];
     let key = Some(Key(5));
     engine.placement.recent_keys.insert(key, EndpointId(3));
     let request = read_with(key, None);
-    let placed = count_placed(&mut engine, &request, &three, 3, 1_000);
+    let placed = count_placed(&mut engine, &request, &candidates, 3, 1_000);
     assert!(placed > 990, "{placed}");
-    // With far more in flight than the others, it is passed over.
+    // With far more attempts in flight than the others, the endpoint is not chosen.
     engine.record_mut(EndpointId(3)).set_in_flight(3);
-    let placed = count_placed(&mut engine, &request, &three, 3, 1_000);
+    let placed = count_placed(&mut engine, &request, &candidates, 3, 1_000);
     assert!(placed < 10, "{placed}");
 }
 
 #[test]
-fn heavy_work_is_placed_at_quick_endpoints_and_light_work_evenly() {
+fn heavy_work_is_placed_at_fast_endpoints_and_light_work_evenly() {
     let mut engine = engine(3);
-    let three = [ranked(1, 1), ranked(1, 2), ranked(1, 3)];
+    let candidates = [ranked(1, 1), ranked(1, 2), ranked(1, 3)];
     for (id, latency) in [(1, 100e6), (2, 50e6), (3, 50e6)] {
         let record = engine.record_mut(EndpointId(id));
         record
@@ -160,8 +163,9 @@
             .add(latency, 50e6, LATENCY_PER_WORK_GAIN);
     }
     engine.latency_objective = 1_000e6;
-    let mut at_slow = |work| count_placed(&mut engine, &read_with(None, work), &three, 1, 3_000);
-    let [unknown, light, heavy] = [None, Some(MS), Some(500 * MS)].map(&mut at_slow);
+    let mut count_at_slow_endpoint =
+        |work| count_placed(&mut engine, &read_with(None, work), &candidates, 1, 3_000);
+    let [unknown, light, heavy] = [None, Some(MS), Some(500 * MS)].map(&mut count_at_slow_endpoint);
     assert!(
         unknown.abs_diff(1_000) < 120 && light.abs_diff(1_000) < 120,
         "{unknown} {light}"
@@ -180,7 +184,8 @@
         engine.record_mut(id).latency = LatencyMean::from_stored([ms * 1e6, baseline, samples]);
     };
     engine.placement.recent_keys.insert(Some(Key(9)), first);
-    // If all are equally slow, the load is the cause.
+    // If all endpoints are equally slow, the cause is the load and the first candidate is not
+    // avoided.
     for (others, expected) in [(100.0, true), (10.0, false)] {
         (1..=9).for_each(|id| set_latency(&mut engine, EndpointId(id), others));
         set_latency(&mut engine, first, 100.0);
@@ -191,5 +196,9 @@
         assert_eq!(at_first > 90, expected, "{at_first}");
     }
     (0..100).for_each(|_| engine.housekeeping());
-    assert_eq!(selected(&mut engine), Some(first), "it is probed again");
+    assert_eq!(
+        selected(&mut engine),
+        Some(first),
+        "the endpoint is used again after its latency has decayed"
+    );
 }
--- a/crates/routing/src/engine/tests/request_lifecycle.rs
+++ b/crates/routing/src/engine/tests/request_lifecycle.rs
@@ -1,4 +1,5 @@
-//! The life of a request: nothing is left of it in the end, and a shutdown answers it in time.
+//! Tests of the life cycle of requests: their state is released at the end, and a shutdown answers
+//! them in time.
 
 use super::{MS, attempt_result, engine, read_request};
 use crate::actions::Action;
@@ -7,7 +8,7 @@
 use crate::timers::TimerPurpose;
 
 #[test]
-fn finished_requests_and_removed_endpoints_leave_nothing_behind() {
+fn state_of_finished_requests_and_removed_endpoints_is_released() {
     let mut engine = engine(3);
     let mut actions = Vec::new();
     for id in 1..=300u128 {
@@ -34,7 +35,10 @@
     };
     engine.handle(end, empty_list, &mut actions);
     assert!(engine.requests.is_empty() && engine.queue.is_empty() && engine.endpoints.len() == 0);
-    assert!(engine.timers.pending().len() <= 1, "housekeeping alone");
+    assert!(
+        engine.timers.pending().len() <= 1,
+        "only the housekeeping timer is pending"
+    );
 }
 
 fn count_answers(actions: &[Action]) -> usize {
@@ -44,9 +48,10 @@
 }
 
 #[test]
-fn open_requests_are_answered_by_the_end_of_a_shutdown_or_sooner_if_their_deadline_is() {
+fn open_requests_are_answered_by_the_shutdown_deadline_or_their_own_earlier_one() {
     let shutdown = 400 * MS;
-    // One is in flight, one is queued, one has little time anyway.
+    // Without endpoints the request is queued, otherwise in flight. A client timeout of 300 ms ends
+    // before the shutdown.
     for (client_timeout, answered_at) in [(60_000, 400), (300, 300)] {
         for endpoints in [0, 3] {
             let mut engine = engine(endpoints);
@@ -65,7 +70,7 @@
             assert_eq!(
                 count_answers(&actions),
                 0,
-                "{client_timeout} {endpoints}: not before"
+                "timeout {client_timeout} ms, {endpoints} endpoints: answered too early"
             );
             let mut answers = Vec::new();
             for token in tokens {
@@ -74,7 +79,7 @@
             assert_eq!(
                 count_answers(&answers),
                 1,
-                "{client_timeout} {endpoints}: {answers:?}"
+                "client timeout {client_timeout} ms, {endpoints} endpoints: {answers:?}"
             );
         }
     }
--- a/crates/routing/src/engine/tests/request_queue.rs
+++ b/crates/routing/src/engine/tests/request_queue.rs
@@ -1,10 +1,10 @@
-//! Queued requests, and the advice that rejected clients get.
+//! Tests of queued requests and of the retry-after time of rejections.
 
 use super::{MS, arrive, candidates_of_key_9, engine, is_send, open_read};
 use crate::actions::{Action, DecisionReason};
 
 #[test]
-fn read_that_was_queued_too_long_is_rejected_and_not_scattered_over_other_endpoints() {
+fn read_that_was_queued_too_long_is_rejected_and_not_sent_to_other_endpoints() {
     for in_flight_elsewhere in [0, 3] {
         let mut engine = engine(9);
         let candidates = candidates_of_key_9(&mut engine);
@@ -17,10 +17,13 @@
             engine.record_mut(id).set_in_flight(in_flight);
         }
         let actions = arrive(&mut engine, 1);
-        assert!(!actions.iter().any(is_send), "queued first");
+        assert!(!actions.iter().any(is_send), "the read is queued first");
         engine.now += 150 * MS;
         engine.retry_queued();
-        assert!(!engine.actions.iter().any(is_send), "{in_flight_elsewhere}");
+        assert!(
+            !engine.actions.iter().any(is_send),
+            "{in_flight_elsewhere} attempts in flight at other endpoints"
+        );
         let is_rejection = |action: &&Action| matches!(action, Action::Reject { .. });
         assert_eq!(engine.actions.iter().filter(is_rejection).count(), 1);
     }
@@ -39,7 +42,7 @@
         assert_eq!(
             retry_after(DecisionReason::DeadlineExceeded),
             0,
-            "no client waits any more"
+            "the client no longer waits"
         );
     }
 }
--- a/crates/routing/src/engine/tests/retries.rs
+++ b/crates/routing/src/engine/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: where they go, and what they are charged.
+//! Tests of retries: their endpoints and their cost.
 
 use super::{
     arrive, attempt_result, candidates_of_key_9, end_first_attempt, engine, first_send, new_engine,
@@ -14,7 +14,7 @@
     let mut engine = engine(9);
     engine.settings.capabilities.max_attempts = 6;
     let candidates = candidates_of_key_9(&mut engine);
-    let mut sent_to = vec![first_send(&arrive(&mut engine, 1)).expect("sent")];
+    let mut sent_to = vec![first_send(&arrive(&mut engine, 1)).expect("an attempt is sent")];
     while candidates.contains(&sent_to[sent_to.len() - 1]) {
         let last = sent_to.len() - 1;
         let result = AttemptResult {
@@ -23,10 +23,14 @@
             ..attempt_result(1, sent_to[last], AttemptOutcome::ConnectFailed)
         };
         let actions = engine.handle_now(Event::AttemptEnded(result));
-        sent_to.push(first_send(&actions).expect("retried"));
+        sent_to.push(first_send(&actions).expect("the read is retried"));
         assert!(sent_to.len() <= 4, "{sent_to:?}");
     }
-    assert_eq!(sent_to.len(), 4, "each of the three once: {sent_to:?}");
+    assert_eq!(
+        sent_to.len(),
+        4,
+        "each of the three candidates is tried once: {sent_to:?}"
+    );
 }
 
 #[test]
@@ -49,7 +53,7 @@
 }
 
 #[test]
-fn budgets_of_many_balancers_cover_a_few_failures_at_once_and_no_flood() {
+fn budgets_are_divided_among_balancers_down_to_a_minimum_burst() {
     for (balancers, tokens) in [
         (4, (HEDGE_BURST / 2.0, RETRY_BURST / 2.0)),
         (100, (3.0, 3.0)),
--- a/crates/routing/src/engine/tests/slow_start.rs
+++ b/crates/routing/src/engine/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: capacity, age and budget of endpoints that have started lately.
+//! Tests of slow start: capacity, age and budget of recently started endpoints.
 
 use super::{MS, arrive, candidates_of_key_9, engine, first_send, new_engine, settings};
 use crate::actions::{Action, Deferral};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn read_whose_candidates_have_spent_their_budgets_goes_beyond_them_at_once() {
+fn read_is_sent_beyond_candidates_without_slow_start_budget() {
     let mut engine = engine(9);
     engine.now = 1_000 * MS;
     let candidates = candidates_of_key_9(&mut engine);
@@ -41,8 +41,8 @@
         sent_to.is_some_and(|id| !candidates.contains(&id)),
         "{actions:?}"
     );
-    // A hedge stays among the candidates: none is sent, and none is postponed to when a budget
-    // has grown.
+    // Hedges are sent to candidates only: none is sent, and none is postponed until a budget has
+    // been refilled.
     engine.hedging.budget.set_tokens(1.0);
     engine.update_request(RequestId(1), Engine::on_overdue);
     assert!(
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn endpoint_that_joins_a_known_list_starts_slowly_whatever_the_wall_clock_said() {
+fn endpoint_that_joins_an_existing_list_starts_slowly_despite_a_wrong_wall_clock() {
     let rules = ServiceRules {
         slow_start_duration: 20_000 * MS,
         slow_start_fraction: 0.1,
         ..settings().rules
     };
-    let begin = 10_000_000 * MS;
-    // The process started while its machine's wall clock was ahead, or behind, by so much; the list
-    // states true starts.
+    let true_start = 10_000_000 * MS;
+    // The wall clock of the balancer's machine was ahead or behind by this many milliseconds when
+    // the balancer started; the endpoint list contains true start times.
     for (ahead, behind) in [
         (0, 0),
         (3_600_000, 0),
@@ -80,36 +80,39 @@
             ..settings()
         };
         let mut engine = new_engine(settings, 1);
-        let own_clock = |time: Nanos| time + ahead * MS - behind * MS;
-        let listed = |id, started| Endpoint {
+        let local_time = |time: Nanos| time + ahead * MS - behind * MS;
+        let entry = |id, started| Endpoint {
             id: EndpointId(id),
             started,
             ..Endpoint::default()
         };
-        engine.now = own_clock(begin);
-        engine.on_endpoint_update(UpdateKind::Full, vec![listed(1, 0)]);
-        // It is listed a second after its start.
-        engine.now = own_clock(begin + 2_000 * MS);
-        let started = begin + 1_000 * MS;
-        engine.on_endpoint_update(UpdateKind::Delta, vec![listed(2, started)]);
+        engine.now = local_time(true_start);
+        engine.on_endpoint_update(UpdateKind::Full, vec![entry(1, 0)]);
+        // The endpoint is listed a second after its start.
+        engine.now = local_time(true_start + 2_000 * MS);
+        let started = true_start + 1_000 * MS;
+        engine.on_endpoint_update(UpdateKind::Delta, vec![entry(2, started)]);
         let capacity = |engine: &Engine| {
             let slow_start = &engine.record(EndpointId(2)).slow_start;
             slow_start.capacity_fraction(engine.now, &engine.settings.rules)
         };
-        let at_age = |seconds: f64| 0.1 + 0.9 * seconds / 20.0 + 1e-9;
-        let first = capacity(&engine);
-        assert!(first <= at_age(6.0), "{ahead} {behind}: {first}");
-        engine.now = own_clock(begin + 12_000 * MS);
+        let capacity_at_age = |seconds: f64| 0.1 + 0.9 * seconds / 20.0 + 1e-9;
+        let initial = capacity(&engine);
+        assert!(
+            initial <= capacity_at_age(6.0),
+            "ahead {ahead} ms, behind {behind} ms: {initial}"
+        );
+        engine.now = local_time(true_start + 12_000 * MS);
         let later = capacity(&engine);
         assert!(
-            (at_age(9.9)..at_age(16.0)).contains(&later),
-            "{ahead} {behind}: {later}"
+            (capacity_at_age(9.9)..capacity_at_age(16.0)).contains(&later),
+            "ahead {ahead} ms, behind {behind} ms: {later}"
         );
-        engine.now = own_clock(begin + 22_000 * MS);
+        engine.now = local_time(true_start + 22_000 * MS);
         assert_eq!(
             capacity(&engine),
             1.0,
-            "{ahead} {behind}: warm in time, however far behind the clock was"
+            "ahead {ahead} ms, behind {behind} ms: the endpoint is warm in time"
         );
     }
 }
--- a/crates/routing/src/engine/tests/state_transfer.rs
+++ b/crates/routing/src/engine/tests/state_transfer.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what is taken over, and what is not.
+//! Tests of snapshots: what is restored and what is not.
 
 use super::{endpoint, engine, new_engine, settings};
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -10,7 +10,7 @@
 
 const FIRST: EndpointId = EndpointId(1);
 
-/// Makes a snapshot invalid.
+/// Function that makes a snapshot invalid.
 type Corruption = fn(&mut Snapshot);
 
 fn health(engine: &Engine) -> StoredHealth {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn snapshot_is_restored_and_budgets_are_shared() {
+fn snapshot_is_restored_and_budgets_are_split() {
     let mut old = engine(3);
     for sample in 1..=50 {
         old.hedging.record_latency(sample * 1_000_000);
@@ -55,7 +55,7 @@
     assert_eq!(
         new.hedging.budget.tokens() + old.hedging.budget.tokens(),
         hedge_tokens,
-        "together no more than one"
+        "both engines together have the tokens of one"
     );
 }
 
--- a/crates/routing/src/estimators/tests.rs
+++ b/crates/routing/src/estimators/tests.rs
@@ -1,4 +1,4 @@
-//! Exact values of the latency quantile.
+//! Tests of the latency quantile with exact values.
 
 use super::LatencyQuantile;
 use crate::hedging::{OVERDUE_QUANTILE, QUANTILE_MEMORY_SAMPLES};
@@ -15,7 +15,7 @@
     for i in 0..200 {
         latencies.add(if i % 50 == 49 { 400 * MS } else { 10 * MS });
     }
-    // Two in a hundred are slow: the 99th percentile is theirs.
+    // Two in a hundred samples are slow, so the 99th percentile is the slow latency.
     assert_eq!(latencies.value(), LatencyQuantile::bucket_edge(400.0));
     let mut latencies = quantile();
     for i in 0..400 {
@@ -30,20 +30,20 @@
     for _ in 0..500 {
         latencies.add(400 * MS);
     }
-    let mut needed = 0;
+    let mut new_samples = 0;
     while latencies.value() == LatencyQuantile::bucket_edge(400.0) {
         latencies.add(10 * MS);
-        needed += 1;
+        new_samples += 1;
     }
-    // Weight of the old after n new ones: (1 - 1/e) e^(-n/500) of 1 - e^(-1 - n/500), 1 % at
-    // n = 2079.
-    assert!((2_050..2_100).contains(&needed), "{needed}");
-    let mut long = quantile();
+    // Weight of the old samples after n new ones: (1 - 1/e) e^(-n/500) of 1 - e^(-1 - n/500), which
+    // falls to 1 % at n = 2079.
+    assert!((2_050..2_100).contains(&new_samples), "{new_samples}");
+    let mut saturated = quantile();
     for _ in 0..100_000 {
-        long.add(10 * MS);
+        saturated.add(10 * MS);
     }
     assert!(
-        long.total_weight() < QUANTILE_MEMORY_SAMPLES + 1.0
-            && long.value() == LatencyQuantile::bucket_edge(10.0)
+        saturated.total_weight() < QUANTILE_MEMORY_SAMPLES + 1.0
+            && saturated.value() == LatencyQuantile::bucket_edge(10.0)
     );
 }
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -55,7 +55,7 @@
 /// Returns the position of a cache at a slot, in (0, 1], from a hash of both.
 fn position(slot: usize, cache: EndpointId) -> f64 {
     #[cfg(test)]
-    tests::count_hash();
+    tests::record_hash();
     let hash = xxh3_64_with_seed(&cache.0.to_le_bytes(), slot as u64);
     ((hash >> (u64::BITS - MANTISSA_BITS)) as f64 + 1.0) / (1u64 << MANTISSA_BITS) as f64
 }
--- a/crates/routing/src/rendezvous/tests.rs
+++ b/crates/routing/src/rendezvous/tests.rs
@@ -1,4 +1,4 @@
-//! The table against the plain way to rank: a score for each cache, and a sort.
+//! Tests that compare the slot table with a direct ranking: a score for each cache, and a sort.
 
 use super::{CANDIDATES, MAX_LOGGED_CHANGES, NO_CACHE, SLOTS, SlotTable, Version};
 use crate::engine::Engine;
@@ -12,61 +12,61 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 thread_local! {
-    /// Hashes of a slot and a cache that were computed in this thread: the measure of the table's
-    /// work.
+    /// Number of hashes of a slot and a cache computed in this thread, as the measure of the
+    /// table's work.
     static HASHES: Cell<usize> = const { Cell::new(0) };
 }
 
-pub(super) fn count_hash() {
+pub(super) fn record_hash() {
     HASHES.set(HASHES.get() + 1);
 }
 
-/// How many hashes this takes.
-fn hashes(of: impl FnOnce()) -> usize {
+/// Returns the number of hashes that `operation` computes.
+fn count_hashes(operation: impl FnOnce()) -> usize {
     let before = HASHES.get();
-    of();
+    operation();
     HASHES.get() - before
 }
 
-/// All caches at a slot, best first, by a sort of all scores.
+/// Returns all caches in rank order at a slot, by sorting their scores.
 fn sorted(caches: &BTreeMap<u64, Endpoint>, slot: usize) -> Vec<EndpointId> {
     let mut ranked: Vec<(f64, EndpointId)> = caches
         .iter()
         .filter(|(_, entry)| entry.state == EndpointState::Active)
         .map(|(id, entry)| {
             let hash = xxh3_64_with_seed(&id.to_le_bytes(), slot as u64);
-            let u = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
-            (-u.ln() / entry.weight, EndpointId(*id))
+            let position = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
+            (-position.ln() / entry.weight, EndpointId(*id))
         })
         .collect();
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     ranked.into_iter().map(|(_, id)| id).collect()
 }
 
-/// An endpoint list that changes at random, and the engine that is notified of it.
-struct RandomChanges {
+/// Endpoint list that is changed at random, with the engine that receives the changes.
+struct ChangingList {
     rng: Xoshiro256PlusPlus,
     caches: BTreeMap<u64, Endpoint>,
     engine: Engine,
 }
 
-impl RandomChanges {
+impl ChangingList {
     fn new(seed: u64, count: u64) -> Self {
         let engine = Engine::new(settings(), 1, 0).expect("settings are consistent");
-        let mut changes = RandomChanges {
+        let mut list = ChangingList {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             caches: BTreeMap::new(),
             engine,
         };
-        (0..count).for_each(|id| changes.join(id));
-        changes
+        (0..count).for_each(|id| list.add_with_random_weight(id));
+        list
     }
 
-    fn below(&mut self, n: usize) -> usize {
-        (self.rng.next_u64() % n as u64) as usize
+    fn random_below(&mut self, limit: usize) -> usize {
+        (self.rng.next_u64() % limit as u64) as usize
     }
 
-    fn list(&mut self, entry: Endpoint) {
+    fn upsert(&mut self, entry: Endpoint) {
         self.caches.insert(entry.id.0, entry);
         self.update(UpdateKind::Delta, vec![entry]);
     }
@@ -80,37 +80,41 @@
         self.engine.slot_table()
     }
 
-    fn join(&mut self, id: u64) {
-        let weight = [1.0, 1.0, 1.0, 0.25, 2.0, 7.5][self.below(6)];
-        self.list(Endpoint {
+    fn add_with_random_weight(&mut self, id: u64) {
+        let weight = [1.0, 1.0, 1.0, 0.25, 2.0, 7.5][self.random_below(6)];
+        self.upsert(Endpoint {
             id: EndpointId(id),
             weight,
             ..Endpoint::default()
         });
     }
 
-    fn any(&mut self) -> u64 {
-        let selected = self.below(self.caches.len());
-        *self.caches.keys().nth(selected).expect("there are some")
+    fn random_id(&mut self) -> u64 {
+        let selected = self.random_below(self.caches.len());
+        *self
+            .caches
+            .keys()
+            .nth(selected)
+            .expect("the list is not empty")
     }
 
-    /// One change of the list: a join, a drain, a restart, another weight, a removal, or a full
-    /// list.
-    fn step(&mut self, next_id: u64) {
-        let selected = self.any();
+    /// Applies one random change: an added endpoint, a drain, a restart, another weight, a removal,
+    /// or a full list.
+    fn apply_random_change(&mut self, next_id: u64) {
+        let selected = self.random_id();
         let entry = self.caches[&selected];
-        match self.below(6) {
-            0 => self.join(next_id),
-            1 => self.list(Endpoint {
+        match self.random_below(6) {
+            0 => self.add_with_random_weight(next_id),
+            1 => self.upsert(Endpoint {
                 state: EndpointState::Draining,
                 ..entry
             }),
-            2 => self.list(Endpoint {
+            2 => self.upsert(Endpoint {
                 state: EndpointState::Active,
                 started: entry.started + 1,
                 ..entry
             }),
-            3 => self.join(selected),
+            3 => self.add_with_random_weight(selected),
             4 => {
                 self.caches.remove(&selected);
                 let removed = Endpoint {
@@ -133,120 +137,125 @@
         }
     }
 
-    fn check(&mut self, slot: usize) {
+    fn check_slot(&mut self, slot: usize) {
         let sorted = sorted(&self.caches, slot);
         let first = &sorted[..sorted.len().min(CANDIDATES)];
         assert_eq!(*self.table().candidates(slot), *first, "slot {slot}");
-        let beyond: Vec<EndpointId> = self.table().ranking(slot).collect();
-        assert_eq!(beyond, sorted, "slot {slot}");
+        let ranking: Vec<EndpointId> = self.table().ranking(slot).collect();
+        assert_eq!(ranking, sorted, "slot {slot}");
     }
 }
 
 #[test]
-fn every_slot_is_ranked_as_by_a_sort_through_joins_drains_restarts_and_full_lists() {
+fn every_slot_ranks_caches_like_a_full_sort_after_any_list_change() {
     for (seed, count) in [(1, 1), (2, 4), (3, 40)] {
-        let mut changes = RandomChanges::new(seed, count);
+        let mut list = ChangingList::new(seed, count);
         for step in 0..40 {
-            // All rows contain candidates before the change, which has to correct them.
-            (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot));
-            changes.step(1_000 + step);
-            if changes.caches.is_empty() {
-                changes.join(0);
+            // All rows are computed before the change, so that they have to be updated.
+            (0..SLOTS).for_each(|slot| _ = list.table().candidates(slot));
+            list.apply_random_change(1_000 + step);
+            if list.caches.is_empty() {
+                list.add_with_random_weight(0);
             }
             for _ in 0..200 {
-                let slot = changes.below(SLOTS);
-                changes.check(slot);
+                let slot = list.random_below(SLOTS);
+                list.check_slot(slot);
             }
         }
-        (0..SLOTS).for_each(|slot| changes.check(slot));
+        (0..SLOTS).for_each(|slot| list.check_slot(slot));
     }
 }
 
 #[test]
 fn change_of_one_cache_recomputes_the_rows_that_it_affects_and_few_others() {
-    let mut changes = RandomChanges::new(4, 0);
+    let mut list = ChangingList::new(4, 0);
     let count = 400;
     let all = (0..count).map(|id| Endpoint {
         id: EndpointId(id),
         weight: 1.0,
         ..Endpoint::default()
     });
-    all.for_each(|entry| changes.list(entry));
-    let recomputed = |changes: &mut RandomChanges, entry: Endpoint| {
-        (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot));
-        changes.list(entry);
+    all.for_each(|entry| list.upsert(entry));
+    let recomputed = |list: &mut ChangingList, entry: Endpoint| {
+        (0..SLOTS).for_each(|slot| _ = list.table().candidates(slot));
+        list.upsert(entry);
         let slots = 0..SLOTS;
         let affected = slots
-            .filter(|slot| hashes(|| _ = changes.table().candidates(*slot)) > 1)
+            .filter(|slot| count_hashes(|| _ = list.table().candidates(*slot)) > 1)
             .count();
         assert_eq!(
-            hashes(|| (0..SLOTS).for_each(|slot| _ = changes.table().candidates(slot))),
+            count_hashes(|| (0..SLOTS).for_each(|slot| _ = list.table().candidates(slot))),
             0
         );
         affected
     };
-    let due = CANDIDATES * SLOTS / count as usize;
-    let near = due * 3 / 4..due * 5 / 4;
-    let entry = changes.caches[&77];
+    let expected = CANDIDATES * SLOTS / count as usize;
+    let tolerated = expected * 3 / 4..expected * 5 / 4;
+    let entry = list.caches[&77];
     let drained = recomputed(
-        &mut changes,
+        &mut list,
         Endpoint {
             state: EndpointState::Draining,
             ..entry
         },
     );
-    assert!(near.contains(&drained), "{drained} of {due}");
-    let back = recomputed(&mut changes, entry);
-    assert!(near.contains(&back), "{back} of {due}");
+    assert!(
+        tolerated.contains(&drained),
+        "{drained} rows, expected about {expected}"
+    );
+    let reactivated = recomputed(&mut list, entry);
+    assert!(
+        tolerated.contains(&reactivated),
+        "{reactivated} rows, expected about {expected}"
+    );
     assert_eq!(
         recomputed(
-            &mut changes,
+            &mut list,
             Endpoint {
                 started: 5,
                 ..entry
             }
         ),
         0,
-        "a restart moves nothing"
+        "a restart affects no row"
     );
-    assert_eq!(recomputed(&mut changes, entry), 0);
+    assert_eq!(recomputed(&mut list, entry), 0);
 }
 
 #[test]
-fn rows_are_current_however_far_behind_they_are_and_when_versions_start_again() {
-    let mut changes = RandomChanges::new(5, 30);
+fn rows_are_current_after_any_number_of_missed_changes_and_when_versions_restart() {
+    let mut list = ChangingList::new(5, 30);
     let slots: Vec<usize> = (0..SLOTS).step_by(499).collect();
-    for (step, behind) in [1, 3, 29, 40, MAX_LOGGED_CHANGES - 1, MAX_LOGGED_CHANGES + 1]
+    for (step, missed_changes) in [1, 3, 29, 40, MAX_LOGGED_CHANGES - 1, MAX_LOGGED_CHANGES + 1]
         .into_iter()
         .enumerate()
     {
-        slots.iter().for_each(|slot| changes.check(*slot));
-        for change in 0..behind as u64 {
-            changes.step(1_000_000 * (step as u64 + 1) + change);
-            if changes.caches.is_empty() {
-                changes.join(0);
+        slots.iter().for_each(|slot| list.check_slot(*slot));
+        for change in 0..missed_changes as u64 {
+            list.apply_random_change(1_000_000 * (step as u64 + 1) + change);
+            if list.caches.is_empty() {
+                list.add_with_random_weight(0);
             }
         }
-        slots.iter().for_each(|slot| changes.check(*slot));
+        slots.iter().for_each(|slot| list.check_slot(*slot));
     }
-    changes.table().version = Version::MAX - 2;
+    list.table().version = Version::MAX - 2;
     slots
         .iter()
-        .for_each(|slot| changes.table().rows[*slot].version = Version::MAX - 2);
+        .for_each(|slot| list.table().rows[*slot].version = Version::MAX - 2);
     for id in 0..6 {
-        changes.join(id);
-        changes.join(9_000_000 + id);
-        slots.iter().for_each(|slot| changes.check(*slot));
+        list.add_with_random_weight(id);
+        list.add_with_random_weight(9_000_000 + id);
+        slots.iter().for_each(|slot| list.check_slot(*slot));
     }
-    assert!(changes.table().version < 20, "versions have started again");
+    assert!(list.table().version < 20, "the versions have restarted");
 }
 
 #[test]
-fn caches_beyond_the_indexes_of_a_row_are_ranked_all_the_same() {
+fn caches_with_indexes_too_large_for_a_row_are_ranked_correctly() {
     let caches = u64::from(NO_CACHE) + 40;
     let mut table = SlotTable::new();
-    let listed: Vec<(EndpointId, f64)> = (0..caches).map(|id| (EndpointId(id), 1.0)).collect();
-    table.set_caches(&listed);
+    table.set_caches(&caches_with_ids(0..caches));
     let entry = |id| {
         (
             id,
@@ -258,13 +267,17 @@
         )
     };
     let all: BTreeMap<u64, Endpoint> = (0..caches).map(entry).collect();
-    // Only slots matter that one of the last caches is a candidate of; some have none.
-    let late = |slot: &usize| {
+    // Checks only slots with a candidate whose index does not fit into a row, and two others.
+    let has_unstorable_candidate = |slot: &usize| {
         sorted(&all, *slot)[..CANDIDATES]
             .iter()
             .any(|id| id.0 >= u64::from(NO_CACHE))
     };
-    let slots: Vec<usize> = (0..SLOTS).step_by(997).filter(late).chain([0, 1]).collect();
+    let slots: Vec<usize> = (0..SLOTS)
+        .step_by(997)
+        .filter(has_unstorable_candidate)
+        .chain([0, 1])
+        .collect();
     for slot in slots {
         for _ in 0..2 {
             assert_eq!(*table.candidates(slot), sorted(&all, slot)[..CANDIDATES]);
@@ -281,34 +294,34 @@
     assert_eq!(*table.candidates(3), [EndpointId(8)]);
 }
 
-/// Caches of the same weight with these ids.
-fn listed(ids: std::ops::Range<u64>) -> Vec<(EndpointId, f64)> {
+/// Returns caches of weight 1 with these identifiers.
+fn caches_with_ids(ids: std::ops::Range<u64>) -> Vec<(EndpointId, f64)> {
     ids.map(|id| (EndpointId(id), 1.0)).collect()
 }
 
 #[test]
-fn batch_of_caches_costs_nothing_for_each_slot_when_it_is_listed() {
-    let (before, batch) = (3_200, 1_000);
+fn adding_many_caches_computes_no_hashes_until_slots_are_read() {
+    let (initial, added) = (3_200, 1_000);
     let mut table = SlotTable::new();
-    table.set_caches(&listed(0..before));
-    let in_use = 4_096;
-    (0..in_use).for_each(|slot| _ = table.candidates(slot));
+    table.set_caches(&caches_with_ids(0..initial));
+    let read_slots = 4_096;
+    (0..read_slots).for_each(|slot| _ = table.candidates(slot));
     assert_eq!(
-        hashes(|| table.set_caches(&listed(0..before + batch))),
+        count_hashes(|| table.set_caches(&caches_with_ids(0..initial + added))),
         0,
-        "when the batch is listed"
+        "adding caches computes no hashes"
     );
-    let caches = (before + batch) as usize;
-    for slot in 0..in_use {
-        let when_asked = hashes(|| _ = table.candidates(slot));
+    let caches = (initial + added) as usize;
+    for slot in 0..read_slots {
+        let computed = count_hashes(|| _ = table.candidates(slot));
         assert!(
-            when_asked <= caches + batch as usize,
-            "{when_asked} for slot {slot}"
+            computed <= caches + added as usize,
+            "slot {slot}: {computed} hashes"
         );
         assert_eq!(
-            hashes(|| _ = table.candidates(slot)),
+            count_hashes(|| _ = table.candidates(slot)),
             0,
-            "asked again for slot {slot}"
+            "slot {slot} is not recomputed at the second read"
         );
     }
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A hand-driven balancer: plays events into an engine, and keeps its timers and all its actions.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Test balancer that feeds events into an engine and keeps its timers and all its actions.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use routing::{
     Action, AttemptNumber, AttemptOutcome, AttemptResult, CacheStatus, Capabilities, ClassId,
@@ -15,7 +15,7 @@
 pub const NOT_IDEMPOTENT: ClassId = ClassId(2);
 
 const SEED: u64 = 42;
-/// The most attempts that [`TestBalancer::end_attempts`] ends.
+/// Maximum number of attempts that [`TestBalancer::end_attempts`] ends.
 const MAX_ATTEMPTS: usize = 4;
 
 pub fn settings() -> Settings {
@@ -65,7 +65,7 @@
     }
 }
 
-/// An entry of the endpoint list; zone and cell are the identifier modulo 2.
+/// Returns an entry of the endpoint list; zone and cell are the identifier modulo 2.
 pub fn endpoint(id: u64, state: EndpointState, started: Nanos) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
@@ -78,19 +78,19 @@
     }
 }
 
-/// An action with the time at which it was ordered.
+/// Action with the time at which it was issued.
 pub struct TimedAction {
     pub at: Nanos,
     pub action: Action,
 }
 
-/// A timer that has not fired yet.
+/// Timer that has not fired yet.
 pub struct PendingTimer {
     pub due: Nanos,
     pub token: TimerToken,
 }
 
-/// The timers that an engine has set.
+/// Timers that an engine has set.
 #[derive(Default)]
 pub struct TimerQueue {
     pending: Vec<PendingTimer>,
@@ -101,14 +101,14 @@
         self.pending.push(PendingTimer { due, token });
     }
 
-    /// Takes out the first timer that is due by then.
-    pub fn pop_due(&mut self, by: Nanos) -> Option<PendingTimer> {
+    /// Removes and returns the earliest timer that is due at time `now`.
+    pub fn pop_due(&mut self, now: Nanos) -> Option<PendingTimer> {
         let timers = self.pending.iter().enumerate();
         let (first, timer) = timers.min_by_key(|(_, timer)| (timer.due, timer.token))?;
-        (timer.due <= by).then(|| self.pending.remove(first))
+        (timer.due <= now).then(|| self.pending.remove(first))
     }
 
-    /// Delays all timers.
+    /// Delays all timers by this time.
     pub fn delay(&mut self, time: Nanos) {
         for timer in &mut self.pending {
             timer.due += time;
@@ -119,7 +119,7 @@
 pub struct TestBalancer {
     pub engine: Engine,
     pub now: Nanos,
-    pub ordered: Vec<TimedAction>,
+    pub issued: Vec<TimedAction>,
     pub timers: TimerQueue,
     pub sent_at: BTreeMap<(RequestId, AttemptNumber), Nanos>,
 }
@@ -132,7 +132,7 @@
     TestBalancer {
         engine: Engine::new(settings, seed, 0).expect("settings are consistent"),
         now: 0,
-        ordered: Vec::new(),
+        issued: Vec::new(),
         timers: TimerQueue::default(),
         sent_at: BTreeMap::new(),
     }
@@ -152,7 +152,7 @@
                 }
                 _ => {}
             }
-            self.ordered.push(TimedAction {
+            self.issued.push(TimedAction {
                 at: self.now,
                 action: action.clone(),
             });
@@ -160,7 +160,7 @@
         actions
     }
 
-    /// Lets time pass until then; timers fire when they are due.
+    /// Advances time to `until`; timers fire when they are due.
     pub fn run_until(&mut self, until: Nanos) {
         while let Some(timer) = self.timers.pop_due(until) {
             self.now = self.now.max(timer.due);
@@ -173,7 +173,7 @@
         self.run_until(self.now + time);
     }
 
-    /// A full endpoint list with these active endpoints arrives.
+    /// Delivers a full endpoint list with these active endpoints.
     pub fn list_endpoints(&mut self, ids: &[u64]) {
         let endpoints = ids
             .iter()
@@ -182,7 +182,7 @@
         self.update_endpoints(UpdateKind::Full, endpoints);
     }
 
-    /// One entry of the endpoint list changes.
+    /// Delivers a change of one entry of the endpoint list.
     pub fn change_endpoint(&mut self, id: u64, state: EndpointState, started: Nanos) {
         self.update_endpoints(UpdateKind::Delta, vec![endpoint(id, state, started)]);
     }
@@ -191,7 +191,7 @@
         self.handle(Event::EndpointUpdate { kind, endpoints });
     }
 
-    /// A request arrives; it is a write unless it is idempotent.
+    /// Delivers a request, which is a write unless it is idempotent.
     pub fn request(
         &mut self,
         id: u128,
@@ -210,18 +210,18 @@
         }))
     }
 
-    /// An idempotent read with its own key and a client timeout of 1 s arrives.
+    /// Delivers an idempotent read with its own key and a client timeout of 1 s.
     pub fn read(&mut self, id: u128) -> Vec<Action> {
         self.request(id, IDEMPOTENT, Some(id as u64), 1_000 * MS)
     }
 
-    /// An attempt ends; only an answer finishes the request.
+    /// Ends an attempt; only an answer completes the request.
     pub fn end(&mut self, id: u128, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
         let result = self.result(id, attempt, outcome);
         self.handle(Event::AttemptEnded(result))
     }
 
-    /// An attempt ends after its request was finished.
+    /// Ends an attempt of a request that was already completed.
     pub fn end_finished(&mut self, id: u128, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
         let result = AttemptResult {
             request_finished: true,
@@ -230,7 +230,7 @@
         self.handle(Event::AttemptEnded(result))
     }
 
-    /// An attempt ends with an answer or a failure that states a cache miss.
+    /// Ends an attempt with this outcome and the cache status of a miss.
     pub fn end_as_miss(&mut self, id: u128, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
         let result = AttemptResult {
             cache_status: Some(CacheStatus::Miss),
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Ends the attempts of a request, each at once with the outcome of its endpoint.
+    /// Ends the attempts of a request immediately, each with the outcome of its endpoint.
     pub fn end_attempts(
         &mut self,
         id: u128,
@@ -267,14 +267,14 @@
         }
     }
 
-    /// Ends every attempt of a request that is still in flight with an answer.
+    /// Ends every attempt of a request with an answer.
     pub fn answer_all(&mut self, id: u128) {
         for attempt in 0..self.sends(id).len() {
             self.end(id, attempt as u32, AttemptOutcome::Ok);
         }
     }
 
-    /// The endpoints that a request's attempts were sent to.
+    /// Returns the endpoints that a request's attempts were sent to.
     pub fn sends(&self, id: u128) -> Vec<EndpointId> {
         self.actions()
             .filter_map(|action| match action {
@@ -286,7 +286,7 @@
             .collect()
     }
 
-    /// How many final answers a request got from the engine.
+    /// Returns the number of final answers that the engine gave to a request.
     pub fn final_answers(&self, id: u128) -> usize {
         self.actions()
             .filter(|action| match action {
@@ -296,13 +296,13 @@
             .count()
     }
 
-    /// All actions so far.
+    /// Returns all actions so far.
     pub fn actions(&self) -> impl Iterator<Item = &Action> {
-        self.ordered.iter().map(|ordered| &ordered.action)
+        self.issued.iter().map(|issued| &issued.action)
     }
 
-    /// Whether this action was ordered since there were `count` of them.
-    pub fn has_ordered_since(&self, count: usize, action: &Action) -> bool {
-        self.actions().skip(count).any(|ordered| ordered == action)
+    /// Returns whether this action was issued after the first `count` actions.
+    pub fn has_issued_since(&self, count: usize, action: &Action) -> bool {
+        self.actions().skip(count).any(|issued| issued == action)
     }
 }
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures, each played by hand: what the engine does against overload, outliers and outages.
+//! Tests of the engine's behaviour during overload, outliers and outages.
 
 mod common;
 
@@ -8,29 +8,30 @@
     EndpointState, Event, OriginMode, RequestId, Settings, UpdateKind,
 };
 
-const ONE: EndpointId = EndpointId(1);
+const ENDPOINT_1: EndpointId = EndpointId(1);
 
-/// Settings without health checks: a request is the recovery probe.
+/// Returns settings without health checks, so that requests serve as recovery probes.
 fn settings_without_health_checks() -> Settings {
     let mut settings = settings();
     settings.capabilities.health_checks = false;
     settings
 }
 
-/// An answer, or this failure.
+/// Returns a successful outcome, or `failure` if `fails` is set.
 fn ok_or(failure: AttemptOutcome, fails: bool) -> AttemptOutcome {
     if fails { failure } else { AttemptOutcome::Ok }
 }
 
-/// What became of reads.
+/// Counts of the attempts and of the engine's final answers of some reads.
 #[derive(Debug, PartialEq)]
 struct ReadCounts {
     attempts: usize,
     final_answers: usize,
 }
 
-/// Plays `count` reads of new keys, 10 ms apart, and ends each attempt at once with this outcome.
-fn play_reads(
+/// Sends `count` reads of new keys, 10 ms apart, and ends each attempt immediately with this
+/// outcome.
+fn run_reads(
     balancer: &mut TestBalancer,
     first: u128,
     count: u128,
@@ -55,16 +56,17 @@
 }
 
 #[test]
-fn overloaded_origin_is_spared_what_it_would_have_to_fetch() {
+fn overloaded_origin_receives_few_fetches() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4]);
-    play_reads(&mut balancer, 1, 200, AttemptOutcome::Ok);
-    play_reads(&mut balancer, 1_000, 100, AttemptOutcome::Error);
-    // All fetches fail: of the next hundred unknown keys few are sent, none of them twice.
-    let counts = play_reads(&mut balancer, 2_000, 100, AttemptOutcome::Error);
+    run_reads(&mut balancer, 1, 200, AttemptOutcome::Ok);
+    run_reads(&mut balancer, 1_000, 100, AttemptOutcome::Error);
+    // All fetches fail: few of the next hundred reads of uncached keys are sent, and none is
+    // retried.
+    let counts = run_reads(&mut balancer, 2_000, 100, AttemptOutcome::Error);
     assert!(counts.attempts < 25, "{counts:?}");
     assert_eq!(counts.final_answers, 100);
-    // A key that was answered lately is admitted all the same.
+    // A read of a recently answered key is still admitted.
     balancer.request(5_000, IDEMPOTENT, Some(200), 1_000 * MS);
     assert_eq!(balancer.sends(5_000).len(), 1);
 }
@@ -73,9 +75,9 @@
 fn recovered_origin_is_used_again() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4]);
-    play_reads(&mut balancer, 1, 100, AttemptOutcome::Error);
-    play_reads(&mut balancer, 1_000, 1_000, AttemptOutcome::Ok);
-    let counts = play_reads(&mut balancer, 5_000, 100, AttemptOutcome::Ok);
+    run_reads(&mut balancer, 1, 100, AttemptOutcome::Error);
+    run_reads(&mut balancer, 1_000, 1_000, AttemptOutcome::Ok);
+    let counts = run_reads(&mut balancer, 5_000, 100, AttemptOutcome::Ok);
     let all_answered = ReadCounts {
         attempts: 100,
         final_answers: 0,
@@ -92,18 +94,18 @@
         balancer.read(id);
         let now = balancer.now;
         balancer.end_attempts(id, |endpoint| {
-            let refuses = endpoint == ONE;
+            let refuses = endpoint == ENDPOINT_1;
             tried_at.extend(refuses.then_some(now));
             ok_or(AttemptOutcome::ConnectFailed, refuses)
         });
         assert_eq!(
             balancer.final_answers(id),
             0,
-            "another endpoint was there for {id}"
+            "read {id} is retried at another endpoint"
         );
         balancer.run_for(10 * MS);
     }
-    // In 12 s: two failures, then single probes after 1, 2, 4 s and more.
+    // Expected in 12 s: two failures, then single probes after 1, 2, 4 s and more.
     assert!((3..=7).contains(&tried_at.len()), "{tried_at:?}");
     let mut intervals = tried_at.windows(2).skip(1).map(|pair| pair[1] - pair[0]);
     assert!(
@@ -113,42 +115,42 @@
 }
 
 #[test]
-fn with_health_checks_no_client_pays_for_probing_a_dead_endpoint() {
+fn with_health_checks_no_client_request_probes_a_failed_endpoint() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4]);
-    let (mut attempts_at_dead, mut health_checks) = (0, 0);
+    let (mut attempts_at_failed, mut health_checks) = (0, 0);
     for id in 1..=2_000u128 {
-        let is_dead = id < 1_000;
+        let has_failed = id < 1_000;
         balancer.read(id);
         balancer.end_attempts(id, |endpoint| {
-            let fails = endpoint == ONE && is_dead;
-            attempts_at_dead += usize::from(fails);
+            let fails = endpoint == ENDPOINT_1 && has_failed;
+            attempts_at_failed += usize::from(fails);
             ok_or(AttemptOutcome::ConnectFailed, fails)
         });
-        let before = balancer.ordered.len();
+        let before = balancer.issued.len();
         balancer.run_for(10 * MS);
-        if balancer.has_ordered_since(before, &Action::HealthCheck(ONE)) {
+        if balancer.has_issued_since(before, &Action::HealthCheck(ENDPOINT_1)) {
             health_checks += 1;
             balancer.handle(Event::HealthCheckEnded {
-                endpoint: ONE,
-                outcome: ok_or(AttemptOutcome::Timeout, is_dead),
+                endpoint: ENDPOINT_1,
+                outcome: ok_or(AttemptOutcome::Timeout, has_failed),
                 load_report: None,
             });
         }
     }
     assert_eq!(
-        attempts_at_dead, 2,
-        "two failures, then health checks alone"
+        attempts_at_failed, 2,
+        "two failures, then only health checks"
     );
     assert!((3..=8).contains(&health_checks), "{health_checks}");
     let recovered = (1_900..2_000)
-        .filter(|id| balancer.sends(*id).contains(&ONE))
+        .filter(|id| balancer.sends(*id).contains(&ENDPOINT_1))
         .count();
     assert!(recovered > 5, "{recovered}");
 }
 
 #[test]
-fn unreachable_zone_stays_ejected_though_it_is_more_than_half_the_fleet() {
+fn unreachable_zone_stays_ejected_even_if_it_is_more_than_half_of_the_fleet() {
     let mut balancer = balancer(settings_without_health_checks());
     balancer.list_endpoints(&[1, 2, 3, 4, 5, 7, 9]);
     let mut attempts_at_unreachable = 0;
@@ -161,7 +163,7 @@
         });
         balancer.run_for(10 * MS);
     }
-    // Five endpoints for 5 s: single probes, some seconds apart.
+    // Five unreachable endpoints for 5 s: only single probes, some seconds apart.
     assert!(attempts_at_unreachable <= 20, "{attempts_at_unreachable}");
 }
 
@@ -179,8 +181,7 @@
         balancer.read(id);
         reset_attempts(&mut balancer, id);
     }
-    // Most are rejected, as nothing is served; some still find an endpoint, to see whether it works
-    // again.
+    // Most reads are rejected because nothing is served; some are still sent, to detect recovery.
     for id in 1_000..1_100u128 {
         balancer.request(id, IDEMPOTENT, Some(3), 1_000 * MS);
         reset_attempts(&mut balancer, id);
@@ -190,15 +191,15 @@
 }
 
 #[test]
-fn silent_endpoint_is_ejected_though_its_overdue_reads_were_cancelled() {
+fn unresponsive_endpoint_is_ejected_although_its_overdue_reads_were_cancelled() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4]);
-    let mut to_silent = 0;
+    let mut sent_to_unresponsive = 0;
     for id in 1..=400u128 {
         balancer.read(id);
         balancer.run_for(5 * MS);
-        if balancer.sends(id)[0] == ONE && id > 200 {
-            to_silent += 1;
+        if balancer.sends(id)[0] == ENDPOINT_1 && id > 200 {
+            sent_to_unresponsive += 1;
             balancer.run_for(600 * MS);
             assert_eq!(balancer.sends(id).len(), 2, "an overdue read is hedged");
             balancer.end(id, 1, AttemptOutcome::Ok);
@@ -207,11 +208,14 @@
             balancer.end(id, 0, AttemptOutcome::Ok);
         }
     }
-    assert!((1..=6).contains(&to_silent), "{to_silent}");
+    assert!(
+        (1..=6).contains(&sent_to_unresponsive),
+        "{sent_to_unresponsive}"
+    );
 }
 
 #[test]
-fn hedges_stay_a_small_share_when_all_attempts_are_overdue() {
+fn hedges_are_limited_when_all_attempts_are_overdue() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4, 5, 6]);
     for id in 1..=100u128 {
@@ -234,8 +238,8 @@
 fn hedges_do_not_raise_the_hedge_delay() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3]);
-    // One endpoint is silent, the others answer within 10 ms: a hedge's latency counts from its own
-    // start.
+    // One endpoint is unresponsive, the others answer within 10 ms. The latency of a hedge is
+    // measured from its own start.
     let mut delays = Vec::new();
     for id in 1..=600u128 {
         balancer.read(id);
@@ -272,13 +276,13 @@
     balancer.run_until(300 * MS);
     let rejected: usize = (1..=50).map(|id| balancer.final_answers(id)).sum();
     assert_eq!(rejected, 45);
-    assert!(balancer.ordered.iter().all(|ordered| {
-        !matches!(ordered.action, Action::Reject { .. }) || ordered.at <= 200 * MS
+    assert!(balancer.issued.iter().all(|issued| {
+        !matches!(issued.action, Action::Reject { .. }) || issued.at <= 200 * MS
     }));
 }
 
 #[test]
-fn capacity_goes_to_the_greatest_priority_weight_first() {
+fn capacity_goes_to_the_highest_priority_weight_first() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1]);
     for id in 1..=10u128 {
@@ -293,12 +297,12 @@
     assert_eq!(
         sent,
         Some(RequestId(10)),
-        "before those that arrived earlier"
+        "the request with the highest weight is sent before earlier ones"
     );
     assert_eq!(
         balancer.sends(9).len(),
         0,
-        "there is not enough capacity for all"
+        "there is not enough capacity for all requests"
     );
 }
 
@@ -314,9 +318,9 @@
     balancer.update_endpoints(UpdateKind::Stale, entry());
     let mut calls = Vec::new();
     for _ in 0..600 {
-        let before = balancer.ordered.len();
+        let before = balancer.issued.len();
         balancer.run_for(100 * MS);
-        if balancer.has_ordered_since(before, &Action::QueryDiscovery) {
+        if balancer.has_issued_since(before, &Action::QueryDiscovery) {
             calls.push(balancer.now);
             balancer.update_endpoints(UpdateKind::Failed, Vec::new());
         }
@@ -325,16 +329,16 @@
     let intervals: Vec<u64> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
         intervals.iter().all(|interval| *interval <= 4_000 * MS),
-        "with a call that hangs within 6 s"
+        "together with a call that does not return, an interval stays within 6 s"
     );
     assert!(intervals[intervals.len() - 1] >= 1_200 * MS);
     balancer.run_for(10_000 * MS);
     balancer.update_endpoints(UpdateKind::Full, entry());
-    let before = balancer.ordered.len();
+    let before = balancer.issued.len();
     balancer.run_for(60_000 * MS);
     assert!(
-        !balancer.has_ordered_since(before, &Action::QueryDiscovery),
-        "no call while watching"
+        !balancer.has_issued_since(before, &Action::QueryDiscovery),
+        "discovery is not queried while the watch is working"
     );
 }
 
@@ -359,13 +363,17 @@
         balancer.end(id, 0, AttemptOutcome::CacheMiss);
         assert_eq!(balancer.sends(id)[1], origin);
         balancer.run_for(600 * MS);
-        assert_eq!(balancer.sends(id).len(), 2, "no hedge beside the origin");
+        assert_eq!(
+            balancer.sends(id).len(),
+            2,
+            "attempts at the origin are not hedged"
+        );
         let fails = id == 200;
         balancer.end(id, 1, ok_or(AttemptOutcome::Error, fails));
         assert_eq!(
             balancer.final_answers(id),
             usize::from(fails),
-            "not retried"
+            "a failed attempt at the origin is not retried"
         );
     }
     balancer.request(1_000, NOT_IDEMPOTENT, Some(5), 1_000 * MS);
@@ -373,7 +381,7 @@
 }
 
 #[test]
-fn few_healthy_endpoints_do_not_get_all_the_load() {
+fn few_healthy_endpoints_do_not_receive_the_whole_load() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4, 5]);
     let healthy = EndpointId(5);
@@ -412,7 +420,7 @@
     for id in 1..=6u128 {
         balancer.request(id, ClassId(id as usize % 3), Some(7), 1_000 * MS);
         balancer.run_for(1_100 * MS);
-        // The clock steps by hours, in which no timer fired.
+        // The clock jumps by three hours, during which no timer fires.
         balancer.now += clock_step;
         balancer.timers.delay(clock_step);
         assert_eq!(balancer.final_answers(id), 1);
@@ -424,10 +432,10 @@
 }
 
 #[test]
-fn retries_stay_a_small_share_when_all_attempts_fail() {
+fn retries_are_limited_when_all_attempts_fail() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4, 5, 6]);
-    play_reads(&mut balancer, 1, 100, AttemptOutcome::Unreadable);
+    run_reads(&mut balancer, 1, 100, AttemptOutcome::Unreadable);
     let retries: usize = (1..=100)
         .map(|id| balancer.sends(id).len().saturating_sub(1))
         .sum();
@@ -435,7 +443,7 @@
 }
 
 #[test]
-fn attempt_that_a_hedge_beat_is_cancelled() {
+fn attempt_is_cancelled_when_its_hedge_is_answered_first() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3]);
     balancer.read(1);
@@ -450,7 +458,7 @@
 }
 
 #[test]
-fn two_timeouts_of_a_silent_endpoint_eject_it() {
+fn two_timeouts_of_an_unresponsive_endpoint_eject_it() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1]);
     let mut logs = 0;
@@ -476,6 +484,6 @@
             _ => None,
         })
         .collect();
-    // Three quarters of the window of 500 ms, which is less than the client's timeout.
+    // Three quarters of the window of 500 ms, which is shorter than the client's timeout.
     assert_eq!(timeouts, [Some(375 * MS)]);
 }
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random valid sequences of events, from fixed seeds: the rules hold for all actions, and the same
-//! events give the same actions.
+//! Property tests with random valid sequences of events from fixed seeds: all actions follow the
+//! rules of the service, and the same events give the same actions.
 
 mod common;
 
@@ -13,7 +13,7 @@
 };
 use std::collections::BTreeMap;
 
-/// One step of a sequence. A `selector` picks one of what there is, modulo its number.
+/// Step of a sequence. A `selector` chooses one of the existing items, modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive {
@@ -89,7 +89,7 @@
     EndpointState::Removed,
 ];
 
-/// An attempt as the outside observes it.
+/// Attempt as observed from outside the engine.
 struct ObservedAttempt {
     endpoint: u64,
     sent_at: Nanos,
@@ -107,7 +107,7 @@
     }
 }
 
-/// A request as the outside observes it.
+/// Request as observed from outside the engine.
 struct ObservedRequest {
     class: usize,
     deadline: Nanos,
@@ -127,46 +127,46 @@
     }
 }
 
-/// An attempt that is in flight.
+/// Reference to an attempt in flight.
 #[derive(Clone, Copy)]
 struct InFlight {
     request: u128,
     number: usize,
 }
 
-/// An engine and the world around it, which checks every action against the rules.
-struct World {
+/// Engine with a simulated balancer that checks every action against the rules.
+struct CheckedBalancer {
     settings: Settings,
     engine: Engine,
     now: Nanos,
     last_request: u128,
     requests: BTreeMap<u128, ObservedRequest>,
     timers: TimerQueue,
-    /// Whether each listed endpoint is active.
-    listed: BTreeMap<u64, bool>,
+    /// Whether each endpoint of the list is active.
+    active_by_endpoint: BTreeMap<u64, bool>,
     actions: Vec<Action>,
 }
 
-impl World {
+impl CheckedBalancer {
     fn new(settings: Settings) -> Self {
         let engine = Engine::new(settings.clone(), 9, 0).expect("settings are consistent");
-        World {
+        CheckedBalancer {
             settings,
             engine,
             now: 0,
             last_request: 0,
             requests: BTreeMap::new(),
             timers: TimerQueue::default(),
-            listed: BTreeMap::new(),
+            active_by_endpoint: BTreeMap::new(),
             actions: Vec::new(),
         }
     }
 
     fn request_mut(&mut self, id: u128) -> &mut ObservedRequest {
-        self.requests.get_mut(&id).expect("known")
+        self.requests.get_mut(&id).expect("the request was sent")
     }
 
-    /// Plays an event and checks every action that it leads to against the rules.
+    /// Handles an event and checks every resulting action against the rules.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.engine.handle(self.now, event, &mut actions);
@@ -188,7 +188,7 @@
                 }
                 Action::SetTimer { after, token } => self.timers.push(self.now + after, *token),
                 Action::HealthCheck(endpoint) => {
-                    assert!(self.listed.contains_key(&endpoint.0));
+                    assert!(self.active_by_endpoint.contains_key(&endpoint.0));
                 }
                 Action::CloseIdleConnections(_)
                 | Action::QueryDiscovery
@@ -209,14 +209,14 @@
                 scope: DeduplicationScope::All,
                 ..
             } => {}
-            _ => assert!(!may_have_run, "rejected what may have run"),
+            _ => assert!(!may_have_run, "rejected a request that may have run"),
         }
         self.check_final_answer(id);
     }
 
     fn check_send(&mut self, id: u128, endpoint: u64) {
         assert_eq!(
-            self.listed.get(&endpoint),
+            self.active_by_endpoint.get(&endpoint),
             Some(&true),
             "sent to an endpoint that is draining or removed"
         );
@@ -226,17 +226,20 @@
         let request = self.request_mut(id);
         assert!(
             request.is_open() && !request.is_streaming,
-            "sent after the end"
+            "sent an attempt of a completed or streaming request"
         );
-        assert!(now < request.deadline, "sent too late");
+        assert!(now < request.deadline, "sent an attempt after the deadline");
         assert!(
             request.attempts.len() < capabilities.max_attempts as usize,
-            "too many attempts"
+            "sent more attempts than allowed"
         );
         let attempts = request.attempts.iter();
         let in_flight = attempts.filter(|attempt| attempt.is_in_flight()).count();
         let may_hedge = capabilities.hedging && idempotency == Idempotency::Idempotent;
-        assert!(in_flight == 0 || in_flight == 1 && may_hedge, "two at once");
+        assert!(
+            in_flight == 0 || in_flight == 1 && may_hedge,
+            "sent a concurrent attempt that is not allowed"
+        );
         check_repeat(idempotency, request, endpoint, now);
         request.attempts.push(ObservedAttempt {
             endpoint,
@@ -251,11 +254,11 @@
         let request = self.request_mut(id);
         assert!(
             !request.is_finished && !request.is_streaming,
-            "answered what was finished"
+            "answered a completed or streaming request"
         );
         request.final_answers += 1;
-        assert_eq!(request.final_answers, 1, "two final answers");
-        assert!(now <= latest, "answered too late");
+        assert_eq!(request.final_answers, 1, "a request got two final answers");
+        assert!(now <= latest, "answered after the deadline and its grace");
     }
 
     fn in_flight(&self) -> Vec<InFlight> {
@@ -311,15 +314,15 @@
         }
         self.now = self.now.max(until);
         for (id, request) in &self.requests {
-            let is_late = self.now > request.deadline + self.settings.rules.final_answer_grace;
+            let is_overdue = self.now > request.deadline + self.settings.rules.final_answer_grace;
             assert!(
-                !is_late || request.is_answered(),
-                "request {id} has no answer"
+                !is_overdue || request.is_answered(),
+                "request {id} has no final answer"
             );
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Arrive {
                 class,
@@ -354,7 +357,7 @@
                 kind: UpdateKind::Failed,
                 endpoints: Vec::new(),
             }),
-            Step::Unknown { id, token } => self.play_unknown(*id, *token),
+            Step::Unknown { id, token } => self.send_unknown_events(*id, *token),
             Step::Wait { ms } => self.wait_until(self.now + ms * MS),
         }
     }
@@ -416,9 +419,10 @@
 
     fn change_endpoint(&mut self, id: u64, state: EndpointState, started: Nanos) {
         if state == EndpointState::Removed {
-            self.listed.remove(&id);
+            self.active_by_endpoint.remove(&id);
         } else {
-            self.listed.insert(id, state == EndpointState::Active);
+            self.active_by_endpoint
+                .insert(id, state == EndpointState::Active);
         }
         self.handle(Event::EndpointUpdate {
             kind: UpdateKind::Delta,
@@ -427,7 +431,7 @@
     }
 
     fn replace_list(&mut self, ids: &[u64]) {
-        self.listed = ids.iter().map(|id| (*id, true)).collect();
+        self.active_by_endpoint = ids.iter().map(|id| (*id, true)).collect();
         let entries = ids.iter();
         let endpoints = entries
             .map(|id| endpoint(*id, EndpointState::Active, 0))
@@ -438,7 +442,7 @@
         });
     }
 
-    fn play_unknown(&mut self, id: u128, token: u64) {
+    fn send_unknown_events(&mut self, id: u128, token: u64) {
         let unknown = RequestId(id.saturating_add(1 << 100));
         let token = TimerToken(token.saturating_add(1 << 40));
         self.handle(Event::TimerFired(token));
@@ -465,7 +469,7 @@
     }
 }
 
-/// Checks that a request which may have run is not sent where it could run twice.
+/// Checks that a request that may have run is not sent to an endpoint where it could run twice.
 fn check_repeat(idempotency: Idempotency, request: &ObservedRequest, endpoint: u64, now: Nanos) {
     let attempts = request.attempts.iter();
     let mut earlier = attempts.filter(|attempt| attempt.may_have_run());
@@ -474,21 +478,27 @@
         Idempotency::NotIdempotent => {
             assert!(
                 earlier.next().is_none(),
-                "a request that is not idempotent twice"
+                "repeated a request that is not idempotent"
             );
         }
         Idempotency::Keyed { scope, window } => {
             for attempt in earlier {
-                assert!(now < attempt.sent_at + window, "after the window");
+                assert!(
+                    now < attempt.sent_at + window,
+                    "repeated a keyed request after its window"
+                );
                 let is_in_scope =
                     scope == DeduplicationScope::All || attempt.endpoint % 2 == endpoint % 2;
-                assert!(is_in_scope, "outside the deduplication scope");
+                assert!(
+                    is_in_scope,
+                    "repeated a keyed request outside its deduplication scope"
+                );
             }
         }
     }
 }
 
-/// Settings that differ in what the deployment supports.
+/// Returns settings number `n`, which differ in the features that the deployment supports.
 fn variant(n: usize) -> Settings {
     let mut settings = settings();
     let scope = [
@@ -531,24 +541,25 @@
     let steps = (0..35usize, proptest::collection::vec(step(), 1..200));
     runner(1)
         .run(&steps, |(n, steps)| {
-            let mut world = World::new(variant(n));
-            world.play(&Step::ReplaceList {
+            let mut balancer = CheckedBalancer::new(variant(n));
+            balancer.apply(&Step::ReplaceList {
                 ids: vec![1, 2, 3, 4, 5],
             });
             for step in &steps {
-                world.play(step);
+                balancer.apply(step);
             }
-            world.wait_until(world.now + 5_000 * MS);
-            for (id, request) in &world.requests {
-                assert!(request.is_answered(), "request {id} has no answer");
+            balancer.wait_until(balancer.now + 5_000 * MS);
+            for (id, request) in &balancer.requests {
+                assert!(request.is_answered(), "request {id} has no final answer");
             }
-            // Late ends of what is finished lead to nothing that breaks a rule.
-            for in_flight in world.in_flight() {
-                world.end_attempt(in_flight, AttemptOutcome::Timeout, false);
+            // Ends the attempts that are still in flight; ends that arrive after completion must
+            // break no rule.
+            for in_flight in balancer.in_flight() {
+                balancer.end_attempt(in_flight, AttemptOutcome::Timeout, false);
             }
             Ok(())
         })
-        .expect("the rules hold");
+        .expect("no rule is broken");
 }
 
 #[test]
@@ -556,15 +567,18 @@
     let steps = (0..35usize, proptest::collection::vec(step(), 1..120));
     runner(2)
         .run(&steps, |(n, steps)| {
-            let mut worlds = [World::new(variant(n)), World::new(variant(n))];
-            for world in &mut worlds {
-                world.play(&Step::ReplaceList {
+            let mut balancers = [
+                CheckedBalancer::new(variant(n)),
+                CheckedBalancer::new(variant(n)),
+            ];
+            for balancer in &mut balancers {
+                balancer.apply(&Step::ReplaceList {
                     ids: vec![5, 3, 1, 2, 4],
                 });
-                steps.iter().for_each(|step| world.play(step));
+                steps.iter().for_each(|step| balancer.apply(step));
             }
-            assert_eq!(worlds[0].actions, worlds[1].actions);
+            assert_eq!(balancers[0].actions, balancers[1].actions);
             Ok(())
         })
-        .expect("the same");
+        .expect("the actions are the same");
 }
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the service, each played by hand.
+//! Tests of the rules of the service, one scenario each.
 
 mod common;
 
@@ -10,7 +10,7 @@
     Event, Idempotency, RequestId, Settings,
 };
 
-/// Makes settings inconsistent.
+/// Function that makes settings inconsistent.
 type Corruption = fn(&mut Settings);
 
 fn is_reject(action: &Action) -> bool {
@@ -27,7 +27,7 @@
     )
 }
 
-/// Settings whose keyed class has this deduplication scope.
+/// Returns settings whose keyed class has this deduplication scope.
 fn settings_with_scope(scope: DeduplicationScope) -> Settings {
     let mut settings = settings();
     settings.classes[KEYED.0].idempotency = Idempotency::Keyed {
@@ -52,24 +52,24 @@
     assert_eq!(balancer.final_answers(1), 1);
     assert!(
         balancer
-            .ordered
+            .issued
             .iter()
-            .any(|ordered| is_reject(&ordered.action) && ordered.at <= 1_000 * MS)
+            .any(|issued| is_reject(&issued.action) && issued.at <= 1_000 * MS)
     );
 }
 
 #[test]
-fn silent_endpoint_leads_to_one_failure_at_the_deadline_and_nothing_after() {
+fn unresponsive_endpoint_leads_to_one_failure_at_the_deadline() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1]);
     balancer.request(1, NOT_IDEMPOTENT, Some(7), 1_000 * MS);
     balancer.run_until(5_000 * MS);
     assert_eq!(balancer.final_answers(1), 1);
     let failure = balancer
-        .ordered
+        .issued
         .iter()
-        .find(|ordered| is_fail_of_first(&ordered.action))
-        .expect("failed");
+        .find(|issued| is_fail_of_first(&issued.action))
+        .expect("the request is failed");
     let grace = settings().rules.final_answer_grace;
     assert!(failure.at >= 900 * MS && failure.at <= 1_000 * MS + grace);
     assert_eq!(balancer.sends(1).len(), 1);
@@ -111,7 +111,7 @@
         if !is_retried {
             assert!(
                 balancer.actions().any(is_fail_of_first),
-                "a rejection would promise too much"
+                "the request is failed, because a rejection would promise that a retry is harmless"
             );
         }
     }
@@ -145,7 +145,7 @@
 fn keyed_request_stays_in_its_deduplication_scope() {
     for scope in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let mut balancer = balancer(settings_with_scope(scope));
-        // Zones and cells are the endpoint's identifier modulo 2.
+        // The zone and the cell of an endpoint are its identifier modulo 2.
         balancer.list_endpoints(&[1, 2, 3, 4, 5, 6]);
         for id in 1..200 {
             balancer.request(id, KEYED, Some(id as u64), 2_000 * MS);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn draining_and_removed_endpoints_get_nothing_new() {
+fn draining_and_removed_endpoints_receive_no_new_attempts() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4]);
     balancer.change_endpoint(1, EndpointState::Draining, 0);
@@ -195,14 +195,14 @@
     assert_eq!(balancer.final_answers(999), 1);
 }
 
-/// How many attempts of a request went to this endpoint.
+/// Returns the number of attempts of a request that were sent to this endpoint.
 fn count_sends_to(balancer: &TestBalancer, id: u128, endpoint: u64) -> usize {
     let sends = balancer.sends(id).into_iter();
     sends.filter(|id| *id == EndpointId(endpoint)).count()
 }
 
-/// Reads with these identifiers, 10 ms apart, are answered; returns how many went first to
-/// endpoint 4.
+/// Sends reads with these identifiers, 10 ms apart, and answers them. Returns how many were first
+/// sent to endpoint 4.
 fn count_first_reads_at_4(balancer: &mut TestBalancer, ids: impl Iterator<Item = u128>) -> usize {
     let mut count = 0;
     for id in ids {
@@ -217,65 +217,66 @@
 }
 
 #[test]
-fn endpoint_in_slow_start_gets_no_more_than_its_due() {
+fn endpoint_in_slow_start_receives_at_most_its_budget() {
     let mut balancer = balancer(settings());
     balancer.now = 100_000 * MS;
     balancer.list_endpoints(&[1, 2, 3]);
-    let mut to_cold = count_first_reads_at_4(&mut balancer, 1..=1_000);
+    let mut sent_to_fresh = count_first_reads_at_4(&mut balancer, 1..=1_000);
     let started = balancer.now;
     balancer.change_endpoint(4, EndpointState::Active, started);
-    to_cold += count_first_reads_at_4(&mut balancer, 1_001..=1_300);
-    // 100 a second over 3.2 to 3.44 ready endpoints for 3 s at a capacity from 0.2 to 0.44, and a
-    // fifth more: 35 are due.
-    assert!((5..=37).contains(&to_cold), "{to_cold}");
+    sent_to_fresh += count_first_reads_at_4(&mut balancer, 1_001..=1_300);
+    // 100 requests per second over 3.2 to 3.44 ready endpoints for 3 s, at a capacity from 0.2 to
+    // 0.44 and with the factor 1.2, amount to a budget of 35 attempts.
+    assert!((5..=37).contains(&sent_to_fresh), "{sent_to_fresh}");
 }
 
-/// Thirteen reads, a second apart, of which every other is rejected; endpoint 10 starts after ten.
-/// Returns how many attempts were sent to it.
+/// Sends thirteen reads, a second apart, every other of which is rejected; endpoint 10 starts after
+/// ten of them. Returns the number of attempts sent to endpoint 10.
 fn count_sends_to_fresh_endpoint(balancer: &mut TestBalancer, first_key: u64) -> usize {
-    let mut to_cold = 0;
-    for n in 0..13u64 {
-        if n == 10 {
+    let mut sent_to_fresh = 0;
+    for second in 0..13u64 {
+        if second == 10 {
             let started = balancer.now;
             balancer.change_endpoint(10, EndpointState::Active, started);
         }
-        let id = u128::from(n + 1);
-        balancer.request(id, IDEMPOTENT, Some(first_key + n), 1_000 * MS);
-        to_cold += count_sends_to(balancer, id, 10);
+        let id = u128::from(second + 1);
+        balancer.request(id, IDEMPOTENT, Some(first_key + second), 1_000 * MS);
+        sent_to_fresh += count_sends_to(balancer, id, 10);
         balancer.run_for(100 * MS);
         if !balancer.sends(id).is_empty() {
-            let outcome = if n % 2 == 0 {
+            let outcome = if second % 2 == 0 {
                 AttemptOutcome::Ok
             } else {
                 AttemptOutcome::Rejected
             };
             balancer.end(id, 0, outcome);
             let retries = balancer.sends(id).into_iter().skip(1);
-            to_cold += retries.filter(|id| *id == EndpointId(10)).count();
+            sent_to_fresh += retries.filter(|id| *id == EndpointId(10)).count();
         }
         balancer.run_for(900 * MS);
     }
-    to_cold
+    sent_to_fresh
 }
 
 #[test]
-fn hundreds_of_balancers_together_send_an_endpoint_in_slow_start_no_more_than_its_due() {
-    // 300 balancers with a request a second each, four equal endpoints, one of them fresh, and half
-    // of what is requested served: for 3 s at a capacity from 0.2 to 0.44 some 36 are due; over 200
-    // are requested.
-    let mut to_cold = 0;
+fn hundreds_of_balancers_together_keep_an_endpoint_in_slow_start_within_its_budget() {
+    // 300 balancers with one request per second each, and four equal endpoints of which one has
+    // just started; half of the requests are served. For 3 s at a capacity from 0.2 to 0.44 the
+    // budget is about 36 attempts, of over 200 requested.
+    let mut sent_to_fresh = 0;
     for seed in 0..300u64 {
         let mut balancer = balancer_with_seed(settings_of_fleet(300), seed);
         balancer.now = 100_000 * MS;
         balancer.list_endpoints(&[1, 2, 3]);
-        to_cold += count_sends_to_fresh_endpoint(&mut balancer, seed * 100);
+        sent_to_fresh += count_sends_to_fresh_endpoint(&mut balancer, seed * 100);
     }
-    assert!((4..=40).contains(&to_cold), "{to_cold}");
+    assert!((4..=40).contains(&sent_to_fresh), "{sent_to_fresh}");
 }
 
 const REQUESTS_PER_SECOND: u64 = 10;
 
-/// When one of many balancers sends to endpoint 10, which starts after two of eight seconds.
+/// Returns the times at which one of many balancers sends to endpoint 10, which starts after two of
+/// eight seconds.
 fn send_times_to_fresh_endpoint(balancers: usize, seed: u64) -> Vec<u64> {
     let mut sent_at = Vec::new();
     let mut balancer = balancer_with_seed(settings_of_fleet(balancers), seed);
@@ -288,8 +289,8 @@
         }
         let id = u128::from(n + 1);
         balancer.request(id, IDEMPOTENT, Some(seed * 1_000 + n), 1_000 * MS);
-        let to_cold = count_sends_to(&balancer, id, 10);
-        sent_at.extend(std::iter::repeat_n(balancer.now, to_cold));
+        let sent_to_fresh = count_sends_to(&balancer, id, 10);
+        sent_at.extend(std::iter::repeat_n(balancer.now, sent_to_fresh));
         balancer.run_for(5 * MS);
         balancer.answer_all(id);
         balancer.run_for(1_000 * MS / REQUESTS_PER_SECOND - 5 * MS);
@@ -297,9 +298,9 @@
     sent_at
 }
 
-/// Twenty to thirty balancers and one fresh endpoint of four, all of which serve: what is sent to
-/// it within the overload window stays within N + 2 root N + 2, N being what the settings let it
-/// bear: `overload_factor` times its part of the work of a ready one.
+/// With twenty to thirty balancers and one recently started endpoint of four, the attempts sent to
+/// it within the overload window stay within N + 2 sqrt(N) + 2. N is the load that the settings let
+/// it tolerate: `overload_factor` times its part of the load of a warm endpoint.
 #[test]
 fn twenty_to_thirty_balancers_together_keep_an_endpoint_in_slow_start_within_its_budget() {
     for balancers in [20u64, 25, 30] {
@@ -315,22 +316,22 @@
                 .filter(|at| (from..from + rules.overload_window).contains(*at))
                 .count() as f64;
             let age = (from - started) as f64 / rules.slow_start_duration as f64;
-            // The least that it can bear, at the beginning of the window.
+            // The lowest capacity in the window is the one at its beginning.
             let capacity = rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * age;
             let ready_per_second = (balancers * REQUESTS_PER_SECOND) as f64 / (3.0 + capacity);
-            let bears = rules.overload_factor * ready_per_second * capacity * window_seconds;
-            let most = bears + 2.0 * bears.sqrt() + 2.0;
+            let tolerated = rules.overload_factor * ready_per_second * capacity * window_seconds;
+            let maximum = tolerated + 2.0 * tolerated.sqrt() + 2.0;
             assert!(
-                sent <= most,
-                "{balancers} balancers: {sent} of {most} from {from}"
+                sent <= maximum,
+                "{balancers} balancers: {sent} attempts from {from} ns, at most {maximum} allowed"
             );
         }
-        assert!(!sent_at.is_empty(), "it is used");
+        assert!(!sent_at.is_empty(), "the endpoint receives attempts");
     }
 }
 
 #[test]
-fn fleet_that_is_all_in_slow_start_is_used() {
+fn fleet_entirely_in_slow_start_serves_requests() {
     let mut balancer = balancer(settings());
     balancer.now = 100_000 * MS;
     for endpoint in 1..=4 {
@@ -340,7 +341,7 @@
     for id in 1..=1_000u128 {
         balancer.read(id);
         balancer.run_for(10 * MS);
-        // Some were queued before they were sent.
+        // Also answers the requests that were queued before they were sent.
         (id.saturating_sub(30)..=id).for_each(|id| balancer.answer_all(id));
         served[id as usize / 501] += balancer.sends(id.saturating_sub(30)).len();
     }
@@ -348,7 +349,7 @@
 }
 
 #[test]
-fn nothing_is_sent_beyond_the_attempts_allowed() {
+fn request_gets_at_most_the_maximum_number_of_attempts() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3, 4, 5, 6]);
     balancer.request(1, IDEMPOTENT, Some(7), 1_000 * MS);
@@ -362,7 +363,7 @@
 }
 
 #[test]
-fn started_response_is_left_alone() {
+fn streaming_response_is_neither_retried_nor_answered_by_the_engine() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3]);
     balancer.request(1, IDEMPOTENT, Some(7), 400 * MS);
@@ -376,7 +377,7 @@
         request: RequestId(1),
         attempt: AttemptNumber(0),
     };
-    assert!(balancer.has_ordered_since(0, &cancel));
+    assert!(balancer.has_issued_since(0, &cancel));
     balancer.end(1, 0, AttemptOutcome::Cancelled);
     balancer.run_until(5_000 * MS);
     assert_eq!(balancer.final_answers(1), 0);
@@ -385,7 +386,7 @@
 }
 
 #[test]
-fn disconnected_client_is_owed_nothing() {
+fn request_of_a_disconnected_client_gets_no_final_answer() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1, 2, 3]);
     balancer.request(1, IDEMPOTENT, Some(7), 400 * MS);
@@ -395,7 +396,7 @@
 }
 
 #[test]
-fn inconsistent_settings_are_named() {
+fn inconsistent_setting_is_named_in_the_error() {
     let cases: [(&str, Corruption); 4] = [
         ("classes", |settings| settings.classes.clear()),
         ("classes[1].deadline", |settings| {
@@ -409,7 +410,9 @@
     for (field, corrupt) in cases {
         let mut settings = settings();
         corrupt(&mut settings);
-        let error = Engine::new(settings, 1, 0).err().expect("rejected");
+        let error = Engine::new(settings, 1, 0)
+            .err()
+            .expect("the settings are rejected");
         assert_eq!(error.field, field);
     }
 }
--- a/crates/routing/tests/source_layout.rs
+++ b/crates/routing/tests/source_layout.rs
@@ -1,18 +1,18 @@
-//! Source files stay short enough to be read at a time.
+//! Test of the size limits of source files.
 
 use std::path::PathBuf;
 
-/// Lines that a source file of this crate may have, blank ones not counted.
+/// Maximum number of lines of a source file of this crate, without blank lines.
 const MAX_FILE_LINES: usize = 500;
-/// Characters that a line of this crate may have.
+/// Maximum number of characters of a line.
 const MAX_LINE_CHARACTERS: usize = 100;
 
 #[test]
-fn every_source_file_stays_short_and_narrow() {
+fn source_files_are_within_the_length_and_width_limits() {
     let mut directories = vec![PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/src"))];
     while let Some(directory) = directories.pop() {
-        for entry in std::fs::read_dir(directory).expect("the sources are there") {
-            let path = entry.expect("an entry").path();
+        for entry in std::fs::read_dir(directory).expect("the source directory is readable") {
+            let path = entry.expect("the directory entry is readable").path();
             if path.ends_with("tests.rs") {
                 continue;
             }
@@ -20,13 +20,13 @@
                 directories.push(path);
                 continue;
             }
-            let text = std::fs::read_to_string(&path).expect("a source file");
+            let text = std::fs::read_to_string(&path).expect("the source file is UTF-8 text");
             let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
             assert!(lines <= MAX_FILE_LINES, "{}: {lines} lines", path.display());
             let is_narrow = |line: &str| line.chars().count() <= MAX_LINE_CHARACTERS;
             assert!(
                 text.lines().all(is_narrow),
-                "{}: a wide line",
+                "{}: a line is too long",
                 path.display()
             );
         }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -83,17 +83,18 @@
 fn setup() -> Value {
     json!({
         "profiles": [
-            {"name": "read", "repeat": "safe", "goal_time_ns": 200_000_000u64, "give_up_ns": 1_000_000_000u64,
-             "worth": 1.0, "unknown_list": [1, 2]},
-            {"name": "pay", "repeat": "unsafe", "goal_time_ns": 200_000_000u64, "give_up_ns": 1_000_000_000u64}
+            {"name": "read", "repeat": "safe", "goal_time_ns": 200_000_000u64,
+             "give_up_ns": 1_000_000_000u64, "worth": 1.0, "unknown_list": [1, 2]},
+            {"name": "pay", "repeat": "unsafe", "goal_time_ns": 200_000_000u64,
+             "give_up_ns": 1_000_000_000u64}
         ],
         "areas": ["a", "b"], "machine_types": ["m"], "group_size": 1, "step_ns": 5_000_000u64,
         "membership_mode": "automatic", "unknown_object": {"x": 1},
         "accounts": [{"name": "one", "allowance_per_s": 10.0}],
         "feedback": {"how": "piggyback", "columns": ["concurrent", "x0"]},
         "caps": {"may_cancel": true, "second_copies": true, "max_attempts": 3},
-        "obligations": {"grace_to_answer_ns": 20_000_000u64, "cold_from": 0.2, "warm_after_ns": 1_000_000_000u64,
-                        "tip_after_ns": 1_000_000_000u64}
+        "obligations": {"grace_to_answer_ns": 20_000_000u64, "cold_from": 0.2,
+                        "warm_after_ns": 1_000_000_000u64, "tip_after_ns": 1_000_000_000u64}
     })
 }
 
@@ -244,43 +245,88 @@
     assert_eq!(adapter.close().0, Some(0));
 }
 
-#[test]
-fn malformed_batch_is_reported_and_ends_the_adapter() {
-    let endpoint_list =
-        |entries: Value| json!([["peers_known", "router_3", "whole", 2, entries]]).to_string();
-    let cases = [
+/// Returns the arrivals of a batch with a single row.
+fn single_row(row: &Value) -> String {
+    json!([row]).to_string()
+}
+
+fn inbound_row(id: &str, profile: &str, tenant: &str, key: &Value, timeout: i32) -> String {
+    single_row(&json!([
+        "inbound", "router_3", id, profile, tenant, key, timeout, null, null, 0
+    ]))
+}
+
+fn attempt_end_row(attempt: &Value, endpoint: &Value, is_finished: &Value) -> String {
+    single_row(&json!([
+        "attempt_end",
+        "router_3",
+        REQUEST_ID,
+        attempt,
+        endpoint,
+        "delivered",
+        1,
+        is_finished
+    ]))
+}
+
+fn endpoint_list_row(entries: &Value) -> String {
+    single_row(&json!(["peers_known", "router_3", "whole", 2, entries]))
+}
+
+/// Malformed arrivals, each with a text that the error has to contain.
+fn malformed_arrivals() -> Vec<(String, &'static str)> {
+    let id = REQUEST_ID;
+    let null = Value::Null;
+    let (zero, seven, is_finished) = (json!(0), json!(7), json!(true));
+    let keyed_class = json!({"name": "p", "repeat": "keyed", "give_up_ns": 5});
+    let unknown_instance = json!([
+        "inbound", "router_9", id, "read", "one", null, 1, null, null, 0
+    ]);
+    vec![
         ("[1, 2".to_string(), "not valid"),
-        (json!([["inbound", "router_9", REQUEST_ID, "read", "one", null, 1, null, null, 0]]).to_string(), "router_9"),
-        (json!([["jump", "router_3"]]).to_string(), "jump"),
-        (json!([[]]).to_string(), "no name"),
-        (json!([["inbound", "router_3", "me", "read", "one", null, 1, null, null, 0]]).to_string(), "rid"),
-        (json!([["inbound", "router_3", REQUEST_ID, "write", "one", null, 1, null, null, 0]]).to_string(), "profile"),
-        (json!([["inbound", "router_3", REQUEST_ID, "read", "two", null, 1, null, null, 0]]).to_string(), "customer"),
+        (single_row(&unknown_instance), "router_9"),
+        (single_row(&json!(["jump", "router_3"])), "jump"),
+        (single_row(&json!([])), "no name"),
+        (inbound_row("me", "read", "one", &null, 1), "rid"),
+        (inbound_row(id, "write", "one", &null, 1), "profile"),
+        (inbound_row(id, "read", "two", &null, 1), "customer"),
         (
-            json!([["inbound", "router_3", REQUEST_ID, "read", "one", "xyz", 1, null, null, 0]]).to_string(),
+            inbound_row(id, "read", "one", &json!("xyz"), 1),
             "target_key",
         ),
+        (inbound_row(id, "read", "one", &null, -5), "grace_ns"),
+        (attempt_end_row(&json!("0"), &seven, &is_finished), "trial"),
+        (attempt_end_row(&zero, &null, &is_finished), "server"),
+        (attempt_end_row(&zero, &seven, &json!("yes")), "settled"),
+        (single_row(&json!(["deadline_hit", "router_3"])), "cookie"),
+        (single_row(&json!(["stop", "router_5"])), "router_5"),
         (
-            json!([["inbound", "router_3", REQUEST_ID, "read", "one", null, -5, null, null, 0]]).to_string(),
-            "grace_ns",
+            endpoint_list_row(&json!([[7, "a", "m", 0, "resting", 1, null]])),
+            "phase",
         ),
-        (json!([["attempt_end", "router_3", REQUEST_ID, "0", 7, "delivered", 1, true]]).to_string(), "trial"),
-        (json!([["attempt_end", "router_3", REQUEST_ID, 0, null, "delivered", 1, true]]).to_string(), "server"),
-        (json!([["attempt_end", "router_3", REQUEST_ID, 0, 7, "delivered", 1, "yes"]]).to_string(), "settled"),
-        (json!([["deadline_hit", "router_3"]]).to_string(), "cookie"),
-        (json!([["stop", "router_5"]]).to_string(), "router_5"),
-        (endpoint_list(json!([[7, "a", "m", 0, "resting", 1, null]])), "phase"),
-        (endpoint_list(json!([7])), "nodes_list"),
-        (json!([["enlist", "router_6", 1, {"profiles": []}]]).to_string(), "classes"),
-        (json!([["enlist", "router_6", 1, {"profiles": 3}]]).to_string(), "setup"),
-        (json!([["enlist", "router_6", "x", setup()]]).to_string(), "prng"),
+        (endpoint_list_row(&json!([7])), "nodes_list"),
         (
-            json!([["enlist", "router_6", 1, {"profiles": [{"name": "p", "repeat": "keyed", "give_up_ns": 5}]}]])
-                .to_string(),
+            single_row(&json!(["enlist", "router_6", 1, {"profiles": []}])),
+            "classes",
+        ),
+        (
+            single_row(&json!(["enlist", "router_6", 1, {"profiles": 3}])),
+            "setup",
+        ),
+        (
+            single_row(&json!(["enlist", "router_6", "x", setup()])),
+            "prng",
+        ),
+        (
+            single_row(&json!(["enlist", "router_6", 1, {"profiles": [keyed_class]}])),
             "group",
         ),
-    ];
-    for (arrivals, expected) in cases {
+    ]
+}
+
+#[test]
+fn malformed_batch_is_reported_and_ends_the_adapter() {
+    for (arrivals, expected) in malformed_arrivals() {
         let mut adapter = adapter_with_instance();
         adapter.write_line(&format!(
             "{{\"moment_ns\":{},\"serial\":41,\"arrivals\":{arrivals}}}",
