--- a/crates/routing-config/src/operator_settings.rs
+++ b/crates/routing-config/src/operator_settings.rs
@@ -32,7 +32,7 @@
     pub(crate) obligations: ServiceRuleSettings,
     /// Factor on the priority weight of a request beyond its tenant's quota.
     pub(crate) over_share_worth: f64,
-    /// The request classes.
+    /// Classes of requests.
     pub(crate) profiles: Vec<ClassSettings>,
     /// Source of values that are not cached.
     pub(crate) specifics: OriginSettings,
--- a/crates/routing-config/src/translation.rs
+++ b/crates/routing-config/src/translation.rs
@@ -55,7 +55,7 @@
 /// Error for settings that cannot be translated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TranslationError {
-    /// A keyed class with an unknown deduplication scope.
+    /// A keyed class has an unknown deduplication scope.
     #[error("profiles: {profile}: group must be \"all\", \"zone\" or \"cell\" for keyed requests")]
     UnknownDeduplicationScope {
         /// Name of the class.
--- a/crates/routing/src/actions.rs
+++ b/crates/routing/src/actions.rs
@@ -103,7 +103,7 @@
         /// be sent, because endpoints would no longer discard it as a repeat. `None` sets no bound.
         write_within: Option<Nanos>,
     },
-    /// Answer the request as failed. It may have had an effect. This is its final answer.
+    /// Answer the request as failed: it may have had an effect. This is its final answer.
     Fail {
         /// Identifier of the request.
         request: RequestId,
@@ -148,6 +148,6 @@
         /// Token that the event returns.
         token: TimerToken,
     },
-    /// A log line for operators.
+    /// Write this log line for operators.
     Log(String),
 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -32,9 +32,9 @@
 pub struct AdmissionCounts {
     /// Admitted requests by tier (see [`SheddingLevel::level`]).
     pub admitted: [u32; COUNTED_TIERS],
-    /// Requests rejected after admission for lack of capacity at the caches. Late answers are not
-    /// counted: they result from requests admitted about a second earlier, and a shedding level
-    /// that followed them would oscillate.
+    /// Admitted requests that were then rejected for lack of capacity at the caches. Late answers
+    /// are not counted: they result from requests admitted about a second earlier, and a shedding
+    /// level that followed them would oscillate.
     pub capacity_rejections: u32,
 }
 
--- a/crates/routing/src/attempt_budget.rs
+++ b/crates/routing/src/attempt_budget.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet_size::FleetSize;
 
-/// Minimum burst of a balancer, however many balancers share the endpoints: failures come a few at
-/// a time.
+/// Minimum burst of a balancer, regardless of the number of balancers: failures come a few at a
+/// time.
 const MIN_BURST: f64 = 3.0;
 
 /// Budget that gains a fraction of a token with each request and loses one token with each attempt
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -19,15 +19,18 @@
 pub(crate) const HIT_INCREASE: f64 = 0.5;
 /// Growth per miss, which reveals less about the cache's own load; divided by the limit.
 const MISS_INCREASE: f64 = 0.1;
-/// Growth per answer above the knee, where it is slow because latency lags behind a surge of load.
+/// Growth per answer above the knee, divided by the limit. The knee is the initial limit of the
+/// fleet divided by the square root of the number of balancers; above it growth is slow because
+/// latency rises only after a surge of load.
 pub(crate) const INCREASE_BEYOND_KNEE: f64 = 0.05;
-/// Maximum ratio of recent latency to baseline at which a limit grows.
+/// Ratio of recent latency to baseline below which a limit grows.
 const GROWTH_LATENCY_RATIO: f64 = 1.2;
 /// Ratio of recent latency to baseline above which a limit shrinks.
 const SHRINK_LATENCY_RATIO: f64 = 1.8;
-/// Lower bounds of the two latency thresholds, as fractions of the shortest latency objective: a
-/// wait that makes no answer late is no reason to shrink a limit.
+/// Minimum of the latency threshold for growth, as a fraction of the shortest latency objective.
 const GROWTH_OBJECTIVE_FRACTION: f64 = 0.13;
+/// Minimum of the latency threshold for shrinking, as a fraction of the shortest latency objective:
+/// a wait that makes no answer late is no reason to shrink a limit.
 const SHRINK_OBJECTIVE_FRACTION: f64 = 0.2;
 /// Factor applied to a limit for a slow answer.
 const SLOW_ANSWER_FACTOR: f64 = 0.92;
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -16,13 +16,14 @@
 const INITIAL_HIT_RATIO: f64 = 0.5;
 /// Weight of a new sample in the means of [`LatencyPerWork`].
 pub(crate) const LATENCY_PER_WORK_GAIN: f64 = 0.05;
-/// Bounds of a weight from the endpoint list.
+/// Minimum weight of an endpoint; lower weights in the list are raised to it.
 const MIN_WEIGHT: f64 = 0.01;
+/// Maximum weight of an endpoint; higher weights in the list are reduced to it.
 const MAX_WEIGHT: f64 = 100.0;
 /// Weight of an endpoint whose entry has no usable weight, or whose weight follows its load.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// An attempt in flight at an endpoint.
+/// Attempt in flight at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct InFlightAttempt {
     pub(crate) sent_at: Nanos,
@@ -36,7 +37,7 @@
     pub(crate) entry: Endpoint,
     pub(crate) in_flight: Vec<InFlightAttempt>,
     pub(crate) last_answer_at: Nanos,
-    /// Time since which no attempt has been in flight while a connection may be open.
+    /// Time since which no attempt has been in flight, if a connection may be open.
     pub(crate) idle_since: Option<Nanos>,
     pub(crate) latency: LatencyMean,
     pub(crate) latency_per_work: LatencyPerWork,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Returns the number of overdue attempts since whose start the endpoint has answered nothing.
+    /// Returns the number of overdue attempts that were sent after the endpoint's last answer.
     pub(crate) fn unanswered_attempts(&self, now: Nanos, overdue_after: Nanos) -> usize {
         let is_unanswered = |attempt: &&InFlightAttempt| {
             attempt.sent_at >= self.last_answer_at
--- a/crates/routing/src/engine/answers.rs
+++ b/crates/routing/src/engine/answers.rs
@@ -79,7 +79,7 @@
         }
         self.actions.extend(answer);
         request.is_closed = true;
-        if request.attempts.iter().any(has_consumed) {
+        if request.attempts.iter().any(consumed_endpoint_time) {
             self.admission.traffic.record_consumed(self.now);
         }
         self.cancel_attempts(request, None);
@@ -147,7 +147,7 @@
 
 /// Returns whether an attempt took up an endpoint's time; rejections and errors are answered
 /// quickly.
-fn has_consumed(attempt: &Attempt) -> bool {
+fn consumed_endpoint_time(attempt: &Attempt) -> bool {
     matches!(
         attempt.outcome,
         None | Some(AttemptOutcome::Ok | AttemptOutcome::Timeout)
--- a/crates/routing/src/engine/attempts.rs
+++ b/crates/routing/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Sends the first attempt, retries and hedges, to caches or to the origin.
+//! Sending of attempts (first attempts, retries and hedges) to caches or to the origin.
 
 use super::Engine;
 use super::selection::Selection;
@@ -12,10 +12,11 @@
 use crate::settings::{Idempotency, OriginMode};
 use crate::timers::TimerPurpose;
 
-/// Timeout of a keyed request's first attempt, as a fraction of the time during which a repeat is
-/// still discarded; the remaining time is left for the repeat.
-const KEYED_TIMEOUT_DENOMINATOR: Nanos = 4;
+/// Numerator of the timeout of a keyed request's first attempt, as a fraction of the time during
+/// which a repeat is still discarded. The remaining quarter is left for the repeat.
 const KEYED_TIMEOUT_NUMERATOR: Nanos = 3;
+/// Denominator of the timeout of a keyed request's first attempt.
+const KEYED_TIMEOUT_DENOMINATOR: Nanos = 4;
 
 /// Destination of an attempt.
 #[derive(Clone, Copy)]
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -11,8 +11,9 @@
 /// Probability below which a run of consecutive failures counts as more than chance and ejects the
 /// endpoint.
 const CHANCE_THRESHOLD: f64 = 0.05;
-/// Bounds of the failure ratio from which that probability is computed.
+/// Minimum failure ratio from which the probability of a run of failures is computed.
 const MIN_FAILURE_RATIO: f64 = 0.01;
+/// Maximum failure ratio from which the probability of a run of failures is computed.
 const MAX_FAILURE_RATIO: f64 = 0.99;
 /// Weight of a new attempt in a failure ratio.
 const FAILURE_RATIO_GAIN: f64 = 0.1;
@@ -38,7 +39,7 @@
 pub(crate) const MAX_BACKOFF: Nanos = 8_000_000_000;
 /// Minimum factor by which a backoff is multiplied to spread the probes of several balancers.
 const MIN_BACKOFF_FACTOR: f64 = 0.75;
-/// Width of the range of that factor.
+/// Width of the range of the factor by which a backoff is multiplied.
 const BACKOFF_FACTOR_SPREAD: f64 = 0.5;
 
 /// Strength of the evidence that a failed attempt gives against its endpoint.
@@ -182,8 +183,8 @@
         }
     }
 
-    /// The health that another process has stored. Its clock may have been ahead: no time goes
-    /// further than one of this process could.
+    /// Restores the health that another process stored. Its clock may have been ahead, so times and
+    /// the backoff are limited to the maximum that this process could have set.
     pub(crate) fn from_stored(stored: StoredHealth, now: Nanos) -> Self {
         let latest = now.saturating_add(MAX_BACKOFF);
         EndpointHealth {
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -10,9 +10,12 @@
 const MAX_WAIT_DIVISOR: Nanos = 2;
 /// The same divisor for requests beyond their tenant's quota.
 const MAX_WAIT_DIVISOR_OVER_QUOTA: Nanos = 8;
-/// Maximum time a request waits in the queue, as a fraction of its client's timeout: two fifths.
-const MAX_WAIT_TIMEOUT_DENOMINATOR: Nanos = 5;
+/// Numerator of the maximum time a request waits in the queue, as a fraction of its client's
+/// timeout.
 const MAX_WAIT_TIMEOUT_NUMERATOR: Nanos = 2;
+/// Denominator of the maximum time a request waits in the queue, as a fraction of its client's
+/// timeout.
+const MAX_WAIT_TIMEOUT_DENOMINATOR: Nanos = 5;
 
 /// Identifiers of the queued requests.
 #[derive(Default)]
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::identifiers::{ClassId, Nanos};
 
-/// Effect of executing a request more than once.
+/// Whether and how a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// The request may run any number of times.
@@ -129,8 +129,8 @@
     pub origin: OriginMode,
     /// Way in which the balancer receives the endpoint list.
     pub discovery: DiscoveryMode,
-    /// Whether the weights in the endpoint list follow the load. Such weights are ignored:
-    /// all endpoints then have the same weight.
+    /// Whether the weights in the endpoint list follow the load. Such weights are ignored: all
+    /// endpoints then have the same weight.
     pub dynamic_weights: bool,
     /// Features that the deployment supports.
     pub capabilities: Capabilities,
