--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -16,7 +16,7 @@
 /// Number of tiers with their own counter; requests of higher tiers share the last counter.
 pub const COUNTED_TIERS: usize = 16;
 
-/// Number of requests admitted for each one that is usefully answered. With 2, the admitted
+/// Number of requests admitted for each one that is usefully answered. At this value the admitted
 /// fraction doubles within the time constant of the rates after an overload.
 const ADMITTED_PER_USEFUL: f64 = 2.0;
 /// Additional requests admitted within the time constant, to detect that capacity has returned.
--- a/crates/simulator-adapter/src/wire/arrival.rs
+++ b/crates/simulator-adapter/src/wire/arrival.rs
@@ -10,8 +10,9 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Bits of the field `flags` of a request.
+/// Bit of a request's `flags`: `predicted_ns` contains an estimate of the request's work.
 const FLAG_WORK_IS_ESTIMATED: u64 = 1;
+/// Bit of a request's `flags`: the request is a write.
 const FLAG_IS_WRITE: u64 = 4;
 
 /// Error in an arrival.
@@ -74,7 +75,7 @@
     },
     /// `stop`: ends an instance.
     Stop(&'a str),
-    /// `note_from`: a message from another instance.
+    /// `note_from`: delivers a message from another instance.
     PeerMessage(&'a str),
     /// Any other event, which the instance's engine handles.
     Engine(EngineEvent<'a>),
@@ -88,7 +89,7 @@
 }
 
 impl<'a> Arrival<'a> {
-    /// Parses a row.
+    /// Parses a row: its event name, its instance, and for `enlist` the settings.
     pub fn parse(row: &'a [Value]) -> Result<Self, ArrivalError> {
         let Some((Value::String(event), values)) = row.split_first() else {
             return Err(ArrivalError::Unnamed);
