--- a/crates/routing/src/attempt_budget.rs
+++ b/crates/routing/src/attempt_budget.rs
@@ -49,7 +49,7 @@
     }
 
     /// Reduces the tokens to at most the number that another process handed over.
-    pub(crate) fn cap(&mut self, tokens: f64) {
+    pub(crate) fn limit_to(&mut self, tokens: f64) {
         self.tokens = self.tokens.min(tokens);
     }
 
--- a/crates/routing/src/engine/attempts.rs
+++ b/crates/routing/src/engine/attempts.rs
@@ -37,7 +37,7 @@
     /// Sends the next attempt, queues the request, or answers it if neither is possible.
     pub(super) fn advance(&mut self, request: &mut Request) {
         self.queue.remove(request.details.id);
-        if self.is_for_origin(request) {
+        if self.goes_to_origin(request) {
             return self.advance_at_origin(request);
         }
         match self.select_endpoint(request, AttemptKind::Regular) {
@@ -56,7 +56,7 @@
 
     /// Returns whether the next attempt goes to the origin: with cache-aside, for writes and for
     /// reads that missed.
-    fn is_for_origin(&self, request: &Request) -> bool {
+    fn goes_to_origin(&self, request: &Request) -> bool {
         let has_missed = |attempt: &Attempt| attempt.outcome == Some(AttemptOutcome::CacheMiss);
         matches!(self.settings.origin, OriginMode::CacheAside { .. })
             && (request.details.is_write || request.attempts.iter().any(has_missed))
--- a/crates/routing/src/engine/housekeeping.rs
+++ b/crates/routing/src/engine/housekeeping.rs
@@ -75,7 +75,9 @@
     }
 
     pub(super) fn close_idle_connections(&mut self, idle: Vec<IdleEndpoint>) {
-        for id in idle_connections::to_close(idle, self.endpoints.len(), self.fleet, self.now) {
+        for id in
+            idle_connections::endpoints_to_close(idle, self.endpoints.len(), self.fleet, self.now)
+        {
             self.actions.push(Action::CloseIdleConnections(id));
             if let Some(record) = self.endpoints.get_mut(id) {
                 record.idle_since = None;
--- a/crates/routing/src/engine/state_transfer.rs
+++ b/crates/routing/src/engine/state_transfer.rs
@@ -50,8 +50,8 @@
         self.outliers
             .restore(snapshot.failure_ratio, snapshot.median_latency);
         let [hedges, retries] = snapshot.budgets;
-        self.hedging.budget.cap(hedges);
-        self.retry_budget.cap(retries);
+        self.hedging.budget.limit_to(hedges);
+        self.retry_budget.limit_to(retries);
         self.admission.traffic.restore(snapshot.rates, self.now);
         for stored in &snapshot.endpoints {
             let record = self.endpoints.get_mut(EndpointId(stored.id));
--- a/crates/routing/src/estimators/tests.rs
+++ b/crates/routing/src/estimators/tests.rs
@@ -12,14 +12,14 @@
 #[test]
 fn latency_quantile_is_the_99th_percentile() {
     let mut latencies = quantile();
-    for i in 0..200 {
-        latencies.add(if i % 50 == 49 { 400 * MS } else { 10 * MS });
+    for sample in 0..200 {
+        latencies.add(if sample % 50 == 49 { 400 * MS } else { 10 * MS });
     }
     // Two in a hundred samples are slow, so the 99th percentile is the slow latency.
     assert_eq!(latencies.value(), LatencyQuantile::bucket_edge(400.0));
     let mut latencies = quantile();
-    for i in 0..400 {
-        latencies.add(if i == 0 { 400 * MS } else { 10 * MS });
+    for sample in 0..400 {
+        latencies.add(if sample == 0 { 400 * MS } else { 10 * MS });
     }
     assert_eq!(latencies.value(), LatencyQuantile::bucket_edge(10.0));
 }
--- a/crates/routing/src/idle_connections.rs
+++ b/crates/routing/src/idle_connections.rs
@@ -19,7 +19,7 @@
 }
 
 /// Returns the endpoints whose connections are to be closed, longest idle first.
-pub(crate) fn to_close(
+pub(crate) fn endpoints_to_close(
     mut idle: Vec<IdleEndpoint>,
     endpoints: usize,
     fleet: FleetSize,
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -252,11 +252,11 @@
             self.indexes.remove(&cache);
             self.entries[index] = None;
             self.free_indexes.push(index);
-            self.log(Change::Removed(index));
+            self.log_change(Change::Removed(index));
         }
         for entry in added {
             self.insert(entry);
-            self.log(Change::Added(entry));
+            self.log_change(Change::Added(entry));
         }
     }
 
@@ -269,7 +269,7 @@
         self.indexes.insert(entry.cache, index);
     }
 
-    fn log(&mut self, change: Change) {
+    fn log_change(&mut self, change: Change) {
         if self.version == Version::MAX {
             // Versions restart and all rows are cleared, so that no version refers to two lists.
             self.rows.fill(Row::EMPTY);
--- a/crates/routing/tests/properties.rs
+++ b/crates/routing/tests/properties.rs
@@ -498,27 +498,27 @@
     }
 }
 
-/// Returns settings number `n`, which differ in the features that the deployment supports.
-fn variant(n: usize) -> Settings {
+/// Returns the settings of this variant; variants differ in the features that are supported.
+fn variant(number: usize) -> Settings {
     let mut settings = settings();
     let scope = [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
-    ][n % 3];
+    ][number % 3];
     settings.classes[1].idempotency = Idempotency::Keyed {
         scope,
         window: 500 * MS,
     };
-    settings.capabilities.hedging = n % 4 != 3;
-    settings.capabilities.health_checks = n.is_multiple_of(2);
-    settings.capabilities.max_attempts = 1 + (n % 5) as u32;
-    if n % 5 == 4 {
+    settings.capabilities.hedging = number % 4 != 3;
+    settings.capabilities.health_checks = number.is_multiple_of(2);
+    settings.capabilities.max_attempts = 1 + (number % 5) as u32;
+    if number % 5 == 4 {
         settings.discovery = DiscoveryMode::Poll {
             staleness_limit: 10_000 * MS,
         };
     }
-    if n % 7 == 6 {
+    if number % 7 == 6 {
         settings.origin = OriginMode::CacheAside { kind: 0 };
     }
     settings
@@ -540,8 +540,8 @@
 fn rules_hold_in_any_order_of_events_and_every_request_is_answered() {
     let steps = (0..35usize, proptest::collection::vec(step(), 1..200));
     runner(1)
-        .run(&steps, |(n, steps)| {
-            let mut balancer = CheckedBalancer::new(variant(n));
+        .run(&steps, |(number, steps)| {
+            let mut balancer = CheckedBalancer::new(variant(number));
             balancer.apply(&Step::ReplaceList {
                 ids: vec![1, 2, 3, 4, 5],
             });
@@ -566,10 +566,10 @@
 fn same_events_give_the_same_actions() {
     let steps = (0..35usize, proptest::collection::vec(step(), 1..120));
     runner(2)
-        .run(&steps, |(n, steps)| {
+        .run(&steps, |(number, steps)| {
             let mut balancers = [
-                CheckedBalancer::new(variant(n)),
-                CheckedBalancer::new(variant(n)),
+                CheckedBalancer::new(variant(number)),
+                CheckedBalancer::new(variant(number)),
             ];
             for balancer in &mut balancers {
                 balancer.apply(&Step::ReplaceList {
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -282,13 +282,13 @@
     let mut balancer = balancer_with_seed(settings_of_fleet(balancers), seed);
     balancer.now = 100_000 * MS;
     balancer.list_endpoints(&[1, 2, 3]);
-    for n in 0..8 * REQUESTS_PER_SECOND {
-        if n == 2 * REQUESTS_PER_SECOND {
+    for number in 0..8 * REQUESTS_PER_SECOND {
+        if number == 2 * REQUESTS_PER_SECOND {
             let started = balancer.now;
             balancer.change_endpoint(10, EndpointState::Active, started);
         }
-        let id = u128::from(n + 1);
-        balancer.request(id, IDEMPOTENT, Some(seed * 1_000 + n), 1_000 * MS);
+        let id = u128::from(number + 1);
+        balancer.request(id, IDEMPOTENT, Some(seed * 1_000 + number), 1_000 * MS);
         let sent_to_fresh = count_sends_to(&balancer, id, 10);
         sent_at.extend(std::iter::repeat_n(balancer.now, sent_to_fresh));
         balancer.run_for(5 * MS);
