--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -1,5 +1,6 @@
-//! The open requests and their attempts: what the engine sends is begun here, and what becomes of
-//! it is reported in the engine's outcomes. Nothing is retried from here; the engine decides that.
+//! The open requests and their attempts. The tracker starts the attempts that the engine decides on and
+//! reports how they end as outcomes of the engine. It retries nothing itself; the engine decides on
+//! retries.
 
 mod health_checks;
 mod outcome;
@@ -13,80 +14,80 @@
 use routing::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, Event, Nanos, RequestId};
 use std::collections::{HashMap, HashSet};
 
-/// A final answer that is due now.
+/// A final answer to be sent now, with the ticket of its request.
 pub type DueAnswer = (Ticket, FinalAnswer);
 
-/// An attempt that the engine wants sent.
+/// An attempt to be sent, as the engine decided.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptSpec {
-    /// The request.
+    /// Request to which the attempt belongs.
     pub request: RequestId,
-    /// Its number among the request's attempts, by the engine.
+    /// Number that the engine gave the attempt, unique within the request.
     pub attempt: AttemptNumber,
-    /// Where it goes.
+    /// Endpoint that receives the attempt.
     pub endpoint: EndpointId,
-    /// How long it may take, if it is limited at all beyond the client's deadline.
+    /// Timeout of the attempt. The client's deadline applies in any case.
     pub timeout: Option<Nanos>,
-    /// Its first byte is written within this time or never.
+    /// Time within which the first byte has to be written; otherwise the attempt is not sent.
     pub write_within: Option<Nanos>,
 }
 
-/// What a finished job means.
+/// Consequences of a completed job.
 #[derive(Debug, Default)]
 pub struct JobCompletion {
-    /// The outcome for the engine.
+    /// Outcome to be reported to the engine.
     pub event: Option<Event>,
-    /// The request's final answer, if the job brought it.
+    /// Final answer of the request, if the job provided it.
     pub answer: Option<DueAnswer>,
 }
 
-/// The value of this request is being streamed to its client.
+/// Stream of the value of a request to its client.
 #[derive(Clone, Copy, Debug)]
 struct ActiveStream {
     client_connection: u64,
     attempt: AttemptNumber,
 }
 
-/// All requests that are owed an answer or have attempts out, and the health checks that are out.
+/// All requests that are unanswered or have attempts in flight, and the health checks in flight.
 #[derive(Default)]
 pub struct AttemptTracker {
     requests: HashMap<RequestId, RequestContext>,
-    /// The clients' ids of all requests.
+    /// Ids that clients gave to the tracked requests.
     client_ids: HashSet<Vec<u8>>,
     health_checks: HealthChecks,
     streams: HashMap<RequestId, ActiveStream>,
-    /// Bytes of all requests.
+    /// Total size of the tracked requests in bytes.
     buffered_bytes: usize,
-    /// How long the process has been stalled so far, in all; no cache is blamed for that.
+    /// Total time that the process has been stalled so far. It is excluded from the latency of caches.
     total_stall: Nanos,
 }
 
 impl AttemptTracker {
-    /// How many requests are open.
+    /// Returns the number of tracked requests.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Bytes that the open requests hold.
+    /// Returns the total size of the tracked requests in bytes.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Whether a request with this id of a client's is open: a second one would be taken for the
-    /// first.
+    /// Returns whether a tracked request has this id of a client. Caches would take a second request
+    /// with the id for the first one.
     #[must_use]
     pub fn is_request_id_in_use(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
     }
 
-    /// Records how long the process has been stalled so far, in all.
+    /// Sets the total time that the process has been stalled so far.
     pub fn set_total_stall(&mut self, total_stall: Nanos) {
         self.total_stall = total_stall;
     }
 
-    /// Adds a request. Its time counts from when it can have arrived.
+    /// Adds a request. Its deadline counts from the earliest time at which it can have arrived.
     pub fn add_request(&mut self, incoming: IncomingRequest) {
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
         self.buffered_bytes += incoming.command.byte_size();
@@ -96,9 +97,9 @@
         self.requests.insert(id, context);
     }
 
-    /// A long value has begun to arrive: it is the request's answer, unless there is one. The
-    /// cache has done its work, so the engine learns of the success now; how long the rest takes
-    /// also depends on the client.
+    /// Starts to stream a long value that has begun to arrive, unless the request is already answered.
+    /// The attempt ends as successful now: the cache has done its work, and the time that the
+    /// transfer takes also depends on the client.
     pub fn start_stream(
         &mut self,
         now: Nanos,
@@ -119,53 +120,53 @@
         Some((event, (ticket, FinalAnswer::Streaming(length))))
     }
 
-    /// The client connection to which this attempt's value is being streamed.
+    /// Returns the client connection to which the value of this attempt is being streamed.
     #[must_use]
     pub fn stream_client(&self, request: RequestId, attempt: AttemptNumber) -> Option<u64> {
         let stream = self.streams.get(&request)?;
         (stream.attempt == attempt).then_some(stream.client_connection)
     }
 
-    /// The attempt whose value is being streamed for this request.
+    /// Returns the job whose value is being streamed for this request.
     #[must_use]
     pub fn stream_job(&self, request: RequestId) -> Option<UpstreamJob> {
         let stream = self.streams.get(&request)?;
         Some(UpstreamJob::Attempt(request, stream.attempt))
     }
 
-    /// The value is complete, broken off or no longer wanted.
+    /// Removes the stream of a request when the value is complete, aborted or no longer needed.
     pub fn end_stream(&mut self, request: RequestId) {
         self.streams.remove(&request);
     }
 
-    /// The client has left: nothing is owed any more.
+    /// Records that the client has disconnected. The request needs no answer any more.
     pub fn client_disconnected(&mut self, now: Nanos, request: RequestId) {
         if let Some(context) = self.requests.get_mut(&request) {
             (context.ticket, context.client_left_at) = (None, Some(now));
         }
-        self.remove_if_over(request);
+        self.remove_if_finished(request);
     }
 
-    /// The engine's own final answer.
+    /// Completes a request with a final answer of the engine, unless it is already answered.
     pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<DueAnswer> {
         let ticket = self.requests.get_mut(&request)?.ticket.take()?;
-        self.remove_if_over(request);
+        self.remove_if_finished(request);
         Some((ticket, answer))
     }
 
-    /// How much of a request's time is left, while it is open.
+    /// Returns the time until the deadline of a tracked request.
     #[must_use]
     pub fn remaining_time(&self, now: Nanos, request: RequestId) -> Option<Nanos> {
         Some(self.requests.get(&request)?.deadline.saturating_sub(now))
     }
 
-    /// The client connection to which an answer is owed.
+    /// Returns the client connection that waits for the answer to a request.
     #[must_use]
     pub fn waiting_client(&self, request: RequestId) -> Option<u64> {
         Some(self.requests.get(&request)?.ticket.as_ref()?.connection)
     }
 
-    fn remove_if_over(&mut self, request: RequestId) {
+    fn remove_if_finished(&mut self, request: RequestId) {
         let context = self.requests.get(&request);
         if context.is_some_and(RequestContext::is_finished)
             && let Some(context) = self.requests.remove(&request)
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Whatever is open ends by this time; the limits of attempts follow.
+    /// Moves the deadlines of all tracked requests and their attempts to `deadline` if they are later.
     pub fn limit_deadlines(&mut self, deadline: Nanos) {
         for context in self.requests.values_mut() {
             context.deadline = context.deadline.min(deadline);
@@ -185,24 +186,25 @@
         }
     }
 
-    /// Begins an attempt: it gets a connection next.
+    /// Starts an attempt. The caller passes the returned command to the upstream pool.
     ///
     /// # Errors
     ///
-    /// Gives the attempt's end for the engine if it is never sent: its request is over, or has no
-    /// time left.
+    /// Returns the end of the attempt, to be reported to the engine, if the attempt is not sent: its
+    /// request is answered or removed, or has less than 1 ms left.
     pub fn start_attempt(
         &mut self,
         now: Nanos,
-        new: AttemptSpec,
+        spec: AttemptSpec,
         counters: &mut Counters,
     ) -> Result<OutboundCommand, Box<Event>> {
-        // The engine's own attempt number: with another one it would wait for an end for good.
+        // The event has to carry the attempt number of the engine. With another number the engine
+        // would wait forever for the end of the attempt.
         let not_sent = |request_finished| {
             Box::new(Event::AttemptEnded(AttemptResult {
-                request: new.request,
-                attempt: new.attempt,
-                endpoint: new.endpoint,
+                request: spec.request,
+                attempt: spec.attempt,
+                endpoint: spec.endpoint,
                 outcome: AttemptOutcome::NotSent,
                 latency: 0,
                 request_finished,
@@ -210,12 +212,12 @@
                 load_report: None,
             }))
         };
-        let Some(context) = self.requests.get_mut(&new.request) else {
+        let Some(context) = self.requests.get_mut(&spec.request) else {
             return Err(not_sent(true));
         };
-        // Caches get a timeout in whole milliseconds, and one that usually answers within
-        // microseconds may well need a millisecond once.
-        let timeout = new.timeout.map_or(Nanos::MAX, |t| t.max(MS));
+        // The timeout is sent to caches in whole milliseconds. Even a cache that usually responds
+        // within microseconds may occasionally need a millisecond.
+        let timeout = spec.timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let deadline = now.saturating_add(timeout).min(context.deadline);
         if context.ticket.is_none() || deadline < now + MS {
             counters.attempts_not_sent += 1;
@@ -223,29 +225,30 @@
         }
         counters.attempts += 1;
         counters.hedges += u64::from(!context.attempts.is_empty());
-        let write_within = new.write_within;
+        let write_within = spec.write_within;
         let record = AttemptRecord {
-            endpoint: new.endpoint,
+            endpoint: spec.endpoint,
             sent_at: now,
             stalled_before: self.total_stall,
             deadline,
             write_deadline: write_within.map_or(Nanos::MAX, |within| now.saturating_add(within)),
         };
-        context.attempts.insert(new.attempt, record);
+        context.attempts.insert(spec.attempt, record);
         Ok(OutboundCommand {
-            job: UpstreamJob::Attempt(new.request, new.attempt),
-            endpoint: new.endpoint,
+            job: UpstreamJob::Attempt(spec.request, spec.attempt),
+            endpoint: spec.endpoint,
             deadline,
         })
     }
 
-    /// The command of an attempt whose connection is up. That may be long after the engine
-    /// decided, so what can have changed is checked again: whether an answer is still owed, and
-    /// whether there is time.
+    /// Encodes the command of an attempt whose connection is established. This may happen long after
+    /// the engine's decision, so it checks again whether the request is still unanswered and whether
+    /// there is time left.
     ///
     /// # Errors
     ///
-    /// Gives the attempt's end for the engine, if it is still out: it is never sent.
+    /// Returns an error if the attempt must not be sent, with the end of the attempt for the engine if
+    /// the attempt was still in flight.
     pub fn encode_command(
         &mut self,
         now: Nanos,
@@ -255,7 +258,7 @@
     ) -> Result<Vec<u8>, Option<Box<Event>>> {
         let command = self.requests.get(&request).and_then(|context| {
             let record = context.attempts.get(&attempt)?;
-            // Caches get a timeout in whole milliseconds.
+            // The timeout is sent to caches in whole milliseconds.
             let in_time = record.deadline >= now + MS && now < record.write_deadline;
             (context.ticket.is_some() && in_time)
                 .then(|| context.command.encode((record.deadline - now) / MS))
@@ -267,22 +270,23 @@
         })
     }
 
-    /// An attempt of this request ends unsent: counts it if its client had left.
+    /// Counts an attempt that ends unsent, if the client of its request has disconnected.
     pub fn count_unsent(&self, now: Nanos, request: RequestId, counters: &mut Counters) {
-        if let Some(left) = self
+        if let Some(disconnected_at) = self
             .requests
             .get(&request)
             .and_then(|context| context.client_left_at)
         {
-            let ms = now.saturating_sub(left).div_ceil(MS);
+            let ms = now.saturating_sub(disconnected_at).div_ceil(MS);
             counters.unsent_after_disconnect += 1;
             counters.longest_unsent_after_disconnect_ms =
                 counters.longest_unsent_after_disconnect_ms.max(ms);
         }
     }
 
-    /// An attempt is over, as a rule without an answer: by its timeout, at the engine's request or
-    /// for want of a connection. Returns its end for the engine, if it was still out.
+    /// Ends an attempt without a value: because of its timeout, on request of the engine, for lack of a
+    /// connection, or when its value is streamed. Returns the end of the attempt for the engine, if
+    /// the attempt was still in flight.
     pub fn end_attempt(
         &mut self,
         now: Nanos,
@@ -308,7 +312,7 @@
         let context = self.requests.get_mut(&request)?;
         let record = context.attempts.remove(&attempt)?;
         let request_finished = context.ticket.is_none();
-        self.remove_if_over(request);
+        self.remove_if_finished(request);
         let stalled = self.total_stall - record.stalled_before;
         let latency = now.saturating_sub(record.sent_at).saturating_sub(stalled);
         log::trace!(
@@ -332,7 +336,7 @@
         })
     }
 
-    /// Begins a health check.
+    /// Starts a health check of an endpoint. The caller passes the returned job to the upstream pool.
     pub fn start_health_check(
         &mut self,
         endpoint: EndpointId,
@@ -342,12 +346,13 @@
         self.health_checks.start(endpoint)
     }
 
-    /// A health check has timed out.
+    /// Ends a health check that has timed out. Returns its end for the engine, if it was still in flight.
     pub fn time_out_health_check(&mut self, number: u64) -> Option<Event> {
         self.health_checks.time_out(number)
     }
 
-    /// What a finished job means to the engine and to the request.
+    /// Processes the result of a job. Returns the outcome for the engine, and the final answer if the job
+    /// provided it.
     pub fn complete_job(
         &mut self,
         now: Nanos,
@@ -366,8 +371,8 @@
             }
         };
         let reply = AttemptReply::from(result);
-        // The first answer is the request's; of a hedge that was served too, only the outcome
-        // counts.
+        // The first served value answers the request. Of a second one, from a hedge, only the outcome
+        // is used.
         let is_served = reply.served.is_some();
         let context = self.requests.get_mut(&request).filter(|_| is_served);
         let ticket = context.and_then(|context| context.ticket.take());
--- a/crates/balancer/src/attempt_tracker/health_checks.rs
+++ b/crates/balancer/src/attempt_tracker/health_checks.rs
@@ -1,11 +1,11 @@
-//! The health checks that are out.
+//! Health checks in flight.
 
 use super::outcome::HealthCheckReply;
 use crate::upstream_pool::{ExchangeResult, UpstreamJob};
 use routing::{AttemptOutcome, EndpointId, Event};
 use std::collections::HashMap;
 
-/// The endpoints that are being checked, by the number of the check.
+/// Endpoints that are being checked, by the number of the check.
 #[derive(Default)]
 pub(super) struct HealthChecks {
     endpoints: HashMap<u64, EndpointId>,
@@ -13,14 +13,14 @@
 }
 
 impl HealthChecks {
-    /// Begins a check of this endpoint.
+    /// Starts a check of an endpoint.
     pub(super) fn start(&mut self, endpoint: EndpointId) -> UpstreamJob {
         self.last_number += 1;
         self.endpoints.insert(self.last_number, endpoint);
         UpstreamJob::HealthCheck(self.last_number)
     }
 
-    /// A check got no reply in time. Returns its end for the engine, if it was still out.
+    /// Ends a check that got no reply in time. Returns its end for the engine, if it was still in flight.
     pub(super) fn time_out(&mut self, number: u64) -> Option<Event> {
         let reply = HealthCheckReply {
             outcome: AttemptOutcome::Timeout,
@@ -29,7 +29,8 @@
         self.end(number, reply)
     }
 
-    /// A check has ended. Returns its end for the engine, if it was still out.
+    /// Ends a check with the result of its job. Returns its end for the engine, if it was still in
+    /// flight.
     pub(super) fn complete(&mut self, number: u64, result: ExchangeResult) -> Option<Event> {
         self.end(number, HealthCheckReply::from(result))
     }
--- a/crates/balancer/src/attempt_tracker/outcome.rs
+++ b/crates/balancer/src/attempt_tracker/outcome.rs
@@ -1,11 +1,11 @@
-//! What comes back from an endpoint, as the engine's outcomes: the protocol's table of answers.
+//! Mapping of the results of jobs to the engine's outcomes, as the protocol defines it.
 
 use crate::counters::Counters;
-use crate::resp::{Answer, Reply};
+use crate::resp::{CacheResponse, Reply};
 use crate::upstream_pool::ExchangeResult;
 use routing::{AttemptOutcome, CacheStatus, LoadReport};
 
-/// The value that an endpoint served for a request.
+/// Value that an endpoint served for a request.
 #[derive(Debug, PartialEq)]
 pub(super) struct ServedValue {
     pub(super) value: Vec<u8>,
@@ -13,7 +13,7 @@
     pub(super) load_report: Option<LoadReport>,
 }
 
-/// How an attempt ended, with the value that was served, if one was.
+/// Outcome of an attempt, with the served value if there is one.
 #[derive(Debug, PartialEq)]
 pub(super) struct AttemptReply {
     pub(super) outcome: AttemptOutcome,
@@ -32,7 +32,7 @@
 impl From<ExchangeResult> for AttemptReply {
     fn from(result: ExchangeResult) -> Self {
         AttemptReply::without_value(match result {
-            ExchangeResult::Response(answer) => return AttemptReply::from(answer),
+            ExchangeResult::Response(response) => return AttemptReply::from(response),
             ExchangeResult::Unreadable | ExchangeResult::Reply(_) => AttemptOutcome::Unreadable,
             ExchangeResult::ConnectFailed => AttemptOutcome::ConnectFailed,
             ExchangeResult::Reset => AttemptOutcome::Reset,
@@ -41,37 +41,42 @@
     }
 }
 
-impl From<Answer> for AttemptReply {
-    fn from(answer: Answer) -> Self {
-        match answer {
-            Answer::Error(text) => AttemptReply::without_value(error_outcome(&text)),
-            Answer::Served { value, note, load } => AttemptReply {
+impl From<CacheResponse> for AttemptReply {
+    fn from(response: CacheResponse) -> Self {
+        match response {
+            CacheResponse::Error(text) => AttemptReply::without_value(error_outcome(&text)),
+            CacheResponse::Served {
+                value,
+                cache_status,
+                load_report,
+            } => AttemptReply {
                 outcome: AttemptOutcome::Ok,
                 served: Some(ServedValue {
                     value,
-                    cache_status: note.as_deref().and_then(cache_status),
-                    load_report: load.as_deref().map(load_report),
+                    cache_status: cache_status.as_deref().and_then(parse_cache_status),
+                    load_report: load_report.as_deref().map(parse_load_report),
                 }),
             },
         }
     }
 }
 
-/// What an error reply says of the attempt.
+/// Maps the text of an error line to the outcome of the attempt.
 fn error_outcome(text: &str) -> AttemptOutcome {
     let code = text.split(' ').next().unwrap_or_default();
     match (code, text) {
         ("BUSY", _) => AttemptOutcome::Rejected,
         (_, "ERR failed") => AttemptOutcome::Error,
-        // Another complaint is about the command: no endpoint takes it, and this one is sound.
+        // Any other error concerns the command: no endpoint would accept it, and this endpoint is not
+        // at fault.
         _ => {
-            log::debug!("an endpoint answers: {text}");
+            log::debug!("an endpoint rejected a request as invalid: {text}");
             AttemptOutcome::InvalidRequest
         }
     }
 }
 
-fn cache_status(text: &[u8]) -> Option<CacheStatus> {
+fn parse_cache_status(text: &[u8]) -> Option<CacheStatus> {
     match text {
         b"hit" => Some(CacheStatus::Hit),
         b"miss" => Some(CacheStatus::Miss),
@@ -80,8 +85,8 @@
     }
 }
 
-/// A load report: names and values, separated by commas. What can't be read is skipped.
-fn load_report(text: &[u8]) -> LoadReport {
+/// Parses a load report: `name=value` pairs, separated by commas or spaces. Invalid pairs are skipped.
+fn parse_load_report(text: &[u8]) -> LoadReport {
     let text = String::from_utf8_lossy(text);
     let pairs = text.split([',', ' ']);
     let pairs = pairs.filter_map(|pair| pair.split_once('='));
@@ -90,7 +95,7 @@
     )
 }
 
-/// What a health check found.
+/// Outcome of a health check, with the load report if the endpoint sent one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct HealthCheckReply {
     pub(super) outcome: AttemptOutcome,
@@ -99,11 +104,11 @@
 
 impl From<ExchangeResult> for HealthCheckReply {
     fn from(result: ExchangeResult) -> Self {
-        let mut report = None;
+        let mut load_report = None;
         let outcome = match result {
             ExchangeResult::Reply(Reply::Status(_)) => AttemptOutcome::Ok,
             ExchangeResult::Reply(Reply::Bulk(Some(text))) => {
-                report = Some(load_report(&text));
+                load_report = Some(parse_load_report(&text));
                 AttemptOutcome::Ok
             }
             ExchangeResult::Reply(_) => AttemptOutcome::Error,
@@ -114,12 +119,12 @@
         };
         HealthCheckReply {
             outcome,
-            load_report: report,
+            load_report,
         }
     }
 }
 
-/// Counts how an attempt ended.
+/// Adds the outcome of an attempt to the counters.
 pub(super) fn count(outcome: AttemptOutcome, counters: &mut Counters) {
     *match outcome {
         AttemptOutcome::Ok => &mut counters.attempts_ok,
--- a/crates/balancer/src/attempt_tracker/outcome/tests.rs
+++ b/crates/balancer/src/attempt_tracker/outcome/tests.rs
@@ -1,9 +1,9 @@
-//! Answers of endpoints and the outcomes that they stand for.
+//! Tests of the mapping from responses of endpoints to outcomes.
 
 use super::*;
 
 #[test]
-fn answers_map_to_outcomes() {
+fn responses_map_to_outcomes() {
     let cases = [
         ("BUSY", AttemptOutcome::Rejected),
         ("BUSY 20", AttemptOutcome::Rejected),
@@ -13,19 +13,20 @@
     ];
     for (text, outcome) in cases {
         assert_eq!(
-            AttemptReply::from(Answer::Error(text.into())).outcome,
+            AttemptReply::from(CacheResponse::Error(text.into())).outcome,
             outcome,
             "{text}"
         );
     }
     let text = |text: &str| Some(text.as_bytes().to_vec());
-    let (note, load) = (text("pending"), text("depth=3,new=1,x0=oops"));
-    let answer = Answer::Served {
+    let response = CacheResponse::Served {
         value: b"v".to_vec(),
-        note,
-        load,
+        cache_status: text("pending"),
+        load_report: text("depth=3,new=1,x0=oops"),
     };
-    let served = AttemptReply::from(answer).served.expect("it is served");
+    let served = AttemptReply::from(response)
+        .served
+        .expect("the value is served");
     assert_eq!(
         (served.value.as_slice(), served.cache_status),
         (&b"v"[..], Some(CacheStatus::MissPending))
@@ -37,16 +38,15 @@
             ..LoadReport::default()
         })
     );
-    let (note, load) = (None, text("\u{fffd}!"));
-    let served = AttemptReply::from(Answer::Served {
+    let served = AttemptReply::from(CacheResponse::Served {
         value: b"v".to_vec(),
-        note,
-        load,
+        cache_status: None,
+        load_report: text("\u{fffd}!"),
     })
     .served;
     assert_eq!(
         served
-            .expect("served without a readable report too")
+            .expect("the value is served without a readable load report")
             .load_report,
         Some(LoadReport::default())
     );
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Open requests and their attempts.
+//! Tests of the tracked requests and their attempts.
 
 use super::*;
 use crate::request::CacheCommand;
@@ -15,7 +15,7 @@
     }
 }
 
-fn attempt_order(
+fn attempt_spec(
     (request, attempt): (RequestId, AttemptNumber),
     endpoint: u64,
     timeout: Option<Nanos>,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn latency_excludes_the_time_that_the_process_stood_still() {
+fn latency_excludes_the_time_that_the_process_was_stalled() {
     let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
     let command = CacheCommand {
         value: None,
@@ -50,7 +50,7 @@
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tracker
-            .start_attempt(0, attempt_order(first, 1, None), &mut counters)
+            .start_attempt(0, attempt_spec(first, 1, None), &mut counters)
             .is_ok()
     );
     tracker.set_total_stall(690 * MS);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_attempt_that_comes_too_late_ends_under_its_own_number() {
+fn attempt_of_a_finished_request_ends_with_the_number_of_the_engine() {
     let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
     let command = CacheCommand {
         value: None,
@@ -88,7 +88,7 @@
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
         tracker
-            .start_attempt(0, attempt_order(first, 1, None), &mut counters)
+            .start_attempt(0, attempt_spec(first, 1, None), &mut counters)
             .is_ok()
     );
     let outcome = AttemptOutcome::Reset;
@@ -98,10 +98,13 @@
             .is_some()
     );
     tracker.client_disconnected(1, RequestId(1));
-    assert!(!tracker.is_request_id_in_use(b"i"), "nothing is left of it");
+    assert!(
+        !tracker.is_request_id_in_use(b"i"),
+        "the finished request is removed"
+    );
     let second = (RequestId(1), AttemptNumber(1));
-    let Err(end) = tracker.start_attempt(1, attempt_order(second, 2, None), &mut counters) else {
-        panic!("sent")
+    let Err(end) = tracker.start_attempt(1, attempt_spec(second, 2, None), &mut counters) else {
+        panic!("an attempt of a finished request was started")
     };
     assert!(
         matches!(
@@ -117,8 +120,8 @@
 }
 
 #[test]
-fn an_attempt_has_a_millisecond_at_least_unless_its_request_has_less() {
-    for (client_timeout, sent) in [(100 * MS, true), (MS, true), (MS - 1, false)] {
+fn attempt_timeout_is_at_least_a_millisecond_unless_its_request_has_less_time() {
+    for (client_timeout, is_started) in [(100 * MS, true), (MS, true), (MS - 1, false)] {
         let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
         let command = CacheCommand {
             value: None,
@@ -131,14 +134,13 @@
             connection: 0,
         };
         tracker.add_request(incoming(ticket, client_timeout, command));
-        // For caches that answer within 0.1 ms the engine sets timeouts of a fraction of one.
+        // For caches that respond within 0.1 ms the engine sets timeouts of a fraction of a millisecond.
         let first = (RequestId(1), AttemptNumber(0));
-        let started =
-            tracker.start_attempt(0, attempt_order(first, 1, Some(MS / 4)), &mut counters);
+        let started = tracker.start_attempt(0, attempt_spec(first, 1, Some(MS / 4)), &mut counters);
         assert_eq!(
-            started.ok().map(|o| o.deadline),
-            sent.then_some(MS),
-            "{client_timeout}"
+            started.ok().map(|command| command.deadline),
+            is_started.then_some(MS),
+            "client timeout of {client_timeout} ns"
         );
     }
 }
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,5 +1,4 @@
-//! The client of discovery: it keeps a watch open over which the endpoint list and its changes
-//! arrive.
+//! The discovery client. It keeps a watch open, over which the endpoint list and its changes arrive.
 
 mod body;
 mod call;
@@ -22,41 +21,41 @@
 use routing::Nanos;
 use std::net::{SocketAddr, TcpStream};
 
-/// The longest message, and so the largest list.
+/// Maximum length of a message in bytes, and therefore of an endpoint list.
 const MAX_MESSAGE: usize = 4 << 20;
 
-/// What became of a watch.
+/// Event of a watch.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// The first bytes of the body have arrived, if only an empty line.
+    /// The first bytes of the body have arrived; they may be an empty line.
     Established,
-    /// A part of the list or of its changes.
+    /// The next part of an endpoint list or of a delta.
     ListPart(ListPart),
-    /// The watch ended or never began.
+    /// The watch ended or could not be opened.
     Failed,
 }
 
-/// The client of discovery, and the list as it is known so far.
+/// The discovery client, with the endpoint list received so far.
 pub struct DiscoveryClient {
     poll: Poll,
     address: SocketAddr,
     call: Option<WatchCall>,
     next_call: u64,
-    /// While messages of it are pending, nothing more is read.
+    /// Endpoint list. While it has pending messages, the watch is not read.
     list: ListState,
-    /// A watch was begun at some time, and is wanted from then on.
-    is_wanted: bool,
-    /// When the last watch began.
-    call_began: Nanos,
-    /// Watches that failed since the last message.
+    /// Whether a watch was opened before. A change of the address then reopens it.
+    keep_open: bool,
+    /// Time at which the last watch was opened.
+    watch_opened_at: Nanos,
+    /// Number of failed watches since the last message.
     failures: u32,
-    /// Where lists are pushed: the pace of watches. Elsewhere the engine says when.
+    /// Backoff between watches if an agent pushes lists; otherwise the engine decides when to watch.
     backoff: Option<WatchBackoff>,
 }
 
 impl DiscoveryClient {
-    /// A client that has not called yet. With a backoff the address is an agent's, to which lists
-    /// are pushed.
+    /// Creates a client without an open watch. With a backoff, `address` is that of an agent that
+    /// pushes lists.
     #[must_use]
     pub fn new(poll: &Poll, address: SocketAddr, backoff: Option<WatchBackoff>) -> Self {
         DiscoveryClient {
@@ -65,46 +64,47 @@
             call: None,
             next_call: 0,
             list: ListState::default(),
-            is_wanted: false,
-            call_began: 0,
+            keep_open: false,
+            watch_opened_at: 0,
             failures: 0,
             backoff,
         }
     }
 
-    /// Whether an agent is watched: from the start and without the engine, to which its lists just
-    /// arrive.
+    /// Returns whether an agent pushes the lists. The watch is then open from the start, and the engine
+    /// receives the lists without requesting them.
     #[must_use]
     pub fn is_pushed(&self) -> bool {
         self.backoff.is_some()
     }
 
-    /// Where an agent is watched: when to begin again, after a watch that has ended.
+    /// Returns the time of the next watch after one that ended at `now`, if an agent pushes lists.
     pub fn next_watch(&mut self, now: Nanos) -> Option<Nanos> {
-        let duration = now.saturating_sub(self.call_began);
+        let duration = now.saturating_sub(self.watch_opened_at);
         let delay = self.backoff.as_mut()?.next_delay(duration);
         Some(now + delay)
     }
 
-    /// Takes over a list from elsewhere.
+    /// Applies a list from the configuration or a state transfer.
     pub fn apply(&mut self, list: &EndpointList) {
         self.list.apply(list);
     }
 
-    /// Whether something of the list has arrived, or may have, that is not taken yet.
+    /// Returns whether messages are pending or the socket may hold unread data.
     #[must_use]
     pub fn has_unprocessed_data(&self) -> bool {
         self.has_pending() || self.call.as_ref().is_some_and(|call| call.has_unread)
     }
 
-    /// Whether [`DiscoveryClient::take_part`] has something to give.
+    /// Returns whether [`DiscoveryClient::take_part`] has endpoints to return.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         self.list.has_pending()
     }
 
-    /// The next endpoints of the list, at most `limit`. The first list is given at once: nobody is
-    /// served before it. Its version counts as known once a message is over.
+    /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first list
+    /// is returned whole, as no request can be served before. The version of a message is set with
+    /// its last part.
     pub fn take_part(&mut self, limit: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
         match self.list.take_part(limit) {
             Ok(part) => part.map(DiscoveryEvent::ListPart),
@@ -115,37 +115,37 @@
         }
     }
 
-    /// Whether any endpoint is listed.
+    /// Returns whether the list has any endpoint.
     #[must_use]
     pub fn has_endpoints(&self) -> bool {
         !self.list.endpoints().is_empty()
     }
 
-    /// The version of the list that is known, if one is.
+    /// Returns the version of the list, if one was received.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.list.version()
     }
 
-    /// The full list as it is known, if one is.
+    /// Returns the full list, if one was received.
     #[must_use]
     pub fn full_list(&self) -> Option<EndpointList> {
         self.list.full_list()
     }
 
-    /// Begins a watch, unless one is open. Returns its failure, if it fails at once.
+    /// Opens a watch unless one is open. Returns the failure if it fails immediately.
     pub fn watch(
         &mut self,
         now: Nanos,
         timers: &mut Timers,
         counters: &mut Counters,
     ) -> Option<DiscoveryEvent> {
-        self.is_wanted = true;
+        self.keep_open = true;
         if self.call.is_some() {
             return None;
         }
         counters.discovery_calls += 1;
-        self.call_began = now;
+        self.watch_opened_at = now;
         let number = self.next_call;
         self.next_call += 1;
         match self.connect(number) {
@@ -160,9 +160,9 @@
         }
     }
 
-    /// Discovery is at another address from now on: the watch moves there, and goes on from the
-    /// version that is known. It begins at once, whatever the engine waits for after a failed call:
-    /// the former address may send nothing more, and the balancer counts as notified all the same.
+    /// Changes the address of discovery and reopens the watch there, from the version received so far.
+    /// The watch is opened immediately, regardless of any delay after a failed call: the former
+    /// address may send nothing more, while the balancer still counts as notified of changes.
     pub fn change_address(
         &mut self,
         address: SocketAddr,
@@ -173,10 +173,13 @@
         if address == self.address {
             return None;
         }
-        log::info!("discovery moves from {} to {address}", self.address);
+        log::info!(
+            "discovery address changed from {} to {address}; reopening the watch",
+            self.address
+        );
         self.address = address;
         self.call = None;
-        if self.is_wanted {
+        if self.keep_open {
             self.watch(now, timers, counters)
         } else {
             None
@@ -190,7 +193,7 @@
         registered.map_err(WatchError::Register)
     }
 
-    /// Reads and writes what the watch is ready for.
+    /// Reads and writes as the readiness of the watch allows.
     pub fn handle_ready(
         &mut self,
         now: Nanos,
@@ -198,8 +201,9 @@
         events: &mut Vec<DiscoveryEvent>,
         counters: &mut Counters,
     ) {
-        let is_of = |call: &&mut WatchCall| EventSource::Discovery(call.number) == ready.source;
-        let Some(call) = self.call.as_mut().filter(is_of) else {
+        let is_current =
+            |call: &&mut WatchCall| EventSource::Discovery(call.number) == ready.source;
+        let Some(call) = self.call.as_mut().filter(is_current) else {
             return;
         };
         if self.list.has_pending() {
@@ -215,15 +219,15 @@
         if !call.text.is_empty() && !std::mem::replace(&mut call.is_established, true) {
             events.push(DiscoveryEvent::Established);
         }
-        // Complete messages that arrived before an end or an error still count.
+        // Complete messages that arrived before the end or the error are still processed.
         let parsed = self.read_messages(counters).map_err(WatchError::from);
         if let Err(error) = parsed.and(result) {
             events.push(self.fail(&error, counters));
         }
     }
 
-    /// Ends a watch that failed. The first, second, fourth and so on failure since the last message
-    /// is logged as a warning: an agent that is gone for hours is called several times a second.
+    /// Ends a failed watch. Only the failures 1, 2, 4, 8 and so on since the last message are logged as
+    /// warnings: an agent that is unavailable for hours is called several times a second.
     fn fail(&mut self, error: &WatchError, counters: &mut Counters) -> DiscoveryEvent {
         self.call = None;
         counters.discovery_failed += 1;
@@ -235,14 +239,15 @@
         };
         log::log!(
             level,
-            "discovery at {}: {error}; failed {} times since its last message",
+            "watch of discovery at {} failed: {error}; {} failed watches since the last message",
             self.address,
             self.failures
         );
         DiscoveryEvent::Failed
     }
 
-    /// Gives up a watch that has been silent for long: an unreachable machine ends no connection.
+    /// Fails a watch that has been silent for too long: the connection to an unreachable machine does
+    /// not end by itself.
     pub fn handle_silence_timeout(
         &mut self,
         now: Nanos,
@@ -266,8 +271,8 @@
         events.push(self.fail(&WatchError::Silent { silent_ms, stage }, counters));
     }
 
-    /// Takes the complete messages of the text that has arrived. A message ends with its last
-    /// brace, on whatever line that is: lists may come indented.
+    /// Takes the complete messages from the received text. A message ends with its closing brace and
+    /// may span several lines, as lists may be indented.
     fn read_messages(&mut self, counters: &mut Counters) -> Result<(), MessageError> {
         let Some(call) = self.call.as_mut() else {
             return Ok(());
@@ -276,15 +281,15 @@
             let text = call.text[range.clone()].to_vec();
             call.text.drain(..range.end);
             let message = Message::read(text)?;
-            // Within a watch versions only grow; an older message would bring back what has gone.
-            // The first may be older if it is a full list, for discovery may have begun to count
-            // anew; a delta refers to the version that was asked from.
-            let known = self.list.version().filter(|_| !message.is_full);
-            let known = call.version.or(known);
-            if let Some(known) = known.filter(|known| message.version < *known) {
+            // Within a watch versions never decrease; an older message would restore removed
+            // endpoints. The first message of a watch may be older if it is a full list, as discovery
+            // may have restarted its count. A delta refers to the version that the watch requested.
+            let list_version = self.list.version().filter(|_| !message.is_full);
+            let minimum = call.version.or(list_version);
+            if let Some(minimum) = minimum.filter(|minimum| message.version < *minimum) {
                 counters.discovery_outdated_lines += 1;
                 log::warn!(
-                    "discovery at {}: a message of version {} is ignored, version {known} is known",
+                    "discovery at {}: ignored a message of version {}, older than version {minimum}",
                     self.address,
                     message.version
                 );
@@ -295,7 +300,7 @@
             counters.discovery_messages += 1;
             self.list.push(message);
         }
-        if call.scanner.is_between() {
+        if call.scanner.is_between_messages() {
             call.text.clear();
             call.scanner = MessageScanner::default();
         }
--- a/crates/balancer/src/discovery/body.rs
+++ b/crates/balancer/src/discovery/body.rs
@@ -1,38 +1,39 @@
-//! The body of an HTTP response that arrives in pieces: chunked, of a given length, or until the
-//! connection ends. No I/O.
+//! Incremental decoding of the body of an HTTP response: chunked, of a given length, or until the
+//! connection is closed. The module performs no I/O.
 
 use super::error::WatchError;
 
-/// The longest chunk, and so the largest list that is sent as one.
+/// Maximum size of a chunk in bytes, and therefore of a list that is sent as one chunk.
 const MAX_CHUNK: usize = 4 << 20;
-/// The longest line with a chunk's length.
-const MAX_CHUNK_HEAD: usize = 32 * 1024;
+/// Maximum length of the header line of a chunk, in bytes.
+const MAX_CHUNK_HEADER: usize = 32 * 1024;
 const LINE_END: &[u8] = b"\r\n";
 
-/// How the body's end is known.
+/// Framing of the body.
 #[derive(Debug)]
 pub(super) enum Body {
     Chunked {
-        /// Bytes of the chunk at hand that are still to come, its line end included.
+        /// Number of bytes of the current chunk that have not arrived yet, including its line end.
         remaining: usize,
     },
     Length {
+        /// Number of bytes of the body that have not arrived yet.
         remaining: usize,
     },
     UntilClose,
 }
 
 impl Body {
-    /// Whether a chunk has begun and is not over.
+    /// Returns whether a chunk has begun and is incomplete.
     pub(super) fn is_in_chunk(&self) -> bool {
         matches!(self, Body::Chunked { remaining: 1.. })
     }
 
-    /// Moves what has arrived of the body from `input` to `text`.
+    /// Moves the received bytes of the body from `input` to `text`.
     ///
     /// # Errors
     ///
-    /// Says how the body breaks the protocol, or that it is over.
+    /// Returns an error if the body violates the protocol or has ended.
     pub(super) fn decode(
         &mut self,
         input: &mut Vec<u8>,
@@ -54,14 +55,14 @@
     }
 }
 
-/// Takes the next part of a chunk; false once more has to arrive.
+/// Decodes the next part of a chunk. Returns false if more input is needed.
 fn decode_chunk(
     remaining: &mut usize,
     input: &mut Vec<u8>,
     text: &mut Vec<u8>,
 ) -> Result<bool, WatchError> {
     if *remaining == 0 {
-        return read_chunk_head(remaining, input);
+        return parse_chunk_header(remaining, input);
     }
     if *remaining > LINE_END.len() {
         let length = input.len().min(*remaining - LINE_END.len());
@@ -79,7 +80,7 @@
     Ok(*remaining == 0)
 }
 
-fn read_chunk_head(remaining: &mut usize, input: &mut Vec<u8>) -> Result<bool, WatchError> {
+fn parse_chunk_header(remaining: &mut usize, input: &mut Vec<u8>) -> Result<bool, WatchError> {
     match httparse::parse_chunk_size(input) {
         Ok(httparse::Status::Complete((_, 0))) => Err(WatchError::ResponseEnded),
         Ok(httparse::Status::Complete((_, size))) if size > MAX_CHUNK as u64 => {
@@ -93,7 +94,7 @@
             *remaining = size as usize + LINE_END.len();
             Ok(true)
         }
-        Ok(httparse::Status::Partial) if input.len() < MAX_CHUNK_HEAD => Ok(false),
+        Ok(httparse::Status::Partial) if input.len() < MAX_CHUNK_HEADER => Ok(false),
         Ok(httparse::Status::Partial) | Err(_) => Err(WatchError::ChunkLength),
     }
 }
--- a/crates/balancer/src/discovery/call.rs
+++ b/crates/balancer/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to discovery: the request is written, the response's head and body are read as
+//! One HTTP call to discovery. Writes the request, and reads the headers and body of the response as
 //! they arrive.
 
 use super::body::Body;
@@ -11,27 +11,28 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A watch is broken when nothing has arrived for this long: an empty line is due every 2 s.
+/// Maximum time without received bytes before a watch fails. Discovery sends an empty line every 2 s.
 pub(super) const SILENCE_TIMEOUT: Nanos = 3_500 * MS;
-/// The same until the response begins. Calls wait in turn, and calling again goes to the end of the
-/// queue, so it is longer; but the balancer counts as notified of what a silent call misses 6 s
-/// after the call began, or 2 s after its wait in turn if that is later.
+/// Maximum time until the response begins. It is longer than [`SILENCE_TIMEOUT`], as discovery queues
+/// calls and a new call goes to the end of the queue. It must be well below 6 s: the balancer counts as
+/// notified of the changes that a silent call misses 6 s after the call began, or 2 s after the end of
+/// its wait in the queue if that is later.
 pub(super) const FIRST_BYTE_TIMEOUT: Nanos = 4_000 * MS;
-/// A connection to discovery is up within this or fails: an unreachable machine refuses none.
+/// Timeout of a connection to discovery. An unreachable machine does not refuse connections.
 pub(super) const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
-/// The longest head of a response.
-const MAX_HEAD: usize = 4 << 20;
-/// Bytes that one read takes at most.
+/// Maximum length of the headers of a response, in bytes.
+const MAX_HEADERS_LENGTH: usize = 4 << 20;
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 32 * 1024;
-/// The most headers of a response.
-const MAX_HEADERS: usize = 32;
+/// Maximum number of headers of a response.
+const MAX_HEADER_COUNT: usize = 32;
 
-/// How far a call has come.
+/// Progress of a call, as named in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallStage {
     Connecting,
-    AwaitingHead,
-    InHead,
+    AwaitingHeaders,
+    InHeaders,
     InChunk,
     BetweenMessages,
     InMessage,
@@ -40,9 +41,9 @@
 impl fmt::Display for CallStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CallStage::Connecting => "before its connection was up",
-            CallStage::AwaitingHead => "before its head",
-            CallStage::InHead => "in its head",
+            CallStage::Connecting => "before the connection was established",
+            CallStage::AwaitingHeaders => "before the response headers",
+            CallStage::InHeaders => "in the response headers",
             CallStage::InChunk => "in a chunk",
             CallStage::BetweenMessages => "between two messages",
             CallStage::InMessage => "in a message",
@@ -50,29 +51,29 @@
     }
 }
 
-/// A call that is open.
+/// An open call.
 pub(super) struct WatchCall {
     pub(super) number: u64,
     socket: Registered<TcpStream>,
     request: Vec<u8>,
     written: usize,
     input: Vec<u8>,
-    /// None until the head has been read.
+    /// Body of the response; `None` until the headers have been read.
     body: Option<Body>,
-    /// What has arrived of the body since the last complete message.
+    /// Received part of the body that follows the last complete message.
     pub(super) text: Vec<u8>,
     pub(super) scanner: MessageScanner,
-    /// The last read took all that it could: more may wait.
+    /// Whether the last read filled its buffer, so that the socket may hold more data.
     pub(super) has_unread: bool,
     pub(super) last_read: Nanos,
-    /// The version of its last message.
+    /// Version of the last message of this call.
     pub(super) version: Option<u64>,
-    /// Something of the body has arrived.
+    /// Whether a part of the body has arrived.
     pub(super) is_established: bool,
 }
 
 impl WatchCall {
-    /// A watch of the changes since a version, or of the full list.
+    /// Creates a watch of the changes since a version, or of the full list if `since` is `None`.
     pub(super) fn new(
         number: u64,
         socket: Registered<TcpStream>,
@@ -105,7 +106,7 @@
         self.written < self.request.len()
     }
 
-    /// When the call fails unless something arrives.
+    /// Returns the time at which the call fails unless bytes arrive.
     pub(super) fn silence_deadline(&self) -> Nanos {
         self.last_read
             + match (&self.body, self.written) {
@@ -115,23 +116,23 @@
             }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the call.
     pub(super) fn stage(&self) -> CallStage {
         match &self.body {
             None if self.written == 0 => CallStage::Connecting,
-            None if self.input.is_empty() => CallStage::AwaitingHead,
-            None => CallStage::InHead,
+            None if self.input.is_empty() => CallStage::AwaitingHeaders,
+            None => CallStage::InHeaders,
             Some(body) if body.is_in_chunk() => CallStage::InChunk,
             Some(_) if self.text.is_empty() && self.input.is_empty() => CallStage::BetweenMessages,
             Some(_) => CallStage::InMessage,
         }
     }
 
-    /// Writes as much of the request as the socket takes.
+    /// Writes as much of the request as the socket accepts.
     ///
     /// # Errors
     ///
-    /// Says what failed on the socket.
+    /// Returns an error if connecting or writing failed.
     pub(super) fn write(&mut self) -> Result<(), WatchError> {
         if let Ok(Some(error)) = self.socket.socket().take_error() {
             return Err(WatchError::Connect(error));
@@ -150,11 +151,11 @@
         registered.map_err(WatchError::Register)
     }
 
-    /// Reads once, and decodes what has arrived.
+    /// Reads once and decodes the received bytes.
     ///
     /// # Errors
     ///
-    /// Says what failed on the socket, how the response breaks the protocol, or that it is over.
+    /// Returns an error if reading failed, or if the response violates the protocol or has ended.
     pub(super) fn read(&mut self, now: Nanos) -> Result<(), WatchError> {
         let before = self.input.len();
         self.input.resize(before + READ_SIZE, 0);
@@ -170,7 +171,7 @@
             Err(e) => return Err(WatchError::Read(e)),
         }
         if self.body.is_none() {
-            self.body = self.read_head()?;
+            self.body = self.parse_headers()?;
         }
         match &mut self.body {
             Some(body) => body.decode(&mut self.input, &mut self.text),
@@ -178,15 +179,17 @@
         }
     }
 
-    /// Reads the status and headers, once they are all there; returns how the body's end is known.
-    fn read_head(&mut self) -> Result<Option<Body>, WatchError> {
-        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    /// Parses the status and headers once they have arrived completely. Returns the framing of the body.
+    fn parse_headers(&mut self) -> Result<Option<Body>, WatchError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
         let mut response = httparse::Response::new(&mut headers);
         let length = match response.parse(&self.input)? {
             httparse::Status::Complete(length) => length,
-            httparse::Status::Partial if self.input.len() < MAX_HEAD => return Ok(None),
+            httparse::Status::Partial if self.input.len() < MAX_HEADERS_LENGTH => return Ok(None),
             httparse::Status::Partial => {
-                return Err(WatchError::HeadersTooLong { limit: MAX_HEAD });
+                return Err(WatchError::HeadersTooLong {
+                    limit: MAX_HEADERS_LENGTH,
+                });
             }
         };
         if response.code != Some(200) {
--- a/crates/balancer/src/discovery/endpoint_list.rs
+++ b/crates/balancer/src/discovery/endpoint_list.rs
@@ -1,53 +1,53 @@
-//! The endpoint list as discovery, the configuration and a state transfer write it, and the list
-//! as it is known so far.
+//! The endpoint list: its JSON format in discovery, the configuration and state transfers, and the list
+//! as received so far.
 
 use super::messages::{ListPart, Message, MessageError};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The `health` of an endpoint that has left the list.
+/// Value of `health` for an endpoint that was removed from the list.
 pub(super) const REMOVED: &str = "terminated";
 
-/// The endpoint list, or a delta of it.
+/// An endpoint list, or a delta of one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list, or of the list after the delta.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether these are all endpoints; otherwise those that changed.
+    /// Whether `endpoints` has all endpoints. Otherwise it has only those that changed.
     #[serde(default, rename = "whole")]
     pub is_full: bool,
-    /// The endpoints.
+    /// Endpoints of the list or delta.
     #[serde(default, rename = "hosts")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An endpoint as discovery knows it. Only its name must be there.
+/// An endpoint in a list of discovery. Only the name is required.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedEndpoint {
-    /// Its name, the same at every balancer.
+    /// Name of the endpoint, the same at every balancer.
     #[serde(rename = "host")]
     pub name: String,
-    /// Its address, which may differ from balancer to balancer.
+    /// Address of the endpoint, which may differ between balancers.
     #[serde(default, rename = "dial")]
     pub address: String,
-    /// Its zone.
+    /// Zone of the endpoint.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine type of the endpoint.
     #[serde(default, rename = "class")]
     pub kind: String,
-    /// Its cell.
+    /// Cell of the endpoint, as any JSON value.
     #[serde(default, rename = "block")]
     pub cell: Value,
-    /// `in_service`, `terminating` or `terminated`; a later version may know others.
+    /// `in_service`, `terminating` or `terminated`. Later versions of discovery may add others.
     #[serde(default = "in_service", rename = "health")]
     pub state: String,
-    /// Its stated capacity, where 1 is usual.
+    /// Relative capacity of the endpoint; 1 is usual.
     #[serde(default = "full_weight", rename = "share")]
     pub weight: f64,
-    /// Unix time of its start in milliseconds; 0 for long ago.
+    /// Start of the endpoint as Unix time in milliseconds; 0 if it started long ago.
     #[serde(default, rename = "born_ms")]
     pub started_ms: f64,
 }
@@ -60,14 +60,14 @@
     1.0
 }
 
-/// The endpoint list as it is known so far, and the messages that are still to be taken.
+/// The endpoint list received so far, and the pending messages.
 #[derive(Default)]
 pub(super) struct ListState {
-    /// The version up to which all changes are known.
+    /// Version up to which all changes are applied.
     version: Option<u64>,
-    /// All that are listed, by name, as of that version and what was taken of `pending`.
+    /// Listed endpoints by name, as of `version` and the applied part of the first pending message.
     endpoints: BTreeMap<String, ListedEndpoint>,
-    /// Messages that have arrived and are not all taken.
+    /// Received messages that are not completely applied.
     pending: VecDeque<Message>,
 }
 
@@ -84,17 +84,17 @@
         !self.pending.is_empty()
     }
 
-    /// Adds a message that has arrived.
+    /// Adds a received message.
     pub(super) fn push(&mut self, message: Message) {
         self.pending.push_back(message);
     }
 
-    /// Drops the messages that are not all taken.
+    /// Drops all pending messages.
     pub(super) fn clear_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// Applies a list from elsewhere.
+    /// Applies a list from the configuration or a state transfer.
     pub(super) fn apply(&mut self, list: &EndpointList) {
         if list.is_full {
             self.endpoints.clear();
@@ -114,12 +114,13 @@
         }
     }
 
-    /// Takes and applies the next endpoints, at most `limit`. The first list is taken at once:
-    /// nobody is served before it. Its version counts as known once a message is over.
+    /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first list
+    /// is returned whole, as no request can be served before. The version of a message is set with
+    /// its last part.
     ///
     /// # Errors
     ///
-    /// Names the endpoint and key that can't be read.
+    /// Returns an error that names the endpoint and key if a value is invalid.
     pub(super) fn take_part(&mut self, limit: usize) -> Result<Option<ListPart>, MessageError> {
         let limit = self.version.map_or(usize::MAX, |_| limit);
         let Some(message) = self.pending.front_mut() else {
@@ -134,7 +135,7 @@
         Ok(Some(part))
     }
 
-    /// The full list as it is known, if one is.
+    /// Returns the full list, if one was received.
     pub(super) fn full_list(&self) -> Option<EndpointList> {
         Some(EndpointList {
             version: self.version?,
--- a/crates/balancer/src/discovery/error.rs
+++ b/crates/balancer/src/discovery/error.rs
@@ -1,40 +1,40 @@
-//! Why a watch failed.
+//! Errors of a watch.
 
 use super::call::CallStage;
 use super::messages::MessageError;
 use std::io;
 
-/// Why a watch failed or ended.
+/// Reason why a watch failed or ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    #[error("connecting: {0}")]
+    #[error("connecting failed: {0}")]
     Connect(#[source] io::Error),
-    #[error("registering the socket with the poller: {0}")]
+    #[error("registering the socket with the poller failed: {0}")]
     Register(#[source] io::Error),
-    #[error("writing the request: {0}")]
+    #[error("writing the request failed: {0}")]
     Write(#[source] io::Error),
-    #[error("reading the response: {0}")]
+    #[error("reading the response failed: {0}")]
     Read(#[source] io::Error),
-    #[error("the connection was closed")]
+    #[error("discovery closed the connection")]
     Closed,
-    #[error("headers: longer than {limit} bytes")]
+    #[error("the response headers exceed {limit} bytes")]
     HeadersTooLong { limit: usize },
-    #[error("headers: {0}")]
+    #[error("the response headers are invalid: {0}")]
     Headers(#[from] httparse::Error),
-    #[error("status {0}, 200 is expected")]
+    #[error("the response has status {0}, expected 200")]
     Status(u16),
-    #[error("content-length: \"{0}\" is no length")]
+    #[error("the content-length \"{0}\" is not a number")]
     ContentLength(String),
     #[error("the response has ended")]
     ResponseEnded,
-    #[error("chunk without its line end")]
+    #[error("a chunk does not end with a line end")]
     ChunkEnd,
-    #[error("chunk of {size} bytes, at most {limit} are allowed")]
+    #[error("a chunk has {size} bytes, the maximum is {limit}")]
     ChunkTooLong { size: u64, limit: usize },
-    #[error("chunk without a length")]
+    #[error("a chunk has no valid length")]
     ChunkLength,
-    #[error("endpoint list: {0}")]
+    #[error("invalid endpoint list: {0}")]
     Message(#[from] MessageError),
-    #[error("silent for {silent_ms} ms, {stage}; it is called again")]
+    #[error("no data for {silent_ms} ms, {stage}; calling again")]
     Silent { silent_ms: u64, stage: CallStage },
 }
--- a/crates/balancer/src/discovery/messages.rs
+++ b/crates/balancer/src/discovery/messages.rs
@@ -1,5 +1,6 @@
-//! Messages of discovery: where one ends in a text that arrives in pieces, and its endpoints taken
-//! a few at a time, so that a list of thousands delays nothing else. No I/O.
+//! Messages of discovery. Finds the end of a message in text that arrives in pieces, and parses the
+//! endpoints of a message a few at a time, so that a list with thousands of endpoints does not delay
+//! other work. The module performs no I/O.
 
 use super::endpoint_list::{ListedEndpoint, REMOVED};
 use serde::Deserialize;
@@ -7,14 +8,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// Why a message can't be read.
+/// Reason why a message is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MessageError {
-    #[error("a message begins with \"{}\"", .0.escape_ascii())]
+    #[error("a message begins with \"{}\", expected \"{{\"", .0.escape_ascii())]
     Start(u8),
-    #[error("an empty line within a message")]
+    #[error("an empty line is within a message")]
     EmptyLine,
-    #[error("a message of more than {limit} bytes")]
+    #[error("a message exceeds {limit} bytes")]
     TooLong { limit: usize },
     #[error("{0}")]
     Key(#[from] serde_path_to_error::Error<serde_json::Error>),
@@ -25,32 +26,34 @@
     },
 }
 
-/// Finds the ends of messages. Each byte is examined once, however many pieces a message comes in.
+/// Finds the ends of messages. Examines each byte once, regardless of how many pieces a message arrives
+/// in.
 #[derive(Debug, Default)]
 pub(super) struct MessageScanner {
-    /// Bytes of the text that were examined.
+    /// Number of bytes of the text that were examined.
     scanned: usize,
-    /// Where the current message begins.
+    /// Position at which the current message begins.
     start: usize,
-    /// Braces and brackets that are open.
+    /// Number of open braces and brackets.
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// The last byte ended a line.
+    /// Whether the last byte was a line end.
     line_ended: bool,
 }
 
 impl MessageScanner {
-    /// The next complete message of `text`, which is then to be cut off behind it; none while its
-    /// end has not arrived.
+    /// Returns the position of the next complete message in `text`, or `None` if its end has not
+    /// arrived. After a message, the caller has to remove the text up to its end before the next
+    /// call.
     ///
     /// # Errors
     ///
-    /// Says what stands where a message should begin, or that one has an empty line.
+    /// Returns an error if a message does not begin with a brace or contains an empty line.
     pub(super) fn next(&mut self, text: &[u8]) -> Result<Option<Range<usize>>, MessageError> {
         while let Some(byte) = text.get(self.scanned) {
             self.scanned += 1;
-            if self.is_end(*byte)? {
+            if self.ends_message(*byte)? {
                 let message = self.start..self.scanned;
                 *self = MessageScanner::default();
                 return Ok(Some(message));
@@ -59,16 +62,16 @@
         Ok(None)
     }
 
-    /// Whether no message has begun.
-    pub(super) fn is_between(&self) -> bool {
+    /// Returns whether no message has begun.
+    pub(super) fn is_between_messages(&self) -> bool {
         self.depth == 0
     }
 
-    /// Whether this byte ends the message.
-    fn is_end(&mut self, byte: u8) -> Result<bool, MessageError> {
+    /// Processes a byte and returns whether it ends the message.
+    fn ends_message(&mut self, byte: u8) -> Result<bool, MessageError> {
         let line_ended = std::mem::replace(&mut self.line_ended, byte == b'\n');
         if self.depth == 0 {
-            return self.begin(byte).map(|()| false);
+            return self.begin_message(byte).map(|()| false);
         }
         if line_ended && byte == b'\n' {
             return Err(MessageError::EmptyLine);
@@ -85,8 +88,8 @@
         Ok(self.depth == 0)
     }
 
-    /// Empty lines between two messages are part of none.
-    fn begin(&mut self, byte: u8) -> Result<(), MessageError> {
+    /// Begins a message at an opening brace. Whitespace between messages is skipped.
+    fn begin_message(&mut self, byte: u8) -> Result<(), MessageError> {
         match byte {
             b'{' => {
                 (self.start, self.depth) = (self.scanned - 1, 1);
@@ -98,9 +101,9 @@
     }
 }
 
-/// A message as it is first read: its endpoints are left as text.
+/// A message whose endpoints are not parsed yet.
 #[derive(Deserialize)]
-struct Head<'a> {
+struct MessageHeader<'a> {
     #[serde(rename = "seq")]
     version: u64,
     #[serde(default, rename = "whole")]
@@ -109,68 +112,68 @@
     endpoints: Vec<&'a RawValue>,
 }
 
-/// Some of the endpoints of a message.
+/// A part of the endpoints of a message.
 #[derive(Debug)]
 pub struct ListPart {
-    /// The message's version.
+    /// Version of the message.
     pub version: u64,
-    /// The message names all endpoints.
+    /// Whether the message is a full list.
     pub is_full: bool,
-    /// The endpoints. At the end of a message that names all of them, those that it does not name
-    /// follow as removed.
+    /// Endpoints of this part. At the end of a full list, the listed endpoints that it does not contain
+    /// follow, with the state `terminated`.
     pub endpoints: Vec<ListedEndpoint>,
-    /// The message is over.
+    /// Whether this is the last part of the message.
     pub is_last: bool,
 }
 
-/// A message whose endpoints are taken a few at a time.
+/// A message whose endpoints are parsed and taken a few at a time.
 #[derive(Debug)]
 pub(super) struct Message {
     pub(super) version: u64,
     pub(super) is_full: bool,
     text: Vec<u8>,
-    /// Where the remaining endpoints stand in the text.
+    /// Positions of the remaining endpoints in the text.
     remaining: std::vec::IntoIter<Range<usize>>,
-    /// Endpoints taken so far.
+    /// Number of endpoints taken so far.
     taken: usize,
-    /// Their names, where these are all endpoints.
-    named: BTreeSet<String>,
-    /// Endpoints that are listed and not named; known once all that are named were taken.
-    unnamed: Option<std::vec::IntoIter<ListedEndpoint>>,
+    /// Names of the endpoints taken so far, if the message is a full list.
+    names: BTreeSet<String>,
+    /// Listed endpoints that a full list does not contain; set when all its endpoints are taken.
+    missing: Option<std::vec::IntoIter<ListedEndpoint>>,
 }
 
 impl Message {
-    /// Reads all but the endpoints.
+    /// Parses a message except for its endpoints.
     ///
     /// # Errors
     ///
-    /// Names the key that can't be read.
+    /// Returns an error that names the key if a value is invalid.
     pub(super) fn read(text: Vec<u8>) -> Result<Self, MessageError> {
         let mut json = serde_json::Deserializer::from_slice(&text);
-        let head: Head = serde_path_to_error::deserialize(&mut json)?;
+        let header: MessageHeader = serde_path_to_error::deserialize(&mut json)?;
         let range = |endpoint: &&RawValue| {
             let start = endpoint.get().as_ptr() as usize - text.as_ptr() as usize;
             start..start + endpoint.get().len()
         };
-        let ranges: Vec<Range<usize>> = head.endpoints.iter().map(range).collect();
-        let (version, is_full) = (head.version, head.is_full);
+        let ranges: Vec<Range<usize>> = header.endpoints.iter().map(range).collect();
+        let (version, is_full) = (header.version, header.is_full);
         Ok(Message {
             version,
             is_full,
             text,
             remaining: ranges.into_iter(),
             taken: 0,
-            named: BTreeSet::new(),
-            unnamed: None,
+            names: BTreeSet::new(),
+            missing: None,
         })
     }
 
-    /// Takes at most `limit` of the remaining endpoints. Where the message names all endpoints,
-    /// those `listed` that it does not name follow as removed.
+    /// Parses and takes at most `limit` of the remaining endpoints. At the end of a full list, the
+    /// endpoints in `listed` that it does not contain follow as removed.
     ///
     /// # Errors
     ///
-    /// Names the endpoint and the key that can't be read.
+    /// Returns an error that names the endpoint and key if a value is invalid.
     pub(super) fn take(
         &mut self,
         limit: usize,
@@ -184,35 +187,35 @@
                 .map_err(|source| MessageError::Endpoint { index, source })?;
             self.taken += 1;
             if self.is_full {
-                self.named.insert(endpoint.name.clone());
+                self.names.insert(endpoint.name.clone());
             }
             endpoints.push(endpoint);
         }
         if self.is_full && self.remaining.len() == 0 {
-            let named = &self.named;
-            let unnamed = self
-                .unnamed
-                .get_or_insert_with(|| removed_unless_named(listed, named).into_iter());
+            let names = &self.names;
+            let missing = self
+                .missing
+                .get_or_insert_with(|| missing_as_removed(listed, names).into_iter());
             let capacity = limit - endpoints.len();
-            endpoints.extend(unnamed.by_ref().take(capacity));
+            endpoints.extend(missing.by_ref().take(capacity));
         }
-        let unnamed = self.unnamed.as_ref().map_or(0, ExactSizeIterator::len);
+        let missing = self.missing.as_ref().map_or(0, ExactSizeIterator::len);
         Ok(ListPart {
             version: self.version,
             is_full: self.is_full,
             endpoints,
-            is_last: self.remaining.len() + unnamed == 0,
+            is_last: self.remaining.len() + missing == 0,
         })
     }
 }
 
-/// The listed endpoints that are not named, as removed.
-fn removed_unless_named(
+/// Returns the listed endpoints whose names are not in `names`, with the state `terminated`.
+fn missing_as_removed(
     listed: &BTreeMap<String, ListedEndpoint>,
-    named: &BTreeSet<String>,
+    names: &BTreeSet<String>,
 ) -> Vec<ListedEndpoint> {
-    let unnamed = listed.values().filter(|e| !named.contains(&e.name));
-    let removed = unnamed.map(|endpoint| ListedEndpoint {
+    let missing = listed.values().filter(|e| !names.contains(&e.name));
+    let removed = missing.map(|endpoint| ListedEndpoint {
         state: REMOVED.into(),
         ..endpoint.clone()
     });
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,6 +1,6 @@
-//! The transport of gossip: one UDP socket and one timer, fed into a [`Member`]. What the member
-//! sees goes into the log, the counters, `/admin/fleet` and, as two figures, to the engine. Without
-//! the key `fleet` of the configuration there is none of this.
+//! The transport of gossip: one UDP socket and one timer that drive a [`Member`]. The state of the
+//! member is reported in the log, the counters and `/admin/fleet`; the engine receives the share count
+//! and the shedding level. The transport exists only if the configuration has the key `fleet`.
 
 mod admin_view;
 mod counters_line;
@@ -18,52 +18,55 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
-/// Datagrams that are read in one turn of the event loop; requests must not wait for more.
+/// Maximum number of datagrams read per turn of the event loop, to limit the delay of requests.
 const DATAGRAMS_PER_TURN: usize = 1_024;
-/// Over which time the rate of requests is measured.
+/// Interval over which the request rate is measured.
 const RATE_INTERVAL: Nanos = 2_000 * MS;
-/// How soon an address that another process of this balancer holds is bound again.
+/// Interval between attempts to bind an address that another process of this balancer still holds.
 const BIND_RETRY_INTERVAL: Nanos = 250 * MS;
-/// For how long the same requests of a partly shed tier are shed.
+/// Time for which the same requests of a partly shed tier are shed.
 const SHEDDING_ROTATION: Nanos = 1_000 * MS;
 
-/// How this balancer takes part in its fleet.
+/// Options of the gossip transport.
 pub struct GossipOptions<'a> {
-    /// The key `fleet` of the configuration.
+    /// Value of the key `fleet` of the configuration.
     pub config: &'a FleetConfig,
-    /// What other members learn of this balancer.
+    /// Metadata of this balancer, announced to other members.
     pub metadata: MemberMetadata,
-    /// The settings' number of balancers.
+    /// Number of balancers in the settings. It is the share count until the member reports another.
     pub configured_balancers: usize,
-    /// The seed of the member's random choices.
+    /// Seed of the member's random choices.
     pub seed: u64,
-    /// Another process of this balancer may still hold the address.
+    /// Whether another process of this balancer may still hold the address. Binding is then retried.
     pub may_share_address: bool,
 }
 
-/// This balancer's part in the gossip of its fleet.
+/// The gossip socket of this balancer and its member of the fleet.
 pub struct GossipTransport {
     poll: Poll,
     address: SocketAddr,
-    /// None while another process of this balancer holds the address.
+    /// `None` while another process of this balancer holds the address.
     socket: Option<Registered<UdpSocket>>,
+    /// Time of the next attempt to bind the address.
     next_bind: Nanos,
     member: Member,
-    /// As the engine was last notified.
+    /// Share count last reported to the engine.
     share_count: usize,
+    /// Shedding level last reported to the engine.
     shedding: SheddingLevel,
     request_rate: RequestRate,
-    /// Datagrams that the system did not take: its buffer was full, or there is no route.
+    /// Number of datagrams that were not sent: the send buffer was full, there was no route, or the
+    /// socket was not bound.
     unsent: u64,
 }
 
 impl GossipTransport {
-    /// Binds the socket and begins to search for other members.
+    /// Binds the socket and starts the member, which begins to join the fleet.
     ///
     /// # Errors
     ///
-    /// Passes on the system's error if the address can't be bound, unless it is another process of
-    /// this balancer that holds it.
+    /// Returns an error if the address can't be bound. An address in use is not an error if another
+    /// process of this balancer may hold it.
     pub fn open(poll: &Poll, options: GossipOptions<'_>, now: Nanos) -> io::Result<Self> {
         let GossipOptions {
             config,
@@ -87,7 +90,7 @@
         match transport.bind(now) {
             Err(e) if may_share_address && e.kind() == ErrorKind::AddrInUse => {
                 log::info!(
-                    "fleet: {} is in use by the other process of this balancer",
+                    "fleet: {} is in use by the other process of this balancer; retrying",
                     config.bind
                 );
             }
@@ -101,7 +104,7 @@
         let socket = UdpSocket::bind(self.address)?;
         socket.set_nonblocking(true)?;
         log::info!(
-            "fleet: {} gossips at {}",
+            "fleet: gossip of fleet {} listens on {}",
             self.member.fleet_name(),
             socket.local_addr()?
         );
@@ -112,10 +115,10 @@
         Ok(())
     }
 
-    /// Reads the datagrams that have arrived.
+    /// Reads and processes the received datagrams.
     pub fn handle_ready(&mut self, now: Nanos) {
         let Some(socket) = &self.socket else { return };
-        // One byte more than the longest datagram, so that a truncated one is recognised.
+        // One byte more than the maximum length, so that a longer datagram is detected.
         let mut bytes = [0; DATAGRAM_MAX + 1];
         for _ in 0..DATAGRAMS_PER_TURN {
             match socket.socket().recv_from(&mut bytes) {
@@ -123,7 +126,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => {
-                    log::warn!("fleet: receiving: {e}");
+                    log::warn!("fleet: receiving gossip datagrams failed: {e}");
                     break;
                 }
             }
@@ -131,11 +134,11 @@
         self.flush();
     }
 
-    /// Does what is due. `requests` is the count of requests taken since the start. Returns the
-    /// share count, if it has changed.
+    /// Performs the work that is due at `now`. `requests` is the number of requests accepted since the
+    /// start. Returns the share count if it has changed.
     pub fn tick(&mut self, now: Nanos, lifecycle: &Lifecycle, requests: u64) -> Option<usize> {
         if self.socket.is_none() && now >= self.next_bind {
-            // The process that holds it is about to end; binding is repeated until then.
+            // Binding fails until the process that holds the address has ended.
             let _ = self.bind(now);
         }
         let phase = match lifecycle.name() {
@@ -157,19 +160,18 @@
         (share_count != former).then_some(share_count)
     }
 
-    /// From now on load is shed by a level that all members agree on; the engine has this many
-    /// tiers.
+    /// Enables the shedding level that all members share. `tiers` is the number of tiers of the engine.
     pub fn enable_shared_shedding(&mut self, tiers: usize) {
         self.member.enable_shared_shedding(tiers);
     }
 
-    /// Adds what the engine admitted and rejected for want of capacity.
+    /// Adds the numbers of requests that the engine admitted and rejected for lack of capacity.
     pub fn add_admission_counts(&mut self, counts: AdmissionCounts) {
         self.member.add_admission_counts(counts);
     }
 
-    /// The level by which the engine is to shed, if it has changed. Rotations follow the clock, so
-    /// that they are the same everywhere.
+    /// Returns the shedding level for the engine if it has changed. Rotations follow the clock, so that
+    /// all members shed the same requests.
     pub fn shedding_change(&mut self, now: Nanos) -> Option<SheddingLevel> {
         let level = self.member.shedding_level();
         let former = self.shedding.level;
@@ -183,9 +185,9 @@
             rotation_ends: (rotation + 1) * SHEDDING_ROTATION,
         };
         if former == 0.0 {
-            log::warn!(level = level; "fleet: overload; all members shed by one level");
+            log::warn!(level = level; "fleet: overload; all members now shed load by a common level");
         } else if level == 0.0 {
-            log::info!("fleet: the overload is over, nothing is shed");
+            log::info!("fleet: overload ended; no load is shed");
         }
         if shedding == self.shedding {
             return None;
@@ -194,7 +196,7 @@
         Some(shedding)
     }
 
-    /// When the next [`GossipTransport::tick`] is due.
+    /// Returns the time at which the next [`GossipTransport::tick`] is due.
     #[must_use]
     pub fn next_tick(&self) -> Nanos {
         if self.socket.is_some() {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Announces to other members that this balancer leaves.
+    /// Announces to other members that this balancer leaves the fleet.
     pub fn leave(&mut self, now: Nanos) {
         self.member.leave(now);
         self.flush();
@@ -215,7 +217,7 @@
         for (to, datagram) in self.member.take_datagrams() {
             let socket = self.socket.as_ref().map(Registered::socket);
             let sent = socket.map(|socket| socket.send_to(&datagram, to));
-            // What is not sent counts as lost on the way, which gossip tolerates.
+            // Gossip tolerates lost datagrams, so unsent datagrams are counted and not retried.
             self.unsent += u64::from(!matches!(sent, Some(Ok(_))));
         }
         for event in self.member.take_events() {
@@ -223,42 +225,42 @@
         }
     }
 
-    /// The page `/admin/fleet`.
+    /// Returns the response body of `/admin/fleet`.
     #[must_use]
     pub fn admin_json(&self, now: Nanos) -> String {
         FleetRow::new(&self.member, self.share_count, self.unsent, now).to_json()
     }
 }
 
-/// The rate of requests, measured over an interval.
+/// Measurement of the request rate over successive intervals.
 struct RequestRate {
-    /// Requests at the beginning of the interval.
+    /// Number of requests at the start of the interval.
     requests: u64,
-    since: Nanos,
+    interval_start: Nanos,
 }
 
 impl RequestRate {
     fn start(now: Nanos) -> Self {
         RequestRate {
             requests: 0,
-            since: now,
+            interval_start: now,
         }
     }
 
-    /// Tenths of requests a second, once the interval is over.
+    /// Returns the request rate in tenths of a request per second, once per interval.
     fn sample(&mut self, now: Nanos, requests: u64) -> Option<u32> {
-        let elapsed = now.saturating_sub(self.since);
+        let elapsed = now.saturating_sub(self.interval_start);
         if elapsed < RATE_INTERVAL {
             return None;
         }
-        let taken = requests.saturating_sub(self.requests);
-        (self.requests, self.since) = (requests, now);
-        Some(rounded(taken * 10_000 * MS / elapsed))
+        let accepted = requests.saturating_sub(self.requests);
+        (self.requests, self.interval_start) = (requests, now);
+        Some(round_to_two_digits(accepted * 10_000 * MS / elapsed))
     }
 }
 
-/// To two figures: smaller changes are not announced to the fleet.
-fn rounded(tenths: u64) -> u32 {
+/// Rounds down to two significant digits, so that smaller changes are not announced to the fleet.
+fn round_to_two_digits(tenths: u64) -> u32 {
     let step = 10u64.pow(tenths.max(1).ilog10().saturating_sub(1));
     u32::try_from(tenths / step * step).unwrap_or(u32::MAX)
 }
--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -1,5 +1,5 @@
-//! The fleet as `/admin/fleet` shows it. The field names are the keys of that page, or are mapped
-//! to them; times are in milliseconds.
+//! Response body of `/admin/fleet`. The JSON keys are the field names or the names in `serde(rename)`;
+//! times are in milliseconds.
 
 use crate::timers::MS;
 use membership::{
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The page.
+/// Top-level object of the response body.
 #[derive(Serialize)]
 pub(super) struct FleetRow {
     fleet: String,
@@ -33,14 +33,14 @@
     #[serde(rename = "datagrams")]
     statistics: MemberStatistics,
     unsent: u64,
-    /// Only where regions are configured.
+    /// Present only if regions are configured.
     #[serde(flatten)]
     regions: Option<RegionsRow>,
 }
 
 impl FleetRow {
-    /// What this member sees. `share_count` is the one that the engine uses, `unsent` the count of
-    /// datagrams that the system did not take.
+    /// Creates the row from the state of this member. `share_count` is the share count of the engine,
+    /// `unsent` the number of datagrams that were not sent.
     pub(super) fn new(member: &Member, share_count: usize, unsent: u64, now: Nanos) -> Self {
         let view = member.view();
         let metadata = member.metadata();
@@ -52,7 +52,7 @@
             address: member.id().address,
             generation: member.id().generation,
             listen_address: metadata.listen_address,
-            config_checksum: checksum(metadata.config_checksum),
+            config_checksum: format_checksum(metadata.config_checksum),
             share_count,
             alive: view.alive,
             places: view.places,
@@ -65,15 +65,15 @@
         }
     }
 
-    /// The page: one line of JSON with its keys in order.
+    /// Returns the body as one line of JSON with sorted keys.
     pub(super) fn to_json(&self) -> String {
-        // By way of a `Value`, which sorts the keys.
+        // A `serde_json::Value` sorts the keys.
         let value = serde_json::to_value(self).unwrap_or_default();
         format!("{value}\n")
     }
 }
 
-/// Another member.
+/// Another member of the fleet.
 #[derive(Serialize)]
 pub(super) struct MemberRow {
     name: String,
@@ -110,8 +110,9 @@
             since_ms: now.saturating_sub(member.since) / MS,
             listen_address: metadata.map(|m| m.listen_address),
             build: metadata.map(|m| m.build.clone()),
-            config_checksum: metadata.map(|m| checksum(m.config_checksum)),
-            requests_per_s: metadata.map(|m: &MemberMetadata| per_second(m.request_rate_tenths)),
+            config_checksum: metadata.map(|m| format_checksum(m.config_checksum)),
+            requests_per_s: metadata
+                .map(|m: &MemberMetadata| requests_per_second(m.request_rate_tenths)),
             places: metadata.map(|m| m.places),
             zone: Some(location.zone).filter(|zone| !zone.is_empty()),
             site: Some(location.site).filter(|site| !site.is_empty()),
@@ -119,7 +120,7 @@
     }
 }
 
-/// The regions, and this member's place in them.
+/// The location of this member, and the regions of the fleet.
 #[derive(Serialize)]
 struct RegionsRow {
     region: String,
@@ -152,7 +153,7 @@
     }
 }
 
-/// Summaries of regions that were dropped.
+/// Numbers of dropped region summaries, by reason.
 #[derive(Serialize)]
 struct DroppedRow {
     unsound: u64,
@@ -163,7 +164,7 @@
     refused_parts: u64,
 }
 
-/// Another region.
+/// A region, from its latest summary.
 #[derive(Serialize)]
 struct RegionRow {
     region: String,
@@ -177,34 +178,35 @@
     requests_per_s: f64,
     delegates: Vec<SocketAddr>,
     authors: u8,
-    /// Since its figures last changed, by the clocks of its delegates and of this balancer.
+    /// Time since the summary last changed. It depends on the clocks of the delegates of the region and
+    /// of this balancer.
     changed_ms: u64,
     silent_ms: Option<u64>,
 }
 
 impl RegionRow {
     fn new(region: &RegionView, now: Nanos) -> Self {
-        let status = &region.overview;
+        let overview = &region.overview;
         let silent_since = region.silent_since;
         RegionRow {
-            region: status.region.clone(),
-            alive: status.alive,
-            places: status.places,
-            config_checksum: checksum(status.config_checksum),
-            config_minority: status.config_minority,
-            requests_per_s: per_second(status.request_rate_tenths),
-            delegates: status.delegates.clone(),
-            authors: status.authors,
-            changed_ms: (now / MS).saturating_sub(status.version),
+            region: overview.region.clone(),
+            alive: overview.alive,
+            places: overview.places,
+            config_checksum: format_checksum(overview.config_checksum),
+            config_minority: overview.config_minority,
+            requests_per_s: requests_per_second(overview.request_rate_tenths),
+            delegates: overview.delegates.clone(),
+            authors: overview.authors,
+            changed_ms: (now / MS).saturating_sub(overview.version),
             silent_ms: silent_since.map(|since| now.saturating_sub(since) / MS),
         }
     }
 }
 
-fn checksum(checksum: u64) -> String {
+fn format_checksum(checksum: u64) -> String {
     format!("{checksum:016x}")
 }
 
-fn per_second(tenths: u32) -> f64 {
+fn requests_per_second(tenths: u32) -> f64 {
     f64::from(tenths) / 10.0
 }
--- a/crates/balancer/src/gossip/counters_line.rs
+++ b/crates/balancer/src/gossip/counters_line.rs
@@ -1,10 +1,10 @@
-//! The line with the counters of gossip that the process prints on SIGUSR1 and at its end.
+//! The line of gossip counters that the process prints on SIGUSR1 and at its end.
 
 use super::GossipTransport;
 use membership::MemberStatus;
 use std::fmt;
 
-/// The counters, as `name=value` pairs; the names are those of `/admin/fleet`.
+/// Formats the counters as `name=value` pairs with the names of `/admin/fleet`.
 impl fmt::Display for GossipTransport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let view = self.member.view();
--- a/crates/balancer/src/gossip/event_log.rs
+++ b/crates/balancer/src/gossip/event_log.rs
@@ -1,25 +1,25 @@
-//! Log lines of membership events, one for each.
+//! Log lines of membership events, one line per event.
 
 use membership::{Identity, MemberStatus, MembershipEvent};
 
-/// Logs an event.
+/// Writes the log line of an event.
 pub(super) fn log_event(event: &MembershipEvent) {
     match event {
         MembershipEvent::StatusChanged { name, id, was, is } => {
             log_status(name, *id, *was, *is);
         }
         MembershipEvent::ShareCountChanged { was, is, alive } => {
-            log::info!(was = *was, is = *is, alive = *alive; "fleet: shares are divided by {is}");
+            log::info!(was = *was, is = *is, alive = *alive; "fleet: share count is now {is}");
         }
         MembershipEvent::DuplicateName { name, addresses } => {
             let [first, second] = addresses;
             log::warn!(
                 member = name.as_str();
-                "fleet: {first} and {second} are both called {name}; both count"
+                "fleet: {first} and {second} are both called {name}; both count as members"
             );
         }
         MembershipEvent::Rejoined { generation } => {
-            log::warn!(generation = *generation; "fleet: declared dead by others; rejoined");
+            log::warn!(generation = *generation; "fleet: other members declared this balancer dead; it rejoined");
         }
         MembershipEvent::RegionReachability {
             region,
@@ -33,11 +33,11 @@
             };
             log::log!(
                 level, region = region.as_str(), alive = *alive;
-                "fleet: region {region} is {state}"
+                "fleet: region {region} is now {state}"
             );
         }
         MembershipEvent::Stalled => {
-            log::warn!("fleet: this process stalled; its suspicions start over");
+            log::warn!("fleet: this process was stalled; the timeouts of its suspicions restart");
         }
     }
 }
@@ -52,6 +52,6 @@
     log::log!(
         level, member = name, address:% = id.address, generation = id.generation,
         was = was, is = is.name();
-        "fleet: {name} is {}", is.name()
+        "fleet: member {name} is now {}", is.name()
     );
 }
--- a/crates/balancer/src/gossip/tests.rs
+++ b/crates/balancer/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-//! Traffic figures, and what operators are shown.
+//! Tests of the request rate, and of the names on the admin page and in the counters.
 
 use super::admin_view::MemberRow;
 use super::*;
@@ -6,9 +6,9 @@
 use membership::{Location, MemberStatus, MemberView};
 
 #[test]
-fn traffic_is_rounded_to_two_figures() {
+fn request_rate_is_rounded_to_two_significant_digits() {
     for (tenths, rounded_tenths) in [(0, 0), (7, 7), (99, 99), (123, 120), (98_765, 98_000)] {
-        assert_eq!(rounded(tenths), rounded_tenths);
+        assert_eq!(round_to_two_digits(tenths), rounded_tenths);
     }
 }
 
@@ -25,11 +25,11 @@
     }
 }
 
-fn transport(place: &str) -> GossipTransport {
+fn transport(location_settings: &str) -> GossipTransport {
     let config = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
         "settings":{{"profiles":[{{"name":"put","repeat":"safe","give_up_ns":1}}]}},
-        "fleet":{{"name":"a","bind":"127.0.0.1:0","advertise":"127.0.0.1:7946"{place}}}}}"#
+        "fleet":{{"name":"a","bind":"127.0.0.1:0","advertise":"127.0.0.1:7946"{location_settings}}}}}"#
     );
     let config = Config::read(&config).unwrap().fleet.unwrap();
     let poll = Poll::new().unwrap();
@@ -43,7 +43,7 @@
     GossipTransport::open(&poll, options, 5_000 * MS).unwrap()
 }
 
-/// What commit cab609d shows without and with regions.
+/// Admin pages as commit cab609d shows them, without and with regions.
 const PAGE: &str = concat!(
     r#"{"address":"127.0.0.1:7946","config":"0000000000000abc","cut_off":false,"#,
     r#""datagrams":{"asked":0,"compared":0,"foreign":0,"full":0,"gaps":0,"given_up":0,"#,
@@ -82,10 +82,10 @@
 );
 
 #[test]
-fn the_admin_page_and_the_counters_keep_their_names() {
+fn admin_page_and_counters_keep_their_names() {
     let region_counters = " regions=0 silent_regions=0 regions_asked=0 put_off=0 unsound=0 older=0 \
                            full_regions=0 refused_parts=0";
-    for (place, page, counters) in [
+    for (location_settings, page, counters) in [
         ("", PAGE, ""),
         (
             r#","region":"r","zone":"z","site":"s""#,
@@ -93,7 +93,7 @@
             region_counters,
         ),
     ] {
-        let transport = transport(place);
+        let transport = transport(location_settings);
         assert_eq!(transport.admin_json(6_000 * MS), format!("{page}\n"));
         assert_eq!(transport.to_string(), format!("{COUNTERS}{counters}"));
     }
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_member_keeps_its_keys() {
+fn member_keeps_its_keys_on_the_admin_page() {
     let location = Location {
         region: "r".into(),
         zone: "z".into(),
@@ -133,8 +133,8 @@
 
 #[test]
 fn statistics_keep_their_names_in_json() {
-    let shown = serde_json::to_value(membership::MemberStatistics::default()).unwrap();
-    let mut names: Vec<&str> = shown
+    let statistics = serde_json::to_value(membership::MemberStatistics::default()).unwrap();
+    let mut names: Vec<&str> = statistics
         .as_object()
         .unwrap()
         .keys()
--- a/crates/balancer/src/resp.rs
+++ b/crates/balancer/src/resp.rs
@@ -1,8 +1,8 @@
-//! RESP2, as both sides speak it: clients send commands and get replies; towards caches it is the
-//! other way round.
+//! RESP2 encoding and parsing. The balancer parses the commands of clients and encodes the replies to
+//! them; towards caches it encodes commands and parses the replies.
 //!
-//! The parser works on what has arrived so far: `Ok(None)` means that more has to arrive, an error
-//! that the framing is lost and the connection of no further use.
+//! The parser works on the bytes received so far: `Ok(None)` means that the message is incomplete. An
+//! error means that the framing is lost and the connection can't be used any more.
 
 mod encoder;
 mod parser;
@@ -14,68 +14,69 @@
 
 use std::ops::Range;
 
-/// The longest value of a write, by the protocol, in bytes.
+/// Maximum length of the value of a write, in bytes, as the protocol defines it.
 pub const VALUE_MAX: usize = 64 * 1024;
-/// The longest value taken from a cache, in bytes; one over [`VALUE_MAX`] is streamed. A response
-/// that claims a longer value is unreadable.
+/// Maximum length of a value in a cache response, in bytes. Values over [`VALUE_MAX`] are streamed; a
+/// response that announces a value over this limit is unreadable.
 pub const RESPONSE_VALUE_MAX: usize = 4 << 20;
-/// The largest whole message, in bytes: no command or reply is longer.
+/// Maximum length of a complete command or reply, in bytes.
 pub const MESSAGE_MAX: usize = 2 * VALUE_MAX;
 
-/// Why a message can't be parsed, so that the beginning of the next one is unknown.
+/// Reason why a message can't be parsed. The start of the next message is then unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
-    /// A message begins with a byte that it can't begin with.
+    /// A message or element begins with a byte that is not allowed there.
     #[error("Protocol error: unexpected '{}'", .0.escape_ascii())]
     UnexpectedByte(u8),
-    /// A length is no number, or negative where it must not be.
+    /// A length is not a number, is negative and not an allowed null, or is not the required number of
+    /// elements.
     #[error("Protocol error: invalid length")]
     InvalidLength,
-    /// A line, value or array is longer than allowed.
+    /// A line, value or array exceeds its maximum length.
     #[error("Protocol error: too long")]
     TooLong,
-    /// A line or value does not end as it must.
+    /// A line or value does not end with `\r\n`.
     #[error("Protocol error: missing line end")]
     MissingLineEnd,
 }
 
-/// A command.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The places of its words in the input.
+    /// Positions of the command's words in the input.
     pub words: Vec<Range<usize>>,
-    /// The length of the whole, in bytes.
+    /// Length of the complete command, in bytes.
     pub length: usize,
 }
 
-/// A reply.
+/// A parsed RESP reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// `+OK`
+    /// Status line, such as `+OK`.
     Status(String),
-    /// `-ERR ...`
+    /// Error line, such as `-ERR ...`.
     Error(String),
-    /// `:1`
+    /// Integer, such as `:1`.
     Integer(i64),
-    /// `$...`; null is `None`.
+    /// Bulk string (`$...`); `None` for null.
     Bulk(Option<Vec<u8>>),
-    /// `*...`; null is `None`.
+    /// Array (`*...`); `None` for null.
     Array(Option<Vec<Reply>>),
 }
 
 /// A cache's response to a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// What it yields for the request.
+pub enum CacheResponse {
+    /// The cache served the request.
     Served {
-        /// The value or receipt.
+        /// Value of a read or receipt of a write.
         value: Vec<u8>,
-        /// The cache status.
-        note: Option<Vec<u8>>,
-        /// The load report.
-        load: Option<Vec<u8>>,
+        /// Cache status (`hit`, `miss` or `pending`), if the cache sent one.
+        cache_status: Option<Vec<u8>>,
+        /// Load report, if the cache sent a valid one.
+        load_report: Option<Vec<u8>>,
     },
-    /// An error line.
+    /// Text of an error line.
     Error(String),
 }
 
--- a/crates/balancer/src/resp/parser.rs
+++ b/crates/balancer/src/resp/parser.rs
@@ -1,46 +1,46 @@
-//! The incremental parser.
+//! Incremental RESP parser.
 
-use super::{Answer, Command, RESPONSE_VALUE_MAX, Reply, RespError, VALUE_MAX};
+use super::{CacheResponse, Command, RESPONSE_VALUE_MAX, Reply, RespError, VALUE_MAX};
 use std::ops::Range;
 
-/// The longest text line: a status or an error.
+/// Maximum length of a status or error line, in bytes.
 pub(super) const LINE_MAX: usize = 1024;
-/// The longest number, with its sign.
+/// Maximum number of digits of a number, including its sign.
 const NUMBER_MAX: usize = 20;
-/// The longest word of a command but for the value of a write, which is its last.
+/// Maximum length of a word of a command, in bytes, except for the value of a write.
 const WORD_MAX: usize = 4 * 1024;
-/// The index of the value among the words of a command.
+/// Index of the value of a write among the words of its command.
 const VALUE_INDEX: usize = 4;
-/// The members of a response: value, cache status and load report.
-const RESPONSE_MEMBERS: usize = 3;
-/// The most members of an array.
+/// Number of elements in a cache response: value, cache status and load report.
+const RESPONSE_ELEMENTS: usize = 3;
+/// Maximum number of elements in an array.
 const ARRAY_MAX: usize = 16;
-/// How deep arrays may be nested.
+/// Maximum nesting depth of arrays.
 const DEPTH_MAX: usize = 3;
 
-/// Why parsing stops before the end of a message.
+/// Reason why parsing ends before the end of a message.
 #[derive(Debug, PartialEq, Eq)]
-enum Stop {
-    /// More has to arrive.
+enum Interruption {
+    /// More input is needed.
     Incomplete,
     /// The message is invalid.
     Invalid(RespError),
 }
 
-impl From<RespError> for Stop {
+impl From<RespError> for Interruption {
     fn from(error: RespError) -> Self {
-        Stop::Invalid(error)
+        Interruption::Invalid(error)
     }
 }
 
-type Parsed<T> = Result<T, Stop>;
+type Parsed<T> = Result<T, Interruption>;
 
-/// `None` for an incomplete message.
-fn completed<T>(parsed: Parsed<T>) -> Result<Option<T>, RespError> {
+/// Converts the result of the parser to that of the module: an incomplete message becomes `None`.
+fn incomplete_as_none<T>(parsed: Parsed<T>) -> Result<Option<T>, RespError> {
     match parsed {
         Ok(value) => Ok(Some(value)),
-        Err(Stop::Incomplete) => Ok(None),
-        Err(Stop::Invalid(error)) => Err(error),
+        Err(Interruption::Incomplete) => Ok(None),
+        Err(Interruption::Invalid(error)) => Err(error),
     }
 }
 
@@ -54,14 +54,14 @@
         Parser { input, position: 0 }
     }
 
-    /// The next byte.
+    /// Takes the next byte.
     fn byte(&mut self) -> Parsed<u8> {
         let byte = self.input.get(self.position).copied();
         self.position += 1;
-        byte.ok_or(Stop::Incomplete)
+        byte.ok_or(Interruption::Incomplete)
     }
 
-    /// Skips a byte that has to be this one.
+    /// Skips the next byte, which must be `expected`.
     fn expect(&mut self, expected: u8) -> Parsed<()> {
         match self.byte()? {
             byte if byte == expected => Ok(()),
@@ -69,17 +69,17 @@
         }
     }
 
-    /// The rest of the line, without its end.
+    /// Takes the remaining bytes of the line, without the line end.
     fn line(&mut self) -> Parsed<&'a [u8]> {
-        let rest = &self.input[self.position..];
-        let Some(end) = rest.iter().take(LINE_MAX).position(|b| *b == b'\n') else {
-            return Err(if rest.len() >= LINE_MAX {
+        let remaining = &self.input[self.position..];
+        let Some(end) = remaining.iter().take(LINE_MAX).position(|b| *b == b'\n') else {
+            return Err(if remaining.len() >= LINE_MAX {
                 RespError::TooLong.into()
             } else {
-                Stop::Incomplete
+                Interruption::Incomplete
             });
         };
-        let line = rest[..end]
+        let line = remaining[..end]
             .strip_suffix(b"\r")
             .ok_or(RespError::MissingLineEnd)?;
         self.position += end + 1;
@@ -91,13 +91,13 @@
     }
 
     fn number(&mut self) -> Parsed<i64> {
-        // Decided by the first byte that can't be a number's: such a line may never end.
-        let rest = &self.input[self.position..];
-        let digits = rest
+        // Rejects the line at its first byte that can't be part of a number: it may never end.
+        let remaining = &self.input[self.position..];
+        let digits = remaining
             .iter()
             .take_while(|b| b.is_ascii_digit() || **b == b'-')
             .count();
-        if digits > NUMBER_MAX || rest.get(digits).is_some_and(|b| *b != b'\r') {
+        if digits > NUMBER_MAX || remaining.get(digits).is_some_and(|b| *b != b'\r') {
             return Err(RespError::InvalidLength.into());
         }
         let line = self.line()?;
@@ -105,7 +105,8 @@
         Ok(text.parse().map_err(|_| RespError::InvalidLength)?)
     }
 
-    /// A length of at most `length_max`, and the place of that many bytes; `None` for null.
+    /// Takes a length of at most `length_max` and that many bytes. Returns the position of the bytes,
+    /// or `None` for null.
     fn bulk(&mut self, length_max: usize) -> Parsed<Option<Range<usize>>> {
         let length = match self.number()? {
             -1 => return Ok(None),
@@ -116,22 +117,22 @@
         }
         let range = self.position..self.position + length;
         let end = self.input.get(range.end..range.end + 2);
-        if end.ok_or(Stop::Incomplete)? != b"\r\n" {
+        if end.ok_or(Interruption::Incomplete)? != b"\r\n" {
             return Err(RespError::MissingLineEnd.into());
         }
         self.position = range.end + 2;
         Ok(Some(range))
     }
 
-    /// A bulk string as a member of an array; `None` for null.
-    fn member(&mut self, length_max: usize) -> Parsed<Option<Vec<u8>>> {
+    /// Takes a bulk string, with its `$`, as an element of an array; `None` for null.
+    fn array_element(&mut self, length_max: usize) -> Parsed<Option<Vec<u8>>> {
         self.expect(b'$')?;
         let range = self.bulk(length_max)?;
         Ok(range.map(|range| self.input[range].to_vec()))
     }
 
-    /// The length of an array; `None` for null.
-    fn count(&mut self) -> Parsed<Option<usize>> {
+    /// Takes the length of an array; `None` for null.
+    fn array_length(&mut self) -> Parsed<Option<usize>> {
         match self.number()? {
             -1 => Ok(None),
             n if n > ARRAY_MAX as i64 => Err(RespError::TooLong.into()),
@@ -143,7 +144,7 @@
 
     fn command(&mut self) -> Parsed<Command> {
         self.expect(b'*')?;
-        let count = self.count()?.unwrap_or(0);
+        let count = self.array_length()?.unwrap_or(0);
         let mut words = Vec::with_capacity(count);
         for index in 0..count {
             self.expect(b'$')?;
@@ -160,24 +161,24 @@
         })
     }
 
-    fn response(&mut self) -> Parsed<(Answer, Option<usize>)> {
+    fn response(&mut self) -> Parsed<(CacheResponse, Option<usize>)> {
         match self.byte()? {
             b'*' => {}
             b'-' => return self.error_response(),
             other => return Err(RespError::UnexpectedByte(other).into()),
         }
-        if self.count()? != Some(RESPONSE_MEMBERS) {
+        if self.array_length()? != Some(RESPONSE_ELEMENTS) {
             return Err(RespError::InvalidLength.into());
         }
         let value = self
-            .member(RESPONSE_VALUE_MAX)?
+            .array_element(RESPONSE_VALUE_MAX)?
             .ok_or(RespError::InvalidLength)?;
         self.response_tail(value)
     }
 
-    fn error_response(&mut self) -> Parsed<(Answer, Option<usize>)> {
-        let rest = &self.input[self.position..];
-        let text = rest
+    fn error_response(&mut self) -> Parsed<(CacheResponse, Option<usize>)> {
+        let remaining = &self.input[self.position..];
+        let text = remaining
             .split(|b| matches!(b, b'\r' | b'\n'))
             .next()
             .unwrap_or_default();
@@ -185,16 +186,23 @@
             return Err(RespError::MissingLineEnd.into());
         }
         let text = self.text()?;
-        Ok((Answer::Error(text), Some(self.position)))
+        Ok((CacheResponse::Error(text), Some(self.position)))
     }
 
-    /// What follows the value of a response: the cache status, and the load report if it is valid.
-    fn response_tail(&mut self, value: Vec<u8>) -> Parsed<(Answer, Option<usize>)> {
-        let note = self.member(WORD_MAX)?;
-        let load = self.member(WORD_MAX);
-        let length = load.is_ok().then_some(self.position);
-        let load = load.ok().flatten();
-        Ok((Answer::Served { value, note, load }, length))
+    /// Parses the elements behind the value of a response: the cache status and the load report. A
+    /// load report that is invalid or incomplete is dropped, and the length of the response is then
+    /// unknown.
+    fn response_tail(&mut self, value: Vec<u8>) -> Parsed<(CacheResponse, Option<usize>)> {
+        let cache_status = self.array_element(WORD_MAX)?;
+        let load_report = self.array_element(WORD_MAX);
+        let length = load_report.is_ok().then_some(self.position);
+        let load_report = load_report.ok().flatten();
+        let response = CacheResponse::Served {
+            value,
+            cache_status,
+            load_report,
+        };
+        Ok((response, length))
     }
 
     fn reply(&mut self, depth: usize) -> Parsed<Reply> {
@@ -206,49 +214,50 @@
                 let range = self.bulk(VALUE_MAX)?;
                 Reply::Bulk(range.map(|range| self.input[range].to_vec()))
             }
-            b'*' if depth < DEPTH_MAX => Reply::Array(self.members(depth + 1)?),
+            b'*' if depth < DEPTH_MAX => Reply::Array(self.elements(depth + 1)?),
             b'*' => return Err(RespError::TooLong.into()),
             other => return Err(RespError::UnexpectedByte(other).into()),
         })
     }
 
-    fn members(&mut self, depth: usize) -> Parsed<Option<Vec<Reply>>> {
-        let Some(count) = self.count()? else {
+    fn elements(&mut self, depth: usize) -> Parsed<Option<Vec<Reply>>> {
+        let Some(count) = self.array_length()? else {
             return Ok(None);
         };
-        let mut members = Vec::with_capacity(count);
+        let mut elements = Vec::with_capacity(count);
         for _ in 0..count {
-            members.push(self.reply(depth)?);
+            elements.push(self.reply(depth)?);
         }
-        Ok(Some(members))
+        Ok(Some(elements))
     }
 }
 
 /// Parses a command: an array of bulk strings. A null or empty array is a command without words.
 ///
 /// # Errors
-/// If the input is no command.
+/// If the input is not a valid command.
 pub fn parse_command(input: &[u8]) -> Result<Option<Command>, RespError> {
-    completed(Parser::new(input).command())
+    incomplete_as_none(Parser::new(input).command())
 }
 
-/// Parses a cache's response to a request: three members in an array, or an error. With it comes
-/// its length, or none if the connection is of no further use. An invalid response is detected at
-/// the first byte that shows it, as the rest may never arrive. A value is good without the report
-/// behind it.
+/// Parses a cache's response to a request: an array of three elements, or an error line. Returns the
+/// response and its length; without a length the connection can't be used any more. An invalid
+/// response is rejected at its first wrong byte, as the remaining bytes may never arrive. A value is
+/// valid without the load report behind it.
 ///
 /// # Errors
-/// If the input is no response.
-pub fn parse_response(input: &[u8]) -> Result<Option<(Answer, Option<usize>)>, RespError> {
-    completed(Parser::new(input).response())
+/// If the input is not a valid response.
+pub fn parse_response(input: &[u8]) -> Result<Option<(CacheResponse, Option<usize>)>, RespError> {
+    incomplete_as_none(Parser::new(input).response())
 }
 
-/// Where the value of a response begins and how long it claims to be, once that much has arrived.
+/// Returns the position of the value in a response and the value's announced length, once the header of
+/// the value has arrived.
 #[must_use]
 pub fn parse_long_value_header(input: &[u8]) -> Option<(usize, usize)> {
     let mut parser = Parser::new(input);
     parser.expect(b'*').ok()?;
-    if parser.count() != Ok(Some(RESPONSE_MEMBERS)) {
+    if parser.array_length() != Ok(Some(RESPONSE_ELEMENTS)) {
         return None;
     }
     parser.expect(b'$').ok()?;
@@ -256,11 +265,13 @@
     Some((parser.position, usize::try_from(length).ok()?))
 }
 
-/// Parses what follows a value that was streamed, from the end of its line on.
+/// Parses the part of a response behind a streamed value, beginning with the value's line end.
 ///
 /// # Errors
-/// If that is not the rest of a response.
-pub fn parse_response_tail(input: &[u8]) -> Result<Option<(Answer, Option<usize>)>, RespError> {
+/// If the input is not the end of a valid response.
+pub fn parse_response_tail(
+    input: &[u8],
+) -> Result<Option<(CacheResponse, Option<usize>)>, RespError> {
     let end = b"\r\n";
     let arrived = input.len().min(end.len());
     if input[..arrived] != end[..arrived] {
@@ -273,15 +284,15 @@
         input,
         position: end.len(),
     };
-    completed(parser.response_tail(Vec::new()))
+    incomplete_as_none(parser.response_tail(Vec::new()))
 }
 
-/// Parses a reply; with it comes its length.
+/// Parses a reply. Returns the reply and its length in bytes.
 ///
 /// # Errors
-/// If the input is no reply.
+/// If the input is not a valid reply.
 pub fn parse_reply(input: &[u8]) -> Result<Option<(Reply, usize)>, RespError> {
     let mut parser = Parser::new(input);
-    let reply = completed(parser.reply(0))?;
+    let reply = incomplete_as_none(parser.reply(0))?;
     Ok(reply.map(|reply| (reply, parser.position)))
 }
--- a/crates/balancer/src/resp/tests.rs
+++ b/crates/balancer/src/resp/tests.rs
@@ -1,9 +1,9 @@
-//! What is parsed when, and what is found to be invalid.
+//! Tests of when a message is parsed and which input is invalid.
 
 use super::*;
 
 #[test]
-fn command_is_parsed_once_it_is_complete() {
+fn command_is_parsed_only_when_complete() {
     let whole = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
     for cut in 0..whole.len() {
         assert_eq!(parse_command(&whole[..cut]), Ok(None), "after {cut} bytes");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn reply_is_parsed_once_it_is_complete() {
+fn reply_is_parsed_only_when_complete() {
     let whole = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
     for cut in 0..whole.len() {
         assert_eq!(parse_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
@@ -34,12 +34,12 @@
     assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
 }
 
-/// What follows the cache status, the load report read from it, and whether the connection stays
-/// of use.
+/// Bytes behind the cache status, the load report parsed from them, and whether the connection can be
+/// used again.
 type TailCase<'a> = (&'a [u8], Option<&'a [u8]>, bool);
 
 #[test]
-fn invalid_response_is_detected_before_its_end() {
+fn invalid_response_is_rejected_before_its_end() {
     let invalid: [&[u8]; 12] = [
         b"*3\r\n*3",
         b"*1",
@@ -55,18 +55,15 @@
         b"+O",
     ];
     for input in invalid {
-        // An array of another size is detected with its line.
+        // An array of a wrong size is detected at the end of its header line.
         let is_detected =
             parse_response(input).is_err() || parse_response(&[input, b"\r\n"].concat()).is_err();
         assert!(is_detected, "{}", input.escape_ascii());
     }
-    let made = |load: Option<&[u8]>| {
-        let load = load.map(<[u8]>::to_vec);
-        Answer::Served {
-            value: b"v".to_vec(),
-            note: Some(b"hit".to_vec()),
-            load,
-        }
+    let expected = |load_report: Option<&[u8]>| CacheResponse::Served {
+        value: b"v".to_vec(),
+        cache_status: Some(b"hit".to_vec()),
+        load_report: load_report.map(<[u8]>::to_vec),
     };
     let head = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
     let cases: [TailCase; 5] = [
@@ -76,18 +73,21 @@
         (b"!\x00", None, false),
         (b"", None, false),
     ];
-    for (tail, load, useful) in cases {
-        let (answer, length) = parse_response(&[head, tail].concat()).unwrap().unwrap();
+    for (tail, load_report, is_reusable) in cases {
+        let (response, length) = parse_response(&[head, tail].concat()).unwrap().unwrap();
         assert_eq!(
-            (answer, length),
-            (made(load), useful.then_some(head.len() + tail.len()))
+            (response, length),
+            (
+                expected(load_report),
+                is_reusable.then_some(head.len() + tail.len())
+            )
         );
     }
     assert_eq!(parse_response(&head[..head.len() - 1]), Ok(None));
 }
 
 #[test]
-fn lost_framing_is_detected() {
+fn input_that_breaks_the_framing_is_rejected() {
     let long = vec![b'1'; parser::LINE_MAX];
     let cases: [(&[u8], RespError); 8] = [
         (b"PING\r\n", RespError::UnexpectedByte(b'P')),
--- a/crates/balancer/src/response_stream.rs
+++ b/crates/balancer/src/response_stream.rs
@@ -1,47 +1,49 @@
-//! A long value on its way through: recognised by the first bytes of a cache's answer, forwarded
-//! as it arrives, and checked for its end. No I/O.
+//! Streaming of long values. A long value is recognised by the header of a cache's response, forwarded
+//! while it arrives, and checked for a valid end. The module performs no I/O.
 
 use crate::resp::{
-    Answer, RESPONSE_VALUE_MAX, RespError, VALUE_MAX, parse_long_value_header, parse_response_tail,
+    CacheResponse, RESPONSE_VALUE_MAX, RespError, VALUE_MAX, parse_long_value_header,
+    parse_response_tail,
 };
 
-/// Bytes of a value that must have arrived before it is forwarded; most unreadable answers show
-/// within these.
+/// Minimum number of bytes of a value that must have arrived before forwarding begins. Most unreadable
+/// responses show their fault within these bytes, while another attempt can still replace them.
 const START_THRESHOLD: usize = 4 * 1024;
 
-/// A value that is being forwarded.
+/// State of a value that is being forwarded.
 #[derive(Debug)]
 pub struct ResponseStream {
-    /// Bytes of the value that are still to arrive.
+    /// Number of bytes of the value that have not arrived yet.
     remaining: usize,
 }
 
-/// What follows a long value.
+/// Part of a response behind a long value.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StreamTail {
-    /// The cache status and load report; the value itself is left empty.
-    pub answer: Answer,
-    /// The length of what follows the value, if its end has arrived.
+    /// Response with the cache status and load report; its value is empty.
+    pub response: CacheResponse,
+    /// Length of the part behind the value in bytes; `None` if its end has not arrived.
     pub length: Option<usize>,
 }
 
-/// Where a long value begins and how long it is, if `input` begins an answer with one.
-fn long_start(input: &[u8]) -> Option<(usize, usize)> {
+/// Returns the position and length of the value if `input` begins a response with a long value.
+fn long_value_start(input: &[u8]) -> Option<(usize, usize)> {
     parse_long_value_header(input)
         .filter(|(_, length)| (VALUE_MAX + 1..=RESPONSE_VALUE_MAX).contains(length))
 }
 
-/// Whether an answer that has begun carries a long value.
+/// Returns whether `input` begins a response with a long value.
 #[must_use]
-pub fn is_long(input: &[u8]) -> bool {
-    long_start(input).is_some()
+pub fn has_long_value(input: &[u8]) -> bool {
+    long_value_start(input).is_some()
 }
 
 impl ResponseStream {
-    /// Begins to forward a value if it is a long one and enough of it has arrived. Returns the
-    /// value's length too; `input` keeps what has arrived of the value.
+    /// Begins to forward a value if it is long and at least 4 KiB of it have arrived. Returns the
+    /// stream and the value's length. The header is removed from `input`; the bytes of the value
+    /// remain.
     pub fn begin(input: &mut Vec<u8>) -> Option<(Self, usize)> {
-        let (start, length) = long_start(input)?;
+        let (start, length) = long_value_start(input)?;
         if input.len() - start < START_THRESHOLD {
             return None;
         }
@@ -49,25 +51,26 @@
         Some((ResponseStream { remaining: length }, length))
     }
 
-    /// Takes the bytes from `input` that belong to the value.
+    /// Removes the bytes that belong to the value from `input` and returns them.
     pub fn take_chunk(&mut self, input: &mut Vec<u8>) -> Vec<u8> {
-        let rest = input.split_off(self.remaining.min(input.len()));
-        let chunk = std::mem::replace(input, rest);
+        let remainder = input.split_off(self.remaining.min(input.len()));
+        let chunk = std::mem::replace(input, remainder);
         self.remaining -= chunk.len();
         chunk
     }
 
-    /// Reads what follows the value, once all of the value has been taken.
+    /// Parses the part of the response behind the value. Returns `None` until the whole value has been
+    /// taken and that part has arrived.
     ///
     /// # Errors
     ///
-    /// Says how the bytes break the protocol.
+    /// Returns an error if the bytes violate the protocol.
     pub fn tail(&self, input: &[u8]) -> Result<Option<StreamTail>, RespError> {
         if self.remaining > 0 {
             return Ok(None);
         }
-        let end = parse_response_tail(input)?;
-        Ok(end.map(|(answer, length)| StreamTail { answer, length }))
+        let tail = parse_response_tail(input)?;
+        Ok(tail.map(|(response, length)| StreamTail { response, length }))
     }
 }
 
--- a/crates/balancer/src/response_stream/tests.rs
+++ b/crates/balancer/src/response_stream/tests.rs
@@ -1,8 +1,8 @@
-//! Long values in pieces, complete and broken.
+//! Tests of long values that arrive in pieces, both valid and invalid.
 
 use super::*;
 
-fn answer(value: &[u8], tail: &[u8]) -> Vec<u8> {
+fn response(value: &[u8], tail: &[u8]) -> Vec<u8> {
     [
         format!("*3\r\n${}\r\n", value.len()).as_bytes(),
         value,
@@ -11,7 +11,7 @@
     .concat()
 }
 
-/// Feeds these pieces and returns the length, the value and the end.
+/// Feeds the pieces to a stream. Returns the announced length, the forwarded value and the tail.
 fn feed<'a>(
     pieces: impl Iterator<Item = &'a [u8]>,
 ) -> (
@@ -24,9 +24,9 @@
     for piece in pieces {
         input.extend_from_slice(piece);
         if stream.is_none()
-            && let Some((begun, long)) = ResponseStream::begin(&mut input)
+            && let Some((started, announced)) = ResponseStream::begin(&mut input)
         {
-            (stream, length) = (Some(begun), Some(long));
+            (stream, length) = (Some(started), Some(announced));
         }
         let Some(stream) = &mut stream else {
             continue;
@@ -34,65 +34,66 @@
         value.extend(stream.take_chunk(&mut input));
         match stream.tail(&input) {
             Ok(None) => {}
-            end => return (length, value, end),
+            tail => return (length, value, tail),
         }
     }
     (length, value, Ok(None))
 }
 
 #[test]
-fn a_value_arrives_complete_wherever_it_is_split() {
+fn value_is_complete_wherever_the_input_is_split() {
     let value: Vec<u8> = (0..VALUE_MAX + 9).map(|n| (n % 251) as u8).collect();
-    let whole = answer(&value, b"\r\n$3\r\nhit\r\n$-1\r\n");
+    let whole = response(&value, b"\r\n$3\r\nhit\r\n$-1\r\n");
     let cuts = (1..40)
         .chain(START_THRESHOLD..START_THRESHOLD + 20)
         .chain(whole.len() - 30..whole.len());
     for cut in cuts {
-        let (length, got, end) = feed([&whole[..cut], &whole[cut..]].into_iter());
+        let (length, forwarded, tail) = feed([&whole[..cut], &whole[cut..]].into_iter());
         assert_eq!(
-            (length, got == value),
+            (length, forwarded == value),
             (Some(value.len()), true),
             "cut at {cut}"
         );
-        let StreamTail {
-            answer: made,
-            length: next,
-        } = end.unwrap().unwrap();
+        let tail = tail.unwrap().unwrap();
         assert_eq!(
-            made,
-            Answer::Served {
+            tail.response,
+            CacheResponse::Served {
                 value: Vec::new(),
-                note: Some(b"hit".to_vec()),
-                load: None
+                cache_status: Some(b"hit".to_vec()),
+                load_report: None
             }
         );
-        // What of the report hasn't come with the rest makes the connection useless, not the value.
-        assert!(next.is_none() || next == Some(b"\r\n$3\r\nhit\r\n$-1\r\n".len()));
+        // If the load report is incomplete, the value is valid and only the connection can't be used
+        // again.
+        assert!(tail.length.is_none() || tail.length == Some(b"\r\n$3\r\nhit\r\n$-1\r\n".len()));
     }
-    let (_, got, end) = feed(whole.chunks(1));
-    assert!(got == value && end.unwrap().is_some(), "a byte at a time");
+    let (_, forwarded, tail) = feed(whole.chunks(1));
+    assert!(
+        forwarded == value && tail.unwrap().is_some(),
+        "one byte at a time"
+    );
 }
 
 #[test]
-fn short_oversized_and_barely_started_values_are_not_streamed() {
-    let head = |length: usize| format!("*3\r\n${length}\r\n");
-    let much = vec![b'x'; START_THRESHOLD];
+fn only_long_values_of_which_enough_has_arrived_are_streamed() {
+    let header = |length: usize| format!("*3\r\n${length}\r\n");
+    let enough = vec![b'x'; START_THRESHOLD];
     let cases = [
-        (VALUE_MAX, &much[..], false),
-        (VALUE_MAX + 1, &much[..START_THRESHOLD - 1], false),
-        (VALUE_MAX + 1, &much[..], true),
-        (RESPONSE_VALUE_MAX, &much[..], true),
-        (RESPONSE_VALUE_MAX + 1, &much[..], false),
+        (VALUE_MAX, &enough[..], false),
+        (VALUE_MAX + 1, &enough[..START_THRESHOLD - 1], false),
+        (VALUE_MAX + 1, &enough[..], true),
+        (RESPONSE_VALUE_MAX, &enough[..], true),
+        (RESPONSE_VALUE_MAX + 1, &enough[..], false),
     ];
-    for (length, come, begins) in cases {
-        let mut input = [head(length).as_bytes(), come].concat();
+    for (length, arrived, is_streamed) in cases {
+        let mut input = [header(length).as_bytes(), arrived].concat();
         assert_eq!(
-            is_long(&input),
+            has_long_value(&input),
             (VALUE_MAX + 1..=RESPONSE_VALUE_MAX).contains(&length)
         );
         assert_eq!(
             ResponseStream::begin(&mut input).is_some(),
-            begins,
+            is_streamed,
             "{length}"
         );
     }
@@ -104,21 +105,21 @@
         "",
         "*3\r\n$700",
     ] {
-        assert!(!is_long(text.as_bytes()), "{text}");
+        assert!(!has_long_value(text.as_bytes()), "{text}");
     }
 }
 
 #[test]
-fn a_value_longer_than_announced_is_unreadable() {
+fn value_longer_than_announced_is_unreadable() {
     let value = vec![b'x'; VALUE_MAX + 1];
-    let whole = answer(&value, b"more\r\n$3\r\nhit\r\n$-1\r\n");
+    let whole = response(&value, b"more\r\n$3\r\nhit\r\n$-1\r\n");
     assert_eq!(
         feed([&whole[..]].into_iter()).2,
         Err(RespError::MissingLineEnd)
     );
     for tail in [b"\r\n+3".as_slice(), b"\n", b"\r\r", b"\r\n$-5\r\n"] {
         assert!(
-            feed([&answer(&value, tail)[..]].into_iter()).2.is_err(),
+            feed([&response(&value, tail)[..]].into_iter()).2.is_err(),
             "{}",
             tail.escape_ascii()
         );
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -1,6 +1,5 @@
-//! The pool of connections to the tile caches. A connection carries one job at a time, so that
-//! abandoning a job (by closing its connection) affects no other, and no answer waits for a slower
-//! one before it.
+//! The pool of connections to the tile caches. A connection carries one job at a time: abandoning a
+//! job, which closes its connection, affects no other job, and no response waits behind a slower one.
 
 mod address_book;
 mod connection;
@@ -23,15 +22,15 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 32 * 1024;
-/// Bytes of an unreadable answer that are logged.
+/// Maximum number of bytes of an unreadable response that are logged.
 const LOGGED_BYTES: usize = 64;
 
-/// A connection's number, unique in the process.
+/// Number of a connection, unique in the process.
 pub type ConnectionId = u64;
 
-/// All endpoints and the connections to them.
+/// All endpoints with an address and all connections to endpoints.
 pub struct UpstreamPool {
     poll: Poll,
     endpoints: AddressBook,
@@ -40,17 +39,18 @@
     next_connection: ConnectionId,
     max_connections: usize,
     connect_timeout: Nanos,
-    /// Bytes of answers that have begun, and how many there may be.
+    /// Total number of bytes of incomplete responses.
     buffered_bytes: usize,
     max_buffered_bytes: usize,
-    /// Idle connections are closed after this, before the endpoint would.
+    /// Idle time after which a connection is closed, shorter than the timeout of the endpoint.
     idle_timeout: Nanos,
-    /// Where each read puts its bytes.
+    /// Buffer of one read, shared by all connections.
     scratch: Vec<u8>,
 }
 
 impl UpstreamPool {
-    /// A pool without endpoints that holds at most `max_connections` at once.
+    /// Creates a pool without endpoints and with at most `max_connections` open connections.
+    /// `idle_timeout` is the time after which endpoints close idle connections.
     #[must_use]
     pub fn new(
         poll: &Poll,
@@ -66,8 +66,9 @@
             next_connection: 0,
             max_connections,
             connect_timeout,
-            // A command written to a connection that the endpoint has just closed ends as a reset,
-            // and a write that may have run can't be repeated: close well before that.
+            // A command written to a connection that the endpoint has just closed ends in a reset,
+            // and an unsafe write that may have run can't be retried. The pool therefore closes idle
+            // connections well before the endpoint does.
             idle_timeout: idle_timeout / 4 * 3,
             buffered_bytes: 0,
             max_buffered_bytes: usize::MAX,
@@ -75,19 +76,19 @@
         }
     }
 
-    /// Changes how many connections may be open; those that are open beyond it stay.
+    /// Sets the maximum number of connections. Open connections over the new maximum stay open.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
 
-    /// Changes how many bytes of answers that have begun may be held together; an answer that goes
-    /// beyond it counts as unreadable.
+    /// Sets the maximum total number of bytes of incomplete responses. A response that exceeds it
+    /// counts as unreadable.
     pub fn set_max_buffered_bytes(&mut self, bytes: usize) {
         self.max_buffered_bytes = bytes;
     }
 
-    /// Notes an endpoint's address; commands go there until it is drained. Connections to its
-    /// former address carry no new commands. Returns whether the address is new.
+    /// Sets the address of an endpoint; the endpoint accepts commands until it is drained.
+    /// Connections to its former address carry no new commands. Returns whether the address changed.
     pub fn set_address(
         &mut self,
         endpoint: EndpointId,
@@ -102,8 +103,8 @@
         change != AddressChange::Unchanged
     }
 
-    /// The endpoint takes no new commands. A command that has not begun to be written never will
-    /// be: a connection that comes up after the drain grace must not carry it.
+    /// Stops sending new commands to an endpoint. Fails jobs of which nothing is written yet: a
+    /// connection that is established after the drain grace must not carry them.
     pub fn drain(
         &mut self,
         endpoint: EndpointId,
@@ -114,12 +115,13 @@
         self.close_unwritten(endpoint, events, counters);
     }
 
-    /// The endpoint left the list: nothing new can be sent to it.
+    /// Removes the address of an endpoint that has left the endpoint list. No new command can be sent
+    /// to it.
     pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
         self.endpoints.remove(endpoint);
     }
 
-    /// The endpoints with an address.
+    /// Returns the endpoints that have an address.
     #[must_use]
     pub fn listed_endpoints(&self) -> Vec<EndpointId> {
         self.endpoints.listed_endpoints().collect()
@@ -141,14 +143,14 @@
 
     fn connections_where(
         &self,
-        is_meant: impl Fn(&UpstreamConnection) -> bool,
+        predicate: impl Fn(&UpstreamConnection) -> bool,
     ) -> Vec<ConnectionId> {
-        let meant = self.connections.iter().filter(|(_, c)| is_meant(c));
-        meant.map(|(number, _)| *number).collect()
+        let matching = self.connections.iter().filter(|(_, c)| predicate(c));
+        matching.map(|(number, _)| *number).collect()
     }
 
-    /// Finds a connection for a job, an idle one or a new one. Either it is up now or later, or
-    /// the job is over.
+    /// Assigns a job to an idle connection or to a new one. Reports [`UpstreamEvent::Connected`] once
+    /// the connection is established, or [`UpstreamEvent::Completed`] if there is none.
     pub fn dispatch(
         &mut self,
         now: Nanos,
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Begins a connection for a job.
+    /// Opens a connection for a job.
     fn connect(
         &mut self,
         now: Nanos,
@@ -211,7 +213,7 @@
         Ok(number)
     }
 
-    /// Writes a job's command; its connection is up.
+    /// Writes the command of a job whose connection is established.
     pub fn send_command(
         &mut self,
         job: UpstreamJob,
@@ -222,7 +224,7 @@
         let Some(number) = self.jobs.get(&job).copied() else {
             return;
         };
-        // A job begins once, however often its connection is reported to be up.
+        // The command is written once, even if the connection is reported as established repeatedly.
         let connection = self.connections.get_mut(&number);
         let Some(connection) = connection.filter(|c| c.is_assigned()) else {
             return;
@@ -232,14 +234,15 @@
         self.write(number, events, counters);
     }
 
-    /// Whether this job's last byte is not written: its command never ran.
+    /// Returns whether the last byte of the job's command is not written yet, so that the command can't
+    /// have run.
     #[must_use]
     pub fn is_unsent(&self, job: UpstreamJob) -> bool {
         let connection = self.jobs.get(&job).and_then(|n| self.connections.get(n));
         connection.is_some_and(|c| c.is_assigned() || c.has_unwritten_bytes())
     }
 
-    /// Gives a job up by closing its connection. No event of it follows.
+    /// Abandons a job by closing its connection. No further event is reported for the job.
     pub fn abandon(&mut self, job: UpstreamJob, counters: &mut Counters) {
         let Some(number) = self.jobs.get(&job).copied() else {
             return;
@@ -254,7 +257,7 @@
         self.close(number, counters);
     }
 
-    /// Fails the job of a connection that is not up in time.
+    /// Fails the job of a connection that was not established in time.
     pub fn handle_connect_timeout(
         &mut self,
         number: ConnectionId,
@@ -267,7 +270,7 @@
         }
     }
 
-    /// Fails the job of a connection whose answer has begun and makes no progress.
+    /// Fails the job of a connection whose response has begun and makes no progress.
     pub fn handle_stall_timeout(
         &mut self,
         now: Nanos,
@@ -282,19 +285,20 @@
         }
     }
 
-    /// Stops reading the answer to a job, for the client can't take more of it.
+    /// Stops reading the response to a job because its client can't accept more of it.
     pub fn pause(&mut self, now: Nanos, job: UpstreamJob) {
         self.set_paused(now, job, true);
     }
 
-    /// Reads on after [`UpstreamPool::pause`].
+    /// Resumes reading after [`UpstreamPool::pause`].
     pub fn resume(&mut self, now: Nanos, job: UpstreamJob, timers: &mut Timers) {
         if let Some((number, stall_timeout)) = self.set_paused(now, job, false) {
             timers.set(now + stall_timeout, TimerKind::ResponseStall(number));
         }
     }
 
-    /// The connection that was paused or resumed, with its stall timeout.
+    /// Pauses or resumes reading. Returns the connection and its stall timeout, or `None` if nothing
+    /// changed.
     fn set_paused(
         &mut self,
         now: Nanos,
@@ -307,14 +311,18 @@
             return None;
         }
         if let Err(e) = connection.set_paused(now, paused) {
-            // It is read on: better a longer buffer than an answer that never ends.
-            log::warn!("connection to endpoint {}: {e}", connection.endpoint.0);
+            // The connection stays in its former state. If reading goes on, the buffer grows, which is
+            // better than a response that never ends.
+            log::warn!(
+                "connection to endpoint {}: pausing or resuming reads failed: {e}",
+                connection.endpoint.0
+            );
             return None;
         }
         Some((number, connection.stall_timeout()))
     }
 
-    /// Reads and writes what a connection is ready for.
+    /// Completes the establishment of a connection, or reads and writes as its readiness allows.
     pub fn handle_ready(
         &mut self,
         now: Nanos,
@@ -333,9 +341,9 @@
             if !connection.is_established() {
                 return self.fail(number, ExchangeResult::ConnectFailed, events, counters);
             }
-            let took = now.saturating_sub(connection.last_progress);
+            let connect_time = now.saturating_sub(connection.last_progress);
             self.endpoints
-                .record_connect_time(connection.endpoint, took);
+                .record_connect_time(connection.endpoint, connect_time);
             return events.push(UpstreamEvent::Connected { job });
         }
         if ready.readable {
@@ -375,7 +383,8 @@
             Err(result) => return self.fail(number, result, events, counters),
         }
         let Some(job) = connection.job() else {
-            // Nothing was asked for, so it is unknown to which job these bytes would be counted.
+            // An idle connection must not receive anything. The bytes could be mistaken for the response
+            // to its next job.
             self.close(number, counters);
             return;
         };
@@ -384,7 +393,7 @@
         self.buffered_bytes -= before - connection.input.len();
         match parsed {
             Ok(Some(reply)) => self.complete(number, job, reply, now, events, counters),
-            // Each message is bounded by the parser; all that have begun are bounded together.
+            // The parser limits each message; this limits all incomplete responses together.
             Ok(None) if self.buffered_bytes <= self.max_buffered_bytes => {
                 if !connection.has_unwritten_bytes() {
                     timers.set(
@@ -396,7 +405,7 @@
             Ok(None) | Err(_) => {
                 let length = connection.input.len().min(LOGGED_BYTES);
                 log::debug!(
-                    "endpoint {}: an answer can't be read: {}",
+                    "endpoint {}: unreadable response, beginning with: {}",
                     connection.endpoint.0,
                     connection.input[..length].escape_ascii()
                 );
@@ -407,10 +416,11 @@
         }
     }
 
-    /// A job's reply has arrived. The connection becomes idle, or is closed if it can't carry
-    /// another job: the reply came early, lacks its end or is followed by further bytes, so that
-    /// the start of the next one is unknown; or the endpoint drains or has moved, and the address
-    /// might be another cache's by the time of the next job.
+    /// Completes a job whose reply has arrived. The connection becomes idle, or is closed if it can't
+    /// carry another job. That is so if the reply arrived before the whole command was written, lacks
+    /// its end or is followed by further bytes, so that the start of the next reply is unknown; or if
+    /// the endpoint drains or has a new address, as the old address may belong to another cache by the
+    /// time of the next job.
     fn complete(
         &mut self,
         number: ConnectionId,
@@ -437,7 +447,7 @@
         events.push(UpstreamEvent::Completed { job, result });
     }
 
-    /// Closes a connection and says how its job ended.
+    /// Closes a connection and reports the result of its job.
     fn fail(
         &mut self,
         number: ConnectionId,
@@ -450,7 +460,7 @@
         }
     }
 
-    /// Closes a connection; its job, if it had one, is over.
+    /// Closes a connection. Returns its job, if it had one.
     fn close(&mut self, number: ConnectionId, counters: &mut Counters) -> Option<UpstreamJob> {
         let connection = self.connections.remove(&number)?;
         self.buffered_bytes -= connection.input.len();
--- a/crates/balancer/src/upstream_pool/address_book.rs
+++ b/crates/balancer/src/upstream_pool/address_book.rs
@@ -1,4 +1,4 @@
-//! The endpoints by their addresses, and which of the pool's connections lead to each.
+//! Addresses of endpoints, and the pool's connections to each endpoint.
 
 use super::ConnectionId;
 use routing::{EndpointId, Nanos};
@@ -7,35 +7,36 @@
 
 #[derive(Default)]
 struct EndpointRecord {
-    /// None once the endpoint left the list.
+    /// `None` after the endpoint has left the endpoint list.
     address: Option<SocketAddr>,
-    /// It takes no new commands; the engine may have decided for it before it knew.
+    /// Whether the endpoint accepts no new commands. The engine may have chosen it before the drain.
     draining: bool,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, ordered by last use; the most recently used is last.
     idle: Vec<ConnectionId>,
     connections: usize,
-    /// The time that its quickest connection took to come up; others may be delayed on their way.
+    /// Shortest time in which a connection was established. Longer times may include delays in the
+    /// network.
     round_trip: Option<Nanos>,
 }
 
-/// How an address relates to the one that was known before.
+/// Relation of an address to the former one of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AddressChange {
-    /// None was known.
+    /// The endpoint had no address.
     New,
-    /// It is another one.
+    /// The endpoint had another address.
     Moved,
     Unchanged,
 }
 
-/// All endpoints that are listed or still have connections.
+/// All endpoints that have an address or open connections.
 #[derive(Default)]
 pub(super) struct AddressBook {
     endpoints: HashMap<EndpointId, EndpointRecord>,
 }
 
 impl AddressBook {
-    /// Notes an endpoint's address and that it takes commands.
+    /// Sets the address of an endpoint and marks it as accepting commands.
     pub(super) fn set_address(
         &mut self,
         endpoint: EndpointId,
@@ -53,78 +54,78 @@
         }
     }
 
-    /// The endpoint takes no new commands.
+    /// Marks an endpoint as accepting no new commands.
     pub(super) fn set_draining(&mut self, endpoint: EndpointId) {
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.draining = true;
         }
     }
 
-    /// The endpoint left the list; it is forgotten with its last connection.
+    /// Removes the address of an endpoint. Its record is removed with its last connection.
     pub(super) fn remove(&mut self, endpoint: EndpointId) {
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.address = None;
-            self.forget_if_unused(endpoint);
+            self.remove_if_unused(endpoint);
         }
     }
 
-    /// The endpoints with an address.
+    /// Returns the endpoints that have an address.
     pub(super) fn listed_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         let listed = self.endpoints.iter().filter(|(_, r)| r.address.is_some());
         listed.map(|(id, _)| *id)
     }
 
-    /// The address for a new command, if the endpoint takes one.
+    /// Returns the address for a new command, if the endpoint accepts commands.
     pub(super) fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         let record = self.endpoints.get(&endpoint)?;
         record.address.filter(|_| !record.draining)
     }
 
-    /// How many connections lead to the endpoint.
+    /// Returns the number of connections to the endpoint.
     pub(super) fn connections(&self, endpoint: EndpointId) -> usize {
         self.endpoints.get(&endpoint).map_or(0, |r| r.connections)
     }
 
-    /// A connection to the endpoint was begun.
+    /// Records that a connection to the endpoint was opened.
     pub(super) fn add_connection(&mut self, endpoint: EndpointId) {
         self.endpoints.entry(endpoint).or_default().connections += 1;
     }
 
-    /// A connection to the endpoint was closed.
+    /// Records that a connection to the endpoint was closed.
     pub(super) fn remove_connection(&mut self, endpoint: EndpointId, connection: ConnectionId) {
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.idle.retain(|idle| *idle != connection);
             record.connections -= 1;
-            self.forget_if_unused(endpoint);
+            self.remove_if_unused(endpoint);
         }
     }
 
-    fn forget_if_unused(&mut self, endpoint: EndpointId) {
+    fn remove_if_unused(&mut self, endpoint: EndpointId) {
         let unused = |r: &EndpointRecord| r.connections == 0 && r.address.is_none();
         if self.endpoints.get(&endpoint).is_some_and(unused) {
             self.endpoints.remove(&endpoint);
         }
     }
 
-    /// A connection may carry further commands.
+    /// Records that a connection is idle and can carry further commands.
     pub(super) fn add_idle(&mut self, endpoint: EndpointId, connection: ConnectionId) {
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
             record.idle.push(connection);
         }
     }
 
-    /// Takes the idle connection that was used last among those that are fit.
+    /// Removes and returns the most recently used idle connection for which `is_reusable` is true.
     pub(super) fn take_idle(
         &mut self,
         endpoint: EndpointId,
-        is_fit: impl FnMut(&ConnectionId) -> bool,
+        is_reusable: impl FnMut(&ConnectionId) -> bool,
     ) -> Option<ConnectionId> {
         let idle = &mut self.endpoints.get_mut(&endpoint)?.idle;
-        let position = idle.iter().rposition(is_fit)?;
+        let position = idle.iter().rposition(is_reusable)?;
         Some(idle.remove(position))
     }
 
-    /// Takes all idle connections.
+    /// Removes and returns all idle connections.
     pub(super) fn take_all_idle(&mut self, endpoint: EndpointId) -> Vec<ConnectionId> {
         let record = self.endpoints.get_mut(&endpoint);
         record
@@ -132,14 +133,15 @@
             .unwrap_or_default()
     }
 
-    /// A connection came up after this time.
-    pub(super) fn record_connect_time(&mut self, endpoint: EndpointId, took: Nanos) {
+    /// Records the time in which a connection was established.
+    pub(super) fn record_connect_time(&mut self, endpoint: EndpointId, connect_time: Nanos) {
         if let Some(record) = self.endpoints.get_mut(&endpoint) {
-            record.round_trip = Some(record.round_trip.map_or(took, |least| least.min(took)));
+            let shortest = record.round_trip.unwrap_or(connect_time);
+            record.round_trip = Some(shortest.min(connect_time));
         }
     }
 
-    /// The shortest time in which a connection came up.
+    /// Returns the shortest time in which a connection was established.
     pub(super) fn round_trip(&self, endpoint: EndpointId) -> Option<Nanos> {
         self.endpoints.get(&endpoint)?.round_trip
     }
--- a/crates/balancer/src/upstream_pool/connection.rs
+++ b/crates/balancer/src/upstream_pool/connection.rs
@@ -1,63 +1,67 @@
-//! The state machine of one connection to an endpoint: assigned to a job, busy with it, idle.
+//! State machine of one connection to an endpoint: assigned to a job, busy with it, or idle.
 
 use super::exchange::{ExchangeResult, UpstreamEvent, UpstreamJob};
 use super::reply::{ParsedReply, parse_reply};
 use crate::poll::{Interest, Registered};
 use crate::resp::RespError;
-use crate::response_stream::{ResponseStream, StreamTail, is_long};
+use crate::response_stream::{ResponseStream, StreamTail, has_long_value};
 use crate::timers::MS;
 use routing::{EndpointId, Nanos};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// An answer that has begun and makes no progress for this long has ended short: caches send an
-/// answer at once, and its parts follow each other within a round trip ...
+/// Minimum time without progress after which a response that has begun counts as truncated. Caches
+/// send a response at once, and its parts arrive within a round trip.
 pub(super) const STALL_TIMEOUT: Nanos = 40 * MS;
-/// ... or, for a far cache, for this many round trips, up to [`STREAM_START_STALL_TIMEOUT`]: the
-/// only connection so far may have been delayed when it came up.
+/// Number of round trips without progress after which the response of a distant cache counts as
+/// truncated. The time is limited to [`STREAM_START_STALL_TIMEOUT`], as the measured round trip is too
+/// long if the only connection so far was delayed while it was established.
 pub(super) const STALL_ROUND_TRIPS: u64 = 3;
-/// The same for a long value of which nothing has been forwarded yet: it may arrive slowly.
+/// Stall timeout of a long value of which nothing has been forwarded yet. Long values may arrive
+/// slowly.
 pub(super) const STREAM_START_STALL_TIMEOUT: Nanos = 500 * MS;
-/// The same once a part has been forwarded: no other attempt can replace this one.
+/// Stall timeout of a long value of which a part has been forwarded. No other attempt can replace it.
 pub(super) const STREAM_STALL_TIMEOUT: Nanos = 5_000 * MS;
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It has a job of which nothing is written; as a rule the connection is not up yet.
+    /// The connection has a job of which nothing is written. Usually it is not established yet.
     Assigned(UpstreamJob),
-    /// The job's command is being written, or its answer is awaited.
+    /// The job's command is being written, or its response is awaited.
     Busy(UpstreamJob),
     Idle {
         since: Nanos,
     },
 }
 
-/// A connection to an endpoint. It carries one job at a time.
+/// A connection to an endpoint. It carries at most one job at a time.
 pub(super) struct UpstreamConnection {
     pub(super) endpoint: EndpointId,
-    /// Where it leads; the endpoint may have moved since.
+    /// Address of the peer. The endpoint may have a new address since.
     pub(super) address: SocketAddr,
     pub(super) socket: Registered<TcpStream>,
     pub(super) state: ConnectionState,
-    /// The job's command, and how many of its bytes are written.
+    /// Encoded command of the job.
     pub(super) command: Vec<u8>,
+    /// Number of bytes of the command that are written.
     pub(super) written: usize,
     pub(super) input: Vec<u8>,
-    /// Jobs carried, the current one included.
+    /// Number of jobs carried, including the current one.
     pub(super) jobs: u32,
-    /// When bytes last arrived, or could have: a connection that is paused does not stall.
+    /// Time of the last received bytes, of the last pause or resume, or of the opening. Paused
+    /// connections do not stall.
     pub(super) last_progress: Nanos,
-    /// For how long an answer that has begun may make no progress; set when the job begins.
-    pub(super) answer_stall_timeout: Nanos,
-    /// The long value that is being forwarded.
+    /// Maximum time without progress of a response that has begun; set when the command is written.
+    pub(super) response_stall_timeout: Nanos,
+    /// Long value that is being forwarded.
     stream: Option<ResponseStream>,
-    /// It is not read, for the client can't take more.
+    /// Whether reading is paused because the client can't accept more.
     pub(super) paused: bool,
 }
 
 impl UpstreamConnection {
-    /// A connection that has been begun for this job.
+    /// Creates the state of a connection that was opened for a job.
     pub(super) fn new(
         endpoint: EndpointId,
         address: SocketAddr,
@@ -75,29 +79,29 @@
             input: Vec::new(),
             jobs: 1,
             last_progress: now,
-            answer_stall_timeout: STALL_TIMEOUT,
+            response_stall_timeout: STALL_TIMEOUT,
             stream: None,
             paused: false,
         }
     }
 
-    /// An idle connection takes up a job.
+    /// Assigns a job to an idle connection.
     pub(super) fn assign(&mut self, job: UpstreamJob) {
         self.state = ConnectionState::Assigned(job);
         self.jobs += 1;
     }
 
-    /// The job's command is to be written.
+    /// Sets the command of the assigned job; it is written by [`UpstreamConnection::write`].
     pub(super) fn begin(&mut self, job: UpstreamJob, command: Vec<u8>, round_trip: Option<Nanos>) {
         self.state = ConnectionState::Busy(job);
         (self.command, self.written) = (command, 0);
-        self.answer_stall_timeout = round_trip
+        self.response_stall_timeout = round_trip
             .unwrap_or_default()
             .saturating_mul(STALL_ROUND_TRIPS)
             .clamp(STALL_TIMEOUT, STREAM_START_STALL_TIMEOUT);
     }
 
-    /// The job is done and the connection can carry another one.
+    /// Makes the connection idle after its job, ready for another one.
     pub(super) fn release(&mut self, now: Nanos) {
         self.state = ConnectionState::Idle { since: now };
         (self.command, self.written) = (Vec::new(), 0);
@@ -119,41 +123,41 @@
         }
     }
 
-    /// Nothing of its job is written.
+    /// Returns whether the connection has a job of which nothing is written.
     pub(super) fn is_assigned(&self) -> bool {
         matches!(self.state, ConnectionState::Assigned(_))
     }
 
-    /// A part of the command is not written yet, so the command can't have run.
+    /// Returns whether a part of the command is not written yet, so that the command can't have run.
     pub(super) fn has_unwritten_bytes(&self) -> bool {
         self.written < self.command.len()
     }
 
-    /// The socket's connection has been established.
+    /// Returns whether the socket is connected.
     pub(super) fn is_established(&self) -> bool {
         let socket = self.socket.socket();
         matches!(socket.take_error(), Ok(None)) && socket.peer_addr().is_ok()
     }
 
-    /// For how long the answer may make no progress.
+    /// Returns the maximum time without progress of the current response.
     pub(super) fn stall_timeout(&self) -> Nanos {
         match &self.stream {
             Some(_) => STREAM_STALL_TIMEOUT,
-            None if is_long(&self.input) => STREAM_START_STALL_TIMEOUT,
-            None => self.answer_stall_timeout,
+            None if has_long_value(&self.input) => STREAM_START_STALL_TIMEOUT,
+            None => self.response_stall_timeout,
         }
     }
 
-    /// The answer has begun, lacks its end and has made no progress for too long.
+    /// Returns whether the response has begun, is incomplete and has exceeded its stall timeout.
     pub(super) fn is_stalled(&self, now: Nanos) -> bool {
-        let begun = self.stream.is_some() || !self.input.is_empty();
-        begun
+        let has_begun = self.stream.is_some() || !self.input.is_empty();
+        has_begun
             && self.job().is_some()
             && !self.paused
             && now >= self.last_progress + self.stall_timeout()
     }
 
-    /// How the job ends when the connection breaks now.
+    /// Returns the result of the job if the connection breaks now.
     pub(super) fn result_if_broken(&self) -> ExchangeResult {
         if self.has_unwritten_bytes() {
             ExchangeResult::ConnectFailed
@@ -162,7 +166,7 @@
         }
     }
 
-    /// How the job ends when its answer can't be read.
+    /// Returns the result of the job if its response is unreadable.
     pub(super) fn result_if_unreadable(&self) -> ExchangeResult {
         if self.has_unwritten_bytes() {
             ExchangeResult::ConnectFailed
@@ -171,11 +175,11 @@
         }
     }
 
-    /// Writes as much of the command as the socket takes, and watches for what comes next.
+    /// Writes as much of the command as the socket accepts, and updates the interest of the poller.
     ///
     /// # Errors
     ///
-    /// Says how the job ends if the connection has broken.
+    /// Returns the result of the job if the connection is broken.
     pub(super) fn write(&mut self) -> Result<(), ExchangeResult> {
         while self.has_unwritten_bytes() {
             match self.socket.socket().write(&self.command[self.written..]) {
@@ -192,11 +196,11 @@
             .map_err(|_| self.result_if_broken())
     }
 
-    /// Reads once; returns how many bytes arrived, none if the socket had nothing.
+    /// Reads once. Returns the number of bytes received, 0 if the socket had none.
     ///
     /// # Errors
     ///
-    /// Says how the job ends if the connection has ended or broken.
+    /// Returns the result of the job if the connection is closed or broken.
     pub(super) fn receive(
         &mut self,
         now: Nanos,
@@ -214,12 +218,12 @@
         }
     }
 
-    /// Reads what has arrived for the job: its reply, or the next part of a long value, which
-    /// goes into `events`.
+    /// Parses the received bytes. Returns the reply if it is complete. The next part of a long value is
+    /// added to `events`.
     ///
     /// # Errors
     ///
-    /// Says how the bytes break the protocol.
+    /// Returns an error if the bytes violate the protocol.
     pub(super) fn parse(
         &mut self,
         job: UpstreamJob,
@@ -240,18 +244,18 @@
         if !bytes.is_empty() {
             events.push(UpstreamEvent::StreamChunk { job, bytes });
         }
-        let end = stream.tail(&self.input)?;
-        Ok(end.map(|StreamTail { answer, length }| ParsedReply {
-            result: ExchangeResult::Response(answer),
+        let tail = stream.tail(&self.input)?;
+        Ok(tail.map(|StreamTail { response, length }| ParsedReply {
+            result: ExchangeResult::Response(response),
             length,
         }))
     }
 
-    /// Stops reading, or reads on.
+    /// Pauses or resumes reading.
     ///
     /// # Errors
     ///
-    /// Passes on the poller's error; the connection is read as before.
+    /// Returns the error of the poller. Reading is then neither paused nor resumed.
     pub(super) fn set_paused(&mut self, now: Nanos, paused: bool) -> io::Result<()> {
         let interest = if paused {
             Interest::NONE
--- a/crates/balancer/src/upstream_pool/exchange.rs
+++ b/crates/balancer/src/upstream_pool/exchange.rs
@@ -1,94 +1,96 @@
-//! What goes to an endpoint on a connection, and what becomes of it.
+//! Jobs that are sent to endpoints, their results and events.
 
-use crate::resp::{Answer, Reply};
+use crate::resp::{CacheResponse, Reply};
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
 use std::io;
 use std::net::SocketAddr;
 
-/// What a connection is used for.
+/// Purpose for which a connection is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum UpstreamJob {
-    /// An attempt of a request.
+    /// One attempt of a request.
     Attempt(RequestId, AttemptNumber),
-    /// A health check, by its number.
+    /// A health check, identified by its number.
     HealthCheck(u64),
 }
 
-/// A job that is to go out.
+/// A job to be sent to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct OutboundCommand {
-    /// The job.
+    /// Job to be sent.
     pub job: UpstreamJob,
-    /// Where it goes.
+    /// Endpoint that receives the command.
     pub endpoint: EndpointId,
-    /// When it times out.
+    /// Time at which the job times out. The connection must be established before.
     pub deadline: Nanos,
 }
 
-/// How a job ended.
+/// Result of a job.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ExchangeResult {
     /// The endpoint's reply to a health check.
     Reply(Reply),
-    /// The endpoint's answer to an attempt.
-    Response(Answer),
-    /// The answer breaks the protocol or ended short: the command may have run.
+    /// The endpoint's response to an attempt.
+    Response(CacheResponse),
+    /// The response violates the protocol or is truncated. The command may have run.
     Unreadable,
-    /// No connection came up, or it broke before the last byte was written: the command never ran.
+    /// No connection was established, or it broke before the last byte was written. The command never
+    /// ran.
     ConnectFailed,
-    /// The connection broke after that: the command may have run.
+    /// The connection broke after the last byte was written. The command may have run.
     Reset,
-    /// No further connection is allowed: the command never ran, which says nothing of the endpoint.
+    /// No connection could be opened for lack of capacity in the balancer. The command never ran. The
+    /// endpoint did not cause this.
     NoCapacity,
 }
 
-/// What happened to a job.
+/// Event of a job.
 #[derive(Debug, PartialEq, Eq)]
 pub enum UpstreamEvent {
-    /// Its connection is up and nothing of it is written: it begins now with
-    /// [`UpstreamPool::send_command`](super::UpstreamPool::send_command) or is abandoned.
+    /// The job's connection is established and nothing of its command is written. The caller either
+    /// calls [`UpstreamPool::send_command`](super::UpstreamPool::send_command) or abandons the job.
     Connected {
-        /// The job.
+        /// Job that was assigned to the connection.
         job: UpstreamJob,
     },
-    /// It is over.
+    /// The job has ended.
     Completed {
-        /// The job.
+        /// Job that ended.
         job: UpstreamJob,
-        /// How it ended.
+        /// Result of the job.
         result: ExchangeResult,
     },
-    /// A long value has begun to arrive; its chunks follow, and the job's completion.
+    /// A long value has begun to arrive. Its chunks and the completion of the job follow.
     StreamStarted {
-        /// The job.
+        /// Job to which the value belongs.
         job: UpstreamJob,
-        /// The value's length in bytes.
+        /// Length of the whole value in bytes.
         length: usize,
     },
-    /// The next bytes of a long value.
+    /// The next bytes of a long value have arrived.
     StreamChunk {
-        /// The job.
+        /// Job to which the value belongs.
         job: UpstreamJob,
-        /// The bytes.
+        /// The received bytes.
         bytes: Vec<u8>,
     },
 }
 
-/// Why there is no connection for a job.
+/// Reason why a job gets no connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
-    #[error("endpoint {} is not listed or is draining", .0.0)]
+    #[error("endpoint {} has no address or is draining", .0.0)]
     Unavailable(EndpointId),
-    #[error("endpoint at {address}: {source}")]
+    #[error("connecting to the endpoint at {address} failed: {source}")]
     Unreachable {
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("all {limit} connections that endpoint {} may have are busy", endpoint.0)]
+    #[error("all {limit} connections allowed to endpoint {} are busy", endpoint.0)]
     EndpointLimit { endpoint: EndpointId, limit: usize },
-    #[error("all {limit} connections to endpoints are busy")]
+    #[error("all {limit} connections allowed to endpoints are busy")]
     PoolLimit { limit: usize },
-    #[error("socket for the endpoint at {address}: {source}")]
+    #[error("no socket for the endpoint at {address}: {source}")]
     Socket {
         address: SocketAddr,
         source: io::Error,
@@ -101,7 +103,8 @@
             ConnectError::Unavailable(_) | ConnectError::Unreachable { .. } => {
                 ExchangeResult::ConnectFailed
             }
-            // The balancer lacks descriptors or ports; the endpoint is not to blame.
+            // The balancer lacks connections, descriptors or ports. The endpoint must not be charged for
+            // that.
             ConnectError::EndpointLimit { .. }
             | ConnectError::PoolLimit { .. }
             | ConnectError::Socket { .. } => ExchangeResult::NoCapacity,
--- a/crates/balancer/src/upstream_pool/idle.rs
+++ b/crates/balancer/src/upstream_pool/idle.rs
@@ -1,4 +1,5 @@
-//! The pool's idle connections: their reuse, how they make way at the limits, and their end.
+//! The pool's idle connections: their reuse, their eviction at the connection limits, and their idle
+//! timeout.
 
 use super::connection::UpstreamConnection;
 use super::exchange::{ConnectError, UpstreamJob};
@@ -8,16 +9,16 @@
 use crate::timers::MS;
 use routing::{EndpointId, Nanos};
 
-/// An idle connection carries no further job for this long after an answer. An answer does not say
-/// to which job it belongs, and a second one may follow the first after some milliseconds; it is
-/// found by then and never taken for the answer to the next job.
+/// Minimum time between a response on a connection and the next job on it. A response does not identify
+/// its job, and a second response may follow the first after some milliseconds. With this delay it is
+/// detected while the connection is idle and never taken for the response to the next job.
 pub(super) const REUSE_DELAY: Nanos = 10 * MS;
 
-/// One endpoint gets at most this part of all connections.
-const ENDPOINT_PART: usize = 4;
+/// An endpoint gets at most the maximum number of connections divided by this.
+const ENDPOINT_SHARE_DIVISOR: usize = 4;
 
 impl UpstreamPool {
-    /// Assigns a job to an idle connection, if there is a fit one.
+    /// Assigns a job to a reusable idle connection. Returns whether there was one.
     pub(super) fn assign_idle(
         &mut self,
         now: Nanos,
@@ -26,7 +27,8 @@
         counters: &mut Counters,
     ) -> bool {
         while let Some(number) = self.take_idle(now, endpoint) {
-            // A command written to a connection that has ended unnoticed would be lost as a reset.
+            // A command written to a connection that the endpoint has already closed would end in a
+            // reset.
             match self.connections.get_mut(&number) {
                 Some(connection) if is_open_without_input(connection.socket.socket()) => {
                     connection.assign(job);
@@ -41,27 +43,28 @@
         false
     }
 
-    /// The idle connection used last among those whose reuse delay is over. One that the endpoint
-    /// may be closing for its idle time is not fit, though it is not swept yet.
+    /// Removes and returns the most recently used idle connection whose reuse delay is over. A
+    /// connection past the idle timeout is not reused even before it is closed, as the endpoint may
+    /// be closing it.
     pub(super) fn take_idle(&mut self, now: Nanos, endpoint: EndpointId) -> Option<ConnectionId> {
-        let fit_ages = REUSE_DELAY..self.idle_timeout;
+        let reusable_ages = REUSE_DELAY..self.idle_timeout;
         let connections = &self.connections;
         self.endpoints.take_idle(endpoint, |number| {
             let since = connections
                 .get(number)
                 .and_then(UpstreamConnection::idle_since);
-            since.is_some_and(|since| fit_ages.contains(&now.saturating_sub(since)))
+            since.is_some_and(|since| reusable_ages.contains(&now.saturating_sub(since)))
         })
     }
 
-    /// Makes sure that another connection to the endpoint is within the limits, if need be by
-    /// closing an idle one.
+    /// Ensures that another connection to the endpoint is within the limits. Closes an idle connection
+    /// if necessary.
     pub(super) fn ensure_capacity(
         &mut self,
         endpoint: EndpointId,
         counters: &mut Counters,
     ) -> Result<(), ConnectError> {
-        let limit = (self.max_connections / ENDPOINT_PART).max(1);
+        let limit = (self.max_connections / ENDPOINT_SHARE_DIVISOR).max(1);
         let at_limit = self.endpoints.connections(endpoint) >= limit;
         if at_limit && !self.close_longest_idle(Some(endpoint), counters) {
             return Err(ConnectError::EndpointLimit { endpoint, limit });
@@ -73,8 +76,8 @@
         Ok(())
     }
 
-    /// Closes the connection that has been idle longest, to this endpoint or to any; its reuse
-    /// delay doesn't matter. Returns whether there was one.
+    /// Closes the connection that has been idle longest, to the given endpoint or to any, even within
+    /// its reuse delay. Returns whether there was one.
     fn close_longest_idle(
         &mut self,
         endpoint: Option<EndpointId>,
@@ -90,14 +93,14 @@
         true
     }
 
-    /// Closes the idle connections to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub fn close_idle(&mut self, endpoint: EndpointId, counters: &mut Counters) {
         for number in self.endpoints.take_all_idle(endpoint) {
             self.close(number, counters);
         }
     }
 
-    /// Closes connections whose idle timeout is over.
+    /// Closes all connections that have been idle for the idle timeout.
     pub fn close_expired(&mut self, now: Nanos, counters: &mut Counters) {
         let is_expired = |c: &UpstreamConnection| {
             let since = c.idle_since();
--- a/crates/balancer/src/upstream_pool/reply.rs
+++ b/crates/balancer/src/upstream_pool/reply.rs
@@ -1,29 +1,29 @@
-//! Reads what arrives on a connection as the reply to its job.
+//! Parsing of received bytes as the reply to a job.
 
 use super::exchange::{ExchangeResult, UpstreamJob};
 use crate::resp::{self, RespError, parse_response};
 
-/// A reply that has arrived as far as it is needed.
+/// A reply of which all necessary parts have arrived.
 #[derive(Debug)]
 pub(super) struct ParsedReply {
     pub(super) result: ExchangeResult,
-    /// The reply's length in bytes; unknown if its end has not arrived, so that the connection
-    /// can't be used again.
+    /// Length of the reply in bytes; `None` if its end has not arrived. The connection can't be used
+    /// again then.
     pub(super) length: Option<usize>,
 }
 
-/// The reply to a job; `None` while more bytes are needed.
+/// Parses the reply to a job; `None` while more bytes are needed.
 ///
 /// # Errors
 ///
-/// Says how the bytes break the protocol.
+/// Returns an error if the bytes violate the protocol.
 pub(super) fn parse_reply(
     job: UpstreamJob,
     input: &[u8],
 ) -> Result<Option<ParsedReply>, RespError> {
     Ok(match job {
-        UpstreamJob::Attempt(..) => parse_response(input)?.map(|(answer, length)| ParsedReply {
-            result: ExchangeResult::Response(answer),
+        UpstreamJob::Attempt(..) => parse_response(input)?.map(|(response, length)| ParsedReply {
+            result: ExchangeResult::Response(response),
             length,
         }),
         UpstreamJob::HealthCheck(_) => {
--- a/crates/balancer/src/watch_backoff.rs
+++ b/crates/balancer/src/watch_backoff.rs
@@ -1,35 +1,38 @@
-//! When the next watch begins where endpoint lists are pushed: exponential backoff, bounded by the
-//! drain grace. Fed with times; no I/O.
+//! Exponential backoff between watches of an agent that pushes endpoint lists, bounded by the drain
+//! grace. The caller supplies all times; the module performs no I/O.
 
 use crate::timers::MS;
 use routing::Nanos;
 
-/// The first delay after a watch that ended soon; it doubles from there.
+/// Delay after the first short watch; it doubles with each further one.
 const INITIAL_DELAY: Nanos = 10 * MS;
-/// The longest delay, however long the drain grace.
+/// Maximum delay, however long the drain grace is.
 const MAX_DELAY: Nanos = 250 * MS;
-/// The longest delay is this part of the drain grace: a drain has to be noticed well within it.
-const GRACE_PART: Nanos = 4;
+/// The maximum delay is the drain grace divided by this: the balancer has to learn of a drain well
+/// within the grace.
+const DRAIN_GRACE_DIVISOR: Nanos = 4;
 
-/// The backoff between watches at an agent that pushes lists.
+/// Backoff between watches of an agent that pushes endpoint lists.
 pub struct WatchBackoff {
-    /// The longest delay between two watches.
+    /// Maximum delay between two watches.
     max_delay: Nanos,
     next_delay: Nanos,
 }
 
 impl WatchBackoff {
-    /// A backoff for this drain grace in nanoseconds; a grace of 0 counts as the shortest.
+    /// Creates a backoff for a drain grace in nanoseconds. With a grace below 40 ms the maximum delay
+    /// is the initial delay.
     #[must_use]
     pub fn new(drain_grace: Nanos) -> Self {
         WatchBackoff {
-            max_delay: (drain_grace / GRACE_PART).clamp(INITIAL_DELAY, MAX_DELAY),
+            max_delay: (drain_grace / DRAIN_GRACE_DIVISOR).clamp(INITIAL_DELAY, MAX_DELAY),
             next_delay: INITIAL_DELAY,
         }
     }
 
-    /// How long to wait after a watch that was open for `duration`. After a long one the next
-    /// begins at once; an agent that ends each watch at once is not asked without a pause.
+    /// Returns the delay before the next watch, given that the last one was open for `duration`.
+    /// After a watch longer than the maximum delay it is 0. It grows while watches are shorter, so
+    /// that an agent that ends each watch immediately is not called in a tight loop.
     pub fn next_delay(&mut self, duration: Nanos) -> Nanos {
         if duration > self.max_delay {
             self.next_delay = INITIAL_DELAY;
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -300,10 +300,10 @@
     std::fs::write(&file, config).unwrap();
     let older = pair.start();
     older.wait_ready();
-    older.wait_log("fleet: a gossips at");
+    older.wait_log("fleet: gossip of fleet a listens on");
     let newer = pair.start();
-    newer.wait_log("is in use by the other process");
+    newer.wait_log("is in use by the other process of this balancer; retrying");
     newer.wait_ready();
     older.signal("TERM");
-    newer.wait_log("fleet: a gossips at");
+    newer.wait_log("fleet: gossip of fleet a listens on");
 }
