--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -1,6 +1,6 @@
-//! The open requests and their attempts. The tracker starts the attempts that the engine decides on and
-//! reports how they end as outcomes of the engine. It retries nothing itself; the engine decides on
-//! retries.
+//! The open requests and their attempts. The tracker starts the attempts that the engine decides on
+//! and reports how they end as outcomes of the engine. It retries nothing itself; the engine
+//! decides on retries.
 
 mod health_checks;
 mod outcome;
@@ -58,7 +58,8 @@
     streams: HashMap<RequestId, ActiveStream>,
     /// Total size of the tracked requests in bytes.
     buffered_bytes: usize,
-    /// Total time that the process has been stalled so far. It is excluded from the latency of caches.
+    /// Total time that the process has been stalled so far. It is excluded from the latency of
+    /// caches.
     total_stall: Nanos,
 }
 
@@ -75,8 +76,8 @@
         self.buffered_bytes
     }
 
-    /// Returns whether a tracked request has this id of a client. Caches would take a second request
-    /// with the id for the first one.
+    /// Returns whether a tracked request has this id of a client. A second request with the id would
+    /// be taken for the first one.
     #[must_use]
     pub fn is_request_id_in_use(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
@@ -97,9 +98,9 @@
         self.requests.insert(id, context);
     }
 
-    /// Starts to stream a long value that has begun to arrive, unless the request is already answered.
-    /// The attempt ends as successful now: the cache has done its work, and the time that the
-    /// transfer takes also depends on the client.
+    /// Starts to stream a long value that has begun to arrive, unless the request is already
+    /// answered. The attempt ends as successful now: the cache has done its work, and the time that
+    /// the transfer takes also depends on the client.
     pub fn start_stream(
         &mut self,
         now: Nanos,
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Moves the deadlines of all tracked requests and their attempts to `deadline` if they are later.
+    /// Moves the deadlines of all tracked requests and their attempts to `deadline` if they are
+    /// later.
     pub fn limit_deadlines(&mut self, deadline: Nanos) {
         for context in self.requests.values_mut() {
             context.deadline = context.deadline.min(deadline);
@@ -190,8 +192,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the end of the attempt, to be reported to the engine, if the attempt is not sent: its
-    /// request is answered or removed, or has less than 1 ms left.
+    /// Returns the end of the attempt, to be reported to the engine, if the attempt is not sent:
+    /// its request is answered or removed, or has less than 1 ms left.
     pub fn start_attempt(
         &mut self,
         now: Nanos,
@@ -241,14 +243,14 @@
         })
     }
 
-    /// Encodes the command of an attempt whose connection is established. This may happen long after
-    /// the engine's decision, so it checks again whether the request is still unanswered and whether
-    /// there is time left.
+    /// Encodes the command of an attempt whose connection is established. This may happen long
+    /// after the engine's decision, so it checks again whether the request is still unanswered and
+    /// whether there is time left.
     ///
     /// # Errors
     ///
-    /// Returns an error if the attempt must not be sent, with the end of the attempt for the engine if
-    /// the attempt was still in flight.
+    /// Returns an error if the attempt must not be sent, with the end of the attempt for the engine
+    /// if the attempt was still in flight.
     pub fn encode_command(
         &mut self,
         now: Nanos,
@@ -284,9 +286,9 @@
         }
     }
 
-    /// Ends an attempt without a value: because of its timeout, on request of the engine, for lack of a
-    /// connection, or when its value is streamed. Returns the end of the attempt for the engine, if
-    /// the attempt was still in flight.
+    /// Ends an attempt without a value: because of its timeout, on request of the engine, for lack
+    /// of a connection, or when its value is streamed. Returns the end of the attempt for the
+    /// engine, if the attempt was still in flight.
     pub fn end_attempt(
         &mut self,
         now: Nanos,
@@ -336,7 +338,8 @@
         })
     }
 
-    /// Starts a health check of an endpoint. The caller passes the returned job to the upstream pool.
+    /// Starts a health check of an endpoint. The caller passes the returned job to the upstream
+    /// pool.
     pub fn start_health_check(
         &mut self,
         endpoint: EndpointId,
@@ -346,13 +349,14 @@
         self.health_checks.start(endpoint)
     }
 
-    /// Ends a health check that has timed out. Returns its end for the engine, if it was still in flight.
+    /// Ends a health check that has timed out. Returns its end for the engine, if it was still in
+    /// flight.
     pub fn time_out_health_check(&mut self, number: u64) -> Option<Event> {
         self.health_checks.time_out(number)
     }
 
-    /// Processes the result of a job. Returns the outcome for the engine, and the final answer if the job
-    /// provided it.
+    /// Processes the result of a job. Returns the outcome for the engine, and the final answer if
+    /// the job provided it.
     pub fn complete_job(
         &mut self,
         now: Nanos,
@@ -371,8 +375,8 @@
             }
         };
         let reply = AttemptReply::from(result);
-        // The first served value answers the request. Of a second one, from a hedge, only the outcome
-        // is used.
+        // The first served value answers the request. Of a second one, from a hedge, only the
+        // outcome is used.
         let is_served = reply.served.is_some();
         let context = self.requests.get_mut(&request).filter(|_| is_served);
         let ticket = context.and_then(|context| context.ticket.take());
--- a/crates/balancer/src/attempt_tracker/health_checks.rs
+++ b/crates/balancer/src/attempt_tracker/health_checks.rs
@@ -20,7 +20,8 @@
         UpstreamJob::HealthCheck(self.last_number)
     }
 
-    /// Ends a check that got no reply in time. Returns its end for the engine, if it was still in flight.
+    /// Ends a check that got no reply in time. Returns its end for the engine, if it was still in
+    /// flight.
     pub(super) fn time_out(&mut self, number: u64) -> Option<Event> {
         let reply = HealthCheckReply {
             outcome: AttemptOutcome::Timeout,
--- a/crates/balancer/src/attempt_tracker/outcome.rs
+++ b/crates/balancer/src/attempt_tracker/outcome.rs
@@ -67,8 +67,8 @@
     match (code, text) {
         ("BUSY", _) => AttemptOutcome::Rejected,
         (_, "ERR failed") => AttemptOutcome::Error,
-        // Any other error concerns the command: no endpoint would accept it, and this endpoint is not
-        // at fault.
+        // Any other error concerns the command: no endpoint would accept it, and this endpoint is
+        // not at fault.
         _ => {
             log::debug!("an endpoint rejected a request as invalid: {text}");
             AttemptOutcome::InvalidRequest
@@ -85,7 +85,8 @@
     }
 }
 
-/// Parses a load report: `name=value` pairs, separated by commas or spaces. Invalid pairs are skipped.
+/// Parses a load report: `name=value` pairs, separated by commas or spaces. Invalid pairs are
+/// skipped.
 fn parse_load_report(text: &[u8]) -> LoadReport {
     let text = String::from_utf8_lossy(text);
     let pairs = text.split([',', ' ']);
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -134,7 +134,8 @@
             connection: 0,
         };
         tracker.add_request(incoming(ticket, client_timeout, command));
-        // For caches that respond within 0.1 ms the engine sets timeouts of a fraction of a millisecond.
+        // For caches that respond within 0.1 ms the engine sets timeouts of a fraction of a
+        // millisecond.
         let first = (RequestId(1), AttemptNumber(0));
         let started = tracker.start_attempt(0, attempt_spec(first, 1, Some(MS / 4)), &mut counters);
         assert_eq!(
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery client. It keeps a watch open, over which the endpoint list and its changes arrive.
+//! The discovery client. It keeps a watch open, over which the endpoint list and its changes
+//! arrive.
 
 mod body;
 mod call;
@@ -49,7 +50,8 @@
     watch_opened_at: Nanos,
     /// Number of failed watches since the last message.
     failures: u32,
-    /// Backoff between watches if an agent pushes lists; otherwise the engine decides when to watch.
+    /// Backoff between watches if an agent pushes lists; otherwise the engine decides when to
+    /// watch.
     backoff: Option<WatchBackoff>,
 }
 
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Returns whether an agent pushes the lists. The watch is then open from the start, and the engine
-    /// receives the lists without requesting them.
+    /// Returns whether an agent pushes the lists. The watch is then open from the start, and the
+    /// engine receives the lists without requesting them.
     #[must_use]
     pub fn is_pushed(&self) -> bool {
         self.backoff.is_some()
@@ -102,9 +104,9 @@
         self.list.has_pending()
     }
 
-    /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first list
-    /// is returned whole, as no request can be served before. The version of a message is set with
-    /// its last part.
+    /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first
+    /// list is returned whole, as no request can be served before. The version of a message is set
+    /// with its last part.
     pub fn take_part(&mut self, limit: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
         match self.list.take_part(limit) {
             Ok(part) => part.map(DiscoveryEvent::ListPart),
@@ -160,9 +162,10 @@
         }
     }
 
-    /// Changes the address of discovery and reopens the watch there, from the version received so far.
-    /// The watch is opened immediately, regardless of any delay after a failed call: the former
-    /// address may send nothing more, while the balancer still counts as notified of changes.
+    /// Changes the address of discovery and reopens the watch there, from the version received so
+    /// far. The watch is opened immediately, regardless of any delay after a failed call: the
+    /// former address may send nothing more, while the balancer still counts as notified of
+    /// changes.
     pub fn change_address(
         &mut self,
         address: SocketAddr,
@@ -226,8 +229,8 @@
         }
     }
 
-    /// Ends a failed watch. Only the failures 1, 2, 4, 8 and so on since the last message are logged as
-    /// warnings: an agent that is unavailable for hours is called several times a second.
+    /// Ends a failed watch. Only the failures 1, 2, 4, 8 and so on since the last message are
+    /// logged as warnings: an agent that is unavailable for hours is called several times a second.
     fn fail(&mut self, error: &WatchError, counters: &mut Counters) -> DiscoveryEvent {
         self.call = None;
         counters.discovery_failed += 1;
@@ -246,8 +249,8 @@
         DiscoveryEvent::Failed
     }
 
-    /// Fails a watch that has been silent for too long: the connection to an unreachable machine does
-    /// not end by itself.
+    /// Fails a watch that has been silent for too long: the connection to an unreachable machine
+    /// does not end by itself.
     pub fn handle_silence_timeout(
         &mut self,
         now: Nanos,
@@ -271,8 +274,8 @@
         events.push(self.fail(&WatchError::Silent { silent_ms, stage }, counters));
     }
 
-    /// Takes the complete messages from the received text. A message ends with its closing brace and
-    /// may span several lines, as lists may be indented.
+    /// Takes the complete messages from the received text. A message ends with its closing brace
+    /// and may span several lines, as lists may be indented.
     fn read_messages(&mut self, counters: &mut Counters) -> Result<(), MessageError> {
         let Some(call) = self.call.as_mut() else {
             return Ok(());
@@ -282,14 +285,16 @@
             call.text.drain(..range.end);
             let message = Message::read(text)?;
             // Within a watch versions never decrease; an older message would restore removed
-            // endpoints. The first message of a watch may be older if it is a full list, as discovery
-            // may have restarted its count. A delta refers to the version that the watch requested.
+            // endpoints. The first message of a watch may be older if it is a full list, as
+            // discovery may have restarted its count. A delta refers to the version that the watch
+            // requested.
             let list_version = self.list.version().filter(|_| !message.is_full);
             let minimum = call.version.or(list_version);
             if let Some(minimum) = minimum.filter(|minimum| message.version < *minimum) {
                 counters.discovery_outdated_lines += 1;
                 log::warn!(
-                    "discovery at {}: ignored a message of version {}, older than version {minimum}",
+                    "discovery at {}: ignored a message of version {}, older than version \
+                     {minimum}",
                     self.address,
                     message.version
                 );
--- a/crates/balancer/src/discovery/call.rs
+++ b/crates/balancer/src/discovery/call.rs
@@ -1,5 +1,5 @@
-//! One HTTP call to discovery. Writes the request, and reads the headers and body of the response as
-//! they arrive.
+//! One HTTP call to discovery. Writes the request, and reads the headers and body of the response
+//! as they arrive.
 
 use super::body::Body;
 use super::error::WatchError;
@@ -11,12 +11,13 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Maximum time without received bytes before a watch fails. Discovery sends an empty line every 2 s.
+/// Maximum time without received bytes before a watch fails. Discovery sends an empty line every 2
+/// s.
 pub(super) const SILENCE_TIMEOUT: Nanos = 3_500 * MS;
-/// Maximum time until the response begins. It is longer than [`SILENCE_TIMEOUT`], as discovery queues
-/// calls and a new call goes to the end of the queue. It must be well below 6 s: the balancer counts as
-/// notified of the changes that a silent call misses 6 s after the call began, or 2 s after the end of
-/// its wait in the queue if that is later.
+/// Maximum time until the response begins. It is longer than [`SILENCE_TIMEOUT`], as discovery
+/// queues calls and a new call goes to the end of the queue. It must be well below 6 s: the
+/// balancer counts as notified of the changes that a silent call misses 6 s after the call began,
+/// or 2 s after the end of its wait in the queue if that is later.
 pub(super) const FIRST_BYTE_TIMEOUT: Nanos = 4_000 * MS;
 /// Timeout of a connection to discovery. An unreachable machine does not refuse connections.
 pub(super) const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
@@ -179,7 +180,8 @@
         }
     }
 
-    /// Parses the status and headers once they have arrived completely. Returns the framing of the body.
+    /// Parses the status and headers once they have arrived completely. Returns the framing of the
+    /// body.
     fn parse_headers(&mut self) -> Result<Option<Body>, WatchError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_COUNT];
         let mut response = httparse::Response::new(&mut headers);
--- a/crates/balancer/src/discovery/endpoint_list.rs
+++ b/crates/balancer/src/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: its JSON format in discovery, the configuration and state transfers, and the list
-//! as received so far.
+//! The endpoint list: its JSON format in discovery, the configuration and state transfers, and the
+//! list as received so far.
 
 use super::messages::{ListPart, Message, MessageError};
 use serde::{Deserialize, Serialize};
@@ -114,9 +114,9 @@
         }
     }
 
-    /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first list
-    /// is returned whole, as no request can be served before. The version of a message is set with
-    /// its last part.
+    /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first
+    /// list is returned whole, as no request can be served before. The version of a message is set
+    /// with its last part.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/discovery/messages.rs
+++ b/crates/balancer/src/discovery/messages.rs
@@ -1,6 +1,6 @@
 //! Messages of discovery. Finds the end of a message in text that arrives in pieces, and parses the
-//! endpoints of a message a few at a time, so that a list with thousands of endpoints does not delay
-//! other work. The module performs no I/O.
+//! endpoints of a message a few at a time, so that a list with thousands of endpoints does not
+//! delay other work. The module performs no I/O.
 
 use super::endpoint_list::{ListedEndpoint, REMOVED};
 use serde::Deserialize;
@@ -26,8 +26,8 @@
     },
 }
 
-/// Finds the ends of messages. Examines each byte once, regardless of how many pieces a message arrives
-/// in.
+/// Finds the ends of messages. Examines each byte once, regardless of how many pieces a message
+/// arrives in.
 #[derive(Debug, Default)]
 pub(super) struct MessageScanner {
     /// Number of bytes of the text that were examined.
@@ -119,8 +119,8 @@
     pub version: u64,
     /// Whether the message is a full list.
     pub is_full: bool,
-    /// Endpoints of this part. At the end of a full list, the listed endpoints that it does not contain
-    /// follow, with the state `terminated`.
+    /// Endpoints of this part. At the end of a full list, the listed endpoints that it does not
+    /// contain follow, with the state `terminated`.
     pub endpoints: Vec<ListedEndpoint>,
     /// Whether this is the last part of the message.
     pub is_last: bool,
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -341,8 +341,8 @@
         [(100, false), (100, false)]
     );
     assert_eq!(client.version(), Some(4));
-    // The last 50 of its endpoints, then the first 50 of the 150 endpoints that it does not contain.
-    // The remaining 100 follow with the last part.
+    // The last 50 of its endpoints, then the first 50 of the 150 endpoints that it does not
+    // contain. The remaining 100 follow with the last part.
     assert_eq!(take(&mut client, 100), (100, false));
     assert_eq!(take(&mut client, 100), (100, true));
     assert_eq!(
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,6 +1,7 @@
 //! The transport of gossip: one UDP socket and one timer that drive a [`Member`]. The state of the
-//! member is reported in the log, the counters and `/admin/fleet`; the engine receives the share count
-//! and the shedding level. The transport exists only if the configuration has the key `fleet`.
+//! member is reported in the log, the counters and `/admin/fleet`; the engine receives the share
+//! count and the shedding level. The transport exists only if the configuration has the key
+//! `fleet`.
 
 mod admin_view;
 mod counters_line;
@@ -37,7 +38,8 @@
     pub configured_balancers: usize,
     /// Seed of the member's random choices.
     pub seed: u64,
-    /// Whether another process of this balancer may still hold the address. Binding is then retried.
+    /// Whether another process of this balancer may still hold the address. Binding is then
+    /// retried.
     pub may_share_address: bool,
 }
 
@@ -134,8 +136,8 @@
         self.flush();
     }
 
-    /// Performs the work that is due at `now`. `requests` is the number of requests accepted since the
-    /// start. Returns the share count if it has changed.
+    /// Performs the work that is due at `now`. `requests` is the number of requests accepted since
+    /// the start. Returns the share count if it has changed.
     pub fn tick(&mut self, now: Nanos, lifecycle: &Lifecycle, requests: u64) -> Option<usize> {
         if self.socket.is_none() && now >= self.next_bind {
             // Binding fails until the process that holds the address has ended.
@@ -160,7 +162,8 @@
         (share_count != former).then_some(share_count)
     }
 
-    /// Enables the shedding level that all members share. `tiers` is the number of tiers of the engine.
+    /// Enables the shedding level that all members share. `tiers` is the number of tiers of the
+    /// engine.
     pub fn enable_shared_shedding(&mut self, tiers: usize) {
         self.member.enable_shared_shedding(tiers);
     }
@@ -170,8 +173,8 @@
         self.member.add_admission_counts(counts);
     }
 
-    /// Returns the shedding level for the engine if it has changed. Rotations follow the clock, so that
-    /// all members shed the same requests.
+    /// Returns the shedding level for the engine if it has changed. Rotations follow the clock, so
+    /// that all members shed the same requests.
     pub fn shedding_change(&mut self, now: Nanos) -> Option<SheddingLevel> {
         let level = self.member.shedding_level();
         let former = self.shedding.level;
@@ -185,7 +188,10 @@
             rotation_ends: (rotation + 1) * SHEDDING_ROTATION,
         };
         if former == 0.0 {
-            log::warn!(level = level; "fleet: overload; all members now shed load by a common level");
+            log::warn!(
+                level = level;
+                "fleet: overload; all members now shed load by a common level"
+            );
         } else if level == 0.0 {
             log::info!("fleet: overload ended; no load is shed");
         }
--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -1,5 +1,5 @@
-//! Response body of `/admin/fleet`. The JSON keys are the field names or the names in `serde(rename)`;
-//! times are in milliseconds.
+//! Response body of `/admin/fleet`. The JSON keys are the field names or the names in
+//! `serde(rename)`; times are in milliseconds.
 
 use crate::timers::MS;
 use membership::{
@@ -39,8 +39,8 @@
 }
 
 impl FleetRow {
-    /// Creates the row from the state of this member. `share_count` is the share count of the engine,
-    /// `unsent` the number of datagrams that were not sent.
+    /// Creates the row from the state of this member. `share_count` is the share count of the
+    /// engine, `unsent` the number of datagrams that were not sent.
     pub(super) fn new(member: &Member, share_count: usize, unsent: u64, now: Nanos) -> Self {
         let view = member.view();
         let metadata = member.metadata();
@@ -178,8 +178,8 @@
     requests_per_s: f64,
     delegates: Vec<SocketAddr>,
     authors: u8,
-    /// Time since the summary last changed. It depends on the clocks of the delegates of the region and
-    /// of this balancer.
+    /// Time since the summary last changed. It depends on the clocks of the delegates of the region
+    /// and of this balancer.
     changed_ms: u64,
     silent_ms: Option<u64>,
 }
--- a/crates/balancer/src/gossip/event_log.rs
+++ b/crates/balancer/src/gossip/event_log.rs
@@ -19,7 +19,10 @@
             );
         }
         MembershipEvent::Rejoined { generation } => {
-            log::warn!(generation = *generation; "fleet: other members declared this balancer dead; it rejoined");
+            log::warn!(
+                generation = *generation;
+                "fleet: other members declared this balancer dead; it rejoined"
+            );
         }
         MembershipEvent::RegionReachability {
             region,
@@ -37,7 +40,7 @@
             );
         }
         MembershipEvent::Stalled => {
-            log::warn!("fleet: this process was stalled; the timeouts of its suspicions restart");
+            log::warn!("fleet: this process was stalled; its suspicion timers restart");
         }
     }
 }
--- a/crates/balancer/src/gossip/tests.rs
+++ b/crates/balancer/src/gossip/tests.rs
@@ -25,11 +25,11 @@
     }
 }
 
-fn transport(location_settings: &str) -> GossipTransport {
+fn transport(location: &str) -> GossipTransport {
     let config = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
         "settings":{{"profiles":[{{"name":"put","repeat":"safe","give_up_ns":1}}]}},
-        "fleet":{{"name":"a","bind":"127.0.0.1:0","advertise":"127.0.0.1:7946"{location_settings}}}}}"#
+        "fleet":{{"name":"a","bind":"127.0.0.1:0","advertise":"127.0.0.1:7946"{location}}}}}"#
     );
     let config = Config::read(&config).unwrap().fleet.unwrap();
     let poll = Poll::new().unwrap();
@@ -85,7 +85,7 @@
 fn admin_page_and_counters_keep_their_names() {
     let region_counters = " regions=0 silent_regions=0 regions_asked=0 put_off=0 unsound=0 older=0 \
                            full_regions=0 refused_parts=0";
-    for (location_settings, page, counters) in [
+    for (location, page, counters) in [
         ("", PAGE, ""),
         (
             r#","region":"r","zone":"z","site":"s""#,
@@ -93,7 +93,7 @@
             region_counters,
         ),
     ] {
-        let transport = transport(location_settings);
+        let transport = transport(location);
         assert_eq!(transport.admin_json(6_000 * MS), format!("{page}\n"));
         assert_eq!(transport.to_string(), format!("{COUNTERS}{counters}"));
     }
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -1,5 +1,5 @@
-//! The admin listener: HTTP/1.1, one request to a connection. It reads requests and writes
-//! responses; what a command does is the lifecycle's. A silent connection keeps no other waiting.
+//! The admin listener: HTTP/1.1 with one request per connection. It reads requests and writes
+//! responses; the lifecycle executes the commands. A silent connection does not delay others.
 
 mod http;
 
@@ -16,34 +16,36 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// Connections that are open at once; one more evicts the one that is unfinished longest.
+/// Maximum number of open connections. A further connection evicts the one that has been incomplete
+/// longest.
 pub const CONNECTIONS_MAX: usize = 12;
-/// At most this many are accepted in one turn.
+/// Maximum number of connections accepted per turn of the event loop.
 const ACCEPT_MAX: usize = 64;
-/// A request has to be whole this long after its connection was accepted.
+/// Maximum time between the accept of a connection and the end of its request.
 const REQUEST_TIMEOUT: Nanos = 2_000 * MS;
-/// This much is read behind a request, so that closing doesn't reset the response away.
+/// Maximum number of bytes discarded behind a request. Closing a connection with unread input would
+/// reset it and could destroy the response.
 const DISCARD_MAX: usize = 64 * 1024;
 
-/// What an operator asks for.
+/// Command of an admin request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether this process is ready to serve.
+    /// Report whether this process is ready to serve.
     Health,
-    /// Drain.
+    /// Quiesce the process.
     Quiesce,
-    /// End the drain.
+    /// End the quiesced state.
     Resume,
-    /// The fleet as this member sees it.
+    /// Show the fleet as this member sees it.
     Fleet,
 }
 
-/// A request that waits for its response.
+/// A complete request that waits for its response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AdminRequest {
-    /// The number of its connection.
+    /// Number of the connection.
     pub connection: u64,
-    /// What is asked for.
+    /// Requested command.
     pub command: AdminCommand,
 }
 
@@ -51,9 +53,9 @@
     stream: Registered<TcpStream>,
     accepted_at: Nanos,
     input: Vec<u8>,
-    /// The response; empty until there is one.
+    /// Encoded response; empty until the request is answered.
     output: Vec<u8>,
-    /// How much of the response is written.
+    /// Number of bytes of the response that are written.
     written: usize,
 }
 
@@ -76,7 +78,7 @@
         now.saturating_sub(self.accepted_at)
     }
 
-    /// Reads once. Whether input came, or may still come.
+    /// Reads once. Returns whether input arrived, may still arrive, or has ended.
     fn read(&mut self) -> io::Result<ReadOutcome> {
         let length = self.input.len();
         self.input.resize(HEAD_MAX, 0);
@@ -92,8 +94,10 @@
         }
     }
 
-    /// Writes what the socket takes. Once all is written the peer has to close: closing over what
-    /// it still sends would reset the response away. False if the connection is of no further use.
+    /// Writes as much of the response as the socket accepts. After the last byte it shuts down the
+    /// sending side and lets the peer close the connection: closing it while the peer still sends
+    /// would reset it and could destroy the response. Returns false if the connection has to be
+    /// removed.
     fn write(&mut self) -> bool {
         while self.written < self.output.len() {
             match self.stream.socket().write(&self.output[self.written..]) {
@@ -116,7 +120,7 @@
     }
 }
 
-/// What a read yielded.
+/// Result of a read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadOutcome {
     Input,
@@ -124,24 +128,24 @@
     Ended,
 }
 
-/// The admin socket and its connections.
+/// The listening admin socket and its connections.
 pub struct AdminListener {
     poll: Poll,
     listener: Registered<TcpListener>,
-    /// By number, and so in the order in which they were accepted.
+    /// Connections by number, which is the order in which they were accepted.
     connections: BTreeMap<u64, AdminConnection>,
     next_connection: u64,
     fleet: FleetEndpoint,
 }
 
 impl AdminListener {
-    /// Listens on this address.
+    /// Binds the address and listens on it.
     ///
     /// # Errors
     /// If the address can't be bound.
     pub fn listen(poll: &Poll, address: SocketAddr, fleet: FleetEndpoint) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
-        log::info!("management listens on {}", listener.local_addr()?);
+        log::info!("admin listener bound to {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
         let listener = poll.watch(listener, EventSource::AdminListener, Interest::READABLE)?;
         Ok(AdminListener {
@@ -153,7 +157,7 @@
         })
     }
 
-    /// Accepts the connections that wait.
+    /// Accepts pending connections.
     pub fn accept(&mut self, now: Nanos, counters: &mut Counters) {
         for _ in 0..ACCEPT_MAX {
             match self.listener.socket().accept() {
@@ -164,14 +168,14 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
                     ) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) => return log::warn!("accepting management calls: {e}"),
+                Err(e) => return log::warn!("accepting admin connections failed: {e}"),
             }
         }
     }
 
     fn add_connection(&mut self, stream: TcpStream, now: Nanos, counters: &mut Counters) {
         if self.connections.len() >= CONNECTIONS_MAX {
-            self.evict_one(counters);
+            self.evict_connection(counters);
         }
         let number = self.next_connection;
         let watched = stream.set_nonblocking(true).and_then(|()| {
@@ -184,12 +188,12 @@
                 self.connections
                     .insert(number, AdminConnection::new(stream, now));
             }
-            Err(e) => log::warn!("management call: {e}"),
+            Err(e) => log::warn!("admin connection {number}: setting up the socket failed: {e}"),
         }
     }
 
-    /// Closes the connection that is unfinished longest, or else the oldest.
-    fn evict_one(&mut self, counters: &mut Counters) {
+    /// Closes the oldest connection without a response, or the oldest one if all have a response.
+    fn evict_connection(&mut self, counters: &mut Counters) {
         let unfinished = self.connections.iter().find(|(_, c)| !c.is_answered());
         if let Some((&number, _)) = unfinished.or(self.connections.first_key_value()) {
             counters.admin_calls_evicted += 1;
@@ -197,8 +201,8 @@
         }
     }
 
-    /// Reads and writes what a connection is ready for. Returns a request that waits for its
-    /// response.
+    /// Reads and writes as the readiness of a connection allows. Returns a request that is complete
+    /// and waits for its response.
     pub fn handle_ready(
         &mut self,
         ready: Readiness,
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Answers a request with the state that the process is in.
+    /// Answers a request with the state of the process.
     pub fn answer(&mut self, connection: u64, status: u16, state: &str) {
         self.respond(connection, encode(status, "", &state_body(state)));
     }
@@ -264,19 +268,21 @@
         }
     }
 
-    /// Ends requests that were not whole in time, and answered connections that stay open.
+    /// Answers incomplete requests whose timeout is over, and closes connections that their peers
+    /// have left open for too long.
     pub fn reap(&mut self, now: Nanos, counters: &mut Counters) {
-        // Not closed at once: what still comes would reset the response away.
+        // Connections are not closed immediately after their response: input that still arrives
+        // would reset them and could destroy the response.
         self.connections
             .retain(|_, connection| connection.age(now) < REQUEST_TIMEOUT + CLOSE_TIMEOUT);
-        let is_late = |c: &AdminConnection| !c.is_answered() && c.age(now) >= REQUEST_TIMEOUT;
-        let late: Vec<u64> = self
+        let is_overdue = |c: &AdminConnection| !c.is_answered() && c.age(now) >= REQUEST_TIMEOUT;
+        let overdue: Vec<u64> = self
             .connections
             .iter()
-            .filter(|(_, connection)| is_late(connection))
+            .filter(|(_, connection)| is_overdue(connection))
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
+        for number in overdue {
             counters.admin_calls_incomplete += 1;
             self.respond(number, HttpError::Timeout.response());
         }
--- a/crates/balancer/src/listener/admin/http.rs
+++ b/crates/balancer/src/listener/admin/http.rs
@@ -1,24 +1,25 @@
-//! The admin listener's part of HTTP/1.1: heads of requests in, whole responses out.
+//! The subset of HTTP/1.1 for the admin listener: parsing of request headers and encoding of
+//! responses.
 
 use super::AdminCommand;
 
-/// The longest head of a request.
+/// Maximum length of the request line and headers, in bytes.
 pub(super) const HEAD_MAX: usize = 8 * 1024;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 pub(super) const HEADERS_MAX: usize = 64;
 
-/// Why a request is refused.
+/// Reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HttpError {
-    /// It is not HTTP.
+    /// The request is not valid HTTP.
     BadRequest,
-    /// Its path is unknown.
+    /// The path is unknown.
     NotFound,
-    /// The path needs this method.
+    /// The path requires another method.
     MethodNotAllowed { allowed: &'static str },
-    /// It was not whole in time.
+    /// The request was not complete in time.
     Timeout,
-    /// Its head is too long.
+    /// The request line and headers are too long or there are too many headers.
     HeadTooLong,
 }
 
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The response to the request.
+    /// Returns the encoded response to the rejected request.
     pub(super) fn response(self) -> Vec<u8> {
         let body = state_body(reason(self.status()));
         let allow = match self {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Parses a request by its head; `None` as long as the head is incomplete.
+/// Parses the request line and headers; `None` while they are incomplete.
 pub(super) fn parse_request(
     input: &[u8],
     fleet: FleetEndpoint,
@@ -72,12 +73,12 @@
     }
 }
 
-/// Whether `/admin/fleet` exists.
+/// Whether the path `/admin/fleet` exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetEndpoint {
-    /// The balancer is a member of a fleet.
+    /// The balancer is a member of a fleet, and the path exists.
     Present,
-    /// It is alone.
+    /// The balancer is not a member of a fleet, and the path is unknown.
     Absent,
 }
 
@@ -94,12 +95,12 @@
     }
 }
 
-/// A body that names the state of the process, or what is wrong with the request.
+/// Encodes a body with the state of the process, or with the reason phrase of a rejected request.
 pub(super) fn state_body(state: &str) -> String {
     format!("{{\"state\":\"{state}\"}}\n")
 }
 
-/// Encodes a response; `headers` are whole header lines.
+/// Encodes a response. `headers` are additional header lines with their line ends.
 pub(super) fn encode(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\
--- a/crates/balancer/src/listener/admin/http/tests.rs
+++ b/crates/balancer/src/listener/admin/http/tests.rs
@@ -1,9 +1,9 @@
-//! Requests by their heads, and status lines.
+//! Tests of request parsing and of status lines.
 
 use super::*;
 
 #[test]
-fn request_is_judged_by_path_then_method_once_its_head_is_whole() {
+fn complete_request_is_checked_for_its_path_and_then_its_method() {
     let whole = b"POST /admin/quiesce?why=x HTTP/1.1\r\nHost: a\r\n\r\n";
     for cut in 0..whole.len() {
         assert_eq!(
@@ -54,12 +54,12 @@
     assert_eq!(
         parse_request(fleet, FleetEndpoint::Absent),
         Err(HttpError::NotFound),
-        "without a fleet nothing differs"
+        "the path exists only for a member of a fleet"
     );
-    for (text, head) in cases {
+    for (text, expected) in cases {
         assert_eq!(
             parse_request(text.as_bytes(), FleetEndpoint::Absent),
-            head,
+            expected,
             "{}",
             &text[..30.min(text.len())]
         );
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Admin connections on real sockets.
+//! Tests of the admin listener over real sockets.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     let address = listener.listener.socket().local_addr().unwrap();
     let connect = move || {
         let client = TcpStream::connect(address).unwrap();
-        // A missing end fails, and does not hang.
+        // A connection that is not closed fails the test instead of blocking it.
         client
             .set_read_timeout(Some(std::time::Duration::from_secs(20)))
             .unwrap();
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads the response to a health call of a serving process.
+/// Reads a response and asserts that it is that of a serving process to a health request.
 fn expect_serving(mut client: TcpStream) {
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn silent_connections_delay_nobody_and_end_in_time() {
+fn silent_connections_delay_no_others_and_end_in_time() {
     let (mut listener, connect) = start_listener();
     let mut counters = Counters::default();
     let mut silent: Vec<TcpStream> = (0..CONNECTIONS_MAX).map(|_| connect()).collect();
@@ -59,7 +59,7 @@
     assert_eq!(
         silent[0].read(&mut [0]).unwrap(),
         0,
-        "the one that came first"
+        "the oldest connection is evicted"
     );
     let number = CONNECTIONS_MAX as u64;
     assert_eq!(
@@ -81,7 +81,8 @@
     assert_eq!(listener.connections.len(), CONNECTIONS_MAX - 1);
     silent[2].write_all(b"GET /admin/he").unwrap();
     listener.reap(REQUEST_TIMEOUT, &mut counters);
-    // What crosses the answer does not reset it away: each gets its own, and the end behind it.
+    // Input that arrives after the response does not reset the connection: each client reads its
+    // response and the end of the connection.
     silent[2].write_all(b"alth HTTP/1.1\r\n\r\n").unwrap();
     for client in &mut silent[1..] {
         let mut text = String::new();
@@ -92,13 +93,16 @@
     assert_eq!(
         listener.connections.len(),
         CONNECTIONS_MAX - 1,
-        "they have the time to take it"
+        "clients have time to read the response"
     );
     drop(silent);
     for client in 1..CONNECTIONS_MAX as u64 {
         assert_eq!(listener.handle_ready(readable(client), &mut counters), None);
     }
-    assert!(listener.connections.is_empty(), "who closes is let go of");
+    assert!(
+        listener.connections.is_empty(),
+        "connections that their clients closed are removed"
+    );
 }
 
 #[test]
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn response_arrives_though_more_than_a_request_is_sent() {
+fn response_arrives_even_if_more_than_a_request_is_sent() {
     let (mut listener, connect) = start_listener();
     let mut counters = Counters::default();
     let mut client = connect();
--- a/crates/balancer/src/listener/mod.rs
+++ b/crates/balancer/src/listener/mod.rs
@@ -1,4 +1,4 @@
-//! Listeners: RESP for clients, HTTP for admin calls.
+//! The listeners: RESP for clients, HTTP for admin requests.
 
 pub mod admin;
 pub mod resp;
@@ -6,6 +6,7 @@
 use crate::timers::MS;
 use routing::Nanos;
 
-/// How long a peer that is sent nothing more has to read its last answer and to close: a distant
-/// one needs a round trip, a slow one some more.
+/// Maximum time between the shutdown of the sending side of a connection and its close. In this
+/// time the peer reads its last response and closes the connection; a distant peer needs a round
+/// trip for that, a slow one more.
 const CLOSE_TIMEOUT: Nanos = 1_000 * MS;
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -1,4 +1,5 @@
-//! The RESP listener: client connections, commands in, answers out in the order of the commands.
+//! The RESP listener: accepts client connections, reads commands, and writes the responses in the
+//! order of the commands.
 
 mod back_pressure;
 mod commands;
@@ -24,43 +25,45 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// What the listener tells the event loop.
+/// Events that the listener reports to the event loop.
 #[derive(Debug)]
 pub enum ListenerEvent {
     /// A request has arrived.
     Request(IncomingRequest),
     /// The client of this request has disconnected.
     ClientDisconnected(RequestId),
-    /// More of this request's value can be taken.
+    /// The client connection can accept more of the streamed value of this request.
     CapacityAvailable(RequestId),
 }
 
-/// All client connections, and the socket on which they are accepted.
+/// The listening socket and all client connections.
 pub struct RespListener {
     poll: Poll,
-    /// The listening socket, until it is closed for good.
+    /// Listening socket; `None` after it is closed.
     listener: Option<Registered<TcpListener>>,
     connections: BTreeMap<u64, ClientConnection>,
     connections_max: usize,
     next_connection: u64,
-    /// The engine's request ids: a count of our own, never the client's.
+    /// Id of the next request for the engine. It is a counter, independent of the ids of clients.
     next_request: u128,
-    /// What follows from the lifecycle; set by [`RespListener::apply_policy`] alone.
+    /// Policy of the current lifecycle state; set only by [`RespListener::apply_policy`].
     policy: LifecyclePolicy,
+    /// Whether the listening socket is polled for new connections.
     accepting: bool,
-    /// When the sockets were last polled.
+    /// Times of the last polls of the sockets.
     poll_timestamps: PollTimestamps,
-    /// Since when clients may have waited in the backlog, if not all were accepted.
+    /// Time since which clients may have waited in the backlog; `None` if it was found empty.
     backlog_since: Option<Nanos>,
-    /// The buffer of one read, shared by all connections, as most of them are idle.
+    /// Buffer of one read, shared by all connections as most of them are idle.
     read_buffer: Vec<u8>,
 }
 
 impl RespListener {
-    /// Accepts clients on this socket; at most `connections_max` are open at once.
+    /// Starts to accept clients on a listening socket. At most `connections_max` connections are
+    /// open at a time.
     ///
     /// # Errors
-    /// If the socket can't be watched.
+    /// If the socket can't be registered with the poller.
     pub fn listen(
         poll: &Poll,
         listener: TcpListener,
@@ -69,7 +72,7 @@
         poll_timestamps: PollTimestamps,
     ) -> io::Result<Self> {
         log::info!(
-            "listening on {}, for at most {connections_max} client connections",
+            "listening on {}, accepting at most {connections_max} client connections",
             listener.local_addr()?
         );
         listener.set_nonblocking(true)?;
@@ -91,18 +94,19 @@
         Ok(resp_listener)
     }
 
-    /// Changes how many connections may be open at once; those that are open stay.
+    /// Sets the maximum number of connections. Open connections over the new maximum stay open.
     pub fn set_connections_max(&mut self, connections_max: usize) {
         self.connections_max = connections_max;
     }
 
-    /// The sockets were polled; to be called before what was reported is processed.
+    /// Sets the times of the last polls. Has to be called after each poll, before its readiness
+    /// reports are processed.
     pub fn set_poll_timestamps(&mut self, timestamps: PollTimestamps) {
         self.poll_timestamps = timestamps;
     }
 
-    /// Whether the client of this connection is still connected, by a recent poll or else by asking
-    /// the kernel. One that has disconnected is removed.
+    /// Returns whether the client of a connection is still connected, as shown by a recent poll or
+    /// otherwise by the kernel. Removes the connection if the client has disconnected.
     pub fn is_client_connected(
         &mut self,
         number: u64,
@@ -131,7 +135,7 @@
         true
     }
 
-    /// Bytes held for clients: commands that are not parsed yet, and unsent answers.
+    /// Returns the number of bytes held for clients: unparsed commands and unsent responses.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.connections
@@ -140,19 +144,19 @@
             .sum()
     }
 
-    /// How many client connections are open.
+    /// Returns the number of open client connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// The address on which clients are accepted, until the socket is closed.
+    /// Returns the address of the listening socket, unless it is closed.
     #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.socket().local_addr().ok()
     }
 
-    /// Reads and writes what a connection is ready for.
+    /// Reads and writes as the readiness of a connection allows.
     pub fn handle_ready(
         &mut self,
         now: Nanos,
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Closes a connection; nobody waits for the answers that are owed on it any more.
+    /// Closes a connection, and reports the client of each unanswered request as disconnected.
     fn close(&mut self, number: u64, counters: &mut Counters, events: &mut Vec<ListenerEvent>) {
         let Some(connection) = self.connections.remove(&number) else {
             return;
@@ -188,9 +192,9 @@
         self.resume_accepting();
     }
 
-    /// Applies what follows from the lifecycle now. Clients that wait in the backlog of a socket
-    /// that is about to close are accepted first, and what has arrived is read before its
-    /// connection is closed: otherwise it would be lost.
+    /// Applies the policy of a lifecycle state. Before the listening socket is closed, the clients
+    /// in its backlog are accepted; before idle connections are closed, their received input is
+    /// read. Both would otherwise be lost.
     pub fn apply_policy(
         &mut self,
         policy: LifecyclePolicy,
@@ -206,7 +210,7 @@
         }
         self.policy = policy;
         if policy.listener_mode == ListenerMode::Closed {
-            // Only this process's descriptor: another process may share the socket.
+            // Closes only the descriptor of this process; another process may share the socket.
             self.listener = None;
         }
         self.resume_accepting();
--- a/crates/balancer/src/listener/resp/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/back_pressure.rs
@@ -1,34 +1,38 @@
-//! Long values that arrive in parts: a client that takes them slowly stops the reading of their
-//! cache.
+//! Back pressure for streamed values: while a client reads slowly, the response of the cache is not
+//! read.
 
 use super::connection::PendingResponse;
 use super::{ListenerEvent, RespListener};
 use crate::counters::Counters;
 use routing::{Nanos, RequestId};
 
-/// While this much of a streamed value waits for its client, its cache isn't read.
+/// Number of unsent bytes of a streamed value from which on the cache's response is not read.
 pub(super) const STREAM_WINDOW: usize = 64 * 1024;
 
-/// How a streamed value ended.
+/// End of a streamed value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// All of it has arrived.
+    /// The whole value has arrived.
     Complete,
-    /// The upstream connection broke before.
+    /// The upstream connection failed before the whole value had arrived.
     Aborted,
 }
 
-/// Whether memory for requests and responses runs short.
+/// Availability of memory for requests and responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryPressure {
-    /// Enough is free.
+    /// There is enough memory.
     Low,
-    /// As little as possible is to be buffered.
+    /// Memory is scarce: as little as possible may be buffered.
     High,
 }
 
 impl RespListener {
-    fn streaming(&mut self, connection: u64, wanted: RequestId) -> Option<&mut PendingResponse> {
+    fn streaming_response(
+        &mut self,
+        connection: u64,
+        wanted: RequestId,
+    ) -> Option<&mut PendingResponse> {
         self.connections
             .get_mut(&connection)?
             .responses
@@ -38,15 +42,16 @@
             })
     }
 
-    /// Adds the next bytes of a streamed value.
+    /// Appends the next bytes of a streamed value to its response.
     pub fn append_chunk(&mut self, connection: u64, request: RequestId, chunk: &[u8]) {
-        if let Some(PendingResponse::Streaming { bytes, .. }) = self.streaming(connection, request)
+        if let Some(PendingResponse::Streaming { bytes, .. }) =
+            self.streaming_response(connection, request)
         {
             bytes.extend_from_slice(chunk);
         }
     }
 
-    /// How much of a streamed value waits for its client.
+    /// Returns the number of bytes of a streamed value that are not sent to the client yet.
     #[must_use]
     pub fn pending_bytes(&self, connection: u64, wanted: RequestId) -> usize {
         let Some(connection) = self.connections.get(&connection) else {
@@ -54,7 +59,7 @@
         };
         let mut responses = connection.responses.iter().enumerate();
         let pending = responses.find_map(|(index, response)| match response {
-            // Some of the first response may be with the output already.
+            // A part of the first response may already be in the output buffer.
             PendingResponse::Streaming { request, bytes, .. } if *request == wanted => {
                 let unsent = if index == 0 {
                     connection.unsent_bytes()
@@ -68,9 +73,9 @@
         pending.unwrap_or(0)
     }
 
-    /// Whether the cache of a streamed value must not be read until the client has taken more,
-    /// which [`ListenerEvent::CapacityAvailable`] tells. Under memory pressure that is as soon as
-    /// anything waits.
+    /// Returns whether the cache's response must not be read until
+    /// [`ListenerEvent::CapacityAvailable`] is reported for the request. Under memory pressure this
+    /// holds as soon as any byte is unsent.
     pub fn apply_back_pressure(
         &mut self,
         connection: u64,
@@ -78,7 +83,8 @@
         memory: MemoryPressure,
     ) -> bool {
         let pending = self.pending_bytes(connection, request);
-        let Some(PendingResponse::Streaming { paused, .. }) = self.streaming(connection, request)
+        let Some(PendingResponse::Streaming { paused, .. }) =
+            self.streaming_response(connection, request)
         else {
             return false;
         };
@@ -86,8 +92,8 @@
         *paused
     }
 
-    /// Ends a streamed value. If it was aborted its connection is closed, so that the client can
-    /// tell.
+    /// Ends a streamed value. An aborted value closes the client connection, so that the client
+    /// detects the truncation.
     pub fn finish_streaming(
         &mut self,
         connection: u64,
@@ -97,7 +103,7 @@
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        let Some(response) = self.streaming(connection, request) else {
+        let Some(response) = self.streaming_response(connection, request) else {
             return;
         };
         if let PendingResponse::Streaming { bytes, .. } = response {
--- a/crates/balancer/src/listener/resp/commands.rs
+++ b/crates/balancer/src/listener/resp/commands.rs
@@ -1,4 +1,5 @@
-//! Commands of clients: the words and field letters of the protocol become typed requests.
+//! Parsing of client commands: converts the words and field letters of the protocol to typed
+//! requests.
 
 use super::responses::encode_error;
 use crate::lifecycle::LifecyclePolicy;
@@ -7,24 +8,24 @@
 use routing::Nanos;
 use std::ops::{Range, RangeInclusive};
 
-/// The estimates of work that are taken, in microseconds: more than an hour is no estimate.
+/// Valid range of the estimated work, in microseconds. The maximum is one hour.
 const ESTIMATED_WORK_US: RangeInclusive<f64> = 1.0..=3.6e9;
-/// The longest client timeout, in milliseconds.
+/// Maximum client timeout, in milliseconds.
 const CLIENT_TIMEOUT_MAX_MS: f64 = 3_600_000.0;
-/// Of an unknown command's name this many bytes are repeated in the answer.
+/// Maximum number of bytes of an unknown command's name that are repeated in the error.
 const REPEATED_NAME_MAX: usize = 32;
 
-/// The names of a request's fields on the wire.
+/// Names of request fields on the wire.
 mod field {
     pub(super) const CLASS: &str = "c";
     pub(super) const TENANT: &str = "t";
-    /// In milliseconds; sent anew with each attempt.
+    /// In milliseconds. Each attempt carries its own value.
     pub(super) const CLIENT_TIMEOUT: &str = "d";
     /// In microseconds.
     pub(super) const ESTIMATED_WORK: &str = "h";
 }
 
-/// Why a request is malformed.
+/// Reason why a request is malformed. The texts are sent to clients.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("key or id is empty")]
@@ -36,14 +37,14 @@
     #[error("field '{0}' is missing")]
     MissingField(&'static str),
     #[error("field 'd': '{0}' is no time")]
-    NotATime(String),
+    InvalidTimeout(String),
     #[error("field 'd': '{0}' is no number")]
-    NotANumber(String),
+    InvalidNumber(String),
     #[error("field 'd': '{0}' is too long a time")]
-    TooLongATime(String),
+    TimeoutTooLong(String),
 }
 
-/// Why a command is malformed.
+/// Reason why a command is malformed. The texts are sent to clients.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(super) enum CommandError {
     #[error("wrong number of arguments")]
@@ -54,17 +55,17 @@
     Request(#[from] RequestError),
 }
 
-/// What a command means.
+/// Interpretation of a command.
 pub(super) enum ParsedCommand {
     Request(IncomingRequest),
-    /// The balancer answers it itself.
-    Answer(Vec<u8>),
+    /// Encoded response to a command that the balancer answers itself.
+    Response(Vec<u8>),
     Malformed(CommandError),
-    /// A command without words, which is not answered.
+    /// A command without words, which gets no response.
     Empty,
 }
 
-/// Interprets a whole command with words at these places of the input.
+/// Interprets a complete command. `words` are the positions of its words in `input`.
 pub(super) fn interpret(
     input: &[u8],
     words: &[Range<usize>],
@@ -79,25 +80,25 @@
     match (name.as_slice(), words.len()) {
         (b"C.GET", 4) | (b"C.SET", 5) => {
             let value = (words.len() == 5).then(|| word(4).to_vec());
-            request([word(1), word(2), word(3)], value, ticket).map_or_else(
+            parse_request([word(1), word(2), word(3)], value, ticket).map_or_else(
                 |e| ParsedCommand::Malformed(e.into()),
                 ParsedCommand::Request,
             )
         }
         (b"C.GET" | b"C.SET", _) => ParsedCommand::Malformed(CommandError::ArgumentCount),
-        (b"PING", _) if policy.ready => ParsedCommand::Answer(b"+PONG\r\n".to_vec()),
-        (b"PING", _) => ParsedCommand::Answer(encode_error(&format!("LOADING {}", policy.state))),
-        (b"CLIENT" | b"SELECT", _) => ParsedCommand::Answer(b"+OK\r\n".to_vec()),
+        (b"PING", _) if policy.ready => ParsedCommand::Response(b"+PONG\r\n".to_vec()),
+        (b"PING", _) => ParsedCommand::Response(encode_error(&format!("LOADING {}", policy.state))),
+        (b"CLIENT" | b"SELECT", _) => ParsedCommand::Response(b"+OK\r\n".to_vec()),
         _ => {
-            let shown = &word(0)[..word(0).len().min(REPEATED_NAME_MAX)];
-            let name = shown.escape_ascii().to_string();
+            let repeated = &word(0)[..word(0).len().min(REPEATED_NAME_MAX)];
+            let name = repeated.escape_ascii().to_string();
             ParsedCommand::Malformed(CommandError::Unknown(name))
         }
     }
 }
 
-/// Parses a request's key, id and fields.
-pub(super) fn request(
+/// Creates a request from the key, id and fields of a command.
+pub(super) fn parse_request(
     [key, id, fields]: [&[u8]; 3],
     value: Option<Vec<u8>>,
     ticket: Ticket,
@@ -128,14 +129,14 @@
     })
 }
 
-/// The fields of a request.
+/// Parsed fields of a request.
 #[derive(Default)]
 struct RequestFields<'a> {
     class: Option<String>,
     tenant: Option<String>,
     client_timeout: Option<&'a str>,
     estimated_work: Option<Nanos>,
-    /// What attempts repeat: all but the client timeout.
+    /// Fields that are forwarded with each attempt: all except the client timeout.
     forwarded: Vec<(String, String)>,
 }
 
@@ -162,7 +163,7 @@
     }
 }
 
-/// An estimate that makes no sense counts as none.
+/// Parses an estimate of work; `None` if it is invalid or out of range.
 fn parse_estimated_work(text: &str) -> Option<Nanos> {
     let us: f64 = text.parse().ok()?;
     ESTIMATED_WORK_US
@@ -170,16 +171,17 @@
         .then_some((us * 1_000.0) as Nanos)
 }
 
-/// Whatever a client sends, no time may overflow or run backwards: digits alone, no sign, no "inf".
+/// Parses a client timeout. Only digits and dots are allowed, no sign and no `inf`, so that no
+/// deadline overflows or lies in the past.
 fn parse_client_timeout(text: &str) -> Result<Nanos, RequestError> {
     if !text.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
-        return Err(RequestError::NotATime(text.to_string()));
+        return Err(RequestError::InvalidTimeout(text.to_string()));
     }
     let ms: f64 = text
         .parse()
-        .map_err(|_| RequestError::NotANumber(text.to_string()))?;
+        .map_err(|_| RequestError::InvalidNumber(text.to_string()))?;
     if ms > CLIENT_TIMEOUT_MAX_MS {
-        return Err(RequestError::TooLongATime(text.to_string()));
+        return Err(RequestError::TimeoutTooLong(text.to_string()));
     }
     Ok((ms * MS as f64) as Nanos)
 }
--- a/crates/balancer/src/listener/resp/connection.rs
+++ b/crates/balancer/src/listener/resp/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection.
+//! State of one client connection.
 
 use super::ListenerEvent;
 use super::input::INPUT_MAX;
@@ -12,28 +12,30 @@
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
 
-/// Commands of one connection that may wait for their answers; further ones stay unread.
+/// Maximum number of pending responses on a connection. Further commands stay unparsed.
 pub(super) const PENDING_RESPONSES_MAX: usize = 128;
-/// A connection with more unsent output than this gets no further command read.
+/// Number of unsent bytes from which on no further command of a connection is read.
 pub(super) const UNSENT_MAX: usize = 2 * VALUE_MAX;
 
-/// An answer that is owed on a connection, or waits for those before it.
+/// A response that is not sent yet: the request is unanswered, or earlier responses are pending.
 #[derive(Debug)]
 pub(super) enum PendingResponse {
+    /// The request is not answered yet.
     Waiting(RequestId),
+    /// Encoded response.
     Answered(Vec<u8>),
-    /// The value arrives in parts.
+    /// The value is being streamed.
     Streaming {
         request: RequestId,
-        /// What has arrived and is not with the rest of the output yet.
+        /// Bytes that have arrived and are not in the output buffer yet.
         bytes: Vec<u8>,
-        /// Its cache isn't read until the client has taken more.
+        /// Whether the cache's response is not read until the client has accepted more.
         paused: bool,
     },
 }
 
 impl PendingResponse {
-    /// Bytes that it holds.
+    /// Returns the number of bytes held in memory.
     fn buffered_bytes(&self) -> usize {
         match self {
             PendingResponse::Answered(bytes) | PendingResponse::Streaming { bytes, .. } => {
@@ -48,22 +50,24 @@
 pub(super) struct ClientConnection {
     pub(super) stream: Registered<TcpStream>,
     pub(super) input: Vec<u8>,
-    /// Answers in the order of the commands.
+    /// Pending responses in the order of the commands.
     pub(super) responses: VecDeque<PendingResponse>,
     pub(super) output: Vec<u8>,
-    /// How much of the output is written.
+    /// Number of bytes of the output that are written.
     pub(super) written: usize,
-    /// Where the next command begins is unknown: the connection closes once all is answered.
+    /// Whether the start of the next command is unknown. The connection is closed after the last
+    /// pending response.
     pub(super) is_framing_lost: bool,
-    /// When it last received or took something.
+    /// Time at which bytes were last received from the client or accepted by the socket.
     pub(super) last_active: Nanos,
-    /// Since when a command could have been arriving.
+    /// Earliest time at which the current command can have begun to arrive.
     pub(super) command_since: Nanos,
-    /// A whole command has arrived on it.
+    /// Whether a complete command has arrived on the connection.
     pub(super) has_sent_command: bool,
-    /// Nothing more is sent on it: it is closed once the client has closed, or by this time.
+    /// Set once the sending side is shut down. The connection is removed when the client closes it,
+    /// or at this time.
     pub(super) close_by: Option<Nanos>,
-    /// When the client was last seen connected.
+    /// Times at which the client was seen connected.
     pub(super) presence: ClientPresence,
 }
 
@@ -88,7 +92,7 @@
         self.output.len() - self.written
     }
 
-    /// Bytes held in memory.
+    /// Returns the number of bytes held in memory.
     pub(super) fn buffered_bytes(&self) -> usize {
         let responses: usize = self
             .responses
@@ -98,12 +102,12 @@
         self.input.len() + self.unsent_bytes() + responses
     }
 
-    /// Whether its sending side is closed.
+    /// Returns whether the sending side is shut down.
     pub(super) fn is_closing(&self) -> bool {
         self.close_by.is_some()
     }
 
-    /// Whether further commands are parsed.
+    /// Returns whether further commands are parsed.
     pub(super) fn takes_commands(&self) -> bool {
         !self.is_framing_lost
             && !self.is_closing()
@@ -111,7 +115,8 @@
             && self.unsent_bytes() < UNSENT_MAX
     }
 
-    /// Between requests: nothing owed, nothing begun, nothing unsent.
+    /// Returns whether the connection is between requests: no pending response, no unsent output
+    /// and no unparsed input.
     pub(super) fn is_idle(&self) -> bool {
         !self.is_closing()
             && self.responses.is_empty()
@@ -119,12 +124,12 @@
             && self.input.is_empty()
     }
 
-    /// How long nothing was received or taken.
+    /// Returns the time since bytes were last received or sent.
     pub(super) fn inactive_for(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.last_active)
     }
 
-    /// Whether it is watched for input, which also shows its end.
+    /// Returns whether the connection is polled for input. The poll then also reports its end.
     pub(super) fn reads_input(&self) -> bool {
         !self.is_closing()
             && !self.is_framing_lost
@@ -132,8 +137,8 @@
             && self.unsent_bytes() < UNSENT_MAX
     }
 
-    /// What it is to be watched for. While answers are owed, the end of the connection still
-    /// matters: the client has disconnected.
+    /// Returns the events to poll for. Input is polled for even while responses are pending, as it
+    /// shows that the client has disconnected.
     pub(super) fn interest(&self) -> Interest {
         Interest {
             readable: self.reads_input(),
@@ -141,13 +146,13 @@
         }
     }
 
-    /// Moves to the output what may be sent by the order of the commands.
+    /// Moves the responses that may be sent in the order of the commands to the output buffer.
     pub(super) fn queue_output(&mut self, now: Nanos) {
         while let Some(PendingResponse::Answered(_)) = self.responses.front()
             && let Some(PendingResponse::Answered(bytes)) = self.responses.pop_front()
         {
             self.output.extend_from_slice(&bytes);
-            // The client's next command is not late for the time it had to wait.
+            // The time that the next command had to wait does not count towards its timeout.
             self.command_since = now;
         }
         if let Some(PendingResponse::Streaming { bytes, .. }) = self.responses.front_mut() {
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub(super) fn write_output(&mut self, now: Nanos) -> io::Result<()> {
         while self.unsent_bytes() > 0 {
             match self.stream.socket().write(&self.output[self.written..]) {
@@ -176,7 +181,7 @@
         Ok(())
     }
 
-    /// Once all output is written, the value that is being streamed may go on.
+    /// Resumes a paused stream once all output is written. Returns the event for the event loop.
     pub(super) fn resume_stream(&mut self) -> Option<ListenerEvent> {
         let unsent = self.unsent_bytes();
         match self.responses.front_mut() {
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Whether everything is answered, and by the policy no further command is awaited.
+    /// Returns whether all commands are answered and the policy expects no further command.
     pub(super) fn is_done(&self, policy: LifecyclePolicy) -> bool {
         if !self.responses.is_empty() || self.unsent_bytes() > 0 {
             return false;
@@ -198,16 +203,16 @@
         if self.is_framing_lost {
             return true;
         }
-        // A client that has just connected is about to send a command: as long as others connect
-        // too, the idle reaper closes those that send nothing.
-        let has_asked = self.has_sent_command || policy.listener_mode == ListenerMode::Closed;
-        // Half a command is no reason to stay once no command is taken.
-        let nothing_begun =
+        // A client that has just connected is about to send a command. While the listener accepts
+        // clients, the idle reaper closes connections whose clients send nothing.
+        let has_been_used = self.has_sent_command || policy.listener_mode == ListenerMode::Closed;
+        // Once no commands are accepted, an incomplete command does not keep the connection open.
+        let no_command_begun =
             self.input.is_empty() || self.has_sent_command && !policy.accepts_commands;
-        policy.closes_idle && has_asked && nothing_begun && !self.has_input(policy)
+        policy.closes_idle && has_been_used && no_command_begun && !self.has_input(policy)
     }
 
-    /// Whether something has arrived that is to be answered first.
+    /// Returns whether input has arrived that has to be answered first.
     fn has_input(&self, policy: LifecyclePolicy) -> bool {
         let is_parsable = matches!(parse_command(&self.input), Ok(Some(_)) | Err(_));
         is_parsable || policy.accepts_commands && !is_open_without_input(self.stream.socket())
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -1,8 +1,8 @@
-//! Connection admission: which clients are accepted, and which connection is closed for a new one
-//! when all are taken.
+//! Connection admission: accepts clients, and at the connection limit selects the connection to
+//! evict for a new one.
 
 use super::connection::ClientConnection;
-use super::idle_reaper::IDLE_CROWDED;
+use super::idle_reaper::IDLE_TIMEOUT_CROWDED;
 use super::{ListenerEvent, RespListener};
 use crate::counters::Counters;
 use crate::poll::sockets::{has_unsent_output, is_open_without_input};
@@ -13,22 +13,24 @@
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
 
-/// At most this many connections are accepted in one turn: a flood of them must not delay the rest.
+/// Maximum number of connections accepted per turn of the event loop, so that a burst of new
+/// connections does not delay other work.
 pub(super) const ACCEPT_MAX: usize = 64;
-/// At the connection limit a connection that is idle this long is closed for a new one, those that
-/// are idle longest first: what clients with one command a connection leave behind makes room at
-/// the pace at which they come.
+/// Minimum idle time of a connection that is evicted for a new one at the connection limit; the
+/// longest idle is evicted first. Connections that clients open for one command and leave idle are
+/// thus closed as fast as these clients open new ones.
 pub(super) const EVICT_IDLE_AFTER: Nanos = 20 * MS;
-/// The same for a connection on which nothing ever arrived.
+/// Minimum idle time for the eviction of a connection on which nothing has ever arrived.
 pub(super) const EVICT_SILENT_AFTER: Nanos = 20 * MS;
-/// Where none is idle, a connection on which half a command stands still this long is closed. One
-/// that is slow but goes on stays.
+/// Minimum time without input for the eviction of a connection with an incomplete command, if no
+/// connection is idle. A slow client that still sends keeps its connection.
 pub(super) const EVICT_UNFINISHED_AFTER: Nanos = 1_000 * MS;
-/// If more than one in so many connections is silent, those alone are closed for new ones.
-const SILENT_SHARE: usize = 4;
+/// If the number of silent connections exceeds the connection limit divided by this, the idle time
+/// for the eviction of other connections is raised to [`IDLE_TIMEOUT_CROWDED`].
+const SILENT_LIMIT_DIVISOR: usize = 4;
 
-/// The order in which connections are closed for new ones. Connections on which nothing ever
-/// arrived go before those that are idle, or silent clients would evict the others.
+/// Order of eviction. Connections on which nothing has ever arrived are evicted before idle ones;
+/// otherwise silent clients would evict active ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     Closing,
@@ -38,22 +40,24 @@
 }
 
 impl RespListener {
-    /// Accepts the clients that wait in the backlog.
+    /// Accepts clients from the backlog, up to the limits per turn and of open connections.
     pub fn accept(&mut self, now: Nanos, counters: &mut Counters) {
         if self.policy.listener_mode.is_left_to_other_process() {
             return;
         }
-        // A client that is accepted now may have waited since then, unless the backlog was empty
-        // when it was last served.
+        // The earliest time since which a client that is accepted now may have waited. If the
+        // backlog was not emptied last time, that time still applies.
         let waiting_since = self
             .poll_timestamps
             .earliest_arrival()
             .min(self.backlog_since.unwrap_or(Nanos::MAX));
         self.backlog_since = Some(waiting_since);
         for _ in 0..ACCEPT_MAX {
-            if self.connections.len() >= self.connections_max && !self.evict_one(now, counters) {
-                // All are in use: new clients wait in the backlog until one is done. Accepting them
-                // would use up the descriptors of upstream connections and discovery.
+            if self.connections.len() >= self.connections_max
+                && !self.evict_connection(now, counters)
+            {
+                // All connections are in use: new clients wait in the backlog. Accepting them would
+                // use up the descriptors of upstream connections and discovery.
                 return self.pause_accepting();
             }
             let Some(listener) = &self.listener else {
@@ -71,23 +75,25 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
                     ) => {}
                 Err(e) => {
-                    // Out of descriptors, most likely: without a pause the loop would spin.
-                    log::warn!("accepting clients: {e}");
+                    // Most likely the process is out of descriptors. Without a pause the event loop
+                    // would spin.
+                    log::warn!("accepting client connections failed: {e}; accepting is paused");
                     return self.pause_accepting();
                 }
             }
         }
     }
 
-    /// The last poll did not report the listening socket: nobody waits there.
+    /// Records that the last poll did not report the listening socket, so that the backlog is
+    /// empty.
     pub fn record_empty_backlog(&mut self) {
         if self.accepting {
             self.backlog_since = None;
         }
     }
 
-    /// Accepts everyone who waits, in as many rounds as it takes. Connections that were just
-    /// accepted are too new to be evicted, so the connection limit ends it.
+    /// Accepts all clients from the backlog, in as many rounds as necessary. Connections that were
+    /// just accepted are too new to be evicted, so the connection limit ends the loop.
     pub(super) fn accept_all(&mut self, now: Nanos, counters: &mut Counters) {
         let mut accepted_before = None;
         while accepted_before.replace(counters.clients_accepted) != Some(counters.clients_accepted)
@@ -112,7 +118,7 @@
                 let connection = ClientConnection::new(stream, now, presence);
                 self.connections.insert(number, connection);
             }
-            Err(e) => log::warn!("client connection {number}: {e}"),
+            Err(e) => log::warn!("client connection {number}: setting up the socket failed: {e}"),
         }
     }
 
@@ -123,12 +129,12 @@
             .watch(stream, EventSource::Client(number), Interest::READABLE)
     }
 
-    /// Accepts clients again, unless the lifecycle leaves them to the other process.
+    /// Resumes accepting clients, unless the lifecycle leaves them to the other process.
     pub(super) fn resume_accepting(&mut self) {
         self.set_accepting(!self.policy.listener_mode.is_left_to_other_process());
     }
 
-    /// From now on clients wait in the backlog.
+    /// Stops accepting clients; they wait in the backlog.
     fn pause_accepting(&mut self) {
         self.set_accepting(false);
     }
@@ -149,19 +155,23 @@
             Ok(()) => {
                 self.accepting = accepting;
                 if !accepting {
-                    // From now on the listening socket is not polled.
+                    // The listening socket is not polled any more, so clients may wait since the
+                    // last poll.
                     self.backlog_since
                         .get_or_insert(self.poll_timestamps.last_poll());
                 }
             }
-            Err(e) => log::warn!("listener: {e}"),
+            Err(e) => {
+                log::warn!("listener: changing the interest of the listening socket failed: {e}");
+            }
         }
     }
 
-    /// Closes the connection that has been idle longest, if one is. One that was just accepted, or
-    /// has unread input, is not idle: in a rush each would be closed for the next, its request
-    /// unread. Nor is one that still receives its last answer.
-    fn evict_one(&mut self, now: Nanos, counters: &mut Counters) -> bool {
+    /// Evicts the first connection in the order of [`EvictionClass`] and then of inactivity.
+    /// Returns whether there was one. A connection that was just accepted or has unread input is
+    /// not evicted: in a burst of new connections each would be evicted for the next, with its
+    /// request unread. A connection that still receives its last response is not evicted either.
+    fn evict_connection(&mut self, now: Nanos, counters: &mut Counters) -> bool {
         let idle_limit = self.idle_limit();
         let mut candidates: Vec<(EvictionClass, Nanos, u64)> = self
             .connections
@@ -172,13 +182,13 @@
             })
             .collect();
         candidates.sort_unstable();
-        // Asked last, for it takes system calls.
+        // This check takes system calls, so it comes last.
         let evicted = candidates.into_iter().find(|(class, _, number)| {
             *class == EvictionClass::Closing
                 || self
                     .connections
                     .get(number)
-                    .is_some_and(ClientConnection::is_quiet)
+                    .is_some_and(ClientConnection::has_empty_socket_buffers)
         });
         let Some((_, _, number)) = evicted else {
             return false;
@@ -188,15 +198,15 @@
         true
     }
 
-    /// How long a connection on which commands came has to be idle to be evicted.
+    /// Returns the minimum idle time for the eviction of a connection that has sent commands.
     fn idle_limit(&self) -> Nanos {
         let silent = self
             .connections
             .values()
             .filter(|connection| connection.is_silent())
             .count();
-        if silent > self.connections_max / SILENT_SHARE {
-            IDLE_CROWDED
+        if silent > self.connections_max / SILENT_LIMIT_DIVISOR {
+            IDLE_TIMEOUT_CROWDED
         } else {
             EVICT_IDLE_AFTER
         }
@@ -204,12 +214,12 @@
 }
 
 impl ClientConnection {
-    /// Whether nothing has ever arrived on it.
+    /// Returns whether nothing has ever arrived on the connection.
     fn is_silent(&self) -> bool {
         !self.has_sent_command && self.input.is_empty()
     }
 
-    /// Whether it may be closed for a new one, and in which order.
+    /// Returns the eviction class of the connection, or `None` if it must not be evicted.
     fn eviction_class(&self, now: Nanos, idle_limit: Nanos) -> Option<EvictionClass> {
         let inactive = self.inactive_for(now);
         if self.is_closing() {
@@ -225,8 +235,9 @@
         }
     }
 
-    /// Whether the kernel holds neither unread input nor unsent output.
-    fn is_quiet(&self) -> bool {
+    /// Returns whether the connection is open and its socket holds neither unread input nor unsent
+    /// output.
+    fn has_empty_socket_buffers(&self) -> bool {
         let socket = self.stream.socket();
         is_open_without_input(socket) && !has_unsent_output(socket)
     }
--- a/crates/balancer/src/listener/resp/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/idle_reaper.rs
@@ -1,5 +1,5 @@
-//! The idle reaper: several times a second connections are closed whose clients are done, stuck,
-//! disconnected or silent.
+//! The idle reaper: closes, several times a second, connections whose clients are idle, silent,
+//! disconnected or do not read their responses.
 
 use super::connection::ClientConnection;
 use super::responses::encode_error;
@@ -9,39 +9,40 @@
 use crate::timers::MS;
 use routing::Nanos;
 
-/// A client that takes none of its answer for this long is disconnected.
-const STUCK_TIMEOUT: Nanos = 10_000 * MS;
-/// A command, the first one included, has to be whole this long after it could have begun: some
-/// clients take 2 s, and a silent one has to be answered within 3 s.
+/// Maximum time for which a client with unsent output may read nothing of it.
+const UNREAD_OUTPUT_TIMEOUT: Nanos = 10_000 * MS;
+/// Maximum time between the earliest possible start of a command, including the first one, and its
+/// end. Some clients take 2 s to send a command; a silent client has to get a response in 3 s.
 pub(super) const COMMAND_TIMEOUT: Nanos = 2_600 * MS;
-/// A connection on which nothing is open is closed after this ...
+/// Maximum idle time of a connection.
 pub(super) const IDLE_TIMEOUT: Nanos = 10_000 * MS;
-/// ... or, with more than half of the connections taken, after this ...
-pub(super) const IDLE_CROWDED: Nanos = 2_000 * MS;
-/// ... or, while idle connections are closed by the lifecycle, after this: a client that has just
-/// connected may be about to send a command.
-pub(super) const IDLE_DRAINING: Nanos = 500 * MS;
-/// Beyond this percentage of the connections those that are idle longest are closed. Clients that
-/// send one command on a connection and keep it open have a limit of their own: while they wait for
-/// the end of old connections they can't open new ones.
-const CROWD_PERCENT: usize = 40;
-/// A connection that is idle this long may be closed for that.
-pub(super) const CROWD_IDLE_MIN: Nanos = 100 * MS;
+/// Maximum idle time of a connection while more than half of the connections are in use.
+pub(super) const IDLE_TIMEOUT_CROWDED: Nanos = 2_000 * MS;
+/// Maximum idle time of a connection while the lifecycle requires idle connections to be closed. It
+/// is not 0, as a client that has just connected may be about to send a command.
+pub(super) const IDLE_TIMEOUT_DRAINING: Nanos = 500 * MS;
+/// Percentage of the connection limit above which the longest idle connections are closed. Some
+/// clients send one command per connection, leave it open and have their own limit of connections:
+/// they can't open new ones until the balancer closes the old ones.
+const TRIM_ABOVE_PERCENT: usize = 40;
+/// Minimum idle time of a connection that is closed because of [`TRIM_ABOVE_PERCENT`].
+pub(super) const TRIM_IDLE_MIN: Nanos = 100 * MS;
 
 impl RespListener {
-    /// Closes connections whose clients take nothing of what they are owed, send nothing or nothing
-    /// whole, or are done; and accepts clients again after an error.
+    /// Closes connections whose clients do not read their responses, have disconnected, send no
+    /// complete command or are idle, and resumes accepting clients.
     pub fn reap(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
-        self.close_stuck(now, events, counters);
+        self.close_unread(now, events, counters);
         self.close_disconnected(now, events, counters);
-        self.close_unfinished(now, events, counters);
+        self.close_incomplete(now, events, counters);
         self.close_idle(now, events, counters);
-        // Also at the limit: connections that were in use when accepting was paused may be idle by
-        // now, and new clients would wait for good if only a disconnect could end the pause.
+        // Accepting is resumed even at the connection limit: connections that were in use when it
+        // was paused may be idle by now and can be evicted. New clients would otherwise wait until
+        // a client disconnects.
         self.resume_accepting();
     }
 
-    fn matching(&self, predicate: impl Fn(&ClientConnection) -> bool) -> Vec<u64> {
+    fn connections_where(&self, predicate: impl Fn(&ClientConnection) -> bool) -> Vec<u64> {
         self.connections
             .iter()
             .filter(|(_, connection)| predicate(connection))
@@ -49,52 +50,58 @@
             .collect()
     }
 
-    fn close_stuck(
+    fn close_unread(
         &mut self,
         now: Nanos,
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        let stuck = self.matching(|connection| {
-            connection.unsent_bytes() > 0 && connection.inactive_for(now) > STUCK_TIMEOUT
+        let unread = self.connections_where(|connection| {
+            connection.unsent_bytes() > 0 && connection.inactive_for(now) > UNREAD_OUTPUT_TIMEOUT
         });
-        for number in stuck {
+        for number in unread {
             self.close(number, counters, events);
         }
     }
 
-    /// Where nothing is read, as too much is owed or too much has arrived, no read shows the end.
+    /// Closes connections whose clients have disconnected while the connection is not read. Reading
+    /// stops when too many bytes are unsent or unparsed, or when the connection is closing.
     fn close_disconnected(
         &mut self,
         now: Nanos,
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        let disconnected = self.matching(|connection| match connection.close_by {
+        let disconnected = self.connections_where(|connection| match connection.close_by {
             Some(deadline) => now >= deadline || has_peer_closed(connection.stream.socket()),
             None => !connection.reads_input() && has_peer_closed(connection.stream.socket()),
         });
         for number in disconnected {
-            let is_owed = self.connections.get(&number).is_some_and(|connection| {
+            let has_pending_responses = self.connections.get(&number).is_some_and(|connection| {
                 !connection.is_closing() && !connection.responses.is_empty()
             });
-            counters.disconnects_while_unread += u64::from(is_owed);
+            counters.disconnects_while_unread += u64::from(has_pending_responses);
             self.close(number, counters, events);
         }
     }
 
-    /// A client that sends nothing, or half a command, must occupy neither a connection nor memory
-    /// for good.
-    fn close_unfinished(
+    /// Closes connections without a complete command in time, so that clients that send nothing or
+    /// an incomplete command do not occupy connections and memory indefinitely.
+    fn close_incomplete(
         &mut self,
         now: Nanos,
         events: &mut Vec<ListenerEvent>,
         counters: &mut Counters,
     ) {
-        for number in self.matching(|connection| connection.is_command_late(now)) {
+        for number in self.connections_where(|connection| connection.is_command_overdue(now)) {
             counters.clients_incomplete += 1;
-            let has_begun = |connection: &&mut ClientConnection| !connection.input.is_empty();
-            if let Some(connection) = self.connections.get_mut(&number).filter(has_begun) {
+            let has_partial_command =
+                |connection: &&mut ClientConnection| !connection.input.is_empty();
+            if let Some(connection) = self
+                .connections
+                .get_mut(&number)
+                .filter(has_partial_command)
+            {
                 connection.respond(encode_error("ERR the command did not end in time"));
                 connection.input = Vec::new();
                 connection.is_framing_lost = true;
@@ -105,6 +112,8 @@
         }
     }
 
+    /// Closes connections that exceed the idle timeout, and the longest idle ones above
+    /// [`TRIM_ABOVE_PERCENT`].
     fn close_idle(&mut self, now: Nanos, events: &mut Vec<ListenerEvent>, counters: &mut Counters) {
         let open = self
             .connections
@@ -113,17 +122,17 @@
             .count();
         let is_crowded = open > self.connections_max / 2;
         let timeout = match (self.policy.closes_idle, is_crowded) {
-            (true, _) => IDLE_DRAINING,
-            (false, true) => IDLE_CROWDED,
+            (true, _) => IDLE_TIMEOUT_DRAINING,
+            (false, true) => IDLE_TIMEOUT_CROWDED,
             (false, false) => IDLE_TIMEOUT,
         };
-        let mut idle = self.matching(|connection| connection.is_idle_for(timeout, now));
-        let beyond_crowd = open
+        let mut idle = self.connections_where(|connection| connection.is_idle_for(timeout, now));
+        let excess = open
             .saturating_sub(idle.len())
-            .saturating_sub(self.connections_max * CROWD_PERCENT / 100);
-        if beyond_crowd > 0 {
+            .saturating_sub(self.connections_max * TRIM_ABOVE_PERCENT / 100);
+        if excess > 0 {
             let longest_idle = self.longest_idle(&idle, now);
-            idle.extend(longest_idle.into_iter().take(beyond_crowd));
+            idle.extend(longest_idle.into_iter().take(excess));
         }
         for number in idle {
             counters.clients_idle += 1;
@@ -131,15 +140,15 @@
         }
     }
 
-    /// The connections that may be closed in a crowd but for these, those that are idle longest
-    /// first.
+    /// Returns the connections that have sent a command and are idle for [`TRIM_IDLE_MIN`], without
+    /// those in `except`, the longest idle first.
     fn longest_idle(&self, except: &[u64], now: Nanos) -> Vec<u64> {
         let mut idle: Vec<(Nanos, u64)> = self
             .connections
             .iter()
             .filter(|(number, connection)| {
                 connection.has_sent_command
-                    && connection.is_idle_for(CROWD_IDLE_MIN, now)
+                    && connection.is_idle_for(TRIM_IDLE_MIN, now)
                     && !except.contains(number)
             })
             .map(|(number, connection)| (connection.last_active, *number))
@@ -150,9 +159,9 @@
 }
 
 impl ClientConnection {
-    /// Whether a command should have arrived whole by now. What has arrived but is not read yet may
-    /// complete it.
-    fn is_command_late(&self, now: Nanos) -> bool {
+    /// Returns whether the current command has exceeded its timeout. Unread input in the socket may
+    /// still complete it.
+    fn is_command_overdue(&self, now: Nanos) -> bool {
         !(self.has_sent_command && self.input.is_empty())
             && self.takes_commands()
             && self.responses.is_empty()
--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -1,4 +1,4 @@
-//! Reading of client connections: input becomes commands, commands become requests.
+//! Input of client connections: reads bytes, parses commands and reports requests.
 
 use super::commands::{ParsedCommand, interpret};
 use super::connection::{ClientConnection, PendingResponse};
@@ -12,9 +12,10 @@
 use routing::{Nanos, RequestId};
 use std::io::{ErrorKind, Read};
 
-/// The most that one read takes.
+/// Maximum number of bytes per read.
 pub(super) const READ_SIZE: usize = 32 * 1024;
-/// The most unparsed input that is kept: one command with the longest value always fits.
+/// Maximum number of bytes of unparsed input per connection. One command with the longest value
+/// always fits.
 pub(super) const INPUT_MAX: usize = resp::MESSAGE_MAX;
 
 impl RespListener {
@@ -32,8 +33,8 @@
             return self.drain_closing(number, counters, events);
         }
         if !connection.reads_input() {
-            // Not watched for input: it is broken, and nothing more can be answered on it. Or it
-            // was watched when this turn began.
+            // The connection is not polled for input, so the readiness means that it is broken. It
+            // may also have been polled for input until an earlier event of this turn.
             if has_peer_closed(connection.stream.socket()) {
                 self.close(number, counters, events);
             }
@@ -48,8 +49,8 @@
             Ok(0) => self.close(number, counters, events),
             Ok(count) => {
                 if connection.has_sent_command && connection.input.is_empty() {
-                    // A connection may be idle between commands; the time of a command starts with
-                    // its first byte.
+                    // A connection may be idle between commands, so the timeout of a command starts
+                    // with its first byte.
                     connection.command_since = now;
                 }
                 connection
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Takes the whole commands that have arrived, as many as may wait for their answers.
+    /// Parses and processes the complete commands of the input, up to the maximum number of pending
+    /// responses.
     pub(super) fn process_input(
         &mut self,
         number: u64,
@@ -86,15 +88,15 @@
                 Ok(None) => break,
                 Ok(Some(command)) => command,
                 Err(e) => {
-                    log::debug!("client connection {number}: {e}");
+                    log::debug!("client connection {number} sent invalid input: {e}");
                     counters.malformed_commands += 1;
                     connection.reject_rest(e);
                     break;
                 }
             };
-            // A connection that has sent no command yet may still send one; one that never ends
-            // must not stay open for good. Commands beyond that are answered, or they would be
-            // lost.
+            // When commands are no longer accepted, the first command of a connection still is.
+            // Further ones are rejected, so that an endless sequence of commands does not keep the
+            // connection open. They get a response, as they would otherwise be lost.
             let is_accepted = self.policy.accepts_commands || !connection.has_sent_command;
             (connection.has_sent_command, connection.command_since) = (true, now);
             let ticket = Ticket {
@@ -118,10 +120,10 @@
                         ..request
                     }));
                 }
-                ParsedCommand::Answer(answer) => connection.respond(answer),
-                ParsedCommand::Malformed(problem) => {
+                ParsedCommand::Response(response) => connection.respond(response),
+                ParsedCommand::Malformed(error) => {
                     counters.malformed_commands += 1;
-                    connection.respond(encode_error(&format!("ERR {problem}")));
+                    connection.respond(encode_error(&format!("ERR {error}")));
                 }
                 ParsedCommand::Empty => {}
             }
@@ -131,18 +133,20 @@
 }
 
 impl ClientConnection {
-    /// Adds an answer behind those that are owed.
-    pub(super) fn respond(&mut self, answer: Vec<u8>) {
-        self.responses.push_back(PendingResponse::Answered(answer));
+    /// Adds an encoded response behind the pending ones.
+    pub(super) fn respond(&mut self, response: Vec<u8>) {
+        self.responses
+            .push_back(PendingResponse::Answered(response));
     }
 
-    /// Answers input that can't be parsed; where the next command begins is unknown.
+    /// Responds with an error to input that can't be parsed. The start of the next command is
+    /// unknown then.
     fn reject_rest(&mut self, error: RespError) {
         self.respond(encode_error(&format!("ERR {error}")));
         self.is_framing_lost = true;
     }
 
-    /// Drops the input that was parsed, and the memory of an empty buffer.
+    /// Removes the parsed bytes from the input, and frees an empty buffer.
     fn discard_parsed(&mut self, parsed: usize) {
         self.input.drain(..parsed);
         if self.is_framing_lost {
--- a/crates/balancer/src/listener/resp/output.rs
+++ b/crates/balancer/src/listener/resp/output.rs
@@ -1,5 +1,5 @@
-//! Writing of client connections: answers in the order of the commands, and the end of a
-//! connection.
+//! Output of client connections: writes responses in the order of the commands, and closes
+//! connections.
 
 use super::connection::PendingResponse;
 use super::responses::encode;
@@ -13,13 +13,14 @@
 use std::io::ErrorKind;
 use std::net::Shutdown;
 
-/// How much input behind a command that can't be parsed is discarded at a time; a client that sends
-/// faster is closed at once.
+/// Maximum number of bytes discarded at a time behind a command that can't be parsed. If a client
+/// sends more, its connection is closed immediately.
 const DISCARD_MAX: usize = 256 * 1024;
 
 impl RespListener {
-    /// Gives the final answer for a ticket; it is sent once those before it on its connection are.
-    // Answering consumes the ticket.
+    /// Sets the final answer for a ticket. It is sent after the earlier responses of the
+    /// connection.
+    // The ticket is consumed, so that no request is answered twice.
     #[allow(clippy::needless_pass_by_value)]
     pub fn answer(&mut self, ticket: Ticket, answer: FinalAnswer) {
         let Ticket {
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Writes what may be sent on this connection, and goes on with commands that waited for that.
+    /// Writes the responses that may be sent on a connection, and then processes postponed
+    /// commands.
     pub fn flush(
         &mut self,
         number: u64,
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Processes commands that waited because too much was owed. Whether that yields answers that
-    /// can be written at once.
+    /// Processes commands that were postponed because of the limits of pending responses and unsent
+    /// output. Returns whether that produced a response that can be written immediately.
     fn process_postponed_input(
         &mut self,
         number: u64,
@@ -94,8 +96,8 @@
         };
         let pending_before = connection.responses.len();
         if !connection.input.is_empty() && connection.takes_commands() {
-            // What waited behind others on its connection has its time from now on, unless it was
-            // read in this turn.
+            // Commands that waited behind others on their connection count as arriving now, unless
+            // they were read in this turn.
             let arrived_at = connection
                 .presence
                 .arrival_in_turn(&self.poll_timestamps)
@@ -111,9 +113,9 @@
         })
     }
 
-    /// Ends a connection on which nothing is owed. Closing over input that is unread, or still
-    /// arrives, would reset it and might destroy the last answer on its way. So at first only the
-    /// sending side is closed.
+    /// Closes a connection without pending responses. Closing a socket with unread or still
+    /// arriving input resets the connection and could destroy the last response in transit.
+    /// Therefore only the sending side is shut down at first.
     pub(super) fn close_gracefully(
         &mut self,
         number: u64,
@@ -125,7 +127,7 @@
             return;
         };
         if !connection.has_sent_command && !connection.is_framing_lost {
-            // Nothing was ever answered on it.
+            // No response was ever sent on the connection.
             return self.close(number, counters, events);
         }
         connection.close_by = Some(now + CLOSE_TIMEOUT);
@@ -137,9 +139,9 @@
         self.drain_closing(number, counters, events);
     }
 
-    /// Discards what still arrives on a closing connection, where its framing is lost. A command
-    /// that can be read stays unread: its client learns of that by the reset, and sends it
-    /// elsewhere.
+    /// Handles input on a closing connection. If the framing is lost, the input is discarded.
+    /// Otherwise it may hold a command, which stays unread: the later reset notifies the client
+    /// that the command was not processed, so that the client can send it elsewhere.
     pub(super) fn drain_closing(
         &mut self,
         number: u64,
@@ -155,7 +157,7 @@
         } else {
             match socket.peek(&mut [0]) {
                 Ok(0) => false,
-                // From now on the idle reaper looks for its end.
+                // From now on the idle reaper checks whether the client has closed the connection.
                 Ok(_) => {
                     !has_peer_closed(socket)
                         && connection.stream.set_interest(Interest::NONE).is_ok()
--- a/crates/balancer/src/listener/resp/responses.rs
+++ b/crates/balancer/src/listener/resp/responses.rs
@@ -1,13 +1,13 @@
-//! Final answers on the wire.
+//! Encoding of final answers.
 
 use crate::request::FinalAnswer;
 use crate::resp;
 use crate::timers::MS;
 
-/// Bytes of the header and the end of a bulk string, at most.
+/// Maximum number of bytes of the header and the line end of a bulk string.
 const BULK_OVERHEAD: usize = 16;
 
-/// Encodes an error.
+/// Encodes an error line.
 pub(super) fn encode_error(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     resp::write_error(&mut out, text);
@@ -22,13 +22,13 @@
             resp::write_bulk(&mut out, &value);
             out
         }
-        // The value itself arrives in parts.
+        // The value itself is sent in chunks.
         FinalAnswer::Streaming(length) => format!("${length}\r\n").into_bytes(),
         FinalAnswer::Rejected { retry_after: 0 } => encode_error("BUSY"),
         FinalAnswer::Rejected { retry_after } => {
             encode_error(&format!("BUSY {}", retry_after.div_ceil(MS)))
         }
         FinalAnswer::Failed => encode_error("ERR failed"),
-        FinalAnswer::Invalid(problem) => encode_error(&format!("ERR {problem}")),
+        FinalAnswer::Invalid(reason) => encode_error(&format!("ERR {reason}")),
     }
 }
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -1,4 +1,5 @@
-//! Client connections on real sockets: each test says which are ready, and when.
+//! Tests of client connections over real sockets. Each test reports the readiness of connections
+//! itself.
 
 mod admission;
 mod back_pressure;
@@ -28,12 +29,18 @@
     ..SERVING
 };
 
-/// A listener for this many connections, and a way to connect to it.
-fn start_listener(most: usize) -> (RespListener, impl Fn() -> TcpStream) {
+/// Starts a listener for this many connections. Returns it with a function that connects to it.
+fn start_listener(connections_max: usize) -> (RespListener, impl Fn() -> TcpStream) {
     let poll = Poll::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let listener = RespListener::listen(&poll, listener, most, SERVING, PollTimestamps::start(0))
-        .expect("it listens");
+    let listener = RespListener::listen(
+        &poll,
+        listener,
+        connections_max,
+        SERVING,
+        PollTimestamps::start(0),
+    )
+    .expect("the listener starts");
     let address = listener
         .listener
         .as_ref()
@@ -42,20 +49,20 @@
         .local_addr()
         .unwrap();
     let connect = move || {
-        let client = TcpStream::connect(address).expect("it takes clients");
-        // A missing end fails, and does not hang.
+        let client = TcpStream::connect(address).expect("the listener accepts connections");
+        // A connection that is not closed fails the test instead of blocking it.
         client
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("a time-out");
-        // What is written is there at once, also behind something small.
-        client.set_nodelay(true).expect("no delay");
+            .expect("the read timeout can be set");
+        // Small writes are sent immediately.
+        client.set_nodelay(true).expect("TCP_NODELAY can be set");
         client
     };
     (listener, connect)
 }
 
-/// The connections that do not leave: to the others nothing more is sent, and they close once the
-/// client has.
+/// Returns the connections whose sending side is not shut down. The others are removed once their
+/// clients close them.
 fn open_connections(listener: &RespListener) -> Vec<u64> {
     listener
         .connections
@@ -65,7 +72,7 @@
         .collect()
 }
 
-/// A connection is ready for reading.
+/// Readiness of a connection for reading.
 fn readable(number: u64) -> Readiness {
     Readiness {
         source: EventSource::Client(number),
@@ -74,7 +81,7 @@
     }
 }
 
-/// Bytes that a client sends as a read.
+/// Encodes a read command with this client timeout.
 fn read_request(timeout_ms: u64) -> Vec<u8> {
     let fields = format!("c=read,d={timeout_ms}");
     write_command(&[b"C.GET", b"a", b"1", fields.as_bytes()])
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which connections are accepted, and evicted for new ones.
+//! Tests of which connections are accepted, and which are evicted for new ones.
 
 use super::{read_request, readable, start_listener};
 use crate::counters::Counters;
@@ -6,7 +6,7 @@
 use crate::listener::resp::connection_admission::{
     EVICT_IDLE_AFTER, EVICT_SILENT_AFTER, EVICT_UNFINISHED_AFTER,
 };
-use crate::listener::resp::idle_reaper::CROWD_IDLE_MIN;
+use crate::listener::resp::idle_reaper::TRIM_IDLE_MIN;
 use crate::listener::resp::{ListenerEvent, RespListener};
 use crate::poll::sockets::has_unsent_output;
 use crate::poll::{EventSource, Readiness};
@@ -27,28 +27,31 @@
     assert_eq!(
         (counters.clients_accepted, counters.clients_closed),
         (1, 0),
-        "just taken"
+        "the first connection was just accepted"
     );
-    assert!(!listener.accepting, "the new client waits");
+    assert!(!listener.accepting, "the new client waits in the backlog");
     listener.reap(2, &mut Vec::new(), &mut counters);
-    assert!(listener.accepting, "but not for good");
+    assert!(listener.accepting, "the reaper resumes accepting");
     first.write_all(b"*1\r\n").unwrap();
-    listener.accept(CROWD_IDLE_MIN, &mut counters);
+    listener.accept(TRIM_IDLE_MIN, &mut counters);
     assert_eq!(
         (counters.clients_accepted, counters.clients_closed),
         (1, 0),
-        "something to read"
+        "the first connection has unread input"
     );
     let ready = readable(0);
-    listener.handle_ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
-    assert!(!listener.connections[&0].is_idle(), "half a command");
+    listener.handle_ready(TRIM_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
+    assert!(
+        !listener.connections[&0].is_idle(),
+        "an incomplete command has arrived"
+    );
     first.write_all(b"$4\r\nPING\r\n").unwrap();
-    listener.handle_ready(CROWD_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
-    listener.accept(2 * CROWD_IDLE_MIN, &mut counters);
+    listener.handle_ready(TRIM_IDLE_MIN, ready, &mut Vec::new(), &mut counters);
+    listener.accept(2 * TRIM_IDLE_MIN, &mut counters);
     assert_eq!(
         (counters.clients_accepted, counters.clients_closed),
         (2, 1),
-        "idle by now"
+        "the first connection is idle"
     );
 }
 
@@ -64,22 +67,26 @@
         .unwrap()
         .responses
         .push_back(PendingResponse::Waiting(RequestId(8)));
-    let mut say = |listener: &mut RespListener, number: u64, now: Nanos, text: &[u8]| {
+    let mut send = |listener: &mut RespListener, number: u64, now: Nanos, text: &[u8]| {
         clients[number as usize].write_all(text).unwrap();
         let ready = readable(number);
         listener.handle_ready(now, ready, &mut events, &mut Counters::default());
     };
-    say(&mut listener, 0, 0, b"*1\r\n");
-    say(&mut listener, 1, 0, b"*1\r\n");
-    say(&mut listener, 2, 0, b"*1\r\n$4\r\nPING\r\n");
-    let _more: Vec<TcpStream> = (0..3).map(|_| connect()).collect();
+    send(&mut listener, 0, 0, b"*1\r\n");
+    send(&mut listener, 1, 0, b"*1\r\n");
+    send(&mut listener, 2, 0, b"*1\r\n$4\r\nPING\r\n");
+    let _new_clients: Vec<TcpStream> = (0..3).map(|_| connect()).collect();
     listener.accept(EVICT_IDLE_AFTER - 1, &mut counters);
-    assert_eq!(counters.clients_closed, 0, "just answered");
+    assert_eq!(
+        counters.clients_closed, 0,
+        "the connection was just answered"
+    );
     listener.resume_accepting();
     listener.accept(EVICT_IDLE_AFTER, &mut counters);
     assert!(counters.clients_closed == 1 && !listener.connections.contains_key(&2));
-    // The one goes on, if slowly; the other stands still, and so does the mute one that came.
-    say(&mut listener, 0, EVICT_IDLE_AFTER + 1, b"$4\r\n");
+    // Connection 0 sends more of its command, connection 1 does not, and the new connection 4 is
+    // silent.
+    send(&mut listener, 0, EVICT_IDLE_AFTER + 1, b"$4\r\n");
     listener.resume_accepting();
     listener.accept(EVICT_IDLE_AFTER + EVICT_SILENT_AFTER, &mut counters);
     assert_eq!(
@@ -104,21 +111,21 @@
 fn silent_clients_do_not_evict_active_ones() {
     let (mut listener, connect) = start_listener(2);
     let mut counters = Counters::default();
-    let mut usual = connect();
+    let mut active = connect();
     listener.accept(0, &mut counters);
-    usual.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
+    active.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     let ready = readable(0);
     listener.handle_ready(0, ready, &mut Vec::new(), &mut counters);
-    let _mute: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
+    let _silent: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
     for turn in 1..9 {
-        listener.accept(turn * CROWD_IDLE_MIN, &mut counters);
+        listener.accept(turn * TRIM_IDLE_MIN, &mut counters);
         listener.resume_accepting();
     }
     assert!(listener.connections.contains_key(&0) && counters.clients_accepted == 5);
 }
 
 #[test]
-fn client_that_still_receives_its_answer_is_not_evicted() {
+fn client_that_still_receives_its_response_is_not_evicted() {
     let (mut listener, connect) = start_listener(1);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
@@ -131,9 +138,9 @@
     };
     listener.handle_ready(0, ready, &mut events, &mut counters);
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
-        panic!("it is taken")
+        panic!("expected a request")
     };
-    // More than the client's side takes unread: the kernel holds the rest for it.
+    // The response exceeds the receive buffer of the client: the kernel holds the remaining bytes.
     listener.answer(
         incoming.ticket,
         FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]),
@@ -148,15 +155,15 @@
             && has_unsent_output(listener.connections[&0].stream.socket())
     );
     let _new_client = connect();
-    listener.accept(CROWD_IDLE_MIN, &mut counters);
+    listener.accept(TRIM_IDLE_MIN, &mut counters);
     assert_eq!((counters.clients_accepted, counters.clients_closed), (1, 0));
     while has_unsent_output(listener.connections[&0].stream.socket()) {
         let _ = client.read(&mut [0; 4_096]).unwrap();
     }
-    listener.accept(2 * CROWD_IDLE_MIN, &mut counters);
+    listener.accept(2 * TRIM_IDLE_MIN, &mut counters);
     assert_eq!(
         (counters.clients_accepted, counters.clients_closed),
         (2, 1),
-        "it has taken it by now"
+        "the client has received the whole response"
     );
 }
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -1,4 +1,4 @@
-//! Long values that are streamed.
+//! Tests of streamed values.
 
 use super::{read_request, readable, start_listener};
 use crate::counters::Counters;
@@ -10,10 +10,10 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// The length of a streamed value, far over what the sockets buffer.
+/// Length of a streamed value in bytes, far more than the socket buffers hold.
 const LENGTH: usize = 64 << 20;
 
-/// A listener with two requests taken on one connection, and that connection.
+/// Starts a listener that has received two requests on one connection.
 fn two_requests() -> (RespListener, TcpStream, Vec<Ticket>, Counters) {
     let (mut listener, connect) = start_listener(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
@@ -32,12 +32,13 @@
 }
 
 #[test]
-fn answers_stay_in_order_around_a_streamed_value() {
+fn responses_stay_in_order_around_a_streamed_value() {
     let (mut listener, mut client, mut tickets, mut counters) = two_requests();
     let (second, first) = (tickets.pop().unwrap(), tickets.pop().unwrap());
     let (one, two) = (first.request, second.request);
     let mut events = Vec::new();
-    // The second arrives while the first is in flight: what fits into the window waits.
+    // The second value arrives while the first request is unanswered: it is buffered up to the
+    // window.
     listener.answer(second, FinalAnswer::Streaming(STREAM_WINDOW + 1));
     listener.append_chunk(0, two, &[b'y'; STREAM_WINDOW - 20]);
     assert!(
@@ -53,20 +54,20 @@
     listener.flush(0, 1, &mut events, &mut counters);
     assert!(
         !listener.apply_back_pressure(0, one, MemoryPressure::High),
-        "nothing waits for it"
+        "all bytes of the first value are sent"
     );
     listener.append_chunk(0, one, b"xx");
     listener.finish_streaming(0, one, StreamEnd::Complete, 1, &mut events, &mut counters);
-    let want = [
+    let expected = [
         b"$3\r\nxxx\r\n",
         format!("${}\r\n", STREAM_WINDOW + 1).as_bytes(),
         &[b'y'; STREAM_WINDOW + 1],
         b"\r\n",
     ]
     .concat();
-    let mut got = vec![0; want.len()];
-    client.read_exact(&mut got).unwrap();
-    assert!(got == want && listener.connections[&0].is_idle());
+    let mut received = vec![0; expected.len()];
+    client.read_exact(&mut received).unwrap();
+    assert!(received == expected && listener.connections[&0].is_idle());
 }
 
 #[test]
@@ -80,11 +81,14 @@
         listener.append_chunk(0, request, &[b'x'; READ_SIZE]);
         listener.flush(0, 1, &mut events, &mut counters);
         sent += READ_SIZE;
-        assert!(sent < LENGTH, "the sockets' buffers are smaller");
+        assert!(
+            sent < LENGTH,
+            "the socket buffers are smaller than the value"
+        );
     }
     assert!(
         listener.buffered_bytes() <= STREAM_WINDOW + READ_SIZE,
-        "what one long value holds"
+        "a streamed value holds at most the window and one read"
     );
     client.set_nonblocking(true).unwrap();
     let ready = Readiness {
@@ -98,8 +102,8 @@
     }
     assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
     assert_eq!(listener.buffered_bytes(), 0);
-    // The cache breaks off: the client must be able to tell, and the request behind has nobody to
-    // wait for.
+    // The cache aborts the value: the client connection is closed, so that the client detects the
+    // truncation, and the second request is reported as disconnected.
     events.clear();
     listener.finish_streaming(
         0,
--- a/crates/balancer/src/listener/resp/tests/commands.rs
+++ b/crates/balancer/src/listener/resp/tests/commands.rs
@@ -1,15 +1,15 @@
-//! Commands and their fields.
+//! Tests of commands and their fields.
 
 use super::{read_request, readable, start_listener};
 use crate::counters::Counters;
-use crate::listener::resp::commands::request;
+use crate::listener::resp::commands::parse_request;
 use crate::request::Ticket;
 use crate::timers::MS;
 use routing::RequestId;
 use std::io::Write;
 
 #[test]
-fn a_hundred_pipelined_commands_are_taken_without_waiting_for_answers() {
+fn hundred_pipelined_commands_are_processed_without_waiting_for_responses() {
     let (mut listener, connect) = start_listener(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn estimated_work_is_taken_and_forwarded_and_nonsense_is_only_forwarded() {
+fn valid_estimated_work_is_parsed_and_invalid_is_only_forwarded() {
     let read = |h: &str| {
         let fields = format!("c=read,h={h},d=480");
         let ticket = Ticket {
             request: RequestId(1),
             connection: 0,
         };
-        request([b"key", b"id", fields.as_bytes()], None, ticket).unwrap()
+        parse_request([b"key", b"id", fields.as_bytes()], None, ticket).unwrap()
     };
     for (h, work) in [
         ("48000", Some(48 * MS)),
--- a/crates/balancer/src/listener/resp/tests/disconnects.rs
+++ b/crates/balancer/src/listener/resp/tests/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect unread.
+//! Tests of clients that disconnect while their connection is not read.
 
 use super::{read_request, readable, start_listener};
 use crate::counters::Counters;
@@ -10,17 +10,17 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// How a connection comes to be read no more while an answer is owed on it.
+/// Reason why a connection with a pending response is not read.
 #[derive(Clone, Copy, Debug)]
-enum Unread {
-    Garbled,
-    Full,
-    Owed,
+enum NotRead {
+    FramingLost,
+    InputFull,
+    OutputUnsent,
 }
 
 #[rstest]
 fn disconnect_is_noticed_while_the_connection_is_not_read(
-    #[values(Unread::Garbled, Unread::Full, Unread::Owed)] unread: Unread,
+    #[values(NotRead::FramingLost, NotRead::InputFull, NotRead::OutputUnsent)] not_read: NotRead,
     #[values(false, true)] reset: bool,
 ) {
     let (mut listener, connect) = start_listener(9);
@@ -28,22 +28,22 @@
     let mut client = connect();
     listener.accept(0, &mut counters);
     let command = read_request(9);
-    let taken = match unread {
-        Unread::Garbled => {
+    let requests = match not_read {
+        NotRead::FramingLost => {
             client
                 .write_all(&[&command[..], b"*x\r\n"].concat())
                 .unwrap();
             1
         }
-        // Behind the most that may be owed more has come than is kept, and the rest is in the
+        // More input arrives than may be pending and unparsed; the remaining bytes stay in the
         // socket.
-        Unread::Full => {
+        NotRead::InputFull => {
             client
                 .write_all(&command.repeat(PENDING_RESPONSES_MAX + INPUT_MAX / command.len() + 100))
                 .unwrap();
             PENDING_RESPONSES_MAX
         }
-        Unread::Owed => {
+        NotRead::OutputUnsent => {
             client.write_all(&command).unwrap();
             1
         }
@@ -51,17 +51,17 @@
     let ready = readable(0);
     while listener.connections[&0].reads_input() {
         listener.handle_ready(0, ready, &mut events, &mut counters);
-        if matches!(unread, Unread::Owed) {
-            // More is unsent than a client may leave untaken.
+        if matches!(not_read, NotRead::OutputUnsent) {
+            // Reading stops when this many bytes are unsent.
             listener.connections.get_mut(&0).unwrap().output = vec![0; UNSENT_MAX];
         }
     }
-    assert_eq!(events.drain(..).count(), taken);
+    assert_eq!(events.drain(..).count(), requests);
     listener.reap(1, &mut events, &mut counters);
     assert_eq!(
         (events.len(), counters.disconnects_while_unread),
         (0, 0),
-        "it is still there"
+        "the client is still connected"
     );
     if reset {
         SockRef::from(&client)
@@ -81,6 +81,6 @@
             counters.disconnects_while_unread,
             listener.connections.is_empty()
         ),
-        (taken, 1, true)
+        (requests, 1, true)
     );
 }
--- a/crates/balancer/src/listener/resp/tests/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/tests/idle_reaper.rs
@@ -1,14 +1,15 @@
-//! Which connections are closed for being idle, silent or unfinished.
+//! Tests of which connections are closed because they are idle, silent or have an incomplete
+//! command.
 
 use super::{open_connections, readable, start_listener};
 use crate::counters::Counters;
 use crate::listener::CLOSE_TIMEOUT;
-use crate::listener::resp::idle_reaper::{COMMAND_TIMEOUT, CROWD_IDLE_MIN, IDLE_TIMEOUT};
+use crate::listener::resp::idle_reaper::{COMMAND_TIMEOUT, IDLE_TIMEOUT, TRIM_IDLE_MIN};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
 #[test]
-fn silent_unfinished_and_idle_clients_are_closed_in_time() {
+fn silent_incomplete_and_idle_clients_are_closed_in_time() {
     let (mut listener, connect) = start_listener(20);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut clients: Vec<TcpStream> = (0..3).map(|_| connect()).collect();
@@ -28,7 +29,7 @@
     assert_eq!(
         (open_connections(&listener), counters.clients_incomplete),
         (vec![2, 3], 2),
-        "one is only unread"
+        "the command on connection 3 has arrived and is only unread"
     );
     drop(listener.connections.remove(&3));
     let mut text = String::new();
@@ -38,16 +39,16 @@
     assert_eq!(
         (open_connections(&listener), counters.clients_idle),
         (vec![2], 0),
-        "not yet"
+        "the connection has been idle for 1 ns less than the timeout"
     );
     listener.set_connections_max(1);
     listener.reap(IDLE_TIMEOUT, &mut events, &mut counters);
     assert_eq!(
         (open_connections(&listener), counters.clients_idle),
         (vec![], 1),
-        "crowded"
+        "more than half of the connections are in use"
     );
-    // Their clients do not close: their time ends it.
+    // The clients do not close their connections: the close timeout does.
     listener.reap(IDLE_TIMEOUT + CLOSE_TIMEOUT - 1, &mut events, &mut counters);
     assert_eq!(
         listener.connections.keys().copied().collect::<Vec<_>>(),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn in_a_crowd_the_longest_idle_are_closed_and_the_last_used_stay() {
+fn longest_idle_connections_are_closed_above_the_trim_percentage() {
     let (mut listener, connect) = start_listener(10);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut clients = Vec::new();
@@ -94,8 +95,12 @@
         let ready = readable(number);
         listener.handle_ready(number, ready, &mut events, &mut counters);
     }
-    listener.reap(CROWD_IDLE_MIN - 1, &mut events, &mut counters);
-    assert_eq!(listener.connections.len(), 6, "not at once");
-    listener.reap(CROWD_IDLE_MIN + 9, &mut events, &mut counters);
+    listener.reap(TRIM_IDLE_MIN - 1, &mut events, &mut counters);
+    assert_eq!(
+        listener.connections.len(),
+        6,
+        "the connections are not idle long enough"
+    );
+    listener.reap(TRIM_IDLE_MIN + 9, &mut events, &mut counters);
     assert_eq!(open_connections(&listener), [2, 3, 4, 5]);
 }
--- a/crates/balancer/src/resp.rs
+++ b/crates/balancer/src/resp.rs
@@ -1,8 +1,8 @@
-//! RESP2 encoding and parsing. The balancer parses the commands of clients and encodes the replies to
-//! them; towards caches it encodes commands and parses the replies.
+//! RESP2 encoding and parsing. The balancer parses the commands of clients and encodes the replies
+//! to them; towards caches it encodes commands and parses the replies.
 //!
-//! The parser works on the bytes received so far: `Ok(None)` means that the message is incomplete. An
-//! error means that the framing is lost and the connection can't be used any more.
+//! The parser works on the bytes received so far: `Ok(None)` means that the message is incomplete.
+//! An error means that the framing is lost and the connection can't be used any more.
 
 mod encoder;
 mod parser;
@@ -16,8 +16,8 @@
 
 /// Maximum length of the value of a write, in bytes, as the protocol defines it.
 pub const VALUE_MAX: usize = 64 * 1024;
-/// Maximum length of a value in a cache response, in bytes. Values over [`VALUE_MAX`] are streamed; a
-/// response that announces a value over this limit is unreadable.
+/// Maximum length of a value in a cache response, in bytes. Values over [`VALUE_MAX`] are streamed;
+/// a response that announces a value over this limit is unreadable.
 pub const RESPONSE_VALUE_MAX: usize = 4 << 20;
 /// Maximum length of a complete command or reply, in bytes.
 pub const MESSAGE_MAX: usize = 2 * VALUE_MAX;
@@ -28,8 +28,8 @@
     /// A message or element begins with a byte that is not allowed there.
     #[error("Protocol error: unexpected '{}'", .0.escape_ascii())]
     UnexpectedByte(u8),
-    /// A length is not a number, is negative and not an allowed null, or is not the required number of
-    /// elements.
+    /// A length is not a number, is negative and not an allowed null, or is not the required number
+    /// of elements.
     #[error("Protocol error: invalid length")]
     InvalidLength,
     /// A line, value or array exceeds its maximum length.
--- a/crates/balancer/src/resp/encoder.rs
+++ b/crates/balancer/src/resp/encoder.rs
@@ -17,7 +17,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends an error line to `out`. Control characters in `text` are dropped, as they could end the line.
+/// Appends an error line to `out`. Control characters in `text` are dropped, as they could end the
+/// line.
 pub fn write_error(out: &mut Vec<u8>, text: &str) {
     out.push(b'-');
     out.extend(text.bytes().filter(|b| !b.is_ascii_control()));
--- a/crates/balancer/src/resp/parser.rs
+++ b/crates/balancer/src/resp/parser.rs
@@ -105,8 +105,8 @@
         Ok(text.parse().map_err(|_| RespError::InvalidLength)?)
     }
 
-    /// Takes a length of at most `length_max` and that many bytes. Returns the position of the bytes,
-    /// or `None` for null.
+    /// Takes a length of at most `length_max` and that many bytes. Returns the position of the
+    /// bytes, or `None` for null.
     fn bulk(&mut self, length_max: usize) -> Parsed<Option<Range<usize>>> {
         let length = match self.number()? {
             -1 => return Ok(None),
@@ -240,10 +240,10 @@
     incomplete_as_none(Parser::new(input).command())
 }
 
-/// Parses a cache's response to a request: an array of three elements, or an error line. Returns the
-/// response and its length; without a length the connection can't be used any more. An invalid
-/// response is rejected at its first wrong byte, as the remaining bytes may never arrive. A value is
-/// valid without the load report behind it.
+/// Parses a cache's response to a request: an array of three elements, or an error line. Returns
+/// the response and its length; without a length the connection can't be used any more. An invalid
+/// response is rejected at its first wrong byte, as the remaining bytes may never arrive. A value
+/// is valid without the load report behind it.
 ///
 /// # Errors
 /// If the input is not a valid response.
@@ -251,8 +251,8 @@
     incomplete_as_none(Parser::new(input).response())
 }
 
-/// Returns the position of the value in a response and the value's announced length, once the header of
-/// the value has arrived.
+/// Returns the position of the value in a response and the value's announced length, once the
+/// header of the value has arrived.
 #[must_use]
 pub fn parse_long_value_header(input: &[u8]) -> Option<(usize, usize)> {
     let mut parser = Parser::new(input);
--- a/crates/balancer/src/resp/tests.rs
+++ b/crates/balancer/src/resp/tests.rs
@@ -34,8 +34,8 @@
     assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
 }
 
-/// Bytes behind the cache status, the load report parsed from them, and whether the connection can be
-/// used again.
+/// Bytes behind the cache status, the load report parsed from them, and whether the connection can
+/// be used again.
 type TailCase<'a> = (&'a [u8], Option<&'a [u8]>, bool);
 
 #[test]
--- a/crates/balancer/src/response_stream.rs
+++ b/crates/balancer/src/response_stream.rs
@@ -1,13 +1,14 @@
-//! Streaming of long values. A long value is recognised by the header of a cache's response, forwarded
-//! while it arrives, and checked for a valid end. The module performs no I/O.
+//! Streaming of long values. A long value is recognised by the header of a cache's response,
+//! forwarded while it arrives, and checked for a valid end. The module performs no I/O.
 
 use crate::resp::{
     CacheResponse, RESPONSE_VALUE_MAX, RespError, VALUE_MAX, parse_long_value_header,
     parse_response_tail,
 };
 
-/// Minimum number of bytes of a value that must have arrived before forwarding begins. Most unreadable
-/// responses show their fault within these bytes, while another attempt can still replace them.
+/// Minimum number of bytes of a value that must have arrived before forwarding begins. Most
+/// unreadable responses show their fault within these bytes, while another attempt can still
+/// replace them.
 const START_THRESHOLD: usize = 4 * 1024;
 
 /// State of a value that is being forwarded.
@@ -59,8 +60,8 @@
         chunk
     }
 
-    /// Parses the part of the response behind the value. Returns `None` until the whole value has been
-    /// taken and that part has arrived.
+    /// Parses the part of the response behind the value. Returns `None` until the whole value has
+    /// been taken and that part has arrived.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/response_stream/tests.rs
+++ b/crates/balancer/src/response_stream/tests.rs
@@ -63,8 +63,8 @@
                 load_report: None
             }
         );
-        // If the load report is incomplete, the value is valid and only the connection can't be used
-        // again.
+        // If the load report is incomplete, the value is valid and only the connection can't be
+        // used again.
         assert!(tail.length.is_none() || tail.length == Some(b"\r\n$3\r\nhit\r\n$-1\r\n".len()));
     }
     let (_, forwarded, tail) = feed(whole.chunks(1));
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -1,5 +1,6 @@
 //! The pool of connections to the tile caches. A connection carries one job at a time: abandoning a
-//! job, which closes its connection, affects no other job, and no response waits behind a slower one.
+//! job, which closes its connection, affects no other job, and no response waits behind a slower
+//! one.
 
 mod address_book;
 mod connection;
@@ -67,8 +68,8 @@
             max_connections,
             connect_timeout,
             // A command written to a connection that the endpoint has just closed ends in a reset,
-            // and an unsafe write that may have run can't be retried. The pool therefore closes idle
-            // connections well before the endpoint does.
+            // and an unsafe write that may have run can't be retried. The pool therefore closes
+            // idle connections well before the endpoint does.
             idle_timeout: idle_timeout / 4 * 3,
             buffered_bytes: 0,
             max_buffered_bytes: usize::MAX,
@@ -88,7 +89,8 @@
     }
 
     /// Sets the address of an endpoint; the endpoint accepts commands until it is drained.
-    /// Connections to its former address carry no new commands. Returns whether the address changed.
+    /// Connections to its former address carry no new commands. Returns whether the address
+    /// changed.
     pub fn set_address(
         &mut self,
         endpoint: EndpointId,
@@ -115,8 +117,8 @@
         self.close_unwritten(endpoint, events, counters);
     }
 
-    /// Removes the address of an endpoint that has left the endpoint list. No new command can be sent
-    /// to it.
+    /// Removes the address of an endpoint that has left the endpoint list. No new command can be
+    /// sent to it.
     pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
         self.endpoints.remove(endpoint);
     }
@@ -149,8 +151,8 @@
         matching.map(|(number, _)| *number).collect()
     }
 
-    /// Assigns a job to an idle connection or to a new one. Reports [`UpstreamEvent::Connected`] once
-    /// the connection is established, or [`UpstreamEvent::Completed`] if there is none.
+    /// Assigns a job to an idle connection or to a new one. Reports [`UpstreamEvent::Connected`]
+    /// once the connection is established, or [`UpstreamEvent::Completed`] if there is none.
     pub fn dispatch(
         &mut self,
         now: Nanos,
@@ -224,7 +226,8 @@
         let Some(number) = self.jobs.get(&job).copied() else {
             return;
         };
-        // The command is written once, even if the connection is reported as established repeatedly.
+        // The command is written once, even if the connection is reported as established
+        // repeatedly.
         let connection = self.connections.get_mut(&number);
         let Some(connection) = connection.filter(|c| c.is_assigned()) else {
             return;
@@ -234,8 +237,8 @@
         self.write(number, events, counters);
     }
 
-    /// Returns whether the last byte of the job's command is not written yet, so that the command can't
-    /// have run.
+    /// Returns whether the last byte of the job's command is not written yet, so that the command
+    /// can't have run.
     #[must_use]
     pub fn is_unsent(&self, job: UpstreamJob) -> bool {
         let connection = self.jobs.get(&job).and_then(|n| self.connections.get(n));
@@ -297,8 +300,8 @@
         }
     }
 
-    /// Pauses or resumes reading. Returns the connection and its stall timeout, or `None` if nothing
-    /// changed.
+    /// Pauses or resumes reading. Returns the connection and its stall timeout, or `None` if
+    /// nothing changed.
     fn set_paused(
         &mut self,
         now: Nanos,
@@ -311,8 +314,8 @@
             return None;
         }
         if let Err(e) = connection.set_paused(now, paused) {
-            // The connection stays in its former state. If reading goes on, the buffer grows, which is
-            // better than a response that never ends.
+            // The connection stays in its former state. If reading goes on, the buffer grows, which
+            // is better than a response that never ends.
             log::warn!(
                 "connection to endpoint {}: pausing or resuming reads failed: {e}",
                 connection.endpoint.0
@@ -383,8 +386,8 @@
             Err(result) => return self.fail(number, result, events, counters),
         }
         let Some(job) = connection.job() else {
-            // An idle connection must not receive anything. The bytes could be mistaken for the response
-            // to its next job.
+            // An idle connection must not receive anything. The bytes could be mistaken for the
+            // response to its next job.
             self.close(number, counters);
             return;
         };
@@ -416,11 +419,11 @@
         }
     }
 
-    /// Completes a job whose reply has arrived. The connection becomes idle, or is closed if it can't
-    /// carry another job. That is so if the reply arrived before the whole command was written, lacks
-    /// its end or is followed by further bytes, so that the start of the next reply is unknown; or if
-    /// the endpoint drains or has a new address, as the old address may belong to another cache by the
-    /// time of the next job.
+    /// Completes a job whose reply has arrived. The connection becomes idle, or is closed if it
+    /// can't carry another job. That is so if the reply arrived before the whole command was
+    /// written, lacks its end or is followed by further bytes, so that the start of the next reply
+    /// is unknown; or if the endpoint drains or has a new address, as the old address may belong to
+    /// another cache by the time of the next job.
     fn complete(
         &mut self,
         number: ConnectionId,
--- a/crates/balancer/src/upstream_pool/address_book.rs
+++ b/crates/balancer/src/upstream_pool/address_book.rs
@@ -9,7 +9,8 @@
 struct EndpointRecord {
     /// `None` after the endpoint has left the endpoint list.
     address: Option<SocketAddr>,
-    /// Whether the endpoint accepts no new commands. The engine may have chosen it before the drain.
+    /// Whether the endpoint accepts no new commands. The engine may have chosen it before the
+    /// drain.
     draining: bool,
     /// Idle connections, ordered by last use; the most recently used is last.
     idle: Vec<ConnectionId>,
--- a/crates/balancer/src/upstream_pool/connection.rs
+++ b/crates/balancer/src/upstream_pool/connection.rs
@@ -14,13 +14,14 @@
 /// send a response at once, and its parts arrive within a round trip.
 pub(super) const STALL_TIMEOUT: Nanos = 40 * MS;
 /// Number of round trips without progress after which the response of a distant cache counts as
-/// truncated. The time is limited to [`STREAM_START_STALL_TIMEOUT`], as the measured round trip is too
-/// long if the only connection so far was delayed while it was established.
+/// truncated. The time is limited to [`STREAM_START_STALL_TIMEOUT`], as the measured round trip is
+/// too long if the only connection so far was delayed while it was established.
 pub(super) const STALL_ROUND_TRIPS: u64 = 3;
 /// Stall timeout of a long value of which nothing has been forwarded yet. Long values may arrive
 /// slowly.
 pub(super) const STREAM_START_STALL_TIMEOUT: Nanos = 500 * MS;
-/// Stall timeout of a long value of which a part has been forwarded. No other attempt can replace it.
+/// Stall timeout of a long value of which a part has been forwarded. No other attempt can replace
+/// it.
 pub(super) const STREAM_STALL_TIMEOUT: Nanos = 5_000 * MS;
 
 /// State of a connection.
@@ -128,7 +129,8 @@
         matches!(self.state, ConnectionState::Assigned(_))
     }
 
-    /// Returns whether a part of the command is not written yet, so that the command can't have run.
+    /// Returns whether a part of the command is not written yet, so that the command can't have
+    /// run.
     pub(super) fn has_unwritten_bytes(&self) -> bool {
         self.written < self.command.len()
     }
@@ -218,8 +220,8 @@
         }
     }
 
-    /// Parses the received bytes. Returns the reply if it is complete. The next part of a long value is
-    /// added to `events`.
+    /// Parses the received bytes. Returns the reply if it is complete. The next part of a long
+    /// value is added to `events`.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/upstream_pool/exchange.rs
+++ b/crates/balancer/src/upstream_pool/exchange.rs
@@ -34,13 +34,13 @@
     Response(CacheResponse),
     /// The response violates the protocol or is truncated. The command may have run.
     Unreadable,
-    /// No connection was established, or it broke before the last byte was written. The command never
-    /// ran.
+    /// No connection was established, or it broke before the last byte was written. The command
+    /// never ran.
     ConnectFailed,
     /// The connection broke after the last byte was written. The command may have run.
     Reset,
-    /// No connection could be opened for lack of capacity in the balancer. The command never ran. The
-    /// endpoint did not cause this.
+    /// No connection could be opened for lack of capacity in the balancer. The command never ran.
+    /// The endpoint did not cause this.
     NoCapacity,
 }
 
@@ -103,8 +103,8 @@
             ConnectError::Unavailable(_) | ConnectError::Unreachable { .. } => {
                 ExchangeResult::ConnectFailed
             }
-            // The balancer lacks connections, descriptors or ports. The endpoint must not be charged for
-            // that.
+            // The balancer lacks connections, descriptors or ports. The endpoint must not be
+            // charged for that.
             ConnectError::EndpointLimit { .. }
             | ConnectError::PoolLimit { .. }
             | ConnectError::Socket { .. } => ExchangeResult::NoCapacity,
--- a/crates/balancer/src/upstream_pool/idle.rs
+++ b/crates/balancer/src/upstream_pool/idle.rs
@@ -1,5 +1,5 @@
-//! The pool's idle connections: their reuse, their eviction at the connection limits, and their idle
-//! timeout.
+//! The pool's idle connections: their reuse, their eviction at the connection limits, and their
+//! idle timeout.
 
 use super::connection::UpstreamConnection;
 use super::exchange::{ConnectError, UpstreamJob};
@@ -9,9 +9,10 @@
 use crate::timers::MS;
 use routing::{EndpointId, Nanos};
 
-/// Minimum time between a response on a connection and the next job on it. A response does not identify
-/// its job, and a second response may follow the first after some milliseconds. With this delay it is
-/// detected while the connection is idle and never taken for the response to the next job.
+/// Minimum time between a response on a connection and the next job on it. A response does not
+/// identify its job, and a second response may follow the first after some milliseconds. With this
+/// delay it is detected while the connection is idle and never taken for the response to the next
+/// job.
 pub(super) const REUSE_DELAY: Nanos = 10 * MS;
 
 /// An endpoint gets at most the maximum number of connections divided by this.
@@ -57,8 +58,8 @@
         })
     }
 
-    /// Ensures that another connection to the endpoint is within the limits. Closes an idle connection
-    /// if necessary.
+    /// Ensures that another connection to the endpoint is within the limits. Closes an idle
+    /// connection if necessary.
     pub(super) fn ensure_capacity(
         &mut self,
         endpoint: EndpointId,
@@ -76,8 +77,8 @@
         Ok(())
     }
 
-    /// Closes the connection that has been idle longest, to the given endpoint or to any, even within
-    /// its reuse delay. Returns whether there was one.
+    /// Closes the connection that has been idle longest, to the given endpoint or to any, even
+    /// within its reuse delay. Returns whether there was one.
     fn close_longest_idle(
         &mut self,
         endpoint: Option<EndpointId>,
--- a/crates/balancer/src/upstream_pool/reply.rs
+++ b/crates/balancer/src/upstream_pool/reply.rs
@@ -7,8 +7,8 @@
 #[derive(Debug)]
 pub(super) struct ParsedReply {
     pub(super) result: ExchangeResult,
-    /// Length of the reply in bytes; `None` if its end has not arrived. The connection can't be used
-    /// again then.
+    /// Length of the reply in bytes; `None` if its end has not arrived. The connection can't be
+    /// used again then.
     pub(super) length: Option<usize>,
 }
 
--- a/crates/balancer/src/upstream_pool/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -112,7 +112,8 @@
         self.send_commands();
     }
 
-    /// Dispatches a health check and returns the endpoint's side of its new, established connection.
+    /// Dispatches a health check and returns the endpoint's side of its new, established
+    /// connection.
     fn open_connection(&mut self, check: u64, number: u64) -> TcpStream {
         self.dispatch_health_check(check, b"one".to_vec());
         let stream = self.listener.accept().unwrap().0;
@@ -126,6 +127,12 @@
         self.handle_ready(number);
     }
 
+    /// Runs the stall timer of connection 0.
+    fn handle_stall_timeout(&mut self, now: Nanos) {
+        self.pool
+            .handle_stall_timeout(now, 0, &mut self.events, &mut self.counters);
+    }
+
     /// Removes all events and returns the results of completed jobs.
     fn take_results(&mut self) -> Vec<ExchangeResult> {
         let result = |event| match event {
@@ -146,7 +153,7 @@
     let cases: [EndJob; 3] = [
         |test| {
             test.pool
-                .drain(ENDPOINT, &mut test.events, &mut test.counters)
+                .drain(ENDPOINT, &mut test.events, &mut test.counters);
         },
         |test| {
             test.pool
--- a/crates/balancer/src/upstream_pool/tests/responses.rs
+++ b/crates/balancer/src/upstream_pool/tests/responses.rs
@@ -6,8 +6,7 @@
 fn stalled_response_is_unreadable_and_a_slow_one_is_not() {
     let mut test = PoolTest::start();
     let mut stream = test.open_connection(1, 0);
-    test.pool
-        .handle_stall_timeout(STALL_TIMEOUT, 0, &mut test.events, &mut test.counters);
+    test.handle_stall_timeout(STALL_TIMEOUT);
     assert_eq!(
         test.take_results(),
         [],
@@ -17,16 +16,10 @@
         stream.write_all(part).unwrap();
         test.now += STALL_TIMEOUT - 1;
         test.handle_ready(0);
-        test.pool
-            .handle_stall_timeout(test.now, 0, &mut test.events, &mut test.counters);
+        test.handle_stall_timeout(test.now);
     }
     assert_eq!(test.take_results(), []);
-    test.pool.handle_stall_timeout(
-        test.now + STALL_TIMEOUT,
-        0,
-        &mut test.events,
-        &mut test.counters,
-    );
+    test.handle_stall_timeout(test.now + STALL_TIMEOUT);
     assert_eq!(
         (test.take_results(), test.counters.upstream_stalled),
         (vec![ExchangeResult::Unreadable], 1)
@@ -71,12 +64,7 @@
     test.handle_ready(0);
     stream.write_all(b"*3\r\n$70000\r\n").unwrap();
     test.handle_ready(0);
-    test.pool.handle_stall_timeout(
-        STREAM_START_STALL_TIMEOUT - 1,
-        0,
-        &mut test.events,
-        &mut test.counters,
-    );
+    test.handle_stall_timeout(STREAM_START_STALL_TIMEOUT - 1);
     assert_eq!(test.events, [], "a long value may arrive slowly");
     stream.write_all(&[b'x'; 5_000]).unwrap();
     test.handle_ready(0);
@@ -100,28 +88,13 @@
     );
     test.events.clear();
     test.pool.pause(0, job);
-    test.pool.handle_stall_timeout(
-        STREAM_STALL_TIMEOUT,
-        0,
-        &mut test.events,
-        &mut test.counters,
-    );
+    test.handle_stall_timeout(STREAM_STALL_TIMEOUT);
     assert_eq!(test.events, [], "a paused stream does not stall");
     test.pool
         .resume(STREAM_STALL_TIMEOUT, job, &mut test.timers);
-    test.pool.handle_stall_timeout(
-        2 * STREAM_STALL_TIMEOUT - 1,
-        0,
-        &mut test.events,
-        &mut test.counters,
-    );
+    test.handle_stall_timeout(2 * STREAM_STALL_TIMEOUT - 1);
     assert_eq!(test.events, []);
-    test.pool.handle_stall_timeout(
-        2 * STREAM_STALL_TIMEOUT,
-        0,
-        &mut test.events,
-        &mut test.counters,
-    );
+    test.handle_stall_timeout(2 * STREAM_STALL_TIMEOUT);
     assert_eq!(
         (test.take_results(), test.counters.upstream_stalled),
         (vec![ExchangeResult::Unreadable], 1)
@@ -144,12 +117,7 @@
         stream.write_all(b"+P").unwrap();
         test.handle_ready(0);
         let started = test.now;
-        test.pool.handle_stall_timeout(
-            started + 2 * ROUND_TRIP,
-            0,
-            &mut test.events,
-            &mut test.counters,
-        );
+        test.handle_stall_timeout(started + 2 * ROUND_TRIP);
         assert_eq!(
             test.take_results(),
             [],
@@ -164,19 +132,9 @@
         test.dispatch_health_check(3, b"two".to_vec());
         stream.write_all(b"+P").unwrap();
         test.handle_ready(0);
-        test.pool.handle_stall_timeout(
-            test.now + 3 * ROUND_TRIP - 1,
-            0,
-            &mut test.events,
-            &mut test.counters,
-        );
+        test.handle_stall_timeout(test.now + 3 * ROUND_TRIP - 1);
         assert_eq!(test.take_results(), []);
-        test.pool.handle_stall_timeout(
-            test.now + 3 * ROUND_TRIP,
-            0,
-            &mut test.events,
-            &mut test.counters,
-        );
+        test.handle_stall_timeout(test.now + 3 * ROUND_TRIP);
         assert_eq!(
             test.take_results(),
             [ExchangeResult::Unreadable],
--- a/crates/balancer/src/watch_backoff.rs
+++ b/crates/balancer/src/watch_backoff.rs
@@ -20,8 +20,8 @@
 }
 
 impl WatchBackoff {
-    /// Creates a backoff for a drain grace in nanoseconds. With a grace below 40 ms the maximum delay
-    /// is the initial delay.
+    /// Creates a backoff for a drain grace in nanoseconds. With a grace below 40 ms the maximum
+    /// delay is the initial delay.
     #[must_use]
     pub fn new(drain_grace: Nanos) -> Self {
         WatchBackoff {
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The program under test as a process of its own, and helpers of the integration tests.
+//! Helpers of the integration tests, which run the program as a separate process.
 #![allow(dead_code)]
 
 use std::ffi::OsStr;
@@ -9,18 +9,19 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// After this a step has failed; no step of a working program comes near it.
+/// Time after which a step of a test counts as failed. Every step of a working program is far
+/// shorter.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A configuration file, removed when dropped.
+/// A configuration file that is removed when dropped.
 pub struct ConfigFile(PathBuf);
 
 impl ConfigFile {
-    /// Writes a configuration; `name` tells it from those of other tests.
+    /// Writes a configuration file. `name` distinguishes it from those of other tests.
     pub fn write(name: &str, text: &str) -> Self {
         let file = format!("pipitrun-{}-{name}.json", std::process::id());
         let path = std::env::temp_dir().join(file);
-        std::fs::write(&path, text).expect("a place for the configuration");
+        std::fs::write(&path, text).expect("the configuration file can be written");
         ConfigFile(path)
     }
 
@@ -35,14 +36,14 @@
     }
 }
 
-/// A running program; it is killed when dropped.
+/// A running program that is killed when dropped.
 pub struct Program {
     pub process: Child,
-    /// The address of the client listener.
+    /// Address of the client listener.
     pub address: String,
-    /// The address of the admin listener.
+    /// Address of the admin listener.
     pub admin_address: String,
-    /// The log lines from then on.
+    /// Log lines after those of the listeners.
     pub log: Receiver<String>,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Program {
-    /// Starts it by this configuration file, and these variables besides.
+    /// Starts the program with a configuration file and additional environment variables.
     pub fn start(config: &Path, variables: &[(&str, &OsStr)]) -> Self {
         let mut process = Command::new(env!("CARGO_BIN_EXE_pipitrun"))
             .env("GW_CONFIG", config)
@@ -67,7 +68,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let mut log = BufReader::new(process.stderr.take().expect("its log"))
+        let mut log = BufReader::new(process.stderr.take().expect("standard error is piped"))
             .lines()
             .map_while(Result::ok);
         let address = log.find_map(|l| {
@@ -80,80 +81,88 @@
             )
         });
         let admin_address =
-            log.find_map(|l| Some(l.split_once("management listens on ")?.1.to_string()));
+            log.find_map(|l| Some(l.split_once("admin listener bound to ")?.1.to_string()));
         let (lines, log_lines) = channel();
-        // Read on even when nobody asks, or the program would wait for its log to be read.
+        // The log is read continuously; otherwise the program would block on a full pipe.
         std::thread::spawn(move || log.for_each(|line| drop(lines.send(line))));
         Program {
             process,
-            address: address.expect("the address of the client listener"),
-            admin_address: admin_address.expect("the address of the admin listener"),
+            address: address.expect("the log names the address of the client listener"),
+            admin_address: admin_address.expect("the log names the address of the admin listener"),
             log: log_lines,
         }
     }
 
-    /// A connection of a client.
+    /// Connects as a client.
     pub fn client(&self) -> TcpStream {
         connect(&self.address)
     }
 
-    /// The whole response to an admin request such as `GET /admin/health`.
+    /// Sends an admin request such as `GET /admin/health` and returns the complete response.
     pub fn admin_call(&self, request: &str) -> String {
         let mut stream = connect(&self.admin_address);
-        write!(stream, "{request} HTTP/1.1\r\n\r\n").expect("it takes calls");
+        write!(stream, "{request} HTTP/1.1\r\n\r\n").expect("the program reads the admin request");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("it answers");
+        stream
+            .read_to_string(&mut text)
+            .expect("the program responds");
         text
     }
 
-    /// Whether it is ready to serve, as it says itself.
+    /// Returns whether the program reports that it is ready to serve.
     pub fn is_ready(&self) -> bool {
         self.admin_call("GET /admin/health")
             .starts_with("HTTP/1.1 200 OK\r\n")
     }
 
-    /// Waits until it says that.
+    /// Waits until the program reports that it is ready to serve.
     pub fn wait_ready(&self) {
         wait("readiness", || self.is_ready());
     }
 
-    /// Waits for its next log line with this text.
+    /// Waits for the next log line that contains `text`.
     pub fn wait_log(&self, text: &str) {
         while !self
             .log
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a log line")
+            .expect("a log line arrives in time")
             .contains(text)
         {}
     }
 
-    /// Sends it a signal; `STOP` is waited for.
+    /// Sends a signal to the program. After `STOP`, waits until the process is stopped.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([&format!("-{name}"), &self.process.id().to_string()])
             .status();
-        assert!(sent.expect("kill is there").success(), "signal sent");
+        assert!(
+            sent.expect("`kill` can be run").success(),
+            "the signal is sent"
+        );
         if name == "STOP" {
-            // What comes from now on is all there in one turn once it goes on.
+            // Events from now on are all processed in one turn of the event loop after `CONT`.
             let stat = format!("/proc/{}/stat", self.process.id());
-            wait("it to stand still", || {
+            wait("the process to be stopped", || {
                 std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T "))
             });
         }
     }
 }
 
-/// A listener on a free port.
+/// Listens on a free port.
 pub fn listen() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+    TcpListener::bind("127.0.0.1:0").expect("there is a free port")
 }
 
-/// The address of a listener, as it stands in configurations and endpoint lists.
+/// Returns the address of a listener in the format of configurations and endpoint lists.
 pub fn local(listener: &TcpListener) -> String {
-    listener.local_addr().expect("an address").to_string()
+    listener
+        .local_addr()
+        .expect("the listener has an address")
+        .to_string()
 }
 
-/// A RESP command of these words.
+/// Encodes a RESP command.
 pub fn resp_command(words: &[&str]) -> String {
     let mut text = format!("*{}\r\n", words.len());
     for word in words {
@@ -162,54 +171,62 @@
     text
 }
 
-/// A connection whose reads end in time.
+/// Connects to an address. Reads on the connection time out after [`TEST_TIMEOUT`].
 pub fn connect(address: &str) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("nobody is refused");
+    let stream = TcpStream::connect(address).expect("the connection is accepted");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the read timeout can be set");
     stream
 }
 
-/// The program's next connection to this party, whose reads end in time.
+/// Accepts the program's next connection to a listener. Reads on it time out after
+/// [`TEST_TIMEOUT`].
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    // std has no accept with a time-out.
-    listener.set_nonblocking(true).expect("it can be asked");
-    let asked = Instant::now();
-    while asked.elapsed() < TEST_TIMEOUT {
+    // The standard library has no accept with a timeout.
+    listener
+        .set_nonblocking(true)
+        .expect("the listener can be non-blocking");
+    let started = Instant::now();
+    while started.elapsed() < TEST_TIMEOUT {
         if let Ok((stream, _)) = listener.accept() {
-            stream.set_nonblocking(false).expect("it can be waited for");
+            stream
+                .set_nonblocking(false)
+                .expect("the connection can be blocking");
             stream
                 .set_read_timeout(Some(TEST_TIMEOUT))
-                .expect("a time-out");
+                .expect("the read timeout can be set");
             return stream;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("the program does not connect")
+    panic!("the program did not connect in time")
 }
 
-/// Waits until this is so.
-pub fn wait(what: &str, is_so: impl Fn() -> bool) {
-    let asked = Instant::now();
-    while !is_so() {
-        assert!(asked.elapsed() < TEST_TIMEOUT, "waiting for {what}");
+/// Waits until a condition holds; `description` names it in the failure.
+pub fn wait(description: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "timeout while waiting for {description}"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Reads up to this end.
+/// Reads until the received text ends with `end`, and returns the text.
 pub fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut text = Vec::new();
     while !text.ends_with(end.as_bytes()) {
         let mut byte = [0];
         assert_eq!(
-            stream.read(&mut byte).expect("it comes"),
+            stream.read(&mut byte).expect("bytes arrive in time"),
             1,
-            "after {}",
+            "the connection ended after {}",
             text.escape_ascii()
         );
         text.push(byte[0]);
     }
-    String::from_utf8(text).expect("text")
+    String::from_utf8(text).expect("the received bytes are UTF-8")
 }
--- a/crates/balancer/tests/deployments.rs
+++ b/crates/balancer/tests/deployments.rs
@@ -1,7 +1,7 @@
-//! The settings of either deployment's shape, through the program: lists that are polled or pushed, a
-//! short or a long grace, with and without tenants, estimates of work, health checks and marks of
-//! retries. With each a read is served, with its fields forwarded, and a draining cache gets nothing new
-//! from the update on.
+//! Runs the program with the settings of both kinds of deployment: endpoint lists that are
+//! requested or pushed, a short or long drain grace, with and without tenants, estimates of work,
+//! health checks and retry marks. With each combination a read is served, its fields are forwarded,
+//! and a draining cache gets no new request after the update.
 
 mod common;
 
@@ -17,12 +17,12 @@
 }
 
 #[rstest]
-fn read_is_served_and_a_draining_cache_gets_no_more(
+fn read_is_served_and_a_draining_cache_gets_no_new_request(
     #[values("automatic", "subscribe")] mode: &str,
     #[values(500, 2_500)] grace_ms: u64,
     #[values("t=acme,", "")] tenant: &str,
     #[values("h=48211,", "")] estimate: &str,
-    #[values((true, ",r=1"), (false, ""))] (probes, mark): (bool, &str),
+    #[values((true, ",r=1"), (false, ""))] (may_probe, retry_mark): (bool, &str),
 ) {
     let (cache, discovery) = (listen(), listen());
     let host = json!({"host": "s-1", "dial": local(&cache)});
@@ -31,7 +31,7 @@
     } else {
         json!([{"name": "acme", "allowance_per_s": 9.0}])
     };
-    let (aim, give_up) = if mode == "automatic" {
+    let (goal_time, give_up) = if mode == "automatic" {
         (1_200, 2_500)
     } else {
         (300, 600)
@@ -41,13 +41,13 @@
         "known": {"seq": 7, "whole": true, "hosts": [host]},
         "settings": {
             "membership_mode": mode, "group_size": 3, "accounts": accounts, "step_ns": 5 * MS,
-            "caps": {"max_attempts": 6, "may_probe": probes, "may_cancel": true, "second_copies": true},
+            "caps": {"max_attempts": 6, "may_probe": may_probe, "may_cancel": true, "second_copies": true},
             "obligations": {"drain_grace_ns": grace_ms * MS, "must_ask_in_ns": 10_000 * MS, "grace_to_answer_ns": 20 * MS},
-            "profiles": [{"name": "read", "repeat": "safe", "goal_time_ns": aim * MS, "give_up_ns": give_up * MS, "worth": 1}],
+            "profiles": [{"name": "read", "repeat": "safe", "goal_time_ns": goal_time * MS, "give_up_ns": give_up * MS, "worth": 1}],
         },
     });
     let name = format!(
-        "{mode}-{grace_ms}-{}-{}-{probes}",
+        "{mode}-{grace_ms}-{}-{}-{may_probe}",
         tenant.len(),
         estimate.len()
     );
@@ -59,46 +59,55 @@
         read_until(&mut watch, "\r\n\r\n").starts_with("GET /registry/instances?follow=1&since=7 ")
     );
     let mut client = program.client();
-    let fields = |d: &str| format!("c=read,{tenant}{estimate}size=0.4{mark},d={d}");
+    let fields = |d: &str| format!("c=read,{tenant}{estimate}size=0.4{retry_mark},d={d}");
     client
         .write_all(get(1, &fields("900000")).as_bytes())
-        .expect("it reads");
-    let mut one = accept(&cache);
-    let got = read_until(&mut one, "\r\n").replace("*4", "");
-    assert_eq!(got, "\r\n");
-    let passed = read_until(&mut one, ",d=");
-    let want = get(1, &fields(""));
-    let want = &want[want.rfind("c=read").expect("fields")..want.len() - 2];
-    assert!(passed.ends_with(want), "{passed} {want}");
-    one.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-        .expect("it reads");
+        .expect("the peer reads");
+    let mut attempt = accept(&cache);
+    let header = read_until(&mut attempt, "\r\n").replace("*4", "");
+    assert_eq!(header, "\r\n");
+    let forwarded = read_until(&mut attempt, ",d=");
+    let expected = get(1, &fields(""));
+    let expected = &expected[expected.rfind("c=read").expect("the fields")..expected.len() - 2];
+    assert!(
+        forwarded.ends_with(expected),
+        "forwarded {forwarded}, expected {expected}"
+    );
+    attempt
+        .write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+        .expect("the peer reads");
     assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
 
-    let news = json!({"seq": 8, "hosts": [{"host": "s-1", "dial": local(&cache), "health": "terminating"}]});
-    write!(watch, "HTTP/1.1 200 OK\r\n\r\n{news}\n").expect("it reads");
-    // The idle connection is closed with the news; whatever else was unread there is passed over.
-    let mut rest = Vec::new();
-    one.read_to_end(&mut rest).expect("closed in time");
+    let update = json!({"seq": 8, "hosts": [{"host": "s-1", "dial": local(&cache), "health": "terminating"}]});
+    write!(watch, "HTTP/1.1 200 OK\r\n\r\n{update}\n").expect("the peer reads");
+    // The update closes the idle connection. Bytes that are still unread there are ignored.
+    let mut ignored = Vec::new();
+    attempt
+        .read_to_end(&mut ignored)
+        .expect("the connection is closed in time");
     client
         .write_all(get(2, &fields("900000")).as_bytes())
-        .expect("it reads");
+        .expect("the peer reads");
     assert!(read_until(&mut client, "\r\n").starts_with("-BUSY"));
 }
 
 #[rstest]
 fn class_has_its_own_idempotency_among_any_number_of_others(
     #[values(1, 12)] classes: usize,
-    #[values(("safe", true), ("keyed", true), ("unsafe", false))] (repeat, repeated): (&str, bool),
+    #[values(("safe", true), ("keyed", true), ("unsafe", false))] (repeat, is_retried): (
+        &str,
+        bool,
+    ),
     #[values(0, 3)] tenants: usize,
 ) {
     let (cache, discovery) = (listen(), listen());
-    // All before the last have another effect, and their times go from a tenth of a second to half
-    // a minute.
-    let other = if repeated { "unsafe" } else { "safe" };
+    // All classes before the last have another idempotency; their timeouts range from 0.1 s to 30
+    // s.
+    let other_repeat = if is_retried { "unsafe" } else { "safe" };
     let profiles: Vec<_> = (1..=classes)
         .map(|n| {
             let give_up = if n == classes { 20_000 } else { 100 + (n as u64 - 1) * 3_000 };
-            json!({"name": format!("class-{n}"), "repeat": if n == classes { repeat } else { other }, "group": "all",
+            json!({"name": format!("class-{n}"), "repeat": if n == classes { repeat } else { other_repeat }, "group": "all",
                 "memory_span_ns": 20_000 * MS, "goal_time_ns": give_up * MS / 2, "give_up_ns": give_up * MS, "worth": n})
         })
         .collect();
@@ -120,18 +129,19 @@
     let mut client = program.client();
     client
         .write_all(get(1, &format!("c=class-{classes},d=19000")).as_bytes())
-        .expect("it reads");
-    // It may have run when its connection ends.
-    let mut one = accept(&cache);
-    read_until(&mut one, ",d=");
-    read_until(&mut one, "\r\n");
-    drop(one);
-    if repeated {
-        let mut one = accept(&cache);
-        read_until(&mut one, ",d=");
-        read_until(&mut one, "\r\n");
-        one.write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-            .expect("it reads");
+        .expect("the peer reads");
+    // The connection ends after the whole command, so the request may have run.
+    let mut attempt = accept(&cache);
+    read_until(&mut attempt, ",d=");
+    read_until(&mut attempt, "\r\n");
+    drop(attempt);
+    if is_retried {
+        let mut retry = accept(&cache);
+        read_until(&mut retry, ",d=");
+        read_until(&mut retry, "\r\n");
+        retry
+            .write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
+            .expect("the peer reads");
         assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
     } else {
         assert_eq!(read_until(&mut client, "\r\n"), "-ERR failed\r\n");
--- a/crates/balancer/tests/exchanges.rs
+++ b/crates/balancer/tests/exchanges.rs
@@ -1,25 +1,28 @@
-//! Plays recorded byte exchanges against the program and compares what it sends.
+//! Replays recorded byte exchanges against the program and compares what it sends.
 //!
-//! Each file in `exchanges/` is one scenario, a step a line:
+//! Each file in `exchanges/` is one scenario with one step per line:
 //!
-//! | step | meaning |
-//! | --- | --- |
-//! | `NAME > BYTES` | client, cache or discovery NAME sends these bytes |
-//! | `NAME < BYTES` | exactly these bytes must come to it next; `?` stands for any one byte |
-//! | `NAME end` | the program must end its connection, and not by a reset |
-//! | `NAME close` | it ends its connection |
-//! | `NAME next` | it takes the program's next connection; the one it has is `former-NAME` from now on |
-//! | `NAME down` | it takes no connections any more |
-//! | `rest` | so long that a connection to a cache whose answer has been taken may carry the next job; a least time, no order hangs on it |
-//! | `signal TERM` | the program gets this signal; `STOP` has it stand still until `CONT`, so that what comes meanwhile is one turn's |
-//! | `file OLD => NEW` | in the configuration file OLD becomes NEW; before all other steps: the program starts so |
-//! | `log TEXT` | the program's next log line with this text comes |
-//! | `exit` | the program must end with exit code 0 |
+//! - `NAME > BYTES`: the peer NAME (a client, cache or discovery) sends these bytes.
+//! - `NAME < BYTES`: the peer must receive exactly these bytes next; `?` matches any byte.
+//! - `NAME end`: the program must close the peer's connection, without a reset.
+//! - `NAME close`: the peer closes its connection.
+//! - `NAME next`: the peer will accept the program's next connection; its current connection is
+//!   renamed to `former-NAME`.
+//! - `NAME down`: the peer stops accepting connections.
+//! - `rest`: waits until a connection to a cache may carry another job after a response. This is a
+//!   minimum time; the order of events does not depend on it.
+//! - `signal TERM`: sends the signal to the program. After `STOP` the program is stopped until `CONT`,
+//!   so that it processes all events of that time in one turn.
+//! - `file OLD => NEW`: replaces OLD by NEW in the configuration file. Replacements before all other
+//!   steps apply to the start of the program.
+//! - `log TEXT`: waits for the program's next log line that contains this text.
+//! - `exit`: the program must end with exit code 0.
 //!
-//! Names with `client` connect to the program, those with `admin` to its admin listener; `cache`,
-//! `discovery` and `registry` are connected to. `\r`, `\n` and `\\` are escapes, `{N*x}` is N times
-//! the letter, `#` begins a comment line,
-//! `DISCOVERY`, `REGISTRY` (a second one) and `CACHE` are their addresses. Waits have no bound but [`TEST_TIMEOUT`].
+//! Peers whose names contain `admin` connect to the admin listener of the program. The program
+//! connects to `cache`, `discovery` and `registry`. All other peers are clients and connect to the
+//! program. `\r`, `\n` and `\\` are escapes, `{N*x}` is the letter `x` repeated N times, and `#`
+//! begins a comment line. `DISCOVERY`, `REGISTRY` (a second discovery) and `CACHE` stand for their
+//! addresses. Each wait is limited only by [`TEST_TIMEOUT`].
 
 mod common;
 
@@ -32,7 +35,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Longer than a connection rests behind an answer.
+/// Time of the step `rest`, longer than the reuse delay of the upstream pool (10 ms).
 const REUSE_DELAY: Duration = Duration::from_millis(30);
 
 const CONFIG: &str = r#"{"name":"n1","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"2a",
@@ -50,7 +53,7 @@
                 "give_up_ns":1000000000,"worth":3.0},
             {"name":"once","repeat":"unsafe","goal_time_ns":300000000,"give_up_ns":2500000000,"worth":3.0}]}}"#;
 
-/// The program under test with all its peers.
+/// The running program with all its peers.
 struct Exchange {
     program: Program,
     listeners: HashMap<&'static str, TcpListener>,
@@ -75,7 +78,7 @@
         }
         let scenario = scenario
             .file_stem()
-            .expect("a scenario")
+            .expect("the scenario has a file name")
             .to_string_lossy()
             .into_owned();
         let config = ConfigFile::write(&scenario, &text);
@@ -89,7 +92,7 @@
         }
     }
 
-    /// The connection of this party, made or taken if there is none yet.
+    /// Returns the connection of a peer, which connects or accepts if it has none yet.
     fn stream(&mut self, name: &str) -> &mut TcpStream {
         if !self.streams.contains_key(name) {
             let stream = match self.listeners.get(name) {
@@ -99,50 +102,46 @@
             };
             stream
                 .set_read_timeout(Some(TEST_TIMEOUT))
-                .expect("a time-out");
+                .expect("the read timeout can be set");
             self.streams.insert(name.into(), stream);
         }
-        self.streams.get_mut(name).expect("just made")
+        self.streams
+            .get_mut(name)
+            .expect("the connection was just inserted")
     }
 
     fn step(&mut self, line: &str) {
         let (name, step) = line.split_once(' ').unwrap_or((line, ""));
         match (name, step.split_at(step.len().min(2))) {
             ("exit", _) => assert!(
-                self.program.process.wait().expect("it ends").success(),
-                "exit code"
+                self.program
+                    .process
+                    .wait()
+                    .expect("the exit code is available")
+                    .success(),
+                "the exit code is not 0"
             ),
             ("rest", _) => std::thread::sleep(REUSE_DELAY),
             ("signal", _) => self.program.signal(step),
             ("file", _) => {
-                let (old, new) = step.split_once(" => ").expect("what for what");
-                let text = std::fs::read_to_string(self.config.path()).expect("the configuration");
+                let (old, new) = step
+                    .split_once(" => ")
+                    .expect("the step is `file OLD => NEW`");
+                let text = std::fs::read_to_string(self.config.path())
+                    .expect("the configuration file can be read");
                 assert!(text.contains(old), "{text}");
                 std::fs::write(self.config.path(), text.replace(old, new))
-                    .expect("it can be written");
+                    .expect("the configuration file can be written");
             }
             ("log", _) => self.program.wait_log(step),
             (_, ("> ", bytes)) => self
                 .stream(name)
                 .write_all(&unescape(bytes))
-                .expect("the program reads"),
-            (_, ("< ", bytes)) => {
-                let want = unescape(bytes);
-                let mut got = vec![0; want.len()];
-                let mut at = 0;
-                while at < got.len() {
-                    match self.stream(name).read(&mut got[at..]) {
-                        Ok(n) if n > 0 => at += n,
-                        end => panic!("{end:?} after \"{}\"", got[..at.min(400)].escape_ascii()),
-                    }
-                }
-                let same = got.iter().zip(&want).all(|(g, w)| g == w || *w == b'?');
-                let shown = &got[..got.len().min(400)];
-                assert!(same, "got \"{}\", want \"{bytes}\"", shown.escape_ascii());
-            }
+                .expect("the program reads the bytes"),
+            (_, ("< ", bytes)) => self.expect_bytes(name, bytes),
             (_, ("en", "d")) => match self.stream(name).read(&mut [0]) {
                 Ok(0) => {}
-                other => panic!("want the end, got {other:?}"),
+                other => panic!("expected the end of the connection, got {other:?}"),
             },
             (_, ("cl", "ose") | ("ne", "xt")) => {
                 self.stream(name);
@@ -151,17 +150,43 @@
                 }
             }
             (_, ("do", "wn")) => {
-                // Its port stays taken: set free, it might soon be somebody else's, who takes
-                // connections.
-                let listener = self.listeners.remove(name).expect("it listens");
+                // The socket stays bound: if the port were released, another process could bind it
+                // and accept connections.
+                let listener = self.listeners.remove(name).expect("the peer listens");
                 SockRef::from(&listener)
                     .shutdown(Shutdown::Both)
-                    .expect("it can stop listening");
+                    .expect("the socket can stop listening");
                 self.down.push(listener);
             }
-            _ => panic!("no such step"),
+            _ => panic!("unknown step"),
         }
     }
+
+    /// Reads from the connection of a peer and asserts that the bytes match the pattern.
+    fn expect_bytes(&mut self, name: &str, pattern: &str) {
+        let expected = unescape(pattern);
+        let mut received = vec![0; expected.len()];
+        let mut length = 0;
+        while length < received.len() {
+            match self.stream(name).read(&mut received[length..]) {
+                Ok(n) if n > 0 => length += n,
+                end => panic!(
+                    "{end:?} after \"{}\"",
+                    received[..length.min(400)].escape_ascii()
+                ),
+            }
+        }
+        let matches = received
+            .iter()
+            .zip(&expected)
+            .all(|(byte, wanted)| byte == wanted || *wanted == b'?');
+        let shown = &received[..received.len().min(400)];
+        assert!(
+            matches,
+            "received \"{}\", expected \"{pattern}\"",
+            shown.escape_ascii()
+        );
+    }
 }
 
 fn unescape(text: &str) -> Vec<u8> {
@@ -184,9 +209,13 @@
                     .split_once('}')
                     .is_some_and(|(inner, _)| inner.contains('*')) =>
             {
-                let (inner, after) = rest.split_once('}').expect("just seen");
-                let (count, letter) = inner.split_once('*').expect("just seen");
-                out.extend(letter.repeat(count.parse().expect("a count")).bytes());
+                let (inner, after) = rest.split_once('}').expect("the guard found a brace");
+                let (count, letter) = inner.split_once('*').expect("the guard found an asterisk");
+                out.extend(
+                    letter
+                        .repeat(count.parse().expect("the count is a number"))
+                        .bytes(),
+                );
                 rest = after;
             }
             _ => out.extend(c.to_string().bytes()),
@@ -210,13 +239,15 @@
     let mut exchange = Exchange::start(&scenario, &changes);
     let address = |(name, listener): (&&str, &TcpListener)| (name.to_uppercase(), local(listener));
     let addresses: Vec<_> = exchange.listeners.iter().map(address).collect();
-    for (at, line) in &steps[changes.len()..] {
-        // The step is printed first, so that a failure names its line.
-        println!("line {}: {line}", at + 1);
+    for (index, line) in &steps[changes.len()..] {
+        // The step is printed first, so that the output of a failure shows its line.
+        println!("line {}: {line}", index + 1);
         exchange.step(
             &addresses
                 .iter()
-                .fold(line.to_string(), |line, (name, at)| line.replace(name, at)),
+                .fold(line.to_string(), |line, (name, address)| {
+                    line.replace(name, address)
+                }),
         );
     }
 }
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Two processes of one balancer on a listening socket that both inherit, under a stream of
-//! requests: a new version takes over, and either of them is killed.
+//! Tests of a hot restart: two processes of one balancer share an inherited listening socket while
+//! clients send requests. The new process takes over, or one of the two is killed.
 
 mod common;
 
@@ -13,17 +13,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// Configuration with one attempt per request. With more, an attempt would time out after some
+/// 15 ms here; on a busy machine a cache may be delayed that long, and requests would be rejected
+/// for reasons unrelated to the hot restart.
 const CONFIG: &str = r#"{"name":"n1","listen":"LISTEN","discovery":"127.0.0.1:1","seed":"2a",
     "limits":{"cores":1.0,"memory_mb":64,"sockets":1024},
     "known":{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"CACHE","health":"in_service"}]},
     "settings":{"group_size":1,"membership_mode":"subscribe","caps":{"max_attempts":1},
         "profiles":[{"name":"read","repeat":"safe","goal_time_ns":3000000000,"give_up_ns":9000000000}]}}"#;
 
-// One attempt: with more, a try is given up after some 15 ms here, and a cache that a busy machine
-// halts for that long has requests refused, which is none of the hand-over's doing.
-
-/// Reads one RESP command; none at the end.
-fn command(from: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
+/// Reads one RESP command; `None` at the end of the connection.
+fn read_command(from: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
     let mut line = String::new();
     let mut number = |from: &mut dyn BufRead| -> Option<usize> {
         line.clear();
@@ -41,8 +41,8 @@
     Some(words)
 }
 
-/// A cache that answers each read with its id.
-fn cache() -> String {
+/// Starts a cache that responds to each read with the id of the request. Returns its address.
+fn start_cache() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     std::thread::spawn(move || {
@@ -50,13 +50,13 @@
             std::thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().unwrap());
                 let mut to = stream;
-                while let Some(words) = command(&mut from) {
-                    // As a cache does; answers within microseconds have tries given up after one
-                    // millisecond.
+                while let Some(words) = read_command(&mut from) {
+                    // The usual latency of a cache. If responses took microseconds, attempts would
+                    // time out after one millisecond.
                     std::thread::sleep(Duration::from_millis(5));
                     let id = String::from_utf8(words[2].clone()).unwrap();
-                    let answer = format!("*3\r\n${}\r\n{id}\r\n$3\r\nhit\r\n$-1\r\n", id.len());
-                    if to.write_all(answer.as_bytes()).is_err() {
+                    let response = format!("*3\r\n${}\r\n{id}\r\n$3\r\nhit\r\n$-1\r\n", id.len());
+                    if to.write_all(response.as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -66,7 +66,7 @@
     address
 }
 
-/// What the processes share.
+/// Resources that the two processes share.
 struct Pair {
     socket: Socket,
     address: String,
@@ -90,7 +90,7 @@
         std::fs::create_dir_all(&directory).unwrap();
         let config = CONFIG
             .replace("LISTEN", &address)
-            .replace("CACHE", &cache());
+            .replace("CACHE", &start_cache());
         std::fs::write(directory.join("config.json"), config).unwrap();
         Pair {
             socket,
@@ -108,7 +108,7 @@
         Program::start(&self.directory.join("config.json"), &variables)
     }
 
-    /// A process that serves clients, who ask without a pause.
+    /// Starts a process, and clients that send it requests without a pause.
     fn under_load(&self) -> (Program, Clients) {
         let program = self.start();
         program.wait_ready();
@@ -118,25 +118,25 @@
     }
 }
 
-/// One request on this connection; false if the connection has ended without an answer. Whatever
-/// comes must be the whole answer.
-fn ask(stream: &mut TcpStream, id: &str) -> bool {
+/// Sends a request and reads the response. Returns false if the connection ended without a
+/// response. Panics on a response that is not the expected value.
+fn send_request(stream: &mut TcpStream, id: &str) -> bool {
     let command = resp_command(&["C.GET", "k", id, "c=read,d=9000"]);
     if stream.write_all(command.as_bytes()).is_err() {
         return false;
     }
-    let want = format!("${}\r\n{id}\r\n", id.len());
-    let mut got = vec![0; want.len()];
-    // The shortest answer is a refusal: whoever waits for more than that may wait for good.
-    let (start, rest) = got.split_at_mut(b"-BUSY\r\n".len());
+    let expected = format!("${}\r\n{id}\r\n", id.len());
+    let mut received = vec![0; expected.len()];
+    // The shortest response is a rejection. Reading more bytes at first could block forever.
+    let (start, rest) = received.split_at_mut(b"-BUSY\r\n".len());
     if stream.read_exact(start).is_err() || start[0] == b'$' && stream.read_exact(rest).is_err() {
         return false;
     }
-    assert_eq!(String::from_utf8_lossy(&got), want);
+    assert_eq!(String::from_utf8_lossy(&received), expected);
     true
 }
 
-/// Clients that ask without a pause until told to stop.
+/// Clients that send requests without a pause until they are stopped.
 struct Clients {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
@@ -145,7 +145,8 @@
 }
 
 impl Clients {
-    /// Two that ask once on a connection, two that keep theirs until the program ends it.
+    /// Starts two clients that send one request per connection, and two that keep their connection
+    /// until the program closes it.
     fn start(address: &str) -> Self {
         let (stop, answered): (Arc<AtomicBool>, Arc<AtomicUsize>) = Default::default();
         let lost: Arc<Mutex<Vec<String>>> = Default::default();
@@ -160,14 +161,14 @@
                     }
                     let id = format!("{client}-{n:08}");
                     let used: Option<TcpStream> = kept.take();
-                    let fresh = used.is_none();
+                    let is_new = used.is_none();
                     let mut stream = used.unwrap_or_else(|| connect(&address));
-                    // A kept connection may end between two requests: the one that crosses that is
-                    // asked again.
-                    let mut done = ask(&mut stream, &id);
-                    if !done && !fresh {
+                    // The program may close a kept connection between two requests; a request that
+                    // was sent at that time is repeated.
+                    let mut done = send_request(&mut stream, &id);
+                    if !done && !is_new {
                         stream = connect(&address);
-                        done = ask(&mut stream, &id);
+                        done = send_request(&mut stream, &id);
                     }
                     if done {
                         answered.fetch_add(1, Ordering::Relaxed);
@@ -187,23 +188,23 @@
         }
     }
 
-    /// Waits until this many more have been answered.
-    fn wait(&self, more: usize) {
-        let until = self.answered.load(Ordering::Relaxed) + more;
-        wait("answers", || {
+    /// Waits until this many further requests have been answered.
+    fn wait(&self, count: usize) {
+        let target = self.answered.load(Ordering::Relaxed) + count;
+        wait("responses", || {
             assert!(
                 self.threads.iter().all(|t| !t.is_finished()),
                 "a client has failed"
             );
-            self.answered.load(Ordering::Relaxed) >= until
+            self.answered.load(Ordering::Relaxed) >= target
         });
     }
 
-    /// The requests that were not answered.
-    fn end(mut self) -> Vec<String> {
+    /// Stops the clients and returns the ids of the requests that were not answered.
+    fn stop(mut self) -> Vec<String> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            thread.join().expect("a client has failed");
+            thread.join().expect("no client has failed");
         }
         std::mem::take(&mut self.lost.lock().unwrap())
     }
@@ -221,19 +222,22 @@
         new.wait_log("state transfer from the other process: list version 41, 41 is known");
         clients.wait(50);
         old.signal("TERM");
-        assert!(old.process.wait().unwrap().success(), "it leaves by itself");
+        assert!(
+            old.process.wait().unwrap().success(),
+            "the old process ends by itself"
+        );
         clients.wait(200);
         new.wait_log("another process of this balancer: false");
         old = new;
     }
-    assert_eq!(clients.end(), Vec::<String>::new());
+    assert_eq!(clients.stop(), Vec::<String>::new());
 }
 
 #[test]
-fn killed_new_process_leaves_the_old_one_as_it_was() {
-    let pair = Pair::new("newcomer");
+fn old_process_serves_on_after_the_new_one_is_killed() {
+    let pair = Pair::new("killed-new");
     let (old, clients) = pair.under_load();
-    // As soon as it has begun, and once both serve.
+    // The new process is killed as soon as it has started, or once both processes serve.
     for ready in [false, true] {
         let mut new = pair.start();
         old.wait_log("another process of this balancer: true");
@@ -247,8 +251,8 @@
         clients.wait(200);
     }
     assert!(old.is_ready());
-    // What the killed one had taken was lost with it: at most one for each client.
-    assert!(clients.end().len() <= 4);
+    // Requests that the killed process had accepted are lost: at most one per client.
+    assert!(clients.stop().len() <= 4);
 }
 
 #[test]
@@ -261,7 +265,7 @@
     old.process.wait().unwrap();
     new.wait_log("another process of this balancer: false");
     clients.wait(200);
-    assert!(clients.end().len() <= 4);
+    assert!(clients.stop().len() <= 4);
 }
 
 #[test]
@@ -273,20 +277,21 @@
     new.wait_ready();
     let text = new.admin_call("POST /admin/quiesce");
     assert!(text.ends_with("{\"state\":\"quiesced\"}\n"), "{text}");
-    assert!(ask(&mut connect(&pair.address), "1"));
+    assert!(send_request(&mut connect(&pair.address), "1"));
     old.signal("TERM");
     old.wait_log("asked to stop");
-    assert!(ask(&mut connect(&pair.address), "2"));
+    assert!(send_request(&mut connect(&pair.address), "2"));
     assert!(old.process.wait().unwrap().success());
     assert!(
-        ask(&mut connect(&pair.address), "3"),
-        "drained, it still serves who comes"
+        send_request(&mut connect(&pair.address), "3"),
+        "a quiesced process still serves new clients"
     );
 }
 
-/// Gossip has one address: the new process serves without it until the old one has left.
+/// Only one process can bind the gossip address: the new process serves without gossip until the
+/// old one has ended.
 #[test]
-fn new_process_takes_the_gossip_address_once_the_old_one_has_left() {
+fn new_process_binds_the_gossip_address_after_the_old_one_has_ended() {
     let pair = Pair::new("fleet");
     let file = pair.directory.join("config.json");
     let address = std::net::UdpSocket::bind("127.0.0.1:0")
@@ -298,12 +303,12 @@
         .unwrap()
         .replace("\"settings\"", &fleet);
     std::fs::write(&file, config).unwrap();
-    let older = pair.start();
-    older.wait_ready();
-    older.wait_log("fleet: gossip of fleet a listens on");
-    let newer = pair.start();
-    newer.wait_log("is in use by the other process of this balancer; retrying");
-    newer.wait_ready();
-    older.signal("TERM");
-    newer.wait_log("fleet: gossip of fleet a listens on");
+    let old = pair.start();
+    old.wait_ready();
+    old.wait_log("fleet: gossip of fleet a listens on");
+    let new = pair.start();
+    new.wait_log("is in use by the other process of this balancer; retrying");
+    new.wait_ready();
+    old.signal("TERM");
+    new.wait_log("fleet: gossip of fleet a listens on");
 }
--- a/crates/balancer/tests/long_values.rs
+++ b/crates/balancer/tests/long_values.rs
@@ -1,5 +1,5 @@
-//! Many long values before clients that do not read: the process holds little of them, and each
-//! comes whole once it is read.
+//! Tests many long values for clients that do not read: the process buffers only a small part of
+//! them, and each value arrives complete once it is read.
 
 mod common;
 
@@ -7,17 +7,17 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpListener;
 
-/// The length of each value, in bytes.
+/// Length of each value, in bytes.
 const LENGTH: usize = 4 << 20;
 const CLIENTS: usize = 16;
-/// Commands of each client, at once: what stands behind the first value waits in the process, not
-/// in the sockets' buffers.
+/// Number of pipelined commands per client. The values behind the first one wait in the process,
+/// not in the socket buffers.
 const COMMANDS: usize = 4;
-/// What the process may use, in MB: far less than the values together (256).
+/// Memory limit of the process in MB, far less than the total of the values (256 MB).
 const MEMORY: usize = 16;
 
-/// A cache that answers each command with a long value.
-fn cache() -> String {
+/// Starts a cache that responds to each command with a long value. Returns its address.
+fn start_cache() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     std::thread::spawn(move || {
@@ -26,12 +26,12 @@
                 let mut lines = BufReader::new(stream.try_clone().unwrap())
                     .lines()
                     .map_while(Result::ok);
-                // Nine lines are a command of four words.
+                // A command of four words has nine lines.
                 while lines.nth(8).is_some() {
-                    let mut answer = format!("*3\r\n${LENGTH}\r\n").into_bytes();
-                    answer.extend(vec![b'v'; LENGTH]);
-                    answer.extend(b"\r\n$3\r\nhit\r\n$-1\r\n");
-                    if stream.write_all(&answer).is_err() {
+                    let mut response = format!("*3\r\n${LENGTH}\r\n").into_bytes();
+                    response.extend(vec![b'v'; LENGTH]);
+                    response.extend(b"\r\n$3\r\nhit\r\n$-1\r\n");
+                    if stream.write_all(&response).is_err() {
                         return;
                     }
                 }
@@ -43,7 +43,7 @@
 
 #[test]
 fn long_values_for_clients_that_do_not_read_hold_little_memory_and_arrive_whole() {
-    let hosts = (0..4).map(|n| format!(r#"{{"host":"s-{n}","dial":"{}"}}"#, cache()));
+    let hosts = (0..4).map(|n| format!(r#"{{"host":"s-{n}","dial":"{}"}}"#, start_cache()));
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"memory_mb":{MEMORY},"sockets":512}},
         "known":{{"seq":1,"whole":true,"hosts":[{}]}},"settings":{{"group_size":1,"membership_mode":"subscribe",
@@ -53,7 +53,7 @@
     let config = ConfigFile::write("long-values", &text);
     let program = Program::start(config.path(), &[]);
     let head = format!("${LENGTH}\r\n");
-    // Each has begun before any is read on.
+    // All values have begun to arrive before any is read further.
     let clients = (0..CLIENTS).map(|n| {
         let mut client = program.client();
         for command in 0..COMMANDS {
@@ -61,19 +61,19 @@
             let command = resp_command(&["C.GET", &id, &id, "c=read,d=30000"]);
             client.write_all(command.as_bytes()).unwrap();
         }
-        let mut got = vec![0; head.len()];
-        client.read_exact(&mut got).unwrap();
-        assert_eq!(String::from_utf8(got).unwrap(), head);
+        let mut received = vec![0; head.len()];
+        client.read_exact(&mut received).unwrap();
+        assert_eq!(String::from_utf8(received).unwrap(), head);
         client
     });
     for mut client in clients.collect::<Vec<_>>() {
         for command in 0..COMMANDS {
-            let mut got = vec![0; if command > 0 { head.len() } else { 0 }];
-            client.read_exact(&mut got).unwrap();
+            let mut received = vec![0; if command > 0 { head.len() } else { 0 }];
+            client.read_exact(&mut received).unwrap();
             assert!(
-                command == 0 || got == head.as_bytes(),
+                command == 0 || received == head.as_bytes(),
                 "{}",
-                got.escape_ascii()
+                received.escape_ascii()
             );
             let mut value = vec![0; LENGTH + 2];
             client.read_exact(&mut value).unwrap();
@@ -84,6 +84,9 @@
     let peak = status
         .lines()
         .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
-    let peak: usize = peak.expect("its peak").parse().unwrap();
-    assert!(peak < MEMORY << 10, "{peak} kB at the peak");
+    let peak: usize = peak
+        .expect("the status has the peak memory")
+        .parse()
+        .unwrap();
+    assert!(peak < MEMORY << 10, "the peak memory is {peak} kB");
 }
