--- a/crates/balancer/tests/stalls.rs
+++ b/crates/balancer/tests/stalls.rs
@@ -1,6 +1,6 @@
-//! The process is stalled by SIGSTOP while events cross. Once it goes on, nothing is sent by what it knew
-//! before: not for a client that has disconnected, nor once the request's time is over, whichever kind of
-//! attempt it is.
+//! Tests of events that happen while the process is stalled by SIGSTOP. After it resumes, no
+//! attempt of any kind may be sent based on outdated state: neither for a client that has
+//! disconnected nor for a request whose deadline has passed.
 
 mod common;
 
@@ -15,22 +15,22 @@
 use std::time::Duration;
 
 const MS: u64 = 1_000_000;
-/// How long the process stands still; far beyond [`SHORT`].
+/// Time for which the process is stalled, far longer than [`SHORT`].
 const STALL: Duration = Duration::from_millis(650);
-/// A time, in milliseconds, that ends during the stall.
+/// A timeout in milliseconds that ends during the stall.
 const SHORT: u64 = 284;
-/// A time, in milliseconds, that ends long after the test.
+/// A timeout in milliseconds that ends long after the test.
 const LONG: u64 = 60_000;
 
-/// The program between caches, a discovery and clients that the test plays.
+/// The running program with caches, discovery and clients that the test plays.
 struct Setup {
     program: Program,
     caches: Vec<TcpListener>,
     _discovery: TcpListener,
 }
 
-fn class(name: &str, repeat: &str, window_ms: u64) -> Value {
-    json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": window_ms * MS,
+fn class(name: &str, repeat: &str, memory_span_ms: u64) -> Value {
+    json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": memory_span_ms * MS,
         "goal_time_ns": LONG * MS, "give_up_ns": LONG * MS, "worth": 1})
 }
 
@@ -61,35 +61,43 @@
 
     fn client(&self, command: &[u8]) -> TcpStream {
         let mut client = self.program.client();
-        client.write_all(command).expect("it takes commands");
+        client
+            .write_all(command)
+            .expect("the program reads commands");
         client
     }
 
-    /// Stalls the process while this happens, and for [`STALL`] after it.
-    fn stalled(&self, meanwhile: impl FnOnce()) {
+    /// Stalls the process while `action` runs, and for [`STALL`] after it.
+    fn stall_during(&self, action: impl FnOnce()) {
         self.program.signal("STOP");
-        meanwhile();
+        action();
         std::thread::sleep(STALL);
         self.program.signal("CONT");
     }
 
-    /// Has the loop pass all that was ready when the process went on: an answer of its own comes
-    /// behind that.
-    fn settle(&self) {
+    /// Waits until the event loop has processed everything that was ready when the process resumed.
+    /// The response to a new command comes after that.
+    fn wait_until_processed(&self) {
         for _ in 0..5 {
             let mut client = self.client(b"*1\r\n$4\r\nPING\r\n");
-            client.read_exact(&mut [0; 7]).expect("+PONG");
+            client
+                .read_exact(&mut [0; 7])
+                .expect("the program responds to a PING");
         }
     }
 
-    /// All that comes on connections to caches until the process has settled.
+    /// Returns all bytes that caches have received once the pending events are processed.
     fn received_by_caches(&self) -> String {
-        self.settle();
+        self.wait_until_processed();
         let mut text = Vec::new();
         for cache in &self.caches {
-            cache.set_nonblocking(true).expect("it can be asked");
+            cache
+                .set_nonblocking(true)
+                .expect("the socket can be non-blocking");
             while let Ok((mut stream, _)) = cache.accept() {
-                stream.set_nonblocking(true).expect("it can be asked");
+                stream
+                    .set_nonblocking(true)
+                    .expect("the socket can be non-blocking");
                 match stream.read_to_end(&mut text) {
                     Err(e)
                         if e.kind() != ErrorKind::WouldBlock
@@ -101,7 +109,7 @@
                 }
             }
         }
-        String::from_utf8(text).expect("text")
+        String::from_utf8(text).expect("the received bytes are UTF-8")
     }
 }
 
@@ -115,21 +123,23 @@
     resp_command(&["C.SET", "a", &id.to_string(), &fields, "v"]).into_bytes()
 }
 
-/// A cache at which no connection comes up until [`FullCache::make_room`]: its queue of connections
-/// is full.
+/// A cache whose backlog is full: no further connection is established before
+/// [`FullCache::drain_backlog`].
 struct FullCache {
     listener: TcpListener,
+    /// Connections that fill the backlog.
     queued: Vec<TcpStream>,
 }
 
 impl FullCache {
     fn new() -> Self {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).expect("a free port");
-        socket.listen(0).expect("it listens");
+        let socket =
+            Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be created");
+        let any: SocketAddr = "127.0.0.1:0".parse().expect("the address is valid");
+        socket.bind(&any.into()).expect("there is a free port");
+        socket.listen(0).expect("the socket can listen");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let mut queued = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             queued.push(stream);
@@ -137,9 +147,9 @@
         FullCache { listener, queued }
     }
 
-    /// Takes all that were queued, and waits until the program's own connection is up: the kernel
-    /// asks again within 3 s.
-    fn make_room(listener: &TcpListener, queued: usize) {
+    /// Accepts the queued connections, and waits until the program's own connection is established:
+    /// the kernel repeats the SYN within 3 s.
+    fn drain_backlog(listener: &TcpListener, queued: usize) {
         (0..queued).for_each(|_| drop(accept(listener)));
         let mut next = [PollFd::new(listener, PollFlags::IN)];
         let timeout = Timespec {
@@ -149,57 +159,58 @@
         assert_eq!(
             poll(&mut next, Some(&timeout)),
             Ok(1),
-            "the program's connection comes up"
+            "the program's connection is not established"
         );
     }
 }
 
-/// A request on its way to a cache whose connection comes up during the stall; what came there.
-fn over_a_late_connection(name: &str, d: u64, closes: bool) -> String {
+/// Sends a request for which the connection to the cache is established during the stall. Returns
+/// the bytes that the cache received.
+fn attempt_on_a_delayed_connection(name: &str, timeout_ms: u64, closes: bool) -> String {
     let FullCache { listener, queued } = FullCache::new();
     let setup = Setup::new(name, vec![listener]);
-    let client = setup.client(&read_command(1, d));
-    setup.settle();
-    let mut kept = Some(client);
-    setup.stalled(|| {
+    let client = setup.client(&read_command(1, timeout_ms));
+    setup.wait_until_processed();
+    let mut open_client = Some(client);
+    setup.stall_during(|| {
         if closes {
-            kept = None;
+            open_client = None;
         }
-        FullCache::make_room(&setup.caches[0], queued.len());
+        FullCache::drain_backlog(&setup.caches[0], queued.len());
     });
-    let came = setup.received_by_caches();
-    drop((kept, queued));
-    came
+    let received = setup.received_by_caches();
+    drop((open_client, queued));
+    received
 }
 
-/// A request that comes during the stall; what came to its cache.
-fn as_a_first_attempt(name: &str, d: u64, closes: bool) -> String {
+/// Sends a request during the stall. Returns the bytes that its cache received.
+fn first_attempt(name: &str, timeout_ms: u64, closes: bool) -> String {
     let setup = Setup::new(name, vec![listen()]);
     let client = setup.client(b"");
-    setup.settle();
-    let mut kept = Some(client);
-    setup.stalled(|| {
-        let client = kept.as_mut().expect("it is there");
+    setup.wait_until_processed();
+    let mut open_client = Some(client);
+    setup.stall_during(|| {
+        let client = open_client.as_mut().expect("the client is connected");
         client
-            .write_all(&read_command(1, d))
-            .expect("it takes commands");
+            .write_all(&read_command(1, timeout_ms))
+            .expect("the program reads commands");
         if closes {
             std::thread::sleep(Duration::from_millis(200));
-            kept = None;
+            open_client = None;
         }
     });
-    let came = setup.received_by_caches();
-    drop(kept);
-    came
+    let received = setup.received_by_caches();
+    drop(open_client);
+    received
 }
 
-/// A request whose second attempt falls due during the stall; what came to the caches besides the
-/// first attempt.
-fn as_a_second_attempt(name: &str, command: &[u8], closes: bool) -> String {
+/// Sends a request whose second attempt becomes due during the stall. Returns the bytes that the
+/// caches received besides the first attempt.
+fn second_attempt(name: &str, command: &[u8], closes: bool) -> String {
     let setup = Setup::new(name, vec![listen(), listen()]);
     let client = setup.client(command);
     let mut first = None;
-    wait("the first attempt", || {
+    wait("the connection of the first attempt", || {
         setup.caches.iter().any(has_connection)
     });
     for cache in setup.caches.iter().filter(|cache| has_connection(cache)) {
@@ -207,15 +218,15 @@
         read_until(&mut stream, ",d=");
         first = Some(stream);
     }
-    let mut kept = Some(client);
-    setup.stalled(|| {
+    let mut open_client = Some(client);
+    setup.stall_during(|| {
         if closes {
-            kept = None;
+            open_client = None;
         }
     });
-    let came = setup.received_by_caches();
-    drop((kept, first));
-    came
+    let received = setup.received_by_caches();
+    drop((open_client, first));
+    received
 }
 
 fn has_connection(listener: &TcpListener) -> bool {
@@ -223,22 +234,30 @@
     poll(&mut next, Some(&Timespec::default())) == Ok(1)
 }
 
-/// The ways of an attempt: of a request as it comes, on a connection that came up late, as a hedge,
-/// as a retry.
-fn by_each_kind_of_attempt(name: &str, closes: bool, d: u64) -> [String; 4] {
-    let second = d.min(800);
+/// Returns the bytes that caches received with each kind of attempt: a first attempt, one on a
+/// delayed connection, a hedge and a retry.
+fn received_by_kind_of_attempt(name: &str, closes: bool, timeout_ms: u64) -> [String; 4] {
+    let timeout_of_second_ms = timeout_ms.min(800);
     [
-        as_a_first_attempt(&format!("{name}-first"), d, closes),
-        over_a_late_connection(&format!("{name}-late"), d, closes),
-        as_a_second_attempt(&format!("{name}-hedge"), &read_command(1, second), closes),
-        as_a_second_attempt(&format!("{name}-retry"), &write_command(1, second), closes),
+        first_attempt(&format!("{name}-first"), timeout_ms, closes),
+        attempt_on_a_delayed_connection(&format!("{name}-delayed"), timeout_ms, closes),
+        second_attempt(
+            &format!("{name}-hedge"),
+            &read_command(1, timeout_of_second_ms),
+            closes,
+        ),
+        second_attempt(
+            &format!("{name}-retry"),
+            &write_command(1, timeout_of_second_ms),
+            closes,
+        ),
     ]
 }
 
 #[test]
 fn request_of_a_client_that_disconnected_during_a_stall_is_not_forwarded() {
     assert_eq!(
-        by_each_kind_of_attempt("closed", true, LONG),
+        received_by_kind_of_attempt("closed", true, LONG),
         ["", "", "", ""]
     );
 }
@@ -246,7 +265,7 @@
 #[test]
 fn request_that_timed_out_during_a_stall_is_not_forwarded() {
     assert_eq!(
-        by_each_kind_of_attempt("over", false, SHORT),
+        received_by_kind_of_attempt("over", false, SHORT),
         ["", "", "", ""]
     );
 }
--- a/crates/balancer/tests/startup.rs
+++ b/crates/balancer/tests/startup.rs
@@ -1,5 +1,5 @@
-//! A start without any list: discovery is asked at once, and the process is ready when it has
-//! answered, though no client has come.
+//! Tests the start without an endpoint list: the process calls discovery immediately, and is ready
+//! once it has received the list, even if no client has connected.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn process_without_a_known_endpoint_list_is_ready_before_any_client_connects() {
+fn process_started_without_an_endpoint_list_is_ready_before_any_client_connects() {
     let discovery = listen();
     discovery.set_nonblocking(true).unwrap();
     let text = format!(
@@ -18,12 +18,15 @@
     );
     let config = ConfigFile::write("startup", &text);
     let program = Program::start(config.path(), &[]);
-    let asked = Instant::now();
+    let started = Instant::now();
     let mut watch = loop {
         if let Ok((watch, _)) = discovery.accept() {
             break watch;
         }
-        assert!(asked.elapsed() < TEST_TIMEOUT, "discovery is never called");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "discovery was not called in time"
+        );
         std::thread::sleep(Duration::from_millis(1));
     };
     assert!(
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,8 +1,9 @@
 //! Three toy tile caches and a toy discovery in one process, for trying pipitrun on one machine.
 //!
-//! Discovery is on 127.0.0.1:8500, the caches on 127.0.0.1:7001 to 7003; `examples/config.json` and `examples/fleet/` fit
-//! them. A line on standard input changes the list: `drain 2` lets the second cache drain, `up 2` brings it back. The
-//! caches keep values for as long as the process runs; a read of what none was given gets a made-up tile.
+//! Discovery listens on 127.0.0.1:8500, the caches on 127.0.0.1:7001 to 7003. The configurations
+//! `examples/config.json` and `examples/fleet/` use these addresses. Lines on standard input change the
+//! endpoint list: `drain 2` drains the second cache, `up 2` puts it back into service. The caches keep
+//! written values until the process ends; a read of any other key returns a generated tile.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,7 +45,7 @@
         list.clone(),
         dial,
     )?;
-    println!("three tile caches and discovery are up; type 'drain 2' or 'up 2'");
+    println!("three tile caches and discovery are running; type 'drain N' or 'up N'");
     for line in io::stdin().lines() {
         let line = line?;
         let cache = line
@@ -67,10 +68,10 @@
                     born_ms: 0,
                 },
             ),
-            _ => println!("'drain N' or 'up N', with N from 1 to {CACHES}"),
+            _ => println!("expected 'drain N' or 'up N', with N from 1 to {CACHES}"),
         }
     }
-    // Without standard input it goes on serving until it is stopped.
+    // At the end of standard input the process continues to serve until it is stopped.
     loop {
         std::thread::park();
     }
