--- a/crates/balancer/src/gossip/event_log.rs
+++ b/crates/balancer/src/gossip/event_log.rs
@@ -40,7 +40,7 @@
             );
         }
         MembershipEvent::Stalled => {
-            log::warn!("fleet: this process was stalled; its suspicion timers restart");
+            log::warn!("fleet: this process stalled; its suspicion timers restart");
         }
     }
 }
@@ -55,6 +55,6 @@
     log::log!(
         level, member = name, address:% = id.address, generation = id.generation,
         was = was, is = is.name();
-        "fleet: member {name} is now {}", is.name()
+        "fleet: member {name} is {}", is.name()
     );
 }
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -188,7 +188,7 @@
                 self.connections
                     .insert(number, AdminConnection::new(stream, now));
             }
-            Err(e) => log::warn!("admin connection {number}: setting up the socket failed: {e}"),
+            Err(e) => log::warn!("admin connection: setting up the socket failed: {e}"),
         }
     }
 
