--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -158,8 +158,8 @@
         }
         self.flush();
         let share_count = self.member.share_count();
-        let former = std::mem::replace(&mut self.share_count, share_count);
-        (share_count != former).then_some(share_count)
+        let previous = std::mem::replace(&mut self.share_count, share_count);
+        (share_count != previous).then_some(share_count)
     }
 
     /// Enables the shedding level that all members share. `tiers` is the number of tiers of the
@@ -177,8 +177,8 @@
     /// that all members shed the same requests.
     pub fn shedding_change(&mut self, now: Nanos) -> Option<SheddingLevel> {
         let level = self.member.shedding_level();
-        let former = self.shedding.level;
-        if level == 0.0 && former == 0.0 {
+        let previous = self.shedding.level;
+        if level == 0.0 && previous == 0.0 {
             return None;
         }
         let rotation = now / SHEDDING_ROTATION;
@@ -187,7 +187,7 @@
             rotation,
             rotation_ends: (rotation + 1) * SHEDDING_ROTATION,
         };
-        if former == 0.0 {
+        if previous == 0.0 {
             log::warn!(
                 level = level;
                 "fleet: overload; all members now shed load by a common level"
--- a/crates/balancer/src/listener/admin/http/tests.rs
+++ b/crates/balancer/src/listener/admin/http/tests.rs
@@ -4,16 +4,16 @@
 
 #[test]
 fn complete_request_is_checked_for_its_path_and_then_its_method() {
-    let whole = b"POST /admin/quiesce?why=x HTTP/1.1\r\nHost: a\r\n\r\n";
-    for cut in 0..whole.len() {
+    let complete = b"POST /admin/quiesce?why=x HTTP/1.1\r\nHost: a\r\n\r\n";
+    for cut in 0..complete.len() {
         assert_eq!(
-            parse_request(&whole[..cut], FleetEndpoint::Absent),
+            parse_request(&complete[..cut], FleetEndpoint::Absent),
             Ok(None),
             "after {cut} bytes"
         );
     }
     assert_eq!(
-        parse_request(whole, FleetEndpoint::Absent),
+        parse_request(complete, FleetEndpoint::Absent),
         Ok(Some(AdminCommand::Quiesce))
     );
     let long = format!(
--- a/crates/balancer/src/listener/resp/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/back_pressure.rs
@@ -31,14 +31,14 @@
     fn streaming_response(
         &mut self,
         connection: u64,
-        wanted: RequestId,
+        id: RequestId,
     ) -> Option<&mut PendingResponse> {
         self.connections
             .get_mut(&connection)?
             .responses
             .iter_mut()
             .find(|response| {
-                matches!(response, PendingResponse::Streaming { request, .. } if *request == wanted)
+                matches!(response, PendingResponse::Streaming { request, .. } if *request == id)
             })
     }
 
@@ -53,14 +53,14 @@
 
     /// Returns the number of bytes of a streamed value that are not sent to the client yet.
     #[must_use]
-    pub fn pending_bytes(&self, connection: u64, wanted: RequestId) -> usize {
+    pub fn pending_bytes(&self, connection: u64, id: RequestId) -> usize {
         let Some(connection) = self.connections.get(&connection) else {
             return 0;
         };
         let mut responses = connection.responses.iter().enumerate();
         let pending = responses.find_map(|(index, response)| match response {
             // A part of the first response may already be in the output buffer.
-            PendingResponse::Streaming { request, bytes, .. } if *request == wanted => {
+            PendingResponse::Streaming { request, bytes, .. } if *request == id => {
                 let unsent = if index == 0 {
                     connection.unsent_bytes()
                 } else {
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -35,29 +35,43 @@
 fn responses_stay_in_order_around_a_streamed_value() {
     let (mut listener, mut client, mut tickets, mut counters) = two_requests();
     let (second, first) = (tickets.pop().unwrap(), tickets.pop().unwrap());
-    let (one, two) = (first.request, second.request);
+    let (first_id, second_id) = (first.request, second.request);
     let mut events = Vec::new();
     // The second value arrives while the first request is unanswered: it is buffered up to the
     // window.
     listener.answer(second, FinalAnswer::Streaming(STREAM_WINDOW + 1));
-    listener.append_chunk(0, two, &[b'y'; STREAM_WINDOW - 20]);
+    listener.append_chunk(0, second_id, &[b'y'; STREAM_WINDOW - 20]);
     assert!(
-        !listener.apply_back_pressure(0, two, MemoryPressure::Low)
-            && listener.apply_back_pressure(0, two, MemoryPressure::High)
+        !listener.apply_back_pressure(0, second_id, MemoryPressure::Low)
+            && listener.apply_back_pressure(0, second_id, MemoryPressure::High)
     );
-    listener.append_chunk(0, two, &[b'y'; 21]);
-    assert!(listener.apply_back_pressure(0, two, MemoryPressure::Low));
+    listener.append_chunk(0, second_id, &[b'y'; 21]);
+    assert!(listener.apply_back_pressure(0, second_id, MemoryPressure::Low));
     listener.flush(0, 1, &mut events, &mut counters);
-    listener.finish_streaming(0, two, StreamEnd::Complete, 1, &mut events, &mut counters);
+    listener.finish_streaming(
+        0,
+        second_id,
+        StreamEnd::Complete,
+        1,
+        &mut events,
+        &mut counters,
+    );
     listener.answer(first, FinalAnswer::Streaming(3));
-    listener.append_chunk(0, one, b"x");
+    listener.append_chunk(0, first_id, b"x");
     listener.flush(0, 1, &mut events, &mut counters);
     assert!(
-        !listener.apply_back_pressure(0, one, MemoryPressure::High),
+        !listener.apply_back_pressure(0, first_id, MemoryPressure::High),
         "all bytes of the first value are sent"
     );
-    listener.append_chunk(0, one, b"xx");
-    listener.finish_streaming(0, one, StreamEnd::Complete, 1, &mut events, &mut counters);
+    listener.append_chunk(0, first_id, b"xx");
+    listener.finish_streaming(
+        0,
+        first_id,
+        StreamEnd::Complete,
+        1,
+        &mut events,
+        &mut counters,
+    );
     let expected = [
         b"$3\r\nxxx\r\n",
         format!("${}\r\n", STREAM_WINDOW + 1).as_bytes(),
--- a/crates/balancer/src/resp/tests.rs
+++ b/crates/balancer/src/resp/tests.rs
@@ -4,23 +4,30 @@
 
 #[test]
 fn command_is_parsed_only_when_complete() {
-    let whole = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
-    for cut in 0..whole.len() {
-        assert_eq!(parse_command(&whole[..cut]), Ok(None), "after {cut} bytes");
+    let complete = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
+    for cut in 0..complete.len() {
+        assert_eq!(
+            parse_command(&complete[..cut]),
+            Ok(None),
+            "after {cut} bytes"
+        );
     }
-    let Command { words, length } = parse_command(&whole).unwrap().unwrap();
-    assert_eq!(length, whole.len());
+    let Command { words, length } = parse_command(&complete).unwrap().unwrap();
+    assert_eq!(length, complete.len());
     assert_eq!(
-        words.iter().map(|w| &whole[w.clone()]).collect::<Vec<_>>(),
+        words
+            .iter()
+            .map(|w| &complete[w.clone()])
+            .collect::<Vec<_>>(),
         [&b"C.GET"[..], b"7f", b"\r\n$"]
     );
 }
 
 #[test]
 fn reply_is_parsed_only_when_complete() {
-    let whole = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
-    for cut in 0..whole.len() {
-        assert_eq!(parse_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
+    let complete = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
+    for cut in 0..complete.len() {
+        assert_eq!(parse_reply(&complete[..cut]), Ok(None), "after {cut} bytes");
     }
     let inner = Reply::Array(Some(vec![
         Reply::Integer(7),
@@ -31,7 +38,7 @@
         Reply::Bulk(None),
         inner,
     ]));
-    assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
+    assert_eq!(parse_reply(complete), Ok(Some((reply, complete.len()))));
 }
 
 /// Bytes behind the cache status, the load report parsed from them, and whether the connection can
@@ -65,7 +72,7 @@
         cache_status: Some(b"hit".to_vec()),
         load_report: load_report.map(<[u8]>::to_vec),
     };
-    let head = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
+    let value_and_status = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
     let cases: [TailCase; 5] = [
         (b"$-1\r\n", None, true),
         (b"$3\r\nx=1\r\n", Some(b"x=1"), true),
@@ -74,16 +81,21 @@
         (b"", None, false),
     ];
     for (tail, load_report, is_reusable) in cases {
-        let (response, length) = parse_response(&[head, tail].concat()).unwrap().unwrap();
+        let (response, length) = parse_response(&[value_and_status, tail].concat())
+            .unwrap()
+            .unwrap();
         assert_eq!(
             (response, length),
             (
                 expected(load_report),
-                is_reusable.then_some(head.len() + tail.len())
+                is_reusable.then_some(value_and_status.len() + tail.len())
             )
         );
     }
-    assert_eq!(parse_response(&head[..head.len() - 1]), Ok(None));
+    assert_eq!(
+        parse_response(&value_and_status[..value_and_status.len() - 1]),
+        Ok(None)
+    );
 }
 
 #[test]
--- a/crates/balancer/src/response_stream/tests.rs
+++ b/crates/balancer/src/response_stream/tests.rs
@@ -43,12 +43,12 @@
 #[test]
 fn value_is_complete_wherever_the_input_is_split() {
     let value: Vec<u8> = (0..VALUE_MAX + 9).map(|n| (n % 251) as u8).collect();
-    let whole = response(&value, b"\r\n$3\r\nhit\r\n$-1\r\n");
+    let complete = response(&value, b"\r\n$3\r\nhit\r\n$-1\r\n");
     let cuts = (1..40)
         .chain(START_THRESHOLD..START_THRESHOLD + 20)
-        .chain(whole.len() - 30..whole.len());
+        .chain(complete.len() - 30..complete.len());
     for cut in cuts {
-        let (length, forwarded, tail) = feed([&whole[..cut], &whole[cut..]].into_iter());
+        let (length, forwarded, tail) = feed([&complete[..cut], &complete[cut..]].into_iter());
         assert_eq!(
             (length, forwarded == value),
             (Some(value.len()), true),
@@ -67,7 +67,7 @@
         // used again.
         assert!(tail.length.is_none() || tail.length == Some(b"\r\n$3\r\nhit\r\n$-1\r\n".len()));
     }
-    let (_, forwarded, tail) = feed(whole.chunks(1));
+    let (_, forwarded, tail) = feed(complete.chunks(1));
     assert!(
         forwarded == value && tail.unwrap().is_some(),
         "one byte at a time"
@@ -112,9 +112,9 @@
 #[test]
 fn value_longer_than_announced_is_unreadable() {
     let value = vec![b'x'; VALUE_MAX + 1];
-    let whole = response(&value, b"more\r\n$3\r\nhit\r\n$-1\r\n");
+    let complete = response(&value, b"more\r\n$3\r\nhit\r\n$-1\r\n");
     assert_eq!(
-        feed([&whole[..]].into_iter()).2,
+        feed([&complete[..]].into_iter()).2,
         Err(RespError::MissingLineEnd)
     );
     for tail in [b"\r\n+3".as_slice(), b"\n", b"\r\r", b"\r\n$-5\r\n"] {
--- a/crates/balancer/tests/exchanges.rs
+++ b/crates/balancer/tests/exchanges.rs
@@ -179,7 +179,7 @@
         let matches = received
             .iter()
             .zip(&expected)
-            .all(|(byte, wanted)| byte == wanted || *wanted == b'?');
+            .all(|(byte, expected_byte)| byte == expected_byte || *expected_byte == b'?');
         let shown = &received[..received.len().min(400)];
         assert!(
             matches,
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -140,7 +140,7 @@
 struct Clients {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
-    lost: Arc<Mutex<Vec<String>>>,
+    unanswered: Arc<Mutex<Vec<String>>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
@@ -149,32 +149,32 @@
     /// until the program closes it.
     fn start(address: &str) -> Self {
         let (stop, answered): (Arc<AtomicBool>, Arc<AtomicUsize>) = Default::default();
-        let lost: Arc<Mutex<Vec<String>>> = Default::default();
+        let unanswered: Arc<Mutex<Vec<String>>> = Default::default();
         let threads = (0..4).map(|client| {
             let (address, stop) = (address.to_string(), stop.clone());
-            let (answered, lost) = (answered.clone(), lost.clone());
+            let (answered, unanswered) = (answered.clone(), unanswered.clone());
             std::thread::spawn(move || {
-                let mut kept = None;
+                let mut kept_stream = None;
                 for n in 0.. {
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
                     let id = format!("{client}-{n:08}");
-                    let used: Option<TcpStream> = kept.take();
-                    let is_new = used.is_none();
-                    let mut stream = used.unwrap_or_else(|| connect(&address));
+                    let reused: Option<TcpStream> = kept_stream.take();
+                    let is_new = reused.is_none();
+                    let mut stream = reused.unwrap_or_else(|| connect(&address));
                     // The program may close a kept connection between two requests; a request that
                     // was sent at that time is repeated.
-                    let mut done = send_request(&mut stream, &id);
-                    if !done && !is_new {
+                    let mut is_answered = send_request(&mut stream, &id);
+                    if !is_answered && !is_new {
                         stream = connect(&address);
-                        done = send_request(&mut stream, &id);
+                        is_answered = send_request(&mut stream, &id);
                     }
-                    if done {
+                    if is_answered {
                         answered.fetch_add(1, Ordering::Relaxed);
-                        kept = (client < 2).then_some(stream);
+                        kept_stream = (client < 2).then_some(stream);
                     } else {
-                        lost.lock().unwrap().push(id);
+                        unanswered.lock().unwrap().push(id);
                     }
                 }
             })
@@ -183,7 +183,7 @@
         Clients {
             stop,
             answered,
-            lost,
+            unanswered,
             threads,
         }
     }
@@ -206,7 +206,7 @@
         for thread in self.threads.drain(..) {
             thread.join().expect("no client has failed");
         }
-        std::mem::take(&mut self.lost.lock().unwrap())
+        std::mem::take(&mut self.unanswered.lock().unwrap())
     }
 }
 
--- a/crates/balancer/tests/long_values.rs
+++ b/crates/balancer/tests/long_values.rs
@@ -52,7 +52,7 @@
     );
     let config = ConfigFile::write("long-values", &text);
     let program = Program::start(config.path(), &[]);
-    let head = format!("${LENGTH}\r\n");
+    let value_header = format!("${LENGTH}\r\n");
     // All values have begun to arrive before any is read further.
     let clients = (0..CLIENTS).map(|n| {
         let mut client = program.client();
@@ -61,17 +61,17 @@
             let command = resp_command(&["C.GET", &id, &id, "c=read,d=30000"]);
             client.write_all(command.as_bytes()).unwrap();
         }
-        let mut received = vec![0; head.len()];
+        let mut received = vec![0; value_header.len()];
         client.read_exact(&mut received).unwrap();
-        assert_eq!(String::from_utf8(received).unwrap(), head);
+        assert_eq!(String::from_utf8(received).unwrap(), value_header);
         client
     });
     for mut client in clients.collect::<Vec<_>>() {
         for command in 0..COMMANDS {
-            let mut received = vec![0; if command > 0 { head.len() } else { 0 }];
+            let mut received = vec![0; if command > 0 { value_header.len() } else { 0 }];
             client.read_exact(&mut received).unwrap();
             assert!(
-                command == 0 || received == head.as_bytes(),
+                command == 0 || received == value_header.as_bytes(),
                 "{}",
                 received.escape_ascii()
             );
