--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -6,7 +6,7 @@
 mod outcome;
 
 use crate::counters::Counters;
-use crate::request::{AttemptRecord, FinalAnswer, IncomingRequest, RequestContext, Ticket};
+use crate::request::{AnswerToken, AttemptRecord, FinalAnswer, IncomingRequest, RequestContext};
 use crate::timers::MS;
 use crate::upstream_pool::{ExchangeResult, OutboundCommand, UpstreamJob};
 use health_checks::HealthChecks;
@@ -14,8 +14,8 @@
 use routing::{AttemptNumber, AttemptOutcome, AttemptResult, EndpointId, Event, Nanos, RequestId};
 use std::collections::{HashMap, HashSet};
 
-/// A final answer to be sent now, with the ticket of its request.
-pub type DueAnswer = (Ticket, FinalAnswer);
+/// A final answer to be sent now, with the answer token of its request.
+pub type DueAnswer = (AnswerToken, FinalAnswer);
 
 /// An attempt to be sent, as the engine decided.
 #[derive(Clone, Copy, Debug)]
@@ -93,8 +93,8 @@
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
         self.buffered_bytes += incoming.command.byte_size();
         self.client_ids.insert(incoming.command.request_id.clone());
-        let id = incoming.ticket.request;
-        let context = RequestContext::new(incoming.ticket, incoming.command, deadline);
+        let id = incoming.answer_token.request;
+        let context = RequestContext::new(incoming.answer_token, incoming.command, deadline);
         self.requests.insert(id, context);
     }
 
@@ -109,16 +109,16 @@
         length: usize,
         counters: &mut Counters,
     ) -> Option<(Event, DueAnswer)> {
-        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let answer_token = self.requests.get_mut(&request)?.answer_token.take()?;
         let event = self.end_attempt(now, request, attempt, AttemptOutcome::Ok, counters)?;
         counters.streamed += 1;
-        let client_connection = ticket.connection;
+        let client_connection = answer_token.connection;
         let stream = ActiveStream {
             client_connection,
             attempt,
         };
         self.streams.insert(request, stream);
-        Some((event, (ticket, FinalAnswer::Streaming(length))))
+        Some((event, (answer_token, FinalAnswer::Streaming(length))))
     }
 
     /// Returns the client connection to which the value of this attempt is being streamed.
@@ -143,16 +143,16 @@
     /// Records that the client has disconnected. The request needs no answer any more.
     pub fn client_disconnected(&mut self, now: Nanos, request: RequestId) {
         if let Some(context) = self.requests.get_mut(&request) {
-            (context.ticket, context.client_left_at) = (None, Some(now));
+            (context.answer_token, context.client_disconnected_at) = (None, Some(now));
         }
         self.remove_if_finished(request);
     }
 
     /// Completes a request with a final answer of the engine, unless it is already answered.
     pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<DueAnswer> {
-        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let answer_token = self.requests.get_mut(&request)?.answer_token.take()?;
         self.remove_if_finished(request);
-        Some((ticket, answer))
+        Some((answer_token, answer))
     }
 
     /// Returns the time until the deadline of a tracked request.
@@ -164,7 +164,13 @@
     /// Returns the client connection that waits for the answer to a request.
     #[must_use]
     pub fn waiting_client(&self, request: RequestId) -> Option<u64> {
-        Some(self.requests.get(&request)?.ticket.as_ref()?.connection)
+        Some(
+            self.requests
+                .get(&request)?
+                .answer_token
+                .as_ref()?
+                .connection,
+        )
     }
 
     fn remove_if_finished(&mut self, request: RequestId) {
@@ -221,9 +227,9 @@
         // within microseconds may occasionally need a millisecond.
         let timeout = spec.timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let deadline = now.saturating_add(timeout).min(context.deadline);
-        if context.ticket.is_none() || deadline < now + MS {
+        if context.answer_token.is_none() || deadline < now + MS {
             counters.attempts_not_sent += 1;
-            return Err(not_sent(context.ticket.is_none()));
+            return Err(not_sent(context.answer_token.is_none()));
         }
         counters.attempts += 1;
         counters.hedges += u64::from(!context.attempts.is_empty());
@@ -231,7 +237,7 @@
         let record = AttemptRecord {
             endpoint: spec.endpoint,
             sent_at: now,
-            stalled_before: self.total_stall,
+            total_stall_at_send: self.total_stall,
             deadline,
             write_deadline: write_within.map_or(Nanos::MAX, |within| now.saturating_add(within)),
         };
@@ -262,7 +268,7 @@
             let record = context.attempts.get(&attempt)?;
             // The timeout is sent to caches in whole milliseconds.
             let in_time = record.deadline >= now + MS && now < record.write_deadline;
-            (context.ticket.is_some() && in_time)
+            (context.answer_token.is_some() && in_time)
                 .then(|| context.command.encode((record.deadline - now) / MS))
         });
         command.ok_or_else(|| {
@@ -277,7 +283,7 @@
         if let Some(disconnected_at) = self
             .requests
             .get(&request)
-            .and_then(|context| context.client_left_at)
+            .and_then(|context| context.client_disconnected_at)
         {
             let ms = now.saturating_sub(disconnected_at).div_ceil(MS);
             counters.unsent_after_disconnect += 1;
@@ -313,9 +319,9 @@
         let outcome = reply.outcome;
         let context = self.requests.get_mut(&request)?;
         let record = context.attempts.remove(&attempt)?;
-        let request_finished = context.ticket.is_none();
+        let request_finished = context.answer_token.is_none();
         self.remove_if_finished(request);
-        let stalled = self.total_stall - record.stalled_before;
+        let stalled = self.total_stall - record.total_stall_at_send;
         let latency = now.saturating_sub(record.sent_at).saturating_sub(stalled);
         log::trace!(
             "request {} attempt {} at endpoint {}: {outcome:?} after {} ms",
@@ -379,12 +385,12 @@
         // outcome is used.
         let is_served = reply.served.is_some();
         let context = self.requests.get_mut(&request).filter(|_| is_served);
-        let ticket = context.and_then(|context| context.ticket.take());
+        let answer_token = context.and_then(|context| context.answer_token.take());
         let event = self
             .end_attempt_with(now, request, attempt, &reply, counters)
             .map(Event::AttemptEnded);
         let value = reply.served.map(|ServedValue { value, .. }| value);
-        let answer = ticket.zip(value.map(FinalAnswer::Served));
+        let answer = answer_token.zip(value.map(FinalAnswer::Served));
         JobCompletion { event, answer }
     }
 }
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -3,9 +3,13 @@
 use super::*;
 use crate::request::CacheCommand;
 
-fn incoming(ticket: Ticket, client_timeout: Nanos, command: CacheCommand) -> IncomingRequest {
+fn incoming(
+    answer_token: AnswerToken,
+    client_timeout: Nanos,
+    command: CacheCommand,
+) -> IncomingRequest {
     IncomingRequest {
-        ticket,
+        answer_token,
         class: String::new(),
         tenant: None,
         arrived_at: 0,
@@ -39,7 +43,7 @@
         fields: Vec::new(),
     };
     tracker.add_request(incoming(
-        Ticket {
+        AnswerToken {
             request: RequestId(1),
             connection: 0,
         },
@@ -79,11 +83,11 @@
         request_id: b"i".to_vec(),
         fields: Vec::new(),
     };
-    let ticket = Ticket {
+    let answer_token = AnswerToken {
         request: RequestId(1),
         connection: 0,
     };
-    tracker.add_request(incoming(ticket, 100 * MS, command));
+    tracker.add_request(incoming(answer_token, 100 * MS, command));
     assert!(tracker.is_request_id_in_use(b"i") && !tracker.is_request_id_in_use(b"j"));
     let first = (RequestId(1), AttemptNumber(0));
     assert!(
@@ -129,11 +133,11 @@
             request_id: b"i".to_vec(),
             fields: Vec::new(),
         };
-        let ticket = Ticket {
+        let answer_token = AnswerToken {
             request: RequestId(1),
             connection: 0,
         };
-        tracker.add_request(incoming(ticket, client_timeout, command));
+        tracker.add_request(incoming(answer_token, client_timeout, command));
         // For caches that respond within 0.1 ms the engine sets timeouts of a fraction of a
         // millisecond.
         let first = (RequestId(1), AttemptNumber(0));
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -112,7 +112,7 @@
         );
         let registered = self
             .poll
-            .watch(socket, EventSource::Gossip, Interest::READABLE)?;
+            .register(socket, EventSource::Gossip, Interest::READABLE)?;
         self.socket = Some(registered);
         Ok(())
     }
--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -144,7 +144,7 @@
             delegates: view.delegates.iter().map(ToString::to_string).collect(),
             regions: regions.map(|region| RegionRow::new(region, now)).collect(),
             regions_dropped: DroppedRow {
-                unsound: dropped.unsound,
+                unsound: dropped.invalid,
                 outdated: dropped.outdated,
                 over_capacity: dropped.over_capacity,
                 refused_parts,
@@ -186,18 +186,18 @@
 
 impl RegionRow {
     fn new(region: &RegionView, now: Nanos) -> Self {
-        let overview = &region.overview;
+        let status = &region.status;
         let silent_since = region.silent_since;
         RegionRow {
-            region: overview.region.clone(),
-            alive: overview.alive,
-            places: overview.places,
-            config_checksum: format_checksum(overview.config_checksum),
-            config_minority: overview.config_minority,
-            requests_per_s: requests_per_second(overview.request_rate_tenths),
-            delegates: overview.delegates.clone(),
-            authors: overview.authors,
-            changed_ms: (now / MS).saturating_sub(overview.version),
+            region: status.region.clone(),
+            alive: status.alive,
+            places: status.places,
+            config_checksum: format_checksum(status.config_checksum),
+            config_minority: status.config_minority,
+            requests_per_s: requests_per_second(status.request_rate_tenths),
+            delegates: status.delegates.clone(),
+            authors: status.authors,
+            changed_ms: (now / MS).saturating_sub(status.version),
             silent_ms: silent_since.map(|since| now.saturating_sub(since) / MS),
         }
     }
--- a/crates/balancer/src/gossip/event_log.rs
+++ b/crates/balancer/src/gossip/event_log.rs
@@ -5,11 +5,23 @@
 /// Writes the log line of an event.
 pub(super) fn log_event(event: &MembershipEvent) {
     match event {
-        MembershipEvent::StatusChanged { name, id, was, is } => {
-            log_status(name, *id, *was, *is);
+        MembershipEvent::StatusChanged {
+            name,
+            id,
+            previous,
+            current,
+        } => {
+            log_status(name, *id, *previous, *current);
         }
-        MembershipEvent::ShareCountChanged { was, is, alive } => {
-            log::info!(was = *was, is = *is, alive = *alive; "fleet: share count is now {is}");
+        MembershipEvent::ShareCountChanged {
+            previous,
+            current,
+            alive,
+        } => {
+            log::info!(
+                was = *previous, is = *current, alive = *alive;
+                "fleet: share count is now {current}"
+            );
         }
         MembershipEvent::DuplicateName { name, addresses } => {
             let [first, second] = addresses;
@@ -45,16 +57,16 @@
     }
 }
 
-fn log_status(name: &str, id: Identity, was: Option<MemberStatus>, is: MemberStatus) {
-    let level = if is == MemberStatus::Dead {
+fn log_status(name: &str, id: Identity, previous: Option<MemberStatus>, current: MemberStatus) {
+    let level = if current == MemberStatus::Dead {
         log::Level::Warn
     } else {
         log::Level::Info
     };
-    let was = was.map_or("unknown", MemberStatus::name);
+    let previous = previous.map_or("unknown", MemberStatus::name);
     log::log!(
         level, member = name, address:% = id.address, generation = id.generation,
-        was = was, is = is.name();
-        "fleet: member {name} is {}", is.name()
+        was = previous, is = current.name();
+        "fleet: member {name} is {}", current.name()
     );
 }
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -126,7 +126,7 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.poll
-            .watch(stream, EventSource::Client(number), Interest::READABLE)
+            .register(stream, EventSource::Client(number), Interest::READABLE)
     }
 
     /// Resumes accepting clients, unless the lifecycle leaves them to the other process.
--- a/crates/balancer/src/listener/resp/output.rs
+++ b/crates/balancer/src/listener/resp/output.rs
@@ -8,7 +8,7 @@
 use crate::listener::CLOSE_TIMEOUT;
 use crate::poll::Interest;
 use crate::poll::sockets::{discard, has_peer_closed};
-use crate::request::{FinalAnswer, Ticket};
+use crate::request::{AnswerToken, FinalAnswer};
 use routing::Nanos;
 use std::io::ErrorKind;
 use std::net::Shutdown;
@@ -18,15 +18,15 @@
 const DISCARD_MAX: usize = 256 * 1024;
 
 impl RespListener {
-    /// Sets the final answer for a ticket. It is sent after the earlier responses of the
+    /// Sets the final answer for a token. It is sent after the earlier responses of the
     /// connection.
-    // The ticket is consumed, so that no request is answered twice.
+    // The token is consumed, so that no request is answered twice.
     #[allow(clippy::needless_pass_by_value)]
-    pub fn answer(&mut self, ticket: Ticket, answer: FinalAnswer) {
-        let Ticket {
+    pub fn answer(&mut self, answer_token: AnswerToken, answer: FinalAnswer) {
+        let AnswerToken {
             request,
             connection,
-        } = ticket;
+        } = answer_token;
         let Some(connection) = self.connections.get_mut(&connection) else {
             return;
         };
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -142,7 +142,7 @@
     };
     // The response exceeds the receive buffer of the client: the kernel holds the remaining bytes.
     listener.answer(
-        incoming.ticket,
+        incoming.answer_token,
         FinalAnswer::Served(vec![b'v'; 16 * VALUE_MAX]),
     );
     listener.flush(0, 0, &mut events, &mut counters);
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -100,7 +100,7 @@
             !listener.connections.is_empty(),
             "accepted requests are answered before the connection is closed"
         );
-        listener.answer(incoming.ticket, FinalAnswer::Failed);
+        listener.answer(incoming.answer_token, FinalAnswer::Failed);
         listener.flush(1, IDLE_TIMEOUT_DRAINING + 5, &mut Vec::new(), &mut counters);
     }
     assert!(open_connections(&listener).is_empty());
@@ -148,7 +148,10 @@
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("expected a request")
     };
-    listener.answer(incoming.ticket, FinalAnswer::Served(vec![b'v'; VALUE_MAX]));
+    listener.answer(
+        incoming.answer_token,
+        FinalAnswer::Served(vec![b'v'; VALUE_MAX]),
+    );
     listener.flush(0, 0, &mut events, &mut counters);
     match reason {
         CloseReason::FramingLost => {}
@@ -264,7 +267,7 @@
             };
             listener.apply_policy(ending, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
-            listener.answer(incoming.ticket, FinalAnswer::Served(b"v".to_vec()));
+            listener.answer(incoming.answer_token, FinalAnswer::Served(b"v".to_vec()));
             listener.flush(0, 1, &mut events, &mut counters);
         }
     }
@@ -272,7 +275,7 @@
     let Some(ListenerEvent::Request(incoming)) = events.pop() else {
         panic!("expected a request")
     };
-    listener.answer(incoming.ticket, FinalAnswer::Served(b"w".to_vec()));
+    listener.answer(incoming.answer_token, FinalAnswer::Served(b"w".to_vec()));
     listener.flush(0, 2, &mut events, &mut counters);
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -32,7 +32,7 @@
     (InjectedFault::NeverReplacesDelegates, "regions-delegates"),
     (InjectedFault::SkipsRegionAntiEntropy, "regions-lossy"),
     (InjectedFault::AcceptsOlderAnnouncements, "regions-lies"),
-    (InjectedFault::AcceptsUnsoundAnnouncements, "regions-lies"),
+    (InjectedFault::AcceptsInvalidAnnouncements, "regions-lies"),
     (InjectedFault::WithholdsOverview, "regions-overview"),
     (InjectedFault::IgnoresReferrals, "regions-referral"),
 ];
@@ -106,7 +106,7 @@
 
 /// Plays a trial in virtual time, if there is one of this name.
 pub fn play_virtual(name: &str, seed: u64) -> Option<Result<(), SimulationFailure>> {
-    trials::ALL
+    trials::TRIALS
         .iter()
         .find(|(n, _)| *n == name)
         .map(|(_, trial)| trial(seed))
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use testbed::simulation::fleet::{NetworkConditions, SimulatedFleet, address, region_name};
 use testbed::simulation::region_trials as trials;
-use testbed::simulation::regions::{RegionEvents, RegionPlan, measure, sizes};
+use testbed::simulation::regions::{RegionEvents, RegionPlan, measure, region_sizes};
 
 const S: Nanos = 1_000 * MS;
 const CEILING: Nanos = 60 * S;
@@ -44,7 +44,7 @@
     let name = region_name(region);
     fleet
         .member(n)?
-        .region_rows()
+        .other_regions()
         .find(|(row, _)| row.region == name)
         .map(|(row, _)| row.alive)
 }
@@ -157,9 +157,9 @@
                     .view(30)
                     .regions
                     .iter()
-                    .find(|seen| seen.overview.region == region_name(0))
+                    .find(|seen| seen.status.region == region_name(0))
                     .cloned();
-                let row = row.expect("it is told of").overview;
+                let row = row.expect("it is told of").status;
                 told.insert((row.alive, row.places, row.authors));
             }
         }
@@ -332,7 +332,7 @@
     let mut fleet = settled_regions(&[12, 6], 7);
     fleet.advance_to(fleet.now + 20 * S);
     let delegate = delegates(&fleet, 0)[0];
-    let leader = fleet.view(delegate).regions[0].overview.clone();
+    let leader = fleet.view(delegate).regions[0].status.clone();
     let author = leader.delegates[0];
     let sound = Announcement {
         region: region_name(1),
@@ -365,7 +365,7 @@
     let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
     assert_eq!(
         (
-            after.unsound - before.unsound,
+            after.invalid - before.invalid,
             after.outdated - before.outdated
         ),
         (unsound.len() as u64, 1)
@@ -417,5 +417,5 @@
         small.entries,
         large.entries
     );
-    assert_eq!(sizes(4_600, 26).iter().sum::<usize>(), 4_600);
+    assert_eq!(region_sizes(4_600, 26).iter().sum::<usize>(), 4_600);
 }
