--- a/crates/balancer/src/resp/tests.rs
+++ b/crates/balancer/src/resp/tests.rs
@@ -1,26 +1,33 @@
-//! What is parsed when, and what is found to be invalid.
+//! Tests of when a message is parsed and which input is invalid.
 
 use super::*;
 
 #[test]
-fn command_is_parsed_once_it_is_complete() {
-    let whole = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
-    for cut in 0..whole.len() {
-        assert_eq!(parse_command(&whole[..cut]), Ok(None), "after {cut} bytes");
+fn command_is_parsed_only_when_complete() {
+    let complete = write_command(&[b"C.GET", b"7f", b"\r\n$"]);
+    for cut in 0..complete.len() {
+        assert_eq!(
+            parse_command(&complete[..cut]),
+            Ok(None),
+            "after {cut} bytes"
+        );
     }
-    let Command { words, length } = parse_command(&whole).unwrap().unwrap();
-    assert_eq!(length, whole.len());
+    let Command { words, length } = parse_command(&complete).unwrap().unwrap();
+    assert_eq!(length, complete.len());
     assert_eq!(
-        words.iter().map(|w| &whole[w.clone()]).collect::<Vec<_>>(),
+        words
+            .iter()
+            .map(|w| &complete[w.clone()])
+            .collect::<Vec<_>>(),
         [&b"C.GET"[..], b"7f", b"\r\n$"]
     );
 }
 
 #[test]
-fn reply_is_parsed_once_it_is_complete() {
-    let whole = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
-    for cut in 0..whole.len() {
-        assert_eq!(parse_reply(&whole[..cut]), Ok(None), "after {cut} bytes");
+fn reply_is_parsed_only_when_complete() {
+    let complete = b"*3\r\n$2\r\nab\r\n$-1\r\n*2\r\n:7\r\n-ERR failed\r\n";
+    for cut in 0..complete.len() {
+        assert_eq!(parse_reply(&complete[..cut]), Ok(None), "after {cut} bytes");
     }
     let inner = Reply::Array(Some(vec![
         Reply::Integer(7),
@@ -31,15 +38,15 @@
         Reply::Bulk(None),
         inner,
     ]));
-    assert_eq!(parse_reply(whole), Ok(Some((reply, whole.len()))));
+    assert_eq!(parse_reply(complete), Ok(Some((reply, complete.len()))));
 }
 
-/// What follows the cache status, the load report read from it, and whether the connection stays
-/// of use.
+/// Bytes behind the cache status, the load report parsed from them, and whether the connection can
+/// be used again.
 type TailCase<'a> = (&'a [u8], Option<&'a [u8]>, bool);
 
 #[test]
-fn invalid_response_is_detected_before_its_end() {
+fn invalid_response_is_rejected_before_its_end() {
     let invalid: [&[u8]; 12] = [
         b"*3\r\n*3",
         b"*1",
@@ -55,20 +62,17 @@
         b"+O",
     ];
     for input in invalid {
-        // An array of another size is detected with its line.
+        // An array of a wrong size is detected at the end of its header line.
         let is_detected =
             parse_response(input).is_err() || parse_response(&[input, b"\r\n"].concat()).is_err();
         assert!(is_detected, "{}", input.escape_ascii());
     }
-    let made = |load: Option<&[u8]>| {
-        let load = load.map(<[u8]>::to_vec);
-        Answer::Served {
-            value: b"v".to_vec(),
-            note: Some(b"hit".to_vec()),
-            load,
-        }
+    let expected = |load_report: Option<&[u8]>| CacheResponse::Served {
+        value: b"v".to_vec(),
+        cache_status: Some(b"hit".to_vec()),
+        load_report: load_report.map(<[u8]>::to_vec),
     };
-    let head = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
+    let value_and_status = b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n";
     let cases: [TailCase; 5] = [
         (b"$-1\r\n", None, true),
         (b"$3\r\nx=1\r\n", Some(b"x=1"), true),
@@ -76,18 +80,26 @@
         (b"!\x00", None, false),
         (b"", None, false),
     ];
-    for (tail, load, useful) in cases {
-        let (answer, length) = parse_response(&[head, tail].concat()).unwrap().unwrap();
+    for (tail, load_report, is_reusable) in cases {
+        let (response, length) = parse_response(&[value_and_status, tail].concat())
+            .unwrap()
+            .unwrap();
         assert_eq!(
-            (answer, length),
-            (made(load), useful.then_some(head.len() + tail.len()))
+            (response, length),
+            (
+                expected(load_report),
+                is_reusable.then_some(value_and_status.len() + tail.len())
+            )
         );
     }
-    assert_eq!(parse_response(&head[..head.len() - 1]), Ok(None));
+    assert_eq!(
+        parse_response(&value_and_status[..value_and_status.len() - 1]),
+        Ok(None)
+    );
 }
 
 #[test]
-fn lost_framing_is_detected() {
+fn input_that_breaks_the_framing_is_rejected() {
     let long = vec![b'1'; parser::LINE_MAX];
     let cases: [(&[u8], RespError); 8] = [
         (b"PING\r\n", RespError::UnexpectedByte(b'P')),
