--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,10 +1,10 @@
-//! Anti-entropy of member lists: finds what broadcasts have missed.
+//! Anti-entropy of member lists, which repairs updates that broadcasts missed.
 //!
-//! A broadcast is passed on a bounded number of times, so now and then one dies out before it has
-//! reached everyone. So each member keeps a digest of the members that it believes alive: their
+//! A broadcast is forwarded a bounded number of times, so occasionally one does not reach every
+//! member. Each member therefore keeps a digest of the members that are alive in its list: their
 //! generations and metadata, in [`BUCKETS`] buckets by address. Two members whose digests differ
-//! exchange the entries of the differing buckets, and both end with the later version of each.
-//! Equal lists cost one small message and one smaller reply.
+//! exchange the entries of the differing buckets, after which both store the later version of each.
+//! For equal lists the cost is one small message and one smaller reply.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::payload::{PayloadBudget, PayloadError, decode, encode};
@@ -13,38 +13,42 @@
 use std::net::{IpAddr, SocketAddr};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The buckets of a digest; one bucket of a list of a thousand members fits into one datagram.
+/// Number of buckets of a digest; one bucket of a list of a thousand members fits into one
+/// datagram.
 pub const BUCKETS: usize = 32;
 const DIGEST_LENGTH: usize = 4 * BUCKETS;
-/// How often a digest is sent while the lists are not known to agree, during [`FAST_PERIOD`],
+/// Interval between digests during [`FAST_PERIOD`], after a difference was found and until the
+/// lists are known to agree.
 const FAST_INTERVAL: Nanos = 50 * MS;
-/// and after it: lists that differ for longer belong to partitions, or have different capacities.
+/// Interval between digests after [`FAST_PERIOD`]: lists that differ for longer belong to different
+/// partitions or have different capacities.
 const SLOW_INTERVAL: Nanos = 1_000 * MS;
 const FAST_PERIOD: Nanos = 5_000 * MS;
-/// How often a digest is sent while the lists agree.
+/// Interval between digests while the lists are known to agree.
 const IDLE_INTERVAL: Nanos = 2_000 * MS;
-/// This many agreeing replies in a row make the lists known to agree.
-const AGREEMENTS: u8 = 3;
+/// Number of agreeing replies after which the lists are known to agree.
+const AGREEMENTS_REQUIRED: u8 = 3;
 
-/// What one member knows of another, or of itself.
+/// Entry of a member list: what one member knows of another, or of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
-    /// The member and its generation.
+    /// Address and generation of the member.
     pub id: Identity,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: u16,
-    /// Whether it left or died.
+    /// Whether the member left or died.
     pub down: bool,
-    /// The checksum of its metadata; 0 where none is known.
+    /// Checksum of its metadata; 0 if no metadata is known.
     pub metadata_checksum: u32,
 }
 
-/// The longest encoding of an entry, in bytes: an IPv6 address and numbers of full length.
+/// Maximum encoded length of an entry, in bytes: an IPv6 address and all numbers at their maximum
+/// length.
 const ENTRY_LENGTH_MAX: usize = 20 + 10 + 3 + 1 + 5;
-/// Bytes for the fields of a delta besides its entries.
+/// Bytes reserved for the fields of a delta other than its entries.
 const DELTA_HEADER_MAX: usize = 10;
 
-/// An address as bytes of fixed length, for checksums.
+/// Returns an address as bytes of fixed length, for checksums.
 pub(crate) fn address_bytes(address: SocketAddr) -> [u8; 18] {
     let mut bytes = [0; 18];
     match address.ip() {
@@ -55,20 +59,20 @@
     bytes
 }
 
-/// The bucket of an address.
+/// Returns the bucket of an address.
 #[must_use]
 pub fn bucket(address: SocketAddr) -> usize {
     xxh3_64(&address_bytes(address)) as usize % BUCKETS
 }
 
-/// The digest of a member list.
+/// Digest of a member list: one checksum for each bucket.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListDigest([u32; BUCKETS]);
 
 impl ListDigest {
-    /// The digest of the live members among these. Incarnations do not count: with lossy links they
-    /// change all the time.
-    pub fn of(entries: impl Iterator<Item = MemberEntry>) -> Self {
+    /// Returns the digest of the live members among these entries. Incarnations are not included,
+    /// because they change continuously with lossy links.
+    pub fn from_entries(entries: impl Iterator<Item = MemberEntry>) -> Self {
         let mut digest = ListDigest::default();
         for entry in entries.filter(|entry| !entry.down) {
             let mut bytes = [0; 30];
@@ -80,11 +84,11 @@
         digest
     }
 
-    /// The buckets in which two digests differ, one bit each.
+    /// Returns the buckets in which two digests differ, one bit each.
     fn differing_buckets(&self, other: &ListDigest) -> u32 {
         (0..BUCKETS)
-            .filter(|b| self.0[*b] != other.0[*b])
-            .fold(0, |buckets, b| buckets | 1 << b)
+            .filter(|bucket| self.0[*bucket] != other.0[*bucket])
+            .fold(0, |buckets, bucket| buckets | 1 << bucket)
     }
 
     fn to_bytes(&self) -> Vec<u8> {
@@ -109,42 +113,43 @@
     }
 }
 
-/// A member's digest, as it is sent.
+/// Digest of a member's list, as it is sent.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct DigestMessage {
-    pub(crate) by: Identity,
+    pub(crate) sender: Identity,
     pub(crate) digest: Vec<u8>,
 }
 
-/// The entries of the buckets that differ, as far as they fit into a datagram.
+/// Entries of the differing buckets, as many as fit into a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// Whose list it is.
-    pub by: Identity,
-    /// The buckets that are contained whole, one bit each; none if the lists agree.
+    /// Member whose list the entries are from.
+    pub sender: Identity,
+    /// Buckets that are contained completely, one bit each; none if the lists agree.
     pub whole_buckets: u32,
-    /// Whether it replies to a delta, and is not replied to.
+    /// Whether this delta is a reply to another delta; such a delta is not answered.
     pub is_reply: bool,
-    /// The entries.
+    /// Entries of the differing buckets.
     pub entries: Vec<MemberEntry>,
 }
 
-/// Encodes the message that asks another member whether its list is the same.
+/// Encodes the message that sends a digest to another member for comparison.
 #[must_use]
-pub fn digest_payload(by: Identity, digest: &ListDigest) -> Vec<u8> {
+pub fn digest_payload(sender: Identity, digest: &ListDigest) -> Vec<u8> {
     let digest = digest.to_bytes();
-    encode(&DigestMessage { by, digest })
+    encode(&DigestMessage { sender, digest })
 }
 
-/// Compares a received digest with the own list; returns the delta and the sender. `first_bucket`
-/// is contained first: where not all fit, others come the next time.
+/// Compares a received digest with this member's list. Returns the delta and the sender.
+/// `first_bucket` is included first, so that over several exchanges all buckets are sent even if
+/// not all fit into one datagram.
 ///
 /// # Errors
 ///
-/// If the payload is no digest.
+/// If the payload is not a digest.
 pub fn compare_digest(
     payload: &[u8],
-    by: Identity,
+    own: Identity,
     digest: &ListDigest,
     entries: impl Iterator<Item = MemberEntry>,
     first_bucket: usize,
@@ -152,17 +157,20 @@
     let message: DigestMessage = decode(payload)?;
     let differing = digest.differing_buckets(&ListDigest::from_bytes(&message.digest)?);
     let delta = ListDelta {
-        by,
+        sender: own,
         whole_buckets: 0,
         is_reply: false,
         entries: Vec::new(),
     };
-    Ok((delta.filled(differing, entries, first_bucket), message.by))
+    Ok((
+        delta.with_entries(differing, entries, first_bucket),
+        message.sender,
+    ))
 }
 
 impl ListDelta {
-    /// Adds the entries of these buckets, as far as they fit.
-    fn filled(
+    /// Adds the entries of these buckets, as many as fit.
+    fn with_entries(
         mut self,
         buckets: u32,
         entries: impl Iterator<Item = MemberEntry>,
@@ -179,9 +187,9 @@
             }
         }
         let mut budget = PayloadBudget::new(PAYLOAD_MAX - ENTRY_LENGTH_MAX - DELTA_HEADER_MAX);
-        let order = (0..BUCKETS).map(|n| (n + first_bucket) % BUCKETS);
+        let order = (0..BUCKETS).map(|offset| (first_bucket + offset) % BUCKETS);
         for bucket in order.filter(|bucket| buckets & (1 << bucket) != 0) {
-            // Live members come first, should the bucket not fit.
+            // Live members are added first in case the bucket does not fit.
             by_bucket[bucket].sort_by_key(|entry| entry.down);
             for entry in &by_bucket[bucket] {
                 if !budget.push(&mut self.entries, *entry) {
@@ -197,7 +205,7 @@
     ///
     /// # Errors
     ///
-    /// If the payload is no delta.
+    /// If the payload is not a delta.
     pub fn decode(payload: &[u8]) -> Result<Self, PayloadError> {
         decode(payload)
     }
@@ -208,20 +216,20 @@
         encode(self)
     }
 
-    /// Whether both lists are the same.
+    /// Returns whether both lists agree.
     #[must_use]
     pub fn agrees(&self) -> bool {
         self.whole_buckets == 0 && self.entries.is_empty()
     }
 
-    /// What the sender lacks, or knows otherwise, of the own list, in the buckets that are
-    /// contained whole.
+    /// Returns the entries of this member's list that the sender lacks or stores in another
+    /// version, in the buckets that are contained completely. Returns `None` if there are none.
     pub fn reply(
         &self,
-        by: Identity,
+        own: Identity,
         own_entries: impl Iterator<Item = MemberEntry>,
     ) -> Option<ListDelta> {
-        let is_known = |entry: &MemberEntry| {
+        let is_up_to_date = |entry: &MemberEntry| {
             self.entries.iter().any(|other| {
                 (other.id, other.down, other.metadata_checksum)
                     == (entry.id, entry.down, entry.metadata_checksum)
@@ -233,57 +241,57 @@
                 .iter()
                 .any(|other| other.id.address == address && !other.down)
         };
-        // Of dead members only those count that the sender believes alive: tombstones expire at
-        // different times.
+        // A dead member is included only if the sender believes it alive, because tombstones expire
+        // at different times.
         let missing = own_entries.filter(|entry| {
-            !is_known(entry) && (!entry.down || is_believed_alive(entry.id.address))
+            !is_up_to_date(entry) && (!entry.down || is_believed_alive(entry.id.address))
         });
         let reply = ListDelta {
-            by,
+            sender: own,
             whole_buckets: 0,
             is_reply: true,
             entries: Vec::new(),
         };
-        let reply = reply.filled(self.whole_buckets, missing, 0);
+        let reply = reply.with_entries(self.whole_buckets, missing, 0);
         (!reply.entries.is_empty()).then_some(reply)
     }
 }
 
-/// When the next digest is due.
+/// Schedule of digests.
 #[derive(Debug)]
 pub struct AntiEntropySchedule {
-    /// Agreeing replies that are still missing.
+    /// Number of further agreeing replies until the lists are known to agree.
     pending_agreements: u8,
     differing_since: Nanos,
     next: Nanos,
 }
 
 impl AntiEntropySchedule {
-    /// The schedule of a member that has just started: its list is not known to agree.
+    /// Returns the schedule of a member that has just started, whose list is not known to agree.
     #[must_use]
     pub fn new(now: Nanos) -> Self {
         AntiEntropySchedule {
-            pending_agreements: AGREEMENTS,
+            pending_agreements: AGREEMENTS_REQUIRED,
             differing_since: now,
             next: now,
         }
     }
 
-    /// The own list changed, or another one differs.
+    /// Records that this member's list changed or that another list differs.
     pub fn mark_differing(&mut self, now: Nanos) {
         if self.pending_agreements == 0 {
             self.differing_since = now;
             self.next = self.next.min(now + FAST_INTERVAL);
         }
-        self.pending_agreements = AGREEMENTS;
+        self.pending_agreements = AGREEMENTS_REQUIRED;
     }
 
-    /// Another list is the same.
+    /// Records that another list agrees.
     pub fn record_agreement(&mut self) {
         self.pending_agreements = self.pending_agreements.saturating_sub(1);
     }
 
-    /// Whether a digest is due now; schedules the next one.
+    /// Returns whether a digest is due now, and schedules the next one.
     pub fn is_due(&mut self, now: Nanos) -> bool {
         if now < self.next {
             return false;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,66 +1,66 @@
-//! The envelope of each datagram: fleet or region, format version, message kind, payload and
-//! checksum.
+//! Envelope of each datagram: fleet or region, format version, message kind, payload and checksum.
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 2 | the magic number `pf` |
+//! | 2 | magic number `pf` |
 //! | 1 | format version |
 //! | 1 | message kind |
-//! | 8 | scope: xxh3 of the fleet's name, or of fleet and region, little-endian |
+//! | 8 | scope: xxh3 of the fleet name, or of fleet and region, little-endian |
 //! | up to [`PAYLOAD_MAX`] | payload |
-//! | 4 | the low half of xxh3 of all bytes before, little-endian |
+//! | 4 | low 32 bits of the xxh3 of all preceding bytes, little-endian |
 //!
-//! The checksum detects corruption; it is no signature.
+//! The checksum detects corruption only; it is not a signature.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The format's version; datagrams of other versions are dropped.
+/// Format version; datagrams of other versions are dropped.
 pub const VERSION: u8 = 1;
-/// The longest datagram, in bytes: under the least MTU of IPv6, so that none is fragmented.
+/// Maximum length of a datagram, in bytes. It is below the minimum MTU of IPv6, so datagrams are
+/// not fragmented.
 pub const DATAGRAM_MAX: usize = 1_200;
 const HEADER_LENGTH: usize = 12;
 const CHECKSUM_LENGTH: usize = 4;
-/// The longest payload, in bytes.
+/// Maximum length of a payload, in bytes.
 pub const PAYLOAD_MAX: usize = DATAGRAM_MAX - HEADER_LENGTH - CHECKSUM_LENGTH;
 const MAGIC: [u8; 2] = *b"pf";
 
-/// What a payload is; the number goes on the wire.
+/// Kind of message in a payload; the number is written on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// SWIM, read by `foca`.
+    /// SWIM message, decoded by `foca`.
     Swim = 1,
     /// Metadata records.
     MetadataRecords = 2,
-    /// Asks for the metadata records of some members.
+    /// Request for the metadata records of some members.
     MetadataRequest = 3,
-    /// A watcher probes a silent or suspect member.
+    /// Probe from a watcher to a silent or suspect member.
     WatcherProbe = 4,
-    /// A heartbeat for the watchers.
+    /// Heartbeat from a member to its watchers.
     Heartbeat = 5,
-    /// Anti-entropy: the digest of a member list.
+    /// Anti-entropy: digest of a member list.
     MemberListDigest = 6,
     /// Anti-entropy: entries where two member lists differ.
     MemberListDelta = 7,
-    /// Reports of load and shedding level.
+    /// Reports of admission counts and shedding levels.
     LevelReports = 8,
-    /// Anti-entropy between delegates: versions of the announcements that one stores.
+    /// Anti-entropy between delegates: versions of the announcements that the sender stores.
     RegionDigest = 9,
     /// Anti-entropy between delegates: announcements that differ.
     RegionDelta = 10,
-    /// Announcements that are new or were requested.
+    /// Announcements that are new or were requested by the recipient.
     RegionAnnouncements = 11,
-    /// A member that is no delegate names those that are.
+    /// Names of the delegates, sent by a member that is not a delegate.
     RegionReferral = 12,
     /// Parts of the overview of the other regions.
     Overview = 13,
-    /// Anti-entropy: checksums of the overview's parts.
+    /// Anti-entropy: checksums of the parts of the overview.
     OverviewDigest = 14,
 }
 
 impl MessageKind {
-    /// All kinds, by their numbers from 1 on.
+    /// All kinds, in the order of their numbers, which start at 1.
     const ALL: [MessageKind; 14] = [
         MessageKind::Swim,
         MessageKind::MetadataRecords,
@@ -93,67 +93,74 @@
         )
     }
 
-    /// Whether only members with a region read it.
+    /// Returns whether only members with a region read this kind.
     fn needs_regions(self) -> bool {
         self.is_between_regions()
             || matches!(self, MessageKind::Overview | MessageKind::OverviewDigest)
     }
 }
 
-/// The scope numbers by which a member tells its datagrams from those of other fleets and regions.
+/// Scope numbers by which a member distinguishes its datagrams from those of other fleets and
+/// regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EnvelopeScope {
-    /// Of the members that know each other: the region, or the fleet where there are no regions.
-    members: u64,
-    /// Of the whole fleet, where it has regions.
-    fleet: Option<u64>,
+    /// Number of the scope in which members track each other: the region, or the fleet if it has no
+    /// regions.
+    member_scope: u64,
+    /// Number of the whole fleet; set if the fleet has regions.
+    fleet_scope: Option<u64>,
 }
 
 impl EnvelopeScope {
-    /// The scope of a fleet, or of one region of it where `region` is not empty.
+    /// Returns the scope of a fleet, or of one of its regions if `region` is not empty.
     #[must_use]
     pub fn new(fleet: &str, region: &str) -> Self {
         if region.is_empty() {
             return EnvelopeScope {
-                members: fleet_number(fleet),
-                fleet: None,
+                member_scope: scope_number(fleet),
+                fleet_scope: None,
             };
         }
-        // A fleet's name contains no NUL, so the number is no other fleet's.
-        let members = fleet_number(&format!("{fleet}\0{region}"));
+        // Fleet names contain no NUL, so this number does not collide with that of a fleet name.
+        let member_scope = scope_number(&format!("{fleet}\0{region}"));
         EnvelopeScope {
-            members,
-            fleet: Some(fleet_number(fleet)),
+            member_scope,
+            fleet_scope: Some(scope_number(fleet)),
         }
     }
 
-    /// The number on datagrams of a kind; `None` for kinds that are not read without regions.
-    fn of(self, kind: MessageKind) -> Option<u64> {
-        match (kind.needs_regions(), kind.is_between_regions(), self.fleet) {
+    /// Returns the scope number of datagrams of a kind, or `None` for kinds that this member does
+    /// not read because it has no region.
+    fn number_for(self, kind: MessageKind) -> Option<u64> {
+        match (
+            kind.needs_regions(),
+            kind.is_between_regions(),
+            self.fleet_scope,
+        ) {
             (true, _, None) => None,
-            (_, true, Some(fleet)) => Some(fleet),
-            _ => Some(self.members),
+            (_, true, Some(fleet_scope)) => Some(fleet_scope),
+            _ => Some(self.member_scope),
         }
     }
 }
 
-/// Why a datagram is dropped unread.
+/// Reason for dropping a datagram without decoding its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EnvelopeError {
-    /// Not of this protocol, corrupt or too long.
-    #[error("the datagram is corrupt, too long or of another protocol")]
+    /// The datagram is corrupt, too short or too long, or of another protocol.
+    #[error("the datagram is corrupt, has an invalid length, or belongs to another protocol")]
     Corrupt,
-    /// Of another fleet or region.
-    #[error("the datagram is of another fleet or region")]
+    /// The datagram belongs to another fleet or region.
+    #[error("the datagram belongs to another fleet or region")]
     Foreign,
-    /// Of another version of the format, or of an unknown kind.
-    #[error("the datagram is of another format version or of an unknown kind")]
+    /// The datagram has another format version or an unknown message kind.
+    #[error("the datagram has another format version or an unknown message kind")]
     UnsupportedVersion,
 }
 
-/// A fleet's number on the wire.
+/// Returns the scope number of a name on the wire.
 #[must_use]
-pub fn fleet_number(name: &str) -> u64 {
+pub fn scope_number(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
@@ -161,11 +168,11 @@
     (xxh3_64(bytes) as u32).to_le_bytes()
 }
 
-/// Wraps a payload of at most [`PAYLOAD_MAX`] bytes.
+/// Wraps a payload of at most [`PAYLOAD_MAX`] bytes into a datagram.
 #[must_use]
 pub fn seal(scope: EnvelopeScope, kind: MessageKind, payload: &[u8]) -> Vec<u8> {
     debug_assert!(payload.len() <= PAYLOAD_MAX);
-    let scope_number = scope.of(kind).unwrap_or(scope.members);
+    let scope_number = scope.number_for(kind).unwrap_or(scope.member_scope);
     let mut datagram = Vec::with_capacity(HEADER_LENGTH + payload.len() + CHECKSUM_LENGTH);
     datagram.extend(MAGIC);
     datagram.extend([VERSION, kind as u8]);
@@ -176,11 +183,11 @@
     datagram
 }
 
-/// Unwraps a datagram.
+/// Validates a datagram and returns its message kind and payload.
 ///
 /// # Errors
 ///
-/// If the datagram is corrupt, of another fleet, or of a version or kind that is not read.
+/// If the datagram is corrupt, belongs to another fleet, or has another version or an unknown kind.
 pub fn open(scope: EnvelopeScope, datagram: &[u8]) -> Result<(MessageKind, &[u8]), EnvelopeError> {
     let length = HEADER_LENGTH + CHECKSUM_LENGTH..=DATAGRAM_MAX;
     if !length.contains(&datagram.len()) || datagram[..2] != MAGIC {
@@ -195,14 +202,14 @@
     }
     let kind = MessageKind::from_wire(content[3]);
     let scope_number = kind
-        .and_then(|kind| scope.of(kind))
-        .unwrap_or(scope.members);
+        .and_then(|kind| scope.number_for(kind))
+        .unwrap_or(scope.member_scope);
     let foreign = content[4..HEADER_LENGTH] != scope_number.to_le_bytes();
     if foreign && !is_injected(InjectedFault::AcceptsForeignFleets) {
         return Err(EnvelopeError::Foreign);
     }
     let kind = kind
-        .filter(|kind| scope.of(*kind).is_some())
+        .filter(|kind| scope.number_for(*kind).is_some())
         .ok_or(EnvelopeError::UnsupportedVersion)?;
     Ok((kind, &content[HEADER_LENGTH..]))
 }
--- a/crates/membership/src/fault_injection.rs
+++ b/crates/membership/src/fault_injection.rs
@@ -1,58 +1,59 @@
-//! Faults that the testbed's mutation check injects, one at a time: a trial or a test must detect
-//! each. Without the cargo feature `fault-injection` there are none, and the compiler drops every
-//! branch on them.
+//! Faults that the mutation check of the testbed injects, one at a time; a trial or a test must
+//! detect each. Without the cargo feature `fault-injection` no fault is injected, and the compiler
+//! removes every branch on one.
 
-/// An injected fault.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A suspect that learns of its suspicion does not refute it.
+    /// A suspected member that receives its suspicion does not refute it.
     NeverRefutes,
-    /// A restarted member is taken for its former process.
+    /// A member with the older of two generations wins, so that a restarted member is taken for its
+    /// previous process.
     PrefersOlderGeneration,
-    /// A vanished member leaves the share count at once, on either side of a partition.
+    /// A vanished member is removed from the share count at once, on either side of a partition.
     CountsOwnPartitionOnly,
-    /// Neither dead members nor join addresses are announced to again.
+    /// Dead members are never announced to, and join addresses only until another member is known.
     NeverContactsDeadMembers,
-    /// A member that stalled trusts its expired timers.
+    /// A member that stalled acts on the timers that expired during the stall.
     IgnoresOwnStall,
-    /// A member that hears nobody suspects everybody.
+    /// An isolated member suspects all other members.
     SuspectsWhileIsolated,
-    /// A suspect is confirmed dead without a probe by its watchers.
+    /// A suspect is confirmed dead without being probed by its watchers.
     SkipsFinalProbe,
-    /// Datagrams of other fleets are read.
+    /// Datagrams of other fleets are accepted.
     AcceptsForeignFleets,
     /// A leave is not broadcast.
     LeavesSilently,
-    /// Metadata records are broadcast, but neither requested nor repeated.
+    /// Metadata records are broadcast, but neither requested nor sent in rotation.
     GossipsRecordsOnce,
     /// Member lists are not compared.
     SkipsAntiEntropy,
     /// The shedding level is not reported.
     WithholdsShedLevel,
-    /// The shedding level never falls.
+    /// The shedding level is never lowered.
     NeverLowersShedLevel,
-    /// Level reports never expire.
+    /// Level reports do not expire.
     AcceptsExpiredReports,
     /// The shedding level rises through all tiers at once.
     ShedsAllTiersAtOnce,
     /// The places of a silent region are dropped at once.
     DropsSilentRegionsImmediately,
-    /// The first delegates stay, dead or alive.
+    /// The first selected delegates are kept even if they die.
     NeverReplacesDelegates,
-    /// Delegates do not exchange what the other lacks.
+    /// Delegates do not exchange the announcements that the other lacks.
     SkipsRegionAntiEntropy,
     /// An older announcement replaces a newer one.
     AcceptsOlderAnnouncements,
-    /// The figures of an announcement are not validated.
+    /// The values of an announcement are not validated.
     AcceptsInvalidAnnouncements,
-    /// Members neither pass the overview on nor compare it.
+    /// Members neither forward the overview nor compare it.
     WithholdsOverview,
-    /// A member that learns of delegates of its own region does not join them.
+    /// A member that receives delegates of its own region does not join them.
     IgnoresReferrals,
 }
 
 impl InjectedFault {
-    /// All faults, each with the name by which the testbed injects it.
+    /// All faults, each with the name that selects it in the testbed.
     pub const ALL: [(InjectedFault, &'static str); 22] = [
         (InjectedFault::NeverRefutes, "forgets-refutation"),
         (
@@ -115,7 +116,8 @@
     ];
 }
 
-/// Whether this fault is injected into this process; `PIPITRUN_PLANTED` names it.
+/// Returns whether this fault is injected into this process; the environment variable
+/// `PIPITRUN_PLANTED` selects it by name.
 #[cfg(feature = "fault-injection")]
 #[must_use]
 pub fn is_injected(fault: InjectedFault) -> bool {
@@ -130,7 +132,7 @@
     *INJECTED.get_or_init(read_environment) == Some(fault)
 }
 
-/// No fault is injected.
+/// Returns false: without the feature no fault is injected.
 #[cfg(not(feature = "fault-injection"))]
 #[inline(always)]
 #[must_use]
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -1,11 +1,11 @@
-//! Heartbeats between members and a few watchers each.
+//! Heartbeats from each member to a few watchers.
 //!
-//! SWIM's random probes find a death in a time that is short in the mean but has no bound. So each
-//! member also has [`WATCHERS`] watchers, drawn by rendezvous hashing over the live members: all
-//! members compute the same ones, and a death moves few. A member sends its watchers heartbeats. A
-//! watcher that hears nothing probes, and after [`SUSPECT_AFTER`] of silence broadcasts a suspicion
-//! ([`crate::suspicion`]). The datagrams of a member are as many in a small fleet as in a large
-//! one.
+//! The random probes of SWIM detect a death quickly on average, but without an upper bound. Each
+//! member therefore has [`WATCHER_COUNT`] watchers, selected by rendezvous hashing over the live
+//! members: all members compute the same watchers, and a death changes few of them. A member sends
+//! heartbeats to its watchers. A watcher that receives nothing probes the member, and broadcasts a
+//! suspicion after a silence of [`SUSPECT_AFTER`] ([`crate::suspicion`]). The number of datagrams
+//! per member does not grow with the fleet.
 
 use crate::local_health::SuspicionPolicy;
 use crate::{MS, Nanos};
@@ -13,66 +13,73 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many members watch one.
-pub const WATCHERS: usize = 5;
-/// A watcher keeps watching while it ranks among this many: with lossy links members are suspect
-/// now and then, and the draw without them would change back and forth.
-const RETAINED_RANKS: usize = WATCHERS + 3;
-/// How often a member sends its watchers a heartbeat.
+/// Number of watchers of each member.
+pub const WATCHER_COUNT: usize = 5;
+/// Number of ranks within which a watcher keeps watching. With lossy links members are briefly
+/// suspect and left out of the selection; without this margin the watchers would change back and
+/// forth.
+const RETAINED_RANKS: usize = WATCHER_COUNT + 3;
+/// Interval between heartbeats to a watcher.
 pub const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
-/// After this much silence a watcher probes.
+/// Silence after which a watcher probes.
 const PROBE_AFTER: Nanos = 500 * MS;
-/// How often a silent member is probed by each of its watchers.
+/// Interval between probes of a silent member by each of its watchers.
 pub const PROBE_INTERVAL: Nanos = 100 * MS;
-/// After this much silence, in spite of probes, a watcher suspects.
+/// Silence, in spite of probes, after which a watcher suspects the member.
 pub const SUSPECT_AFTER: Nanos = 900 * MS;
-/// Watchers are drawn at most this often: a draw takes a step for each pair of members.
-const DRAW_INTERVAL: Nanos = 300 * MS;
+/// Minimum interval between selections of watchers; a selection takes one step for each pair of
+/// members.
+const SELECTION_INTERVAL_MIN: Nanos = 300 * MS;
 
-/// The number of a member in the draw; independent of its generation, so that a returning member
-/// watches as before.
-fn draw_number(address: SocketAddr) -> u64 {
+/// Returns the hash of a member for rendezvous hashing. It does not depend on the generation, so
+/// that a restarted member keeps its watchers and the members it watches.
+fn address_hash(address: SocketAddr) -> u64 {
     xxh3_64(address.to_string().as_bytes())
 }
 
-/// The weight of a member as a watcher of another; those with the greatest weights watch.
-fn weight(watcher: u64, watched: u64) -> u64 {
+/// Returns the rendezvous weight of a member as a watcher of another; the members with the greatest
+/// weights are selected.
+fn rendezvous_weight(watcher: u64, watched: u64) -> u64 {
     let mixed = (watcher ^ watched.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// The indices in `candidates` of the members that `own` watches, or would watch, among these live
-/// members.
+/// Returns the indices in `candidates` of the members that `own` watches, or would watch if they
+/// were alive, given these live members.
 #[must_use]
-pub fn drawn_for(candidates: &[SocketAddr], own: SocketAddr, alive: &[SocketAddr]) -> Vec<usize> {
-    let own = draw_number(own);
-    let others: Vec<u64> = alive.iter().copied().map(draw_number).collect();
-    let is_drawn = |watched: u64| {
-        let own_weight = weight(own, watched);
+pub fn watched_among(
+    candidates: &[SocketAddr],
+    own: SocketAddr,
+    alive: &[SocketAddr],
+) -> Vec<usize> {
+    let own_hash = address_hash(own);
+    let others: Vec<u64> = alive.iter().copied().map(address_hash).collect();
+    let is_watched = |watched: u64| {
+        let own_weight = rendezvous_weight(own_hash, watched);
         let heavier = others
             .iter()
-            .filter(|other| weight(**other, watched) > own_weight);
-        heavier.take(WATCHERS).count() < WATCHERS
+            .filter(|other| rendezvous_weight(**other, watched) > own_weight);
+        heavier.take(WATCHER_COUNT).count() < WATCHER_COUNT
     };
     (0..candidates.len())
-        .filter(|index| is_drawn(draw_number(candidates[*index])))
+        .filter(|index| is_watched(address_hash(candidates[*index])))
         .collect()
 }
 
 struct WatchedMember {
-    /// Silence counts from here at the earliest.
+    /// Time from which silence is counted at the earliest.
     silent_since: Nanos,
     next_probe: Nanos,
     suspected: bool,
 }
 
-/// Whom one member watches, and who watches it.
+/// Heartbeat state of one member: its watchers and the members it watches.
 pub struct HeartbeatMonitor {
     own: SocketAddr,
     alive: Vec<SocketAddr>,
     watchers: Vec<SocketAddr>,
     watched: BTreeMap<SocketAddr, WatchedMember>,
-    last_draw: Nanos,
+    last_selection: Nanos,
     next_heartbeat: Nanos,
 }
 
@@ -88,7 +95,7 @@
 }
 
 impl HeartbeatMonitor {
-    /// The monitor of the member at `own`, which knows no others.
+    /// Creates the monitor of the member at `own`, without any other members.
     #[must_use]
     pub fn new(own: SocketAddr) -> Self {
         HeartbeatMonitor {
@@ -96,57 +103,59 @@
             alive: Vec::new(),
             watchers: Vec::new(),
             watched: BTreeMap::new(),
-            last_draw: 0,
+            last_selection: 0,
             next_heartbeat: 0,
         }
     }
 
-    /// Draws the watchers again if the live members have changed. `alive` are the others that are
-    /// not suspect, sorted.
-    pub fn draw(
+    /// Selects watchers and watched members again if the live members have changed. `alive` are the
+    /// other members that are not suspect, sorted.
+    pub fn update_selection(
         &mut self,
         now: Nanos,
         alive: &[SocketAddr],
         is_suspect: impl Fn(SocketAddr) -> bool,
     ) {
-        let recent = now.saturating_sub(self.last_draw) < DRAW_INTERVAL && !self.alive.is_empty();
-        if alive == self.alive || recent {
+        let too_early = now.saturating_sub(self.last_selection) < SELECTION_INTERVAL_MIN
+            && !self.alive.is_empty();
+        if alive == self.alive || too_early {
             return;
         }
-        self.last_draw = now;
+        self.last_selection = now;
         self.alive = alive.to_vec();
-        let numbers: Vec<u64> = alive.iter().copied().map(draw_number).collect();
-        self.draw_watchers(&numbers);
-        // Suspects stay watched until confirmed or refuted. Silence that was counted is kept, or
-        // each draw during a mass death would delay the other suspicions.
+        let numbers: Vec<u64> = alive.iter().copied().map(address_hash).collect();
+        self.select_watchers(&numbers);
+        // Suspects stay watched until they are confirmed dead or refute. The counted silence is
+        // kept; otherwise each selection during a mass death would delay the remaining suspicions.
         self.watched
             .retain(|address, _| is_suspect(*address) || alive.binary_search(address).is_ok());
-        self.draw_watched(now, &numbers);
+        self.select_watched(now, &numbers);
     }
 
-    fn draw_watchers(&mut self, numbers: &[u64]) {
-        let own = draw_number(self.own);
+    fn select_watchers(&mut self, numbers: &[u64]) {
+        let own_hash = address_hash(self.own);
         let mut ranked: Vec<(u64, SocketAddr)> = numbers
             .iter()
             .zip(&self.alive)
-            .map(|(number, address)| (weight(*number, own), *address))
+            .map(|(number, address)| (rendezvous_weight(*number, own_hash), *address))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         let addresses = ranked.into_iter().map(|(_, address)| address);
-        self.watchers = addresses.take(WATCHERS).collect();
+        self.watchers = addresses.take(WATCHER_COUNT).collect();
     }
 
-    fn draw_watched(&mut self, now: Nanos, numbers: &[u64]) {
-        let own = draw_number(self.own);
+    fn select_watched(&mut self, now: Nanos, numbers: &[u64]) {
+        let own_hash = address_hash(self.own);
         for (index, address) in self.alive.iter().enumerate() {
-            let own_weight = weight(own, numbers[index]);
+            let own_weight = rendezvous_weight(own_hash, numbers[index]);
             let is_heavier = |(other, number): &(usize, &u64)| {
-                *other != index && weight(**number, numbers[index]) > own_weight
+                *other != index && rendezvous_weight(**number, numbers[index]) > own_weight
             };
             let heavier = numbers.iter().enumerate().filter(is_heavier);
             let rank = heavier.take(RETAINED_RANKS).count();
-            if rank < WATCHERS {
-                // Its former watchers may have died with others: it is probed at once.
+            if rank < WATCHER_COUNT {
+                // Its previous watchers may have died together with others, so it is probed at
+                // once.
                 self.watched.entry(*address).or_insert(WatchedMember {
                     silent_since: now.saturating_sub(PROBE_AFTER),
                     next_probe: now,
@@ -158,13 +167,13 @@
         }
     }
 
-    /// Whether this member watches that one.
+    /// Returns whether this member watches the member at `address`.
     #[must_use]
     pub fn watches(&self, address: SocketAddr) -> bool {
         self.watched.contains_key(&address)
     }
 
-    /// Silence counts from now on: this member itself stalled or was isolated.
+    /// Restarts the counting of silence after a stall or isolation of this member.
     pub fn restart(&mut self, now: Nanos) {
         for watched in self.watched.values_mut() {
             watched.silent_since = now;
@@ -172,12 +181,13 @@
         }
     }
 
-    /// The actions that are due. `last_heard` tells when a member was last heard directly.
+    /// Returns the actions that are due. `last_received` returns the time of the last datagram
+    /// received directly from a member.
     pub fn due(
         &mut self,
         now: Nanos,
         policy: SuspicionPolicy,
-        last_heard: impl Fn(SocketAddr) -> Nanos,
+        last_received: impl Fn(SocketAddr) -> Nanos,
     ) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         if now >= self.next_heartbeat {
@@ -190,7 +200,7 @@
             );
         }
         for (address, watched) in &mut self.watched {
-            let silence = now.saturating_sub(watched.silent_since.max(last_heard(*address)));
+            let silence = now.saturating_sub(watched.silent_since.max(last_received(*address)));
             if silence < PROBE_AFTER {
                 watched.suspected = false;
                 continue;
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a member is, and how a restarted member is told from its former processes.
+//! Identity of a member, and the distinction between a restarted member and its previous processes.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use serde::{Deserialize, Serialize};
@@ -7,19 +7,19 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A member: the address it is reached at, and its generation.
+/// Address and generation of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Where the others send datagrams.
+    /// Address to which other members send datagrams.
     pub address: SocketAddr,
-    /// Unix time in milliseconds of its start, raised by one with each rejoin after a false death;
-    /// the greater wins.
+    /// Unix time in milliseconds at which the member started, incremented by one with each rejoin
+    /// after a false death. Of two identities with the same address the greater generation wins.
     pub generation: u64,
 }
 
 impl Identity {
-    /// The identity by which a member of unknown generation is announced to.
-    pub(crate) fn of_unknown_generation(address: SocketAddr) -> Self {
+    /// Returns an identity to announce to when only the address of a member is tracked.
+    pub(crate) fn with_unknown_generation(address: SocketAddr) -> Self {
         Identity {
             address,
             generation: 0,
@@ -49,9 +49,9 @@
     }
 }
 
-/// The greatest generation that anybody reported for the own address. It exceeds the own generation
-/// where the clock was stepped back between two starts; rejoining by steps of one would then take
-/// as many rejoins as milliseconds.
+/// The greatest generation reported by any member for this member's address. It exceeds the
+/// member's own generation if the clock was stepped back between two starts; rejoining in steps of
+/// one would then take one rejoin per millisecond of the step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedGeneration(Rc<Cell<u64>>);
 
@@ -65,16 +65,16 @@
     }
 }
 
-/// The addresses of the membership, of bounded number. Entries of others are ignored once it is
-/// full.
+/// Addresses of the tracked members, bounded in number. Once the set is full, updates about further
+/// addresses are ignored.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct KnownAddresses(Rc<RefCell<BTreeSet<SocketAddr>>>);
+pub(crate) struct TrackedAddresses(Rc<RefCell<BTreeSet<SocketAddr>>>);
 
-impl KnownAddresses {
+impl TrackedAddresses {
     pub(crate) fn replace(&self, addresses: impl Iterator<Item = SocketAddr>) {
-        let mut known = self.0.borrow_mut();
-        known.clear();
-        known.extend(addresses);
+        let mut tracked = self.0.borrow_mut();
+        tracked.clear();
+        tracked.extend(addresses);
     }
 
     pub(crate) fn insert(&self, address: SocketAddr) {
@@ -85,26 +85,26 @@
         self.0.borrow_mut().remove(&address);
     }
 
-    /// Adds an address if it is known or there is capacity; whether it is known then.
+    /// Adds an address if the set has capacity. Returns whether the address is tracked afterwards.
     #[must_use]
     pub(crate) fn admit(&self, address: SocketAddr, capacity: usize) -> bool {
-        let mut known = self.0.borrow_mut();
-        let admitted = known.contains(&address) || known.len() < capacity;
+        let mut tracked = self.0.borrow_mut();
+        let admitted = tracked.contains(&address) || tracked.len() < capacity;
         if admitted {
-            known.insert(address);
+            tracked.insert(address);
         }
         admitted
     }
 }
 
-/// The `postcard` codec, which also observes the generations reported for the own address and
-/// bounds the membership.
+/// The `postcard` codec, extended to record the generations reported for this member's address and
+/// to limit the number of members.
 pub(crate) struct MembershipCodec {
     own: SocketAddr,
     observed_generation: ObservedGeneration,
-    known_addresses: KnownAddresses,
+    tracked_addresses: TrackedAddresses,
     members_max: usize,
-    /// The sender of the datagram that is decoded.
+    /// Sender of the datagram that is being decoded.
     sender: Option<SocketAddr>,
     inner: foca::PostcardCodec,
 }
@@ -113,13 +113,13 @@
     pub(crate) fn new(
         own: SocketAddr,
         observed_generation: ObservedGeneration,
-        known_addresses: KnownAddresses,
+        tracked_addresses: TrackedAddresses,
         members_max: usize,
     ) -> Self {
         MembershipCodec {
             own,
             observed_generation,
-            known_addresses,
+            tracked_addresses,
             members_max,
             sender: None,
             inner: foca::PostcardCodec,
@@ -179,13 +179,13 @@
                 },
             );
         }
-        if self.known_addresses.admit(id.address, self.members_max) {
+        if self.tracked_addresses.admit(id.address, self.members_max) {
             return Ok(member);
         }
-        // An update of an older generation of the sender has no effect; the other updates of the
-        // datagram count.
+        // The member is replaced by an older generation of the sender, which `foca` ignores, so
+        // that the other updates of the datagram still apply.
         let address = self.sender.unwrap_or(id.address);
-        Ok(foca::Member::alive(Identity::of_unknown_generation(
+        Ok(foca::Member::alive(Identity::with_unknown_generation(
             address,
         )))
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,24 +1,24 @@
-//! The membership of the fleet: which balancers there are, which of them stall, left or died, and
-//! the share count that quotas, limits and budgets are divided by.
+//! Fleet membership: the live balancers, those that stalled, left or died, and the share count, the
+//! number that quotas, limits and budgets are divided by.
 //!
-//! A [`Member`] stands for one balancer. It does no I/O and has no clock: its caller passes
-//! datagrams and the time, and takes datagrams to send, the time of the next tick, and the changes
-//! of its [`View`]. Membership is SWIM (the library `foca`); what this crate adds has a module for
-//! each protocol:
+//! A [`Member`] represents one balancer. It does no I/O and has no clock: the caller passes
+//! received datagrams and the current time, and takes from it the datagrams to send, the time of
+//! the next tick, and the changes of its [`View`]. Membership uses SWIM (the library `foca`). This
+//! crate adds a module for each further protocol:
 //!
-//! - [`envelope`]: the frame of all datagrams, by fleet and format version;
-//! - failure detection: [`heartbeat`]s to watchers, [`suspicion`] timers, [`local_health`] as in
-//!   Lifeguard;
-//! - dissemination: [`metadata`] of bounded size, broadcast and requested by the
-//!   [`metadata_store`];
-//! - [`anti_entropy`] of member lists, for what broadcasts have missed;
+//! - [`envelope`]: the frame of every datagram, which identifies fleet and format version;
+//! - failure detection: [`heartbeat`]s sent to watchers, [`suspicion`] timers, and [`local_health`]
+//!   as in Lifeguard;
+//! - dissemination: [`metadata`] records of bounded size, which the [`metadata_store`] broadcasts
+//!   and requests;
+//! - [`anti_entropy`] of member lists, which repairs updates that broadcasts missed;
 //! - [`shedding`]: one shedding level for the whole fleet;
-//! - [`share_count`]: the share count, through partitions and deaths;
-//! - [`regions`]: the federation of regions, whose members know only summaries of each other's
+//! - [`share_count`]: the share count, which stays bounded during partitions and mass deaths;
+//! - [`regions`]: the federation of regions, in which members store only a summary of each other
 //!   region.
 //!
-//! Times are nanoseconds of the caller's monotonic clock. Nothing is encrypted or signed: the
-//! datagrams belong on a trusted network.
+//! Times are nanoseconds of the caller's monotonic clock. Datagrams are neither encrypted nor
+//! signed, so they must stay on a trusted network.
 #![forbid(unsafe_code)]
 
 pub mod anti_entropy;
@@ -49,8 +49,8 @@
 pub use settings::{MembershipSettings, Timing};
 pub use view::{MemberStatus, MemberView, MembershipEvent, RegionView, View};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// One millisecond.
+/// One millisecond in nanoseconds.
 pub const MS: Nanos = 1_000_000;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,49 +1,51 @@
-//! Local health as in Lifeguard: a member that stalled or is isolated sees others as silent though
-//! the fault is its own. It suspects nobody until it has had time to hear them, and for a while
-//! doubles or triples its timeouts.
+//! Local health as in Lifeguard. A member that stalled or is isolated receives no datagrams
+//! although the other members are alive. It does not suspect others until it has had time to
+//! receive from them, and multiplies its timeouts by two or three for a while.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{MS, Nanos};
 
-/// A tick that comes this much later than scheduled shows that the member itself stalled.
+/// Delay of a tick behind its schedule above which the process counts as stalled.
 pub const STALL_THRESHOLD: Nanos = 300 * MS;
-/// The greatest multiple of a suspicion timeout.
+/// Maximum multiplier of suspicion timeouts.
 const TIMEOUT_MULTIPLIER_MAX: u32 = 3;
-/// The local health score recovers by one step after this long without a stall.
+/// Time without a stall after which the local health score decreases by one.
 const RECOVERY_INTERVAL: Nanos = 2_000 * MS;
-/// A member that hears nobody for this long counts as isolated: before any one member's silence is
-/// a suspicion ([`crate::heartbeat::SUSPECT_AFTER`]).
+/// Time without any datagram after which the member counts as isolated. It is shorter than
+/// [`crate::heartbeat::SUSPECT_AFTER`], so that the silence of a single member does not become a
+/// suspicion first.
 const ISOLATED_AFTER: Nanos = 800 * MS;
-/// After this long the silence counts all the same: the others may be dead.
+/// Time without any datagram after which suspicions are allowed again: the other members may be
+/// dead.
 const ISOLATED_UNTIL: Nanos = 10_000 * MS;
 
-/// How far a member may trust its own judgement now.
+/// Restrictions on suspicions that follow from the local health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionPolicy {
-    /// Multiplies the timeouts of suspicions.
+    /// Multiplier of suspicion timeouts, at least 1.
     pub timeout_multiplier: u64,
-    /// Whether others may be suspected or confirmed dead at all.
+    /// Whether this member may suspect other members or confirm them dead.
     pub may_suspect: bool,
 }
 
-/// One member's local health.
+/// Local health of one member.
 #[derive(Clone, Debug)]
 pub struct LocalHealth {
-    last_heard: Nanos,
+    last_received: Nanos,
     next_tick: Option<Nanos>,
-    /// 0 is healthy.
+    /// Health score; 0 is healthy, and each step adds one to the timeout multiplier.
     score: u32,
     score_changed: Nanos,
-    /// Stalls of this member itself.
+    /// Number of stalls of this process.
     pub stalls: u64,
 }
 
 impl LocalHealth {
-    /// A member that has just started.
+    /// Returns the local health of a member that has just started.
     #[must_use]
     pub fn new(now: Nanos) -> Self {
         LocalHealth {
-            last_heard: now,
+            last_received: now,
             next_tick: None,
             score: 0,
             score_changed: now,
@@ -51,17 +53,18 @@
         }
     }
 
-    /// Begins a tick. True after a stall: nothing that was timed across it counts.
+    /// Begins a tick. Returns true after a stall, in which case no time measured across it may be
+    /// used.
     pub fn begin_tick(&mut self, now: Nanos) -> bool {
-        let late = self
+        let overdue = self
             .next_tick
             .is_some_and(|due| now > due.saturating_add(STALL_THRESHOLD));
-        let stalled = late && !is_injected(InjectedFault::IgnoresOwnStall);
+        let stalled = overdue && !is_injected(InjectedFault::IgnoresOwnStall);
         if stalled {
             self.stalls += 1;
             self.degrade(now);
-            // The silence was this member's own.
-            self.last_heard = now;
+            // Nothing could be received during the stall, so the silence is not counted.
+            self.last_received = now;
         }
         if self.score > 0 && now.saturating_sub(self.score_changed) > RECOVERY_INTERVAL {
             self.score -= 1;
@@ -70,37 +73,37 @@
         stalled
     }
 
-    /// Notes when the next tick is due.
+    /// Records when the next tick is due.
     pub fn schedule_tick(&mut self, due: Nanos) {
         self.next_tick = Some(due);
     }
 
-    /// Notes that any member was heard.
-    pub fn record_heard(&mut self, now: Nanos) {
-        self.last_heard = now;
+    /// Records that a datagram of any member was received.
+    pub fn record_received(&mut self, now: Nanos) {
+        self.last_received = now;
     }
 
-    /// Lowers the trust in the own judgement by one step.
+    /// Increases the health score by one step, up to its maximum.
     pub fn degrade(&mut self, now: Nanos) {
         self.score = (self.score + 1).min(TIMEOUT_MULTIPLIER_MAX - 1);
         self.score_changed = now;
     }
 
-    /// Whether this member may be the one that is cut off: it heard nobody lately, though not for
-    /// so long that all others must be dead.
+    /// Returns whether this member may be isolated: it has recently received nothing from any
+    /// member, but not for long enough to conclude that all others are dead.
     #[must_use]
     pub fn is_isolated(&self, now: Nanos) -> bool {
-        let silence = now.saturating_sub(self.last_heard);
+        let silence = now.saturating_sub(self.last_received);
         (ISOLATED_AFTER..ISOLATED_UNTIL).contains(&silence)
     }
 
-    /// When any member was last heard.
+    /// Returns the time of the last datagram received from any member.
     #[must_use]
-    pub fn last_heard(&self) -> Nanos {
-        self.last_heard
+    pub fn last_received(&self) -> Nanos {
+        self.last_received
     }
 
-    /// By what timeouts suspicions run now, and whether there may be any.
+    /// Returns the current timeout multiplier, and whether suspicions are allowed.
     #[must_use]
     pub fn suspicion_policy(&self, now: Nanos) -> SuspicionPolicy {
         SuspicionPolicy {
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -5,11 +5,11 @@
 #[test]
 fn a_stall_degrades_local_health_for_a_while() {
     let mut health = LocalHealth::new(0);
-    assert!(!health.begin_tick(50 * MS), "nothing was due yet");
+    assert!(!health.begin_tick(50 * MS), "no tick was scheduled yet");
     health.schedule_tick(100 * MS);
     assert!(
         !health.begin_tick(100 * MS + STALL_THRESHOLD),
-        "as late as a busy machine is"
+        "a delay up to the threshold is not a stall"
     );
     health.schedule_tick(500 * MS);
     let now = 501 * MS + STALL_THRESHOLD;
@@ -43,9 +43,9 @@
             && !health.suspicion_policy(ISOLATED_UNTIL - 1).may_suspect
     );
     assert!(health.suspicion_policy(ISOLATED_UNTIL).may_suspect);
-    health.record_heard(2_000 * MS);
+    health.record_received(2_000 * MS);
     assert!(health.suspicion_policy(2_700 * MS).may_suspect);
-    // After a stall the silence was this member's own.
+    // After a stall the silence during it is not counted.
     health.schedule_tick(3_000 * MS);
     health.begin_tick(9_000 * MS);
     assert!(health.suspicion_policy(9_100 * MS).may_suspect);
--- a/crates/membership/src/location.rs
+++ b/crates/membership/src/location.rs
@@ -1,33 +1,34 @@
-//! Where a balancer runs: its region, zone and site. Encoded in the extension of its metadata, so
-//! that versions without regions pass it on unread.
+//! Location of a balancer: its region, zone and site. The location is encoded in the extension of
+//! the metadata, which versions without regions forward without decoding it.
 
 use crate::metadata::EXTENSION_MAX;
 use crate::payload::encode;
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a region, zone or site, in bytes: three of them fit into the extension of
+/// Maximum length of a region, zone or site name, in bytes; three names fit into the extension of
 /// the metadata.
 pub const LOCATION_NAME_MAX: usize = 20;
 
-/// Where a balancer runs; without a region name the whole fleet is one region.
+/// Location of a balancer; without a region name the whole fleet is one region.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
-    /// The region: its members know each other, and members of other regions only its summary.
+    /// Region name. Members track each other within a region, and store only a summary of other
+    /// regions.
     pub region: String,
-    /// The zone within the region; may be empty.
+    /// Zone within the region; may be empty.
     pub zone: String,
-    /// The site within the zone; may be empty.
+    /// Site within the zone; may be empty.
     pub site: String,
 }
 
 impl Location {
-    /// Whether no region is named.
+    /// Returns whether no region is configured.
     #[must_use]
     pub fn is_none(&self) -> bool {
         self.region.is_empty()
     }
 
-    /// The extension of the metadata; empty without a region.
+    /// Encodes the location as the extension of the metadata; empty without a region.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         if self.is_none() {
@@ -38,8 +39,8 @@
         bytes
     }
 
-    /// Decodes the extension of metadata; `None` where it contains no location, or one that is too
-    /// long.
+    /// Decodes the extension of the metadata. Returns `None` if it contains no location, or a name
+    /// longer than [`LOCATION_NAME_MAX`].
     #[must_use]
     pub fn decode(extension: &[u8]) -> Option<Self> {
         let (location, rest): (Location, _) = postcard::take_from_bytes(extension).ok()?;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,5 @@
-//! One member: dispatches datagrams and ticks to its protocols, each of which owns its state.
+//! One member of the fleet. It dispatches datagrams and ticks to its protocols, each of which owns
+//! its state.
 
 mod anti_entropy;
 mod context;
@@ -37,7 +38,7 @@
 use dissemination::MetadataGossip;
 use failure_detection::FailureDetector;
 use federation::{Federation, OwnRegion};
-use membership_table::{MembershipTable, Sources, UpdateScope};
+use membership_table::{MembershipTable, UpdateScope, UpdateSources};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use send_budget::SendBudget;
@@ -45,9 +46,9 @@
 use std::net::SocketAddr;
 use swim::SwimProtocol;
 
-/// The longest time between two ticks.
+/// Maximum interval between two ticks.
 const TICK_INTERVAL_MAX: Nanos = 50 * MS;
-/// The view is stale after this long without a datagram of any member.
+/// Time without a datagram of any member after which the view is stale.
 const STALE_AFTER: Nanos = 10_000 * MS;
 
 /// One member of a fleet.
@@ -59,11 +60,11 @@
     metadata: MetadataGossip,
     anti_entropy: AntiEntropy,
     shedding: SheddingGossip,
-    /// Where the fleet has regions.
+    /// Present if the fleet has regions.
     federation: Option<Federation>,
     table: MembershipTable,
     share_counter: ShareCounter,
-    /// The share count of the whole fleet.
+    /// Share count of the whole fleet.
     share_count: usize,
     next_tick: Nanos,
     started: Nanos,
@@ -71,8 +72,8 @@
 }
 
 impl Member {
-    /// A member that starts at `now`. `unix_ms`, the Unix time in milliseconds, is its first
-    /// generation. Names in `metadata` that are too long are truncated.
+    /// Creates a member that starts at `now`. `unix_ms`, the Unix time in milliseconds, is its
+    /// first generation. Names in `metadata` that exceed their maximum length are truncated.
     #[must_use]
     pub fn new(
         settings: MembershipSettings,
@@ -117,84 +118,85 @@
         }
     }
 
-    /// Its identity now.
+    /// Returns the current identity of the member.
     #[must_use]
     pub fn id(&self) -> Identity {
         self.swim.id()
     }
 
-    /// The metadata that it publishes.
+    /// Returns the metadata that the member publishes.
     #[must_use]
     pub fn metadata(&self) -> &MemberMetadata {
         self.metadata.own()
     }
 
-    /// The fleet's name.
+    /// Returns the name of the fleet.
     #[must_use]
     pub fn fleet_name(&self) -> &str {
         &self.settings.fleet
     }
 
-    /// Where this balancer runs.
+    /// Returns the region, zone and site of this balancer.
     #[must_use]
     pub fn location(&self) -> &Location {
         &self.settings.location
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn statistics(&self) -> MemberStatistics {
         let detector = &self.failure_detector;
         MemberStatistics {
-            suspicions: detector.suspicions.begun,
+            suspicions: detector.suspicions.started,
             confirmed_dead: detector.suspicions.confirmed_dead,
             stalls: detector.health.stalls,
             ..self.context.statistics
         }
     }
 
-    /// When the next [`Member::tick`] is due.
+    /// Returns when the next [`Member::tick`] is due.
     #[must_use]
     pub fn next_tick(&self) -> Nanos {
         self.next_tick
     }
 
-    /// The datagrams to send since the last call.
+    /// Returns the datagrams to send since the last call, each with its destination.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.context.datagrams)
     }
 
-    /// The changes of the view since the last call.
+    /// Returns the changes of the view since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.context.events)
     }
 
-    /// The other members as it sees them, by address.
+    /// Returns the other members as this member sees them, by address.
     pub fn members(&self) -> impl Iterator<Item = &MemberView> {
         self.table.members()
     }
 
-    /// The delegates of the own region, the leader first; empty where there are no regions.
+    /// Returns the delegates of this member's region, the leader first; empty if the fleet has no
+    /// regions.
     #[must_use]
     pub fn delegates(&self) -> &[SocketAddr] {
         self.federation.as_ref().map_or(&[], Federation::delegates)
     }
 
-    /// The other regions by the overview, and since when a silent one has been silent.
+    /// Returns the status of each other region, and for a silent region the start of its silence.
     pub fn other_regions(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         self.federation.iter().flat_map(Federation::other_regions)
     }
 
-    /// Announcements that were dropped, and parts of the overview that were unsound.
+    /// Returns the numbers of dropped announcements, and the number of invalid overview parts.
     #[must_use]
     pub fn regions_dropped(&self) -> (DroppedAnnouncements, u64) {
         let federation = self.federation.as_ref();
         federation.map_or_else(Default::default, |federation| {
-            (federation.dropped(), federation.unsound_parts())
+            (federation.dropped(), federation.invalid_parts())
         })
     }
 
-    /// The number of announcements that it stores as a delegate.
+    /// Returns the number of announcements that this member stores as a delegate.
     #[must_use]
     pub fn announcement_count(&self) -> usize {
         self.federation
@@ -202,35 +204,35 @@
             .map_or(0, Federation::announcements)
     }
 
-    /// Its view of the fleet.
+    /// Returns the member's view of the fleet.
     #[must_use]
     pub fn view(&self) -> View {
         let regions = self.other_regions().map(|(row, silent_since)| RegionView {
             status: row.clone(),
             silent_since,
         });
-        let places_elsewhere = self.other_regions().map(|(row, _)| row.places as usize);
+        let places_in_other_regions = self.other_regions().map(|(row, _)| row.places as usize);
         View {
             members: self.table.members().cloned().collect(),
             regions: regions.collect(),
             delegates: self.delegates().to_vec(),
             share_count: self.share_count,
             alive: self.alive(),
-            places: self.share_counter.places() + places_elsewhere.sum::<usize>(),
+            places: self.share_counter.places() + places_in_other_regions.sum::<usize>(),
             isolated: self.is_isolated(),
         }
     }
 
-    /// Live members in all reachable regions, this one included.
+    /// Returns the number of live members in all reachable regions, this one included.
     fn alive(&self) -> usize {
         let reachable = self
             .other_regions()
             .filter(|(_, silent_since)| silent_since.is_none());
-        let elsewhere = reachable.map(|(row, _)| row.alive as usize);
-        self.share_counter.alive() + elsewhere.sum::<usize>()
+        let alive_in_other_regions = reachable.map(|(row, _)| row.alive as usize);
+        self.share_counter.alive() + alive_in_other_regions.sum::<usize>()
     }
 
-    /// The size of the own region, as this member counts it.
+    /// Returns the size of this member's region, as this member counts it.
     fn own_region_size(&self) -> RegionSize {
         let alive = self.share_counter.alive();
         RegionSize {
@@ -243,18 +245,19 @@
         self.swim.alive() > 0 && self.failure_detector.health.is_isolated(self.context.now)
     }
 
-    /// The number that shares are divided by. Before any other member is known it is the configured
-    /// number; while this member is new, or hears nobody, at least that: the fleet may be larger
-    /// than what it has met.
+    /// Returns the number that quotas, limits and budgets are divided by. It is the configured
+    /// number until another member is known. While this member is new, or receives no datagrams, it
+    /// is at least the configured number, because the fleet may be larger than the part of it that
+    /// this member knows.
     #[must_use]
     pub fn share_count(&self) -> usize {
         let configured = self.settings.configured_balancers.max(1);
-        if !self.swim.has_met() {
+        if !self.swim.has_joined() {
             return configured;
         }
         let now = self.context.now;
         let is_new = now.saturating_sub(self.started) < self.settings.timing.share_retention;
-        let silence = now.saturating_sub(self.failure_detector.health.last_heard());
+        let silence = now.saturating_sub(self.failure_detector.health.last_received());
         if is_new || silence > STALE_AFTER {
             self.share_count.max(configured)
         } else {
@@ -262,34 +265,34 @@
         }
     }
 
-    /// Enables shared shedding; `tiers` is how many tiers `routing` has.
+    /// Enables shared shedding; `tiers` is the number of shedding tiers of `routing`.
     pub fn enable_shared_shedding(&mut self, tiers: usize) {
         self.shedding
             .enable(tiers, self.swim.id(), self.context.now);
     }
 
-    /// Adds counts of admitted requests and of those rejected for capacity.
+    /// Adds the numbers of admitted requests and of requests rejected for lack of capacity.
     pub fn add_admission_counts(&mut self, counts: AdmissionCounts) {
         if let Some(shared) = &mut self.shedding.shared {
             shared.add_counts(counts);
         }
     }
 
-    /// The shedding level; 0 where nothing is shed or shared shedding is not enabled.
+    /// Returns the shedding level; 0 if nothing is shed or shared shedding is disabled.
     #[must_use]
     pub fn shedding_level(&self) -> f64 {
         let shared = self.shedding.shared.as_ref();
         shared.map_or(0.0, SharedShedding::level)
     }
 
-    /// Changes the metadata that it publishes.
+    /// Changes the metadata that the member publishes.
     pub fn update_metadata(&mut self, change: impl FnOnce(&mut MemberMetadata)) {
         self.metadata.update(&self.swim, change);
     }
 
-    /// Takes over what `foca` asked for: a new generation is published, and an earlier tick is
-    /// scheduled.
-    fn after_swim(&mut self) {
+    /// Applies what `foca` requested: publishes the metadata under a new generation, and schedules
+    /// an earlier tick.
+    fn apply_swim_results(&mut self) {
         for _ in 0..self.swim.take_rejoins() {
             self.metadata.publish(&self.swim);
         }
@@ -298,7 +301,7 @@
         }
     }
 
-    /// Does what is due, and schedules the next tick.
+    /// Performs all actions that are due, and schedules the next tick.
     pub fn tick(&mut self, now: Nanos) {
         let now = self.context.now.max(now);
         self.context.now = now;
@@ -319,13 +322,13 @@
         self.anti_entropy.tick(&mut self.context, &self.swim);
         self.shedding
             .tick(&mut self.context, &self.swim, &self.table);
-        self.after_swim();
+        self.apply_swim_results();
         let next_due = self.swim.next_due();
         self.next_tick = next_due.clamp(now + MS, now + TICK_INTERVAL_MAX);
         self.failure_detector.health.schedule_tick(self.next_tick);
     }
 
-    /// SWIM, failure detection and joins.
+    /// Runs SWIM, failure detection and joins.
     fn tick_membership(&mut self) {
         let Member { context, swim, .. } = self;
         swim.handle_timers(context);
@@ -334,16 +337,17 @@
         swim.join(context, |address| {
             federation.is_some_and(|federation| federation.is_foreign_join_address(address))
         });
-        swim.announce_to_drawn_dead(context);
+        swim.announce_to_assigned_dead(context);
         swim.gossip_early(context);
-        self.after_swim();
+        self.apply_swim_results();
     }
 
-    /// Takes over changes of membership and metadata into the table, and what depends on it.
+    /// Updates the table from changes of membership and metadata, and then the state that depends
+    /// on it.
     fn update_table(&mut self) {
-        self.swim.update_has_met();
+        self.swim.update_has_joined();
         self.swim.refreshed_roster();
-        let scope = self.table.update(Sources {
+        let scope = self.table.update(UpdateSources {
             now: self.context.now,
             swim: &self.swim,
             metadata: &mut self.metadata.store,
@@ -356,7 +360,7 @@
         }
         if scope == UpdateScope::Full {
             let table = &self.table;
-            self.swim.update_known(table.dead());
+            self.swim.update_tracked(table.dead());
             self.failure_detector
                 .retain(|address| table.contains(address));
             let own_address = self.settings.address;
@@ -381,7 +385,7 @@
         }
     }
 
-    /// Counts the balancers of the whole fleet.
+    /// Counts the balancers of the whole fleet, and reports a change.
     fn update_share_count(&mut self) {
         let size = self.own_region_size();
         let previous = self.share_count;
@@ -399,8 +403,8 @@
         }
     }
 
-    /// Leaves the fleet gracefully. The member reads nothing from then on; its last datagrams are
-    /// to be sent.
+    /// Leaves the fleet gracefully. The member ignores datagrams from then on; the caller must
+    /// still send the last datagrams of [`Member::take_datagrams`].
     pub fn leave(&mut self, now: Nanos) {
         self.context.now = self.context.now.max(now);
         if self.has_left {
@@ -413,6 +417,6 @@
         self.update_metadata(|metadata| metadata.phase = ServingPhase::Leaving);
         self.metadata.broadcast_leave(&mut self.context, &self.swim);
         self.swim.leave(&mut self.context);
-        self.after_swim();
+        self.apply_swim_results();
     }
 }
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -15,18 +15,19 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// A member that was heard directly within this span is alive, whatever a delta says.
+/// Age of the last datagram from a member up to which the member counts as alive, even if a delta
+/// reports its death.
 const RECENT_CONTACT: Nanos = 1_000 * crate::MS;
-/// The most requests for metadata records after one delta.
+/// Maximum number of requests for metadata records after one delta.
 const REQUESTS_MAX: usize = 2;
 
-/// The digest of the own member list, and when it is sent.
+/// Digest of this member's list, and the schedule for sending it.
 pub(super) struct AntiEntropy {
     digest: ListDigest,
     pub(super) schedule: AntiEntropySchedule,
 }
 
-/// All others as this member knows them, and itself.
+/// Returns the list entries of all other members and of this member.
 fn local_entries(
     swim: &SwimProtocol,
     metadata: &MetadataStore,
@@ -61,7 +62,7 @@
         swim: &SwimProtocol,
         metadata: &MetadataStore,
     ) {
-        let digest = ListDigest::of(local_entries(swim, metadata));
+        let digest = ListDigest::from_entries(local_entries(swim, metadata));
         if digest != self.digest {
             self.digest = digest;
             self.schedule.mark_differing(now);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Answers another member's digest by the entries that differ.
+    /// Answers another member's digest with the entries that differ.
     pub(super) fn receive_digest(
         &mut self,
         context: &mut Context,
@@ -93,10 +94,11 @@
     ) -> Result<(), PayloadError> {
         let first_bucket = context.rng.random_range(0..BUCKETS);
         let entries = local_entries(swim, metadata);
-        let (delta, by) = compare_digest(payload, swim.id(), &self.digest, entries, first_bucket)?;
-        // A sender that is not alive here gets no entries: it learns by SWIM that it was declared
-        // dead.
-        if !swim.is_alive_as(&by) || !delta.agrees() && !context.may_send() {
+        let (delta, sender) =
+            compare_digest(payload, swim.id(), &self.digest, entries, first_bucket)?;
+        // A sender that is not alive in this member's list receives no entries; SWIM notifies it
+        // that it was declared dead.
+        if !swim.is_alive_as(&sender) || !delta.agrees() && !context.may_send() {
             return Ok(());
         }
         if !delta.agrees() {
@@ -108,14 +110,15 @@
 }
 
 impl Member {
-    /// Applies what is later in another member's delta, and replies with what that member lacks.
+    /// Applies the later entries of another member's delta, and replies with the entries that the
+    /// sender lacks.
     pub(super) fn receive_list_delta(
         &mut self,
         from: SocketAddr,
         payload: &[u8],
     ) -> Result<(), PayloadError> {
         let delta = ListDelta::decode(payload)?;
-        if !self.swim.is_alive_as(&delta.by) {
+        if !self.swim.is_alive_as(&delta.sender) {
             return Ok(());
         }
         if delta.agrees() {
@@ -136,7 +139,7 @@
         let mut updates = Vec::new();
         let mut missing_metadata = Vec::new();
         for entry in delta.entries.iter().filter(|entry| self.admits(entry)) {
-            if self.misses_metadata_of(entry) {
+            if self.lacks_metadata_of(entry) {
                 missing_metadata.push(entry.id.address);
             }
             if let Some(state) = self.accepted_state(entry) {
@@ -152,8 +155,8 @@
         Ok(())
     }
 
-    /// Whether an entry counts here: not the death of an unknown member, nor a member beyond the
-    /// capacity.
+    /// Returns whether an entry may be applied. The death of an untracked member, and members
+    /// beyond the capacity, are ignored.
     fn admits(&self, entry: &MemberEntry) -> bool {
         let address = entry.id.address;
         if address == self.swim.id().address {
@@ -164,15 +167,15 @@
         !is_unknown_death && self.swim.admit(address)
     }
 
-    fn misses_metadata_of(&self, entry: &MemberEntry) -> bool {
+    fn lacks_metadata_of(&self, entry: &MemberEntry) -> bool {
         entry.id.address != self.swim.id().address
             && entry.metadata_checksum != 0
             && entry.metadata_checksum != self.metadata.store.checksum(&entry.id)
     }
 
-    /// The state to apply. A death may have been seen across a partition: a member that is believed
-    /// alive here becomes suspect and can refute, unless it was heard just now. This member itself
-    /// rejoins.
+    /// Returns the state to apply. A reported death may have been observed across a partition: a
+    /// member that is alive in this list becomes suspect and can refute, unless a datagram was
+    /// received from it recently. If this member itself is reported dead, it rejoins.
     fn accepted_state(&self, entry: &MemberEntry) -> Option<foca::State> {
         let address = entry.id.address;
         if !entry.down {
@@ -181,10 +184,10 @@
         if address == self.swim.id().address {
             return Some(foca::State::Down);
         }
-        let is_recently_heard = self
+        let has_recent_contact = self
             .failure_detector
-            .last_heard(&address)
-            .is_some_and(|at| self.context.now - at < RECENT_CONTACT);
-        (!is_recently_heard).then_some(foca::State::Suspect)
+            .last_received(&address)
+            .is_some_and(|received| self.context.now - received < RECENT_CONTACT);
+        (!has_recent_contact).then_some(foca::State::Suspect)
     }
 }
--- a/crates/membership/src/member/context.rs
+++ b/crates/membership/src/member/context.rs
@@ -1,4 +1,5 @@
-//! What the protocols of one member share: the time, randomness, and what the member hands out.
+//! State shared by the protocols of one member: the time, randomness, and the outputs of the
+//! member.
 
 use super::send_budget::SendBudget;
 use super::statistics::MemberStatistics;
@@ -10,12 +11,12 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Broadcasts are sent this often,
+/// Interval between gossip broadcasts.
 pub(super) const GOSSIP_INTERVAL: Nanos = 100 * crate::MS;
-/// to this many random members.
+/// Number of random members that each gossip broadcast is sent to.
 pub(super) const GOSSIP_FANOUT: usize = 3;
 
-/// The shared state of the protocols.
+/// State shared by the protocols of one member.
 pub(super) struct Context {
     pub(super) now: Nanos,
     pub(super) rng: Xoshiro256PlusPlus,
@@ -23,12 +24,13 @@
     pub(super) statistics: MemberStatistics,
     pub(super) datagrams: Vec<(SocketAddr, Vec<u8>)>,
     pub(super) events: Vec<MembershipEvent>,
-    /// Where the fleet has regions.
+    /// Present if the fleet has regions.
     pub(super) budget: Option<SendBudget>,
 }
 
 impl Context {
-    /// Whether broadcasts and digests may be sent now; without regions always.
+    /// Returns whether broadcasts and digests may be sent now; always true without regions. A
+    /// deferral is counted.
     pub(super) fn may_send(&mut self) -> bool {
         let now = self.now;
         let allowed = self.budget.as_mut().is_none_or(|budget| budget.allows(now));
@@ -53,9 +55,9 @@
         self.send(to, kind, &encode(message));
     }
 
-    /// A random element.
-    pub(super) fn choose<T: Copy>(&mut self, all: &[T]) -> Option<T> {
-        let index = (!all.is_empty()).then(|| self.rng.random_range(0..all.len()))?;
-        Some(all[index])
+    /// Returns a random element, or `None` if the slice is empty.
+    pub(super) fn choose<T: Copy>(&mut self, candidates: &[T]) -> Option<T> {
+        let index = (!candidates.is_empty()).then(|| self.rng.random_range(0..candidates.len()))?;
+        Some(candidates[index])
     }
 }
--- a/crates/membership/src/member/dispatch.rs
+++ b/crates/membership/src/member/dispatch.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: opened, dispatched to the protocols, and counted.
+//! Received datagrams: validation, dispatch to the protocols, and counting.
 
 use super::Member;
 use crate::envelope::{self, EnvelopeError, MessageKind};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 impl Member {
-    /// Receives a datagram; one that cannot be read is counted and dropped.
+    /// Receives a datagram. A datagram that cannot be decoded is counted and dropped.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, datagram: &[u8]) {
         let context = &mut self.context;
         context.now = context.now.max(now);
@@ -26,19 +26,19 @@
             return;
         }
         let result = self.dispatch(kind, from, payload);
-        self.after_swim();
+        self.apply_swim_results();
         if result.is_err() {
             self.context.statistics.malformed += 1;
             return;
         }
         let now = self.context.now;
         if self.is_isolated() {
-            // The silence so far was this member's own.
+            // The silence before this datagram was caused by this member's isolation.
             self.failure_detector.restart(now);
         }
-        self.failure_detector.health.record_heard(now);
+        self.failure_detector.health.record_received(now);
         if self.table.contains(&from) {
-            self.failure_detector.record_heard(now, from);
+            self.failure_detector.record_received(now, from);
         }
     }
 
@@ -67,7 +67,7 @@
             MessageKind::WatcherProbe => {
                 self.failure_detector.receive_probe(context, swim, payload)
             }
-            // Its arrival is all that counts.
+            // Only the arrival of a heartbeat matters; its content is validated and discarded.
             MessageKind::Heartbeat => decode::<Identity>(payload).map(|_| ()),
             MessageKind::MemberListDigest => {
                 self.anti_entropy
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination of metadata: broadcasts, rotation, and requests for what is missing.
+//! Dissemination of metadata by broadcasts, rotation, and requests for missing records.
 
 use super::context::{Context, GOSSIP_FANOUT, GOSSIP_INTERVAL};
 use super::swim::SwimProtocol;
@@ -11,14 +11,14 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// How often records that are no broadcasts are sent to one member, in rotation.
+/// Interval at which records are sent to a random member in rotation, whether or not they are new.
 const ROTATION_INTERVAL: Nanos = 500 * MS;
-/// How many members are told of a leave directly; the others learn of it by gossip.
+/// Number of members that receive the leave directly; the others receive it by gossip.
 const LEAVE_FANOUT: usize = 12;
-/// How often a record is transmitted in a fleet with regions, at most.
+/// Maximum number of transmissions of a record in a fleet with regions.
 const REGIONAL_TRANSMISSIONS_MAX: u32 = 4;
 
-/// The metadata that one member stores and publishes.
+/// Metadata that one member stores and publishes.
 pub(super) struct MetadataGossip {
     pub(super) store: MetadataStore,
     own: MetadataRecord,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The own metadata.
+    /// Returns this member's metadata.
     pub(super) fn own(&self) -> &MemberMetadata {
         &self.own.metadata
     }
 
-    /// Changes the own metadata, and publishes it if it differs.
+    /// Changes this member's metadata, and publishes it if it differs.
     pub(super) fn update(&mut self, swim: &SwimProtocol, change: impl FnOnce(&mut MemberMetadata)) {
         let mut metadata = self.own.metadata.clone();
         change(&mut metadata);
@@ -70,23 +70,24 @@
         }
     }
 
-    /// Publishes the own metadata under the next version and the own generation.
+    /// Publishes this member's metadata under the next version and the current generation.
     pub(super) fn publish(&mut self, swim: &SwimProtocol) {
         self.own.version += 1;
         self.own.member = swim.id();
         self.store.insert(self.own.clone(), swim.alive());
     }
 
-    /// Merges records of others; returns how many members are unknown here.
+    /// Merges received records. Returns the number of members that are untracked, or tracked in an
+    /// older generation.
     pub(super) fn receive_records(
         &mut self,
         swim: &SwimProtocol,
         payload: &[u8],
     ) -> Result<usize, PayloadError> {
-        let known_generation = |address| swim.known_generation(address);
+        let tracked_generation = |address| swim.tracked_generation(address);
         let own_address = self.own.member.address;
         self.store
-            .merge(own_address, payload, known_generation, swim.alive())
+            .merge(own_address, payload, tracked_generation, swim.alive())
     }
 
     /// Answers a request for records.
@@ -104,7 +105,7 @@
         Ok(())
     }
 
-    /// Sends what is due.
+    /// Sends the broadcasts, rotations and requests that are due.
     pub(super) fn tick(&mut self, context: &mut Context, swim: &SwimProtocol) {
         if swim.alive() == 0 {
             return;
@@ -147,7 +148,7 @@
         context.send(to, MessageKind::MetadataRecords, &payload);
     }
 
-    /// Sends the own record to some members at once, when this member leaves.
+    /// Sends this member's record to some members at once when it leaves.
     pub(super) fn broadcast_leave(&mut self, context: &mut Context, swim: &SwimProtocol) {
         let mut others: Vec<SocketAddr> = swim.live_members().map(|m| m.id().address).collect();
         for _ in 0..LEAVE_FANOUT.min(others.len()) {
--- a/crates/membership/src/member/failure_detection.rs
+++ b/crates/membership/src/member/failure_detection.rs
@@ -13,21 +13,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A probe by a watcher.
+/// Probe sent by a watcher.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct WatcherProbe {
-    pub(crate) by: Identity,
-    /// Without a suspect a heartbeat is the answer.
+    pub(crate) sender: Identity,
+    /// Suspect that the probed member may refute. If absent, the answer is a heartbeat.
     pub(crate) suspect: Option<Suspect>,
 }
 
-/// The failure detector of one member.
+/// Failure detector of one member.
 pub(super) struct FailureDetector {
     monitor: HeartbeatMonitor,
     pub(super) suspicions: SuspicionTimers,
     pub(super) health: LocalHealth,
-    /// When each member was last heard directly.
-    last_heard: BTreeMap<SocketAddr, Nanos>,
+    /// Time of the last datagram received directly from each member.
+    last_received: BTreeMap<SocketAddr, Nanos>,
 }
 
 impl FailureDetector {
@@ -36,30 +36,30 @@
             monitor: HeartbeatMonitor::new(settings.address),
             suspicions: SuspicionTimers::new(settings.timing.suspicion_timeout),
             health: LocalHealth::new(now),
-            last_heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
         }
     }
 
-    /// Silence counts from now on: this member itself stalled or was isolated.
+    /// Restarts the counting of silence after a stall or isolation of this member.
     pub(super) fn restart(&mut self, now: Nanos) {
         self.suspicions.restart(now);
         self.monitor.restart(now);
     }
 
-    pub(super) fn record_heard(&mut self, now: Nanos, member: SocketAddr) {
-        self.last_heard.insert(member, now);
+    pub(super) fn record_received(&mut self, now: Nanos, member: SocketAddr) {
+        self.last_received.insert(member, now);
     }
 
-    pub(super) fn last_heard(&self, member: &SocketAddr) -> Option<Nanos> {
-        self.last_heard.get(member).copied()
+    pub(super) fn last_received(&self, member: &SocketAddr) -> Option<Nanos> {
+        self.last_received.get(member).copied()
     }
 
-    /// Forgets members that are no longer known.
-    pub(super) fn retain(&mut self, is_known: impl Fn(&SocketAddr) -> bool) {
-        self.last_heard.retain(|address, _| is_known(address));
+    /// Removes members that are no longer tracked.
+    pub(super) fn retain(&mut self, is_tracked: impl Fn(&SocketAddr) -> bool) {
+        self.last_received.retain(|address, _| is_tracked(address));
     }
 
-    /// Answers the probe of a watcher. A suspect refutes.
+    /// Answers the probe of a watcher; a suspected member refutes.
     pub(super) fn receive_probe(
         &self,
         context: &mut Context,
@@ -68,44 +68,47 @@
     ) -> Result<(), PayloadError> {
         let probe: WatcherProbe = decode(payload)?;
         let own = swim.id();
-        if probe.by.address == own.address {
+        if probe.sender.address == own.address {
             return Ok(());
         }
         let Some(suspect) = probe.suspect else {
-            context.send_message(probe.by.address, MessageKind::Heartbeat, &own);
+            context.send_message(probe.sender.address, MessageKind::Heartbeat, &own);
             return Ok(());
         };
         if suspect.id == own && !is_injected(InjectedFault::NeverRefutes) {
             let suspicion =
                 foca::Member::new(suspect.id, suspect.incarnation, foca::State::Suspect);
-            swim.refute(context, suspicion, probe.by);
+            swim.refute(context, suspicion, probe.sender);
         }
         Ok(())
     }
 
-    /// Sends heartbeats and probes, and declares members suspect or dead.
+    /// Sends the heartbeats and probes that are due, and declares members suspect or dead.
     pub(super) fn tick(&mut self, context: &mut Context, swim: &mut SwimProtocol) {
         let now = context.now;
         let roster = swim.refreshed_roster();
         let suspects = roster.suspects();
-        self.monitor.draw(now, roster.alive(), |address| {
-            suspects.contains_key(&address)
-        });
+        self.monitor
+            .update_selection(now, roster.alive(), |address| {
+                suspects.contains_key(&address)
+            });
         self.suspicions.update(now, suspects);
-        let last_heard = |address| self.last_heard.get(&address).copied().unwrap_or(0);
+        let last_received = |address| self.last_received.get(&address).copied().unwrap_or(0);
         let policy = self.health.suspicion_policy(now);
-        let monitor_actions = self.monitor.due(now, policy, last_heard);
+        let monitor_actions = self.monitor.due(now, policy, last_received);
         let watches = |address| self.monitor.watches(address);
-        let suspicion_actions = self.suspicions.due(now, policy, watches, last_heard);
+        let suspicion_actions = self.suspicions.due(now, policy, watches, last_received);
         for action in monitor_actions {
             match action {
                 HeartbeatAction::SendHeartbeat(to) => {
                     context.send_message(to, MessageKind::Heartbeat, &swim.id());
                 }
-                // Suspects are probed below.
-                HeartbeatAction::Probe(of) if swim.roster().suspects().contains_key(&of) => {}
-                HeartbeatAction::Probe(of) => send_probe(context, swim, of, None),
-                HeartbeatAction::Suspect(of) => swim.declare(context, of, foca::State::Suspect),
+                // Suspects are probed by their suspicion timers below.
+                HeartbeatAction::Probe(to) if swim.roster().suspects().contains_key(&to) => {}
+                HeartbeatAction::Probe(to) => send_probe(context, swim, to, None),
+                HeartbeatAction::Suspect(address) => {
+                    swim.declare(context, address, foca::State::Suspect);
+                }
             }
         }
         for action in suspicion_actions {
@@ -127,7 +130,11 @@
     to: SocketAddr,
     suspect: Option<Suspect>,
 ) {
-    let by = swim.id();
+    let sender = swim.id();
     context.statistics.watcher_probes += 1;
-    context.send_message(to, MessageKind::WatcherProbe, &WatcherProbe { by, suspect });
+    context.send_message(
+        to,
+        MessageKind::WatcherProbe,
+        &WatcherProbe { sender, suspect },
+    );
 }
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -1,5 +1,5 @@
 //! Federation at one member ([`crate::regions`]): the delegates of its region, the overview of the
-//! others, and the share count over all regions.
+//! other regions, and the share count over all regions.
 
 mod delegate;
 mod overview_gossip;
@@ -22,13 +22,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A member leads only after this long: it would otherwise speak for a region whose members it has
-/// not met yet.
+/// Time after the start before which a member does not act as leader, because it does not yet know
+/// the members of the region it would report on.
 const LEAD_DELAY: Nanos = 3_000 * MS;
-/// The regions are counted this often, and after each change of the overview.
+/// Interval between updates of the region counts, which are also updated after each change of the
+/// overview.
 const RECOUNT_INTERVAL: Nanos = 200 * MS;
 
-/// When each periodic action is due.
+/// Times at which the periodic actions are due.
 #[derive(Debug)]
 struct FederationSchedule {
     digest: Nanos,
@@ -45,7 +46,7 @@
     is_region_silent: bool,
 }
 
-/// What the federation uses of the member's own region.
+/// State of this member's region that the federation uses.
 pub(super) struct OwnRegion<'a> {
     pub(super) swim: &'a mut SwimProtocol,
     pub(super) table: &'a MembershipTable,
@@ -53,7 +54,7 @@
     pub(super) size: RegionSize,
 }
 
-/// The federation at one member.
+/// Federation state of one member.
 pub(super) struct Federation {
     own_address: SocketAddr,
     location: Location,
@@ -62,11 +63,11 @@
     /// Unix time in milliseconds at time 0 of this member's clock.
     epoch_ms: u64,
     started: Nanos,
-    /// The delegates of the own region, the leader first.
+    /// Delegates of this member's region, the leader first.
     delegates: Vec<SocketAddr>,
-    /// The checksum of the membership that they were drawn from.
-    drawn_from: Option<u64>,
-    /// While this member is a delegate.
+    /// Checksum of the membership from which the delegates were selected.
+    selected_from: Option<u64>,
+    /// Stored announcements; present while this member is a delegate.
     announcements: Option<AnnouncementStore>,
     leads_since: Option<Nanos>,
     former_leader: Option<SocketAddr>,
@@ -74,19 +75,19 @@
     last_overview_write: Nanos,
     overview: OverviewGossip,
     share_counter: RegionShareCounter,
-    /// Whether each region was reachable when it was last reported.
+    /// Whether each other region was reachable in the last report.
     reachable: BTreeMap<String, bool>,
     /// Join addresses that answered from another region.
     foreign_join_addresses: BTreeSet<SocketAddr>,
-    /// Delegates of other regions that this member was referred to.
-    referred: Vec<SocketAddr>,
-    /// Dropped by stores of former times as a delegate.
+    /// Delegates of another region, named in the last referral.
+    referred_delegates: Vec<SocketAddr>,
+    /// Number of announcements dropped in earlier periods as a delegate.
     former_dropped: DroppedAnnouncements,
     schedule: FederationSchedule,
 }
 
 impl Federation {
-    /// The federation, where the fleet has regions.
+    /// Returns the federation state, or `None` if the fleet has no regions.
     pub(super) fn new(settings: &MembershipSettings, unix_ms: u64, now: Nanos) -> Option<Self> {
         if settings.location.is_none() {
             return None;
@@ -100,7 +101,7 @@
             epoch_ms: unix_ms.saturating_sub(now / MS),
             started: now,
             delegates: Vec::new(),
-            drawn_from: None,
+            selected_from: None,
             announcements: None,
             leads_since: None,
             former_leader: None,
@@ -113,7 +114,7 @@
             ),
             reachable: BTreeMap::new(),
             foreign_join_addresses: BTreeSet::new(),
-            referred: Vec::new(),
+            referred_delegates: Vec::new(),
             former_dropped: DroppedAnnouncements::default(),
             schedule: FederationSchedule {
                 digest: now,
@@ -129,14 +130,14 @@
         self.epoch_ms + now / MS
     }
 
-    /// Does what is due.
+    /// Performs the actions that are due.
     pub(super) fn tick(&mut self, context: &mut Context, own_region: &mut OwnRegion<'_>) {
         let roster = own_region.swim.refreshed_roster();
-        self.draw_delegates(context.now, roster.checksum(), roster.alive());
+        self.select_delegates(context.now, roster.checksum(), roster.alive());
         if let Some(announcements) = &mut self.announcements {
             announcements.tick(context.now);
         }
-        self.lead(context, own_region);
+        self.tick_leader(context, own_region);
         self.send_digests(context, own_region);
         self.overview.tick(context, own_region.swim);
         if context.now >= self.schedule.recount {
@@ -145,13 +146,13 @@
         }
     }
 
-    /// Draws the delegates among these members and the own one, if the membership changed.
-    fn draw_delegates(&mut self, now: Nanos, membership: u64, alive: &[SocketAddr]) {
-        if self.drawn_from == Some(membership) {
+    /// Selects the delegates among the live members and this one if the membership changed.
+    fn select_delegates(&mut self, now: Nanos, membership: u64, alive: &[SocketAddr]) {
+        if self.selected_from == Some(membership) {
             return;
         }
-        let is_first = self.drawn_from.is_none() || alive.is_empty();
-        self.drawn_from = Some(membership);
+        let is_first = self.selected_from.is_none() || alive.is_empty();
+        self.selected_from = Some(membership);
         if is_injected(InjectedFault::NeverReplacesDelegates)
             && !is_first
             && now - self.started > 2 * LEAD_DELAY
@@ -160,7 +161,7 @@
         }
         let former_leader = self.delegates.first().copied();
         let members = alive.iter().copied().chain([self.own_address]);
-        self.delegates = delegates::draw(&self.location.region, members);
+        self.delegates = delegates::select(&self.location.region, members);
         let leader = self.delegates.first().copied();
         if former_leader != leader {
             self.former_leader = former_leader;
@@ -179,21 +180,21 @@
         self.leads_since = is_leader.then(|| self.leads_since.unwrap_or(now));
     }
 
-    /// The delegates of the own region, the leader first.
+    /// Returns the delegates of this member's region, the leader first.
     pub(super) fn delegates(&self) -> &[SocketAddr] {
         &self.delegates
     }
 
-    /// The number of announcements stored as a delegate.
+    /// Returns the number of announcements stored as a delegate.
     pub(super) fn announcements(&self) -> usize {
         self.announcements
             .as_ref()
             .map_or(0, AnnouncementStore::len)
     }
 
-    /// Parts of the overview that were dropped as unsound.
-    pub(super) fn unsound_parts(&self) -> u64 {
-        self.overview.unsound_parts()
+    /// Returns the number of overview parts dropped as invalid.
+    pub(super) fn invalid_parts(&self) -> u64 {
+        self.overview.invalid_parts()
     }
 
     /// Answers the digest of another member's overview.
@@ -207,7 +208,8 @@
         self.overview.receive_digest(context, table, from, digest)
     }
 
-    /// Merges parts of another member's overview; a change is counted soon.
+    /// Merges parts of another member's overview. After a change the regions are counted at the
+    /// next tick.
     pub(super) fn receive_overview(
         &mut self,
         context: &mut Context,
@@ -224,7 +226,7 @@
         Ok(())
     }
 
-    /// The announcements dropped since the start.
+    /// Returns the numbers of announcements dropped since the start.
     pub(super) fn dropped(&self) -> DroppedAnnouncements {
         let current = self.announcements.as_ref();
         let current = current.map(AnnouncementStore::dropped).unwrap_or_default();
@@ -239,30 +241,30 @@
         self.leads_since.is_some() && now.saturating_sub(self.started) >= LEAD_DELAY
     }
 
-    /// The rows of the overview as the leader knows them.
-    fn known_rows(&self, now: Nanos) -> Vec<RegionStatus> {
+    /// Returns the rows that the leader writes into the overview.
+    fn overview_rows(&self, now: Nanos) -> Vec<RegionStatus> {
         let Some(announcements) = &self.announcements else {
             return Vec::new();
         };
-        let known = announcements.regions(now);
+        let combined = announcements.regions(now);
         let mut rows: BTreeMap<String, RegionStatus> = self
             .overview
             .overview
             .rows()
-            .filter(|(row, _)| !known.contains_key(row.region.as_str()))
+            .filter(|(row, _)| !combined.contains_key(row.region.as_str()))
             .filter_map(|(row, silent_since)| self.inherited_row(now, row, silent_since))
             .map(|row| (row.region.clone(), row))
             .collect();
-        for (region, knowledge) in known {
-            let row = RegionStatus::of(region, &knowledge, now);
+        for (region, summary) in combined {
+            let row = RegionStatus::new(region, &summary, now);
             rows.insert(region.to_string(), row);
         }
         rows.into_values().collect()
     }
 
-    /// A row that the former leader wrote, of a region that this leader has not heard of: it may
-    /// not have been told yet. After a while the region counts as silent, and in the end it is
-    /// forgotten.
+    /// Returns a row that the previous leader wrote for a region from which this leader has no
+    /// announcement; one may still be on its way. The region counts as silent after
+    /// [`SILENT_AFTER`] in this leader's term, and is removed after the tombstone retention.
     fn inherited_row(
         &self,
         now: Nanos,
@@ -270,8 +272,9 @@
         silent_since: Option<Nanos>,
     ) -> Option<RegionStatus> {
         let leads_since = self.leads_since;
-        let long_lead = leads_since.filter(|since| now.saturating_sub(*since) >= SILENT_AFTER);
-        let silent_since = silent_since.or(long_lead);
+        let silent_in_own_term =
+            leads_since.filter(|since| now.saturating_sub(*since) >= SILENT_AFTER);
+        let silent_since = silent_since.or(silent_in_own_term);
         let is_expired = |since: Nanos| now.saturating_sub(since) >= self.tombstone_retention;
         if silent_since.is_some_and(is_expired) {
             return None;
@@ -287,14 +290,14 @@
         })
     }
 
-    /// Whether any other region is known.
-    fn knows_other_regions(&self, now: Nanos) -> bool {
+    /// Returns whether any other region is known.
+    fn has_other_regions(&self, now: Nanos) -> bool {
         let announcements = self.announcements.as_ref();
         announcements.is_some_and(|announcements| !announcements.regions(now).is_empty())
             || self.overview.overview.rows().next().is_some()
     }
 
-    /// The known delegates of all regions but this member.
+    /// Returns the known delegates of all regions, except this member.
     fn all_delegates(&self, now: Nanos) -> Vec<Delegate> {
         let mut silent: BTreeMap<SocketAddr, bool> = BTreeMap::new();
         for (row, silent_since) in self.overview.overview.rows() {
@@ -302,15 +305,15 @@
             silent.extend(delegates.map(|delegate| (delegate, silent_since.is_some())));
         }
         if let Some(announcements) = &self.announcements {
-            let known = announcements.regions(now);
+            let combined = announcements.regions(now);
             for (region, delegates) in announcements.delegates() {
-                let is_silent = known
+                let is_silent = combined
                     .get(region)
-                    .is_some_and(|known| known.silent_since.is_some());
+                    .is_some_and(|summary| summary.silent_since.is_some());
                 silent.extend(delegates.into_iter().map(|delegate| (delegate, is_silent)));
             }
         }
-        let reachable = self.referred.iter().chain(&self.delegates);
+        let reachable = self.referred_delegates.iter().chain(&self.delegates);
         silent.extend(reachable.map(|delegate| (*delegate, false)));
         silent.remove(&self.own_address);
         silent
@@ -322,7 +325,7 @@
             .collect()
     }
 
-    /// The rows of the other regions.
+    /// Returns the rows of the other regions, with the start of the silence of silent ones.
     pub(super) fn other_regions(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         self.overview
             .overview
@@ -330,12 +333,12 @@
             .filter(|(row, _)| row.region != self.location.region)
     }
 
-    /// The share count over all regions.
+    /// Returns the share count over all regions.
     pub(super) fn share_count(&mut self, now: Nanos, own: RegionSize) -> usize {
         self.share_counter.count(now, own)
     }
 
-    /// Takes the overview into the share count, and reports regions that became reachable or
+    /// Updates the region counts from the overview, and reports regions that became reachable or
     /// silent.
     fn update_share_counter(&mut self, now: Nanos, events: &mut Vec<MembershipEvent>) {
         let mut reachable = BTreeMap::new();
@@ -363,7 +366,7 @@
         self.reachable = reachable;
     }
 
-    /// Whether a join address is known to be in another region.
+    /// Returns whether a join address is known to be in another region.
     pub(super) fn is_foreign_join_address(&self, address: &SocketAddr) -> bool {
         self.foreign_join_addresses.contains(address)
     }
--- a/crates/membership/src/member/federation/delegate.rs
+++ b/crates/membership/src/member/federation/delegate.rs
@@ -1,5 +1,5 @@
-//! The delegates of regions: the leader announces its region, delegates exchange announcements, and
-//! a member that has met nobody is referred to its region.
+//! Delegates of regions: the leader announces its region, delegates exchange announcements, and a
+//! member without live members in its view is referred to its region.
 
 use super::{Delegate, Federation, OwnRegion};
 use crate::envelope::{MessageKind, PAYLOAD_MAX};
@@ -10,44 +10,47 @@
 use crate::payload::{PayloadError, decode};
 use crate::regions::announcement_store::AnnouncementStore;
 use crate::regions::exchange::{AgedAnnouncement, DigestSender, RegionDelta, RegionDigest};
-use crate::regions::{DELEGATES, RegionSummary};
+use crate::regions::{DELEGATE_COUNT, RegionSummary};
 use crate::{Identity, MS, Nanos};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// How often a delegate sends a digest to one of the others.
+/// Interval between digests from a delegate to a randomly chosen other one.
 const DIGEST_INTERVAL: Nanos = 500 * MS;
-/// One digest in this many goes to a silent region, while there is one.
+/// While there is a silent region, one digest in this many goes to a delegate of a silent region.
 const SILENT_REGION_ONE_IN: u32 = 4;
-/// How often a digest goes to a join address, in case all known delegates of a region have died.
+/// Interval between digests to a join address, needed in case all known delegates of a region have
+/// died.
 const JOIN_ADDRESS_INTERVAL: Nanos = 5_000 * MS;
-/// The overview is written at most this often after new announcements,
+/// Minimum interval between writes of the overview after new announcements.
 const OVERVIEW_WRITE_INTERVAL: Nanos = 200 * MS;
-/// otherwise, like a changed summary, this often;
+/// Interval between writes of the overview without new announcements, and minimum interval between
+/// changed summaries.
 const PUBLISH_INTERVAL: Nanos = 500 * MS;
-/// and a summary that differs in the request rate alone this often.
+/// Minimum interval between summaries that differ only in the request rate.
 const REQUEST_RATE_INTERVAL: Nanos = 30_000 * MS;
-/// How often unknown delegates of the own region are announced to.
+/// Minimum interval between announcements to unknown delegates of this member's region.
 const REJOIN_INTERVAL: Nanos = 500 * MS;
-/// The most join addresses that are noted as being in other regions.
+/// Maximum number of join addresses recorded as being in other regions.
 const FOREIGN_JOIN_ADDRESSES_MAX: usize = 64;
 
-/// Names the delegates, by a member that is none.
+/// Referral to the delegates, sent by a member that is not a delegate.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct RegionReferral {
-    /// The region of the sender.
+    /// Region of the sender.
     pub(crate) region: String,
-    /// The delegates of the sender's region.
+    /// Delegates of the sender's region.
     pub(crate) delegates: Vec<SocketAddr>,
-    /// The delegates of the receiver's region, as far as they are known.
+    /// Delegates of the recipient's region, if the sender knows them.
     pub(crate) your_delegates: Vec<SocketAddr>,
 }
 
 impl Federation {
-    /// Publishes the own region and writes the overview, as its leader.
-    pub(super) fn lead(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
+    /// Publishes the summary of the region and writes the overview if this member is the leader,
+    /// and withdraws the announcement otherwise.
+    pub(super) fn tick_leader(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
         let now = context.now;
         if !self.is_leader(now) {
             if let Some(announcements) = &mut self.announcements {
@@ -61,14 +64,14 @@
         self.schedule.publish = now + PUBLISH_INTERVAL;
         self.last_overview_write = now;
         self.publish_summary(context, own_region);
-        let rows = self.known_rows(now);
+        let rows = self.overview_rows(now);
         let unix_ms = self.unix_ms(now);
         self.overview
             .overview
             .write(now, unix_ms, self.own_address, rows);
     }
 
-    /// Publishes the own region if its summary has changed.
+    /// Publishes the summary of this member's region if it has changed.
     fn publish_summary(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
         let summary = self.summary(own_region);
         let now = context.now;
@@ -90,7 +93,7 @@
         self.send_announcement(context, announcement);
     }
 
-    /// The summary of the own region.
+    /// Returns the summary of this member's region.
     fn summary(&self, own_region: &OwnRegion<'_>) -> RegionSummary {
         let mut config_counts: BTreeMap<u64, u32> = BTreeMap::new();
         let mut request_rate_tenths = 0u32;
@@ -111,7 +114,7 @@
             places: own_region.size.places as u32,
             config_checksum,
             config_minority: config_counts.values().sum::<u32>() - majority,
-            request_rate_tenths: two_digits(request_rate_tenths),
+            request_rate_tenths: round_to_two_digits(request_rate_tenths),
             delegates: self.delegates.clone(),
             replaces: self
                 .former_leader
@@ -120,7 +123,7 @@
     }
 
     /// Sends an announcement to one delegate of each other region, and to the other delegates of
-    /// the own one.
+    /// this member's region.
     fn send_announcement(&self, context: &mut Context, announcement: AgedAnnouncement) {
         let mut by_region: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
         for (row, _) in self.overview.overview.rows() {
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Sends a digest to a delegate of any region if it is due. A member that has met nobody does
-    /// so as well, to find its region.
+    /// Sends a digest to a delegate of any region if it is due. A member without live members in
+    /// its view also does so, to find its region.
     pub(super) fn send_digests(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
         let now = context.now;
         let alone = own_region.swim.alive() == 0;
@@ -164,14 +167,14 @@
             own_region.table.contains(address) || *address == self.own_address
         };
         let join_addresses = self.join_addresses.iter().copied();
-        let elsewhere: Vec<SocketAddr> = join_addresses
+        let outside_addresses: Vec<SocketAddr> = join_addresses
             .filter(|address| !is_in_own_region(address))
             .collect();
-        if !self.knows_other_regions(now) {
-            targets.extend(elsewhere);
-        } else if now >= self.schedule.join_address_digest && !elsewhere.is_empty() {
+        if !self.has_other_regions(now) {
+            targets.extend(outside_addresses);
+        } else if now >= self.schedule.join_address_digest && !outside_addresses.is_empty() {
             self.schedule.join_address_digest = now + JOIN_ADDRESS_INTERVAL;
-            targets.extend(context.choose(&elsewhere));
+            targets.extend(context.choose(&outside_addresses));
         }
         for target in targets {
             self.send_digest(context, target);
@@ -179,13 +182,13 @@
     }
 
     fn send_digest(&self, context: &mut Context, to: SocketAddr) {
-        let first = context.rng.random_range(0..usize::from(u16::MAX));
+        let first_version = context.rng.random_range(0..usize::from(u16::MAX));
         let now = context.now;
         let digest = match &self.announcements {
-            Some(announcements) => announcements.digest(now, DigestSender::Delegate, first),
+            Some(announcements) => announcements.digest(now, DigestSender::Delegate, first_version),
             None => AnnouncementStore::new(self.own_address, &self.location.region, 0).digest(
                 now,
-                DigestSender::Newcomer,
+                DigestSender::JoiningMember,
                 0,
             ),
         };
@@ -193,7 +196,7 @@
         context.send_message(to, MessageKind::RegionDigest, &digest);
     }
 
-    /// Answers a digest: a delegate by a delta, any other member by a referral.
+    /// Answers a digest: a delegate sends a delta, and any other member a referral.
     pub(in crate::member) fn receive_digest(
         &mut self,
         context: &mut Context,
@@ -201,13 +204,13 @@
         payload: &[u8],
     ) -> Result<(), PayloadError> {
         let digest: RegionDigest = decode(payload)?;
-        self.note_region_of(from, &digest.region);
+        self.record_sender_region(from, &digest.region);
         if let Some(announcements) = &mut self.announcements {
             let delta = announcements.delta(context.now, &digest);
             context.send_message(from, MessageKind::RegionDelta, &delta);
             return Ok(());
         }
-        let their_row = self
+        let sender_region = self
             .overview
             .overview
             .rows()
@@ -215,7 +218,7 @@
         let referral = RegionReferral {
             region: self.location.region.clone(),
             delegates: self.delegates.clone(),
-            your_delegates: their_row
+            your_delegates: sender_region
                 .map(|(row, _)| row.delegates.clone())
                 .unwrap_or_default(),
         };
@@ -232,7 +235,7 @@
         payload: &[u8],
     ) -> Result<(), PayloadError> {
         let delta: RegionDelta = decode(payload)?;
-        self.note_region_of(from, &delta.region);
+        self.record_sender_region(from, &delta.region);
         let own_delegates = self.announced_own_delegates(&delta.announcements);
         self.join_own_region(context, swim, own_delegates);
         let unix_ms = self.unix_ms(context.now);
@@ -240,16 +243,16 @@
             return Ok(());
         };
         let merged = announcements.merge_delta(context.now, unix_ms, &delta);
-        self.referred.clear();
+        self.referred_delegates.clear();
         if !merged.requested.is_empty() {
             let payload = AgedAnnouncement::encode(&merged.requested);
             context.send(from, MessageKind::RegionAnnouncements, &payload);
         }
-        self.pass_on(context, &merged.new);
+        self.forward_new(context, &merged.new);
         Ok(())
     }
 
-    /// Merges announcements.
+    /// Merges received announcements.
     pub(in crate::member) fn receive_announcements(
         &mut self,
         context: &mut Context,
@@ -263,20 +266,19 @@
             return Ok(());
         };
         let new = announcements.merge(context.now, unix_ms, &received);
-        self.pass_on(context, &new);
+        self.forward_new(context, &new);
         self.join_own_region(context, swim, own_delegates);
         Ok(())
     }
 
-    /// The leader writes new announcements into the overview soon; other delegates pass them on to
-    /// the leader.
-    fn pass_on(&mut self, context: &mut Context, new: &[AgedAnnouncement]) {
+    /// Forwards new announcements to the leader, which schedules a write of the overview.
+    fn forward_new(&mut self, context: &mut Context, new: &[AgedAnnouncement]) {
         if new.is_empty() {
             return;
         }
         if self.is_leader(context.now) {
-            let soon = self.last_overview_write + OVERVIEW_WRITE_INTERVAL;
-            self.schedule.publish = self.schedule.publish.min(soon);
+            let next_write = self.last_overview_write + OVERVIEW_WRITE_INTERVAL;
+            self.schedule.publish = self.schedule.publish.min(next_write);
             return;
         }
         let leader = self.delegates.first().copied();
@@ -288,7 +290,8 @@
         }
     }
 
-    /// Follows a referral to the delegates of the own region, or notes those of another.
+    /// Follows a referral to the delegates of this member's region, or records those of another
+    /// region.
     pub(in crate::member) fn receive_referral(
         &mut self,
         context: &mut Context,
@@ -298,24 +301,25 @@
     ) -> Result<(), PayloadError> {
         let referral: RegionReferral = decode(payload)?;
         let longest = referral.delegates.len().max(referral.your_delegates.len());
-        if longest > DELEGATES {
+        if longest > DELEGATE_COUNT {
             return Err(PayloadError::OverLimit {
                 what: "delegates",
-                limit: DELEGATES,
+                limit: DELEGATE_COUNT,
             });
         }
-        self.note_region_of(from, &referral.region);
+        self.record_sender_region(from, &referral.region);
         if referral.region == self.location.region {
             self.join_own_region(context, swim, referral.delegates);
         } else {
-            self.referred = referral.delegates;
+            self.referred_delegates = referral.delegates;
             self.join_own_region(context, swim, referral.your_delegates);
         }
         Ok(())
     }
 
-    /// Notes which join addresses are in other regions: they cannot let this member into its own.
-    fn note_region_of(&mut self, from: SocketAddr, region: &str) {
+    /// Records whether a join address is in another region: such an address cannot let this member
+    /// join its own region.
+    fn record_sender_region(&mut self, from: SocketAddr, region: &str) {
         if region == self.location.region {
             self.foreign_join_addresses.remove(&from);
         } else if self.join_addresses.contains(&from)
@@ -325,25 +329,26 @@
         }
     }
 
-    /// The delegates of the own region by these announcements.
+    /// Returns the delegates of this member's region that are named in the announcements.
     fn announced_own_delegates(&self, announcements: &[AgedAnnouncement]) -> Vec<SocketAddr> {
-        let all = announcements.iter().map(|aged| &aged.announcement);
-        all.filter(|announcement| announcement.region == self.location.region)
-            .flat_map(|announcement| announcement.summary().delegates.iter().take(DELEGATES))
+        let received = announcements.iter().map(|aged| &aged.announcement);
+        received
+            .filter(|announcement| announcement.region == self.location.region)
+            .flat_map(|announcement| announcement.summary().delegates.iter().take(DELEGATE_COUNT))
             .copied()
             .collect()
     }
 
-    /// Announces to unknown delegates of the own region: this member has met nobody of it yet, or
-    /// it is partitioned.
+    /// Announces to unknown delegates of this member's region: this member has not joined its
+    /// region yet, or the region is partitioned.
     fn join_own_region(
         &mut self,
         context: &mut Context,
         swim: &mut SwimProtocol,
         delegates: Vec<SocketAddr>,
     ) {
-        let early = context.now < self.schedule.rejoin;
-        if early || is_injected(InjectedFault::IgnoresReferrals) {
+        let too_early = context.now < self.schedule.rejoin;
+        if too_early || is_injected(InjectedFault::IgnoresReferrals) {
             return;
         }
         let is_unknown =
@@ -353,25 +358,27 @@
             return;
         }
         self.schedule.rejoin = context.now + REJOIN_INTERVAL;
-        let targets = unknown.into_iter().take(DELEGATES + 1);
-        swim.announce(context, targets.map(Identity::of_unknown_generation));
+        let targets = unknown.into_iter().take(DELEGATE_COUNT + 1);
+        swim.announce(context, targets.map(Identity::with_unknown_generation));
     }
 }
 
-/// A random delegate; while regions are silent, one time in [`SILENT_REGION_ONE_IN`] one of theirs.
+/// Returns a random delegate. While regions are silent, one call in [`SILENT_REGION_ONE_IN`]
+/// returns a delegate of a silent region.
 fn choose_delegate(context: &mut Context, delegates: &[Delegate]) -> Option<SocketAddr> {
     let silent: Vec<Delegate> = delegates
         .iter()
         .copied()
         .filter(|delegate| delegate.is_region_silent)
         .collect();
-    let from_silent = !silent.is_empty() && context.rng.random_range(0..SILENT_REGION_ONE_IN) == 0;
-    let pool = if from_silent { &silent } else { delegates };
-    context.choose(pool).map(|delegate| delegate.address)
+    let choose_silent =
+        !silent.is_empty() && context.rng.random_range(0..SILENT_REGION_ONE_IN) == 0;
+    let candidates = if choose_silent { &silent } else { delegates };
+    context.choose(candidates).map(|delegate| delegate.address)
 }
 
-/// Rounds down to two significant digits, so that small changes need not be published.
-fn two_digits(value: u32) -> u32 {
+/// Rounds down to two significant digits, so that small changes are not published.
+fn round_to_two_digits(value: u32) -> u32 {
     let step = 10u32.pow(value.max(1).ilog10().saturating_sub(1));
     value / step * step
 }
--- a/crates/membership/src/member/federation/overview_gossip.rs
+++ b/crates/membership/src/member/federation/overview_gossip.rs
@@ -6,31 +6,31 @@
 use crate::member::membership_table::MembershipTable;
 use crate::member::swim::SwimProtocol;
 use crate::payload::{PayloadError, decode};
-use crate::regions::overview::{OverviewPart, PARTS, PartMerge, RegionOverview};
+use crate::regions::overview::{OverviewPart, PARTS, PartMergeResult, RegionOverview};
 use crate::{MS, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// How often the digest of the overview is sent to a random member,
+/// Interval between digests of the overview, each sent to a random member.
 const DIGEST_INTERVAL: Nanos = 2_000 * MS;
-/// and how often while the overview is new or was found to differ.
-const UNSETTLED_DIGEST_INTERVAL: Nanos = 200 * MS;
-/// For this long after the start the overview counts as new.
+/// Interval between digests while the overview is new or was found to differ.
+const FAST_DIGEST_INTERVAL: Nanos = 200 * MS;
+/// Time after the start during which the overview counts as new.
 const STARTUP_PERIOD: Nanos = 3_000 * MS;
-/// Parts are broadcast to this many random members at a time.
+/// Number of random members that each broadcast of parts is sent to.
 const OVERVIEW_FANOUT: usize = 2;
 
-/// The overview at one member, and when it is gossiped.
+/// Overview stored by one member, and the schedule of its gossip.
 pub(super) struct OverviewGossip {
     pub(super) overview: RegionOverview,
-    /// Until then the overview is compared often.
-    unsettled_until: Nanos,
+    /// Time until which digests are sent at the shorter interval.
+    fast_digests_until: Nanos,
     next_broadcast: Nanos,
     next_digest: Nanos,
-    unsound_parts: u64,
+    invalid_parts: u64,
 }
 
-/// Whether received parts changed the overview.
+/// Result of merging received parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OverviewChange {
     Changed,
@@ -41,29 +41,29 @@
     pub(super) fn new(now: Nanos) -> Self {
         OverviewGossip {
             overview: RegionOverview::default(),
-            unsettled_until: now + STARTUP_PERIOD,
+            fast_digests_until: now + STARTUP_PERIOD,
             next_broadcast: now,
             next_digest: now,
-            unsound_parts: 0,
+            invalid_parts: 0,
         }
     }
 
-    /// Parts that were dropped as unsound since the start.
-    pub(super) fn unsound_parts(&self) -> u64 {
-        self.unsound_parts
+    /// Returns the number of parts dropped as invalid since the start.
+    pub(super) fn invalid_parts(&self) -> u64 {
+        self.invalid_parts
     }
 
-    /// Sends what is due.
+    /// Sends the broadcasts and digests that are due.
     pub(super) fn tick(&mut self, context: &mut Context, swim: &SwimProtocol) {
         self.broadcast(context, swim);
         self.send_digest(context, swim);
     }
 
-    /// Broadcasts new parts.
+    /// Broadcasts new parts if a broadcast is due.
     fn broadcast(&mut self, context: &mut Context, swim: &SwimProtocol) {
         let others = swim.alive();
-        let early = context.now < self.next_broadcast;
-        if early || others == 0 || !self.overview.has_broadcasts() {
+        let too_early = context.now < self.next_broadcast;
+        if too_early || others == 0 || !self.overview.has_broadcasts() {
             return;
         }
         self.next_broadcast = context.now + GOSSIP_INTERVAL;
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Sends the digest to a random member.
+    /// Sends the digest to a random member if it is due.
     fn send_digest(&mut self, context: &mut Context, swim: &SwimProtocol) {
-        let early = context.now < self.next_digest;
-        if early || is_injected(InjectedFault::WithholdsOverview) {
+        let too_early = context.now < self.next_digest;
+        if too_early || is_injected(InjectedFault::WithholdsOverview) {
             return;
         }
-        let interval = if context.now < self.unsettled_until {
-            UNSETTLED_DIGEST_INTERVAL
+        let interval = if context.now < self.fast_digests_until {
+            FAST_DIGEST_INTERVAL
         } else {
             DIGEST_INTERVAL
         };
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Answers a digest by the parts that differ, from a random one on.
+    /// Answers a digest with the parts that differ, starting at a random part.
     pub(super) fn receive_digest(
         &self,
         context: &mut Context,
@@ -104,14 +104,16 @@
         digest: &[u8],
     ) -> Result<(), PayloadError> {
         let first_part = context.rng.random_range(0..PARTS);
-        let parts = self.overview.differing(context.now, digest, first_part)?;
+        let parts = self
+            .overview
+            .differing_parts(context.now, digest, first_part)?;
         if !parts.is_empty() && table.contains(&from) {
             context.send_message(from, MessageKind::Overview, &parts);
         }
         Ok(())
     }
 
-    /// Merges parts of a known member's overview.
+    /// Merges parts received from a tracked member.
     pub(super) fn receive_parts(
         &mut self,
         context: &mut Context,
@@ -125,21 +127,21 @@
         if !table.contains(&from) {
             return Ok(change);
         }
-        let mut newer_here = None;
+        let mut newer_stored_part = None;
         for part in parts {
             match self.overview.merge(context.now, unix_ms, part) {
-                PartMerge::New => change = OverviewChange::Changed,
-                PartMerge::Same => {}
-                PartMerge::Outdated(stored) => newer_here = Some(stored),
-                PartMerge::Unsound => self.unsound_parts += 1,
+                PartMergeResult::New => change = OverviewChange::Changed,
+                PartMergeResult::Same => {}
+                PartMergeResult::Outdated(stored) => newer_stored_part = Some(stored),
+                PartMergeResult::Invalid => self.invalid_parts += 1,
             }
         }
         if change == OverviewChange::Changed {
-            let unsettled_until = context.now + UNSETTLED_DIGEST_INTERVAL;
-            self.unsettled_until = self.unsettled_until.max(unsettled_until);
+            let fast_digests_until = context.now + FAST_DIGEST_INTERVAL;
+            self.fast_digests_until = self.fast_digests_until.max(fast_digests_until);
         }
-        // One at a time; the next digest finds the others.
-        if let Some(part) = newer_here {
+        // Only one part is sent back; the next digest finds the others.
+        if let Some(part) = newer_stored_part {
             context.send_message(from, MessageKind::Overview, [part].as_slice());
         }
         Ok(change)
--- a/crates/membership/src/member/membership_table.rs
+++ b/crates/membership/src/member/membership_table.rs
@@ -1,4 +1,4 @@
-//! The members as the view shows them, and what changed since the last update.
+//! The members as shown in the view, and the changes since the last update.
 
 use super::swim::SwimProtocol;
 use crate::metadata::{MemberMetadata, ServingPhase};
@@ -12,24 +12,24 @@
 #[derive(Default)]
 pub(super) struct MembershipTable {
     members: BTreeMap<SocketAddr, MemberView>,
-    /// Names that two members were found to have.
+    /// Names that have been reported as duplicate.
     duplicate_names: BTreeSet<String>,
     share_count: usize,
-    /// The greatest number of places that a live member publishes.
+    /// Greatest number of places that a live member publishes.
     reported_places: usize,
-    /// The checksum of the membership at the last full update.
+    /// Checksum of the membership at the last full update.
     checksum: u64,
 }
 
-/// Whether an update has read the whole membership again.
+/// Extent of an update: metadata only, or the whole membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UpdateScope {
     MetadataOnly,
     Full,
 }
 
-/// What the table is updated from.
-pub(super) struct Sources<'a> {
+/// Inputs and outputs of an update of the table.
+pub(super) struct UpdateSources<'a> {
     pub(super) now: Nanos,
     pub(super) swim: &'a SwimProtocol,
     pub(super) metadata: &'a mut MetadataStore,
@@ -37,7 +37,7 @@
     pub(super) events: &'a mut Vec<MembershipEvent>,
 }
 
-/// The status of a member, by its state in SWIM and its own phase.
+/// Returns the status of a member from its SWIM state and the phase that it publishes.
 fn status(state: foca::State, phase: Option<ServingPhase>) -> MemberStatus {
     match (state, phase) {
         (foca::State::Down, Some(ServingPhase::Leaving)) => MemberStatus::Left,
@@ -56,7 +56,7 @@
         self.members.values()
     }
 
-    /// The metadata of the live members.
+    /// Returns the metadata of the live members.
     pub(super) fn live_metadata(&self) -> impl Iterator<Item = &MemberMetadata> {
         self.members()
             .filter(|member| member.status.is_present())
@@ -74,14 +74,14 @@
         self.members.contains_key(address)
     }
 
-    /// The share count within the region.
+    /// Returns the share count within the region.
     pub(super) fn share_count(&self) -> usize {
         self.share_count
     }
 
-    /// Takes over what changed, and reports it.
-    pub(super) fn update(&mut self, sources: Sources<'_>) -> UpdateScope {
-        let Sources {
+    /// Applies the changes since the last update, and reports them as events.
+    pub(super) fn update(&mut self, sources: UpdateSources<'_>) -> UpdateScope {
+        let UpdateSources {
             now,
             swim,
             metadata,
@@ -106,7 +106,7 @@
         scope
     }
 
-    /// Takes over metadata that does not affect any status.
+    /// Updates metadata whose changes do not affect any status.
     fn update_metadata(&mut self, addresses: &BTreeSet<SocketAddr>, metadata: &MetadataStore) {
         for address in addresses {
             if let Some(member) = self.members.get_mut(address)
@@ -162,7 +162,7 @@
         self.reported_places = reported_places;
     }
 
-    /// Takes over one member; returns its former status.
+    /// Updates one member. Returns its previous status.
     fn update_member(
         &mut self,
         now: Nanos,
@@ -171,7 +171,7 @@
         published: Option<&MemberMetadata>,
     ) -> Option<MemberStatus> {
         let id = *member.id();
-        let Some(known) = self.members.get_mut(&id.address) else {
+        let Some(stored) = self.members.get_mut(&id.address) else {
             let view = MemberView {
                 id,
                 incarnation: member.incarnation(),
@@ -182,17 +182,17 @@
             self.members.insert(id.address, view);
             return None;
         };
-        let was = known.status;
-        known.id = id;
-        known.incarnation = member.incarnation();
-        if was != status {
-            known.status = status;
-            known.since = now;
+        let previous = stored.status;
+        stored.id = id;
+        stored.incarnation = member.incarnation();
+        if previous != status {
+            stored.status = status;
+            stored.since = now;
         }
-        if let Some(published) = published.filter(|new| known.metadata.as_ref() != Some(*new)) {
-            known.metadata = Some(published.clone());
+        if let Some(published) = published.filter(|new| stored.metadata.as_ref() != Some(*new)) {
+            stored.metadata = Some(published.clone());
         }
-        Some(was)
+        Some(previous)
     }
 
     fn report_duplicate_names(&mut self, events: &mut Vec<MembershipEvent>) {
--- a/crates/membership/src/member/roster.rs
+++ b/crates/membership/src/member/roster.rs
@@ -1,15 +1,15 @@
-//! A snapshot of the membership in `foca`.
+//! Snapshot of the membership in `foca`.
 //!
-//! A member ticks some thirty times a second, and a membership seldom changes. So whoever calls
-//! `foca` in a way that may change it calls [`Roster::invalidate`], and only then the membership is
-//! read again.
+//! A member ticks about thirty times per second, but its membership seldom changes. Each caller of
+//! `foca` that may change the membership calls [`Roster::invalidate`], and the membership is read
+//! again only after that.
 
-use super::foca_adapter::Swim;
+use super::foca_adapter::FocaInstance;
 use crate::suspicion::Suspect;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The live members and suspects of the last refresh.
+/// Live members and suspects at the last refresh.
 pub(super) struct Roster {
     stale: bool,
     checksum: u64,
@@ -27,28 +27,28 @@
         }
     }
 
-    /// The membership may have changed.
+    /// Marks the snapshot as stale because the membership may have changed.
     pub(super) fn invalidate(&mut self) {
         self.stale = true;
     }
 
-    /// A checksum of the membership; 0 before the first refresh.
+    /// Returns a checksum of the membership; 0 before the first refresh.
     pub(super) fn checksum(&self) -> u64 {
         self.checksum
     }
 
-    /// The others that are alive and not suspect, sorted.
+    /// Returns the other members that are alive and not suspect, sorted.
     pub(super) fn alive(&self) -> &[SocketAddr] {
         &self.alive
     }
 
-    /// The suspects, by address.
+    /// Returns the suspects by address.
     pub(super) fn suspects(&self) -> &BTreeMap<SocketAddr, Suspect> {
         &self.suspects
     }
 
     /// Reads the membership again if it may have changed.
-    pub(super) fn refresh(&mut self, swim: &Swim) {
+    pub(super) fn refresh(&mut self, swim: &FocaInstance) {
         if !std::mem::take(&mut self.stale) {
             return;
         }
@@ -73,8 +73,8 @@
     }
 }
 
-/// Never 0.
-fn membership_checksum(swim: &Swim) -> u64 {
+/// Returns the checksum of the membership; never 0, which stands for no refresh yet.
+fn membership_checksum(swim: &FocaInstance) -> u64 {
     let mut checksum = 1u64;
     for member in swim.iter_membership_state() {
         let state = (member.id().generation << 18)
--- a/crates/membership/src/member/send_budget.rs
+++ b/crates/membership/src/member/send_budget.rs
@@ -1,8 +1,8 @@
-//! The send budget of a member of a fleet with regions: a token bucket of bytes.
+//! Send budget of a member of a fleet with regions: a token bucket of bytes.
 //!
-//! When hundreds of members die or return at once there is a broadcast for each. Broadcasts and
-//! digests wait for the bucket; heartbeats, probes and their answers never do, so that no member is
-//! suspected for want of bytes.
+//! When hundreds of members die or rejoin at once, each causes a broadcast. Broadcasts and digests
+//! are deferred while the bucket is empty. Heartbeats, probes and their answers are never deferred,
+//! so that a lack of tokens does not make a member suspect.
 
 use crate::Nanos;
 
@@ -10,7 +10,7 @@
 const BURST_BYTES: u64 = 150_000;
 const SECOND: Nanos = 1_000_000_000;
 
-/// The bytes that may still be sent.
+/// Number of bytes that may be sent.
 #[derive(Debug)]
 pub(super) struct SendBudget {
     available: i64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Counts bytes that were sent, deferrable or not.
+    /// Deducts sent bytes, whether or not the datagram could have been deferred.
     pub(super) fn spend(&mut self, bytes: usize) {
         self.available = self
             .available
@@ -33,7 +33,7 @@
             .max(-(BURST_BYTES as i64));
     }
 
-    /// Whether deferrable datagrams may be sent now.
+    /// Returns whether deferrable datagrams may be sent now.
     pub(super) fn allows(&mut self, now: Nanos) -> bool {
         let span = now.saturating_sub(self.refilled_at).min(SECOND);
         let refill = BYTES_PER_SECOND * span / SECOND;
--- a/crates/membership/src/member/shedding.rs
+++ b/crates/membership/src/member/shedding.rs
@@ -1,4 +1,4 @@
-//! Shared shedding at one member ([`crate::shedding`]): level reports sent and received.
+//! Shared shedding at one member ([`crate::shedding`]): sending and receiving of level reports.
 
 use super::context::{Context, GOSSIP_FANOUT, GOSSIP_INTERVAL};
 use super::membership_table::MembershipTable;
@@ -10,7 +10,7 @@
 use crate::{Identity, Nanos};
 use rand::RngExt;
 
-/// The shared shedding of one member, where it is enabled.
+/// Shared shedding of one member; inactive until it is enabled.
 pub(super) struct SheddingGossip {
     pub(super) shared: Option<SharedShedding>,
     next_report: Nanos,
@@ -29,7 +29,8 @@
         self.shared = Some(shared);
     }
 
-    /// Moves the level, and reports to some random members while there is something to report.
+    /// Adjusts the level, and sends reports to some random members while there is something to
+    /// report.
     pub(super) fn tick(
         &mut self,
         context: &mut Context,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Stores the reports of known members, up to the first that is invalid.
+    /// Stores the reports of tracked members, up to the first invalid one.
     pub(super) fn receive(
         &mut self,
         context: &Context,
--- a/crates/membership/src/member/statistics.rs
+++ b/crates/membership/src/member/statistics.rs
@@ -1,60 +1,62 @@
-//! Counters of what a member sends and receives.
+//! Counters of the datagrams and events of a member.
 
 use serde::Serialize;
 
-/// Counters since the start; serialized under the names that `/admin/fleet` shows.
+/// Counters since the start, serialized under the names that `/admin/fleet` shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MemberStatistics {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams received.
+    /// Number of datagrams received.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     #[serde(rename = "heard_bytes")]
     pub received_bytes: u64,
-    /// Datagrams dropped: of another protocol, corrupt or too long.
+    /// Number of datagrams dropped because they are corrupt, have an invalid length, or belong to
+    /// another protocol.
     #[serde(rename = "torn")]
     pub corrupt: u64,
-    /// Datagrams dropped: of another fleet.
+    /// Number of datagrams dropped because they belong to another fleet or region.
     pub foreign: u64,
-    /// Datagrams dropped: of another version of the format.
+    /// Number of datagrams dropped because of another format version or an unknown message kind.
     #[serde(rename = "version")]
     pub unsupported_version: u64,
-    /// Datagrams dropped: intact, but their payload cannot be decoded.
+    /// Number of intact datagrams dropped because their payload is invalid.
     pub malformed: u64,
-    /// Datagrams dropped: they would have brought more members than are stored.
+    /// Number of datagrams dropped because their sender would exceed the maximum number of members.
     #[serde(rename = "full")]
     pub over_capacity: u64,
-    /// Probes sent by this member as a watcher.
+    /// Number of probes sent by this member as a watcher.
     #[serde(rename = "asked")]
     pub watcher_probes: u64,
-    /// Anti-entropy digests sent.
+    /// Number of digests of the member list sent for anti-entropy.
     #[serde(rename = "compared")]
     pub digests: u64,
-    /// Broadcasts and digests deferred by the send budget.
+    /// Number of times the send budget deferred a broadcast or digest.
     #[serde(rename = "put_off")]
     pub deferred: u64,
-    /// Digests sent to delegates of other regions.
+    /// Number of digests sent to delegates of regions and to join addresses.
     #[serde(rename = "regions_asked")]
     pub region_digests: u64,
-    /// Level reports sent.
+    /// Number of datagrams with level reports sent.
     #[serde(rename = "load")]
     pub level_reports: u64,
-    /// Suspicions begun.
+    /// Number of suspicions for which this member started a timer.
     pub suspicions: u64,
-    /// Suspects confirmed dead.
+    /// Number of suspects confirmed dead by this member.
     #[serde(rename = "given_up")]
     pub confirmed_dead: u64,
-    /// Suspicions of this member that it refuted.
+    /// Number of suspicions of this member that it refuted.
     #[serde(rename = "refuted")]
     pub refutations: u64,
-    /// Returns after others had declared this member dead.
+    /// Number of rejoins after other members had declared this member dead or reported a later
+    /// generation of it.
     #[serde(rename = "returned")]
     pub rejoins: u64,
-    /// Stalls of this member itself.
+    /// Number of stalls of this process.
     #[serde(rename = "gaps")]
     pub stalls: u64,
 }
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -1,13 +1,13 @@
-//! SWIM by the library `foca`: its datagrams, timers, rejoins and updates.
+//! SWIM with the library `foca`: its datagrams, timers, rejoins and updates.
 
 mod joining;
 
 use super::context::{Context, GOSSIP_INTERVAL};
-use super::foca_adapter::{Runtime, Swim, foca_config};
+use super::foca_adapter::{CollectingRuntime, FocaInstance, foca_config};
 use super::membership_table::MembershipTable;
 use super::roster::Roster;
 use crate::envelope::MessageKind;
-use crate::identity::{KnownAddresses, MembershipCodec, ObservedGeneration};
+use crate::identity::{MembershipCodec, ObservedGeneration, TrackedAddresses};
 use crate::payload::PayloadError;
 use crate::{Identity, MS, MembershipEvent, MembershipSettings, Nanos};
 use foca::{Foca, OwnedNotification, Timer};
@@ -16,38 +16,39 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A death is gossiped at once, yet at most this often.
+/// Minimum interval between early gossips. A death is gossiped without waiting for the next
+/// periodic gossip.
 const EARLY_GOSSIP_INTERVAL: Nanos = 20 * MS;
-/// The own generation is raised past a greater one of the same address at most this often: two
-/// processes at one address would raise each other's without end.
+/// Minimum interval between raises of this member's generation above a greater one of the same
+/// address. Without it, two processes at one address would raise each other's generation endlessly.
 const GENERATION_RAISE_INTERVAL: Nanos = 1_000 * MS;
 
-/// SWIM at one member. Errors of `foca` are those of sending or of outdated timers, and are ignored
-/// but for datagrams.
+/// SWIM at one member. Errors of `foca`, other than those for received datagrams, come from sending
+/// or from outdated timers and are ignored.
 pub(super) struct SwimProtocol {
-    foca: Swim,
+    foca: FocaInstance,
     roster: Roster,
     observed_generation: ObservedGeneration,
-    known_addresses: KnownAddresses,
+    tracked_addresses: TrackedAddresses,
     own_address: SocketAddr,
     members_max: usize,
     probe_interval: Nanos,
-    /// Timers of `foca` by due time: a handful, and one for each dead member.
+    /// Timers of `foca` by due time: a few, and one for each dead member.
     timers: BTreeMap<(Nanos, u64), Timer<Identity>>,
     timer_sequence: u64,
     join_addresses: Vec<SocketAddr>,
     next_join: Nanos,
     join_backoff: Nanos,
-    /// Whether any other member was ever known.
-    has_met: bool,
+    /// Whether this member has ever known another live member.
+    has_joined: bool,
     last_generation_raise: Nanos,
     next_dead_announcement: Nanos,
-    /// The dead members of the table's last update.
+    /// Dead members at the last full update of the table.
     dead: Vec<Identity>,
-    /// A death is to be gossiped without waiting for the next periodic gossip.
+    /// Time at which a death is gossiped without waiting for the next periodic gossip.
     early_gossip_due: Option<Nanos>,
     last_early_gossip: Nanos,
-    /// Set when a tick is wanted earlier than scheduled.
+    /// Time of the requested tick, if one is needed earlier than scheduled.
     wake_up: Option<Nanos>,
     pending_rejoins: usize,
 }
@@ -60,18 +61,18 @@
         first_join: Nanos,
     ) -> Self {
         let observed_generation = ObservedGeneration::default();
-        let known_addresses = KnownAddresses::default();
+        let tracked_addresses = TrackedAddresses::default();
         let codec = MembershipCodec::new(
             settings.address,
             observed_generation.clone(),
-            known_addresses.clone(),
+            tracked_addresses.clone(),
             settings.members_max,
         );
         SwimProtocol {
             foca: Foca::new(id, foca_config(settings), rng, codec),
             roster: Roster::new(),
             observed_generation,
-            known_addresses,
+            tracked_addresses,
             own_address: settings.address,
             members_max: settings.members_max,
             probe_interval: settings.timing.probe_interval,
@@ -80,7 +81,7 @@
             join_addresses: settings.join.clone(),
             next_join: first_join,
             join_backoff: joining::JOIN_BACKOFF_MIN,
-            has_met: false,
+            has_joined: false,
             last_generation_raise: 0,
             next_dead_announcement: first_join,
             dead: Vec::new(),
@@ -95,17 +96,17 @@
         *self.foca.identity()
     }
 
-    /// The number of the others that are alive, suspects included.
+    /// Returns the number of other live members, suspects included.
     pub(super) fn alive(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// The others that are alive, suspects included.
+    /// Returns the other live members, suspects included.
     pub(super) fn live_members(&self) -> impl Iterator<Item = &foca::Member<Identity>> {
         self.foca.iter_members()
     }
 
-    /// All others, dead ones included.
+    /// Returns all other members, dead ones included.
     pub(super) fn all_members(&self) -> impl Iterator<Item = &foca::Member<Identity>> {
         self.foca.iter_membership_state()
     }
@@ -114,13 +115,13 @@
         self.live_members().any(|m| m.id().address == address)
     }
 
-    /// Whether a member is alive in this very generation.
+    /// Returns whether a member is alive in exactly this generation.
     pub(super) fn is_alive_as(&self, id: &Identity) -> bool {
         self.live_members().any(|m| m.id() == id)
     }
 
-    /// The generation by which a member is known, dead or alive.
-    pub(super) fn known_generation(&self, address: SocketAddr) -> Option<u64> {
+    /// Returns the generation in which a member is tracked, whether it is alive or dead.
+    pub(super) fn tracked_generation(&self, address: SocketAddr) -> Option<u64> {
         self.all_members()
             .find(|m| m.id().address == address)
             .map(|m| m.id().generation)
@@ -130,20 +131,20 @@
         &self.observed_generation
     }
 
-    /// Whether an address is known, or there is capacity for it.
+    /// Adds an address to the tracked ones if there is capacity. Returns whether it is tracked.
     pub(super) fn admit(&self, address: SocketAddr) -> bool {
-        self.known_addresses.admit(address, self.members_max)
+        self.tracked_addresses.admit(address, self.members_max)
     }
 
-    pub(super) fn has_met(&self) -> bool {
-        self.has_met
+    pub(super) fn has_joined(&self) -> bool {
+        self.has_joined
     }
 
-    pub(super) fn update_has_met(&mut self) {
-        self.has_met |= self.alive() > 0;
+    pub(super) fn update_has_joined(&mut self) {
+        self.has_joined |= self.alive() > 0;
     }
 
-    /// The snapshot of the membership, read again if it may have changed.
+    /// Returns the snapshot of the membership, after reading it again if it may have changed.
     pub(super) fn refreshed_roster(&mut self) -> &Roster {
         self.roster.refresh(&self.foca);
         &self.roster
@@ -153,39 +154,39 @@
         &self.roster
     }
 
-    /// One of the others that are alive, at random.
+    /// Returns a random live member other than this one.
     pub(super) fn random_member(&self, context: &mut Context) -> Option<SocketAddr> {
         let others = self.alive();
         let chosen = (others > 0).then(|| context.rng.random_range(0..others))?;
         self.live_members().nth(chosen).map(|m| m.id().address)
     }
 
-    /// Takes over what the table found: the dead, and which addresses are known.
-    pub(super) fn update_known(&mut self, dead: Vec<Identity>) {
+    /// Replaces the dead members and the tracked addresses after a full update of the table.
+    pub(super) fn update_tracked(&mut self, dead: Vec<Identity>) {
         self.dead = dead;
         let addresses = self.foca.iter_membership_state();
-        self.known_addresses
+        self.tracked_addresses
             .replace(addresses.map(|m| m.id().address));
     }
 
-    /// How often this member rejoined since the last call.
+    /// Returns the number of rejoins since the last call.
     pub(super) fn take_rejoins(&mut self) -> usize {
         std::mem::take(&mut self.pending_rejoins)
     }
 
-    /// An earlier time for the next tick, if one is wanted since the last call.
+    /// Returns the time of a tick requested since the last call, if any.
     pub(super) fn take_wake_up(&mut self) -> Option<Nanos> {
         self.wake_up.take()
     }
 
-    /// When a timer or an early gossip is due.
+    /// Returns when the next timer or early gossip is due.
     pub(super) fn next_due(&self) -> Nanos {
         let timer = self.timers.first_key_value();
         let timer = timer.map_or(Nanos::MAX, |((at, _), _)| *at);
         timer.min(self.early_gossip_due.unwrap_or(Nanos::MAX))
     }
 
-    /// Receives a datagram of SWIM.
+    /// Receives a SWIM message.
     pub(super) fn receive(
         &mut self,
         context: &mut Context,
@@ -194,26 +195,26 @@
         payload: &[u8],
     ) -> Result<(), PayloadError> {
         let is_full = self.all_members().count() >= self.members_max;
-        if is_full && self.known_generation(from).is_none() {
-            // The oldest dead member makes room for a new one.
+        if is_full && self.tracked_generation(from).is_none() {
+            // The member that has been dead the longest is removed to make room for the new one.
             let Some(dead) = self.oldest_dead(table) else {
                 context.statistics.over_capacity += 1;
                 return Ok(());
             };
             self.handle_timer(context, Timer::RemoveDown(dead));
-            self.known_addresses.remove(dead.address);
+            self.tracked_addresses.remove(dead.address);
         }
-        self.known_addresses.insert(from);
-        let mut runtime = Runtime::default();
+        self.tracked_addresses.insert(from);
+        let mut runtime = CollectingRuntime::default();
         let result = self.foca.handle_data(payload, &mut runtime);
         self.roster.invalidate();
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
         self.raise_generation(context);
         result.map_err(|error| PayloadError::Swim(error.to_string()))
     }
 
     fn oldest_dead(&self, table: &MembershipTable) -> Option<Identity> {
-        // The table may still contain members that `foca` has removed since its last update.
+        // The table may contain members that `foca` has removed since the last update of the table.
         let is_down = |id: &Identity| {
             self.all_members()
                 .any(|m| m.id() == id && m.state() == foca::State::Down)
@@ -225,12 +226,13 @@
             .map(|member| member.id)
     }
 
-    /// Raises the own generation past a greater one that others know of this address.
+    /// Raises this member's generation above a greater one that other members report for its
+    /// address.
     pub(super) fn raise_generation(&mut self, context: &mut Context) {
         let observed = self.observed_generation.get();
-        let recent =
+        let too_early =
             context.now.saturating_sub(self.last_generation_raise) < GENERATION_RAISE_INTERVAL;
-        if observed <= self.id().generation || recent {
+        if observed <= self.id().generation || too_early {
             return;
         }
         self.last_generation_raise = context.now;
@@ -238,10 +240,10 @@
             generation: observed + 1,
             ..self.id()
         };
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         self.roster.invalidate();
         if self.foca.change_identity(id, &mut runtime).is_ok() {
-            self.process(context, runtime);
+            self.handle_output(context, runtime);
             self.rejoined(context);
         }
     }
@@ -257,62 +259,69 @@
 
     /// Applies updates of members, and broadcasts them.
     pub(super) fn apply(&mut self, context: &mut Context, updates: Vec<foca::Member<Identity>>) {
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         let _ = self
             .foca
             .apply_many(updates.into_iter(), true, &mut runtime);
         self.roster.invalidate();
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
     }
 
-    /// Refutes a suspicion of this member; `prober` learns of it first.
+    /// Refutes a suspicion of this member, and notifies `prober` first.
     pub(super) fn refute(
         &mut self,
         context: &mut Context,
         suspicion: foca::Member<Identity>,
         prober: Identity,
     ) {
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         let updates = std::iter::once(suspicion);
         let _ = self.foca.apply_many(updates, true, &mut runtime);
         self.roster.invalidate();
         context.statistics.refutations += 1;
-        // The header carries the new incarnation; gossip spreads it to the others.
+        // The header of the announcement carries the new incarnation; gossip spreads it to the
+        // other members.
         let _ = self.foca.announce(prober, &mut runtime);
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
     }
 
-    /// Broadcasts the state of a live member, by this member's own judgement.
-    pub(super) fn declare(&mut self, context: &mut Context, of: SocketAddr, state: foca::State) {
-        let member = self.live_members().find(|m| m.id().address == of);
+    /// Broadcasts a state that this member itself detected for a live member.
+    pub(super) fn declare(
+        &mut self,
+        context: &mut Context,
+        address: SocketAddr,
+        state: foca::State,
+    ) {
+        let member = self.live_members().find(|m| m.id().address == address);
         if let Some(member) = member {
             let update = foca::Member::new(*member.id(), member.incarnation(), state);
             self.apply(context, vec![update]);
         }
     }
 
-    /// Asks members to let this one in.
+    /// Announces this member to other members so that they add it.
     pub(super) fn announce(
         &mut self,
         context: &mut Context,
         to: impl IntoIterator<Item = Identity>,
     ) {
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         for id in to {
             let _ = self.foca.announce(id, &mut runtime);
         }
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
     }
 
     /// Broadcasts that this member leaves.
     pub(super) fn leave(&mut self, context: &mut Context) {
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         let _ = self.foca.leave_cluster(&mut runtime);
         self.roster.invalidate();
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
     }
 
-    /// After a stall of this member: what was due during it gets its whole time again.
+    /// Restarts the timers that became due during a stall of this process, with their full delay
+    /// where the result depends on a reply.
     pub(super) fn restart_timers(&mut self, now: Nanos) {
         let due: Vec<(Nanos, u64)> = self
             .timers
@@ -324,7 +333,7 @@
                 continue;
             };
             let delay = match timer {
-                // The acknowledgement may have come meanwhile, and is read first.
+                // An acknowledgement may have arrived during the stall, and must be read first.
                 Timer::ProbeRandomMember(_) => self.probe_interval,
                 Timer::SendIndirectProbe { .. } => MS,
                 _ => 0,
@@ -355,16 +364,16 @@
     }
 
     fn handle_timer(&mut self, context: &mut Context, timer: Timer<Identity>) {
-        // The other timers send, and change nothing.
+        // The other timers only send, and do not change the membership.
         if matches!(
             timer,
             Timer::ProbeRandomMember(_) | Timer::ChangeSuspectToDown { .. } | Timer::RemoveDown(_)
         ) {
             self.roster.invalidate();
         }
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         let _ = self.foca.handle_timer(timer, &mut runtime);
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
     }
 
     /// Gossips a death without waiting for the next periodic gossip.
@@ -378,18 +387,18 @@
         }
         self.early_gossip_due = None;
         self.last_early_gossip = context.now;
-        let mut runtime = Runtime::default();
+        let mut runtime = CollectingRuntime::default();
         let _ = self.foca.gossip(&mut runtime);
-        self.process(context, runtime);
+        self.handle_output(context, runtime);
     }
 
-    /// Carries out what `foca` hands out.
-    fn process(&mut self, context: &mut Context, runtime: Runtime) {
+    /// Sends the datagrams, sets the timers and handles the notifications that `foca` produced.
+    fn handle_output(&mut self, context: &mut Context, runtime: CollectingRuntime) {
         for (to, payload) in runtime.datagrams {
             context.send(to.address, MessageKind::Swim, &payload);
         }
         for (delay, timer) in runtime.timers {
-            // `suspicion` decides when a suspect is dead.
+            // The suspicion timers of this crate decide when a suspect is dead.
             if !matches!(timer, Timer::ChangeSuspectToDown { .. }) {
                 self.set_timer(context.now + delay.as_nanos() as Nanos, timer);
             }
--- a/crates/membership/src/member/swim/joining.rs
+++ b/crates/membership/src/member/swim/joining.rs
@@ -1,4 +1,5 @@
-//! Joins: announcements to join addresses, and to dead members that may live beyond a partition.
+//! Joins: announcements to join addresses, and to dead members that may be alive on the other side
+//! of a partition.
 
 use super::SwimProtocol;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -9,31 +10,32 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::net::SocketAddr;
 
-/// How often dead members are announced to, each by a few drawn members; this is how a healed
-/// partition merges.
+/// Interval between announcements to a dead member by the few live members assigned to it. These
+/// announcements merge the sides of a healed partition.
 const DEAD_ANNOUNCEMENT_INTERVAL: Nanos = 500 * MS;
-/// Each time about this many random members announce to a dead one as well: the drawn ones may be
-/// cut off from it.
+/// Expected number of random members that also announce to a dead member in each interval, because
+/// the assigned members may be cut off from it.
 const RANDOM_DEAD_ANNOUNCERS: usize = 4;
-/// A member that rejoins announces to this many dead members at once.
+/// Number of dead members to which a rejoining member announces at once.
 const REJOIN_ANNOUNCEMENTS: usize = 6;
-/// Join addresses are announced to again after this, doubled each time up to [`JOIN_BACKOFF_MAX`].
+/// Initial delay until join addresses are announced to again, doubled each time up to
+/// [`JOIN_BACKOFF_MAX`].
 pub(super) const JOIN_BACKOFF_MIN: Nanos = 200 * MS;
 const JOIN_BACKOFF_MAX: Nanos = 5_000 * MS;
 
 impl SwimProtocol {
-    /// A random delay before the first join, so that members that start at once do not join in
-    /// step.
+    /// Returns a random delay before the first join, so that members that start together do not
+    /// join at the same moment.
     pub(in crate::member) fn join_delay(rng: &mut Xoshiro256PlusPlus) -> Nanos {
         rng.random_range(0..JOIN_BACKOFF_MIN / 2)
     }
 
-    /// Announces to those dead members for which this one is drawn. If all members announced to
-    /// each, one that returns would have to answer as many as there are members, each with a
-    /// datagram of the greatest length.
-    pub(in crate::member) fn announce_to_drawn_dead(&mut self, context: &mut Context) {
-        let early = context.now < self.next_dead_announcement;
-        if early || is_injected(InjectedFault::NeverContactsDeadMembers) {
+    /// Announces to the dead members that are assigned to this member. If every member announced to
+    /// each dead one, a returning member would have to send an answer of maximum length to every
+    /// member of the fleet.
+    pub(in crate::member) fn announce_to_assigned_dead(&mut self, context: &mut Context) {
+        let too_early = context.now < self.next_dead_announcement;
+        if too_early || is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
         self.next_dead_announcement = context.now + DEAD_ANNOUNCEMENT_INTERVAL;
@@ -42,17 +44,17 @@
         }
         let addresses: Vec<SocketAddr> = self.dead.iter().map(|id| id.address).collect();
         let alive = self.roster.alive();
-        let mut drawn = heartbeat::drawn_for(&addresses, self.own_address, alive);
+        let mut assigned = heartbeat::watched_among(&addresses, self.own_address, alive);
         let members = alive.len() + 1;
         if context.rng.random_range(0..members) < RANDOM_DEAD_ANNOUNCERS {
-            drawn.push(context.rng.random_range(0..self.dead.len()));
+            assigned.push(context.rng.random_range(0..self.dead.len()));
         }
-        let targets: Vec<Identity> = drawn.into_iter().map(|index| self.dead[index]).collect();
+        let targets: Vec<Identity> = assigned.into_iter().map(|index| self.dead[index]).collect();
         self.announce(context, targets);
     }
 
     /// Announces to some dead members: a member that was declared dead was most likely cut off from
-    /// more than one.
+    /// more than one other.
     pub(super) fn announce_to_random_dead(&mut self, context: &mut Context) {
         if is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
@@ -65,8 +67,9 @@
         self.announce(context, targets);
     }
 
-    /// Announces to join addresses: all of them while no other member is known, later one at a
-    /// time, in case two parts of the fleet never met. Those in other regions are left out.
+    /// Announces to join addresses: to all of them while no other member is known, and later to one
+    /// at a time, in case two parts of the fleet have never known each other. Addresses in other
+    /// regions are skipped.
     pub(in crate::member) fn join(
         &mut self,
         context: &mut Context,
@@ -81,7 +84,7 @@
         };
         let addresses = self.join_addresses.iter().copied();
         let missing: Vec<SocketAddr> = addresses.filter(is_missing).collect();
-        if self.has_met && is_injected(InjectedFault::NeverContactsDeadMembers) {
+        if self.has_joined && is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
         let targets = if alone {
@@ -91,7 +94,7 @@
         };
         self.announce(
             context,
-            targets.into_iter().map(Identity::of_unknown_generation),
+            targets.into_iter().map(Identity::with_unknown_generation),
         );
         let backoff = self.join_backoff;
         self.next_join = context.now + backoff / 2 + context.rng.random_range(0..backoff);
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,52 +1,54 @@
-//! Metadata: a small versioned record that each member publishes of itself.
+//! Metadata: a small versioned record that each member publishes about itself.
 
 use crate::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name, in bytes.
+/// Maximum length of a member name, in bytes.
 pub const NAME_MAX: usize = 32;
-/// The longest name of a build, in bytes.
+/// Maximum length of a build name, in bytes.
 pub const BUILD_MAX: usize = 24;
-/// The longest extension, in bytes.
+/// Maximum length of the extension, in bytes.
 pub const EXTENSION_MAX: usize = 64;
 
-/// What a member says that it does.
+/// Serving phase that a member publishes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServingPhase {
-    /// It has started and is not ready yet.
+    /// The member has started and does not accept clients yet.
     #[default]
     Joining,
-    /// It serves clients.
+    /// The member serves clients.
     Serving,
-    /// It is drained by its operators, or about to end.
+    /// The member is being drained by an operator or is shutting down.
     Draining,
-    /// It leaves the fleet.
+    /// The member is leaving the fleet.
     Leaving,
 }
 
-/// What a member publishes of itself.
+/// Metadata that a member publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberMetadata {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// Where its clients connect.
+    /// Address on which the balancer accepts clients.
     pub listen_address: SocketAddr,
-    /// What it does.
+    /// Current serving phase.
     pub phase: ServingPhase,
-    /// Its build.
+    /// Build of the balancer, for example a commit.
     pub build: String,
-    /// A checksum of its configuration.
+    /// Checksum of the configuration, by which differing configurations are found.
     pub config_checksum: u64,
-    /// Requests that it accepts a second, in tenths.
+    /// Rate of accepted requests, in tenths of a request per second.
     pub request_rate_tenths: u32,
-    /// How many places it counts ([`crate::share_count`]).
+    /// Number of places that the member counts ([`crate::share_count`]).
     pub places: u16,
-    /// Bytes for fields of later versions; those of this version encode a [`crate::Location`].
+    /// Extension bytes for fields of later versions; this version stores an encoded
+    /// [`crate::Location`] in them.
     pub extension: Vec<u8>,
 }
 
-/// The fields of metadata that all members should learn soon; their encoding is checksummed.
+/// Metadata fields whose changes are broadcast. Their encoding is checksummed, so their order is
+/// part of the wire format.
 #[derive(PartialEq, Eq, Serialize)]
 pub(crate) struct UrgentFields<'a> {
     phase: ServingPhase,
@@ -58,7 +60,7 @@
 }
 
 impl MemberMetadata {
-    /// Truncates what is too long.
+    /// Truncates the fields that exceed their maximum length.
     pub(crate) fn truncated(mut self) -> Self {
         self.name = truncate(&self.name, NAME_MAX);
         self.build = truncate(&self.build, BUILD_MAX);
@@ -72,8 +74,8 @@
             && self.extension.len() <= EXTENSION_MAX
     }
 
-    /// The fields that all members should learn soon. Request rate and places change all the time,
-    /// and broadcasts of them would grow with the fleet.
+    /// Returns the fields whose changes are broadcast. The request rate and the places change
+    /// continuously, and broadcasting them would cost more with every member of the fleet.
     pub(crate) fn urgent_fields(&self) -> UrgentFields<'_> {
         UrgentFields {
             phase: self.phase,
@@ -86,14 +88,15 @@
     }
 }
 
-/// A member's metadata; the later generation, then the higher version supersedes.
+/// A versioned metadata record of a member. The greater generation supersedes, then the higher
+/// version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetadataRecord {
-    /// The member that published it.
+    /// Member that published the record.
     pub member: Identity,
-    /// Counts up with each change.
+    /// Version, incremented with each change.
     pub version: u32,
-    /// The metadata.
+    /// Published metadata.
     pub metadata: MemberMetadata,
 }
 
@@ -102,7 +105,7 @@
         (self.member.generation, self.version) > (other.member.generation, other.version)
     }
 
-    /// Whether it differs from its predecessor in what all members should learn soon.
+    /// Returns whether the member or an urgent field differs from the predecessor's.
     pub(crate) fn is_urgent(&self, predecessor: Option<&MetadataRecord>) -> bool {
         predecessor.is_none_or(|predecessor| {
             self.member != predecessor.member
@@ -115,7 +118,7 @@
     }
 }
 
-/// Truncates a text to at most so many bytes, at a character boundary.
+/// Truncates a text to at most `limit` bytes, at a character boundary.
 #[must_use]
 pub fn truncate(text: &str, limit: usize) -> String {
     let end = (0..=limit.min(text.len()))
--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -1,5 +1,5 @@
-//! The metadata records that one member stores: broadcast while new, repeated in rotation,
-//! requested where missing.
+//! Metadata records stored by one member. New records are broadcast, all records are sent in
+//! rotation, and missing ones are requested.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -11,21 +11,21 @@
 use std::ops::Bound::{Excluded, Included, Unbounded};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A new record is transmitted this often, and once more for each doubling of the fleet.
+/// Number of transmissions of a new record, plus one for each doubling of the fleet.
 const BASE_TRANSMISSIONS: u32 = 3;
-/// The most members in one request; an answer or two hold their records.
+/// Maximum number of members in one request; their records fit into one or two datagrams.
 pub const REQUEST_MAX: usize = 24;
-/// The most datagrams that answer a request.
+/// Maximum number of datagrams sent in response to a request.
 const RESPONSES_MAX: usize = 3;
-/// Missing records are requested this often.
+/// Minimum interval between requests for missing records.
 pub const REQUEST_INTERVAL: Nanos = 150 * MS;
-/// The longest encoding of the count of records that stands before them, in bytes.
+/// Maximum encoded length of the record count in front of the records, in bytes.
 const COUNT_LENGTH_MAX: usize = 2;
 
 struct StoredRecord {
     record: MetadataRecord,
     transmissions_left: u32,
-    /// Of the urgent fields; never 0.
+    /// Checksum of the urgent fields; never 0, which stands for a missing record.
     checksum: u32,
     encoded_length: usize,
 }
@@ -42,39 +42,40 @@
     }
 }
 
-/// Which records a payload is filled with.
+/// Selection of records for a payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordSelection {
-    /// Records that are still to be broadcast.
+    /// Only records with remaining broadcast transmissions.
     Broadcasts,
-    /// Those, then the own one, then all others in rotation.
+    /// Records with remaining broadcast transmissions, then this member's record, then all others
+    /// in rotation.
     BroadcastsAndRotation,
 }
 
-/// The records that changed since the last call of [`MetadataStore::take_changes`].
+/// Records that changed since the last call of [`MetadataStore::take_changes`].
 #[derive(Debug, Default)]
 pub struct MetadataChanges {
-    /// Whose records changed.
+    /// Addresses of the members whose records changed.
     pub addresses: BTreeSet<SocketAddr>,
-    /// Whether one changed in what all members should learn soon.
+    /// Whether an urgent field of any record changed.
     pub urgent: bool,
 }
 
-/// The records that one member stores, its own included.
+/// Metadata records stored by one member, its own included.
 pub struct MetadataStore {
     records: BTreeMap<SocketAddr, StoredRecord>,
-    /// The last record of the rotation.
+    /// Address of the record that was sent last in rotation.
     rotation: Option<SocketAddr>,
     last_request: Nanos,
     broadcasts: BTreeSet<SocketAddr>,
     changes: MetadataChanges,
-    /// The checksum of the membership of which no record was missing.
+    /// Checksum of the last membership for which no record was missing.
     complete_for: Option<u64>,
     transmissions_max: u32,
 }
 
 impl MetadataStore {
-    /// A store with the member's own record, which is to be broadcast.
+    /// Creates a store with the member's own record, which is scheduled for broadcast.
     #[must_use]
     pub fn new(own: MetadataRecord) -> Self {
         let address = own.member.address;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Limits how often a new record is transmitted; who misses it requests it.
+    /// Limits the number of transmissions of a new record; members that miss it request it.
     pub fn limit_transmissions(&mut self, limit: u32) {
         self.transmissions_max = limit;
     }
@@ -103,26 +104,26 @@
         (stored.record.member.generation >= id.generation).then_some(stored)
     }
 
-    /// The record of a member, of this generation or a later one.
+    /// Returns the record of a member if it has this generation or a later one.
     #[must_use]
     pub fn get(&self, id: &Identity) -> Option<&MetadataRecord> {
         self.stored(id).map(|stored| &stored.record)
     }
 
-    /// The checksum of a member's urgent fields; 0 where no record of this generation or a later
-    /// one is stored.
+    /// Returns the checksum of a member's urgent fields, or 0 if no record of this generation or a
+    /// later one is stored.
     #[must_use]
     pub fn checksum(&self, id: &Identity) -> u32 {
         self.stored(id).map_or(0, |stored| stored.checksum)
     }
 
-    /// Stores a record; one that is new in what all should learn soon is broadcast among so many
-    /// live members.
+    /// Stores a record, and schedules it for broadcast among `alive` members if an urgent field
+    /// changed.
     pub fn insert(&mut self, record: MetadataRecord, alive: usize) {
         let address = record.member.address;
         let predecessor = self.records.get(&address);
         let urgent = record.is_urgent(predecessor.map(|stored| &stored.record));
-        // A broadcast that still runs goes on with the newer record.
+        // A broadcast in progress continues with the newer record.
         let transmissions = if urgent {
             transmissions(alive).min(self.transmissions_max)
         } else {
@@ -137,40 +138,41 @@
             .insert(address, StoredRecord::new(record, transmissions));
     }
 
-    /// The records that changed since the last call.
+    /// Returns the changes since the last call, and resets them.
     pub fn take_changes(&mut self) -> MetadataChanges {
         std::mem::take(&mut self.changes)
     }
 
-    /// Merges records of others. `known_generation` tells by which generation a member is known;
-    /// records of unknown members are dropped. Returns how many members are unknown, or known by an
-    /// older generation only: their membership broadcasts died out before they reached this member.
+    /// Merges received records. `tracked_generation` returns the generation under which a member is
+    /// tracked; records of untracked members are dropped. Returns the number of members that are
+    /// untracked, or tracked in an older generation: their membership broadcasts did not reach this
+    /// member.
     ///
     /// # Errors
     ///
-    /// If the payload cannot be decoded, or a record exceeds a bound.
+    /// If the payload cannot be decoded, or a record exceeds its maximum length.
     pub fn merge(
         &mut self,
         own: SocketAddr,
         payload: &[u8],
-        known_generation: impl Fn(SocketAddr) -> Option<u64>,
+        tracked_generation: impl Fn(SocketAddr) -> Option<u64>,
         alive: usize,
     ) -> Result<usize, PayloadError> {
         let records: Vec<MetadataRecord> = decode(payload)?;
         if !records.iter().all(MetadataRecord::is_bounded) {
             return Err(PayloadError::OverLimit {
-                what: "bytes of metadata",
+                what: "bytes of a metadata record",
                 limit: PAYLOAD_MAX,
             });
         }
         let mut unknown = 0;
-        // The own record is only written by this member.
+        // Only this member writes its own record.
         for record in records
             .into_iter()
             .filter(|record| record.member.address != own)
         {
             let address = record.member.address;
-            let generation = known_generation(address);
+            let generation = tracked_generation(address);
             let is_new_member =
                 generation.is_none_or(|generation| generation < record.member.generation);
             if is_new_member && record.metadata.phase != ServingPhase::Leaving {
@@ -185,23 +187,23 @@
         Ok(unknown)
     }
 
-    /// Forgets members that are no longer known.
-    pub fn retain(&mut self, is_known: impl Fn(SocketAddr) -> bool) {
+    /// Removes the records of members that are no longer tracked.
+    pub fn retain(&mut self, is_tracked: impl Fn(SocketAddr) -> bool) {
         let before = self.records.len();
-        self.records.retain(|address, _| is_known(*address));
+        self.records.retain(|address, _| is_tracked(*address));
         if self.records.len() != before {
-            self.broadcasts.retain(|address| is_known(*address));
+            self.broadcasts.retain(|address| is_tracked(*address));
             self.complete_for = None;
         }
     }
 
-    /// Whether a record is still to be broadcast.
+    /// Returns whether any record has remaining broadcast transmissions.
     #[must_use]
     pub fn has_broadcasts(&self) -> bool {
         !self.broadcasts.is_empty()
     }
 
-    /// Fills a payload, and counts the transmissions.
+    /// Encodes the next payload, and counts the transmissions of its records.
     pub fn next_payload(&mut self, own: SocketAddr, selection: RecordSelection) -> Vec<u8> {
         let rotates = selection == RecordSelection::BroadcastsAndRotation;
         let mut order = self.broadcast_order();
@@ -224,7 +226,7 @@
         payload
     }
 
-    /// Those to be broadcast, the least transmitted first.
+    /// Returns the addresses of the records to broadcast, the least transmitted first.
     fn broadcast_order(&self) -> Vec<SocketAddr> {
         let transmissions_left = |address: &SocketAddr| {
             self.records
@@ -240,7 +242,8 @@
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// All records from the one after the last rotated on, as many as may fit.
+    /// Returns the addresses of the records that follow the last one sent in rotation, at most
+    /// [`REQUEST_MAX`].
     fn rotation_order(&self) -> impl Iterator<Item = SocketAddr> {
         let (begin, end) = match self.rotation {
             Some(last) => (Excluded(last), Included(last)),
@@ -257,11 +260,11 @@
             .take(REQUEST_MAX)
     }
 
-    /// The payloads that answer a request, at most `RESPONSES_MAX`.
+    /// Returns the payloads that answer a request, at most [`RESPONSES_MAX`].
     ///
     /// # Errors
     ///
-    /// If the payload is no request, or names too many members.
+    /// If the payload is not a request, or it names more than [`REQUEST_MAX`] members.
     pub fn respond(&self, payload: &[u8]) -> Result<Vec<Vec<u8>>, PayloadError> {
         let mut requested: Vec<SocketAddr> = decode(payload)?;
         if requested.len() > REQUEST_MAX {
@@ -282,17 +285,17 @@
         Ok(responses)
     }
 
-    /// The request for the records of live members that are missing, if it is time. `membership` is
-    /// a checksum of the membership: nothing is searched while it is one of which nothing was
-    /// missing.
+    /// Returns a request for the missing records of live members if [`REQUEST_INTERVAL`] has
+    /// passed. `membership` is a checksum of the membership: the search is skipped while it equals
+    /// the last one for which no record was missing.
     pub fn missing_records_request<'a>(
         &mut self,
         now: Nanos,
         membership: u64,
         alive: impl Iterator<Item = &'a Identity>,
     ) -> Option<Vec<u8>> {
-        let early = now.saturating_sub(self.last_request) < REQUEST_INTERVAL;
-        if early
+        let too_early = now.saturating_sub(self.last_request) < REQUEST_INTERVAL;
+        if too_early
             || self.complete_for == Some(membership)
             || is_injected(InjectedFault::GossipsRecordsOnce)
         {
@@ -311,7 +314,8 @@
         Some(encode(&missing))
     }
 
-    /// Packs these records as far as they fit; returns the payload and whose records are in it.
+    /// Encodes as many of these records as fit into a payload. Returns the payload and the
+    /// addresses of the encoded records.
     fn pack(&self, order: &[SocketAddr]) -> (Vec<u8>, Vec<SocketAddr>) {
         let mut records: Vec<&MetadataRecord> = Vec::new();
         let mut packed = Vec::new();
--- a/crates/membership/src/metadata_store/tests.rs
+++ b/crates/membership/src/metadata_store/tests.rs
@@ -30,124 +30,134 @@
 }
 
 #[test]
-fn older_records_and_records_of_unknown_members_are_dropped() {
-    let mut records = MetadataStore::new(record(1, 1, 1));
-    let take = |records: &mut MetadataStore, r: MetadataRecord| {
-        let payload = postcard::to_stdvec(&vec![r]).unwrap();
-        records.take_changes();
-        let known = |a: SocketAddr| (a.port() < 9).then_some(5);
-        let unknown = records.merge(own(), &payload, known, 3).ok()?;
-        Some((records.take_changes().addresses.len(), unknown))
+fn older_records_and_records_of_untracked_members_are_dropped() {
+    let mut store = MetadataStore::new(record(1, 1, 1));
+    let merge = |store: &mut MetadataStore, record: MetadataRecord| {
+        let payload = postcard::to_stdvec(&vec![record]).unwrap();
+        store.take_changes();
+        let tracked_generation = |address: SocketAddr| (address.port() < 9).then_some(5);
+        let unknown = store.merge(own(), &payload, tracked_generation, 3).ok()?;
+        Some((store.take_changes().addresses.len(), unknown))
     };
-    assert_eq!(take(&mut records, record(2, 5, 3)), Some((1, 0)));
+    assert_eq!(merge(&mut store, record(2, 5, 3)), Some((1, 0)));
     for old in [record(2, 5, 3), record(2, 5, 2), record(2, 4, 99)] {
-        assert_eq!(take(&mut records, old), Some((0, 0)), "replayed");
+        assert_eq!(
+            merge(&mut store, old),
+            Some((0, 0)),
+            "an older or equal record has no effect"
+        );
     }
     assert_eq!(
-        take(&mut records, record(2, 6, 0)),
+        merge(&mut store, record(2, 6, 0)),
         Some((1, 1)),
-        "another generation, to be looked up"
+        "a later generation than the tracked one"
     );
     assert_eq!(
-        take(&mut records, record(9, 1, 1)),
+        merge(&mut store, record(9, 1, 1)),
         Some((0, 1)),
-        "unknown, to be looked up"
+        "an untracked member"
     );
-    let mut gone = record(9, 1, 2);
-    gone.metadata.phase = ServingPhase::Leaving;
-    assert_eq!(take(&mut records, gone), Some((0, 0)), "it left");
+    let mut leaving = record(9, 1, 2);
+    leaving.metadata.phase = ServingPhase::Leaving;
     assert_eq!(
-        take(&mut records, record(1, 9, 9)),
+        merge(&mut store, leaving),
         Some((0, 0)),
-        "the own record"
+        "an untracked member that leaves"
+    );
+    assert_eq!(
+        merge(&mut store, record(1, 9, 9)),
+        Some((0, 0)),
+        "this member's own record"
     );
     let mut long = record(3, 1, 1);
     long.metadata.extension.push(0);
-    assert_eq!(take(&mut records, long), None, "beyond the limit");
-    let garbage = records.merge(own(), b"\xff\xff\xff\xff\x0f", |_| Some(1), 3);
+    assert_eq!(
+        merge(&mut store, long),
+        None,
+        "the extension exceeds its limit"
+    );
+    let garbage = store.merge(own(), b"\xff\xff\xff\xff\x0f", |_| Some(1), 3);
     assert!(matches!(garbage, Err(PayloadError::Undecodable(_))));
     let id = |generation| Identity {
         address: record(2, 0, 0).member.address,
         generation,
     };
-    assert!(records.get(&id(6)).is_some() && records.get(&id(7)).is_none());
+    assert!(store.get(&id(6)).is_some() && store.get(&id(7)).is_none());
 }
 
 #[test]
 fn broadcasts_are_bounded_and_all_records_are_sent_in_rotation() {
-    let mut records = MetadataStore::new(record(1, 1, 1));
+    let mut store = MetadataStore::new(record(1, 1, 1));
     let all: Vec<MetadataRecord> = (2..=60).map(|n| record(n, 1, 1)).collect();
     for chunk in all.chunks(5) {
         let payload = postcard::to_stdvec(&chunk).unwrap();
-        let unknown = records.merge(own(), &payload, |_| Some(1), 60);
+        let unknown = store.merge(own(), &payload, |_| Some(1), 60);
         assert_eq!(unknown, Ok(0));
     }
     let mut datagrams = 0;
-    records.insert(record(1, 1, 2), 60);
-    assert!(records.has_broadcasts());
-    while records.has_broadcasts() {
-        assert!(
-            records
-                .next_payload(own(), RecordSelection::Broadcasts)
-                .len()
-                <= PAYLOAD_MAX
-        );
+    store.insert(record(1, 1, 2), 60);
+    assert!(store.has_broadcasts());
+    while store.has_broadcasts() {
+        assert!(store.next_payload(own(), RecordSelection::Broadcasts).len() <= PAYLOAD_MAX);
         datagrams += 1;
     }
     assert!(datagrams <= 59 * (BASE_TRANSMISSIONS + 5), "{datagrams}");
     assert_eq!(
-        records.next_payload(own(), RecordSelection::Broadcasts),
+        store.next_payload(own(), RecordSelection::Broadcasts),
         [0],
-        "no broadcasts"
+        "no broadcasts remain"
+    );
+    let mut changed_rate = record(1, 1, 3);
+    changed_rate.metadata.request_rate_tenths += 1;
+    store.insert(changed_rate, 60);
+    assert!(
+        !store.has_broadcasts(),
+        "a changed request rate is sent in rotation only"
     );
-    let mut busier = record(1, 1, 3);
-    busier.metadata.request_rate_tenths += 1;
-    records.insert(busier, 60);
-    assert!(!records.has_broadcasts(), "in rotation only");
     let mut received = std::collections::BTreeSet::new();
     for _ in 0..30 {
         let sent: Vec<MetadataRecord> = postcard::from_bytes(
-            &records.next_payload(own(), RecordSelection::BroadcastsAndRotation),
+            &store.next_payload(own(), RecordSelection::BroadcastsAndRotation),
         )
         .unwrap();
         assert_eq!(sent[0].member.address, own());
-        received.extend(sent.into_iter().map(|r| r.member.address));
+        received.extend(sent.into_iter().map(|record| record.member.address));
     }
-    assert_eq!(received.len(), 60, "all in rotation");
+    assert_eq!(received.len(), 60, "all records are sent in rotation");
 }
 
 #[test]
 fn missing_records_are_requested_and_sent() {
-    let mut mine = MetadataStore::new(record(1, 1, 1));
-    let mut theirs = MetadataStore::new(record(2, 1, 1));
+    let mut requester = MetadataStore::new(record(1, 1, 1));
+    let mut responder = MetadataStore::new(record(2, 1, 1));
     let alive: Vec<Identity> = (2..=80).map(|n| record(n, 1, 1).member).collect();
-    let request = mine
+    let request = requester
         .missing_records_request(REQUEST_INTERVAL, 1, alive.iter())
         .unwrap();
     assert_eq!(
-        mine.missing_records_request(REQUEST_INTERVAL + 1, 1, alive.iter()),
+        requester.missing_records_request(REQUEST_INTERVAL + 1, 1, alive.iter()),
         None,
-        "not so often"
+        "the request interval has not passed"
     );
-    let answer = theirs.respond(&request).unwrap();
-    assert_eq!(mine.merge(own(), &answer[0], |_| Some(1), 2), Ok(0));
-    assert!(mine.get(&alive[0]).is_some());
-    theirs.insert(record(2, 1, 2), 2);
+    let responses = responder.respond(&request).unwrap();
+    assert_eq!(requester.merge(own(), &responses[0], |_| Some(1), 2), Ok(0));
+    assert!(requester.get(&alive[0]).is_some());
+    responder.insert(record(2, 1, 2), 2);
     let many: Vec<SocketAddr> = (0..=REQUEST_MAX as u16)
         .map(|n| record(n, 1, 1).member.address)
         .collect();
     assert_eq!(
-        theirs.respond(&postcard::to_stdvec(&many).unwrap()),
+        responder.respond(&postcard::to_stdvec(&many).unwrap()),
         Err(PayloadError::OverLimit {
             what: "requested records",
             limit: REQUEST_MAX
         }),
-        "beyond the limit"
+        "the request names too many members"
     );
 }
 
 #[test]
-fn a_long_name_is_truncated_at_a_character() {
+fn a_long_name_is_truncated_at_a_character_boundary() {
     assert_eq!(truncate("ცხრა", 7), "ცხ");
     assert_eq!(truncate("n3", NAME_MAX), "n3");
 }
--- a/crates/membership/src/payload.rs
+++ b/crates/membership/src/payload.rs
@@ -3,36 +3,36 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a payload is dropped.
+/// Reason for dropping a payload.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PayloadError {
-    /// The bytes are no message of this kind.
-    #[error("the payload cannot be decoded: {0}")]
+    /// The bytes do not decode as a message of this kind.
+    #[error("cannot decode the payload: {0}")]
     Undecodable(#[from] postcard::Error),
-    /// A list or a name exceeds its bound.
-    #[error("{what} exceed the limit of {limit}")]
+    /// A list or a name exceeds its limit.
+    #[error("the number of {what} exceeds the limit of {limit}")]
     OverLimit {
-        /// What there is too much of.
+        /// Description of the limited quantity.
         what: &'static str,
-        /// The bound.
+        /// Limit that is exceeded.
         limit: usize,
     },
-    /// A list of checksums has another length than this version's.
-    #[error("{actual} bytes of checksums instead of {expected}")]
+    /// The checksums of a digest do not have this version's total length.
+    #[error("the digest has {actual} bytes; expected {expected}")]
     DigestLength {
-        /// The length of this version's digests, in bytes.
+        /// Length of this version's digests, in bytes.
         expected: usize,
-        /// The length of the received one, in bytes.
+        /// Length of the received digest, in bytes.
         actual: usize,
     },
-    /// A shedding level is outside the range of the tiers.
-    #[error("the shedding level {0} is out of range")]
+    /// A shedding level is not between 0 and the number of tiers.
+    #[error("the shedding level {0} is not between 0 and the number of tiers")]
     LevelOutOfRange(String),
-    /// `foca` rejects a datagram of SWIM.
-    #[error("SWIM: {0}")]
+    /// `foca` rejected a SWIM message.
+    #[error("foca rejected the SWIM message: {0}")]
     Swim(String),
-    /// A message for members with a region came to one without.
-    #[error("this member has no region")]
+    /// A message between members with a region reached a member without one.
+    #[error("received a message between regions, but this member has no region")]
     NoRegion,
 }
 
@@ -40,7 +40,7 @@
     Ok(postcard::from_bytes(payload)?)
 }
 
-/// Encodes a message; the messages of this crate cannot fail to encode.
+/// Encodes a message. Encoding the messages of this crate does not fail.
 pub(crate) fn encode<T: Serialize + ?Sized>(message: &T) -> Vec<u8> {
     postcard::to_stdvec(message).unwrap_or_default()
 }
@@ -49,7 +49,7 @@
     postcard::to_stdvec(message).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-/// The bytes that are left in a payload.
+/// Remaining bytes of a payload.
 pub(crate) struct PayloadBudget(usize);
 
 impl PayloadBudget {
@@ -57,16 +57,16 @@
         PayloadBudget(bytes)
     }
 
-    /// Takes the bytes of an item if they are left; whether they were.
-    pub(crate) fn take<T: Serialize>(&mut self, item: &T) -> bool {
-        let left = self.0.checked_sub(encoded_length(item));
-        self.0 = left.unwrap_or(self.0);
-        left.is_some()
+    /// Reserves the encoded length of an item if it fits. Returns whether it fitted.
+    pub(crate) fn reserve<T: Serialize>(&mut self, item: &T) -> bool {
+        let remaining = self.0.checked_sub(encoded_length(item));
+        self.0 = remaining.unwrap_or(self.0);
+        remaining.is_some()
     }
 
-    /// Appends an item to a list if it fits; whether it did.
+    /// Appends an item to a list if it fits. Returns whether it was appended.
     pub(crate) fn push<T: Serialize>(&mut self, list: &mut Vec<T>, item: T) -> bool {
-        let fits = self.take(&item);
+        let fits = self.reserve(&item);
         if fits {
             list.push(item);
         }
