--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -1,5 +1,5 @@
-//! Datagrams that version cab609d sent are read with today's types, and written again byte for
-//! byte.
+//! Compatibility of message types: datagrams sent by version cab609d are decoded with the current
+//! types and encoded again to the same bytes.
 
 use crate::anti_entropy::{BUCKETS, DigestMessage, ListDelta};
 use crate::envelope::{EnvelopeScope, MessageKind, open, seal};
@@ -17,13 +17,13 @@
 
 const WITHOUT_REGIONS: &str = include_str!("../tests/fixtures/cab609d/without-regions.txt");
 const WITH_REGIONS: &str = include_str!("../tests/fixtures/cab609d/with-regions.txt");
-/// The generation of the members that start at once.
+/// Generation of the members that start at the beginning of the recorded runs.
 const GENERATION: u64 = 1_700_000_000_000;
 
 /// One recorded datagram.
 struct Recorded {
     kind: u8,
-    which: String,
+    extreme: String,
     from: SocketAddr,
     bytes: Vec<u8>,
 }
@@ -32,10 +32,10 @@
     let parse = |line: &str| {
         let fields: Vec<&str> = line.split(' ').collect();
         let hex = fields[4];
-        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+        let byte = |index: usize| u8::from_str_radix(&hex[index..index + 2], 16).unwrap();
         Recorded {
             kind: fields[0].parse().unwrap(),
-            which: fields[1].into(),
+            extreme: fields[1].into(),
             from: fields[2].parse().unwrap(),
             bytes: (0..hex.len()).step_by(2).map(byte).collect(),
         }
@@ -49,32 +49,34 @@
         .unwrap()
 }
 
-/// The region's envelope numbers; members 1 to 5 are in the north, the others in the south.
-fn numbers(file: &str, of: SocketAddr) -> EnvelopeScope {
-    match (file == WITH_REGIONS, of.port() <= 7_005) {
+/// Returns the envelope scope of a member of a recording. With regions, members 1 to 5 are in the
+/// north and the others in the south.
+fn scope_of(file: &str, sender: SocketAddr) -> EnvelopeScope {
+    match (file == WITH_REGIONS, sender.port() <= 7_005) {
         (false, _) => EnvelopeScope::new("tiles", ""),
         (true, true) => EnvelopeScope::new("tiles", "north"),
         (true, false) => EnvelopeScope::new("tiles", "south"),
     }
 }
 
-/// The payload of the datagram of a kind; the envelope is written again as it was.
-fn payload(file: &str, kind: MessageKind, which: &str) -> (SocketAddr, Vec<u8>) {
+/// Returns sender and payload of the recorded datagram of a kind, and checks that the envelope is
+/// encoded as recorded.
+fn payload(file: &str, kind: MessageKind, extreme: &str) -> (SocketAddr, Vec<u8>) {
     let recorded = recorded(file);
     let found = recorded
         .iter()
-        .find(|recorded| recorded.kind == kind as u8 && recorded.which == which)
+        .find(|recorded| recorded.kind == kind as u8 && recorded.extreme == extreme)
         .unwrap();
-    let numbers = numbers(file, found.from);
-    let (opened, payload) = open(numbers, &found.bytes).unwrap();
+    let scope = scope_of(file, found.from);
+    let (opened, payload) = open(scope, &found.bytes).unwrap();
     assert_eq!(opened, kind);
-    assert_eq!(seal(numbers, kind, payload), found.bytes);
+    assert_eq!(seal(scope, kind, payload), found.bytes);
     (found.from, payload.to_vec())
 }
 
-/// Reads a message that is serialized as a whole, and checks that it is written as it was.
-fn message<T: Serialize + DeserializeOwned>(file: &str, kind: MessageKind, which: &str) -> T {
-    let (_, payload) = payload(file, kind, which);
+/// Decodes a message that is serialized as a whole, and checks that it is encoded as recorded.
+fn message<T: Serialize + DeserializeOwned>(file: &str, kind: MessageKind, extreme: &str) -> T {
+    let (_, payload) = payload(file, kind, extreme);
     let message: T = postcard::from_bytes(&payload).unwrap();
     assert_eq!(postcard::to_stdvec(&message).unwrap(), payload, "{kind:?}");
     message
@@ -95,39 +97,41 @@
             .map(|recorded| recorded.kind)
             .collect()
     };
-    let twice = |last: u8| -> Vec<u8> { (1..=last).flat_map(|kind| [kind, kind]).collect() };
-    assert_eq!(kinds(WITHOUT_REGIONS), twice(8));
-    assert_eq!(kinds(WITH_REGIONS), twice(14));
+    let each_twice =
+        |last_kind: u8| -> Vec<u8> { (1..=last_kind).flat_map(|kind| [kind, kind]).collect() };
+    assert_eq!(kinds(WITHOUT_REGIONS), each_twice(8));
+    assert_eq!(kinds(WITH_REGIONS), each_twice(14));
 }
 
 #[test]
-fn swim_messages_are_read_and_written_as_recorded() {
+fn swim_messages_are_decoded_and_encoded_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        for which in ["shortest", "longest"] {
-            let (from, payload) = payload(file, MessageKind::Swim, which);
+        for extreme in ["shortest", "longest"] {
+            let (from, payload) = payload(file, MessageKind::Swim, extreme);
             let mut codec = foca::PostcardCodec;
-            let mut rest = payload.as_slice();
-            let header: foca::Header<Identity> = codec.decode_header(&mut rest).unwrap();
+            let mut remaining = payload.as_slice();
+            let header: foca::Header<Identity> = codec.decode_header(&mut remaining).unwrap();
             assert_eq!(header.src.address, from);
-            let mut written = Vec::new();
-            codec.encode_header(&header, &mut written).unwrap();
-            if rest.has_remaining() {
-                let count = rest.get_u16();
-                written.extend(count.to_be_bytes());
+            let mut encoded = Vec::new();
+            codec.encode_header(&header, &mut encoded).unwrap();
+            if remaining.has_remaining() {
+                let count = remaining.get_u16();
+                encoded.extend(count.to_be_bytes());
                 for _ in 0..count {
-                    let member: foca::Member<Identity> = codec.decode_member(&mut rest).unwrap();
+                    let member: foca::Member<Identity> =
+                        codec.decode_member(&mut remaining).unwrap();
                     assert!(member.id().generation >= GENERATION);
-                    codec.encode_member(&member, &mut written).unwrap();
+                    codec.encode_member(&member, &mut encoded).unwrap();
                 }
             }
-            assert!(!rest.has_remaining());
-            assert_eq!(written, payload);
+            assert!(!remaining.has_remaining());
+            assert_eq!(encoded, payload);
         }
     }
 }
 
 #[test]
-fn metadata_records_are_read_and_written_as_recorded() {
+fn metadata_records_are_decoded_and_encoded_as_recorded() {
     let plain: Vec<MetadataRecord> =
         message(WITHOUT_REGIONS, MessageKind::MetadataRecords, "longest");
     assert_eq!(plain.len(), 7);
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn metadata_requests_are_read_and_written_as_recorded() {
+fn metadata_requests_are_decoded_and_encoded_as_recorded() {
     let requested: Vec<SocketAddr> =
         message(WITHOUT_REGIONS, MessageKind::MetadataRequest, "shortest");
     assert_eq!(requested, [address(3)]);
@@ -169,10 +173,10 @@
 }
 
 #[test]
-fn watcher_probes_are_read_and_written_as_recorded() {
+fn watcher_probes_are_decoded_and_encoded_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
         let probe: WatcherProbe = message(file, MessageKind::WatcherProbe, "shortest");
-        assert_eq!(probe.by.generation, GENERATION);
+        assert_eq!(probe.sender.generation, GENERATION);
         assert_eq!(probe.suspect, None);
         let probe: WatcherProbe = message(file, MessageKind::WatcherProbe, "longest");
         let suspect = probe.suspect.unwrap();
@@ -181,18 +185,18 @@
 }
 
 #[test]
-fn heartbeats_are_read_and_written_as_recorded() {
+fn heartbeats_are_decoded_and_encoded_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
-        let by: Identity = message(file, MessageKind::Heartbeat, "shortest");
-        assert_eq!(by, identity(1));
+        let sender: Identity = message(file, MessageKind::Heartbeat, "shortest");
+        assert_eq!(sender, identity(1));
     }
 }
 
 #[test]
-fn anti_entropy_messages_are_read_and_written_as_recorded() {
+fn anti_entropy_messages_are_decoded_and_encoded_as_recorded() {
     for file in [WITHOUT_REGIONS, WITH_REGIONS] {
         let digest: DigestMessage = message(file, MessageKind::MemberListDigest, "longest");
-        assert_eq!(digest.by, identity(1));
+        assert_eq!(digest.sender, identity(1));
         assert_eq!(digest.digest.len(), 4 * BUCKETS);
         let equal: ListDelta = message(file, MessageKind::MemberListDelta, "shortest");
         assert!(equal.agrees() && !equal.is_reply);
@@ -209,12 +213,15 @@
 }
 
 #[test]
-fn level_reports_are_read_and_written_as_recorded() {
-    let own: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "shortest");
-    assert_eq!(own.len(), 1);
-    assert_eq!((own[0].member, own[0].generation), (address(1), GENERATION));
-    assert_eq!(own[0].counts.admitted[..5], [40, 30, 20, 10, 0]);
-    assert_eq!(own[0].counts.capacity_rejections, 35);
+fn level_reports_are_decoded_and_encoded_as_recorded() {
+    let single: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "shortest");
+    assert_eq!(single.len(), 1);
+    assert_eq!(
+        (single[0].member, single[0].generation),
+        (address(1), GENERATION)
+    );
+    assert_eq!(single[0].counts.admitted[..5], [40, 30, 20, 10, 0]);
+    assert_eq!(single[0].counts.capacity_rejections, 35);
     let many: Vec<LevelReport> = message(WITHOUT_REGIONS, MessageKind::LevelReports, "longest");
     assert_eq!(many.len(), 6);
     assert!(many.iter().any(|report| report.level > 0.0));
@@ -224,7 +231,7 @@
 }
 
 #[test]
-fn region_digests_and_deltas_are_read_and_written_as_recorded() {
+fn region_digests_and_deltas_are_decoded_and_encoded_as_recorded() {
     let empty: RegionDigest = message(WITH_REGIONS, MessageKind::RegionDigest, "shortest");
     assert_eq!(empty.region, "north");
     assert!(empty.from_delegate);
@@ -239,7 +246,7 @@
 }
 
 #[test]
-fn region_announcements_are_read_and_written_as_recorded() {
+fn region_announcements_are_decoded_and_encoded_as_recorded() {
     let announcements: Vec<AgedAnnouncement> =
         message(WITH_REGIONS, MessageKind::RegionAnnouncements, "shortest");
     assert_eq!(announcements.len(), 1);
@@ -254,7 +261,7 @@
 }
 
 #[test]
-fn referrals_are_read_and_written_as_recorded() {
+fn referrals_are_decoded_and_encoded_as_recorded() {
     let south: RegionReferral = message(WITH_REGIONS, MessageKind::RegionReferral, "shortest");
     assert_eq!(south.region, "south");
     assert_eq!(south.delegates, [7, 8, 9].map(address));
@@ -264,11 +271,11 @@
 }
 
 #[test]
-fn overviews_are_read_and_written_as_recorded() {
-    let one: Vec<OverviewPart> = message(WITH_REGIONS, MessageKind::Overview, "shortest");
-    assert_eq!(one.len(), 1);
-    assert_eq!(one[0].author, Some(address(4)));
+fn overviews_are_decoded_and_encoded_as_recorded() {
+    let single: Vec<OverviewPart> = message(WITH_REGIONS, MessageKind::Overview, "shortest");
+    assert_eq!(single.len(), 1);
+    assert_eq!(single[0].author, Some(address(4)));
     message::<Vec<OverviewPart>>(WITH_REGIONS, MessageKind::Overview, "longest");
-    let (_, sums) = payload(WITH_REGIONS, MessageKind::OverviewDigest, "longest");
-    assert_eq!(sums.len(), 4 * crate::regions::overview::PARTS);
+    let (_, digest) = payload(WITH_REGIONS, MessageKind::OverviewDigest, "longest");
+    assert_eq!(digest.len(), 4 * crate::regions::overview::PARTS);
 }
--- a/crates/membership/src/regions/announcement.rs
+++ b/crates/membership/src/regions/announcement.rs
@@ -1,43 +1,45 @@
-//! Announcements: what a region publishes to the others. Summaries are the only payload so far.
+//! Announcements that a region publishes to the other regions. Their only payload so far is a
+//! summary.
 
-use super::{CLOCK_SKEW_MAX_MS, DELEGATES, REGION_PLACES_MAX};
+use super::{CLOCK_SKEW_MAX_MS, DELEGATE_COUNT, REGION_PLACES_MAX};
 use crate::anti_entropy::address_bytes;
 use crate::location::LOCATION_NAME_MAX;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What a region publishes of itself.
+/// Summary that a region publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionSummary {
-    /// Live members.
+    /// Number of live members.
     pub alive: u32,
-    /// The share count within the region.
+    /// Share count within the region.
     pub places: u32,
-    /// The checksum of the configuration that most members have.
+    /// Checksum of the most common configuration.
     pub config_checksum: u64,
-    /// How many members have another configuration.
+    /// Number of members with another configuration.
     pub config_minority: u32,
-    /// Requests that the region accepts a second, in tenths.
+    /// Rate of requests that the region accepts, in tenths of a request per second.
     pub request_rate_tenths: u32,
-    /// The delegates, the leader first.
+    /// Delegates, the leader first.
     pub delegates: Vec<SocketAddr>,
-    /// The former leader, if the author took its place: its announcement counts no more unless it
-    /// proves to be alive.
+    /// Previous leader, if the author replaced it. The announcement of the previous leader is
+    /// ignored from then on, unless its heartbeats show that it is alive.
     pub replaces: Option<SocketAddr>,
 }
 
 impl RegionSummary {
-    /// Whether all figures are within their bounds.
+    /// Returns whether all values are within their limits.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.alive <= self.places
             && (1..=REGION_PLACES_MAX).contains(&self.places)
             && self.config_minority <= self.alive
-            && self.delegates.len() <= DELEGATES
+            && self.delegates.len() <= DELEGATE_COUNT
     }
 
-    /// Whether another summary is equal in all that other regions should learn soon.
+    /// Returns whether another summary is equal in all values whose changes are announced
+    /// immediately, that is, all but the request rate.
     #[must_use]
     pub fn is_equivalent(&self, other: &RegionSummary) -> bool {
         self.alive == other.alive
@@ -48,48 +50,50 @@
     }
 }
 
-/// The content of an announcement.
+/// Payload of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnnouncementPayload {
-    /// The summary of a region.
+    /// Summary of a region.
     Summary(RegionSummary),
 }
 
-/// A hash that stands for the region and author of an announcement.
+/// Hash of the region and author of an announcement, which identifies it in digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AnnouncementKey(pub(crate) u32);
 
 impl AnnouncementKey {
-    pub(crate) fn of(announcement: &Announcement) -> Self {
+    pub(crate) fn from_announcement(announcement: &Announcement) -> Self {
         let mut bytes = announcement.region.clone().into_bytes();
         bytes.extend(address_bytes(announcement.author));
         AnnouncementKey(xxh3_64(&bytes) as u32)
     }
 }
 
-/// What one author publishes of its region; the higher version of an author supersedes the lower.
+/// Versioned announcement of one author about its region; the higher version of an author
+/// supersedes the lower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The region.
+    /// Region that the announcement is about.
     pub region: String,
-    /// The member that wrote it.
+    /// Address of the member that wrote it.
     pub author: SocketAddr,
-    /// Unix time in milliseconds at the author, and greater than any version before.
+    /// Unix time in milliseconds at the author, raised if necessary above every earlier version.
     pub version: u64,
-    /// The content.
+    /// Content of the announcement.
     pub payload: AnnouncementPayload,
 }
 
 impl Announcement {
-    /// Whether the name and all figures are within their bounds; `unix_ms` is the time now.
+    /// Returns whether the name and all values are within their limits; `unix_ms` is the current
+    /// time.
     #[must_use]
-    pub fn is_sound(&self, unix_ms: u64) -> bool {
+    pub fn is_valid(&self, unix_ms: u64) -> bool {
         (1..=LOCATION_NAME_MAX).contains(&self.region.len())
             && self.version <= unix_ms + CLOCK_SKEW_MAX_MS
-            && self.summary().is_sound()
+            && self.summary().is_valid()
     }
 
-    /// The summary that it carries.
+    /// Returns the summary in the payload.
     #[must_use]
     pub fn summary(&self) -> &RegionSummary {
         let AnnouncementPayload::Summary(summary) = &self.payload;
--- a/crates/membership/src/regions/announcement_store.rs
+++ b/crates/membership/src/regions/announcement_store.rs
@@ -1,8 +1,8 @@
-//! The announcements that one delegate stores: the latest of each author, with proof that the
-//! author is alive.
+//! Announcements that one delegate stores: the latest of each author, and evidence that the author
+//! is alive.
 //!
-//! An author counts up heartbeats, by which a region whose figures do not change is told from one
-//! that is silent.
+//! Each author increments a heartbeat counter, which distinguishes a region whose summary does not
+//! change from a silent one.
 
 use super::announcement::{Announcement, AnnouncementKey, AnnouncementPayload, RegionSummary};
 use super::exchange::{AgedAnnouncement, AnnouncementVersion};
@@ -13,28 +13,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The most authors of one region; in a partitioned region each part has one.
+/// Maximum number of authors per region. A partitioned region has one author in each part.
 const AUTHORS_MAX: usize = 4;
-/// The most tombstones of authors.
+/// Maximum number of tombstones of authors.
 const TOMBSTONES_MAX: usize = REGIONS_MAX * AUTHORS_MAX;
-/// How often an author counts up its heartbeats.
+/// Interval at which an author increments its heartbeat counter.
 const HEARTBEAT_INTERVAL: Nanos = 1_000 * MS;
-/// Heartbeats of a replaced author that may still have been on their way.
-const LATE_HEARTBEATS: u32 = 3;
+/// Maximum number of heartbeats of a replaced author that may still have been in transit.
+const HEARTBEATS_IN_TRANSIT_MAX: u32 = 3;
 
-/// Announcements that were dropped, counted since the start.
+/// Counters of dropped announcements since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DroppedAnnouncements {
-    /// Beyond a bound: figures, names, a version from the future.
+    /// Number of announcements dropped because a value or name exceeds its limit or the version is
+    /// too far in the future.
     #[serde(rename = "unsound")]
     pub invalid: u64,
-    /// An older version of the same author.
+    /// Number of announcements dropped because a newer version of the author is stored.
     pub outdated: u64,
-    /// Of more regions or authors than are stored.
+    /// Number of announcements dropped because the maximum number of regions or authors is stored.
     pub over_capacity: u64,
 }
 
-/// The region and the author of an announcement.
+/// Region and author of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AnnouncementId {
     pub(super) region: String,
@@ -42,7 +43,7 @@
 }
 
 impl AnnouncementId {
-    fn of(announcement: &Announcement) -> Self {
+    fn from_announcement(announcement: &Announcement) -> Self {
         AnnouncementId {
             region: announcement.region.clone(),
             author: announcement.author,
@@ -54,9 +55,9 @@
 pub(super) struct StoredAnnouncement {
     pub(super) announcement: Announcement,
     pub(super) heartbeats: u32,
-    last_heard: Nanos,
-    /// The heartbeats at which another author claimed to have replaced this one.
-    replaced_at: Option<u32>,
+    last_alive: Nanos,
+    /// Heartbeat counter at the time when another author claimed to have replaced this one.
+    heartbeats_when_replaced: Option<u32>,
 }
 
 impl StoredAnnouncement {
@@ -66,10 +67,10 @@
 
     pub(super) fn version(&self, now: Nanos) -> AnnouncementVersion {
         AnnouncementVersion {
-            key: AnnouncementKey::of(&self.announcement).0,
+            key: AnnouncementKey::from_announcement(&self.announcement).0,
             version: self.announcement.version,
             heartbeats: self.heartbeats,
-            age_seconds: elapsed_seconds(now, self.last_heard),
+            age_seconds: elapsed_seconds(now, self.last_alive),
         }
     }
 
@@ -77,61 +78,62 @@
         AgedAnnouncement {
             announcement: self.announcement.clone(),
             heartbeats: self.heartbeats,
-            age_seconds: elapsed_seconds(now, self.last_heard),
+            age_seconds: elapsed_seconds(now, self.last_alive),
         }
     }
 
-    /// Notes a report of the author's heartbeats, if it is a later one.
+    /// Records a reported heartbeat counter if it is greater than the stored one.
     pub(super) fn record_heartbeats(&mut self, now: Nanos, heartbeats: u32, age_seconds: u32) {
         if heartbeats > self.heartbeats {
             self.heartbeats = heartbeats;
-            self.last_heard = self.last_heard.max(seconds_ago(now, age_seconds));
+            self.last_alive = self.last_alive.max(seconds_ago(now, age_seconds));
         }
     }
 
     fn is_silent(&self, now: Nanos) -> bool {
-        now.saturating_sub(self.last_heard) >= SILENT_AFTER
+        now.saturating_sub(self.last_alive) >= SILENT_AFTER
     }
 
-    /// Whether another author replaced it and it has not proved to be alive since.
+    /// Returns whether another author replaced this one and its heartbeats have not shown since
+    /// that it is alive.
     fn is_replaced(&self) -> bool {
-        self.replaced_at
-            .is_some_and(|heartbeats| self.heartbeats <= heartbeats + LATE_HEARTBEATS)
+        self.heartbeats_when_replaced
+            .is_some_and(|heartbeats| self.heartbeats <= heartbeats + HEARTBEATS_IN_TRANSIT_MAX)
     }
 
-    /// The preference among the authors of a region: live ones, then those with the most live
-    /// members.
+    /// Returns the rank among the authors of a region: live authors first, then those with more
+    /// live members.
     fn preference(&self, now: Nanos) -> (bool, u32) {
         (!self.is_silent(now), self.summary().alive)
     }
 }
 
-/// The last state of an author that was forgotten. Others may still send its announcement, which
-/// would otherwise circulate for ever.
+/// Last state of a removed author. Other delegates may still send its announcement, which would
+/// otherwise circulate forever.
 #[derive(Clone, Copy, Debug)]
 struct AuthorTombstone {
     version: u64,
     heartbeats: u32,
-    at: Nanos,
+    created_at: Nanos,
 }
 
-/// What a delegate knows of one region, from all its authors.
+/// State of one region, combined from the announcements of all its authors.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RegionKnowledge {
-    /// The summary that counts.
+pub struct CombinedSummary {
+    /// Summary of the preferred author.
     pub summary: RegionSummary,
-    /// Its version.
+    /// Version of that summary.
     pub version: u64,
-    /// The most places that a live author publishes: each part of a partitioned region may publish
-    /// fewer.
+    /// Maximum number of places that a considered author publishes; each part of a partitioned
+    /// region may publish fewer.
     pub places: u32,
-    /// Live authors; more than one where a region is partitioned.
+    /// Number of live authors; more than one if the region is partitioned.
     pub authors: usize,
-    /// When the region was last heard, if it is silent.
+    /// Time of the region's last heartbeat if it is silent.
     pub silent_since: Option<Nanos>,
 }
 
-/// The announcements that one delegate stores.
+/// Announcements that one delegate stores.
 pub struct AnnouncementStore {
     own: SocketAddr,
     pub(super) region: String,
@@ -143,8 +145,8 @@
 }
 
 impl AnnouncementStore {
-    /// An empty store of a member of this region. Authors that were silent for
-    /// `tombstone_retention` are forgotten.
+    /// Creates an empty store of a member of this region. Authors that were silent for
+    /// `tombstone_retention` are removed.
     #[must_use]
     pub fn new(own: SocketAddr, region: &str, tombstone_retention: Nanos) -> Self {
         AnnouncementStore {
@@ -158,19 +160,19 @@
         }
     }
 
-    /// The announcements dropped so far.
+    /// Returns the counters of dropped announcements.
     #[must_use]
     pub fn dropped(&self) -> DroppedAnnouncements {
         self.dropped
     }
 
-    /// The number of stored announcements.
+    /// Returns the number of stored announcements.
     #[must_use]
     pub fn len(&self) -> usize {
         self.stored.len()
     }
 
-    /// Whether no announcement is stored.
+    /// Returns whether no announcement is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.stored.is_empty()
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The summary that this member last published.
+    /// Returns the summary that this member published last.
     #[must_use]
     pub fn own_summary(&self) -> Option<&RegionSummary> {
         self.stored
@@ -191,7 +193,8 @@
             .map(StoredAnnouncement::summary)
     }
 
-    /// Publishes a summary of the own region, by a version above any that is known of this author.
+    /// Publishes a summary of this member's region, under a version above every known one of this
+    /// author.
     pub fn publish(
         &mut self,
         now: Nanos,
@@ -211,24 +214,25 @@
                 payload: AnnouncementPayload::Summary(summary),
             },
             heartbeats: 0,
-            last_heard: now,
-            replaced_at: None,
+            last_alive: now,
+            heartbeats_when_replaced: None,
         };
         let announcement = stored.aged(now);
         self.stored.insert(id, stored);
         announcement
     }
 
-    /// Withdraws the own announcement: another member leads.
+    /// Withdraws this member's announcement because another member leads.
     pub fn withdraw(&mut self) {
         self.stored.remove(&self.own_id());
     }
 
-    /// Counts up the own heartbeats, and forgets authors that are gone.
+    /// Increments this member's heartbeat counter when due, and removes expired authors and
+    /// tombstones.
     pub fn tick(&mut self, now: Nanos) {
         let own_id = self.own_id();
         if let Some(own) = self.stored.get_mut(&own_id) {
-            own.last_heard = now;
+            own.last_alive = now;
             if now >= self.next_heartbeat {
                 self.next_heartbeat = now + HEARTBEAT_INTERVAL;
                 own.heartbeats += 1;
@@ -239,10 +243,11 @@
         }
         let retention = self.tombstone_retention;
         self.tombstones
-            .retain(|_, tombstone| now.saturating_sub(tombstone.at) < retention);
+            .retain(|_, tombstone| now.saturating_sub(tombstone.created_at) < retention);
     }
 
-    /// Authors that are silent while their region has a live one, or for longer than the retention.
+    /// Returns the authors that are silent while their region has a live one, or that were silent
+    /// for the retention time.
     fn expired(&self, now: Nanos) -> Vec<AnnouncementId> {
         let live_regions: BTreeSet<&String> = self
             .stored
@@ -252,7 +257,7 @@
             .collect();
         let is_expired = |id: &AnnouncementId, stored: &StoredAnnouncement| {
             let superseded = stored.is_silent(now) && live_regions.contains(&id.region);
-            superseded || now.saturating_sub(stored.last_heard) >= self.tombstone_retention
+            superseded || now.saturating_sub(stored.last_alive) >= self.tombstone_retention
         };
         self.stored
             .iter()
@@ -269,7 +274,7 @@
             let oldest = self
                 .tombstones
                 .iter()
-                .min_by_key(|(_, tombstone)| tombstone.at);
+                .min_by_key(|(_, tombstone)| tombstone.created_at);
             if let Some(oldest) = oldest.map(|(id, _)| id.clone()) {
                 self.tombstones.remove(&oldest);
             }
@@ -277,14 +282,14 @@
         let tombstone = AuthorTombstone {
             version: stored.announcement.version,
             heartbeats: stored.heartbeats,
-            at: now,
+            created_at: now,
         };
         self.tombstones.insert(id, tombstone);
     }
 
-    /// What is known of the other regions.
+    /// Returns the combined state of each other region.
     #[must_use]
-    pub fn regions(&self, now: Nanos) -> BTreeMap<&str, RegionKnowledge> {
+    pub fn regions(&self, now: Nanos) -> BTreeMap<&str, CombinedSummary> {
         let mut by_region: BTreeMap<&str, Vec<&StoredAnnouncement>> = BTreeMap::new();
         for (id, stored) in &self.stored {
             if id.region != self.region {
@@ -297,7 +302,7 @@
             .collect()
     }
 
-    /// The delegates by all authors, by region, the own region's included.
+    /// Returns the delegates named by all authors, by region, this member's region included.
     #[must_use]
     pub fn delegates(&self) -> BTreeMap<&str, BTreeSet<SocketAddr>> {
         let mut by_region: BTreeMap<&str, BTreeSet<SocketAddr>> = BTreeMap::new();
@@ -309,7 +314,7 @@
         by_region
     }
 
-    /// Merges announcements; returns those that are new here.
+    /// Merges announcements. Returns those that are new to this store.
     pub fn merge(
         &mut self,
         now: Nanos,
@@ -320,18 +325,18 @@
         announcements.iter().filter(is_new).cloned().collect()
     }
 
-    /// Whether the announcement is new here.
+    /// Merges one announcement. Returns whether it is new to this store.
     fn merge_one(&mut self, now: Nanos, unix_ms: u64, aged: &AgedAnnouncement) -> bool {
         let announcement = &aged.announcement;
-        if !announcement.is_sound(unix_ms)
+        if !announcement.is_valid(unix_ms)
             && !is_injected(InjectedFault::AcceptsInvalidAnnouncements)
         {
             self.dropped.invalid += 1;
             return false;
         }
-        let id = AnnouncementId::of(announcement);
+        let id = AnnouncementId::from_announcement(announcement);
         if id == self.own_id() {
-            self.pass_own_version(announcement.version);
+            self.raise_own_version(announcement.version);
             return false;
         }
         if let Some(stored) = self.stored.get_mut(&id) {
@@ -344,16 +349,17 @@
                 stored.record_heartbeats(now, aged.heartbeats, aged.age_seconds);
                 return false;
             }
-        } else if self.is_forgotten(&id, aged) || !self.make_room(&id, aged, now) {
+        } else if self.is_covered_by_tombstone(&id, aged) || !self.ensure_capacity(&id, aged, now) {
             return false;
         }
         self.replace(now, id, aged);
         true
     }
 
-    /// The own announcement is only written by this member. A former process of it may have
-    /// published a later time, above which the next version has to be.
-    fn pass_own_version(&mut self, version: u64) {
+    /// Raises the version of this member's announcement above a received one. Only this member
+    /// writes its announcement, but an earlier process of it may have published a version from a
+    /// later clock.
+    fn raise_own_version(&mut self, version: u64) {
         let id = self.own_id();
         if let Some(own) = self.stored.get_mut(&id)
             && own.announcement.version < version
@@ -362,7 +368,7 @@
         }
     }
 
-    /// Stores an announcement in place of the author's former one, and notes whom its author
+    /// Stores an announcement in place of the author's previous one, and marks the author that it
     /// replaced.
     fn replace(&mut self, now: Nanos, id: AnnouncementId, aged: &AgedAnnouncement) {
         self.tombstones.remove(&id);
@@ -371,8 +377,8 @@
         let stored = StoredAnnouncement {
             announcement: aged.announcement.clone(),
             heartbeats: aged.heartbeats,
-            last_heard: aged.last_heard(now),
-            replaced_at: former.and_then(|stored| stored.replaced_at),
+            last_alive: aged.last_alive(now),
+            heartbeats_when_replaced: former.and_then(|stored| stored.heartbeats_when_replaced),
         };
         let replaced_author = stored
             .summary()
@@ -380,27 +386,32 @@
             .filter(|author| *author != id.author && Some(*author) != former_claim);
         let region = id.region.clone();
         self.stored.insert(id, stored);
-        // Only a new claim counts: each part of a partitioned region keeps claiming to replace the
-        // other's leader.
+        // Only a new claim is applied: each part of a partitioned region keeps claiming to replace
+        // the other part's leader.
         if let Some(author) = replaced_author
             && let Some(replaced) = self.stored.get_mut(&AnnouncementId { region, author })
         {
-            replaced.replaced_at = Some(replaced.heartbeats);
+            replaced.heartbeats_when_replaced = Some(replaced.heartbeats);
         }
     }
 
-    /// Whether the announcement is no later than the author's tombstone.
-    fn is_forgotten(&self, id: &AnnouncementId, aged: &AgedAnnouncement) -> bool {
+    /// Returns whether the announcement is not newer than the author's tombstone.
+    fn is_covered_by_tombstone(&self, id: &AnnouncementId, aged: &AgedAnnouncement) -> bool {
         self.tombstones.get(id).is_some_and(|tombstone| {
             (aged.announcement.version, aged.heartbeats)
                 <= (tombstone.version, tombstone.heartbeats)
         })
     }
 
-    /// Whether there is room for one more author, for which a less preferred one of its region may
-    /// be forgotten. A silent author gets none while its region has a live one.
-    fn make_room(&mut self, id: &AnnouncementId, aged: &AgedAnnouncement, now: Nanos) -> bool {
-        let silence = now.saturating_sub(aged.last_heard(now));
+    /// Returns whether a further author can be stored. A less preferred author of the region is
+    /// removed if necessary. A silent author is rejected while its region has a live one.
+    fn ensure_capacity(
+        &mut self,
+        id: &AnnouncementId,
+        aged: &AgedAnnouncement,
+        now: Nanos,
+    ) -> bool {
+        let silence = now.saturating_sub(aged.last_alive(now));
         let is_silent = silence >= SILENT_AFTER;
         let authors: Vec<(&AnnouncementId, &StoredAnnouncement)> = self
             .stored
@@ -421,23 +432,23 @@
             return true;
         }
         let preference = (!is_silent, aged.announcement.summary().alive);
-        let least = authors
+        let least_preferred = authors
             .iter()
             .min_by_key(|(_, stored)| stored.preference(now))
             .filter(|(_, stored)| stored.preference(now) < preference)
             .map(|(id, _)| (*id).clone());
-        let Some(least) = least else {
+        let Some(least_preferred) = least_preferred else {
             self.dropped.over_capacity += 1;
             return false;
         };
-        self.forget_author(now, least);
+        self.forget_author(now, least_preferred);
         true
     }
 }
 
-/// What the authors of one region say together: the summary of the one with the most live members,
-/// which in a partitioned region is the same one each time.
-fn combine(authors: &[&StoredAnnouncement], now: Nanos) -> Option<RegionKnowledge> {
+/// Combines the announcements of the authors of one region. It selects the summary with the most
+/// live members, so that the selection is stable in a partitioned region.
+fn combine(authors: &[&StoredAnnouncement], now: Nanos) -> Option<CombinedSummary> {
     let is_live = |stored: &&StoredAnnouncement| !stored.is_silent(now);
     let mut live: Vec<&StoredAnnouncement> = authors.iter().copied().filter(is_live).collect();
     if live.iter().any(|stored| !stored.is_replaced()) {
@@ -446,7 +457,7 @@
     let is_region_silent = live.is_empty();
     let considered = if is_region_silent { authors } else { &live };
     let chosen = if is_region_silent {
-        considered.iter().max_by_key(|stored| stored.last_heard)?
+        considered.iter().max_by_key(|stored| stored.last_alive)?
     } else {
         considered
             .iter()
@@ -456,11 +467,11 @@
         .iter()
         .map(|stored| stored.summary().places)
         .max()?;
-    Some(RegionKnowledge {
+    Some(CombinedSummary {
         summary: chosen.summary().clone(),
         version: chosen.announcement.version,
         places,
         authors: live.len(),
-        silent_since: is_region_silent.then_some(chosen.last_heard),
+        silent_since: is_region_silent.then_some(chosen.last_alive),
     })
 }
--- a/crates/membership/src/regions/delegates.rs
+++ b/crates/membership/src/regions/delegates.rs
@@ -1,13 +1,13 @@
-//! The delegates of a region: drawn by rendezvous hashing over its live members, so that all
-//! members compute the same ones, a dead delegate is replaced by the next in rank, and nothing else
-//! changes.
+//! Selection of the delegates of a region by rendezvous hashing over its live members. All members
+//! compute the same delegates; a dead delegate is replaced by the next in rank, and the others
+//! stay.
 
-use super::DELEGATES;
+use super::DELEGATE_COUNT;
 use crate::anti_entropy::address_bytes;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-fn weight(region_number: u64, member: SocketAddr) -> u64 {
+fn rendezvous_weight(region_number: u64, member: SocketAddr) -> u64 {
     xxh3_64_with_seed(&address_bytes(member), region_number)
 }
 
@@ -15,17 +15,17 @@
     xxh3_64_with_seed(region.as_bytes(), 0)
 }
 
-/// The delegates of a region among these members, the leader first.
-pub fn draw(region: &str, members: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
+/// Returns the delegates of a region among these members, the leader first.
+pub fn select(region: &str, members: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
     let region_number = region_number(region);
-    let mut drawn: Vec<(u64, SocketAddr)> = Vec::with_capacity(DELEGATES + 1);
+    let mut selected: Vec<(u64, SocketAddr)> = Vec::with_capacity(DELEGATE_COUNT + 1);
     for member in members {
-        let candidate = (weight(region_number, member), member);
-        let rank = drawn.partition_point(|other| *other > candidate);
-        if rank < DELEGATES {
-            drawn.insert(rank, candidate);
-            drawn.truncate(DELEGATES);
+        let candidate = (rendezvous_weight(region_number, member), member);
+        let rank = selected.partition_point(|other| *other > candidate);
+        if rank < DELEGATE_COUNT {
+            selected.insert(rank, candidate);
+            selected.truncate(DELEGATE_COUNT);
         }
     }
-    drawn.into_iter().map(|(_, member)| member).collect()
+    selected.into_iter().map(|(_, member)| member).collect()
 }
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -1,8 +1,8 @@
 //! Anti-entropy between the delegates of all regions.
 //!
-//! The digest lists the version and heartbeats of each announcement that the sender stores. The
-//! delta contains what the sender of the digest lacks, and requests what the replying delegate
-//! lacks.
+//! The digest lists the version and heartbeat counter of each announcement that the sender stores.
+//! The delta contains the announcements that the sender of the digest lacks, and requests those
+//! that the replying delegate lacks.
 
 use super::announcement::{Announcement, AnnouncementKey};
 use super::announcement_store::{AnnouncementId, AnnouncementStore, StoredAnnouncement};
@@ -14,12 +14,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most versions in one digest, as many as fit into a datagram.
+/// Maximum number of versions in one digest; this many fit into a datagram.
 const DIGEST_VERSIONS_MAX: usize = 64;
-/// Bytes for the names and the list lengths of a message.
+/// Bytes reserved for the names and the list lengths of a message.
 const MESSAGE_HEADER_MAX: usize = 40;
 
-/// The state in which one delegate stores an announcement.
+/// Version and heartbeats of an announcement that one delegate stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncementVersion {
     pub(super) key: u32,
@@ -29,17 +29,17 @@
     pub(super) age_seconds: u32,
 }
 
-/// An announcement with the liveness of its author.
+/// An announcement with the heartbeats of its author.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedAnnouncement {
-    /// The announcement.
+    /// The announcement itself.
     pub announcement: Announcement,
     pub(super) heartbeats: u32,
     pub(super) age_seconds: u32,
 }
 
 impl AgedAnnouncement {
-    /// An announcement that its author has just made.
+    /// Returns an announcement that its author has just made.
     #[must_use]
     pub fn new(announcement: Announcement) -> Self {
         AgedAnnouncement {
@@ -55,78 +55,84 @@
         encode(announcements)
     }
 
-    /// When its author was last known to be alive.
-    pub(super) fn last_heard(&self, now: Nanos) -> Nanos {
+    /// Returns the time at which the author was last known to be alive.
+    pub(super) fn last_alive(&self, now: Nanos) -> Nanos {
         seconds_ago(now, self.age_seconds)
     }
 }
 
-/// Who sends a digest.
+/// Role of the sender of a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DigestSender {
     /// A delegate of its region.
     Delegate,
-    /// A member that looks for its region; nothing is requested of it.
-    Newcomer,
+    /// A member that is searching for its region; no announcements are requested from it.
+    JoiningMember,
 }
 
-/// The versions of the announcements that the sender stores.
+/// Digest of the announcements that the sender stores.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RegionDigest {
-    /// The sender's region.
+    /// Region of the sender.
     pub region: String,
-    /// Whether the sender is a delegate of its region; of others no announcement is requested.
+    /// Whether the sender is a delegate of its region; announcements are requested only from
+    /// delegates.
     pub from_delegate: bool,
-    /// Whether all stored announcements are listed.
+    /// Whether the digest lists all announcements that the sender stores.
     complete: bool,
     versions: Vec<AnnouncementVersion>,
 }
 
-/// What the sender of a digest lacks, and what the replying delegate lacks.
+/// Answer to a digest: the announcements that the sender of the digest lacks, and requests for
+/// those that the replying delegate lacks.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RegionDelta {
-    /// The region of the replying delegate.
+    /// Region of the replying delegate.
     pub region: String,
     /// Later heartbeats of announcements that both store in the same version.
     versions: Vec<AnnouncementVersion>,
-    /// Announcements that are newer than the sender's.
+    /// Announcements that are newer than those of the digest's sender, or that it lacks.
     pub announcements: Vec<AgedAnnouncement>,
-    /// Keys of the announcements that are requested.
+    /// Keys of the requested announcements.
     requested: Vec<u32>,
 }
 
-/// What became of a delta.
+/// Result of merging a delta.
 #[derive(Debug, Default)]
 pub struct MergedDelta {
     /// Announcements that the replying delegate requested.
     pub requested: Vec<AgedAnnouncement>,
-    /// Announcements that are new here.
+    /// Announcements that were new to this store.
     pub new: Vec<AgedAnnouncement>,
 }
 
 impl AnnouncementStore {
-    /// The digest of what is stored. `first` picks the first version where not all fit.
+    /// Returns the digest of the stored announcements. If not all versions fit, `first` selects the
+    /// first one.
     #[must_use]
     pub fn digest(&self, now: Nanos, sender: DigestSender, first: usize) -> RegionDigest {
         let all: Vec<&StoredAnnouncement> = self.stored.values().collect();
-        let order = (0..all.len().min(DIGEST_VERSIONS_MAX)).map(|n| (n + first) % all.len());
+        let order =
+            (0..all.len().min(DIGEST_VERSIONS_MAX)).map(|offset| (first + offset) % all.len());
         RegionDigest {
             region: self.region.clone(),
             from_delegate: sender == DigestSender::Delegate,
             complete: all.len() <= DIGEST_VERSIONS_MAX,
-            versions: order.map(|n| all[n].version(now)).collect(),
+            versions: order.map(|index| all[index].version(now)).collect(),
         }
     }
 
     fn ids_by_key(&self) -> BTreeMap<u32, AnnouncementId> {
-        let key = |stored: &StoredAnnouncement| AnnouncementKey::of(&stored.announcement).0;
+        let key = |stored: &StoredAnnouncement| {
+            AnnouncementKey::from_announcement(&stored.announcement).0
+        };
         self.stored
             .iter()
             .map(|(id, stored)| (key(stored), id.clone()))
             .collect()
     }
 
-    /// Answers a digest, as far as a datagram holds it.
+    /// Returns the answer to a digest, with as many entries as fit into a datagram.
     pub fn delta(&mut self, now: Nanos, digest: &RegionDigest) -> RegionDelta {
         let mut delta = RegionDelta {
             region: self.region.clone(),
@@ -140,23 +146,25 @@
         let mut budget = PayloadBudget::new(PAYLOAD_MAX - MESSAGE_HEADER_MAX);
         let ids = self.ids_by_key();
         let mut listed = BTreeSet::new();
-        for theirs in digest.versions.iter().take(DIGEST_VERSIONS_MAX) {
-            listed.insert(theirs.key);
-            let stored = ids.get(&theirs.key).and_then(|id| self.stored.get_mut(id));
+        for received in digest.versions.iter().take(DIGEST_VERSIONS_MAX) {
+            listed.insert(received.key);
+            let stored = ids
+                .get(&received.key)
+                .and_then(|id| self.stored.get_mut(id));
             let Some(stored) = stored else {
                 if digest.from_delegate {
-                    budget.push(&mut delta.requested, theirs.key);
+                    budget.push(&mut delta.requested, received.key);
                 }
                 continue;
             };
             let version = stored.announcement.version;
-            if theirs.version > version && digest.from_delegate {
-                budget.push(&mut delta.requested, theirs.key);
-            } else if theirs.version == version && theirs.heartbeats >= stored.heartbeats {
-                stored.record_heartbeats(now, theirs.heartbeats, theirs.age_seconds);
-            } else if theirs.version == version {
+            if received.version > version && digest.from_delegate {
+                budget.push(&mut delta.requested, received.key);
+            } else if received.version == version && received.heartbeats >= stored.heartbeats {
+                stored.record_heartbeats(now, received.heartbeats, received.age_seconds);
+            } else if received.version == version {
                 budget.push(&mut delta.versions, stored.version(now));
-            } else if theirs.version < version {
+            } else if received.version < version {
                 budget.push(&mut delta.announcements, stored.aged(now));
             }
         }
@@ -169,14 +177,16 @@
         delta
     }
 
-    /// Merges a delta.
+    /// Merges a delta. Returns the announcements that it requests and those that were new.
     pub fn merge_delta(&mut self, now: Nanos, unix_ms: u64, delta: &RegionDelta) -> MergedDelta {
         let ids = self.ids_by_key();
-        for theirs in &delta.versions {
-            if let Some(stored) = ids.get(&theirs.key).and_then(|id| self.stored.get_mut(id))
-                && theirs.version == stored.announcement.version
+        for received in &delta.versions {
+            if let Some(stored) = ids
+                .get(&received.key)
+                .and_then(|id| self.stored.get_mut(id))
+                && received.version == stored.announcement.version
             {
-                stored.record_heartbeats(now, theirs.heartbeats, theirs.age_seconds);
+                stored.record_heartbeats(now, received.heartbeats, received.age_seconds);
             }
         }
         let new = self.merge(now, unix_ms, &delta.announcements);
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -1,10 +1,10 @@
-//! The overview: what the members of a region know of the other regions. The region's leader writes
-//! it, broadcasts spread it, and anti-entropy finds what they miss.
+//! Overview of the other regions, stored by every member of a region. The leader of the region
+//! writes it, broadcasts disseminate it, and anti-entropy repairs missed broadcasts.
 //!
-//! It is divided into [`PARTS`] by the regions' names, each with a version of its own, so that a
-//! change of one region sends few rows.
+//! The overview is divided into [`PARTS`] parts by region name. Each part has its own version, so
+//! that a change of one region sends few rows.
 
-use super::announcement_store::RegionKnowledge;
+use super::announcement_store::CombinedSummary;
 use super::{CLOCK_SKEW_MAX_MS, REGIONS_MAX, elapsed_seconds, seconds_ago};
 use crate::Nanos;
 use crate::envelope::PAYLOAD_MAX;
@@ -15,68 +15,70 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The parts of the overview.
+/// Number of parts of the overview.
 pub const PARTS: usize = 32;
 const DIGEST_LENGTH: usize = 4 * PARTS;
-/// How often each member transmits a new part.
+/// Number of times that each member transmits a new part.
 const TRANSMISSIONS: u32 = 6;
-/// Bytes for the list lengths and the head of a message.
+/// Bytes reserved for the list lengths and the header of a message.
 const MESSAGE_HEADER_MAX: usize = 60;
 
-/// What is known of one region.
+/// Status of one region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionStatus {
-    /// Its name.
+    /// Name of the region.
     pub region: String,
-    /// The version of its summary.
+    /// Version of its summary.
     pub version: u64,
-    /// Live members.
+    /// Number of live members.
     pub alive: u32,
-    /// The share count within the region.
+    /// Share count within the region.
     pub places: u32,
-    /// The checksum of the configuration that most members have.
+    /// Checksum of the most common configuration.
     pub config_checksum: u64,
-    /// How many members have another configuration.
+    /// Number of members with another configuration.
     pub config_minority: u32,
-    /// Requests that it accepts a second, in tenths.
+    /// Rate of requests that the region accepts, in tenths of a request per second.
     pub request_rate_tenths: u32,
-    /// Its delegates.
+    /// Delegates of the region.
     pub delegates: Vec<SocketAddr>,
-    /// How many authors contradict each other; 1 unless it is partitioned, 0 while it is silent.
+    /// Number of live authors: 1 normally, more while the region is partitioned, 0 while it is
+    /// silent.
     pub authors: u8,
-    /// For how many seconds it has been silent.
+    /// Duration of the region's silence in seconds when the part was written or sent; `None` if it
+    /// is reachable.
     pub silent_seconds: Option<u32>,
 }
 
 impl RegionStatus {
-    /// The status of a region as a delegate knows it.
+    /// Returns the status of a region from the combined announcements that a delegate stores.
     #[must_use]
-    pub fn of(region: &str, knowledge: &RegionKnowledge, now: Nanos) -> Self {
-        let summary = &knowledge.summary;
+    pub fn new(region: &str, combined: &CombinedSummary, now: Nanos) -> Self {
+        let summary = &combined.summary;
         RegionStatus {
             region: region.into(),
-            version: knowledge.version,
+            version: combined.version,
             alive: summary.alive,
-            places: knowledge.places,
+            places: combined.places,
             config_checksum: summary.config_checksum,
             config_minority: summary.config_minority,
             request_rate_tenths: summary.request_rate_tenths,
             delegates: summary.delegates.clone(),
-            authors: u8::try_from(knowledge.authors).unwrap_or(u8::MAX),
-            silent_seconds: knowledge
+            authors: u8::try_from(combined.authors).unwrap_or(u8::MAX),
+            silent_seconds: combined
                 .silent_since
                 .map(|since| elapsed_seconds(now, since)),
         }
     }
 
-    /// Whether another status is equal but for the length of a silence, which each member counts
-    /// itself.
+    /// Returns whether another status is equal except for the duration of a silence, which each
+    /// member measures itself.
     fn is_equivalent(&self, other: &RegionStatus) -> bool {
-        let without_length = |status: &RegionStatus| RegionStatus {
+        let without_duration = |status: &RegionStatus| RegionStatus {
             silent_seconds: status.silent_seconds.map(|_| 0),
             ..status.clone()
         };
-        without_length(self) == without_length(other)
+        without_duration(self) == without_duration(other)
     }
 }
 
@@ -84,9 +86,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverviewPart {
     number: u8,
-    /// The member that wrote it; none if nobody has.
+    /// Member that wrote the part; `None` if it was never written.
     pub author: Option<SocketAddr>,
-    /// Unix time in milliseconds at the author, and greater than any version before.
+    /// Unix time in milliseconds at the author, raised if necessary above every earlier version.
     version: u64,
     rows: Vec<RegionStatus>,
 }
@@ -96,22 +98,22 @@
         (self.version, self.author)
     }
 
-    fn is_sound(&self, unix_ms: u64) -> bool {
-        let is_sound_row = |row: &RegionStatus| {
+    fn is_valid(&self, unix_ms: u64) -> bool {
+        let is_valid_row = |row: &RegionStatus| {
             (1..=LOCATION_NAME_MAX).contains(&row.region.len())
-                && part_of(&row.region) == usize::from(self.number)
+                && part_number(&row.region) == usize::from(self.number)
         };
         self.version <= unix_ms + CLOCK_SKEW_MAX_MS
             && self.author.is_some()
             && self.rows.len() <= REGIONS_MAX
-            && self.rows.iter().all(is_sound_row)
+            && self.rows.iter().all(is_valid_row)
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct StoredPart {
     part: OverviewPart,
-    /// The silences of the rows are counted from here.
+    /// Time relative to which the silences in the rows are measured.
     stored_at: Nanos,
     transmissions_left: u32,
 }
@@ -124,7 +126,7 @@
         xxh3_64(format!("{:?} {}", self.part.author, self.part.version).as_bytes()) as u32
     }
 
-    /// The part as it is sent now: silences have lasted longer since it was stored.
+    /// Returns the part to send now, with silences extended by the time since it was stored.
     fn aged(&self, now: Nanos) -> OverviewPart {
         let mut part = self.part.clone();
         for row in &mut part.rows {
@@ -136,20 +138,20 @@
     }
 }
 
-/// What became of a received part.
+/// Result of merging a received part.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PartMerge {
-    /// It is new here.
+pub enum PartMergeResult {
+    /// The part is new and was stored.
     New,
-    /// It is the stored one.
+    /// The part equals the stored one.
     Same,
-    /// It is older than the stored one, which is to be sent back.
+    /// The part is older than the stored one, which is to be sent back.
     Outdated(OverviewPart),
-    /// It is beyond a bound.
-    Unsound,
+    /// The part is invalid or exceeds a limit, and was dropped.
+    Invalid,
 }
 
-/// The overview that one member stores.
+/// Overview that one member stores.
 #[derive(Debug)]
 pub struct RegionOverview {
     parts: Vec<StoredPart>,
@@ -170,13 +172,13 @@
     }
 }
 
-/// The part in which a region's row is.
-fn part_of(region: &str) -> usize {
+/// Returns the number of the part that contains a region's row.
+fn part_number(region: &str) -> usize {
     xxh3_64(region.as_bytes()) as usize % PARTS
 }
 
 impl RegionOverview {
-    /// All rows, and since when a silent region has been silent.
+    /// Returns all rows, with the start of the silence of silent regions.
     pub fn rows(&self) -> impl Iterator<Item = (&RegionStatus, Option<Nanos>)> {
         self.parts.iter().flat_map(|stored| {
             let since = |seconds: u32| seconds_ago(stored.stored_at, seconds);
@@ -185,12 +187,13 @@
         })
     }
 
-    /// Writes what the leader knows now; parts that are equivalent to the stored ones are kept.
+    /// Writes the leader's rows as new versions of the parts that changed; a part that is
+    /// equivalent to the stored one is kept.
     pub fn write(&mut self, now: Nanos, unix_ms: u64, author: SocketAddr, rows: Vec<RegionStatus>) {
         let mut parts: Vec<Vec<RegionStatus>> = vec![Vec::new(); PARTS];
         let mut budgets: Vec<PayloadBudget> = (0..PARTS).map(|_| message_budget()).collect();
         for row in rows.into_iter().take(REGIONS_MAX) {
-            let number = part_of(&row.region);
+            let number = part_number(&row.region);
             budgets[number].push(&mut parts[number], row);
         }
         for (stored, rows) in self.parts.iter_mut().zip(parts) {
@@ -219,20 +222,20 @@
     }
 
     /// Merges a received part.
-    pub fn merge(&mut self, now: Nanos, unix_ms: u64, part: OverviewPart) -> PartMerge {
-        let is_sound = part.is_sound(unix_ms);
+    pub fn merge(&mut self, now: Nanos, unix_ms: u64, part: OverviewPart) -> PartMergeResult {
+        let is_valid = part.is_valid(unix_ms);
         let Some(stored) = self
             .parts
             .get_mut(usize::from(part.number))
-            .filter(|_| is_sound)
+            .filter(|_| is_valid)
         else {
-            return PartMerge::Unsound;
+            return PartMergeResult::Invalid;
         };
         if part.rank() == stored.part.rank() {
-            return PartMerge::Same;
+            return PartMergeResult::Same;
         }
         if part.rank() < stored.part.rank() {
-            return PartMerge::Outdated(stored.aged(now));
+            return PartMergeResult::Outdated(stored.aged(now));
         }
         let withheld = is_injected(InjectedFault::WithholdsOverview);
         *stored = StoredPart {
@@ -240,10 +243,10 @@
             stored_at: now,
             transmissions_left: if withheld { 0 } else { TRANSMISSIONS },
         };
-        PartMerge::New
+        PartMergeResult::New
     }
 
-    /// Whether a part is still to be broadcast.
+    /// Returns whether any part has remaining broadcast transmissions.
     #[must_use]
     pub fn has_broadcasts(&self) -> bool {
         self.parts
@@ -251,7 +254,8 @@
             .any(|stored| stored.transmissions_left > 0)
     }
 
-    /// The parts to broadcast, as many as fit into a datagram; counts the transmissions.
+    /// Returns the parts to broadcast, as many as fit into a datagram, and counts their
+    /// transmissions.
     pub fn next_broadcast(&mut self, now: Nanos) -> Vec<OverviewPart> {
         let mut budget = message_budget();
         let mut broadcast = Vec::new();
@@ -268,7 +272,7 @@
         broadcast
     }
 
-    /// The digest: four bytes for each part.
+    /// Returns the digest, which has four bytes for each part.
     #[must_use]
     pub fn digest(&self) -> Vec<u8> {
         self.parts
@@ -277,13 +281,13 @@
             .collect()
     }
 
-    /// The parts that differ from a received digest, as many as fit into a datagram, from `first`
-    /// on.
+    /// Returns the parts that differ from a received digest, as many as fit into a datagram,
+    /// starting with part `first`.
     ///
     /// # Errors
     ///
-    /// If the digest has another length than this version's.
-    pub fn differing(
+    /// If the digest does not have this version's length.
+    pub fn differing_parts(
         &self,
         now: Nanos,
         digest: &[u8],
@@ -297,10 +301,10 @@
         }
         let mut budget = message_budget();
         let mut parts = Vec::new();
-        for number in (0..PARTS).map(|n| (n + first) % PARTS) {
+        for number in (0..PARTS).map(|offset| (first + offset) % PARTS) {
             let stored = &self.parts[number];
-            let theirs = &digest[4 * number..4 * number + 4];
-            if stored.checksum().to_le_bytes() != theirs && stored.part.author.is_some() {
+            let received = &digest[4 * number..4 * number + 4];
+            if stored.checksum().to_le_bytes() != received && stored.part.author.is_some() {
                 budget.push(&mut parts, stored.aged(now));
             }
         }
--- a/crates/membership/src/regions/share_count.rs
+++ b/crates/membership/src/regions/share_count.rs
@@ -1,32 +1,32 @@
-//! The share count of a fleet with regions: the rules of [`crate::share_count`], with regions for
-//! members.
+//! Share count of a fleet with regions. The rules correspond to those of [`crate::share_count`],
+//! with regions in place of members:
 //!
 //! 1. A reachable region counts with the places of its summary.
 //! 2. A silent region keeps its places for `share_retention`.
-//! 3. After that its places are dropped only where the live members of all reachable regions are
-//!    more than half of all places published within `tombstone_retention`. At most one side of a
+//! 3. After that its places are dropped only if the live members of all reachable regions are more
+//!    than half of all places published within `tombstone_retention`. At most one side of a
 //!    partition has this majority; the others keep dividing by their last count.
-//! 4. A region that was silent for `tombstone_retention` is forgotten.
+//! 4. A region that was silent for `tombstone_retention` is removed.
 //!
 //! Within its region a member counts by the rules for members. A side without the majority divides
-//! by half of all places at least, whether regions were cut from each other or one was cut in two.
-//! The sum of all shares is then under 2 through partitions shorter than `tombstone_retention`: 1
-//! on the side with the majority, and under 1 on all others.
+//! by at least half of all places, whether regions were cut off from each other or one region was
+//! partitioned. During partitions shorter than `tombstone_retention` the sum of all shares is
+//! therefore below 2: 1 on the side with the majority, and less than 1 on all other sides together.
 
 use crate::Nanos;
 use crate::fault_injection::{InjectedFault, is_injected};
 use std::collections::BTreeMap;
 
-/// The sizes of a region.
+/// Size of a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegionSize {
-    /// Live members.
+    /// Number of live members.
     pub alive: usize,
-    /// Places that count.
+    /// Number of places, which include those of retained vanished members.
     pub places: usize,
 }
 
-/// The most places within `tombstone_retention`, and when they were published.
+/// Maximum number of places within `tombstone_retention`, and the time at which it was published.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeakPlaces {
     places: usize,
@@ -59,7 +59,7 @@
 }
 
 impl RegionShareCounter {
-    /// A counter that knows the own region alone.
+    /// Creates a counter that knows only this member's region.
     #[must_use]
     pub fn new(share_retention: Nanos, tombstone_retention: Nanos) -> Self {
         RegionShareCounter {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Updates another region, which is reachable or has been silent since a time.
+    /// Updates another region; `silent_since` is the start of its silence, or `None` if it is
+    /// reachable.
     pub fn update(
         &mut self,
         now: Nanos,
@@ -93,7 +94,7 @@
             });
         counted.size = size;
         counted.peak.update(now, size.places, retention);
-        // Retention runs from the earliest report of this silence.
+        // The retention time starts at the earliest report of this silence.
         let earliest = |since: Nanos| {
             counted
                 .silent_since
@@ -102,7 +103,7 @@
         counted.silent_since = silent_since.map(earliest);
     }
 
-    /// Regions of which there are no more reports are silent from now on.
+    /// Marks regions that are no longer reported as silent from now on.
     pub fn silence_unreported(&mut self, now: Nanos, is_reported: impl Fn(&str) -> bool) {
         for (name, region) in &mut self.others {
             if !is_reported(name) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The share count now; `own` is the size of the own region.
+    /// Returns the current share count; `own` is the size of this member's region.
     pub fn count(&mut self, now: Nanos, own: RegionSize) -> usize {
         self.own_peak
             .update(now, own.places, self.tombstone_retention);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,41 +1,41 @@
-//! The settings of one member.
+//! Settings of one member.
 
 use crate::{Location, MS, Nanos};
 use std::net::SocketAddr;
 
-/// The settings of one member.
+/// Settings of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// The fleet's name; datagrams of another are dropped.
+    /// Fleet name; datagrams of other fleets are dropped.
     pub fleet: String,
-    /// This balancer's name; truncated to [`crate::metadata::NAME_MAX`] bytes.
+    /// Name of this balancer; truncated to [`crate::metadata::NAME_MAX`] bytes.
     pub name: String,
-    /// Where the others reach this member.
+    /// Address at which other members reach this one.
     pub address: SocketAddr,
-    /// Members to join; may be empty or dead.
+    /// Addresses of members to join; may be empty, and the members may be dead.
     pub join: Vec<SocketAddr>,
-    /// The most members that are stored, dead ones included.
+    /// Maximum number of stored members, dead ones included.
     pub members_max: usize,
-    /// The configured number of balancers, the share count while the view is empty or stale.
+    /// Configured number of balancers; used as the share count while the view is empty or stale.
     pub configured_balancers: usize,
     /// Timeouts and intervals.
     pub timing: Timing,
-    /// Where this balancer runs; without a region name the whole fleet is one region.
+    /// Region, zone and site of this balancer; without a region name the whole fleet is one region.
     pub location: Location,
 }
 
 /// Timeouts and intervals of failure detection and of the share count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// SWIM's protocol period: each member probes another once in it.
+    /// Protocol period of SWIM, in which each member probes one other member.
     pub probe_interval: Nanos,
-    /// A direct acknowledgement takes at most this long; then others probe indirectly.
+    /// Timeout of a direct acknowledgement, after which other members probe indirectly.
     pub ack_timeout: Nanos,
-    /// A suspect whose watchers hear nothing of it for this long is dead.
+    /// Time without a datagram from a suspect after which its watchers confirm it dead.
     pub suspicion_timeout: Nanos,
-    /// A member that vanished without a leave keeps its place in the share count for this long.
+    /// Time for which a member that vanished without a leave still counts in the share count.
     pub share_retention: Nanos,
-    /// Dead members are forgotten after this long, on either side of a partition.
+    /// Time after which dead members are removed, on either side of a partition.
     pub tombstone_retention: Nanos,
 }
 
--- a/crates/membership/src/share_count.rs
+++ b/crates/membership/src/share_count.rs
@@ -1,21 +1,21 @@
-//! The share count within a region: the number of balancers that quotas, limits and budgets are
-//! divided by.
+//! Share count within a region: the number of balancers that quotas, limits and budgets are divided
+//! by.
 //!
-//! A partition looks like a mass death, and caches may be reachable from both of its sides. If each
-//! side divided by its own members alone, the sum of all shares would be the number of sides. So:
+//! A partition is indistinguishable from a mass death, and caches may be reachable from both of its
+//! sides. If each side divided by its own members alone, the sum of all shares would equal the
+//! number of sides. Therefore:
 //!
-//! 1. A new member counts at once, and so does a graceful leave.
+//! 1. A new member counts at once, and a graceful leave takes effect at once.
 //! 2. A member that vanished keeps its place for `share_retention`.
-//! 3. After that its place is dropped only where the live members are more than half of all places.
-//!    At most one side of a partition has this majority; the others keep dividing by their last
-//!    count.
-//! 4. A place that was empty for `tombstone_retention` is dropped on either side.
+//! 3. After that its place is dropped only if the live members are more than half of all places. At
+//!    most one side of a partition has this majority; the others keep dividing by their last count.
+//! 4. A place that was vacant for `tombstone_retention` is dropped on either side.
 //!
-//! The sum of shares through one partition shorter than `tombstone_retention` is then at most 1.5:
-//! 1 on the larger side, and under a half on all others together. Through any sequence of
-//! partitions within `tombstone_retention` it is under 1 + ln 2 = 1.7: members that are cut off one
-//! by one, each after the former was dropped, keep the shares of their time. A longer partition is
-//! taken for deaths: each side then divides by its own members.
+//! During one partition shorter than `tombstone_retention` the sum of all shares is then at most
+//! 1.5: 1 on the larger side, and less than a half on all others together. During any sequence of
+//! partitions within `tombstone_retention` it is below 1 + ln 2, about 1.7: members that are cut
+//! off one by one, each after the previous one was dropped, keep the share that they had at that
+//! time. A longer partition is treated as deaths: each side then divides by its own members.
 
 use crate::Nanos;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct ShareCounter {
     present: BTreeSet<SocketAddr>,
-    /// Members that went without a leave, and when.
+    /// Members that vanished without a leave, and the time at which they did.
     vanished: BTreeMap<SocketAddr, Nanos>,
     share_retention: Nanos,
     tombstone_retention: Nanos,
@@ -34,7 +34,7 @@
 }
 
 impl ShareCounter {
-    /// A counter that knows the own balancer alone.
+    /// Creates a counter that knows only this balancer.
     #[must_use]
     pub fn new(share_retention: Nanos, tombstone_retention: Nanos) -> Self {
         ShareCounter {
@@ -46,41 +46,41 @@
         }
     }
 
-    /// Another balancer is alive.
+    /// Records that another balancer is alive.
     pub fn record_present(&mut self, member: SocketAddr) {
         self.vanished.remove(&member);
         self.present.insert(member);
     }
 
-    /// Another balancer left gracefully.
+    /// Records that another balancer left gracefully.
     pub fn record_left(&mut self, member: SocketAddr) {
         if self.present.remove(&member) || self.vanished.remove(&member).is_some() {
             self.last_count = self.last_count.saturating_sub(1).max(1);
         }
     }
 
-    /// Another balancer is gone without a leave.
+    /// Records that another balancer vanished without a leave.
     pub fn record_vanished(&mut self, now: Nanos, member: SocketAddr) {
         if self.present.remove(&member) {
             self.vanished.insert(member, now);
         }
     }
 
-    /// How many places there are, the own one included. Members publish it, so that newcomers on
-    /// either side of a partition divide as the others do.
+    /// Returns the number of places, this member's included. Members publish it, so that new
+    /// members on either side of a partition divide by the same number as the others.
     #[must_use]
     pub fn places(&self) -> usize {
         1 + self.present.len() + self.vanished.len()
     }
 
-    /// Live members, the own one included.
+    /// Returns the number of live members, this one included.
     #[must_use]
     pub fn alive(&self) -> usize {
         1 + self.present.len()
     }
 
-    /// The share count now. `reported_places` is the greatest number of places that a live member
-    /// publishes.
+    /// Returns the current share count. `reported_places` is the greatest number of places that a
+    /// live member publishes.
     pub fn count(&mut self, now: Nanos, reported_places: usize) -> usize {
         self.forget_old_tombstones(now);
         let alive = self.alive();
@@ -95,7 +95,8 @@
             self.last_count = counted;
             return counted;
         }
-        // Only the own divisor is kept; what others publish goes with them.
+        // Only this member's divisor is retained; a greater value published by others applies only
+        // while they publish it.
         self.last_count = self.last_count.max(counted);
         self.last_count.max(reported_places)
     }
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -1,17 +1,17 @@
-//! Shared shedding: all members shed load by one level when more is asked for than the caches have
-//! capacity for.
+//! Shared shedding: all members shed load by one level when the demand exceeds the capacity of the
+//! caches.
 //!
-//! Each member counts, round by round, how many requests it admitted and how many of these were
-//! then rejected for lack of capacity. It reports that and its level to a few others at random, and
-//! passes on the recent reports of the rest. All thus judge by nearly the same sums. Each sets its
-//! level to the mean of the levels that it knows, raises it at once by the fraction rejected for
-//! capacity, and lowers it slowly at first and then faster. An isolated member goes by its own
-//! counts alone.
+//! In each round a member counts the requests that it admitted, and those of them that were then
+//! rejected for lack of capacity. It reports these counts and its level to a few random members,
+//! and forwards recent reports of other members, so that all members decide from nearly the same
+//! sums. Each member sets its level to the mean of the known levels, raises it at once according to
+//! the fraction rejected for capacity, and lowers it slowly at first and then faster. An isolated
+//! member uses only its own counts.
 //!
-//! The level is a number of tiers. The configured classes, each within and beyond its tenant's
-//! quota, are the tiers, in the order of their priority weights (`routing` orders them). Of all
-//! tiers under the level [`MAX_SHED_FRACTION`] is shed, and of the tier in which it lies the
-//! level's fractional part, the same requests at all members.
+//! The level is a number of tiers. The tiers are the configured classes, each within and beyond the
+//! quota of its tenant, in the order of their priority weights (defined by `routing`). Of each tier
+//! below the level the fraction [`MAX_SHED_FRACTION`] is shed; of the tier that contains the level,
+//! the fractional part of the level is shed. All members shed the same requests.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -22,96 +22,102 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The length of the rounds over which requests are counted and after which the level moves.
+/// Length of a round, over which requests are counted and after which the level is adjusted.
 pub const ROUND_INTERVAL: Nanos = 400 * MS;
-/// How long a report counts.
+/// Age up to which a report is used.
 pub const REPORT_TTL: Nanos = 1_500 * MS;
-/// The level rises if more than this fraction of the admitted requests is rejected for capacity,
+/// Fraction of admitted requests rejected for capacity above which the level is raised.
 const RAISE_ABOVE: f64 = 0.15;
-/// so that this fraction remains: without some excess the members' own limits would never be
-/// reached and never grow.
+/// Fraction of admitted requests rejected for capacity that a raise aims for. Without some excess
+/// the members' concurrency limits would never be reached, and therefore never grow.
 const TARGET_EXCESS: f64 = 0.1;
-/// The level falls if less than this fraction is rejected for capacity.
+/// Fraction of admitted requests rejected for capacity below which the level is lowered.
 const LOWER_BELOW: f64 = 0.08;
-/// The throughput of the best recent round decays by this factor a round.
+/// Factor by which the best recent throughput decays in each round.
 const BEST_THROUGHPUT_DECAY: f64 = 0.98;
-/// Below this fraction of the best recent throughput, with capacity for all that is admitted,
+/// Fraction of the best recent throughput below which a recovery is accelerated, if there is
+/// capacity for all admitted requests.
 const RECOVERY_BELOW: f64 = 0.9;
-/// this fraction of the difference is admitted at once.
+/// Fraction of the difference to the best recent throughput that an accelerated recovery admits at
+/// once.
 const RECOVERY_FRACTION: f64 = 0.35;
-/// Fewer admitted requests than this in a round, over the fleet, do not raise the level.
+/// Minimum number of requests admitted in a round over the fleet for the level to be raised.
 const RAISE_MIN_REQUESTS: u32 = 20;
-/// The first lowerings admit this fraction more: less than lies between the two thresholds, so that
-/// the level settles.
+/// Additional fraction of requests that each of the first lowerings admits. It is smaller than the
+/// distance between the two thresholds, so that the level converges.
 const LOWER_FRACTION: f64 = 0.03;
-/// After this many lowerings in a row each admits [`LOWER_GROWTH`] times as much as the one before,
+/// Number of lowerings in a row after which each admits [`LOWER_GROWTH`] times as much as the
+/// previous one.
 const SLOW_LOWERINGS: u32 = 3;
 const LOWER_GROWTH: f64 = 1.5;
-/// for at most this many lowerings,
+/// Maximum number of lowerings whose step grows.
 const LOWER_GROWTH_STEPS_MAX: u32 = 9;
-/// and at most this fraction.
+/// Maximum additional fraction of requests that a lowering admits.
 const LOWER_FRACTION_MAX: f64 = 0.5;
-/// Lowerings vary from this factor on, by up to [`JITTER_RANGE`], so that members do not move in
-/// step.
+/// Minimum random factor of a lowering, to which up to [`JITTER_RANGE`] is added, so that members
+/// do not adjust in lockstep.
 const JITTER_MIN: f64 = 0.75;
 const JITTER_RANGE: f64 = 0.5;
-/// Rounds without another raise after one: the reports of others were counted before it.
+/// Number of rounds without another raise after a raise, because the reports of other members were
+/// counted before it.
 const RAISE_COOLDOWN_ROUNDS: u32 = 1;
-/// A level under this is 0.
+/// Level below which the level becomes 0.
 const LEVEL_MIN: f64 = 0.01;
-/// The longest encoding of the count of reports that stands before them, in bytes.
+/// Maximum encoded length of the report count in front of the reports, in bytes.
 const COUNT_LENGTH_MAX: usize = 2;
 
-/// A member's report of its last round.
+/// Report of a member about its last round.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LevelReport {
-    /// The member.
+    /// Address of the reporting member.
     pub member: SocketAddr,
-    /// Its generation.
+    /// Generation of the reporting member.
     pub generation: u64,
-    /// Counts up with each round.
+    /// Number of the round, incremented with each round.
     pub round: u32,
-    /// Its age in milliseconds, as far as whoever passes it on can tell.
+    /// Age of the report in milliseconds, as far as the sender knows it; time in transit is not
+    /// included.
     pub age_ms: u16,
-    /// The counts of its last round.
+    /// Counts of the last round.
     pub counts: AdmissionCounts,
-    /// The level that it sheds by.
+    /// Shedding level of the reporting member.
     pub level: f32,
 }
 
 #[derive(Debug)]
 struct ReceivedReport {
     report: LevelReport,
-    /// When it was made, on the own clock.
-    made_at: Nanos,
+    /// Time at which the report was made, on the local clock.
+    created_at: Nanos,
 }
 
 impl ReceivedReport {
     fn is_fresh(&self, now: Nanos) -> bool {
         is_injected(InjectedFault::AcceptsExpiredReports)
-            || now.saturating_sub(self.made_at) < REPORT_TTL
+            || now.saturating_sub(self.created_at) < REPORT_TTL
     }
 }
 
-/// The shedding level of one member.
+/// Shedding state of one member.
 #[derive(Debug)]
 pub struct SharedShedding {
     tiers: usize,
     level: f64,
-    /// Lowerings in a row.
+    /// Number of lowerings in a row.
     lowerings: u32,
-    /// Rounds in which the level is not raised.
+    /// Remaining rounds in which the level is not raised.
     raise_cooldown: u32,
-    /// The best throughput of a recent round, over the fleet.
+    /// Best throughput of a recent round over the fleet, in requests per round.
     best_throughput: f64,
     own: LevelReport,
     current_counts: AdmissionCounts,
-    round_ends: Nanos,
+    round_end: Nanos,
     received: BTreeMap<SocketAddr, ReceivedReport>,
 }
 
 impl SharedShedding {
-    /// A member that sheds nothing. `tiers` is how many `routing` has.
+    /// Creates the state of a member that sheds nothing. `tiers` is the number of shedding tiers of
+    /// `routing`.
     #[must_use]
     pub fn new(tiers: usize, member: SocketAddr, generation: u64, now: Nanos) -> Self {
         let own = LevelReport {
@@ -130,18 +136,18 @@
             best_throughput: 0.0,
             own,
             current_counts: AdmissionCounts::default(),
-            round_ends: now + ROUND_INTERVAL,
+            round_end: now + ROUND_INTERVAL,
             received: BTreeMap::new(),
         }
     }
 
-    /// The level, from 0 (nothing is shed) to the number of tiers.
+    /// Returns the level, from 0 (nothing is shed) to the number of tiers.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// The number of other members with a fresh report.
+    /// Returns the number of other members with a fresh report.
     #[must_use]
     pub fn fresh_reports(&self, now: Nanos) -> usize {
         self.received
@@ -150,7 +156,7 @@
             .count()
     }
 
-    /// Adds what was counted since the last call.
+    /// Adds the counts since the last call.
     pub fn add_counts(&mut self, counts: AdmissionCounts) {
         self.current_counts.add(&counts);
     }
@@ -159,7 +165,7 @@
     ///
     /// # Errors
     ///
-    /// If the level is out of range or no number.
+    /// If the level is not between 0 and the number of tiers, or is not a number.
     pub fn receive(&mut self, now: Nanos, report: LevelReport) -> Result<(), PayloadError> {
         let level = f64::from(report.level);
         if !(0.0..=self.tiers as f64).contains(&level) {
@@ -174,26 +180,27 @@
             && age < REPORT_TTL
             && self.received.get(&report.member).is_none_or(is_newer)
         {
-            let made_at = now.saturating_sub(age);
+            let created_at = now.saturating_sub(age);
             self.received
-                .insert(report.member, ReceivedReport { report, made_at });
+                .insert(report.member, ReceivedReport { report, created_at });
         }
         Ok(())
     }
 
-    /// Forgets members that are no longer known.
-    pub fn retain(&mut self, is_known: impl Fn(SocketAddr) -> bool) {
-        self.received.retain(|address, _| is_known(*address));
+    /// Removes the reports of members that are no longer tracked.
+    pub fn retain(&mut self, is_tracked: impl Fn(SocketAddr) -> bool) {
+        self.received.retain(|address, _| is_tracked(*address));
     }
 
-    /// Whether there is something to report: a level, or a round with requests rejected for
+    /// Returns whether there is something to report: a level, or a round with requests rejected for
     /// capacity.
     #[must_use]
     pub fn has_report(&self) -> bool {
         self.level > 0.0 || self.own.counts.capacity_rejections > 0
     }
 
-    /// The own report and the freshest of the others, as many as fit into a datagram.
+    /// Returns this member's report and the most recent reports of others, as many as fit into a
+    /// datagram.
     #[must_use]
     pub fn reports(&self, now: Nanos) -> Vec<LevelReport> {
         let mut fresh: Vec<&ReceivedReport> = self
@@ -201,12 +208,12 @@
             .values()
             .filter(|received| received.is_fresh(now))
             .collect();
-        fresh.sort_by_key(|received| std::cmp::Reverse(received.made_at));
+        fresh.sort_by_key(|received| std::cmp::Reverse(received.created_at));
         let mut budget = PayloadBudget::new(PAYLOAD_MAX - COUNT_LENGTH_MAX);
         let mut reports = Vec::new();
         budget.push(&mut reports, self.own);
         for received in fresh {
-            let age_ms = now.saturating_sub(received.made_at) / MS;
+            let age_ms = now.saturating_sub(received.created_at) / MS;
             let report = LevelReport {
                 age_ms: u16::try_from(age_ms).unwrap_or(u16::MAX),
                 ..received.report
@@ -218,18 +225,19 @@
         reports
     }
 
-    /// Moves the level if a round has ended; true if one has. `jitter` is random, from 0 to 1.
+    /// Adjusts the level if a round has ended, and returns whether one has. `jitter` is a random
+    /// value from 0 to 1.
     pub fn tick(&mut self, now: Nanos, jitter: f64) -> bool {
-        if now < self.round_ends {
+        if now < self.round_end {
             return false;
         }
-        self.round_ends = now + ROUND_INTERVAL;
+        self.round_end = now + ROUND_INTERVAL;
         self.own.round += 1;
         self.own.counts = std::mem::take(&mut self.current_counts);
         self.received.retain(|_, received| received.is_fresh(now));
         let counts = self.fleet_counts();
         self.level = self.mean_level();
-        self.move_level(&counts, jitter);
+        self.adjust_level(&counts, jitter);
         self.own.level = self.level as f32;
         true
     }
@@ -250,45 +258,45 @@
         sum / (self.received.len() + 1) as f64
     }
 
-    fn move_level(&mut self, counts: &AdmissionCounts, jitter: f64) {
+    fn adjust_level(&mut self, counts: &AdmissionCounts, jitter: f64) {
         let total = counts.total_admitted();
         let admitted = f64::from(total);
-        // A queued request may be rejected in a later round than it was admitted in.
+        // A queued request may be rejected in a later round than the one in which it was admitted.
         let rejected = f64::from(counts.capacity_rejections.min(total));
         let rejected_fraction = rejected / f64::from(total.max(1));
         self.best_throughput =
             (self.best_throughput * BEST_THROUGHPUT_DECAY).max(admitted - rejected);
-        let cools_down = self.raise_cooldown > 0;
+        let in_cooldown = self.raise_cooldown > 0;
         self.raise_cooldown = self.raise_cooldown.saturating_sub(1);
         if rejected_fraction >= LOWER_BELOW {
             self.lowerings = 0;
             let is_excessive = rejected_fraction > RAISE_ABOVE && total >= RAISE_MIN_REQUESTS;
-            if is_excessive && !cools_down {
+            if is_excessive && !in_cooldown {
                 self.raise_cooldown = RAISE_COOLDOWN_ROUNDS;
                 self.raise(rejected - TARGET_EXCESS * admitted, &counts.admitted);
             }
         } else if !is_injected(InjectedFault::NeverLowersShedLevel) {
             self.lowerings += 1;
-            let more = self.lowering_step(admitted);
+            let additional = self.lowering_step(admitted);
             let jitter = JITTER_MIN + JITTER_RANGE * jitter.clamp(0.0, 1.0);
-            self.lower(more * jitter, counts);
+            self.lower(additional * jitter, counts);
         }
     }
 
-    /// How many more requests a lowering admits.
+    /// Returns how many additional requests a lowering admits.
     fn lowering_step(&self, admitted: f64) -> f64 {
         let growth_steps = self.lowerings.saturating_sub(SLOW_LOWERINGS);
         let growth = LOWER_GROWTH.powi(growth_steps.min(LOWER_GROWTH_STEPS_MAX) as i32);
-        let more = admitted * (LOWER_FRACTION * growth).min(LOWER_FRACTION_MAX);
+        let additional = admitted * (LOWER_FRACTION * growth).min(LOWER_FRACTION_MAX);
         if admitted < RECOVERY_BELOW * self.best_throughput {
-            more.max((self.best_throughput - admitted) * RECOVERY_FRACTION)
+            additional.max((self.best_throughput - admitted) * RECOVERY_FRACTION)
         } else {
-            more
+            additional
         }
     }
 
-    /// Raises the level so that `excess` fewer requests are admitted, those of the least priority
-    /// weight first.
+    /// Raises the level so that `excess` fewer requests are admitted, starting with those of the
+    /// lowest priority weight.
     fn raise(&mut self, excess: f64, admitted: &[u32; COUNTED_TIERS]) {
         if is_injected(InjectedFault::ShedsAllTiersAtOnce) {
             self.level = self.tiers as f64 - 0.5;
@@ -300,7 +308,8 @@
         let mut level_max = self.level;
         while (tier as usize) < self.tiers {
             let admitted = f64::from(admitted[counted_tier(tier)]);
-            // Not positive where nearly all of the tier is shed already, or nothing of it came.
+            // Not positive if nearly all of the tier is shed already, or if no request of it was
+            // admitted.
             let sheddable = admitted * (1.0 - (1.0 - MAX_SHED_FRACTION) / passed_fraction);
             if remaining < sheddable {
                 self.level = tier + 1.0 - passed_fraction * (1.0 - remaining / admitted);
@@ -308,25 +317,25 @@
             }
             remaining -= sheddable.max(0.0);
             (tier, passed_fraction) = (tier + 1.0, 1.0);
-            // Tiers of which nothing came are not shed in advance.
+            // Tiers without admitted requests are not shed in advance.
             level_max = if sheddable > 0.0 { tier } else { level_max };
         }
         self.level = level_max;
     }
 
-    /// Lowers the level so that `more` requests are admitted, those of the greatest priority weight
-    /// first.
-    fn lower(&mut self, mut more: f64, counts: &AdmissionCounts) {
+    /// Lowers the level so that `additional` more requests are admitted, starting with those of the
+    /// highest priority weight.
+    fn lower(&mut self, mut additional: f64, counts: &AdmissionCounts) {
         while self.level > 0.0 {
             let tier = (self.level.ceil() - 1.0).max(0.0);
             let shed_fraction = (self.level - tier).min(MAX_SHED_FRACTION);
             let admitted = f64::from(counts.admitted[counted_tier(tier)]);
             let offered = admitted / (1.0 - shed_fraction);
-            if more < offered * shed_fraction {
-                self.level = tier + shed_fraction - more / offered;
+            if additional < offered * shed_fraction {
+                self.level = tier + shed_fraction - additional / offered;
                 break;
             }
-            more -= offered * shed_fraction;
+            additional -= offered * shed_fraction;
             self.level = tier;
         }
         if self.level < LEVEL_MIN {
@@ -335,7 +344,7 @@
     }
 }
 
-/// The index of a tier's counts; the last one counts all further tiers.
+/// Returns the index of a tier's counts; the last index counts all further tiers.
 fn counted_tier(tier: f64) -> usize {
     (tier as usize).min(COUNTED_TIERS - 1)
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,30 +1,30 @@
-//! The view that one member has of the fleet.
+//! One member's view of the fleet.
 
 use crate::regions::overview::RegionStatus;
 use crate::{Identity, MemberMetadata, Nanos};
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The status of a member, as another sees it.
+/// Status of a member, as another member sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberStatus {
-    /// It is alive and not ready yet, or its metadata is not known yet.
+    /// The member is alive and not ready to serve, or its metadata is not known yet.
     Joining,
-    /// It serves clients.
+    /// The member serves clients.
     Serving,
-    /// It is suspect: it does not answer, and is not confirmed dead.
+    /// The member is suspect: it does not answer, and is not confirmed dead.
     Stalled,
-    /// It is drained or about to end.
+    /// The member is being drained or is shutting down.
     Draining,
-    /// It left gracefully.
+    /// The member left gracefully.
     Left,
-    /// It was confirmed dead.
+    /// The member was confirmed dead.
     Dead,
 }
 
 impl MemberStatus {
-    /// The name in logs and on the admin listener.
+    /// Returns the name used in logs and on the admin listener.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -37,30 +37,30 @@
         }
     }
 
-    /// Whether it is a live member, suspects included.
+    /// Returns whether the member is alive, which includes suspects.
     #[must_use]
     pub fn is_present(self) -> bool {
         !matches!(self, MemberStatus::Left | MemberStatus::Dead)
     }
 }
 
-/// One member as another sees it.
+/// A member as another member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Who it is.
+    /// Address and generation of the member.
     pub id: Identity,
-    /// Raised by the member each time it refutes a suspicion.
+    /// Number that the member increments each time it refutes a suspicion.
     pub incarnation: u16,
-    /// Its status.
+    /// Current status.
     pub status: MemberStatus,
-    /// When the status last changed.
+    /// Time of the last status change.
     pub since: Nanos,
-    /// Its metadata, once it is known.
+    /// Metadata of the member; `None` until its record is received.
     pub metadata: Option<MemberMetadata>,
 }
 
 impl MemberView {
-    /// Its name, or its address while its metadata is not known.
+    /// Returns the name of the member, or its address while its metadata is unknown.
     #[must_use]
     pub fn name(&self) -> String {
         self.metadata.as_ref().map_or_else(
@@ -73,47 +73,48 @@
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The status of a member changed.
+    /// The status of a member changed, or the member is new.
     StatusChanged {
-        /// Its name.
+        /// Name of the member, or its address while its metadata is unknown.
         name: String,
-        /// Who it is.
+        /// Address and generation of the member.
         id: Identity,
-        /// The former status; `None` for a new member.
+        /// Previous status; `None` for a new member.
         previous: Option<MemberStatus>,
-        /// The new status.
+        /// New status.
         current: MemberStatus,
     },
     /// The share count changed.
     ShareCountChanged {
-        /// The former count.
+        /// Previous share count.
         previous: usize,
-        /// The new count.
+        /// New share count.
         current: usize,
-        /// Live members, this one included.
+        /// Number of live members, this one included.
         alive: usize,
     },
-    /// Two live members have the same name; reported once.
+    /// Two live members have the same name; reported once per name.
     DuplicateName {
-        /// The name.
+        /// The shared name.
         name: String,
-        /// The addresses of the two.
+        /// Addresses of both members.
         addresses: [SocketAddr; 2],
     },
-    /// Others had declared this member dead, or know a later generation of it; it rejoins.
+    /// Other members declared this member dead, or reported a later generation of it, and it
+    /// rejoined.
     Rejoined {
-        /// Its new generation.
+        /// New generation of this member.
         generation: u64,
     },
-    /// This member itself stalled, and restarts its suspicion timers.
+    /// This process stalled, and the member restarted its suspicion timers.
     Stalled,
     /// Another region became reachable or unreachable.
     RegionReachability {
-        /// Its name.
+        /// Name of the region.
         region: String,
-        /// Whether it is reachable.
+        /// Whether the region is reachable now.
         reachable: bool,
-        /// Its live members, by its last summary.
+        /// Number of its live members according to its last summary.
         alive: u32,
     },
 }
@@ -121,27 +122,27 @@
 /// Another region as a member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionView {
-    /// Its status by the overview.
+    /// Status of the region in the overview.
     pub status: RegionStatus,
-    /// Since when it has been silent.
+    /// Start of the region's silence; `None` while the region is reachable.
     pub silent_since: Option<Nanos>,
 }
 
-/// The view that one member has of the fleet.
+/// One member's view of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The others of its region, or of the whole fleet where there are no regions, by address.
+    /// Other members of the region, or of the whole fleet if it has no regions, by address.
     pub members: Vec<MemberView>,
-    /// The other regions.
+    /// Other regions of the fleet.
     pub regions: Vec<RegionView>,
-    /// The delegates of the own region, the leader first; empty where there are no regions.
+    /// Delegates of this member's region, the leader first; empty if the fleet has no regions.
     pub delegates: Vec<SocketAddr>,
-    /// The share count.
+    /// Number that quotas, limits and budgets are divided by.
     pub share_count: usize,
-    /// Live members in all reachable regions, this one included.
+    /// Number of live members in all reachable regions, this one included.
     pub alive: usize,
-    /// Places counted in all, those of vanished members included.
+    /// Number of places in all regions, including those of vanished members.
     pub places: usize,
-    /// No member is heard though others are known: this one may be isolated.
+    /// Whether this member may be isolated: it tracks others but receives no datagrams.
     pub isolated: bool,
 }
--- a/crates/membership/tests/wire_format/main.rs
+++ b/crates/membership/tests/wire_format/main.rs
@@ -1,8 +1,8 @@
-//! Datagrams as version cab609d sent them: members of this version send the same bytes in the same
-//! seeded runs.
+//! Wire compatibility with version cab609d: in the same seeded runs, members of this version send
+//! the same bytes.
 //!
-//! A recording contains the number, bytes and checksum of all datagrams of a run, and the shortest
-//! and the longest one of each message kind.
+//! A recording contains the number, total bytes and checksum of all datagrams of a run, and the
+//! shortest and the longest datagram of each message kind.
 
 mod network;
 
--- a/crates/membership/tests/wire_format/network.rs
+++ b/crates/membership/tests/wire_format/network.rs
@@ -1,4 +1,4 @@
-//! A seeded network of members in virtual time that records every datagram.
+//! Seeded network of members in virtual time, which records every datagram.
 
 use membership::shedding::AdmissionCounts;
 use membership::{
@@ -14,10 +14,10 @@
 const SECOND: Nanos = 1_000 * MS;
 /// One datagram in this many is lost.
 const LOSS_ONE_IN: u64 = 23;
-/// Length of an envelope without its payload.
+/// Length of an envelope without its payload, in bytes.
 const ENVELOPE_BYTES: usize = 16;
 
-/// A datagram as it was sent.
+/// A sent datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
     pub from: SocketAddr,
@@ -31,13 +31,13 @@
     }
 }
 
-/// The members of a scenario and what they sent.
+/// Members of a scenario, and the datagrams they sent.
 pub struct Network {
     region_of: fn(u16) -> &'static str,
     members: BTreeMap<SocketAddr, Member>,
     in_flight: BTreeMap<(Nanos, u64), Sent>,
     down: BTreeSet<SocketAddr>,
-    cut: bool,
+    is_partitioned: bool,
     now: Nanos,
     pub sent: Vec<Sent>,
 }
@@ -55,7 +55,7 @@
             members: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             down: BTreeSet::new(),
-            cut: false,
+            is_partitioned: false,
             now: 0,
             sent: Vec::new(),
         }
@@ -99,26 +99,26 @@
     }
 
     pub fn leave(&mut self, number: u16) {
-        self.with(number, Member::leave);
+        self.with_member(number, Member::leave);
         self.collect(address(number));
     }
 
-    /// Cuts the regions from each other, or heals the cut.
-    pub fn set_regions_cut(&mut self, cut: bool) {
-        self.cut = cut;
+    /// Partitions the regions from each other, or heals the partition.
+    pub fn set_partitioned(&mut self, is_partitioned: bool) {
+        self.is_partitioned = is_partitioned;
     }
 
-    /// Tells all members that they serve, with a request rate each.
+    /// Sets all members to the serving phase, each with its own request rate.
     pub fn serve(&mut self) {
-        for (at, member) in &mut self.members {
+        for (address, member) in &mut self.members {
             member.update_metadata(|metadata| {
                 metadata.phase = ServingPhase::Serving;
-                metadata.request_rate_tenths = u32::from(at.port()) * 10;
+                metadata.request_rate_tenths = u32::from(address.port()) * 10;
             });
         }
     }
 
-    /// Counts more admitted requests at each member than the caches have capacity for.
+    /// Adds counts at each member in which many admitted requests are rejected for capacity.
     pub fn overload(&mut self) {
         let mut counts = AdmissionCounts::default();
         counts.admitted[..4].copy_from_slice(&[40, 30, 20, 10]);
@@ -128,9 +128,9 @@
         }
     }
 
-    pub fn with(&mut self, number: u16, act: impl FnOnce(&mut Member, Nanos)) {
+    pub fn with_member(&mut self, number: u16, action: impl FnOnce(&mut Member, Nanos)) {
         let now = self.now;
-        act(self.members.get_mut(&address(number)).unwrap(), now);
+        action(self.members.get_mut(&address(number)).unwrap(), now);
     }
 
     pub fn run_for(&mut self, seconds: u64) {
@@ -139,12 +139,12 @@
             self.now += STEP;
             self.deliver();
             let members: Vec<SocketAddr> = self.members.keys().copied().collect();
-            for at in members {
-                let member = self.members.get_mut(&at).unwrap();
-                if !self.down.contains(&at) && member.next_tick() <= self.now {
+            for address in members {
+                let member = self.members.get_mut(&address).unwrap();
+                if !self.down.contains(&address) && member.next_tick() <= self.now {
                     member.tick(self.now);
                 }
-                self.collect(at);
+                self.collect(address);
             }
         }
     }
@@ -172,8 +172,10 @@
             let random = xxh3_64(&number.to_le_bytes());
             let sent = Sent { from, to, bytes };
             self.sent.push(sent.clone());
-            let region = |at: SocketAddr| (self.region_of)(at.port() - 7_000);
-            if self.cut && region(from) != region(to) || random.is_multiple_of(LOSS_ONE_IN) {
+            let region = |address: SocketAddr| (self.region_of)(address.port() - 7_000);
+            if self.is_partitioned && region(from) != region(to)
+                || random.is_multiple_of(LOSS_ONE_IN)
+            {
                 continue;
             }
             let due = self.now + 2 * MS + random % (20 * MS);
@@ -181,19 +183,24 @@
         }
     }
 
-    /// One line for a recording of everything that was sent: number, bytes and checksum.
+    /// Returns the first line of a recording: the number, total bytes and checksum of all sent
+    /// datagrams.
     pub fn summary(&self) -> String {
-        let mut all = Vec::new();
+        let mut hashed = Vec::new();
         for sent in &self.sent {
-            all.extend(format!("{} {} ", sent.from, sent.to).into_bytes());
-            all.extend(&sent.bytes);
+            hashed.extend(format!("{} {} ", sent.from, sent.to).into_bytes());
+            hashed.extend(&sent.bytes);
         }
         let bytes: usize = self.sent.iter().map(|sent| sent.bytes.len()).sum();
-        format!("all {} {bytes} {:016x}\n", self.sent.len(), xxh3_64(&all))
+        format!(
+            "all {} {bytes} {:016x}\n",
+            self.sent.len(),
+            xxh3_64(&hashed)
+        )
     }
 
-    /// The shortest and the longest datagram of each kind, one a line: kind, which, from, to, bytes
-    /// in hexadecimal.
+    /// Returns the summary, and the shortest and the longest datagram of each kind, one per line:
+    /// kind, `shortest` or `longest`, sender, recipient, and the bytes in hexadecimal.
     pub fn recording(&self) -> String {
         let mut lines = self.summary();
         for kind in 1..=14 {
@@ -203,10 +210,14 @@
             };
             let shortest = of_kind().min_by_key(|sent| sent.bytes.len());
             let longest = of_kind().rev().max_by_key(|sent| sent.bytes.len());
-            for (which, sent) in [("shortest", shortest), ("longest", longest)] {
+            for (extreme, sent) in [("shortest", shortest), ("longest", longest)] {
                 if let Some(sent) = sent {
-                    let hex: String = sent.bytes.iter().map(|b| format!("{b:02x}")).collect();
-                    lines += &format!("{kind} {which} {} {} {hex}\n", sent.from, sent.to);
+                    let hex: String = sent
+                        .bytes
+                        .iter()
+                        .map(|byte| format!("{byte:02x}"))
+                        .collect();
+                    lines += &format!("{kind} {extreme} {} {} {hex}\n", sent.from, sent.to);
                 }
             }
         }
@@ -214,35 +225,36 @@
     }
 }
 
-/// A fleet without regions: a crash, a leave, a restart, an overload, losses.
+/// Runs a fleet without regions with a crash, a leave, a restart, an overload and losses.
 pub fn without_regions() -> Network {
     let mut network = Network::new(|_| "");
     for number in 1..=7 {
         network.start(number, &[1, 2]);
     }
-    play(&mut network);
+    run_scenario(&mut network);
     network
 }
 
-/// Two regions of five and four members, cut from each other for a while; a newcomer knows only a
-/// member that is no delegate of the other region.
+/// Runs two regions of five and four members, which are partitioned for a while. Then a new member
+/// joins with the address of a single member that is in the other region and not a delegate.
 pub fn with_regions() -> Network {
     let mut network = Network::new(|number| if number <= 5 { "north" } else { "south" });
     for number in 1..=9 {
         network.start(number, &[1, 6]);
     }
-    play(&mut network);
-    network.set_regions_cut(true);
+    run_scenario(&mut network);
+    network.set_partitioned(true);
     network.run_for(8);
-    network.set_regions_cut(false);
+    network.set_partitioned(false);
     let delegates = network.members[&address(1)].delegates().to_vec();
-    let other = (1..=5).find(|number| !delegates.contains(&address(*number)) && *number != 2);
-    network.start(10, &[other.unwrap()]);
+    let non_delegate =
+        (1..=5).find(|number| !delegates.contains(&address(*number)) && *number != 2);
+    network.start(10, &[non_delegate.unwrap()]);
     network.run_for(10);
     network
 }
 
-fn play(network: &mut Network) {
+fn run_scenario(network: &mut Network) {
     network.run_for(4);
     network.serve();
     network.run_for(3);
