--- a/crates/membership/src/member/federation/overview_gossip.rs
+++ b/crates/membership/src/member/federation/overview_gossip.rs
@@ -140,7 +140,7 @@
             let fast_digests_until = context.now + FAST_DIGEST_INTERVAL;
             self.fast_digests_until = self.fast_digests_until.max(fast_digests_until);
         }
-        // Only one part is sent back; the next digest finds the others.
+        // Only one part is sent back; the next digest finds the remaining ones.
         if let Some(part) = newer_stored_part {
             context.send_message(from, MessageKind::Overview, [part].as_slice());
         }
--- a/crates/membership/src/regions/delegates.rs
+++ b/crates/membership/src/regions/delegates.rs
@@ -1,6 +1,6 @@
 //! Selection of the delegates of a region by rendezvous hashing over its live members. All members
-//! compute the same delegates; a dead delegate is replaced by the next in rank, and the others
-//! stay.
+//! compute the same delegates; a dead delegate is replaced by the next in rank, and the other
+//! delegates stay.
 
 use super::DELEGATE_COUNT;
 use crate::anti_entropy::address_bytes;
