--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -26,7 +26,7 @@
 const FAST_PERIOD: Nanos = 5_000 * MS;
 /// Interval between digests while the lists are known to agree.
 const IDLE_INTERVAL: Nanos = 2_000 * MS;
-/// Number of agreeing replies after which the lists are known to agree.
+/// Number of consecutive agreeing replies after which the lists are known to agree.
 const AGREEMENTS_REQUIRED: u8 = 3;
 
 /// Entry of a member list: what one member knows of another, or of itself.
