--- a/crates/membership/src/member/federation/delegate.rs
+++ b/crates/membership/src/member/federation/delegate.rs
@@ -155,8 +155,8 @@
     /// its view also does so, to find its region.
     pub(super) fn send_digests(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
         let now = context.now;
-        let alone = own_region.swim.alive() == 0;
-        if now < self.schedule.digest || (self.announcements.is_none() && !alone) {
+        let is_alone = own_region.swim.alive() == 0;
+        if now < self.schedule.digest || (self.announcements.is_none() && !is_alone) {
             return;
         }
         self.schedule.digest = now + DIGEST_INTERVAL;
--- a/crates/membership/src/member/swim/joining.rs
+++ b/crates/membership/src/member/swim/joining.rs
@@ -78,7 +78,7 @@
         if context.now < self.next_join {
             return;
         }
-        let alone = self.alive() == 0;
+        let is_alone = self.alive() == 0;
         let is_missing = |address: &SocketAddr| {
             *address != self.own_address && !self.is_alive(*address) && !is_in_other_region(address)
         };
@@ -87,7 +87,7 @@
         if self.has_joined && is_injected(InjectedFault::NeverContactsDeadMembers) {
             return;
         }
-        let targets = if alone {
+        let targets = if is_alone {
             missing
         } else {
             context.choose(&missing).into_iter().collect()
@@ -99,7 +99,7 @@
         let backoff = self.join_backoff;
         self.next_join = context.now + backoff / 2 + context.rng.random_range(0..backoff);
         self.join_backoff = (backoff * 2).min(JOIN_BACKOFF_MAX);
-        if alone {
+        if is_alone {
             self.join_backoff = self.join_backoff.min(JOIN_BACKOFF_MAX / 2);
         }
     }
--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -165,7 +165,7 @@
                 limit: PAYLOAD_MAX,
             });
         }
-        let mut unknown = 0;
+        let mut untracked = 0;
         // Only this member writes its own record.
         for record in records
             .into_iter()
@@ -176,7 +176,7 @@
             let is_new_member =
                 generation.is_none_or(|generation| generation < record.member.generation);
             if is_new_member && record.metadata.phase != ServingPhase::Leaving {
-                unknown += 1;
+                untracked += 1;
             }
             let stored = self.records.get(&address);
             if generation.is_some() && stored.is_none_or(|stored| record.supersedes(&stored.record))
@@ -184,7 +184,7 @@
                 self.insert(record, alive);
             }
         }
-        Ok(unknown)
+        Ok(untracked)
     }
 
     /// Removes the records of members that are no longer tracked.
--- a/crates/membership/src/regions/exchange.rs
+++ b/crates/membership/src/regions/exchange.rs
@@ -111,14 +111,14 @@
     /// first one.
     #[must_use]
     pub fn digest(&self, now: Nanos, sender: DigestSender, first: usize) -> RegionDigest {
-        let all: Vec<&StoredAnnouncement> = self.stored.values().collect();
-        let order =
-            (0..all.len().min(DIGEST_VERSIONS_MAX)).map(|offset| (first + offset) % all.len());
+        let stored: Vec<&StoredAnnouncement> = self.stored.values().collect();
+        let order = (0..stored.len().min(DIGEST_VERSIONS_MAX))
+            .map(|offset| (first + offset) % stored.len());
         RegionDigest {
             region: self.region.clone(),
             from_delegate: sender == DigestSender::Delegate,
-            complete: all.len() <= DIGEST_VERSIONS_MAX,
-            versions: order.map(|index| all[index].version(now)).collect(),
+            complete: stored.len() <= DIGEST_VERSIONS_MAX,
+            versions: order.map(|index| stored[index].version(now)).collect(),
         }
     }
 
