--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -283,3 +283,34 @@
     old.signal("TERM");
     old.wait_log("shutdown requested");
     assert!(send_request(&mut connect(&pair.address), "2"));
+    assert!(old.process.wait().unwrap().success());
+    assert!(
+        send_request(&mut connect(&pair.address), "3"),
+        "a quiesced process still serves new clients"
+    );
+}
+
+/// Only one process can bind the gossip address: the new process serves without gossip until the
+/// old one has ended.
+#[test]
+fn new_process_binds_the_gossip_address_after_the_old_one_has_ended() {
+    let pair = Pair::new("fleet");
+    let file = pair.directory.join("config.json");
+    let address = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let fleet = format!("\"fleet\":{{\"name\":\"a\",\"bind\":\"{address}\"}},\"settings\"");
+    let config = std::fs::read_to_string(&file)
+        .unwrap()
+        .replace("\"settings\"", &fleet);
+    std::fs::write(&file, config).unwrap();
+    let old = pair.start();
+    old.wait_ready();
+    old.wait_log("fleet: gossip of fleet a listens on");
+    let new = pair.start();
+    new.wait_log("is in use by the other process of this balancer; retrying");
+    new.wait_ready();
+    old.signal("TERM");
+    new.wait_log("fleet: gossip of fleet a listens on");
+}
