--- a/crates/routing-config/src/operator_settings.rs
+++ b/crates/routing-config/src/operator_settings.rs
@@ -38,7 +38,8 @@
     pub(crate) specifics: OriginSettings,
     /// Resolution of timers, in nanoseconds.
     pub(crate) step_ns: Nanos,
-    /// `live` if the weights of endpoints change while they are in service.
+    /// `live` if the weights of endpoints change while they are in service; such weights are
+    /// ignored.
     pub(crate) weights: String,
 }
 
@@ -90,17 +91,23 @@
 pub(crate) struct ServiceRuleSettings {
     /// Time after its deadline during which a request may still be answered, in nanoseconds.
     pub(crate) grace_to_answer_ns: Nanos,
-    /// Staleness limit of a polled endpoint list, in nanoseconds.
+    /// Staleness limit of a polled endpoint list, in nanoseconds: time without a call to discovery
+    /// after which the balancer counts as notified of every change.
     pub(crate) must_ask_in_ns: Nanos,
     /// Fraction of its capacity with which a cache starts; default 1.
     pub(crate) cold_from: Option<f64>,
     /// Time from a cache's start until it has its full capacity, in nanoseconds.
     pub(crate) warm_after_ns: Nanos,
-    /// Time during which a draining endpoint still finishes its attempts, in nanoseconds.
+    /// Time after the balancer is notified that an endpoint drains or was removed, during which
+    /// attempts may still be sent to it, in nanoseconds; afterwards none may. The engine does not
+    /// read this value, because it sends nothing new from the notification on; the balancer paces
+    /// the reopening of discovery watches by it.
     pub(crate) drain_grace_ns: Nanos,
-    /// Ratio of load to capacity above which an endpoint is overloaded; default 1.
+    /// Multiple of its present capacity above which load makes a cache in slow start fail, if the
+    /// load lasts for `tip_after_ns`; default 1. The engine does not read this value, because it
+    /// keeps the slow start budget far below this load.
     pub(crate) overload_factor: Option<f64>,
-    /// Time for which such a load has to last to overload the endpoint, in nanoseconds.
+    /// Time for which such a load has to last for the cache to fail, in nanoseconds.
     pub(crate) tip_after_ns: Nanos,
 }
 
--- a/crates/routing/src/actions.rs
+++ b/crates/routing/src/actions.rs
@@ -35,8 +35,8 @@
     OriginProtection = "origin_protection",
     /// Every eligible candidate is at its concurrency limit.
     ConcurrencyLimit = "concurrency_limit",
-    /// A candidate's concurrency limit is below one, and the minimum interval between two attempts
-    /// has not passed yet.
+    /// A candidate's concurrency limit is below one, and the pause that this requires between an
+    /// answer and the next attempt has not passed yet.
     Pacing = "pacing",
     /// A candidate is in slow start and its token budget is exhausted.
     SlowStart = "slow_start",
@@ -82,7 +82,7 @@
 pub enum Deferral {
     /// The request waits for capacity instead of being sent.
     Queued,
-    /// The request's attempt was overdue, and no hedge was sent.
+    /// The request's attempt is overdue, but no hedge is sent.
     HedgeSuppressed,
 }
 
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -148,7 +148,7 @@
         has_capacity
     }
 
-    /// Counts a final answer that was given for this reason.
+    /// Counts a final answer given for this reason, if the reason is a lack of capacity.
     pub(crate) fn record_rejection(&mut self, reason: DecisionReason) {
         let is_for_lack_of_capacity = matches!(
             reason,
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -13,15 +13,17 @@
 pub(crate) const MIN_LIMIT: f64 = 0.2;
 /// Maximum limit of one balancer at an endpoint of mean weight.
 const MAX_LIMIT: f64 = 16.0;
-/// Factor at each housekeeping by which an unused limit decays toward the initial limit.
+/// Factor applied to an unused limit at each housekeeping, until it reaches the initial limit.
 const UNUSED_DECAY: f64 = 0.98;
-/// Growth of a fully used limit per hit whose latency is near the baseline; divided by the limit.
+/// Growth of a fully used limit per hit whose latency is near the baseline. The growth is divided
+/// by the limit.
 pub(crate) const HIT_INCREASE: f64 = 0.5;
-/// Growth per miss, which reveals less about the cache's own load; divided by the limit.
+/// Growth of a fully used limit per miss, which reveals less about the cache's own load. The growth
+/// is divided by the limit.
 const MISS_INCREASE: f64 = 0.1;
-/// Growth per answer above the knee, divided by the limit. The knee is the initial limit of the
-/// fleet divided by the square root of the number of balancers; above it growth is slow because
-/// latency rises only after a surge of load.
+/// Growth of a fully used limit per answer above the knee, divided by the limit. The knee is the
+/// initial limit of the fleet divided by the square root of the number of balancers; above it
+/// growth is slow because latency rises only after a surge of load.
 pub(crate) const INCREASE_BEYOND_KNEE: f64 = 0.05;
 /// Ratio of recent latency to baseline below which a limit grows.
 const GROWTH_LATENCY_RATIO: f64 = 1.2;
@@ -123,8 +125,9 @@
         self.limit = (self.limit * OVERLOAD_FACTOR).max(MIN_LIMIT);
     }
 
-    /// Decays a limit that is less than half used toward `initial`. A large unused limit would
-    /// admit a surge before latency shows it, and a reduced limit has to recover.
+    /// Decays a limit that is less than half used down to `initial`, because a large unused limit
+    /// would admit a surge before latency shows it. A limit below `initial` is raised to it, so
+    /// that a reduced limit recovers.
     pub(crate) fn decay_unused(&mut self, in_flight: usize, initial: &ConcurrencyLimit) {
         if (in_flight as f64) < self.limit / 2.0 {
             self.limit = (self.limit * UNUSED_DECAY).max(initial.limit);
--- a/crates/routing/src/discovery_schedule.rs
+++ b/crates/routing/src/discovery_schedule.rs
@@ -11,11 +11,12 @@
 /// Mean delay after the first failed call, in nanoseconds; doubles with each further failure.
 const MIN_BACKOFF: Nanos = 400_000_000;
 /// Maximum mean delay, in nanoseconds. A delay is at most half longer than the mean, and a call
-/// without a response is abandoned after 1.6 s. Both together stay below the 6 s after which the
-/// balancer counts as notified of a change.
+/// without a response is abandoned after 1.6 s. Both together stay below 6 s, because a rule of the
+/// service is that the balancer counts as notified of a change at the latest 6 s after discovery
+/// had it and could be reached, even if calls failed.
 pub(crate) const MAX_BACKOFF: Nanos = 2_500_000_000;
 /// Maximum mean delay as a multiple of the staleness limit.
-const MAX_STALENESS_LIMITS: Nanos = 2;
+const MAX_BACKOFF_IN_STALENESS_LIMITS: Nanos = 2;
 
 /// Backoff state of the calls to discovery.
 pub(crate) struct DiscoverySchedule {
@@ -50,7 +51,7 @@
         match self.mode {
             DiscoveryMode::Poll {
                 staleness_limit: limit @ 1..,
-            } => MAX_BACKOFF.min(limit.saturating_mul(MAX_STALENESS_LIMITS)),
+            } => MAX_BACKOFF.min(limit.saturating_mul(MAX_BACKOFF_IN_STALENESS_LIMITS)),
             _ => MAX_BACKOFF,
         }
     }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -228,8 +228,8 @@
             let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
             self.records.retain(|id, _| listed.contains(id));
         }
-        // Start times in the first list are accepted as stated; endpoints that join later started
-        // recently.
+        // Start times in the first list are accepted as stated; endpoints that join later are
+        // assumed to have started recently.
         let joins_existing_list = !self.records.is_empty();
         for entry in entries {
             if entry.state == EndpointState::Removed {
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Adds or changes an entry. An endpoint whose start time changed is a new process, so nothing
-    /// learnt about it is kept.
+    /// Adds or changes an entry. An endpoint whose start time changed is a new process, so its
+    /// record is reset; only the attempts in flight are kept.
     fn upsert(&mut self, entry: Endpoint, slow_start: SlowStart) {
         let Some(record) = self.records.get_mut(&entry.id) else {
             let record = EndpointRecord::new(entry, slow_start);
--- a/crates/routing/src/engine/endpoint_updates.rs
+++ b/crates/routing/src/engine/endpoint_updates.rs
@@ -20,8 +20,9 @@
         self.retry_queued();
     }
 
-    /// Schedules the next call after a failed one. At most one call is scheduled at a time; two
-    /// would both fail and be repeated indefinitely.
+    /// Schedules the next call after a failed one, in place of a call that is already scheduled.
+    /// Otherwise each of two calls that fail would schedule a successor, and there would always be
+    /// two.
     fn on_discovery_failed(&mut self) {
         let wait = self.discovery.after_failure(&mut self.random);
         self.timers.cancel_all(TimerPurpose::DiscoveryQuery);
--- a/crates/routing/src/engine/retries.rs
+++ b/crates/routing/src/engine/retries.rs
@@ -98,8 +98,8 @@
     matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::Timeout)
 }
 
-/// Returns whether a retry is not charged to the budget because the failed attempt cost no endpoint
-/// time: it did not connect, or it was rejected and a healthy endpoint is available.
+/// Returns whether a retry is not charged to the budget, because the failed attempt took up no
+/// endpoint time: it did not connect, or it was rejected and a healthy endpoint is available.
 fn is_free_retry(outcome: AttemptOutcome, alternative: Option<EndpointId>) -> bool {
     outcome == AttemptOutcome::ConnectFailed
         || outcome == AttemptOutcome::Rejected && alternative.is_some()
--- a/crates/routing/src/engine/selection.rs
+++ b/crates/routing/src/engine/selection.rs
@@ -13,7 +13,7 @@
 /// Result of selecting an endpoint for the next attempt.
 pub(super) enum Selection {
     Endpoint(EndpointId),
-    /// Every usable endpoint lacks capacity, the first one for this reason.
+    /// No usable endpoint has capacity; this is the reason at the first of them.
     AtCapacity(DecisionReason),
     NoneEligible,
 }
--- a/crates/routing/src/engine/tests/admission.rs
+++ b/crates/routing/src/engine/tests/admission.rs
@@ -43,8 +43,8 @@
 
 #[test]
 fn admitted_fraction_recovers_within_seconds_once_requests_are_served_again() {
-    // Twenty of a hundred balancers with 20 requests per second each, nine in ten of which are
-    // useful again.
+    // Twenty of a hundred balancers with 20 requests per second each; nine in ten of the admitted
+    // requests are usefully answered again.
     let mut admitted = 0;
     for seed in 0..20 {
         let mut engine = new_engine(settings_of_fleet(100), seed);
--- a/crates/routing/src/engine/tests/concurrency_limit.rs
+++ b/crates/routing/src/engine/tests/concurrency_limit.rs
@@ -30,8 +30,7 @@
     engine.record_mut(id).limit = ConcurrencyLimit::from_stored(limit);
 }
 
-/// Sets the attempts in flight at the first endpoint to those of requests 0 to `count`, excluding
-/// `count`.
+/// Sets the attempts in flight at the first endpoint to one for each request below `count`.
 fn put_in_flight(engine: &mut Engine, count: u128) {
     let attempt = |request| InFlightAttempt {
         sent_at: 0,
--- a/crates/routing/src/engine/tests/discovery_schedule.rs
+++ b/crates/routing/src/engine/tests/discovery_schedule.rs
@@ -34,8 +34,8 @@
 
 #[test]
 fn delay_after_a_failed_call_is_bounded() {
-    // A delay of at most 3.75 s plus 1.6 s for a call that does not return stays below the 6 s
-    // after which the balancer counts as notified of a change.
+    // A delay of at most 3.75 s plus the 1.6 s after which a call without a response is abandoned
+    // stays below the 6 s after which the balancer counts as notified of a change.
     for (staleness_limit, maximum) in [(10_000, 3_750), (1_000, 3_000), (0, 3_750)] {
         let mut engine = polling_engine(staleness_limit * MS);
         let mut longest_wait = 0;
@@ -68,7 +68,8 @@
     let wait = timers.map(|(after, _)| after).max();
     assert!(
         wait.is_some_and(|wait| wait <= 600 * MS),
-        "{wait:?}: the balancer counts as notified 4 s after a new address, 6 s after an outage"
+        "wait of {wait:?} ns, but the balancer counts as notified 4 s after discovery has a new \
+         address or 6 s after the beginning of an outage"
     );
 }
 
@@ -76,7 +77,7 @@
 fn several_failed_calls_lead_to_one_repeated_call() {
     let mut engine = polling_engine(10_000 * MS);
     let mut actions = Vec::new();
-    // A call failed, and so did the call to the new address after a reload.
+    // A call fails, and so does the one that a reload has meanwhile sent to a new address.
     for _ in 0..2 {
         actions.extend(engine.handle_now(failed_call()));
     }
--- a/crates/routing/src/engine/tests/request_lifecycle.rs
+++ b/crates/routing/src/engine/tests/request_lifecycle.rs
@@ -70,7 +70,7 @@
             assert_eq!(
                 count_answers(&actions),
                 0,
-                "timeout {client_timeout} ms, {endpoints} endpoints: answered too early"
+                "client timeout {client_timeout} ms, {endpoints} endpoints: answered too early"
             );
             let mut answers = Vec::new();
             for token in tokens {
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -10,7 +10,7 @@
     /// The endpoint accepts requests.
     #[default]
     Active,
-    /// The endpoint finishes its attempts in flight; no new attempt may be sent to it.
+    /// The endpoint finishes its attempts in flight; the engine sends it no new ones.
     Draining,
     /// The endpoint is no longer part of the list.
     Removed,
@@ -72,7 +72,7 @@
 /// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The endpoint answered.
+    /// The endpoint answered successfully.
     Ok,
     /// The endpoint answered with an error; the attempt may have run.
     Error,
@@ -98,7 +98,8 @@
 }
 
 impl AttemptOutcome {
-    /// Returns whether the endpoint answered the attempt.
+    /// Returns whether the endpoint answered without an error. The answer that the cache has no
+    /// value for the key counts as well.
     pub(crate) fn is_answer(self) -> bool {
         matches!(self, AttemptOutcome::Ok | AttemptOutcome::CacheMiss)
     }
@@ -171,11 +172,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SheddingLevel {
     /// Number of tiers that are shed: 0 for none, [`Settings::tiers`](crate::Settings::tiers) for
-    /// all. A tier is a class, either within or beyond its tenant's quota; tiers are ordered by
-    /// ascending priority weight. Of the last shed tier only the fractional part is shed. A
-    /// twentieth of every tier is always admitted.
+    /// all. A tier is the requests of one class that are within their tenant's quota, or those that
+    /// exceed it; tiers are ordered by ascending priority weight. A level of 1.4 sheds the first
+    /// tier and 40 % of the second, but a twentieth of every tier is always admitted.
     pub level: f64,
-    /// Number of the rotation, which determines the requests of a tier that are shed. All balancers
+    /// Number of the current rotation: each rotation sheds other requests of a tier. All balancers
     /// use the same number at the same time.
     pub rotation: u64,
     /// Start time of the next rotation, on the caller's clock.
--- a/crates/routing/src/fleet_shedding.rs
+++ b/crates/routing/src/fleet_shedding.rs
@@ -21,8 +21,8 @@
 /// Current shedding level, and the tiers of each class.
 pub(crate) struct FleetShedding {
     level: SheddingLevel,
-    /// Tiers of each class, within and beyond its tenant's quota: the number of tiers with a lower
-    /// weight.
+    /// Tiers of all classes in their order, two for each: within its tenant's quota, then beyond
+    /// it. A tier is identified by the number of tiers that are shed before it.
     tiers: Vec<usize>,
 }
 
--- a/crates/routing/src/hedging.rs
+++ b/crates/routing/src/hedging.rs
@@ -14,10 +14,11 @@
 pub(crate) const MIN_SAMPLES: u64 = 20;
 /// Multiple of the quantile after which an attempt is abandoned, if another one may be made.
 pub(crate) const ABANDON_FACTOR: f64 = 2.5;
-/// Hedges per request beyond the burst; limited so that hedges cannot double an overload.
+/// Hedges allowed per request, in addition to the burst; limited so that hedges cannot double an
+/// overload.
 const HEDGES_PER_REQUEST: f64 = 0.1;
-/// Burst of hedges over all balancers; covers the time until one or two unresponsive endpoints are
-/// detected.
+/// Burst of hedges over all balancers; sufficient for the time until one or two unresponsive
+/// endpoints are detected.
 pub(crate) const HEDGE_BURST: f64 = 6.0;
 
 /// Latency quantile of reads, and the budget for hedges.
@@ -69,7 +70,7 @@
     }
 
     /// Returns whether a timeout after this time is evidence of a fault. It is not if the client
-    /// waits less than answers take.
+    /// waits for less time than answers usually take.
     pub(crate) fn timeout_counts_as_failure(
         &self,
         client_timeout: Nanos,
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -24,9 +24,11 @@
 /// Factor applied to an endpoint's failure ratio at each housekeeping, so that an endpoint without
 /// requests recovers.
 pub(crate) const IDLE_DECAY: f64 = 0.98;
-/// Minimum failure ratio of an endpoint that has failed an attempt in the last seconds.
+/// Failure ratio from which an endpoint counts as failing: it has failed an attempt within the last
+/// seconds.
 const MIN_FAILING_RATIO: f64 = 0.05;
-/// Minimum fraction of failing endpoints for the cause to lie in a dependency that they share.
+/// Fraction of failing endpoints from which the cause is assumed to be a dependency that they
+/// share.
 const FLEET_WIDE_FRACTION: f64 = 0.5;
 /// Fraction of unhealthy endpoints above which ejection is suspended, because it no longer singles
 /// out faulty endpoints. It is above one half because half of the fleet may become unreachable with
@@ -35,7 +37,8 @@
 /// Initial backoff before an ejected endpoint is probed, in nanoseconds; doubles with each further
 /// ejection.
 pub(crate) const MIN_BACKOFF: Nanos = 1_000_000_000;
-/// Maximum backoff, in nanoseconds; about the time until discovery lists a restarted endpoint.
+/// Longest mean wait before a probe, in nanoseconds; about the time that passes until discovery
+/// lists a restarted endpoint again.
 pub(crate) const MAX_BACKOFF: Nanos = 8_000_000_000;
 /// Minimum factor by which a backoff is multiplied to spread the probes of several balancers.
 const MIN_BACKOFF_FACTOR: f64 = 0.75;
@@ -158,7 +161,8 @@
         self.ejected_until.is_some_and(|until| now >= until) && !self.may_probe_with_request
     }
 
-    /// Postpones the next health check until the one that was just sent has ended.
+    /// Postpones the next health check until the one that was just sent has ended, by at most the
+    /// maximum backoff.
     pub(crate) fn begin_health_check(&mut self, now: Nanos) {
         self.ejected_until = Some(now + MAX_BACKOFF);
     }
@@ -169,6 +173,8 @@
         self.may_probe_with_request |= is_success;
     }
 
+    /// Returns whether the endpoint is ejected or has a high failure ratio, regardless of its
+    /// latency.
     pub(crate) fn is_unhealthy(&self) -> bool {
         self.is_ejected() || self.failure_ratio > MAX_HEALTHY_FAILURE_RATIO
     }
--- a/crates/routing/src/random.rs
+++ b/crates/routing/src/random.rs
@@ -3,7 +3,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Number of steps in which random probabilities are generated.
+/// Resolution of random probabilities: number of equal steps from 0 to 1.
 const PROBABILITY_STEPS: u64 = 1_000;
 /// Number of bits of a random number that an `f64` represents exactly.
 const MANTISSA_BITS: u32 = 53;
--- a/crates/routing/src/rendezvous/tests.rs
+++ b/crates/routing/src/rendezvous/tests.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns all caches in rank order at a slot, by sorting their scores.
-fn sorted(caches: &BTreeMap<u64, Endpoint>, slot: usize) -> Vec<EndpointId> {
+fn rank_by_sorting(caches: &BTreeMap<u64, Endpoint>, slot: usize) -> Vec<EndpointId> {
     let mut ranked: Vec<(f64, EndpointId)> = caches
         .iter()
         .filter(|(_, entry)| entry.state == EndpointState::Active)
@@ -138,11 +138,11 @@
     }
 
     fn check_slot(&mut self, slot: usize) {
-        let sorted = sorted(&self.caches, slot);
-        let first = &sorted[..sorted.len().min(CANDIDATES)];
+        let expected = rank_by_sorting(&self.caches, slot);
+        let first = &expected[..expected.len().min(CANDIDATES)];
         assert_eq!(*self.table().candidates(slot), *first, "slot {slot}");
         let ranking: Vec<EndpointId> = self.table().ranking(slot).collect();
-        assert_eq!(ranking, sorted, "slot {slot}");
+        assert_eq!(ranking, expected, "slot {slot}");
     }
 }
 
@@ -269,7 +269,7 @@
     let all: BTreeMap<u64, Endpoint> = (0..caches).map(entry).collect();
     // Checks only slots with a candidate whose index does not fit into a row, and two others.
     let has_unstorable_candidate = |slot: &usize| {
-        sorted(&all, *slot)[..CANDIDATES]
+        rank_by_sorting(&all, *slot)[..CANDIDATES]
             .iter()
             .any(|id| id.0 >= u64::from(NO_CACHE))
     };
@@ -280,7 +280,10 @@
         .collect();
     for slot in slots {
         for _ in 0..2 {
-            assert_eq!(*table.candidates(slot), sorted(&all, slot)[..CANDIDATES]);
+            assert_eq!(
+                *table.candidates(slot),
+                rank_by_sorting(&all, slot)[..CANDIDATES]
+            );
         }
     }
 }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -3,9 +3,10 @@
 use crate::attempt_budget::AttemptBudget;
 use crate::fleet_size::FleetSize;
 
-/// Retries per request beyond the burst.
+/// Retries allowed per request, in addition to the burst.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Burst of retries over all balancers; covers the crash of an endpoint.
+/// Burst of retries over all balancers; sufficient for the attempts that fail when an endpoint
+/// crashes.
 pub(crate) const RETRY_BURST: f64 = 8.0;
 
 /// Creates a full budget for retries.
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -12,7 +12,7 @@
     Keyed {
         /// Endpoints that discard a repeat.
         scope: DeduplicationScope,
-        /// Time during which they discard it.
+        /// Time during which they discard repeats, from the sending of that first attempt.
         window: Nanos,
     },
     /// The request must never run twice.
@@ -37,7 +37,7 @@
     pub idempotency: Idempotency,
     /// Time from arrival within which an answer has its full value, the priority weight.
     pub latency_objective: Nanos,
-    /// Maximum time that the client waits, over all its attempts; must not be 0.
+    /// Maximum time that the client waits, over all attempts of the request; must not be 0.
     pub deadline: Nanos,
     /// Value of one request relative to those of other classes.
     pub priority_weight: f64,
@@ -73,7 +73,8 @@
     /// Changes are received in response to
     /// [`Action::QueryDiscovery`](crate::Action::QueryDiscovery).
     Poll {
-        /// Time since the last call after which the balancer counts as notified of a change.
+        /// Time without a call to discovery after which the balancer counts as notified of every
+        /// change.
         staleness_limit: Nanos,
     },
 }
@@ -100,17 +101,20 @@
 pub struct ServiceRules {
     /// Time after the deadline during which a final answer still counts.
     pub final_answer_grace: Nanos,
-    /// Time after the notification of a drain during which new attempts may still reach the
-    /// endpoint.
+    /// Time after the balancer is notified that an endpoint drains or was removed, during which
+    /// attempts may still be sent to it; afterwards none may. The engine does not read this value,
+    /// because it sends nothing new from the notification on; the balancer paces the reopening of
+    /// discovery watches by it.
     pub drain_grace: Nanos,
     /// Minimum fraction of its capacity with which an endpoint starts.
     pub slow_start_fraction: f64,
     /// Maximum time from an endpoint's start until it has its full capacity.
     pub slow_start_duration: Nanos,
-    /// Multiple of its present capacity above which load makes an endpoint in slow start collapse,
-    /// if it lasts for `overload_window`.
+    /// Multiple of its present capacity above which load makes an endpoint in slow start fail, if
+    /// the load lasts for `overload_window`. The engine does not read this value, because it keeps
+    /// the slow start budget far below this load.
     pub overload_factor: f64,
-    /// Time for which such a load has to last for the endpoint to collapse.
+    /// Time for which such a load has to last for the endpoint to fail.
     pub overload_window: Nanos,
 }
 
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -9,18 +9,19 @@
 /// Maximum time between the start of an endpoint and its first listing, in nanoseconds, for an
 /// endpoint that joins an existing list.
 const MAX_LISTING_DELAY: Nanos = 6_000_000_000;
-/// Warm rate of an endpoint, as a multiple of the rate at which endpoints of its weight usefully
-/// answer requests.
+/// Rate of attempts assumed for a warm endpoint, as a multiple of the rate at which endpoints of
+/// its weight usefully answer requests.
 const SERVED_FACTOR: f64 = 1.2;
-/// Warm rate of an endpoint, as a multiple of the requested rate. Used if it is higher, so that a
-/// fleet whose endpoints are all in slow start can increase its load.
+/// Rate of attempts assumed for a warm endpoint, as a multiple of its share of the arriving
+/// requests. The higher of both rates is used, so that a fleet whose endpoints are all in slow
+/// start can increase its load.
 const REQUESTED_FACTOR: f64 = 0.5;
 /// Minimum assumed fraction of its capacity with which an endpoint starts.
 const MIN_START_FRACTION: f64 = 0.01;
 /// Minimum total weight that traffic is divided by; avoids a division by 0.
 const MIN_WEIGHT: f64 = 0.01;
-/// Divisor of the tokens gained in one overload window that gives the maximum number of saved
-/// tokens.
+/// The burst of the token budget is the number of tokens gained in one overload window, divided by
+/// this.
 const BURST_DIVISOR: f64 = 2.0;
 
 /// Slow start state of one endpoint.
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -116,6 +116,7 @@
     }
 }
 
+/// Engine with a simulated clock, its pending timers and all actions that it has issued.
 pub struct TestBalancer {
     pub engine: Engine,
     pub now: Nanos,
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -329,7 +329,7 @@
     let intervals: Vec<u64> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
         intervals.iter().all(|interval| *interval <= 4_000 * MS),
-        "together with a call that does not return, an interval stays within 6 s"
+        "an interval plus 1.6 s for a call without a response must stay within 6 s: {intervals:?}"
     );
     assert!(intervals[intervals.len() - 1] >= 1_200 * MS);
     balancer.run_for(10_000 * MS);
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -221,19 +221,19 @@
     let mut balancer = balancer(settings());
     balancer.now = 100_000 * MS;
     balancer.list_endpoints(&[1, 2, 3]);
-    let mut sent_to_fresh = count_first_reads_at_4(&mut balancer, 1..=1_000);
+    let mut sent_to_new = count_first_reads_at_4(&mut balancer, 1..=1_000);
     let started = balancer.now;
     balancer.change_endpoint(4, EndpointState::Active, started);
-    sent_to_fresh += count_first_reads_at_4(&mut balancer, 1_001..=1_300);
+    sent_to_new += count_first_reads_at_4(&mut balancer, 1_001..=1_300);
     // 100 requests per second over 3.2 to 3.44 ready endpoints for 3 s, at a capacity from 0.2 to
     // 0.44 and with the factor 1.2, amount to a budget of 35 attempts.
-    assert!((5..=37).contains(&sent_to_fresh), "{sent_to_fresh}");
+    assert!((5..=37).contains(&sent_to_new), "{sent_to_new}");
 }
 
 /// Sends thirteen reads, a second apart, every other of which is rejected; endpoint 10 starts after
 /// ten of them. Returns the number of attempts sent to endpoint 10.
-fn count_sends_to_fresh_endpoint(balancer: &mut TestBalancer, first_key: u64) -> usize {
-    let mut sent_to_fresh = 0;
+fn count_sends_to_new_endpoint(balancer: &mut TestBalancer, first_key: u64) -> usize {
+    let mut sent_to_new = 0;
     for second in 0..13u64 {
         if second == 10 {
             let started = balancer.now;
@@ -241,7 +241,7 @@
         }
         let id = u128::from(second + 1);
         balancer.request(id, IDEMPOTENT, Some(first_key + second), 1_000 * MS);
-        sent_to_fresh += count_sends_to(balancer, id, 10);
+        sent_to_new += count_sends_to(balancer, id, 10);
         balancer.run_for(100 * MS);
         if !balancer.sends(id).is_empty() {
             let outcome = if second % 2 == 0 {
@@ -251,11 +251,11 @@
             };
             balancer.end(id, 0, outcome);
             let retries = balancer.sends(id).into_iter().skip(1);
-            sent_to_fresh += retries.filter(|id| *id == EndpointId(10)).count();
+            sent_to_new += retries.filter(|id| *id == EndpointId(10)).count();
         }
         balancer.run_for(900 * MS);
     }
-    sent_to_fresh
+    sent_to_new
 }
 
 #[test]
@@ -263,21 +263,21 @@
     // 300 balancers with one request per second each, and four equal endpoints of which one has
     // just started; half of the requests are served. For 3 s at a capacity from 0.2 to 0.44 the
     // budget is about 36 attempts, of over 200 requested.
-    let mut sent_to_fresh = 0;
+    let mut sent_to_new = 0;
     for seed in 0..300u64 {
         let mut balancer = balancer_with_seed(settings_of_fleet(300), seed);
         balancer.now = 100_000 * MS;
         balancer.list_endpoints(&[1, 2, 3]);
-        sent_to_fresh += count_sends_to_fresh_endpoint(&mut balancer, seed * 100);
+        sent_to_new += count_sends_to_new_endpoint(&mut balancer, seed * 100);
     }
-    assert!((4..=40).contains(&sent_to_fresh), "{sent_to_fresh}");
+    assert!((4..=40).contains(&sent_to_new), "{sent_to_new}");
 }
 
 const REQUESTS_PER_SECOND: u64 = 10;
 
 /// Returns the times at which one of many balancers sends to endpoint 10, which starts after two of
 /// eight seconds.
-fn send_times_to_fresh_endpoint(balancers: usize, seed: u64) -> Vec<u64> {
+fn send_times_to_new_endpoint(balancers: usize, seed: u64) -> Vec<u64> {
     let mut sent_at = Vec::new();
     let mut balancer = balancer_with_seed(settings_of_fleet(balancers), seed);
     balancer.now = 100_000 * MS;
@@ -289,8 +289,8 @@
         }
         let id = u128::from(number + 1);
         balancer.request(id, IDEMPOTENT, Some(seed * 1_000 + number), 1_000 * MS);
-        let sent_to_fresh = count_sends_to(&balancer, id, 10);
-        sent_at.extend(std::iter::repeat_n(balancer.now, sent_to_fresh));
+        let sent_to_new = count_sends_to(&balancer, id, 10);
+        sent_at.extend(std::iter::repeat_n(balancer.now, sent_to_new));
         balancer.run_for(5 * MS);
         balancer.answer_all(id);
         balancer.run_for(1_000 * MS / REQUESTS_PER_SECOND - 5 * MS);
@@ -299,13 +299,14 @@
 }
 
 /// With twenty to thirty balancers and one recently started endpoint of four, the attempts sent to
-/// it within the overload window stay within N + 2 sqrt(N) + 2. N is the load that the settings let
-/// it tolerate: `overload_factor` times its part of the load of a warm endpoint.
+/// it within the overload window stay within N + 2 sqrt(N) + 2. N is the number of attempts that
+/// the endpoint tolerates in that time according to the settings: `overload_factor` times the
+/// number that corresponds to its present capacity. The margin above N allows for random variation.
 #[test]
 fn twenty_to_thirty_balancers_together_keep_an_endpoint_in_slow_start_within_its_budget() {
     for balancers in [20u64, 25, 30] {
         let sent_at: Vec<u64> = (0..balancers)
-            .flat_map(|seed| send_times_to_fresh_endpoint(balancers as usize, seed))
+            .flat_map(|seed| send_times_to_new_endpoint(balancers as usize, seed))
             .collect();
         let rules = settings().rules;
         let window_seconds = rules.overload_window as f64 / 1e9;
