--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,5 +1,5 @@
 //! Admission: decides which arriving requests are beyond their tenant's quota, and which are
-//! rejected at once because the fleet sheds them or lacks capacity.
+//! rejected at once because all balancers shed them or the caches lack capacity.
 
 use crate::actions::DecisionReason;
 use crate::concurrency_limit::min_limits_exceed_initial;
@@ -123,15 +123,15 @@
         }
         let tier = self.shedding.tier(request).min(COUNTED_TIERS - 1);
         self.counts.admitted[tier] += 1;
-        let has_capacity = self.fleet_has_capacity(fleet, now, random);
+        let has_capacity = self.caches_have_capacity(fleet, now, random);
         (!has_capacity).then_some(DecisionReason::FleetOverload)
     }
 
-    /// Returns whether the fleet has capacity for one more request, judged by what this balancer
-    /// observed. With so many balancers that their minimum limits together overload an endpoint,
-    /// each one sees too few requests to judge a single endpoint, but enough to judge all of them
-    /// together.
-    pub(crate) fn fleet_has_capacity(
+    /// Returns whether the caches have capacity for one more request, according to this balancer's
+    /// rates of consumed and useful requests. Always returns true unless there are so many
+    /// balancers that their minimum limits together overload an endpoint. Each of them then sees
+    /// too few requests to judge a single endpoint, but enough to judge all of them together.
+    pub(crate) fn caches_have_capacity(
         &mut self,
         fleet: FleetSize,
         now: Nanos,
--- a/crates/routing/src/engine/answers.rs
+++ b/crates/routing/src/engine/answers.rs
@@ -42,8 +42,8 @@
 
     /// Returns the time after which a rejected client should retry, spread at random so that
     /// clients do not retry simultaneously. The retry falls within the latency objective if
-    /// capacity may return by then, and beyond it if the fleet or the origin is overloaded, because
-    /// an earlier retry would prolong the overload.
+    /// capacity may return by then, and beyond it if the caches or the origin are overloaded,
+    /// because an earlier retry would prolong the overload.
     pub(super) fn retry_after(&mut self, request: &Request, reason: DecisionReason) -> Nanos {
         let class = self.settings.class(request.details.class);
         let objective = class.latency_objective;
--- a/crates/routing/src/engine/attempt_results.rs
+++ b/crates/routing/src/engine/attempt_results.rs
@@ -6,7 +6,7 @@
 use crate::endpoints::InFlightAttempt;
 use crate::events::{AttemptOutcome, AttemptResult, CacheStatus, NewRequest};
 use crate::identifiers::EndpointId;
-use crate::outlier_detection::{FailureEvidence, is_fault_fleet_wide};
+use crate::outlier_detection::{FailureEvidence, is_fault_widespread};
 use crate::request::Request;
 use crate::settings::OriginMode;
 
@@ -202,7 +202,7 @@
             }
             AttemptOutcome::Error => {
                 // Errors at only a few endpoints are not caused by the origin.
-                if is_fault_fleet_wide(self.endpoints.records()) {
+                if is_fault_widespread(self.endpoints.records()) {
                     self.origin.record_failure(self.fleet);
                 }
                 for candidate in self.placement.candidates(request.slot) {
--- a/crates/routing/src/engine/attempts.rs
+++ b/crates/routing/src/engine/attempts.rs
@@ -7,7 +7,7 @@
 use crate::events::AttemptOutcome;
 use crate::idempotency::AttemptKind;
 use crate::identifiers::{AttemptNumber, EndpointId, Nanos};
-use crate::outlier_detection::is_fault_fleet_wide;
+use crate::outlier_detection::is_fault_widespread;
 use crate::request::{Attempt, QueueEntry, Request};
 use crate::settings::{Idempotency, OriginMode};
 use crate::timers::TimerPurpose;
@@ -214,10 +214,10 @@
     }
 
     /// Returns whether a hedge can help: either few attempts fail overall, or this endpoint is
-    /// healthy and the failures are not fleet-wide.
+    /// healthy and the failures are not widespread.
     fn is_hedge_promising(&self, id: EndpointId) -> bool {
-        !self.outliers.is_fleet_failing()
-            || self.is_healthy(id) && !is_fault_fleet_wide(self.endpoints.records())
+        !self.outliers.is_overall_failure_ratio_high()
+            || self.is_healthy(id) && !is_fault_widespread(self.endpoints.records())
     }
 
     /// Sets another hedge timer, because the candidates' lack of capacity is temporary.
--- a/crates/routing/src/engine/housekeeping.rs
+++ b/crates/routing/src/engine/housekeeping.rs
@@ -13,7 +13,7 @@
 
 /// Summary of one pass over the endpoints.
 #[derive(Default)]
-struct FleetSummary {
+struct EndpointsSummary {
     /// Recent mean latencies of active caches.
     latencies: Vec<f64>,
     /// Sum of the weights of active caches; those in slow start count with their present capacity.
@@ -28,7 +28,7 @@
         self.set_timer(HOUSEKEEPING_INTERVAL, TimerPurpose::Housekeeping);
         let summary = self.update_endpoints();
         self.close_idle_connections(summary.idle);
-        self.outliers.update_fleet(
+        self.outliers.update_totals(
             median(summary.latencies),
             summary.unhealthy,
             self.endpoints.len(),
@@ -37,8 +37,8 @@
         self.retry_queued();
     }
 
-    fn update_endpoints(&mut self) -> FleetSummary {
-        let mut summary = FleetSummary::default();
+    fn update_endpoints(&mut self) -> EndpointsSummary {
+        let mut summary = EndpointsSummary::default();
         let overdue_after = self.hedging.overdue_after();
         let initial_limit = ConcurrencyLimit::initial(self.fleet, 1.0);
         let threshold = self.outliers.ejection_threshold();
@@ -100,7 +100,7 @@
     record.latency.decay_toward_baseline(latency_decay);
 }
 
-impl FleetSummary {
+impl EndpointsSummary {
     /// Adds an endpoint; `ready_weight` is `None` unless it is an active cache.
     fn add(&mut self, record: &EndpointRecord, ready_weight: Option<f64>) {
         let id = record.entry.id;
--- a/crates/routing/src/engine/retries.rs
+++ b/crates/routing/src/engine/retries.rs
@@ -77,8 +77,9 @@
         alternative: Option<EndpointId>,
         is_free: bool,
     ) -> Option<DecisionReason> {
-        let is_futile =
-            is_overload(outcome) && alternative.is_none() && self.outliers.is_fleet_failing();
+        let is_futile = is_overload(outcome)
+            && alternative.is_none()
+            && self.outliers.is_overall_failure_ratio_high();
         if self.now >= request.deadline {
             Some(DecisionReason::DeadlineExceeded)
         } else if is_futile {
--- a/crates/routing/src/engine/selection.rs
+++ b/crates/routing/src/engine/selection.rs
@@ -216,7 +216,7 @@
     /// Selects a healthy endpoint that the request has not tried: a candidate, or if all candidates
     /// are unhealthy, the next one in rank order.
     pub(super) fn select_healthy_alternative(&mut self, request: &Request) -> Option<EndpointId> {
-        // While most of the fleet is unhealthy, the few healthy endpoints must not receive the
+        // While most endpoints are unhealthy, the few healthy endpoints must not receive the
         // whole load.
         if self.outliers.is_suspended() {
             return None;
--- a/crates/routing/src/engine/tests/admission.rs
+++ b/crates/routing/src/engine/tests/admission.rs
@@ -1,13 +1,13 @@
-//! Tests of admission by the capacity of the fleet.
+//! Tests of admission by the capacity of the caches.
 
 use super::{MS, arrive, end_first_attempt, new_engine, settings_of_fleet};
 use crate::engine::Engine;
 use crate::events::{AttemptOutcome, Endpoint, UpdateKind};
 
-fn fleet_has_capacity(engine: &mut Engine) -> bool {
+fn caches_have_capacity(engine: &mut Engine) -> bool {
     engine
         .admission
-        .fleet_has_capacity(engine.fleet, engine.now, &mut engine.random)
+        .caches_have_capacity(engine.fleet, engine.now, &mut engine.random)
 }
 
 #[test]
@@ -15,7 +15,7 @@
     let mut engine = new_engine(settings_of_fleet(300), 1);
     engine.on_endpoint_update(UpdateKind::Full, vec![Endpoint::default()]);
     let count_admitted =
-        |engine: &mut Engine| (0..1_000).filter(|_| fleet_has_capacity(engine)).count();
+        |engine: &mut Engine| (0..1_000).filter(|_| caches_have_capacity(engine)).count();
     assert_eq!(
         count_admitted(&mut engine),
         1_000,
@@ -51,7 +51,7 @@
         (0..60).for_each(|_| engine.admission.traffic.record_consumed(0));
         for step in 1..=160u64 {
             engine.now = step * 50 * MS;
-            if fleet_has_capacity(&mut engine) {
+            if caches_have_capacity(&mut engine) {
                 engine.admission.traffic.record_consumed(engine.now);
                 admitted += u32::from(step > 120);
                 if step % 10 > 0 {
--- a/crates/routing/src/engine/tests/outlier_detection.rs
+++ b/crates/routing/src/engine/tests/outlier_detection.rs
@@ -85,11 +85,11 @@
     assert!(availability(&mut engine) == Availability::Available);
 }
 
-/// Returns the number of consecutive failures that eject an endpoint at this failure ratio of the
-/// fleet.
-fn failures_to_ejection(fleet_failure_ratio: f64) -> u32 {
+/// Returns the number of consecutive failures that eject an endpoint at this failure ratio over all
+/// endpoints.
+fn failures_to_ejection(overall_failure_ratio: f64) -> u32 {
     let mut engine = engine(3);
-    engine.outliers.set_failure_ratio(fleet_failure_ratio);
+    engine.outliers.set_failure_ratio(overall_failure_ratio);
     let mut failures = 0;
     while !engine.record(FIRST).health.is_ejected() {
         let health = &mut engine.record_mut(FIRST).health;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn fleet_wide_failures_raise_the_ejection_threshold_and_suppress_hedges_and_retries() {
+fn widespread_failures_raise_the_ejection_threshold_and_suppress_hedges_and_retries() {
     assert_eq!(
         [0.0, 0.15, 0.5, 0.7].map(failures_to_ejection),
         [2, 2, 5, 9]
--- a/crates/routing/src/engine/tests/placement.rs
+++ b/crates/routing/src/engine/tests/placement.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn every_endpoint_has_its_even_share_of_slots_in_a_large_fleet() {
+fn each_of_many_endpoints_has_its_even_share_of_slots() {
     let mut engine = engine(150);
     let mut first = BTreeMap::new();
     for key in 0..60_000u64 {
--- a/crates/routing/src/fleet_size.rs
+++ b/crates/routing/src/fleet_size.rs
@@ -1,4 +1,5 @@
-//! Number of balancers that share the endpoints, from which their limits are derived.
+//! Size of the fleet: the number of balancers that share the endpoints. Limits and budgets of each
+//! balancer are derived from it.
 
 /// Number of balancers, including this one.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -19,7 +19,7 @@
 const FAILURE_RATIO_GAIN: f64 = 0.1;
 /// Maximum failure ratio of a healthy endpoint; unhealthy endpoints receive no hedges or retries.
 const MAX_HEALTHY_FAILURE_RATIO: f64 = 0.3;
-/// Maximum ratio of a healthy endpoint's latency to the fleet's median latency.
+/// Maximum ratio of a healthy endpoint's latency to the median latency of all caches.
 const MAX_HEALTHY_LATENCY_FACTOR: f64 = 3.0;
 /// Factor applied to an endpoint's failure ratio at each housekeeping, so that an endpoint without
 /// requests recovers.
@@ -29,10 +29,10 @@
 const MIN_FAILING_RATIO: f64 = 0.05;
 /// Fraction of failing endpoints from which the cause is assumed to be a dependency that they
 /// share.
-const FLEET_WIDE_FRACTION: f64 = 0.5;
+const WIDESPREAD_FRACTION: f64 = 0.5;
 /// Fraction of unhealthy endpoints above which ejection is suspended, because it no longer singles
-/// out faulty endpoints. It is above one half because half of the fleet may become unreachable with
-/// a zone.
+/// out faulty endpoints. It is above one half because half of the endpoints may become unreachable
+/// with a zone.
 const MAX_EJECTED_FRACTION: f64 = 0.75;
 /// Initial backoff before an ejected endpoint is probed, in nanoseconds; doubles with each further
 /// ejection.
@@ -215,7 +215,7 @@
     failure_ratio: f64,
     /// Median of the endpoints' recent mean latencies, in nanoseconds.
     median_latency: f64,
-    /// Whether ejection is ignored because most of the fleet is unhealthy, which means that the
+    /// Whether ejection is ignored because most endpoints are unhealthy, which means that the
     /// cause is not a single endpoint.
     is_suspended: bool,
 }
@@ -230,13 +230,14 @@
         }
     }
 
-    /// Updates the fleet's failure ratio with an attempt; `failure` is its weight, 0 to 1.
+    /// Updates the failure ratio over all endpoints with an attempt; `failure` is its weight, 0 to
+    /// 1.
     pub(crate) fn update_failure_ratio(&mut self, failure: f64) {
         self.failure_ratio += FAILURE_RATIO_GAIN * (failure - self.failure_ratio);
     }
 
-    /// Returns whether the failure ratio of the whole fleet is high.
-    pub(crate) fn is_fleet_failing(&self) -> bool {
+    /// Returns whether the failure ratio over all endpoints is high.
+    pub(crate) fn is_overall_failure_ratio_high(&self) -> bool {
         self.failure_ratio > MAX_HEALTHY_FAILURE_RATIO
     }
 
@@ -244,8 +245,9 @@
         self.is_suspended
     }
 
-    /// Updates the fleet's state from the summary of one pass over the endpoints.
-    pub(crate) fn update_fleet(
+    /// Updates the median latency, and whether ejection is suspended, after a pass over all
+    /// endpoints.
+    pub(crate) fn update_totals(
         &mut self,
         median_latency: Option<f64>,
         unhealthy: usize,
@@ -261,8 +263,8 @@
             && record.latency.recent() <= MAX_HEALTHY_LATENCY_FACTOR * self.median_latency
     }
 
-    /// Returns the number of consecutive failures that ejects an endpoint: at the fleet's failure
-    /// ratio, such a run is unlikely to be chance.
+    /// Returns the number of consecutive failures that ejects an endpoint: at the failure ratio
+    /// over all endpoints, such a run is unlikely to be chance.
     pub(crate) fn ejection_threshold(&self) -> f64 {
         let ratio = self
             .failure_ratio
@@ -316,12 +318,12 @@
 }
 
 /// Returns whether so many endpoints recently failed an attempt that a shared cause is likely.
-pub(crate) fn is_fault_fleet_wide<'a>(
+pub(crate) fn is_fault_widespread<'a>(
     endpoints: impl ExactSizeIterator<Item = &'a EndpointRecord>,
 ) -> bool {
     let count = endpoints.len();
     let failing = endpoints
         .filter(|record| record.health.failure_ratio >= MIN_FAILING_RATIO)
         .count();
-    failing as f64 >= FLEET_WIDE_FRACTION * count as f64
+    failing as f64 >= WIDESPREAD_FRACTION * count as f64
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -13,8 +13,8 @@
 /// its weight usefully answer requests.
 const SERVED_FACTOR: f64 = 1.2;
 /// Rate of attempts assumed for a warm endpoint, as a multiple of its share of the arriving
-/// requests. The higher of both rates is used, so that a fleet whose endpoints are all in slow
-/// start can increase its load.
+/// requests. The higher of both rates is used, so that the load can increase even while all
+/// endpoints are in slow start.
 const REQUESTED_FACTOR: f64 = 0.5;
 /// Minimum assumed fraction of its capacity with which an endpoint starts.
 const MIN_START_FRACTION: f64 = 0.01;
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn unreachable_zone_stays_ejected_even_if_it_is_more_than_half_of_the_fleet() {
+fn unreachable_zone_stays_ejected_even_if_it_has_more_than_half_of_the_endpoints() {
     let mut balancer = balancer(settings_without_health_checks());
     balancer.list_endpoints(&[1, 2, 3, 4, 5, 7, 9]);
     let mut attempts_at_unreachable = 0;
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn fleet_at_capacity_queues_and_then_rejects() {
+fn requests_beyond_the_capacity_are_queued_and_then_rejected() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1]);
     for id in 1..=50u128 {
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn fleet_entirely_in_slow_start_serves_requests() {
+fn requests_are_served_while_all_endpoints_are_in_slow_start() {
     let mut balancer = balancer(settings());
     balancer.now = 100_000 * MS;
     for endpoint in 1..=4 {
