--- a/crates/routing/src/actions.rs
+++ b/crates/routing/src/actions.rs
@@ -77,7 +77,7 @@
     pub recent_latency: Nanos,
 }
 
-/// Step that was not taken for a request that stays open.
+/// Decision not to send an attempt now, although the request stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
     /// The request waits for capacity instead of being sent.
@@ -119,11 +119,11 @@
         /// Reason, with the values it is based on.
         explanation: Explanation,
     },
-    /// Count or log a step that was not taken; nothing else has to be done.
+    /// Count or log that no attempt is sent now; nothing else has to be done.
     Defer {
         /// Identifier of the request.
         request: RequestId,
-        /// Step that was not taken.
+        /// Whether the request is queued or its hedge is suppressed.
         deferral: Deferral,
         /// Reason, with the values it is based on.
         explanation: Explanation,
--- a/crates/routing/src/engine/answers.rs
+++ b/crates/routing/src/engine/answers.rs
@@ -129,7 +129,7 @@
         explain(reason, first, &self.origin)
     }
 
-    /// Reports a step that was not taken for a request that stays open.
+    /// Reports that a request is queued, or not hedged, for this reason.
     pub(super) fn report_deferral(
         &mut self,
         request: &Request,
--- a/crates/routing/src/estimators/tests.rs
+++ b/crates/routing/src/estimators/tests.rs
@@ -35,8 +35,8 @@
         latencies.add(10 * MS);
         new_samples += 1;
     }
-    // Weight of the old samples after n new ones: (1 - 1/e) e^(-n/500) of 1 - e^(-1 - n/500), which
-    // falls to 1 % at n = 2079.
+    // After n new samples the old ones have a weight of (1 - 1/e) e^(-n/500), of a total weight of
+    // 1 - e^(-1 - n/500) in the same unit. This fraction falls to 1 % at n = 2079.
     assert!((2_050..2_100).contains(&new_samples), "{new_samples}");
     let mut saturated = quantile();
     for _ in 0..100_000 {
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -40,9 +40,9 @@
 /// Longest mean wait before a probe, in nanoseconds; about the time that passes until discovery
 /// lists a restarted endpoint again.
 pub(crate) const MAX_BACKOFF: Nanos = 8_000_000_000;
-/// Minimum factor by which a backoff is multiplied to spread the probes of several balancers.
+/// Minimum random factor applied to a backoff, so that the probes of several balancers are spread.
 const MIN_BACKOFF_FACTOR: f64 = 0.75;
-/// Width of the range of the factor by which a backoff is multiplied.
+/// Width of the range of the random factor above [`MIN_BACKOFF_FACTOR`].
 const BACKOFF_FACTOR_SPREAD: f64 = 0.5;
 
 /// Strength of the evidence that a failed attempt gives against its endpoint.
@@ -213,7 +213,7 @@
     has_health_checks: bool,
     /// Fraction of recent attempts at all endpoints that were rejected or failed.
     failure_ratio: f64,
-    /// Median of the endpoints' recent mean latencies, in nanoseconds.
+    /// Median of the caches' recent mean latencies, in nanoseconds.
     median_latency: f64,
     /// Whether ejection is ignored because most endpoints are unhealthy, which means that the
     /// cause is not a single endpoint.
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -74,7 +74,7 @@
     /// [`Action::QueryDiscovery`](crate::Action::QueryDiscovery).
     Poll {
         /// Time without a call to discovery after which the balancer counts as notified of every
-        /// change.
+        /// change; 0 if there is no such limit.
         staleness_limit: Nanos,
     },
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -6,8 +6,8 @@
 use crate::settings::ServiceRules;
 use crate::traffic::Traffic;
 
-/// Maximum time between the start of an endpoint and its first listing, in nanoseconds, for an
-/// endpoint that joins an existing list.
+/// Maximum time assumed between the start of an endpoint and its first listing, in nanoseconds, for
+/// an endpoint that joins an existing list.
 const MAX_LISTING_DELAY: Nanos = 6_000_000_000;
 /// Rate of attempts assumed for a warm endpoint, as a multiple of the rate at which endpoints of
 /// its weight usefully answer requests.
@@ -19,7 +19,7 @@
 /// Minimum assumed fraction of its capacity with which an endpoint starts.
 const MIN_START_FRACTION: f64 = 0.01;
 /// Minimum total weight that traffic is divided by; avoids a division by 0.
-const MIN_WEIGHT: f64 = 0.01;
+const MIN_TOTAL_WEIGHT: f64 = 0.01;
 /// The burst of the token budget is the number of tokens gained in one overload window, divided by
 /// this.
 const BURST_DIVISOR: f64 = 2.0;
@@ -141,8 +141,9 @@
 
 /// Returns the rate per second at which a warm endpoint of this weight receives attempts.
 pub(crate) fn warm_rate(traffic: &Traffic, totals: TotalWeights, weight: f64, now: Nanos) -> f64 {
-    let served = SERVED_FACTOR * traffic.useful_per_second(now) / totals.ready.max(MIN_WEIGHT);
+    let served =
+        SERVED_FACTOR * traffic.useful_per_second(now) / totals.ready.max(MIN_TOTAL_WEIGHT);
     let requested =
-        REQUESTED_FACTOR * traffic.requested_per_second(now) / totals.all.max(MIN_WEIGHT);
+        REQUESTED_FACTOR * traffic.requested_per_second(now) / totals.all.max(MIN_TOTAL_WEIGHT);
     served.max(requested) * weight
 }
