--- a/crates/routing/src/actions.rs
+++ b/crates/routing/src/actions.rs
@@ -35,8 +35,8 @@
     OriginProtection = "origin_protection",
     /// Every eligible candidate is at its concurrency limit.
     ConcurrencyLimit = "concurrency_limit",
-    /// A candidate's concurrency limit is below one, and the minimum interval between two attempts
-    /// has not passed yet.
+    /// A candidate's concurrency limit is below one, and the pause that this requires between an
+    /// answer and the next attempt has not passed yet.
     Pacing = "pacing",
     /// A candidate is in slow start and its token budget is exhausted.
     SlowStart = "slow_start",
@@ -77,12 +77,12 @@
     pub recent_latency: Nanos,
 }
 
-/// Step that was not taken for a request that stays open.
+/// Decision not to send an attempt now, although the request stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deferral {
     /// The request waits for capacity instead of being sent.
     Queued,
-    /// The request's attempt was overdue, and no hedge was sent.
+    /// The request's attempt is overdue, but no hedge is sent.
     HedgeSuppressed,
 }
 
@@ -119,11 +119,11 @@
         /// Reason, with the values it is based on.
         explanation: Explanation,
     },
-    /// Count or log a step that was not taken; nothing else has to be done.
+    /// Count or log that no attempt is sent now; nothing else has to be done.
     Defer {
         /// Identifier of the request.
         request: RequestId,
-        /// Step that was not taken.
+        /// Whether the request is queued or its hedge is suppressed.
         deferral: Deferral,
         /// Reason, with the values it is based on.
         explanation: Explanation,
--- a/crates/routing/src/engine/retries.rs
+++ b/crates/routing/src/engine/retries.rs
@@ -77,8 +77,9 @@
         alternative: Option<EndpointId>,
         is_free: bool,
     ) -> Option<DecisionReason> {
-        let is_futile =
-            is_overload(outcome) && alternative.is_none() && self.outliers.is_fleet_failing();
+        let is_futile = is_overload(outcome)
+            && alternative.is_none()
+            && self.outliers.is_overall_failure_ratio_high();
         if self.now >= request.deadline {
             Some(DecisionReason::DeadlineExceeded)
         } else if is_futile {
@@ -98,8 +99,8 @@
     matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::Timeout)
 }
 
-/// Returns whether a retry is not charged to the budget because the failed attempt cost no endpoint
-/// time: it did not connect, or it was rejected and a healthy endpoint is available.
+/// Returns whether a retry is not charged to the budget, because the failed attempt took up no
+/// endpoint time: it did not connect, or it was rejected and a healthy endpoint is available.
 fn is_free_retry(outcome: AttemptOutcome, alternative: Option<EndpointId>) -> bool {
     outcome == AttemptOutcome::ConnectFailed
         || outcome == AttemptOutcome::Rejected && alternative.is_some()
