--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -236,15 +236,15 @@
                     && other.incarnation >= entry.incarnation
             })
         };
-        let is_believed_alive = |address: SocketAddr| {
+        let is_alive_at_sender = |address: SocketAddr| {
             self.entries
                 .iter()
                 .any(|other| other.id.address == address && !other.down)
         };
-        // A dead member is included only if the sender believes it alive, because tombstones expire
-        // at different times.
+        // A dead member is included only if it is alive in the list of the sender, because
+        // tombstones expire at different times.
         let missing = own_entries.filter(|entry| {
-            !is_up_to_date(entry) && (!entry.down || is_believed_alive(entry.id.address))
+            !is_up_to_date(entry) && (!entry.down || is_alive_at_sender(entry.id.address))
         });
         let reply = ListDelta {
             sender: own,
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `anti_entropy`.
+//! Tests of digests and deltas of member lists.
 
 use super::*;
 use std::collections::BTreeMap;
--- a/crates/membership/src/envelope/tests.rs
+++ b/crates/membership/src/envelope/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `envelope`.
+//! Tests of the envelope of datagrams.
 
 use super::*;
 
@@ -11,17 +11,17 @@
         Ok((MessageKind::MetadataRequest, b"payload".as_slice()))
     );
     assert_eq!(open(other_scope, &datagram), Err(EnvelopeError::Foreign));
-    for length in 0..datagram.len() {
+    for index in 0..datagram.len() {
         assert_eq!(
-            open(own_scope, &datagram[..length]),
+            open(own_scope, &datagram[..index]),
             Err(EnvelopeError::Corrupt)
         );
         let mut flipped = datagram.clone();
-        flipped[length] ^= 1;
+        flipped[index] ^= 1;
         assert_eq!(
             open(own_scope, &flipped),
             Err(EnvelopeError::Corrupt),
-            "bit flipped in byte {length}"
+            "bit flipped in byte {index}"
         );
     }
     let mut next_version = datagram[..datagram.len() - CHECKSUM_LENGTH].to_vec();
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -123,35 +123,35 @@
         }
         self.last_selection = now;
         self.alive = alive.to_vec();
-        let numbers: Vec<u64> = alive.iter().copied().map(address_hash).collect();
-        self.select_watchers(&numbers);
+        let hashes: Vec<u64> = alive.iter().copied().map(address_hash).collect();
+        self.select_watchers(&hashes);
         // Suspects stay watched until they are confirmed dead or refute. The counted silence is
         // kept; otherwise each selection during a mass death would delay the remaining suspicions.
         self.watched
             .retain(|address, _| is_suspect(*address) || alive.binary_search(address).is_ok());
-        self.select_watched(now, &numbers);
+        self.select_watched(now, &hashes);
     }
 
-    fn select_watchers(&mut self, numbers: &[u64]) {
+    fn select_watchers(&mut self, hashes: &[u64]) {
         let own_hash = address_hash(self.own);
-        let mut ranked: Vec<(u64, SocketAddr)> = numbers
+        let mut ranked: Vec<(u64, SocketAddr)> = hashes
             .iter()
             .zip(&self.alive)
-            .map(|(number, address)| (rendezvous_weight(*number, own_hash), *address))
+            .map(|(hash, address)| (rendezvous_weight(*hash, own_hash), *address))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         let addresses = ranked.into_iter().map(|(_, address)| address);
         self.watchers = addresses.take(WATCHER_COUNT).collect();
     }
 
-    fn select_watched(&mut self, now: Nanos, numbers: &[u64]) {
+    fn select_watched(&mut self, now: Nanos, hashes: &[u64]) {
         let own_hash = address_hash(self.own);
         for (index, address) in self.alive.iter().enumerate() {
-            let own_weight = rendezvous_weight(own_hash, numbers[index]);
-            let is_heavier = |(other, number): &(usize, &u64)| {
-                *other != index && rendezvous_weight(**number, numbers[index]) > own_weight
+            let own_weight = rendezvous_weight(own_hash, hashes[index]);
+            let is_heavier = |(other, hash): &(usize, &u64)| {
+                *other != index && rendezvous_weight(**hash, hashes[index]) > own_weight
             };
-            let heavier = numbers.iter().enumerate().filter(is_heavier);
+            let heavier = hashes.iter().enumerate().filter(is_heavier);
             let rank = heavier.take(RETAINED_RANKS).count();
             if rank < WATCHER_COUNT {
                 // Its previous watchers may have died together with others, so it is probed at
--- a/crates/membership/src/heartbeat/tests.rs
+++ b/crates/membership/src/heartbeat/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `heartbeat`.
+//! Tests of the selection of watchers and of heartbeat actions.
 
 use super::*;
 
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `local_health`.
+//! Tests of local health.
 
 use super::*;
 
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -70,7 +70,7 @@
     /// Stored announcements; present while this member is a delegate.
     announcements: Option<AnnouncementStore>,
     leads_since: Option<Nanos>,
-    former_leader: Option<SocketAddr>,
+    previous_leader: Option<SocketAddr>,
     last_announcement: Nanos,
     last_overview_write: Nanos,
     overview: OverviewGossip,
@@ -82,7 +82,7 @@
     /// Delegates of another region, named in the last referral.
     referred_delegates: Vec<SocketAddr>,
     /// Number of announcements dropped in earlier periods as a delegate.
-    former_dropped: DroppedAnnouncements,
+    dropped_before: DroppedAnnouncements,
     schedule: FederationSchedule,
 }
 
@@ -104,7 +104,7 @@
             selected_from: None,
             announcements: None,
             leads_since: None,
-            former_leader: None,
+            previous_leader: None,
             last_announcement: 0,
             last_overview_write: 0,
             overview: OverviewGossip::new(now),
@@ -115,7 +115,7 @@
             reachable: BTreeMap::new(),
             foreign_join_addresses: BTreeSet::new(),
             referred_delegates: Vec::new(),
-            former_dropped: DroppedAnnouncements::default(),
+            dropped_before: DroppedAnnouncements::default(),
             schedule: FederationSchedule {
                 digest: now,
                 join_address_digest: now,
@@ -159,15 +159,15 @@
         {
             return;
         }
-        let former_leader = self.delegates.first().copied();
+        let previous_leader = self.delegates.first().copied();
         let members = alive.iter().copied().chain([self.own_address]);
         self.delegates = delegates::select(&self.location.region, members);
         let leader = self.delegates.first().copied();
-        if former_leader != leader {
-            self.former_leader = former_leader;
+        if previous_leader != leader {
+            self.previous_leader = previous_leader;
         }
         if !self.delegates.contains(&self.own_address) {
-            self.former_dropped = self.dropped();
+            self.dropped_before = self.dropped();
             self.announcements = None;
         } else if self.announcements.is_none() {
             self.announcements = Some(AnnouncementStore::new(
@@ -231,9 +231,9 @@
         let current = self.announcements.as_ref();
         let current = current.map(AnnouncementStore::dropped).unwrap_or_default();
         DroppedAnnouncements {
-            invalid: self.former_dropped.invalid + current.invalid,
-            outdated: self.former_dropped.outdated + current.outdated,
-            over_capacity: self.former_dropped.over_capacity + current.over_capacity,
+            invalid: self.dropped_before.invalid + current.invalid,
+            outdated: self.dropped_before.outdated + current.outdated,
+            over_capacity: self.dropped_before.over_capacity + current.over_capacity,
         }
     }
 
--- a/crates/membership/src/member/federation/delegate.rs
+++ b/crates/membership/src/member/federation/delegate.rs
@@ -79,11 +79,11 @@
         let Some(announcements) = &mut self.announcements else {
             return;
         };
-        if let Some(former) = announcements.own_summary() {
+        if let Some(previous) = announcements.own_summary() {
             let age = now.saturating_sub(self.last_announcement);
-            let rate_is_due = former.request_rate_tenths != summary.request_rate_tenths
+            let rate_is_due = previous.request_rate_tenths != summary.request_rate_tenths
                 && age >= REQUEST_RATE_INTERVAL;
-            let is_due = !former.is_equivalent(&summary) || rate_is_due;
+            let is_due = !previous.is_equivalent(&summary) || rate_is_due;
             if !is_due || age < PUBLISH_INTERVAL {
                 return;
             }
@@ -117,8 +117,8 @@
             request_rate_tenths: round_to_two_digits(request_rate_tenths),
             delegates: self.delegates.clone(),
             replaces: self
-                .former_leader
-                .filter(|former| *former != self.own_address),
+                .previous_leader
+                .filter(|previous| *previous != self.own_address),
         }
     }
 
@@ -271,7 +271,8 @@
         Ok(())
     }
 
-    /// Forwards new announcements to the leader, which schedules a write of the overview.
+    /// Schedules a write of the overview if this member is the leader, and forwards the new
+    /// announcements to the leader otherwise.
     fn forward_new(&mut self, context: &mut Context, new: &[AgedAnnouncement]) {
         if new.is_empty() {
             return;
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -320,8 +320,9 @@
         self.handle_output(context, runtime);
     }
 
-    /// Restarts the timers that became due during a stall of this process, with their full delay
-    /// where the result depends on a reply.
+    /// Reschedules the timers that became due during a stall of this process. A probe starts one
+    /// full probe interval later; all other timers run at once, or after the received datagrams are
+    /// read.
     pub(super) fn restart_timers(&mut self, now: Nanos) {
         let due: Vec<(Nanos, u64)> = self
             .timers
--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -260,7 +260,7 @@
             .take(REQUEST_MAX)
     }
 
-    /// Returns the payloads that answer a request, at most [`RESPONSES_MAX`].
+    /// Returns the payloads that answer a request, at most `RESPONSES_MAX`.
     ///
     /// # Errors
     ///
--- a/crates/membership/src/metadata_store/tests.rs
+++ b/crates/membership/src/metadata_store/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `metadata_store`.
+//! Tests of the metadata store.
 
 use super::*;
 use crate::metadata::{BUILD_MAX, EXTENSION_MAX, MemberMetadata, NAME_MAX, truncate};
--- a/crates/membership/src/recorded_gossip_tests.rs
+++ b/crates/membership/src/recorded_gossip_tests.rs
@@ -23,6 +23,7 @@
 /// One recorded datagram.
 struct Recorded {
     kind: u8,
+    /// `shortest` or `longest` among the datagrams of this kind.
     extreme: String,
     from: SocketAddr,
     bytes: Vec<u8>,
--- a/crates/membership/src/regions/announcement_store.rs
+++ b/crates/membership/src/regions/announcement_store.rs
@@ -239,7 +239,7 @@
             }
         }
         for id in self.expired(now) {
-            self.forget_author(now, id);
+            self.remove_author(now, id);
         }
         let retention = self.tombstone_retention;
         self.tombstones
@@ -266,7 +266,7 @@
             .collect()
     }
 
-    fn forget_author(&mut self, now: Nanos, id: AnnouncementId) {
+    fn remove_author(&mut self, now: Nanos, id: AnnouncementId) {
         let Some(stored) = self.stored.remove(&id) else {
             return;
         };
@@ -372,18 +372,18 @@
     /// replaced.
     fn replace(&mut self, now: Nanos, id: AnnouncementId, aged: &AgedAnnouncement) {
         self.tombstones.remove(&id);
-        let former = self.stored.get(&id);
-        let former_claim = former.and_then(|stored| stored.summary().replaces);
+        let previous = self.stored.get(&id);
+        let previous_claim = previous.and_then(|stored| stored.summary().replaces);
         let stored = StoredAnnouncement {
             announcement: aged.announcement.clone(),
             heartbeats: aged.heartbeats,
             last_alive: aged.last_alive(now),
-            heartbeats_when_replaced: former.and_then(|stored| stored.heartbeats_when_replaced),
+            heartbeats_when_replaced: previous.and_then(|stored| stored.heartbeats_when_replaced),
         };
         let replaced_author = stored
             .summary()
             .replaces
-            .filter(|author| *author != id.author && Some(*author) != former_claim);
+            .filter(|author| *author != id.author && Some(*author) != previous_claim);
         let region = id.region.clone();
         self.stored.insert(id, stored);
         // Only a new claim is applied: each part of a partitioned region keeps claiming to replace
@@ -441,7 +441,7 @@
             self.dropped.over_capacity += 1;
             return false;
         };
-        self.forget_author(now, least_preferred);
+        self.remove_author(now, least_preferred);
         true
     }
 }
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -197,20 +197,20 @@
             budgets[number].push(&mut parts[number], row);
         }
         for (stored, rows) in self.parts.iter_mut().zip(parts) {
-            let former = &stored.part;
-            let is_equivalent = former.rows.len() == rows.len()
-                && former
+            let previous = &stored.part;
+            let is_equivalent = previous.rows.len() == rows.len()
+                && previous
                     .rows
                     .iter()
                     .zip(&rows)
-                    .all(|(former, row)| former.is_equivalent(row));
+                    .all(|(previous, row)| previous.is_equivalent(row));
             if is_equivalent {
                 continue;
             }
             let part = OverviewPart {
-                number: former.number,
+                number: previous.number,
                 author: Some(author),
-                version: unix_ms.max(former.version + 1),
+                version: unix_ms.max(previous.version + 1),
                 rows,
             };
             *stored = StoredPart {
--- a/crates/membership/src/regions/share_count.rs
+++ b/crates/membership/src/regions/share_count.rs
@@ -98,7 +98,7 @@
         let earliest = |since: Nanos| {
             counted
                 .silent_since
-                .map_or(since, |former| former.min(since))
+                .map_or(since, |earlier| earlier.min(since))
         };
         counted.silent_since = silent_since.map(earliest);
     }
@@ -116,7 +116,7 @@
     pub fn count(&mut self, now: Nanos, own: RegionSize) -> usize {
         self.own_peak
             .update(now, own.places, self.tombstone_retention);
-        self.forget_silent_regions(now);
+        self.remove_expired_regions(now);
         let drops_at_once = is_injected(InjectedFault::DropsSilentRegionsImmediately);
         let mut alive = own.alive;
         let mut counted = own.places;
@@ -143,16 +143,16 @@
         self.last_count
     }
 
-    fn forget_silent_regions(&mut self, now: Nanos) {
+    fn remove_expired_regions(&mut self, now: Nanos) {
         let retention = self.tombstone_retention;
-        let mut forgotten_places = 0;
+        let mut removed_places = 0;
         self.others.retain(|_, region| {
             let is_kept = region
                 .silent_since
                 .is_none_or(|since| now.saturating_sub(since) < retention);
-            forgotten_places += if is_kept { 0 } else { region.size.places };
+            removed_places += if is_kept { 0 } else { region.size.places };
             is_kept
         });
-        self.last_count = self.last_count.saturating_sub(forgotten_places).max(1);
+        self.last_count = self.last_count.saturating_sub(removed_places).max(1);
     }
 }
--- a/crates/membership/src/share_count.rs
+++ b/crates/membership/src/share_count.rs
@@ -3,7 +3,7 @@
 //!
 //! A partition is indistinguishable from a mass death, and caches may be reachable from both of its
 //! sides. If each side divided by its own members alone, the sum of all shares would equal the
-//! number of sides. Therefore:
+//! number of sides. Each balancer therefore holds one place in the count, under these rules:
 //!
 //! 1. A new member counts at once, and a graceful leave takes effect at once.
 //! 2. A member that vanished keeps its place for `share_retention`.
@@ -82,7 +82,7 @@
     /// Returns the current share count. `reported_places` is the greatest number of places that a
     /// live member publishes.
     pub fn count(&mut self, now: Nanos, reported_places: usize) -> usize {
-        self.forget_old_tombstones(now);
+        self.remove_expired_places(now);
         let alive = self.alive();
         if is_injected(InjectedFault::CountsOwnPartitionOnly) {
             return alive;
@@ -101,13 +101,13 @@
         self.last_count.max(reported_places)
     }
 
-    fn forget_old_tombstones(&mut self, now: Nanos) {
+    fn remove_expired_places(&mut self, now: Nanos) {
         let before = self.vanished.len();
         let retention = self.tombstone_retention;
         self.vanished
             .retain(|_, since| now.saturating_sub(*since) < retention);
-        let forgotten = before - self.vanished.len();
-        self.last_count = self.last_count.saturating_sub(forgotten).max(1);
+        let removed = before - self.vanished.len();
+        self.last_count = self.last_count.saturating_sub(removed).max(1);
     }
 }
 
--- a/crates/membership/src/share_count/tests.rs
+++ b/crates/membership/src/share_count/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `share_count`.
+//! Tests of the share count within a region.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -29,7 +29,7 @@
 /// Fraction of admitted requests rejected for capacity above which the level is raised.
 const RAISE_ABOVE: f64 = 0.15;
 /// Fraction of admitted requests rejected for capacity that a raise aims for. Without some excess
-/// the members' concurrency limits would never be reached, and therefore never grow.
+/// the members' own limits would never be reached, and therefore never grow.
 const TARGET_EXCESS: f64 = 0.1;
 /// Fraction of admitted requests rejected for capacity below which the level is lowered.
 const LOWER_BELOW: f64 = 0.08;
--- a/crates/membership/src/shedding/tests.rs
+++ b/crates/membership/src/shedding/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `shedding`.
+//! Tests of shared shedding.
 
 use super::*;
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -3,8 +3,8 @@
 //! Every member that receives a suspicion starts a timer. The watchers of the suspect
 //! ([`crate::heartbeat`]) probe it until it refutes. A watcher that receives nothing from it for
 //! the whole timeout confirms the death and broadcasts it. All other members wait
-//! [`NON_WATCHER_MULTIPLIER`] times as long, in case the watchers are dead too. A death thus
-//! follows from silence observed directly by several members, and not from one lost probe.
+//! `NON_WATCHER_MULTIPLIER` times as long, in case the watchers are dead too. A death thus follows
+//! from silence observed directly by several members, and not from one lost probe.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::heartbeat::PROBE_INTERVAL;
--- a/crates/membership/src/suspicion/tests.rs
+++ b/crates/membership/src/suspicion/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `suspicion`.
+//! Tests of suspicion timers.
 
 use super::*;
 use crate::MS;
