--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -5,7 +5,7 @@
 mod outcome;
 
 use crate::counters::Counters;
-use crate::request::{AttemptRecord, FinalAnswer, IncomingRequest, RequestContext, Ticket};
+use crate::request::{AnswerToken, AttemptRecord, FinalAnswer, IncomingRequest, RequestContext};
 use crate::timers::MS;
 use crate::upstream_pool::{ExchangeResult, OutboundCommand, UpstreamJob};
 use health_checks::HealthChecks;
@@ -14,11 +14,11 @@
 use std::collections::{HashMap, HashSet};
 
 /// A final answer that is due now.
-pub type DueAnswer = (Ticket, FinalAnswer);
+pub type DueAnswer = (AnswerToken, FinalAnswer);
 
 /// An attempt that the engine wants sent.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOrder {
+pub struct AttemptSpec {
     /// The request.
     pub request: RequestId,
     /// Its number among the request's attempts, by the engine.
@@ -77,7 +77,7 @@
     /// Whether a request with this id of a client's is open: a second one would be taken for the
     /// first.
     #[must_use]
-    pub fn is_open(&self, client_id: &[u8]) -> bool {
+    pub fn is_request_id_in_use(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
     }
 
@@ -87,12 +87,12 @@
     }
 
     /// Adds a request. Its time counts from when it can have arrived.
-    pub fn add(&mut self, incoming: IncomingRequest) {
+    pub fn add_request(&mut self, incoming: IncomingRequest) {
         let deadline = incoming.arrived_at.saturating_add(incoming.client_timeout);
         self.buffered_bytes += incoming.command.byte_size();
         self.client_ids.insert(incoming.command.request_id.clone());
-        let id = incoming.ticket.request;
-        let context = RequestContext::new(incoming.ticket, incoming.command, deadline);
+        let id = incoming.answer_token.request;
+        let context = RequestContext::new(incoming.answer_token, incoming.command, deadline);
         self.requests.insert(id, context);
     }
 
@@ -107,16 +107,16 @@
         length: usize,
         counters: &mut Counters,
     ) -> Option<(Event, DueAnswer)> {
-        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let answer_token = self.requests.get_mut(&request)?.answer_token.take()?;
         let event = self.end_attempt(now, request, attempt, AttemptOutcome::Ok, counters)?;
         counters.streamed += 1;
-        let client_connection = ticket.connection;
+        let client_connection = answer_token.connection;
         let stream = ActiveStream {
             client_connection,
             attempt,
         };
         self.streams.insert(request, stream);
-        Some((event, (ticket, FinalAnswer::Streaming(length))))
+        Some((event, (answer_token, FinalAnswer::Streaming(length))))
     }
 
     /// The client connection to which this attempt's value is being streamed.
@@ -141,16 +141,16 @@
     /// The client has left: nothing is owed any more.
     pub fn client_disconnected(&mut self, now: Nanos, request: RequestId) {
         if let Some(context) = self.requests.get_mut(&request) {
-            (context.ticket, context.client_left_at) = (None, Some(now));
+            (context.answer_token, context.client_disconnected_at) = (None, Some(now));
         }
         self.remove_if_over(request);
     }
 
     /// The engine's own final answer.
     pub fn answer(&mut self, request: RequestId, answer: FinalAnswer) -> Option<DueAnswer> {
-        let ticket = self.requests.get_mut(&request)?.ticket.take()?;
+        let answer_token = self.requests.get_mut(&request)?.answer_token.take()?;
         self.remove_if_over(request);
-        Some((ticket, answer))
+        Some((answer_token, answer))
     }
 
     /// How much of a request's time is left, while it is open.
@@ -162,7 +162,13 @@
     /// The client connection to which an answer is owed.
     #[must_use]
     pub fn waiting_client(&self, request: RequestId) -> Option<u64> {
-        Some(self.requests.get(&request)?.ticket.as_ref()?.connection)
+        Some(
+            self.requests
+                .get(&request)?
+                .answer_token
+                .as_ref()?
+                .connection,
+        )
     }
 
     fn remove_if_over(&mut self, request: RequestId) {
@@ -191,10 +197,10 @@
     ///
     /// Gives the attempt's end for the engine if it is never sent: its request is over, or has no
     /// time left.
-    pub fn start(
+    pub fn start_attempt(
         &mut self,
         now: Nanos,
-        new: AttemptOrder,
+        new: AttemptSpec,
         counters: &mut Counters,
     ) -> Result<OutboundCommand, Box<Event>> {
         // The engine's own attempt number: with another one it would wait for an end for good.
@@ -217,9 +223,9 @@
         // microseconds may well need a millisecond once.
         let timeout = new.timeout.map_or(Nanos::MAX, |t| t.max(MS));
         let deadline = now.saturating_add(timeout).min(context.deadline);
-        if context.ticket.is_none() || deadline < now + MS {
+        if context.answer_token.is_none() || deadline < now + MS {
             counters.attempts_not_sent += 1;
-            return Err(not_sent(context.ticket.is_none()));
+            return Err(not_sent(context.answer_token.is_none()));
         }
         counters.attempts += 1;
         counters.hedges += u64::from(!context.attempts.is_empty());
@@ -227,7 +233,7 @@
         let record = AttemptRecord {
             endpoint: new.endpoint,
             sent_at: now,
-            stalled_before: self.total_stall,
+            total_stall_at_send: self.total_stall,
             deadline,
             write_deadline: write_within.map_or(Nanos::MAX, |within| now.saturating_add(within)),
         };
@@ -246,7 +252,7 @@
     /// # Errors
     ///
     /// Gives the attempt's end for the engine, if it is still out: it is never sent.
-    pub fn command(
+    pub fn encode_command(
         &mut self,
         now: Nanos,
         request: RequestId,
@@ -257,7 +263,7 @@
             let record = context.attempts.get(&attempt)?;
             // Caches get a timeout in whole milliseconds.
             let in_time = record.deadline >= now + MS && now < record.write_deadline;
-            (context.ticket.is_some() && in_time)
+            (context.answer_token.is_some() && in_time)
                 .then(|| context.command.encode((record.deadline - now) / MS))
         });
         command.ok_or_else(|| {
@@ -272,7 +278,7 @@
         if let Some(left) = self
             .requests
             .get(&request)
-            .and_then(|context| context.client_left_at)
+            .and_then(|context| context.client_disconnected_at)
         {
             let ms = now.saturating_sub(left).div_ceil(MS);
             counters.unsent_after_disconnect += 1;
@@ -307,9 +313,9 @@
         let outcome = reply.outcome;
         let context = self.requests.get_mut(&request)?;
         let record = context.attempts.remove(&attempt)?;
-        let request_finished = context.ticket.is_none();
+        let request_finished = context.answer_token.is_none();
         self.remove_if_over(request);
-        let stalled = self.total_stall - record.stalled_before;
+        let stalled = self.total_stall - record.total_stall_at_send;
         let latency = now.saturating_sub(record.sent_at).saturating_sub(stalled);
         log::trace!(
             "request {} attempt {} at endpoint {}: {outcome:?} after {} ms",
@@ -348,7 +354,7 @@
     }
 
     /// What a finished job means to the engine and to the request.
-    pub fn complete(
+    pub fn complete_job(
         &mut self,
         now: Nanos,
         job: UpstreamJob,
@@ -370,12 +376,12 @@
         // counts.
         let is_served = reply.served.is_some();
         let context = self.requests.get_mut(&request).filter(|_| is_served);
-        let ticket = context.and_then(|context| context.ticket.take());
+        let answer_token = context.and_then(|context| context.answer_token.take());
         let event = self
             .end_attempt_with(now, request, attempt, &reply, counters)
             .map(Event::AttemptEnded);
         let value = reply.served.map(|ServedValue { value, .. }| value);
-        let answer = ticket.zip(value.map(FinalAnswer::Served));
+        let answer = answer_token.zip(value.map(FinalAnswer::Served));
         JobCompletion { event, answer }
     }
 }
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -73,7 +73,7 @@
             listener.local_addr()?
         );
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, EventSource::Listener, Interest::READABLE)?;
+        let listener = poll.register(listener, EventSource::Listener, Interest::READABLE)?;
         let mut resp_listener = RespListener {
             poll: poll.clone(),
             listener: Some(listener),
@@ -133,10 +133,10 @@
 
     /// Bytes held for clients: commands that are not parsed yet, and unsent answers.
     #[must_use]
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.connections
             .values()
-            .map(ClientConnection::buffered)
+            .map(ClientConnection::buffered_bytes)
             .sum()
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Reads and writes what a connection is ready for.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         now: Nanos,
         ready: Readiness,
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -80,7 +80,7 @@
     }
 
     /// The last poll did not report the listening socket: nobody waits there.
-    pub fn note_empty_backlog(&mut self) {
+    pub fn record_empty_backlog(&mut self) {
         if self.accepting {
             self.backlog_since = None;
         }
@@ -120,7 +120,7 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.poll
-            .watch(stream, EventSource::Client(number), Interest::READABLE)
+            .register(stream, EventSource::Client(number), Interest::READABLE)
     }
 
     /// Accepts clients again, unless the lifecycle leaves them to the other process.
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -121,8 +121,8 @@
 
     /// The endpoints with an address.
     #[must_use]
-    pub fn listed(&self) -> Vec<EndpointId> {
-        self.endpoints.listed().collect()
+    pub fn listed_endpoints(&self) -> Vec<EndpointId> {
+        self.endpoints.listed_endpoints().collect()
     }
 
     fn close_unwritten(
@@ -200,7 +200,7 @@
         let number = self.next_connection;
         let socket = self
             .poll
-            .watch(stream, EventSource::Upstream(number), Interest::WRITABLE)
+            .register(stream, EventSource::Upstream(number), Interest::WRITABLE)
             .map_err(|source| ConnectError::Socket { address, source })?;
         self.next_connection += 1;
         counters.upstream_opened += 1;
@@ -212,7 +212,7 @@
     }
 
     /// Writes a job's command; its connection is up.
-    pub fn begin(
+    pub fn send_command(
         &mut self,
         job: UpstreamJob,
         command: Vec<u8>,
