--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -17,19 +17,20 @@
 /// datagram.
 pub const BUCKETS: usize = 32;
 const DIGEST_LENGTH: usize = 4 * BUCKETS;
-/// Interval between digests during [`FAST_PERIOD`], after a difference was found and until the
-/// lists are known to agree.
+/// Interval between digests while the lists are not known to agree, during the first
+/// [`FAST_PERIOD`] after the difference was found.
 const FAST_INTERVAL: Nanos = 50 * MS;
-/// Interval between digests after [`FAST_PERIOD`]: lists that differ for longer belong to different
-/// partitions or have different capacities.
+/// Interval between digests of lists that still differ after [`FAST_PERIOD`]. The members are then
+/// on different sides of a partition, or their lists have different capacities.
 const SLOW_INTERVAL: Nanos = 1_000 * MS;
+/// Maximum duration of fast digests after a difference was found.
 const FAST_PERIOD: Nanos = 5_000 * MS;
 /// Interval between digests while the lists are known to agree.
 const IDLE_INTERVAL: Nanos = 2_000 * MS;
 /// Number of consecutive agreeing replies after which the lists are known to agree.
 const AGREEMENTS_REQUIRED: u8 = 3;
 
-/// Entry of a member list: what one member knows of another, or of itself.
+/// Entry of a member list, which describes another member or the owner of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
     /// Address and generation of the member.
@@ -125,7 +126,7 @@
 pub struct ListDelta {
     /// Member whose list the entries are from.
     pub sender: Identity,
-    /// Buckets that are contained completely, one bit each; none if the lists agree.
+    /// Buckets that are contained completely, one bit each; 0 if the lists agree.
     pub whole_buckets: u32,
     /// Whether this delta is a reply to another delta; such a delta is not answered.
     pub is_reply: bool,
@@ -133,7 +134,7 @@
     pub entries: Vec<MemberEntry>,
 }
 
-/// Encodes the message that sends a digest to another member for comparison.
+/// Encodes the message by which another member compares its list with this digest.
 #[must_use]
 pub fn digest_payload(sender: Identity, digest: &ListDigest) -> Vec<u8> {
     let digest = digest.to_bytes();
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -51,7 +51,7 @@
     RegionDelta = 10,
     /// Announcements that are new or were requested by the recipient.
     RegionAnnouncements = 11,
-    /// Names of the delegates, sent by a member that is not a delegate.
+    /// Addresses of the delegates, sent by a member that is not a delegate.
     RegionReferral = 12,
     /// Parts of the overview of the other regions.
     Overview = 13,
@@ -158,7 +158,7 @@
     UnsupportedVersion,
 }
 
-/// Returns the scope number of a name on the wire.
+/// Returns the scope number that stands for a fleet, or for a fleet and a region, on the wire.
 #[must_use]
 pub fn scope_number(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
--- a/crates/membership/src/envelope/tests.rs
+++ b/crates/membership/src/envelope/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn only_intact_datagrams_of_the_own_fleet_and_version_are_opened() {
+fn only_intact_datagrams_of_the_same_fleet_and_version_are_opened() {
     let (own_scope, other_scope) = (EnvelopeScope::new("a", ""), EnvelopeScope::new("b", ""));
     let datagram = seal(own_scope, MessageKind::MetadataRequest, b"payload");
     assert_eq!(
--- a/crates/membership/src/fault_injection.rs
+++ b/crates/membership/src/fault_injection.rs
@@ -7,8 +7,8 @@
 pub enum InjectedFault {
     /// A suspected member that receives its suspicion does not refute it.
     NeverRefutes,
-    /// A member with the older of two generations wins, so that a restarted member is taken for its
-    /// previous process.
+    /// Of two generations of a member the older one wins, so that a restarted member is mistaken
+    /// for its previous process.
     PrefersOlderGeneration,
     /// A vanished member is removed from the share count at once, on either side of a partition.
     CountsOwnPartitionOnly,
@@ -18,13 +18,15 @@
     IgnoresOwnStall,
     /// An isolated member suspects all other members.
     SuspectsWhileIsolated,
-    /// A suspect is confirmed dead without being probed by its watchers.
+    /// A suspect is confirmed dead without being probed by its watchers, even if datagrams from it
+    /// arrive meanwhile.
     SkipsFinalProbe,
     /// Datagrams of other fleets are accepted.
     AcceptsForeignFleets,
     /// A leave is not broadcast.
     LeavesSilently,
-    /// Metadata records are broadcast, but neither requested nor sent in rotation.
+    /// Metadata records are broadcast, but neither requested nor sent in rotation, and member lists
+    /// are not compared.
     GossipsRecordsOnce,
     /// Member lists are not compared.
     SkipsAntiEntropy,
@@ -48,7 +50,7 @@
     AcceptsInvalidAnnouncements,
     /// Members neither forward the overview nor compare it.
     WithholdsOverview,
-    /// A member that receives delegates of its own region does not join them.
+    /// A member that receives the addresses of delegates of its own region does not join them.
     IgnoresReferrals,
 }
 
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -15,9 +15,9 @@
 
 /// Number of watchers of each member.
 pub const WATCHER_COUNT: usize = 5;
-/// Number of ranks within which a watcher keeps watching. With lossy links members are briefly
-/// suspect and left out of the selection; without this margin the watchers would change back and
-/// forth.
+/// Number of top ranks within which a watcher keeps watching. With lossy links, members are briefly
+/// suspect and therefore missing from the selection; without the margin above [`WATCHER_COUNT`] the
+/// watchers would change back and forth.
 const RETAINED_RANKS: usize = WATCHER_COUNT + 3;
 /// Interval between heartbeats to a watcher.
 pub const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
@@ -44,8 +44,8 @@
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// Returns the indices in `candidates` of the members that `own` watches, or would watch if they
-/// were alive, given these live members.
+/// Returns the indices in `candidates` of the members that `own` watches, given the other live
+/// members. A dead candidate is included if `own` would watch it after its recovery.
 #[must_use]
 pub fn watched_among(
     candidates: &[SocketAddr],
@@ -67,7 +67,7 @@
 }
 
 struct WatchedMember {
-    /// Time from which silence is counted at the earliest.
+    /// Earliest time from which silence is counted.
     silent_since: Nanos,
     next_probe: Nanos,
     suspected: bool,
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identity of a member, and the distinction between a restarted member and its previous processes.
+//! Identity of a member, which distinguishes a restarted member from its previous processes.
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,8 @@
 }
 
 impl Identity {
-    /// Returns an identity to announce to when only the address of a member is tracked.
+    /// Returns the identity for sending an announcement to a member of which only the address is
+    /// known.
     pub(crate) fn with_unknown_generation(address: SocketAddr) -> Self {
         Identity {
             address,
@@ -182,8 +183,9 @@
         if self.tracked_addresses.admit(id.address, self.members_max) {
             return Ok(member);
         }
-        // The member is replaced by an older generation of the sender, which `foca` ignores, so
-        // that the other updates of the datagram still apply.
+        // The maximum number of members is reached. The update is replaced by one about an older
+        // generation of the sender, which `foca` ignores, so that the other updates of the datagram
+        // still apply.
         let address = self.sender.unwrap_or(id.address);
         Ok(foca::Member::alive(Identity::with_unknown_generation(
             address,
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -5,7 +5,7 @@
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{MS, Nanos};
 
-/// Delay of a tick behind its schedule above which the process counts as stalled.
+/// Delay of a tick behind its schedule above which the process is considered stalled.
 pub const STALL_THRESHOLD: Nanos = 300 * MS;
 /// Maximum multiplier of suspicion timeouts.
 const TIMEOUT_MULTIPLIER_MAX: u32 = 3;
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_stall_degrades_local_health_for_a_while() {
+fn a_stall_degrades_local_health_temporarily() {
     let mut health = LocalHealth::new(0);
     assert!(!health.begin_tick(50 * MS), "no tick was scheduled yet");
     health.schedule_tick(100 * MS);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_isolated_member_suspects_nobody_until_the_others_must_be_dead() {
+fn an_isolated_member_suspects_nobody_for_a_limited_time() {
     let mut health = LocalHealth::new(0);
     assert!(health.suspicion_policy(799 * MS).may_suspect);
     assert!(
@@ -45,7 +45,7 @@
     assert!(health.suspicion_policy(ISOLATED_UNTIL).may_suspect);
     health.record_received(2_000 * MS);
     assert!(health.suspicion_policy(2_700 * MS).may_suspect);
-    // After a stall the silence during it is not counted.
+    // Silence during a stall of this process is not counted.
     health.schedule_tick(3_000 * MS);
     health.begin_tick(9_000 * MS);
     assert!(health.suspicion_policy(9_100 * MS).may_suspect);
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -48,7 +48,7 @@
 
 /// Maximum interval between two ticks.
 const TICK_INTERVAL_MAX: Nanos = 50 * MS;
-/// Time without a datagram of any member after which the view is stale.
+/// Time without a datagram from any member after which the view is stale.
 const STALE_AFTER: Nanos = 10_000 * MS;
 
 /// One member of a fleet.
@@ -60,7 +60,7 @@
     metadata: MetadataGossip,
     anti_entropy: AntiEntropy,
     shedding: SheddingGossip,
-    /// Present if the fleet has regions.
+    /// State of the federation; present if the fleet has regions.
     federation: Option<Federation>,
     table: MembershipTable,
     share_counter: ShareCounter,
@@ -201,7 +201,7 @@
     pub fn announcement_count(&self) -> usize {
         self.federation
             .as_ref()
-            .map_or(0, Federation::announcements)
+            .map_or(0, Federation::announcement_count)
     }
 
     /// Returns the member's view of the fleet.
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -15,8 +15,8 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Age of the last datagram from a member up to which the member counts as alive, even if a delta
-/// reports its death.
+/// Age of the last datagram from a member below which a delta that reports the member's death is
+/// ignored.
 const RECENT_CONTACT: Nanos = 1_000 * crate::MS;
 /// Maximum number of requests for metadata records after one delta.
 const REQUESTS_MAX: usize = 2;
@@ -96,7 +96,7 @@
         let entries = local_entries(swim, metadata);
         let (delta, sender) =
             compare_digest(payload, swim.id(), &self.digest, entries, first_bucket)?;
-        // A sender that is not alive in this member's list receives no entries; SWIM notifies it
+        // A sender that is not alive in this member's list receives no answer; SWIM notifies it
         // that it was declared dead.
         if !swim.is_alive_as(&sender) || !delta.agrees() && !context.may_send() {
             return Ok(());
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether an entry may be applied. The death of an untracked member, and members
-    /// beyond the capacity, are ignored.
+    /// beyond the capacity, are ignored. Records the generation in an entry about this member.
     fn admits(&self, entry: &MemberEntry) -> bool {
         let address = entry.id.address;
         if address == self.swim.id().address {
--- a/crates/membership/src/member/context.rs
+++ b/crates/membership/src/member/context.rs
@@ -24,7 +24,7 @@
     pub(super) statistics: MemberStatistics,
     pub(super) datagrams: Vec<(SocketAddr, Vec<u8>)>,
     pub(super) events: Vec<MembershipEvent>,
-    /// Present if the fleet has regions.
+    /// Send budget; present if the fleet has regions.
     pub(super) budget: Option<SendBudget>,
 }
 
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -22,8 +22,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Time after the start before which a member does not act as leader, because it does not yet know
-/// the members of the region it would report on.
+/// Minimum time after the start until a member acts as leader. Earlier it does not know all members
+/// of the region, and would publish a wrong summary.
 const LEAD_DELAY: Nanos = 3_000 * MS;
 /// Interval between updates of the region counts, which are also updated after each change of the
 /// overview.
@@ -186,7 +186,7 @@
     }
 
     /// Returns the number of announcements stored as a delegate.
-    pub(super) fn announcements(&self) -> usize {
+    pub(super) fn announcement_count(&self) -> usize {
         self.announcements
             .as_ref()
             .map_or(0, AnnouncementStore::len)
@@ -263,8 +263,8 @@
     }
 
     /// Returns a row that the previous leader wrote for a region from which this leader has no
-    /// announcement; one may still be on its way. The region counts as silent after
-    /// [`SILENT_AFTER`] in this leader's term, and is removed after the tombstone retention.
+    /// announcement; one may still be in transit. The region counts as silent once this member has
+    /// been the leader for [`SILENT_AFTER`], and is removed after the tombstone retention.
     fn inherited_row(
         &self,
         now: Nanos,
@@ -272,9 +272,9 @@
         silent_since: Option<Nanos>,
     ) -> Option<RegionStatus> {
         let leads_since = self.leads_since;
-        let silent_in_own_term =
+        let silent_under_this_leader =
             leads_since.filter(|since| now.saturating_sub(*since) >= SILENT_AFTER);
-        let silent_since = silent_since.or(silent_in_own_term);
+        let silent_since = silent_since.or(silent_under_this_leader);
         let is_expired = |since: Nanos| now.saturating_sub(since) >= self.tombstone_retention;
         if silent_since.is_some_and(is_expired) {
             return None;
--- a/crates/membership/src/member/federation/delegate.rs
+++ b/crates/membership/src/member/federation/delegate.rs
@@ -1,5 +1,5 @@
 //! Delegates of regions: the leader announces its region, delegates exchange announcements, and a
-//! member without live members in its view is referred to its region.
+//! member that knows no other live member is referred to the delegates of its region.
 
 use super::{Delegate, Federation, OwnRegion};
 use crate::envelope::{MessageKind, PAYLOAD_MAX};
@@ -19,10 +19,11 @@
 
 /// Interval between digests from a delegate to a randomly chosen other one.
 const DIGEST_INTERVAL: Nanos = 500 * MS;
-/// While there is a silent region, one digest in this many goes to a delegate of a silent region.
+/// While there is a silent region, on average one digest in this many goes to a delegate of a
+/// silent region.
 const SILENT_REGION_ONE_IN: u32 = 4;
-/// Interval between digests to a join address, needed in case all known delegates of a region have
-/// died.
+/// Interval between digests to a random join address outside this member's region, in case all
+/// known delegates of a region have died.
 const JOIN_ADDRESS_INTERVAL: Nanos = 5_000 * MS;
 /// Minimum interval between writes of the overview after new announcements.
 const OVERVIEW_WRITE_INTERVAL: Nanos = 200 * MS;
@@ -31,7 +32,8 @@
 const PUBLISH_INTERVAL: Nanos = 500 * MS;
 /// Minimum interval between summaries that differ only in the request rate.
 const REQUEST_RATE_INTERVAL: Nanos = 30_000 * MS;
-/// Minimum interval between announcements to unknown delegates of this member's region.
+/// Minimum interval between announcements to delegates of this member's region that are not alive
+/// in its view.
 const REJOIN_INTERVAL: Nanos = 500 * MS;
 /// Maximum number of join addresses recorded as being in other regions.
 const FOREIGN_JOIN_ADDRESSES_MAX: usize = 64;
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Sends a digest to a delegate of any region if it is due. A member without live members in
-    /// its view also does so, to find its region.
+    /// Sends a digest to a delegate of any region if it is due. A member that knows no other live
+    /// member also does so, to find its region.
     pub(super) fn send_digests(&mut self, context: &mut Context, own_region: &OwnRegion<'_>) {
         let now = context.now;
         let is_alone = own_region.swim.alive() == 0;
@@ -340,8 +342,8 @@
             .collect()
     }
 
-    /// Announces to unknown delegates of this member's region: this member has not joined its
-    /// region yet, or the region is partitioned.
+    /// Announces this member to delegates of its region that are not alive in its view: it has not
+    /// joined its region yet, or the region is partitioned.
     fn join_own_region(
         &mut self,
         context: &mut Context,
@@ -364,8 +366,8 @@
     }
 }
 
-/// Returns a random delegate. While regions are silent, one call in [`SILENT_REGION_ONE_IN`]
-/// returns a delegate of a silent region.
+/// Returns a random delegate. While regions are silent, one call in [`SILENT_REGION_ONE_IN`] on
+/// average is restricted to delegates of silent regions.
 fn choose_delegate(context: &mut Context, delegates: &[Delegate]) -> Option<SocketAddr> {
     let silent: Vec<Delegate> = delegates
         .iter()
--- a/crates/membership/src/member/federation/overview_gossip.rs
+++ b/crates/membership/src/member/federation/overview_gossip.rs
@@ -23,7 +23,7 @@
 /// Overview stored by one member, and the schedule of its gossip.
 pub(super) struct OverviewGossip {
     pub(super) overview: RegionOverview,
-    /// Time until which digests are sent at the shorter interval.
+    /// Time until which digests are sent at [`FAST_DIGEST_INTERVAL`].
     fast_digests_until: Nanos,
     next_broadcast: Nanos,
     next_digest: Nanos,
--- a/crates/membership/src/member/foca_adapter.rs
+++ b/crates/membership/src/member/foca_adapter.rs
@@ -9,7 +9,8 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Number of transmissions of each update by `foca`, plus one for each doubling of the fleet.
+/// Number of transmissions of each update by `foca`, to which one is added for each doubling of the
+/// maximum number of members.
 const BASE_TRANSMISSIONS: u32 = 6;
 /// Maximum number of transmissions of each update in a fleet with regions.
 const REGIONAL_TRANSMISSIONS_MAX: u32 = 10;
--- a/crates/membership/src/member/send_budget.rs
+++ b/crates/membership/src/member/send_budget.rs
@@ -10,9 +10,10 @@
 const BURST_BYTES: u64 = 150_000;
 const SECOND: Nanos = 1_000_000_000;
 
-/// Number of bytes that may be sent.
+/// Token bucket of the bytes that may be sent.
 #[derive(Debug)]
 pub(super) struct SendBudget {
+    /// Number of available bytes; negative if more non-deferrable bytes were sent than available.
     available: i64,
     refilled_at: Nanos,
 }
--- a/crates/membership/src/member/statistics.rs
+++ b/crates/membership/src/member/statistics.rs
@@ -9,10 +9,10 @@
     pub sent: u64,
     /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Number of datagrams received.
+    /// Number of datagrams received, including dropped ones.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Number of bytes received.
+    /// Number of bytes received, including those of dropped datagrams.
     #[serde(rename = "heard_bytes")]
     pub received_bytes: u64,
     /// Number of datagrams dropped because they are corrupt, have an invalid length, or belong to
@@ -26,7 +26,8 @@
     pub unsupported_version: u64,
     /// Number of intact datagrams dropped because their payload is invalid.
     pub malformed: u64,
-    /// Number of datagrams dropped because their sender would exceed the maximum number of members.
+    /// Number of SWIM messages dropped because their sender is untracked and the maximum number of
+    /// members is stored.
     #[serde(rename = "full")]
     pub over_capacity: u64,
     /// Number of probes sent by this member as a watcher.
@@ -38,7 +39,8 @@
     /// Number of times the send budget deferred a broadcast or digest.
     #[serde(rename = "put_off")]
     pub deferred: u64,
-    /// Number of digests sent to delegates of regions and to join addresses.
+    /// Number of digests of announcements sent to delegates of any region, this member's included,
+    /// and to join addresses.
     #[serde(rename = "regions_asked")]
     pub region_digests: u64,
     /// Number of datagrams with level reports sent.
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -16,8 +16,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Minimum interval between early gossips. A death is gossiped without waiting for the next
-/// periodic gossip.
+/// Minimum interval between early gossips, by which a death is broadcast without waiting for the
+/// next periodic gossip.
 const EARLY_GOSSIP_INTERVAL: Nanos = 20 * MS;
 /// Minimum interval between raises of this member's generation above a greater one of the same
 /// address. Without it, two processes at one address would raise each other's generation endlessly.
@@ -131,7 +131,8 @@
         &self.observed_generation
     }
 
-    /// Adds an address to the tracked ones if there is capacity. Returns whether it is tracked.
+    /// Adds an address to the tracked ones if there is capacity. Returns whether it is tracked
+    /// afterwards.
     pub(super) fn admit(&self, address: SocketAddr) -> bool {
         self.tracked_addresses.admit(address, self.members_max)
     }
@@ -320,9 +321,10 @@
         self.handle_output(context, runtime);
     }
 
-    /// Reschedules the timers that became due during a stall of this process. A probe starts one
-    /// full probe interval later; all other timers run at once, or after the received datagrams are
-    /// read.
+    /// Reschedules the timers that became due during a stall of this process. The end of a probe is
+    /// postponed by a full probe interval, and an indirect probe to the next tick, so that
+    /// acknowledgements which arrived during the stall are read first. All other timers run at
+    /// once.
     pub(super) fn restart_timers(&mut self, now: Nanos) {
         let due: Vec<(Nanos, u64)> = self
             .timers
@@ -334,7 +336,7 @@
                 continue;
             };
             let delay = match timer {
-                // An acknowledgement may have arrived during the stall, and must be read first.
+                // This timer ends the previous probe, and starts the next one.
                 Timer::ProbeRandomMember(_) => self.probe_interval,
                 Timer::SendIndirectProbe { .. } => MS,
                 _ => 0,
@@ -399,7 +401,7 @@
             context.send(to.address, MessageKind::Swim, &payload);
         }
         for (delay, timer) in runtime.timers {
-            // The suspicion timers of this crate decide when a suspect is dead.
+            // Dropped: the suspicion timers of this crate decide when a suspect is dead.
             if !matches!(timer, Timer::ChangeSuspectToDown { .. }) {
                 self.set_timer(context.now + delay.as_nanos() as Nanos, timer);
             }
--- a/crates/membership/src/member/swim/joining.rs
+++ b/crates/membership/src/member/swim/joining.rs
@@ -13,13 +13,13 @@
 /// Interval between announcements to a dead member by the few live members assigned to it. These
 /// announcements merge the sides of a healed partition.
 const DEAD_ANNOUNCEMENT_INTERVAL: Nanos = 500 * MS;
-/// Expected number of random members that also announce to a dead member in each interval, because
-/// the assigned members may be cut off from it.
+/// Expected number of members that additionally announce to one random dead member each in every
+/// interval, because the assigned members may be cut off from a dead member.
 const RANDOM_DEAD_ANNOUNCERS: usize = 4;
 /// Number of dead members to which a rejoining member announces at once.
 const REJOIN_ANNOUNCEMENTS: usize = 6;
-/// Initial delay until join addresses are announced to again, doubled each time up to
-/// [`JOIN_BACKOFF_MAX`].
+/// Initial delay until join addresses are announced to again. It is doubled each time up to
+/// [`JOIN_BACKOFF_MAX`], or up to half of it while no other member is known.
 pub(super) const JOIN_BACKOFF_MIN: Nanos = 200 * MS;
 const JOIN_BACKOFF_MAX: Nanos = 5_000 * MS;
 
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -40,7 +40,9 @@
     pub config_checksum: u64,
     /// Rate of accepted requests, in tenths of a request per second.
     pub request_rate_tenths: u32,
-    /// Number of places that the member counts ([`crate::share_count`]).
+    /// Number of places that the member counts in its region: one for each live member, itself
+    /// included, and one for each member that vanished within the tombstone retention. Others
+    /// divide by it during a partition ([`crate::share_count`]).
     pub places: u16,
     /// Extension bytes for fields of later versions; this version stores an encoded
     /// [`crate::Location`] in them.
@@ -88,8 +90,8 @@
     }
 }
 
-/// A versioned metadata record of a member. The greater generation supersedes, then the higher
-/// version.
+/// A versioned metadata record of a member. It supersedes records of lower generations, and records
+/// of the same generation with lower versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetadataRecord {
     /// Member that published the record.
@@ -105,7 +107,7 @@
         (self.member.generation, self.version) > (other.member.generation, other.version)
     }
 
-    /// Returns whether the member or an urgent field differs from the predecessor's.
+    /// Returns whether there is no predecessor, or the identity or an urgent field differs from it.
     pub(crate) fn is_urgent(&self, predecessor: Option<&MetadataRecord>) -> bool {
         predecessor.is_none_or(|predecessor| {
             self.member != predecessor.member
--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -11,7 +11,8 @@
 use std::ops::Bound::{Excluded, Included, Unbounded};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of transmissions of a new record, plus one for each doubling of the fleet.
+/// Number of broadcast transmissions of a new record, to which one is added for each doubling of
+/// the fleet.
 const BASE_TRANSMISSIONS: u32 = 3;
 /// Maximum number of members in one request; their records fit into one or two datagrams.
 pub const REQUEST_MAX: usize = 24;
@@ -243,7 +244,7 @@
     }
 
     /// Returns the addresses of the records that follow the last one sent in rotation, at most
-    /// [`REQUEST_MAX`].
+    /// [`REQUEST_MAX`], which is about as many as may fit into a payload.
     fn rotation_order(&self) -> impl Iterator<Item = SocketAddr> {
         let (begin, end) = match self.rotation {
             Some(last) => (Excluded(last), Included(last)),
--- a/crates/membership/src/payload.rs
+++ b/crates/membership/src/payload.rs
@@ -12,12 +12,12 @@
     /// A list or a name exceeds its limit.
     #[error("the number of {what} exceeds the limit of {limit}")]
     OverLimit {
-        /// Description of the limited quantity.
+        /// Quantity that is limited, as a plural noun phrase.
         what: &'static str,
         /// Limit that is exceeded.
         limit: usize,
     },
-    /// The checksums of a digest do not have this version's total length.
+    /// The length of a digest differs from that of this version's digests.
     #[error("the digest has {actual} bytes; expected {expected}")]
     DigestLength {
         /// Length of this version's digests, in bytes.
@@ -31,8 +31,8 @@
     /// `foca` rejected a SWIM message.
     #[error("foca rejected the SWIM message: {0}")]
     Swim(String),
-    /// A message between members with a region reached a member without one.
-    #[error("received a message between regions, but this member has no region")]
+    /// A message of a fleet with regions reached a member without a region.
+    #[error("received a message of a fleet with regions, but this member has no region")]
     NoRegion,
 }
 
@@ -40,7 +40,7 @@
     Ok(postcard::from_bytes(payload)?)
 }
 
-/// Encodes a message. Encoding the messages of this crate does not fail.
+/// Encodes a message. Encoding cannot fail for the message types of this crate.
 pub(crate) fn encode<T: Serialize + ?Sized>(message: &T) -> Vec<u8> {
     postcard::to_stdvec(message).unwrap_or_default()
 }
--- a/crates/membership/src/regions/announcement_store.rs
+++ b/crates/membership/src/regions/announcement_store.rs
@@ -55,6 +55,7 @@
 pub(super) struct StoredAnnouncement {
     pub(super) announcement: Announcement,
     pub(super) heartbeats: u32,
+    /// Time at which the author was last known to be alive.
     last_alive: Nanos,
     /// Heartbeat counter at the time when another author claimed to have replaced this one.
     heartbeats_when_replaced: Option<u32>,
@@ -120,12 +121,13 @@
 /// State of one region, combined from the announcements of all its authors.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CombinedSummary {
-    /// Summary of the preferred author.
+    /// Summary of the live author with the most live members, or of the author that was alive last
+    /// if the region is silent.
     pub summary: RegionSummary,
     /// Version of that summary.
     pub version: u64,
-    /// Maximum number of places that a considered author publishes; each part of a partitioned
-    /// region may publish fewer.
+    /// Maximum number of places that a live author publishes, or any author if the region is
+    /// silent. Each part of a partitioned region may publish fewer.
     pub places: u32,
     /// Number of live authors; more than one if the region is partitioned.
     pub authors: usize,
@@ -446,8 +448,9 @@
     }
 }
 
-/// Combines the announcements of the authors of one region. It selects the summary with the most
-/// live members, so that the selection is stable in a partitioned region.
+/// Combines the announcements of the authors of one region. Of the live authors it selects the one
+/// with the most live members, so that the selection does not alternate between the parts of a
+/// partitioned region. Replaced authors are left out unless all live ones are replaced.
 fn combine(authors: &[&StoredAnnouncement], now: Nanos) -> Option<CombinedSummary> {
     let is_live = |stored: &&StoredAnnouncement| !stored.is_silent(now);
     let mut live: Vec<&StoredAnnouncement> = authors.iter().copied().filter(is_live).collect();
--- a/crates/membership/src/regions/overview.rs
+++ b/crates/membership/src/regions/overview.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, Default)]
 struct StoredPart {
     part: OverviewPart,
-    /// Time relative to which the silences in the rows are measured.
+    /// Time at which the part was stored; the silences in its rows are those of this time.
     stored_at: Nanos,
     transmissions_left: u32,
 }
--- a/crates/membership/src/regions/share_count.rs
+++ b/crates/membership/src/regions/share_count.rs
@@ -22,7 +22,7 @@
 pub struct RegionSize {
     /// Number of live members.
     pub alive: usize,
-    /// Number of places, which include those of retained vanished members.
+    /// Number of places, including those of vanished members.
     pub places: usize,
 }
 
@@ -30,13 +30,16 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct PeakPlaces {
     places: usize,
-    at: Nanos,
+    published_at: Nanos,
 }
 
 impl PeakPlaces {
     fn update(&mut self, now: Nanos, places: usize, tombstone_retention: Nanos) {
-        if places >= self.places || now.saturating_sub(self.at) >= tombstone_retention {
-            *self = PeakPlaces { places, at: now };
+        if places >= self.places || now.saturating_sub(self.published_at) >= tombstone_retention {
+            *self = PeakPlaces {
+                places,
+                published_at: now,
+            };
         }
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -29,11 +29,13 @@
 pub struct Timing {
     /// Protocol period of SWIM, in which each member probes one other member.
     pub probe_interval: Nanos,
-    /// Timeout of a direct acknowledgement, after which other members probe indirectly.
+    /// Time to wait for the acknowledgement of a direct probe, after which other members are asked
+    /// to probe the member indirectly.
     pub ack_timeout: Nanos,
     /// Time without a datagram from a suspect after which its watchers confirm it dead.
     pub suspicion_timeout: Nanos,
-    /// Time for which a member that vanished without a leave still counts in the share count.
+    /// Minimum time for which a member that vanished without a leave still counts in the share
+    /// count; [`crate::share_count`] describes when its place is dropped.
     pub share_retention: Nanos,
     /// Time after which dead members are removed, on either side of a partition.
     pub tombstone_retention: Nanos,
--- a/crates/membership/src/share_count/tests.rs
+++ b/crates/membership/src/share_count/tests.rs
@@ -89,7 +89,7 @@
     assert_eq!(fleet.divisors(), [[12; 3].as_slice(), &[9; 9]].concat());
     assert!(fleet.sum_of_shares() < 1.5);
     fleet.now += TOMBSTONE_RETENTION;
-    // The other members still publish the number of places from before the removal.
+    // During the first round the members still publish their places from before the removal.
     fleet.divisors();
     assert_eq!(
         fleet.divisors(),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_leave_counts_at_once_and_a_new_member_divides_by_the_published_places() {
+fn a_leave_takes_effect_at_once_and_a_new_member_divides_by_the_published_places() {
     let mut fleet = Fleet::new(10);
     fleet.divisors();
     for (i, counter) in fleet.counters.iter_mut().enumerate().take(9) {
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -4,14 +4,15 @@
 //! In each round a member counts the requests that it admitted, and those of them that were then
 //! rejected for lack of capacity. It reports these counts and its level to a few random members,
 //! and forwards recent reports of other members, so that all members decide from nearly the same
-//! sums. Each member sets its level to the mean of the known levels, raises it at once according to
-//! the fraction rejected for capacity, and lowers it slowly at first and then faster. An isolated
-//! member uses only its own counts.
+//! sums. After each round a member sets its level to the mean of its own and the reported levels,
+//! raises it at once according to the fraction rejected for capacity, or lowers it slowly at first
+//! and then faster. An isolated member uses only its own counts.
 //!
-//! The level is a number of tiers. The tiers are the configured classes, each within and beyond the
-//! quota of its tenant, in the order of their priority weights (defined by `routing`). Of each tier
-//! below the level the fraction [`MAX_SHED_FRACTION`] is shed; of the tier that contains the level,
-//! the fractional part of the level is shed. All members shed the same requests.
+//! The level is a number of tiers. Each configured class has two tiers, for requests within and
+//! beyond the quota of their tenant; the tiers are in the order of their priority weights (defined
+//! by `routing`). Of each tier below the level the fraction [`MAX_SHED_FRACTION`] is shed; of the
+//! tier that contains the level, the fractional part of the level is shed. All members shed the
+//! same requests.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -24,12 +25,13 @@
 
 /// Length of a round, over which requests are counted and after which the level is adjusted.
 pub const ROUND_INTERVAL: Nanos = 400 * MS;
-/// Age up to which a report is used.
+/// Age at which a report expires.
 pub const REPORT_TTL: Nanos = 1_500 * MS;
 /// Fraction of admitted requests rejected for capacity above which the level is raised.
 const RAISE_ABOVE: f64 = 0.15;
-/// Fraction of admitted requests rejected for capacity that a raise aims for. Without some excess
-/// the members' own limits would never be reached, and therefore never grow.
+/// Fraction of admitted requests rejected for capacity that a raise of the level aims for. Some
+/// excess must remain, because the members' concurrency limits at the caches only grow while they
+/// are reached.
 const TARGET_EXCESS: f64 = 0.1;
 /// Fraction of admitted requests rejected for capacity below which the level is lowered.
 const LOWER_BELOW: f64 = 0.08;
@@ -44,7 +46,7 @@
 /// Minimum number of requests admitted in a round over the fleet for the level to be raised.
 const RAISE_MIN_REQUESTS: u32 = 20;
 /// Additional fraction of requests that each of the first lowerings admits. It is smaller than the
-/// distance between the two thresholds, so that the level converges.
+/// distance between [`LOWER_BELOW`] and [`RAISE_ABOVE`], so that the level converges.
 const LOWER_FRACTION: f64 = 0.03;
 /// Number of lowerings in a row after which each admits [`LOWER_GROWTH`] times as much as the
 /// previous one.
--- a/crates/membership/src/shedding/tests.rs
+++ b/crates/membership/src/shedding/tests.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn twice_the_capacity_is_shed_by_half_lowest_weights_first_and_admitted_again_afterwards() {
+fn load_of_twice_the_capacity_is_halved_lowest_weights_first_and_admitted_again_afterwards() {
     let mut members: Vec<SharedShedding> = (1..=12).map(member).collect();
     let offered = |round| if round <= 40 { 2_400.0 } else { 600.0 };
     let admitted = simulate(&mut members, offered, 1_200.0, 70);
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion timers, which determine when and by which members a suspect is confirmed dead.
+//! Suspicion timers, which determine when a suspect is confirmed dead, and by which members.
 //!
 //! Every member that receives a suspicion starts a timer. The watchers of the suspect
 //! ([`crate::heartbeat`]) probe it until it refutes. A watcher that receives nothing from it for
