--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fleet membership: the live balancers, those that stalled, left or died, and the share count, the
-//! number that quotas, limits and budgets are divided by.
+//! Fleet membership: tracks which balancers are live, stalled, departed or dead, and computes the
+//! share count, the number that quotas, limits and budgets are divided by.
 //!
 //! A [`Member`] represents one balancer. It does no I/O and has no clock: the caller passes
 //! received datagrams and the current time, and takes from it the datagrams to send, the time of
@@ -13,7 +13,8 @@
 //!   and requests;
 //! - [`anti_entropy`] of member lists, which repairs updates that broadcasts missed;
 //! - [`shedding`]: one shedding level for the whole fleet;
-//! - [`share_count`]: the share count, which stays bounded during partitions and mass deaths;
+//! - [`share_count`]: the share count, by which the sum of all shares stays bounded during
+//!   partitions and mass deaths;
 //! - [`regions`]: the federation of regions, in which members store only a summary of each other
 //!   region.
 //!
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -156,7 +156,8 @@
     }
 
     /// Returns whether an entry may be applied. The death of an untracked member, and members
-    /// beyond the capacity, are ignored. Records the generation in an entry about this member.
+    /// beyond the capacity, are ignored. Also records the generation that an entry reports for this
+    /// member's address.
     fn admits(&self, entry: &MemberEntry) -> bool {
         let address = entry.id.address;
         if address == self.swim.id().address {
--- a/crates/membership/src/member/dissemination.rs
+++ b/crates/membership/src/member/dissemination.rs
@@ -78,7 +78,7 @@
     }
 
     /// Merges received records. Returns the number of members that are untracked, or tracked in an
-    /// older generation.
+    /// older generation, without leaving ones.
     pub(super) fn receive_records(
         &mut self,
         swim: &SwimProtocol,
--- a/crates/membership/src/member/federation.rs
+++ b/crates/membership/src/member/federation.rs
@@ -25,8 +25,8 @@
 /// Minimum time after the start until a member acts as leader. Earlier it does not know all members
 /// of the region, and would publish a wrong summary.
 const LEAD_DELAY: Nanos = 3_000 * MS;
-/// Interval between updates of the region counts, which are also updated after each change of the
-/// overview.
+/// Interval between updates of the share counter from the overview. It is also updated after each
+/// change of the overview.
 const RECOUNT_INTERVAL: Nanos = 200 * MS;
 
 /// Times at which the periodic actions are due.
@@ -208,8 +208,8 @@
         self.overview.receive_digest(context, table, from, digest)
     }
 
-    /// Merges parts of another member's overview. After a change the regions are counted at the
-    /// next tick.
+    /// Merges parts of another member's overview. After a change the share counter is updated at
+    /// the next tick.
     pub(super) fn receive_overview(
         &mut self,
         context: &mut Context,
@@ -338,7 +338,7 @@
         self.share_counter.count(now, own)
     }
 
-    /// Updates the region counts from the overview, and reports regions that became reachable or
+    /// Updates the share counter from the overview, and reports regions that became reachable or
     /// silent.
     fn update_share_counter(&mut self, now: Nanos, events: &mut Vec<MembershipEvent>) {
         let mut reachable = BTreeMap::new();
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -41,8 +41,8 @@
     /// Rate of accepted requests, in tenths of a request per second.
     pub request_rate_tenths: u32,
     /// Number of places that the member counts in its region: one for each live member, itself
-    /// included, and one for each member that vanished within the tombstone retention. Others
-    /// divide by it during a partition ([`crate::share_count`]).
+    /// included, and one for each member that vanished within the tombstone retention. Members
+    /// without a majority divide by the greatest published number ([`crate::share_count`]).
     pub places: u16,
     /// Extension bytes for fields of later versions; this version stores an encoded
     /// [`crate::Location`] in them.
--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -58,7 +58,7 @@
 pub struct MetadataChanges {
     /// Addresses of the members whose records changed.
     pub addresses: BTreeSet<SocketAddr>,
-    /// Whether an urgent field of any record changed.
+    /// Whether any change is one that is broadcast, that is, of a member or of an urgent field.
     pub urgent: bool,
 }
 
@@ -146,8 +146,8 @@
 
     /// Merges received records. `tracked_generation` returns the generation under which a member is
     /// tracked; records of untracked members are dropped. Returns the number of members that are
-    /// untracked, or tracked in an older generation: their membership broadcasts did not reach this
-    /// member.
+    /// untracked, or tracked in an older generation, without leaving ones: their membership
+    /// broadcasts did not reach this member.
     ///
     /// # Errors
     ///
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -16,7 +16,8 @@
     pub join: Vec<SocketAddr>,
     /// Maximum number of stored members, dead ones included.
     pub members_max: usize,
-    /// Configured number of balancers; used as the share count while the view is empty or stale.
+    /// Configured number of balancers: the share count until another member is known, and its
+    /// minimum while this member is new or its view is stale.
     pub configured_balancers: usize,
     /// Timeouts and intervals.
     pub timing: Timing,
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -37,19 +37,19 @@
 const LOWER_BELOW: f64 = 0.08;
 /// Factor by which the best recent throughput decays in each round.
 const BEST_THROUGHPUT_DECAY: f64 = 0.98;
-/// Fraction of the best recent throughput below which a recovery is accelerated, if there is
-/// capacity for all admitted requests.
+/// Fraction of the best recent throughput. If the fleet admits less than this although the caches
+/// have capacity for the admitted requests, lowerings are enlarged.
 const RECOVERY_BELOW: f64 = 0.9;
-/// Fraction of the difference to the best recent throughput that an accelerated recovery admits at
-/// once.
+/// Minimum fraction of the difference to the best recent throughput that an enlarged lowering
+/// admits.
 const RECOVERY_FRACTION: f64 = 0.35;
 /// Minimum number of requests admitted in a round over the fleet for the level to be raised.
 const RAISE_MIN_REQUESTS: u32 = 20;
 /// Additional fraction of requests that each of the first lowerings admits. It is smaller than the
 /// distance between [`LOWER_BELOW`] and [`RAISE_ABOVE`], so that the level converges.
 const LOWER_FRACTION: f64 = 0.03;
-/// Number of lowerings in a row after which each admits [`LOWER_GROWTH`] times as much as the
-/// previous one.
+/// Number of consecutive lowerings after which each further one admits [`LOWER_GROWTH`] times as
+/// much as the previous one.
 const SLOW_LOWERINGS: u32 = 3;
 const LOWER_GROWTH: f64 = 1.5;
 /// Maximum number of lowerings whose step grows.
@@ -60,10 +60,10 @@
 /// do not adjust in lockstep.
 const JITTER_MIN: f64 = 0.75;
 const JITTER_RANGE: f64 = 0.5;
-/// Number of rounds without another raise after a raise, because the reports of other members were
-/// counted before it.
+/// Number of rounds without another raise after a raise, because the reports of other members still
+/// contain counts from before it.
 const RAISE_COOLDOWN_ROUNDS: u32 = 1;
-/// Level below which the level becomes 0.
+/// Level below which a lowering sets the level to 0.
 const LEVEL_MIN: f64 = 0.01;
 /// Maximum encoded length of the report count in front of the reports, in bytes.
 const COUNT_LENGTH_MAX: usize = 2;
@@ -105,7 +105,7 @@
 pub struct SharedShedding {
     tiers: usize,
     level: f64,
-    /// Number of lowerings in a row.
+    /// Number of consecutive lowerings, which determines the size of the next one.
     lowerings: u32,
     /// Remaining rounds in which the level is not raised.
     raise_cooldown: u32,
--- a/crates/membership/tests/wire_format/network.rs
+++ b/crates/membership/tests/wire_format/network.rs
@@ -236,7 +236,7 @@
 }
 
 /// Runs two regions of five and four members, which are partitioned for a while. Then a new member
-/// joins with the address of a single member that is in the other region and not a delegate.
+/// of the south joins. Its only join address is a member of the north that is not a delegate.
 pub fn with_regions() -> Network {
     let mut network = Network::new(|number| if number <= 5 { "north" } else { "south" });
     for number in 1..=9 {
