--- a/crates/membership/src/member/federation/delegate.rs
+++ b/crates/membership/src/member/federation/delegate.rs
@@ -228,7 +228,7 @@
         Ok(())
     }
 
-    /// Merges a delta, and sends the announcements that it requests.
+    /// Merges a delta, and sends the announcements that the replying delegate requests.
     pub(in crate::member) fn receive_delta(
         &mut self,
         context: &mut Context,
--- a/crates/membership/src/member/swim.rs
+++ b/crates/membership/src/member/swim.rs
@@ -379,7 +379,7 @@
         self.handle_output(context, runtime);
     }
 
-    /// Gossips a death without waiting for the next periodic gossip.
+    /// Gossips a death, if one is pending, without waiting for the next periodic gossip.
     pub(super) fn gossip_early(&mut self, context: &mut Context) {
         if self.early_gossip_due.is_none_or(|at| context.now < at) {
             return;
