--- a/crates/membership/src/metadata_store.rs
+++ b/crates/membership/src/metadata_store.rs
@@ -11,7 +11,8 @@
 use std::ops::Bound::{Excluded, Included, Unbounded};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of transmissions of a new record, plus one for each doubling of the fleet.
+/// Number of broadcast transmissions of a new record, to which one is added for each doubling of
+/// the fleet.
 const BASE_TRANSMISSIONS: u32 = 3;
 /// Maximum number of members in one request; their records fit into one or two datagrams.
 pub const REQUEST_MAX: usize = 24;
@@ -57,7 +58,7 @@
 pub struct MetadataChanges {
     /// Addresses of the members whose records changed.
     pub addresses: BTreeSet<SocketAddr>,
-    /// Whether an urgent field of any record changed.
+    /// Whether any change is one that is broadcast, that is, of a member or of an urgent field.
     pub urgent: bool,
 }
 
@@ -145,8 +146,8 @@
 
     /// Merges received records. `tracked_generation` returns the generation under which a member is
     /// tracked; records of untracked members are dropped. Returns the number of members that are
-    /// untracked, or tracked in an older generation: their membership broadcasts did not reach this
-    /// member.
+    /// untracked, or tracked in an older generation, without leaving ones: their membership
+    /// broadcasts did not reach this member.
     ///
     /// # Errors
     ///
@@ -243,7 +244,7 @@
     }
 
     /// Returns the addresses of the records that follow the last one sent in rotation, at most
-    /// [`REQUEST_MAX`].
+    /// [`REQUEST_MAX`], which is about as many as may fit into a payload.
     fn rotation_order(&self) -> impl Iterator<Item = SocketAddr> {
         let (begin, end) = match self.rotation {
             Some(last) => (Excluded(last), Included(last)),
--- a/crates/membership/src/shedding.rs
+++ b/crates/membership/src/shedding.rs
@@ -4,14 +4,15 @@
 //! In each round a member counts the requests that it admitted, and those of them that were then
 //! rejected for lack of capacity. It reports these counts and its level to a few random members,
 //! and forwards recent reports of other members, so that all members decide from nearly the same
-//! sums. Each member sets its level to the mean of the known levels, raises it at once according to
-//! the fraction rejected for capacity, and lowers it slowly at first and then faster. An isolated
-//! member uses only its own counts.
+//! sums. After each round a member sets its level to the mean of its own and the reported levels,
+//! raises it at once according to the fraction rejected for capacity, or lowers it slowly at first
+//! and then faster. An isolated member uses only its own counts.
 //!
-//! The level is a number of tiers. The tiers are the configured classes, each within and beyond the
-//! quota of its tenant, in the order of their priority weights (defined by `routing`). Of each tier
-//! below the level the fraction [`MAX_SHED_FRACTION`] is shed; of the tier that contains the level,
-//! the fractional part of the level is shed. All members shed the same requests.
+//! The level is a number of tiers. Each configured class has two tiers, for requests within and
+//! beyond the quota of their tenant; the tiers are in the order of their priority weights (defined
+//! by `routing`). Of each tier below the level the fraction [`MAX_SHED_FRACTION`] is shed; of the
+//! tier that contains the level, the fractional part of the level is shed. All members shed the
+//! same requests.
 
 use crate::envelope::PAYLOAD_MAX;
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -24,30 +25,31 @@
 
 /// Length of a round, over which requests are counted and after which the level is adjusted.
 pub const ROUND_INTERVAL: Nanos = 400 * MS;
-/// Age up to which a report is used.
+/// Age at which a report expires.
 pub const REPORT_TTL: Nanos = 1_500 * MS;
 /// Fraction of admitted requests rejected for capacity above which the level is raised.
 const RAISE_ABOVE: f64 = 0.15;
-/// Fraction of admitted requests rejected for capacity that a raise aims for. Without some excess
-/// the members' own limits would never be reached, and therefore never grow.
+/// Fraction of admitted requests rejected for capacity that a raise of the level aims for. Some
+/// excess must remain, because the members' concurrency limits at the caches only grow while they
+/// are reached.
 const TARGET_EXCESS: f64 = 0.1;
 /// Fraction of admitted requests rejected for capacity below which the level is lowered.
 const LOWER_BELOW: f64 = 0.08;
 /// Factor by which the best recent throughput decays in each round.
 const BEST_THROUGHPUT_DECAY: f64 = 0.98;
-/// Fraction of the best recent throughput below which a recovery is accelerated, if there is
-/// capacity for all admitted requests.
+/// Fraction of the best recent throughput. If the fleet admits less than this although the caches
+/// have capacity for the admitted requests, lowerings are enlarged.
 const RECOVERY_BELOW: f64 = 0.9;
-/// Fraction of the difference to the best recent throughput that an accelerated recovery admits at
-/// once.
+/// Minimum fraction of the difference to the best recent throughput that an enlarged lowering
+/// admits.
 const RECOVERY_FRACTION: f64 = 0.35;
 /// Minimum number of requests admitted in a round over the fleet for the level to be raised.
 const RAISE_MIN_REQUESTS: u32 = 20;
 /// Additional fraction of requests that each of the first lowerings admits. It is smaller than the
-/// distance between the two thresholds, so that the level converges.
+/// distance between [`LOWER_BELOW`] and [`RAISE_ABOVE`], so that the level converges.
 const LOWER_FRACTION: f64 = 0.03;
-/// Number of lowerings in a row after which each admits [`LOWER_GROWTH`] times as much as the
-/// previous one.
+/// Number of consecutive lowerings after which each further one admits [`LOWER_GROWTH`] times as
+/// much as the previous one.
 const SLOW_LOWERINGS: u32 = 3;
 const LOWER_GROWTH: f64 = 1.5;
 /// Maximum number of lowerings whose step grows.
@@ -58,10 +60,10 @@
 /// do not adjust in lockstep.
 const JITTER_MIN: f64 = 0.75;
 const JITTER_RANGE: f64 = 0.5;
-/// Number of rounds without another raise after a raise, because the reports of other members were
-/// counted before it.
+/// Number of rounds without another raise after a raise, because the reports of other members still
+/// contain counts from before it.
 const RAISE_COOLDOWN_ROUNDS: u32 = 1;
-/// Level below which the level becomes 0.
+/// Level below which a lowering sets the level to 0.
 const LEVEL_MIN: f64 = 0.01;
 /// Maximum encoded length of the report count in front of the reports, in bytes.
 const COUNT_LENGTH_MAX: usize = 2;
@@ -103,7 +105,7 @@
 pub struct SharedShedding {
     tiers: usize,
     level: f64,
-    /// Number of lowerings in a row.
+    /// Number of consecutive lowerings, which determines the size of the next one.
     lowerings: u32,
     /// Remaining rounds in which the level is not raised.
     raise_cooldown: u32,
