--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -44,7 +44,7 @@
     pub management: Option<SocketAddr>,
     /// Descriptor of the inherited client listener, from `GW_SOCKET_FD`.
     pub socket_fd: Option<RawFd>,
-    /// Directory of the files by which two processes of one balancer exchange state, from `TMPDIR`.
+    /// Directory of the slot and transfer files of hot restart, from `TMPDIR`; `None` if it is unset.
     pub hot_restart_directory: Option<PathBuf>,
     /// Membership in a fleet, if configured.
     pub fleet: Option<FleetConfig>,
@@ -58,11 +58,12 @@
     pub descriptors_max: usize,
     /// Memory limit of the process, in bytes.
     pub memory_max: usize,
-    /// Endpoint list from the configuration file (key `known`), which may be outdated.
+    /// Endpoint list from the configuration file (key `known`), with which clients are served before
+    /// discovery has answered. The operator or the platform wrote it earlier, so it may be outdated.
     pub stored_endpoint_list: Option<EndpointList>,
     /// Settings of the engine.
     pub settings: Settings,
-    /// Names in messages that correspond to the engine's indices.
+    /// Tables that map the names in messages to the engine's indices.
     pub names: NameTables,
     /// Settings of connections and request limits.
     pub transport: TransportSettings,
--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -55,7 +55,7 @@
     /// The value is not the number of a descriptor.
     #[error("\"{0}\" is not a descriptor number; expected that of a listening TCP socket")]
     NotADescriptor(String),
-    /// The settings can't be translated.
+    /// The operator's settings can't be translated into those of the engine.
     #[error(transparent)]
     Translation(#[from] TranslationError),
     /// The engine rejects the value.
--- a/crates/balancer/src/config/fleet.rs
+++ b/crates/balancer/src/config/fleet.rs
@@ -17,10 +17,11 @@
 const MEMBERS_RANGE: RangeInclusive<usize> = 2..=8_192;
 /// Range of `suspect_ms`, the suspicion timeout in milliseconds.
 const SUSPECT_MS_RANGE: RangeInclusive<u64> = 300..=60_000;
-/// Maximum of `hold_ms`, the share retention in milliseconds. Its minimum is the suspicion timeout.
+/// Maximum of `hold_ms`, the time in milliseconds for which a vanished member still counts for
+/// shares (share retention). Its minimum is the suspicion timeout.
 const HOLD_MS_MAX: u64 = 3_600_000;
-/// Maximum of `forget_ms`, the tombstone retention in milliseconds. Its minimum is twice the share
-/// retention.
+/// Maximum of `forget_ms`, the time in milliseconds after which a dead member is forgotten
+/// (tombstone retention). Its minimum is twice the share retention.
 const FORGET_MS_MAX: u64 = 86_400_000;
 
 /// Content of the key `fleet` in the file; times are in milliseconds.
@@ -62,14 +63,14 @@
     /// Returns the membership settings of this balancer, given its name and the number of balancers
     /// in its settings.
     #[must_use]
-    pub fn settings(&self, name: &str, configured: usize) -> MembershipSettings {
+    pub fn settings(&self, name: &str, configured_balancers: usize) -> MembershipSettings {
         MembershipSettings {
             fleet: self.name.clone(),
             name: name.into(),
             address: self.advertise,
             join: self.join.clone(),
             members_max: self.members_max,
-            configured_balancers: configured,
+            configured_balancers,
             timing: self.timing,
             location: self.location.clone(),
         }
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -68,7 +68,7 @@
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
-            /// Requests rejected, failed or queued and hedges suppressed, by reason.
+            /// Numbers of requests rejected, failed and queued, and of hedges suppressed, by reason.
             pub decisions: DecisionCounts,
         }
 
@@ -98,9 +98,10 @@
     /// Checks of a client's connection right before an attempt is written, made because the last
     /// poll is not recent enough.
     client_checks,
-    /// Checks of `client_checks` that found the client disconnected.
+    /// Checks counted in `client_checks` that found the client disconnected.
     client_checks_disconnected,
-    /// Attempts postponed until the next poll, because the last poll is not recent enough.
+    /// Times that connected attempts were postponed to the next poll, because the last poll was not
+    /// recent enough or discovery messages from a stall were unread.
     attempts_postponed,
     /// Stalls of the process between two polls.
     stalls,
@@ -158,11 +159,11 @@
     clients_closed,
     /// Unreadable responses of caches.
     upstream_unreadable,
-    /// Unreadable responses that stalled before they were complete.
+    /// Responses counted in `upstream_unreadable` that stalled before they were complete.
     upstream_stalled,
     /// Long values streamed to clients.
     streamed,
-    /// Streamed values that the cache aborted; the client's connection was closed.
+    /// Values counted in `streamed` that the cache aborted; the client's connection was closed.
     streams_aborted,
     /// Attempts and health checks for which no upstream connection slot was available.
     upstream_slots_exhausted,
@@ -185,7 +186,7 @@
     discovery_failed,
     /// Calls to discovery closed because nothing was received within the silence timeout.
     discovery_silent,
-    /// Longest silence before such a call was closed, in milliseconds.
+    /// Longest silence of a call counted in `discovery_silent`, in milliseconds.
     longest_discovery_silence_ms,
     /// Admin calls.
     admin_calls,
--- a/crates/balancer/src/engine_adapter.rs
+++ b/crates/balancer/src/engine_adapter.rs
@@ -10,12 +10,13 @@
 use routing_config::NameTables;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bit that is set in the numbers of zones that are not in the settings.
+/// Bit that is set in the numbers of zones that are not in the settings, so that they differ from
+/// the indices of those that are.
 const UNLISTED_ZONE_BIT: u64 = 1 << 63;
 /// Length of a key that consists of hexadecimal digits, in bytes.
 const HEX_KEY_LENGTH: usize = 16;
 
-/// Origin of an endpoint list.
+/// Source of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     /// A message of discovery.
@@ -24,7 +25,7 @@
     Stored,
 }
 
-/// The engine, with the names of classes, tenants, zones and kinds from the settings.
+/// The engine, with the names of classes, tenants, zones and machine kinds from the settings.
 pub struct EngineAdapter {
     engine: Engine,
     names: NameTables,
@@ -37,7 +38,7 @@
         EngineAdapter { engine, names }
     }
 
-    /// Returns the names of classes, tenants, zones and kinds in the settings.
+    /// Returns the names of classes, tenants, zones and machine kinds in the settings.
     #[must_use]
     pub fn names(&self) -> &NameTables {
         &self.names
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -44,7 +44,7 @@
 use std::time::Duration;
 use turn_meter::TurnMeter;
 
-/// The sockets can't be polled; the process can't continue.
+/// Error in polling the sockets, after which the process can't continue.
 #[derive(Debug, thiserror::Error)]
 #[error("polling the sockets failed: {0}")]
 pub struct PollError(#[from] io::Error);
@@ -71,11 +71,12 @@
     /// poll.
     postponed_turns: u32,
     signals: SignalPipes,
-    /// Times of the latest polls of the sockets.
+    /// Times of the latest polls of the sockets, from which arrival times of input follow.
     poll_timestamps: PollTimestamps,
     turn_meter: TurnMeter,
-    /// Maximum number of further polls for which attempts are held back after a stall, until the
-    /// discovery messages that arrived during the stall are read; 0 if none are held back.
+    /// Number of polls for which attempts are still postponed after a stall; 0 if they are not.
+    /// The discovery messages that arrived during the stall are read first, and the postponement
+    /// ends early once they are.
     catch_up_polls_left: u32,
     /// Maximum number of bytes that requests and responses may hold together.
     memory_limit: usize,
--- a/crates/balancer/src/event_loop/discovery.rs
+++ b/crates/balancer/src/event_loop/discovery.rs
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Schedules the next watch. Where lists are polled, notifies the engine, which schedules it.
+    /// Schedules the next watch after one has failed. If lists are polled instead of pushed, the
+    /// engine is notified of the failure and schedules the next query itself.
     fn watch_failed(&mut self) {
         match self.discovery.next_watch(self.clock.now()) {
             Some(at) => self.timers.set(at, TimerKind::Watch),
@@ -100,9 +101,9 @@
         let level = log_level(list);
         if level == log::Level::Debug {
             log::info!(
-                "discovery: applying version {} of the endpoint list with {} endpoints",
-                list.version,
-                list.endpoints.len()
+                "discovery: applying {} endpoints of list version {}",
+                list.endpoints.len(),
+                list.version
             );
         }
         let mut listed = BTreeSet::new();
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -11,12 +11,13 @@
 
 /// Timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
-/// Maximum age of the last poll at which attempts are still written if its results have just been
-/// processed. Processing them may take longer than a poll counts as fresh; each client's connection
-/// is checked again before its attempt is written.
+/// Maximum age of the last poll for writing attempts right after its results were processed.
+/// Processing them may take longer than a poll counts as fresh, but each client's connection is
+/// checked again before its attempt is written.
 const PROCESSED_POLL_AGE_MAX: Nanos = 100 * MS;
-/// Number of turns after which attempts no longer wait for a fresh poll. Without this limit they
-/// would never be sent where every turn takes long.
+/// Maximum number of consecutive turns in which attempts are postponed for lack of a recent poll.
+/// Without this limit they would never be sent if every turn took longer than
+/// [`PROCESSED_POLL_AGE_MAX`].
 const POSTPONED_TURNS_MAX: u32 = 3;
 
 /// Whether the sockets that the last poll reported have been processed.
@@ -24,16 +25,16 @@
 pub(super) enum PollState {
     /// All of them have just been processed.
     JustProcessed,
-    /// Some may be unprocessed, or they were processed before other work of the loop.
+    /// Some may be unprocessed, or the loop has done other work since it processed them.
     Earlier,
 }
 
 impl EventLoop {
     /// Starts an attempt, unless its request has no time left.
-    pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptSpec) {
+    pub(super) fn start_attempt(&mut self, now: Nanos, spec: AttemptSpec) {
         let started = self
             .attempt_tracker
-            .start_attempt(now, order, &mut self.counters);
+            .start_attempt(now, spec, &mut self.counters);
         match started {
             Ok(outbound) => {
                 if let UpstreamJob::Attempt(request, attempt) = outbound.job {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Cancels an attempt as the engine decided.
+    /// Cancels an attempt on the engine's decision.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Nanos,
@@ -99,9 +100,9 @@
         self.start_connected_jobs(PollState::Earlier);
     }
 
-    /// Writes the commands of jobs whose connections are established, while the last poll is recent
-    /// enough. After a stall nothing is sent until disconnects and endpoint updates are polled
-    /// again.
+    /// Writes the commands of jobs whose connections are established, or postpones them if the last
+    /// poll is not recent enough. During a stall clients may disconnect and endpoints may start to
+    /// drain, so nothing is sent until these events are polled again.
     pub(super) fn start_connected_jobs(&mut self, poll_state: PollState) {
         while let Some(job) = self.connected_jobs.pop_front() {
             let now = self.clock.now();
--- a/crates/balancer/src/event_loop/gossip.rs
+++ b/crates/balancer/src/event_loop/gossip.rs
@@ -1,5 +1,6 @@
 //! Fleet membership: the event loop drives the gossip transport and passes two values of the fleet
-//! to the engine, the number of balancers that shares are divided by and the shedding level.
+//! to the engine: the number of balancers by which quotas and limits are divided, and the shedding
+//! level.
 
 use super::{EventLoop, StartupError};
 use crate::config::settings_checksum;
@@ -45,12 +46,14 @@
             // Balancers of one fleet have different names and addresses, but equal settings.
             config_checksum: settings_checksum(&self.config.settings),
             request_rate_tenths: 0,
+            // Number of balancers that this member counts in the division of quotas and limits: at
+            // its start only itself. The membership crate updates the number.
             places: 1,
             extension: Vec::new(),
         }
     }
 
-    pub(super) fn run_gossip_turn(&mut self, now: Nanos) {
+    pub(super) fn run_gossip_tick(&mut self, now: Nanos) {
         let Some(gossip) = &mut self.gossip else {
             return;
         };
--- a/crates/balancer/src/event_loop/hot_restart.rs
+++ b/crates/balancer/src/event_loop/hot_restart.rs
@@ -23,7 +23,7 @@
         );
         if actions.apply_limits {
             log::info!(
-                "another process of this balancer is running: {}",
+                "another process of this balancer is running: {}; adjusting the limits",
                 self.hot_restart.has_other()
             );
         }
--- a/crates/balancer/src/event_loop/lifecycle.rs
+++ b/crates/balancer/src/event_loop/lifecycle.rs
@@ -37,7 +37,8 @@
             self.attempt_tracker.limit_deadlines(deadline);
             self.pending_events.push(Event::ShuttingDown(deadline));
         }
-        // The other process may have become ready since the last check, right before the signal.
+        // The platform may send the signal as soon as the other process is ready, and this process
+        // may not have checked for it since.
         self.check_other_process(now);
         self.apply_lifecycle(now);
     }
--- a/crates/balancer/src/event_loop/readiness.rs
+++ b/crates/balancer/src/event_loop/readiness.rs
@@ -1,6 +1,6 @@
 //! Processing of ready sockets in a fixed order, so that the engine decides on the latest state:
-//! endpoint updates come first and outcomes of attempts before new requests. Postponed attempts are
-//! written last, after the disconnects and endpoint updates of the same poll.
+//! endpoint updates come before outcomes of attempts, and these before new requests. Postponed
+//! attempts are written last, after the disconnects and endpoint updates of the same poll.
 
 use super::EventLoop;
 use super::dispatch::PollState;
@@ -100,9 +100,9 @@
         self.handle_upstream_events(now, events);
     }
 
-    /// Processes the timers that expired by the last poll. A timer that expired since then may
-    /// wait for input that has arrived but is not polled yet, so it must not fire before the next
-    /// poll.
+    /// Processes the timers that had expired by the last poll. A timer that has expired since then
+    /// may be a timeout for input that has arrived but is not polled yet, so it must not fire
+    /// before the next poll.
     fn process_timers(&mut self, now: Nanos) {
         self.turn_meter.step(TurnStep::Timers, self.clock.now());
         while let Some(timer) = self.timers.pop_expired(self.poll_timestamps.last_poll()) {
--- a/crates/balancer/src/event_loop/stalls.rs
+++ b/crates/balancer/src/event_loop/stalls.rs
@@ -1,5 +1,5 @@
 //! Detection of stalls: a long gap between two polls, or a long turn. After a stall, attempts are
-//! held back until the discovery messages that arrived meanwhile are read.
+//! postponed until the discovery messages that arrived meanwhile are read.
 
 use super::EventLoop;
 use super::turn_meter::{StepTime, TurnMeter, TurnStep};
@@ -9,8 +9,8 @@
 
 /// Duration above which a turn is counted, and logged with its longest step.
 const LONG_TURN: Nanos = 20 * MS;
-/// Maximum number of polls after a stall for which attempts are held back. Each poll reads 32 KiB
-/// of discovery messages; all of them together read half of the longest list.
+/// Maximum number of polls after a stall for which attempts are postponed. Each poll reads 32 KiB
+/// of discovery messages, so this number of polls reads 2 MiB, half of the longest message.
 const CATCH_UP_POLLS: u32 = 64;
 
 impl EventLoop {
@@ -44,8 +44,8 @@
         self.catch_up_polls_left > 0
     }
 
-    /// Updates the number of polls for which attempts are held back, after a poll was processed.
-    /// The hold ends as soon as no discovery message is pending.
+    /// Updates the number of polls for which attempts are postponed, after a poll was processed.
+    /// The postponement ends as soon as no discovery message is pending.
     pub(super) fn update_catch_up(&mut self) {
         self.catch_up_polls_left = if self.discovery.has_unprocessed_data() {
             self.catch_up_polls_left.saturating_sub(1)
@@ -57,7 +57,7 @@
     /// Ends the measurement of a turn, and counts and logs the turn if it was long.
     pub(super) fn end_turn(&mut self) {
         let now = self.clock.now();
-        // Starting another step ends the measurement of the last one.
+        // Ends the measurement of the last step: starting any step ends the previous one.
         self.turn_meter.step(TurnStep::AdminCalls, now);
         let elapsed = self.turn_meter.elapsed(now);
         self.counters.longest_turn_us = self.counters.longest_turn_us.max(elapsed / 1_000);
--- a/crates/balancer/src/event_loop/startup.rs
+++ b/crates/balancer/src/event_loop/startup.rs
@@ -157,9 +157,10 @@
         self.join_fleet(now)?;
         match stored_list {
             Some(list) => self.load_stored_list(&list),
-            // The engine queries discovery on its first event, whatever that is. Without a stored
-            // list the first event would be a client's request, but the platform sends no clients
-            // to a process that is not ready.
+            // The engine queries discovery when it handles its first event, of whatever kind.
+            // Without a stored list that would be a client's request, but the platform sends no
+            // clients to a process that is not ready, and this process becomes ready only once it
+            // has a list. Therefore a timer event is passed to the engine at the start.
             None => self.pending_events.push(Event::TimerFired(TimerToken(0))),
         }
         if self.discovery.is_pushed() {
@@ -207,8 +208,9 @@
     Ok(listener)
 }
 
-/// Opens the slot files of a hot restart and takes a slot. Without them the process serves as if it
-/// were the only one of this balancer.
+/// Opens the slot files of hot restart and takes a slot. Returns `None` if hot restart is not
+/// configured or the files can't be opened; the process then serves as if it were the only one of
+/// this balancer.
 fn take_process_slot(config: &Config, now: Nanos) -> Option<ProcessSlots> {
     config.socket_fd?;
     let directory = config.hot_restart_directory.as_ref()?;
--- a/crates/balancer/src/event_loop/timeouts.rs
+++ b/crates/balancer/src/event_loop/timeouts.rs
@@ -21,7 +21,7 @@
             TimerKind::ReapIdle => self.reap_connections(now),
             TimerKind::Lifecycle => self.apply_lifecycle(now),
             TimerKind::CheckOtherProcess => self.check_other_process(now),
-            TimerKind::Gossip => self.run_gossip_turn(now),
+            TimerKind::Gossip => self.run_gossip_tick(now),
         }
     }
 
@@ -59,18 +59,24 @@
 
     fn response_stalled(&mut self, now: Nanos, connection: u64) {
         let mut events = Vec::new();
-        // Bytes that arrived since the last poll are not read yet.
-        let seen = self.poll_timestamps.last_poll();
-        self.upstream_pool
-            .handle_stall_timeout(seen, connection, &mut events, &mut self.counters);
+        // Bytes that arrived since the last poll are not read yet, so the time since then does not
+        // count.
+        let polled_at = self.poll_timestamps.last_poll();
+        self.upstream_pool.handle_stall_timeout(
+            polled_at,
+            connection,
+            &mut events,
+            &mut self.counters,
+        );
         self.handle_upstream_events(now, events);
     }
 
     fn discovery_timed_out(&mut self, connection: u64) {
         let mut events = Vec::new();
-        let seen = self.poll_timestamps.last_poll();
+        // As for responses, the time since the last poll does not count.
+        let polled_at = self.poll_timestamps.last_poll();
         self.discovery.handle_silence_timeout(
-            seen,
+            polled_at,
             connection,
             &mut self.timers,
             &mut events,
--- a/crates/balancer/src/hot_restart.rs
+++ b/crates/balancer/src/hot_restart.rs
@@ -1,7 +1,7 @@
 //! Coordination of the two processes of one balancer during a hot restart.
 //!
-//! It does no I/O: the caller passes the content of the other process's slot with the time of each
-//! check.
+//! This module does no I/O: the caller passes the content of the other process's slot with the time
+//! of each check.
 
 use crate::timers::MS;
 use routing::Nanos;
@@ -9,7 +9,7 @@
 
 /// Interval between checks for the other process.
 const CHECK_INTERVAL: Nanos = 100 * MS;
-/// Interval between checks of a new process for the state transfer that it awaits.
+/// Interval between checks of a new process while it awaits a state transfer.
 const TRANSFER_CHECK_INTERVAL: Nanos = 10 * MS;
 /// Maximum time that a new process waits for a state transfer.
 const TRANSFER_TIMEOUT: Nanos = 500 * MS;
--- a/crates/balancer/src/lifecycle.rs
+++ b/crates/balancer/src/lifecycle.rs
@@ -2,6 +2,10 @@
 //!
 //! The state machine does no I/O. It is notified of events with their times, and its policy alone
 //! determines what the listeners accept and answer.
+//!
+//! Contract with the platform: after SIGTERM, SIGKILL follows no sooner than 0.7 s plus the longest
+//! client timeout of the deployment, which counts as at most 3 s. Until then clients may continue
+//! to send on open connections.
 
 use crate::timers::MS;
 use routing::Nanos;
@@ -10,18 +14,19 @@
 /// checks health ten times a second and takes 0.2 s to redirect clients has done so by then; a
 /// client that is disconnected earlier would reconnect to this process.
 const IDLE_CLOSE_DELAY: Nanos = 400 * MS;
-/// Time for which new connections are accepted after SIGTERM. Clients keep connecting for up to
-/// 0.4 s, and by the protocol even later ones must be answered before the process is killed.
+/// Time for which new connections are accepted after SIGTERM. They are expected for up to 0.4 s;
+/// by the contract with the platform, clients that connect later must also be answered before the
+/// process is killed.
 const ACCEPT_TIME_DURING_SHUTDOWN: Nanos = 700 * MS;
 /// Maximum time for which commands are still accepted on connections that are to be closed once
 /// idle. Without this limit a client that sends without pause would keep its connection open
 /// forever. A shutdown may leave less time.
 const COMMAND_INTAKE_TIME: Nanos = 1_500 * MS;
-/// Maximum client timeout that a shutdown allows for; longer client timeouts count as this one. By
-/// the protocol a process is killed no sooner than `ACCEPT_TIME_DURING_SHUTDOWN` plus the longest
-/// client timeout after SIGTERM.
+/// Maximum client timeout in the contract with the platform; longer client timeouts count as this
+/// one. The process is killed no sooner than `ACCEPT_TIME_DURING_SHUTDOWN` plus the longest client
+/// timeout after SIGTERM.
 const CLIENT_TIMEOUT_MAX: Nanos = 3_000 * MS;
-/// Time between the last answer and the earliest time at which the process may be killed.
+/// Minimum time between the last answer and the earliest time at which the process may be killed.
 const KILL_MARGIN: Nanos = 100 * MS;
 
 /// How the client listener treats new connections.
@@ -103,7 +108,7 @@
     other_process_serves: bool,
     /// Whether a state transfer from another process is awaited.
     awaiting_state_transfer: bool,
-    /// Maximum time from the request to shut down until the last answer.
+    /// Maximum time from the shutdown request until the last answer.
     longest_answer_time: Nanos,
 }
 
@@ -192,7 +197,8 @@
     /// Ends a drain on an operator's command.
     ///
     /// # Errors
-    /// If the process is shutting down, because clients have been disconnected permanently.
+    /// If the process is shutting down. This can't be undone, as clients are already being
+    /// disconnected.
     pub fn resume(&mut self) -> Result<(), ResumeConflict> {
         match self.state {
             LifecycleState::Quiesced { listed, .. } => {
@@ -273,7 +279,8 @@
         }
     }
 
-    /// Returns the time since which the process drains, by a quiesce or a shutdown.
+    /// Returns the time at which the drain by a quiesce or a shutdown started; `None` if the process
+    /// is not draining.
     fn draining_since(&self) -> Option<Nanos> {
         match self.state {
             LifecycleState::Starting { .. } | LifecycleState::Serving => None,
@@ -283,7 +290,8 @@
         }
     }
 
-    /// Returns the next time at which the policy changes without a further event, if it does.
+    /// Returns the next time at which the policy changes without a further event; `None` if only an
+    /// event can change it.
     #[must_use]
     pub fn next_change(&self, now: Nanos) -> Option<Nanos> {
         let since = self.draining_since()?;
--- a/crates/balancer/src/poll.rs
+++ b/crates/balancer/src/poll.rs
@@ -87,30 +87,30 @@
 /// Kinds of readiness that a socket is registered for. Hang-ups and errors are always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Report the socket when it can be read.
+    /// Whether the socket is reported when it can be read.
     pub readable: bool,
-    /// Report the socket when it can be written.
+    /// Whether the socket is reported when it can be written.
     pub writable: bool,
 }
 
 impl Interest {
-    /// Only hang-ups and errors.
+    /// Interest in hang-ups and errors only.
     pub const NONE: Interest = Interest {
         readable: false,
         writable: false,
     };
-    /// Readable sockets.
+    /// Interest in reading.
     pub const READABLE: Interest = Interest {
         readable: true,
         writable: false,
     };
-    /// Writable sockets.
+    /// Interest in writing.
     pub const WRITABLE: Interest = Interest {
         readable: false,
         writable: true,
     };
 
-    /// Returns the interest in reading and, if `has_unsent` output, in writing.
+    /// Returns the interest in reading, and also in writing if the socket has unsent output.
     #[must_use]
     pub fn readable_and(has_unsent: bool) -> Self {
         Interest {
--- a/crates/balancer/src/poll_timestamps.rs
+++ b/crates/balancer/src/poll_timestamps.rs
@@ -1,5 +1,5 @@
-//! Times of the latest polls of the sockets, and the earliest arrival times of input that follow
-//! from them.
+//! Times of the latest polls of the sockets. From them follows the earliest time at which input can
+//! have arrived.
 //!
 //! A process can stall at any point: by the scheduler, by SIGSTOP, or by a long turn of its own.
 //! Input that it finds afterwards may have been waiting for the whole stall. A *poll* here is one
@@ -13,13 +13,14 @@
 
 /// Maximum wait for ready sockets. A longer wait shows that the process stalled.
 pub const MAX_POLL_WAIT: Nanos = 30 * MS;
-/// Gap between two polls above which the process counts as stalled, so that input found after the
-/// gap may have arrived at its beginning. Shorter gaps are within the 150 ms by which deadlines may
-/// be inexact.
+/// Gap between two polls above which the process counts as stalled. Input found after a stall may
+/// have arrived at its beginning. After a shorter gap, input counts as having just arrived; this
+/// error is permitted, because the timeout that an attempt carries to a cache may exceed the
+/// client's remaining time by up to 150 ms.
 const STALL_THRESHOLD: Nanos = 40 * MS;
 /// Maximum age at which the result of a poll is used without another check before something is
-/// sent. Together with [`STALL_THRESHOLD`] it is under the 100 ms after which nothing may be sent
-/// for a client that has disconnected.
+/// sent. Together with [`STALL_THRESHOLD`] it is below 100 ms: by the rules of the service no
+/// attempt may begin more than 100 ms after its client has closed or cancelled.
 const FRESHNESS: Nanos = 25 * MS;
 
 /// Times of the polls of one process.
@@ -78,7 +79,8 @@
         stalled
     }
 
-    /// Returns the time by which input that the last poll did not report had not arrived.
+    /// Returns the time of the last poll. Input that this poll did not report had not arrived by
+    /// then.
     #[must_use]
     pub fn last_poll(&self) -> Nanos {
         self.last_poll
@@ -134,7 +136,8 @@
     }
 }
 
-/// Times at which a client connection was read and found to be connected, as far as the polls show.
+/// Record of when a client connection was last read, and when its client was last known to be
+/// connected.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPresence {
     /// Number of the poll in whose turn the connection was last read or accepted.
@@ -147,8 +150,8 @@
 }
 
 impl ClientPresence {
-    /// Returns the presence of a connection that was just accepted, after waiting in the backlog
-    /// possibly since `waited_since`.
+    /// Creates the record of a connection that was just accepted and may have waited in the backlog
+    /// since `waited_since`.
     #[must_use]
     pub fn accepted(polls: &PollTimestamps, waited_since: Nanos) -> Self {
         ClientPresence {
--- a/crates/balancer/src/process_slots.rs
+++ b/crates/balancer/src/process_slots.rs
@@ -29,8 +29,8 @@
     /// If a slot file can't be opened.
     pub fn take(folder: &Path, process: String) -> io::Result<Self> {
         let transfer = TransferFile::new(folder, process.clone());
-        // An existing transfer is for a process that died before reading it: nothing is written
-        // for this process before it holds a slot.
+        // An existing transfer was written for a process that died before reading it. It can't be
+        // for this process, because none is written for a process that holds no slot.
         transfer.discard();
         let mut slots = ProcessSlots {
             files: [open_slot(folder, 0)?, open_slot(folder, 1)?],
@@ -43,7 +43,7 @@
         Ok(slots)
     }
 
-    /// Takes a free slot if this process holds none. An earlier attempt can fail although a slot is
+    /// Takes a free slot if this process holds none. An earlier call can fail although a slot is
     /// free, because the other process locks the slot for a moment to check it.
     fn take_free_slot(&mut self) {
         if self.own.is_none() {
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -42,8 +42,8 @@
     pub key: Vec<u8>,
     /// Request id chosen by the client.
     pub request_id: Vec<u8>,
-    /// Names and values of the client's fields, except for its timeout, which each attempt sets
-    /// to its own.
+    /// Names and values of the client's fields, except for the timeout: each attempt sends its own
+    /// timeout.
     pub fields: Vec<(String, String)>,
 }
 
@@ -81,7 +81,7 @@
 pub enum FinalAnswer {
     /// The value or receipt that a cache returned for the request.
     Served(Vec<u8>),
-    /// A value of this length in bytes that arrives in chunks and may still be aborted.
+    /// A value of this length in bytes that is streamed in chunks; the cache may still abort it.
     Streaming(usize),
     /// The request was rejected without effect; the client may safely retry it.
     Rejected {
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,7 +1,8 @@
 //! The clock and the timers of the event loop.
 //!
-//! The handler of an expired timer ignores it if its subject has ended. Timers with long deadlines
-//! are cancelled when their subject ends; otherwise those of many short requests would accumulate.
+//! The handler of an expired timer ignores it if the attempt, health check or connection that it was
+//! set for has ended. Timers with long deadlines are cancelled at that end; otherwise those of many
+//! short requests would accumulate.
 
 use routing::{AttemptNumber, Nanos, RequestId, TimerToken};
 use std::collections::{BTreeMap, HashMap};
@@ -60,7 +61,7 @@
     CheckOtherProcess,
     /// Next change of the lifecycle policy.
     Lifecycle,
-    /// Next gossip turn.
+    /// Next gossip tick.
     Gossip,
 }
 
