--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -91,7 +91,8 @@
     unknown_class,
     /// Requests with the id of a request that is still open.
     duplicate_id,
-    /// Requests rejected without asking the engine, at the limit of memory or of open requests.
+    /// Requests rejected without being passed to the engine, because the limit of memory or of open
+    /// requests was reached.
     rejected_at_limits,
     /// Requests whose client timeout had already passed when they were read.
     expired_when_read,
@@ -119,7 +120,7 @@
     health_checks,
     /// Attempts that received a value or a receipt.
     attempts_ok,
-    /// Attempts that received an error from the cache.
+    /// Attempts to which the cache responded with an error or a miss.
     attempts_error,
     /// Attempts that the cache rejected.
     attempts_rejected,
@@ -132,7 +133,7 @@
     attempts_reset,
     /// Attempts that received an unreadable response.
     attempts_unreadable,
-    /// Attempts that received an error about the request itself from the cache.
+    /// Attempts to which the cache responded that the request itself is invalid.
     attempts_invalid,
     /// Attempts cancelled by the engine.
     attempts_cancelled,
--- a/crates/balancer/src/engine_adapter/tests.rs
+++ b/crates/balancer/src/engine_adapter/tests.rs
@@ -18,7 +18,7 @@
     else {
         panic!("expected an endpoint update");
     };
-    // Index pairs of the endpoints that share a property.
+    // Returns the index pairs of all endpoints for which `same` is true.
     let pairs = |same: &dyn Fn(&Endpoint, &Endpoint) -> bool| {
         let count = endpoints.len();
         let pairs = (0..count).flat_map(|a| (a + 1..count).map(move |b| (a, b)));
--- a/crates/balancer/src/event_loop.rs
+++ b/crates/balancer/src/event_loop.rs
@@ -71,7 +71,7 @@
     /// poll.
     postponed_turns: u32,
     signals: SignalPipes,
-    /// Times of the latest polls of the sockets, from which arrival times of input follow.
+    /// Times of the latest polls of the sockets, which bound the arrival times of input.
     poll_timestamps: PollTimestamps,
     turn_meter: TurnMeter,
     /// Number of polls for which attempts are still postponed after a stall; 0 if they are not.
--- a/crates/balancer/src/event_loop/tests/deadlines.rs
+++ b/crates/balancer/src/event_loop/tests/deadlines.rs
@@ -19,7 +19,7 @@
     assert_eq!(
         harness.event_loop.attempt_tracker.open_requests(),
         0,
-        "the request is answered"
+        "the request must be answered"
     );
     harness.expect_answer(0, "-");
 }
--- a/crates/balancer/src/event_loop/tests/disconnects.rs
+++ b/crates/balancer/src/event_loop/tests/disconnects.rs
@@ -56,7 +56,7 @@
             .counters
             .longest_unsent_after_disconnect_ms
             < 300,
-        "the time from the disconnect until the connection was established"
+        "the unsent attempt ended long after the disconnect"
     );
     assert_eq!(harness.event_loop.attempt_tracker.open_requests(), 0);
 }
@@ -135,7 +135,7 @@
     assert_eq!(harness.event_loop.attempt_tracker.open_requests(), 1_000);
     assert!(
         harness.event_loop.counters.attempts < 100,
-        "most requests are queued, but {} attempts were started",
+        "most requests must be queued, but {} attempts were started",
         harness.event_loop.counters.attempts
     );
     harness.clients.clear();
@@ -157,6 +157,6 @@
     }
     assert_eq!(
         harness.event_loop.counters.attempts, attempts,
-        "no attempt is started after the disconnects"
+        "no attempt may start after the disconnects"
     );
 }
--- a/crates/balancer/src/event_loop/tests/discovery.rs
+++ b/crates/balancer/src/event_loop/tests/discovery.rs
@@ -38,7 +38,7 @@
     harness.caches[other].set_nonblocking(true).unwrap();
     assert!(
         harness.caches[other].accept().is_err(),
-        "no connection to the draining cache is opened"
+        "no connection to the draining cache may be opened"
     );
 }
 
--- a/crates/balancer/src/event_loop/tests/dispatch.rs
+++ b/crates/balancer/src/event_loop/tests/dispatch.rs
@@ -31,7 +31,7 @@
     assert_eq!(
         harness.event_loop.connected_jobs.len(),
         1,
-        "the job is queued once, however often its connection is reported"
+        "the job must be queued once, however often its connection is reported"
     );
     harness.turn(&[UPSTREAM_0]);
     let mut cache = harness.accept(0);
@@ -39,7 +39,7 @@
     cache.set_nonblocking(true).unwrap();
     assert!(
         is_open_without_input(&cache),
-        "something follows the command"
+        "the cache received more than one command, or its connection was closed"
     );
 }
 
@@ -54,7 +54,7 @@
     harness.turn(&[UPSTREAM_0]);
     harness.run_until(|event_loop| event_loop.counters.discovery_calls == 1);
     harness.turn(&[EventSource::Discovery(0)]);
-    // By then the connection may be reused for the next attempt.
+    // After this time the pool may reuse the connection for the next attempt.
     std::thread::sleep(Duration::from_millis(12));
     let client = harness.connect_client();
     harness.clients[client]
@@ -87,6 +87,6 @@
     assert_eq!(
         read_to_end(&mut cache),
         "",
-        "the connection of the postponed attempt is closed unused"
+        "the connection of the postponed attempt must be closed unused"
     );
 }
--- a/crates/balancer/src/event_loop/tests/harness.rs
+++ b/crates/balancer/src/event_loop/tests/harness.rs
@@ -110,21 +110,21 @@
     /// Connects a client that sends a request with this client timeout, and runs the event loop
     /// until the engine has decided on the request.
     pub(super) fn send_request(&mut self, class: &str, client_timeout_ms: u64) {
-        let number = self.connect_client();
+        let client = self.connect_client();
         let fields = format!("c={class},d={client_timeout_ms}");
         let mut words: Vec<&[u8]> = vec![b"C.GET", b"a", b"1", fields.as_bytes()];
         if class != "read" {
             words[0] = b"C.SET";
             words.push(b"value");
         }
-        self.clients[number]
+        self.clients[client]
             .write_all(&write_command(&words))
             .unwrap();
-        self.turn(&[EventSource::Client(number as u64)]);
+        self.turn(&[EventSource::Client(client as u64)]);
     }
 
-    /// Sends a request of a new client until a cache has received its command. Returns the index of
-    /// the cache and its connection.
+    /// Connects a client that sends a request, and runs the event loop until a cache has received
+    /// the command. Returns the index of the cache and its connection.
     pub(super) fn forward_request(
         &mut self,
         class: &str,
--- a/crates/balancer/src/event_loop/tests/hot_restart.rs
+++ b/crates/balancer/src/event_loop/tests/hot_restart.rs
@@ -5,26 +5,26 @@
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::IntoRawFd;
 
-/// A listening socket for two processes of one balancer, and the folder of their slot and transfer
-/// files.
+/// A listening socket for two processes of one balancer, and the directory of their slot files and
+/// transfer file.
 struct HotRestartPair {
-    folder: std::path::PathBuf,
+    directory: std::path::PathBuf,
     listener: TcpListener,
 }
 
 impl Drop for HotRestartPair {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 impl HotRestartPair {
     fn new(name: &str) -> Self {
-        let folder =
+        let directory =
             std::env::temp_dir().join(format!("pipitrun-pair-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
+        std::fs::create_dir_all(&directory).unwrap();
         HotRestartPair {
-            folder,
+            directory,
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
         }
     }
@@ -34,7 +34,7 @@
         let socket = self.listener.try_clone().unwrap();
         Harness::with_config(DEFAULTS, |config| {
             config.socket_fd = Some(socket.into_raw_fd());
-            config.hot_restart_directory = Some(self.folder.clone());
+            config.hot_restart_directory = Some(self.directory.clone());
         })
     }
 
@@ -61,12 +61,12 @@
 
 #[test]
 fn shutdown_right_after_the_new_process_is_ready_hands_the_listener_over() {
-    let pair = HotRestartPair::new("yes");
+    let pair = HotRestartPair::new("handover");
     let (mut old, mut new) = pair.start_both();
     old.begin_shutdown();
     assert!(
         old.event_loop.is_finished(),
-        "the old process has no clients left"
+        "the old process must be finished, as it has no clients left"
     );
     new.accept_and_answer(pair.connect_ping_client(), "+PONG\r\n");
 }
@@ -74,16 +74,16 @@
 #[test]
 fn state_is_written_for_each_new_process_once_it_has_written_its_slot() {
     let pair = HotRestartPair::new("names");
-    let transfer = pair.folder.join("pipitrun.notes");
+    let transfer = pair.directory.join("pipitrun.notes");
     let mut old = pair.start();
     // As if a new process held its slot, but had not written its name yet.
-    let slot = pair.folder.join("pipitrun.seat-1");
+    let slot = pair.directory.join("pipitrun.seat-1");
     let slot = std::fs::File::options().write(true).open(slot).unwrap();
     slot.lock().unwrap();
     old.check_other_process();
     assert!(
         old.event_loop.hot_restart.has_other() && !transfer.exists(),
-        "no state is written for a process without a name"
+        "no state may be written for a process without a name"
     );
     drop(slot);
     // The next process dies before it reads its state.
@@ -94,7 +94,7 @@
     let mut new = pair.start();
     assert!(
         !transfer.exists() && !new.event_loop.lifecycle.is_ready(),
-        "a new process discards the state for the dead one and awaits its own"
+        "a new process must discard the state for the dead one and await its own"
     );
     old.check_other_process();
     new.check_other_process();
@@ -120,7 +120,10 @@
     old.send_request("read", 50_000);
     old.turn(&[UPSTREAM_0]);
     old.begin_shutdown();
-    assert!(!old.event_loop.is_finished(), "a request is still open");
+    assert!(
+        !old.event_loop.is_finished(),
+        "the old process must wait for its open request"
+    );
     drop(new);
     let client = pair.connect_ping_client();
     old.check_other_process();
--- a/crates/balancer/src/event_loop/tests/retries.rs
+++ b/crates/balancer/src/event_loop/tests/retries.rs
@@ -25,7 +25,7 @@
             harness.event_loop.counters.upstream_opened
         ),
         (1, 2),
-        "the write is retried within its window"
+        "the write must be retried within its window"
     );
     let mut cache = harness.accept(0);
     let connected = harness.wait(UPSTREAM_1);
@@ -59,7 +59,7 @@
             harness.event_loop.counters.upstream_opened
         ),
         (1, 2),
-        "a write that may have run is not retried"
+        "a write that may have run must not be retried"
     );
     harness.expect_answer(0, "-");
 }
--- a/crates/balancer/src/event_loop/tests/shutdown.rs
+++ b/crates/balancer/src/event_loop/tests/shutdown.rs
@@ -65,7 +65,7 @@
     assert_eq!(
         harness.event_loop.attempt_tracker.open_requests(),
         1,
-        "the request waits for an endpoint list"
+        "the request must wait for an endpoint list"
     );
     harness.run_until(|event_loop| event_loop.attempt_tracker.open_requests() == 0);
     harness.expect_answer(0, "-BUSY\r\n");
--- a/crates/balancer/src/hot_restart.rs
+++ b/crates/balancer/src/hot_restart.rs
@@ -119,7 +119,8 @@
         is_over
     }
 
-    /// Returns the new process that state must be written for. Each process is returned once.
+    /// Returns the name of the other process if it is new and state must be written for it. Each
+    /// process is returned once.
     fn next_recipient(&mut self) -> Option<String> {
         let is_new = |other: &&OtherProcess| !other.ready && !other.is_unknown();
         let recipient = &self.other.as_ref().filter(is_new)?.process;
--- a/crates/balancer/src/hot_restart/tests.rs
+++ b/crates/balancer/src/hot_restart/tests.rs
@@ -67,7 +67,7 @@
             !process
                 .check(2 * TRANSFER_TIMEOUT, other("a", true), true, false)
                 .read_state,
-            "state is read only once"
+            "state must be read only once"
         );
     }
 }
@@ -120,7 +120,7 @@
         idle.check(0, other("c", false), false, false)
             .write_state_for,
         None,
-        "a process that serves no clients writes no state"
+        "a process that serves no clients must write no state"
     );
 }
 
@@ -171,7 +171,7 @@
             let has_changed = other.is_some() != has_other;
             prop_assert_eq!(
                 actions.apply_limits, has_changed,
-                "limits change exactly when the other process appears or disappears"
+                "limits must change exactly when the other process appears or disappears"
             );
             has_other = other.is_some();
             reads += u32::from(actions.read_state);
--- a/crates/balancer/src/lifecycle/tests.rs
+++ b/crates/balancer/src/lifecycle/tests.rs
@@ -67,7 +67,7 @@
     assert_eq!(
         lifecycle.next_change(1000),
         Some(1000 + IDLE_CLOSE_DELAY),
-        "a second quiesce does not restart the delay"
+        "a second quiesce must not restart the delay"
     );
     assert!(
         !lifecycle.policy(999 + IDLE_CLOSE_DELAY).closes_idle
@@ -156,7 +156,7 @@
                 drained.policy(COMMAND_INTAKE_TIME - 1).accepts_commands
             ),
             (None, true),
-            "a quiesced process is not killed"
+            "a quiesced process is not killed, so it needs no deadline"
         );
     }
 }
@@ -170,7 +170,7 @@
     lifecycle.set_awaiting_state_transfer(false);
     assert!(lifecycle.is_ready());
     lifecycle.set_awaiting_state_transfer(true);
-    assert!(lifecycle.is_ready(), "a serving process stays ready");
+    assert!(lifecycle.is_ready(), "a serving process must stay ready");
 }
 
 #[test]
@@ -179,7 +179,7 @@
     assert_eq!(
         lifecycle.policy(0).listener_mode,
         ListenerMode::Paused,
-        "a process that is not ready accepts no connections"
+        "a process that is not ready must accept no connections"
     );
     lifecycle.endpoints_listed();
     assert_eq!(lifecycle.policy(0).listener_mode, ListenerMode::Open);
@@ -187,7 +187,7 @@
     assert_eq!(
         lifecycle.policy(0).listener_mode,
         ListenerMode::Open,
-        "both processes accept until one is shut down"
+        "both processes must accept until one is shut down"
     );
     let serving = lifecycle;
     lifecycle.quiesce(0);
@@ -250,7 +250,7 @@
         );
         prop_assert!(
             policy.closes_idle || policy.listener_mode == ListenerMode::Open,
-            "a process that accepts no connections closes the idle ones"
+            "a process that accepts no connections must close the idle ones"
         );
         // A resume and an endpoint list make the process ready from every state but shutdown.
         let is_shutting_down = lifecycle.name() == "ending";
@@ -258,6 +258,6 @@
         prop_assert_eq!(lifecycle.resume().is_err(), is_shutting_down);
         prop_assert_eq!(lifecycle.is_ready(), !is_shutting_down);
         lifecycle.begin_shutdown(now);
-        prop_assert!(lifecycle.is_finished(u64::MAX, 0), "every shutdown completes");
+        prop_assert!(lifecycle.is_finished(u64::MAX, 0), "every shutdown must complete");
     }
 }
--- a/crates/balancer/src/process_slots.rs
+++ b/crates/balancer/src/process_slots.rs
@@ -22,18 +22,18 @@
 }
 
 impl ProcessSlots {
-    /// Opens the slot files in `folder` and takes a free slot for the process named `process`.
+    /// Opens the slot files in `directory` and takes a free slot for the process named `process`.
     ///
     /// # Errors
     ///
     /// If a slot file can't be opened.
-    pub fn take(folder: &Path, process: String) -> io::Result<Self> {
-        let transfer = TransferFile::new(folder, process.clone());
+    pub fn take(directory: &Path, process: String) -> io::Result<Self> {
+        let transfer = TransferFile::new(directory, process.clone());
         // An existing transfer was written for a process that died before reading it. It can't be
         // for this process, because none is written for a process that holds no slot.
         transfer.discard();
         let mut slots = ProcessSlots {
-            files: [open_slot(folder, 0)?, open_slot(folder, 1)?],
+            files: [open_slot(directory, 0)?, open_slot(directory, 1)?],
             own: None,
             process,
             ready: false,
@@ -107,13 +107,13 @@
     }
 }
 
-fn open_slot(folder: &Path, slot: usize) -> io::Result<File> {
+fn open_slot(directory: &Path, slot: usize) -> io::Result<File> {
     OpenOptions::new()
         .read(true)
         .write(true)
         .create(true)
         .truncate(false)
-        .open(folder.join(format!("pipitrun.seat-{slot}")))
+        .open(directory.join(format!("pipitrun.seat-{slot}")))
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/process_slots/tests.rs
+++ b/crates/balancer/src/process_slots/tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 use std::path::PathBuf;
 
-/// Temporary folder of one test, removed at the test's end.
-struct Folder(PathBuf);
+/// Temporary directory of one test, removed at the test's end.
+struct TestDirectory(PathBuf);
 
-impl Folder {
+impl TestDirectory {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("pipitrun-slots-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestDirectory(path)
     }
 
     fn slots(&self, process: &str) -> ProcessSlots {
@@ -19,7 +19,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -27,10 +27,10 @@
 
 #[test]
 fn two_processes_find_each_other_as_long_as_both_run() {
-    let folder = Folder::new("two");
-    let mut a = folder.slots("a");
+    let directory = TestDirectory::new("two");
+    let mut a = directory.slots("a");
     assert_eq!(a.other_process(), None);
-    let mut b = folder.slots("b");
+    let mut b = directory.slots("b");
     assert_eq!(
         a.other_process(),
         Some(OtherProcess {
@@ -53,7 +53,7 @@
             ready: false
         })
     );
-    let mut c = folder.slots("c");
+    let mut c = directory.slots("c");
     assert_eq!(
         c.other_process().map(|other| other.ready),
         Some(false),
@@ -63,12 +63,12 @@
     assert_eq!(
         b.other_process(),
         None,
-        "the slot content of a dead process is ignored"
+        "the slot content of a dead process must be ignored"
     );
     assert_eq!(
         c.other_process().map(|other| other.process),
         Some("b".into()),
-        "the freed slot is taken"
+        "the freed slot must be taken"
     );
     assert_eq!(
         b.other_process().map(|other| other.process),
@@ -78,9 +78,9 @@
 
 #[test]
 fn process_that_has_not_written_its_slot_is_not_mistaken_for_its_dead_predecessor() {
-    let folder = Folder::new("dead");
-    let mut a = folder.slots("a");
-    let mut b = folder.slots("b");
+    let directory = TestDirectory::new("dead");
+    let mut a = directory.slots("a");
+    let mut b = directory.slots("b");
     b.set_ready(true);
     assert_eq!(a.other_process().map(|other| other.ready), Some(true));
     // As if the process was killed: its slot content stays.
@@ -88,7 +88,7 @@
     assert_eq!(a.other_process(), None);
     let next = File::options()
         .write(true)
-        .open(folder.0.join("pipitrun.seat-1"))
+        .open(directory.0.join("pipitrun.seat-1"))
         .unwrap();
     next.lock().unwrap();
     assert_eq!(a.other_process(), Some(OtherProcess::unknown()));
--- a/crates/balancer/src/state_transfer.rs
+++ b/crates/balancer/src/state_transfer.rs
@@ -99,12 +99,12 @@
 }
 
 impl TransferFile {
-    /// Returns the transfer file in `folder`, for use by the process named `process`.
+    /// Returns the transfer file in `directory`, for use by the process named `process`.
     #[must_use]
-    pub fn new(folder: &Path, process: String) -> Self {
+    pub fn new(directory: &Path, process: String) -> Self {
         TransferFile {
-            path: folder.join(FILE_NAME),
-            partial_path: folder.join(PARTIAL_FILE_NAME),
+            path: directory.join(FILE_NAME),
+            partial_path: directory.join(PARTIAL_FILE_NAME),
             process,
         }
     }
--- a/crates/balancer/src/state_transfer/tests.rs
+++ b/crates/balancer/src/state_transfer/tests.rs
@@ -20,15 +20,15 @@
 /// Unix time in nanoseconds shortly after the fixture files were written.
 const NOW: Nanos = 1_796_285_833_000_000_000;
 
-/// Temporary folder of one test, removed at the test's end.
-struct Folder(PathBuf);
+/// Temporary directory of one test, removed at the test's end.
+struct TestDirectory(PathBuf);
 
-impl Folder {
+impl TestDirectory {
     fn new(name: &str) -> Self {
         let name = format!("pipitrun-transfer-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestDirectory(path)
     }
 
     fn slots(&self, process: &str) -> ProcessSlots {
@@ -46,7 +46,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -59,39 +59,39 @@
         ("pipitrun.seat-1", NEW_SLOT, NEW_PROCESS, false),
     ];
     for (file, bytes, process, ready) in cases {
-        let folder = Folder::new(file);
-        let path = folder.write(file, bytes);
+        let directory = TestDirectory::new(file);
+        let path = directory.write(file, bytes);
         let holder = File::open(path).unwrap();
         holder.lock().unwrap();
-        let mut slots = folder.slots("own");
+        let mut slots = directory.slots("own");
         let expected = OtherProcess {
             process: process.into(),
             ready,
         };
         assert_eq!(slots.other_process(), Some(expected));
         assert_eq!(
-            folder.read(file),
+            directory.read(file),
             bytes,
-            "the slot of another process is not written"
+            "the slot of another process must not be written"
         );
     }
 }
 
 #[test]
 fn slot_files_are_written_byte_for_byte_as_by_the_former_version() {
-    let folder = Folder::new("write-slots");
-    let mut old = folder.slots(OLD_PROCESS);
+    let directory = TestDirectory::new("write-slots");
+    let mut old = directory.slots(OLD_PROCESS);
     old.set_ready(true);
-    let _new = folder.slots(NEW_PROCESS);
-    assert_eq!(folder.read("pipitrun.seat-0"), OLD_SLOT);
-    assert_eq!(folder.read("pipitrun.seat-1"), NEW_SLOT);
+    let _new = directory.slots(NEW_PROCESS);
+    assert_eq!(directory.read("pipitrun.seat-0"), OLD_SLOT);
+    assert_eq!(directory.read("pipitrun.seat-1"), NEW_SLOT);
 }
 
 #[test]
 fn state_transfer_of_the_former_version_is_read() {
-    let folder = Folder::new("transfer");
-    let slots = folder.slots(NEW_PROCESS);
-    folder.write("pipitrun.notes", TRANSFER);
+    let directory = TestDirectory::new("transfer");
+    let slots = directory.slots(NEW_PROCESS);
+    directory.write("pipitrun.notes", TRANSFER);
     assert!(slots.transfer().exists());
     let transfer: StateTransfer = slots.transfer().read().unwrap();
     assert!(!slots.transfer().exists());
@@ -115,23 +115,23 @@
 
 #[test]
 fn state_transfer_is_written_byte_for_byte_as_by_the_former_version() {
-    let folder = Folder::new("write-transfer");
-    let slots = folder.slots(NEW_PROCESS);
+    let directory = TestDirectory::new("write-transfer");
+    let slots = directory.slots(NEW_PROCESS);
     for stored in [TRANSFER, REWRITTEN] {
-        folder.write("pipitrun.notes", stored);
+        directory.write("pipitrun.notes", stored);
         let transfer: StateTransfer = slots.transfer().read().unwrap();
         let length = slots.transfer().write(NEW_PROCESS, transfer).unwrap();
         assert_eq!(length, REWRITTEN.len());
-        let written = String::from_utf8(folder.read("pipitrun.notes")).unwrap();
+        let written = String::from_utf8(directory.read("pipitrun.notes")).unwrap();
         assert_eq!(written, String::from_utf8_lossy(REWRITTEN));
     }
 }
 
 #[test]
 fn engine_restores_the_snapshot_of_the_former_version() {
-    let folder = Folder::new("snapshot");
-    let slots = folder.slots(NEW_PROCESS);
-    folder.write("pipitrun.notes", TRANSFER);
+    let directory = TestDirectory::new("snapshot");
+    let slots = directory.slots(NEW_PROCESS);
+    directory.write("pipitrun.notes", TRANSFER);
     let transfer: StateTransfer = slots.transfer().read().unwrap();
     let config = Config::read(include_str!("../../../../examples/config.json")).unwrap();
     let engine = Engine::new(config.settings, config.seed, NOW).unwrap();
@@ -165,9 +165,9 @@
 
 #[test]
 fn partial_transfer_is_not_found() {
-    let folder = Folder::new("half");
-    let a = folder.slots("a");
-    let b = folder.slots("b");
+    let directory = TestDirectory::new("partial");
+    let a = directory.slots("a");
+    let b = directory.slots("b");
     std::fs::write(
         &b.transfer().partial_path,
         "{\"version\":1,\"to\":\"b\",\"no",
@@ -180,8 +180,8 @@
 
 #[test]
 fn invalid_transfers_are_reported_and_removed() {
-    let folder = Folder::new("invalid");
-    let slots = folder.slots("b");
+    let directory = TestDirectory::new("invalid");
+    let slots = directory.slots("b");
     let long = format!("\"{}\"", "x".repeat(MAX_BYTES));
     let cases = [
         (
@@ -215,12 +215,12 @@
         assert_eq!(error.to_string(), problem);
         assert!(!slots.transfer().exists());
     }
-    let a = folder.slots("a");
+    let a = directory.slots("a");
     a.transfer().write("b", [5, 7]).unwrap();
     assert_eq!(slots.transfer().read::<Vec<u64>>().unwrap(), [5, 7]);
     assert!(a.transfer().write("b", "x".repeat(MAX_BYTES)).is_err());
     assert!(
         !slots.transfer().exists(),
-        "no part of an oversized transfer is written"
+        "no part of an oversized transfer may be written"
     );
 }
