--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -68,7 +68,7 @@
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
-            /// Requests rejected, failed or queued and hedges suppressed, by reason.
+            /// Numbers of requests rejected, failed and queued, and of hedges suppressed, by reason.
             pub decisions: DecisionCounts,
         }
 
@@ -91,16 +91,18 @@
     unknown_class,
     /// Requests with the id of a request that is still open.
     duplicate_id,
-    /// Requests rejected without asking the engine, at the limit of memory or of open requests.
+    /// Requests rejected without being passed to the engine, because the limit of memory or of open
+    /// requests was reached.
     rejected_at_limits,
     /// Requests whose client timeout had already passed when they were read.
     expired_when_read,
     /// Checks of a client's connection right before an attempt is written, made because the last
     /// poll is not recent enough.
     client_checks,
-    /// Checks of `client_checks` that found the client disconnected.
+    /// Checks counted in `client_checks` that found the client disconnected.
     client_checks_disconnected,
-    /// Attempts postponed until the next poll, because the last poll is not recent enough.
+    /// Times that connected attempts were postponed to the next poll, because the last poll was not
+    /// recent enough or discovery messages from a stall were unread.
     attempts_postponed,
     /// Stalls of the process between two polls.
     stalls,
@@ -118,7 +120,7 @@
     health_checks,
     /// Attempts that received a value or a receipt.
     attempts_ok,
-    /// Attempts that received an error from the cache.
+    /// Attempts to which the cache responded with an error or a miss.
     attempts_error,
     /// Attempts that the cache rejected.
     attempts_rejected,
@@ -131,7 +133,7 @@
     attempts_reset,
     /// Attempts that received an unreadable response.
     attempts_unreadable,
-    /// Attempts that received an error about the request itself from the cache.
+    /// Attempts to which the cache responded that the request itself is invalid.
     attempts_invalid,
     /// Attempts cancelled by the engine.
     attempts_cancelled,
@@ -158,11 +160,11 @@
     clients_closed,
     /// Unreadable responses of caches.
     upstream_unreadable,
-    /// Unreadable responses that stalled before they were complete.
+    /// Responses counted in `upstream_unreadable` that stalled before they were complete.
     upstream_stalled,
     /// Long values streamed to clients.
     streamed,
-    /// Streamed values that the cache aborted; the client's connection was closed.
+    /// Values counted in `streamed` that the cache aborted; the client's connection was closed.
     streams_aborted,
     /// Attempts and health checks for which no upstream connection slot was available.
     upstream_slots_exhausted,
@@ -185,7 +187,7 @@
     discovery_failed,
     /// Calls to discovery closed because nothing was received within the silence timeout.
     discovery_silent,
-    /// Longest silence before such a call was closed, in milliseconds.
+    /// Longest silence of a call counted in `discovery_silent`, in milliseconds.
     longest_discovery_silence_ms,
     /// Admin calls.
     admin_calls,
--- a/crates/balancer/src/hot_restart.rs
+++ b/crates/balancer/src/hot_restart.rs
@@ -1,7 +1,7 @@
 //! Coordination of the two processes of one balancer during a hot restart.
 //!
-//! It does no I/O: the caller passes the content of the other process's slot with the time of each
-//! check.
+//! This module does no I/O: the caller passes the content of the other process's slot with the time
+//! of each check.
 
 use crate::timers::MS;
 use routing::Nanos;
@@ -9,7 +9,7 @@
 
 /// Interval between checks for the other process.
 const CHECK_INTERVAL: Nanos = 100 * MS;
-/// Interval between checks of a new process for the state transfer that it awaits.
+/// Interval between checks of a new process while it awaits a state transfer.
 const TRANSFER_CHECK_INTERVAL: Nanos = 10 * MS;
 /// Maximum time that a new process waits for a state transfer.
 const TRANSFER_TIMEOUT: Nanos = 500 * MS;
@@ -119,7 +119,8 @@
         is_over
     }
 
-    /// Returns the new process that state must be written for. Each process is returned once.
+    /// Returns the name of the other process if it is new and state must be written for it. Each
+    /// process is returned once.
     fn next_recipient(&mut self) -> Option<String> {
         let is_new = |other: &&OtherProcess| !other.ready && !other.is_unknown();
         let recipient = &self.other.as_ref().filter(is_new)?.process;
