--- a/crates/balancer/src/attempt_tracker.rs
+++ b/crates/balancer/src/attempt_tracker.rs
@@ -1,6 +1,6 @@
 //! The open requests and their attempts. The tracker starts the attempts that the engine decides on
-//! and reports how they end as outcomes of the engine. It retries nothing itself; the engine
-//! decides on retries.
+//! and reports to the engine how they end. It does not retry anything itself; the engine decides on
+//! retries.
 
 mod health_checks;
 mod outcome;
@@ -52,7 +52,7 @@
 #[derive(Default)]
 pub struct AttemptTracker {
     requests: HashMap<RequestId, RequestContext>,
-    /// Ids that clients gave to the tracked requests.
+    /// Ids of the tracked requests as chosen by the clients.
     client_ids: HashSet<Vec<u8>>,
     health_checks: HealthChecks,
     streams: HashMap<RequestId, ActiveStream>,
@@ -76,8 +76,9 @@
         self.buffered_bytes
     }
 
-    /// Returns whether a tracked request has this id of a client. A second request with the id would
-    /// be taken for the first one.
+    /// Returns whether a tracked request has this id, which clients choose. A second open request
+    /// with the same id must be rejected: caches recognise the repeat of a request by its id and
+    /// would take the second request for a repeat of the first.
     #[must_use]
     pub fn is_request_id_in_use(&self, client_id: &[u8]) -> bool {
         self.client_ids.contains(client_id)
@@ -206,8 +207,8 @@
         spec: AttemptSpec,
         counters: &mut Counters,
     ) -> Result<OutboundCommand, Box<Event>> {
-        // The event has to carry the attempt number of the engine. With another number the engine
-        // would wait forever for the end of the attempt.
+        // The event has to carry the attempt number that the engine chose. With another number the
+        // engine would wait forever for the end of the attempt.
         let not_sent = |request_finished| {
             Box::new(Event::AttemptEnded(AttemptResult {
                 request: spec.request,
--- a/crates/balancer/src/attempt_tracker/tests.rs
+++ b/crates/balancer/src/attempt_tracker/tests.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn attempt_of_a_finished_request_ends_with_the_number_of_the_engine() {
+fn attempt_of_a_finished_request_ends_with_the_attempt_number_of_the_engine() {
     let (mut tracker, mut counters) = (AttemptTracker::default(), Counters::default());
     let command = CacheCommand {
         value: None,
@@ -138,7 +138,7 @@
             connection: 0,
         };
         tracker.add_request(incoming(answer_token, client_timeout, command));
-        // For caches that respond within 0.1 ms the engine sets timeouts of a fraction of a
+        // For caches that respond within 0.1 ms the engine sets timeouts of less than a
         // millisecond.
         let first = (RequestId(1), AttemptNumber(0));
         let started = tracker.start_attempt(0, attempt_spec(first, 1, Some(MS / 4)), &mut counters);
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery client. It keeps a watch open, over which the endpoint list and its changes
-//! arrive.
+//! The discovery client. It keeps a watch open: a long-lived HTTP call over which the endpoint list
+//! and its changes arrive.
 
 mod body;
 mod call;
@@ -164,7 +164,7 @@
 
     /// Changes the address of discovery and reopens the watch there, from the version received so
     /// far. The watch is opened immediately, regardless of any delay after a failed call: the
-    /// former address may send nothing more, while the balancer still counts as notified of
+    /// former address may send nothing more, yet by the protocol the balancer counts as notified of
     /// changes.
     pub fn change_address(
         &mut self,
--- a/crates/balancer/src/discovery/call.rs
+++ b/crates/balancer/src/discovery/call.rs
@@ -11,13 +11,13 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Maximum time without received bytes before a watch fails. Discovery sends an empty line every 2
-/// s.
+/// Maximum time without received bytes before a watch fails. Discovery sends at least an empty line
+/// every 2 s.
 pub(super) const SILENCE_TIMEOUT: Nanos = 3_500 * MS;
 /// Maximum time until the response begins. It is longer than [`SILENCE_TIMEOUT`], as discovery
-/// queues calls and a new call goes to the end of the queue. It must be well below 6 s: the
-/// balancer counts as notified of the changes that a silent call misses 6 s after the call began,
-/// or 2 s after the end of its wait in the queue if that is later.
+/// queues calls and a new call goes to the end of the queue. It must be well below 6 s: by the
+/// protocol, the balancer counts as notified of a change 6 s after a call began, or 2 s after the
+/// call left the queue if that is later, even if the call has received nothing.
 pub(super) const FIRST_BYTE_TIMEOUT: Nanos = 4_000 * MS;
 /// Timeout of a connection to discovery. An unreachable machine does not refuse connections.
 pub(super) const CONNECT_TIMEOUT: Nanos = 1_000 * MS;
--- a/crates/balancer/src/discovery/messages.rs
+++ b/crates/balancer/src/discovery/messages.rs
@@ -13,7 +13,7 @@
 pub(super) enum MessageError {
     #[error("a message begins with \"{}\", expected \"{{\"", .0.escape_ascii())]
     Start(u8),
-    #[error("an empty line is within a message")]
+    #[error("a message contains an empty line")]
     EmptyLine,
     #[error("a message exceeds {limit} bytes")]
     TooLong { limit: usize },
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -59,7 +59,7 @@
     );
     let (mut timers, mut counters, mut events) =
         (Timers::default(), Counters::default(), Vec::new());
-    // A message with nothing but its version also resets the count.
+    // A message that contains only its version also resets the count.
     for (number, (line, failures)) in [("", 1), ("", 2), ("{\"seq\":3}\n", 1)]
         .into_iter()
         .enumerate()
@@ -151,7 +151,7 @@
         };
         self.client
             .handle_ready(now, ready, &mut self.events, &mut self.counters);
-        // Parts of the list are placed before the failure of the watch over which they arrived.
+        // Parts of the list are inserted before the failure of the watch over which they arrived.
         let mut parts = Vec::new();
         while let Some(event) = self.client.take_part(usize::MAX, &mut self.counters) {
             parts.push(event);
@@ -213,7 +213,7 @@
         watch.receive(0, text);
         assert!(
             matches!(watch.events[..], [DiscoveryEvent::Established]),
-            "the rest of the message may follow"
+            "the remaining part of the message may follow"
         );
         watch.events.clear();
         watch.receive(0, "\n");
@@ -250,8 +250,8 @@
 
 #[test]
 fn silent_watch_fails_well_before_the_balancer_counts_as_notified() {
-    // By the protocol, the balancer counts as notified 6 s after the last byte. Each case is the
-    // received text and the progress of the call.
+    // By the protocol, the balancer counts as notified 6 s after the last byte. Each case consists
+    // of the received text and the progress of the call.
     let cases = [
         ("", "before the response headers"),
         ("HTTP/1.1 2", "in the response headers"),
@@ -341,8 +341,8 @@
         [(100, false), (100, false)]
     );
     assert_eq!(client.version(), Some(4));
-    // The last 50 of its endpoints, then the first 50 of the 150 endpoints that it does not
-    // contain. The remaining 100 follow with the last part.
+    // The last 50 endpoints of the second list, then the first 50 of the 150 removed endpoints,
+    // which the second list does not contain. The last part has the other 100.
     assert_eq!(take(&mut client, 100), (100, false));
     assert_eq!(take(&mut client, 100), (100, true));
     assert_eq!(
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn message_split_at_each_byte_is_found_and_text_that_is_no_message_is_named_in_the_error() {
+fn message_split_at_any_byte_is_found_and_an_unexpected_first_byte_is_named_in_the_error() {
     let text = br#" {"a":"}\"{","b":[{"c":{}}]}{"d":1}"#;
     let message_end = text.len() - br#"{"d":1}"#.len();
     let mut scanner = MessageScanner::default();
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::poll::{EventSource, Interest, Poll, Registered};
 use crate::timers::MS;
-use admin_view::FleetRow;
+use admin_view::FleetBody;
 use event_log::log_event;
 use membership::envelope::DATAGRAM_MAX;
 use membership::{Member, MemberMetadata, ServingPhase};
@@ -25,7 +25,7 @@
 const RATE_INTERVAL: Nanos = 2_000 * MS;
 /// Interval between attempts to bind an address that another process of this balancer still holds.
 const BIND_RETRY_INTERVAL: Nanos = 250 * MS;
-/// Time for which the same requests of a partly shed tier are shed.
+/// Interval after which other requests of a partly shed tier are selected for shedding.
 const SHEDDING_ROTATION: Nanos = 1_000 * MS;
 
 /// Options of the gossip transport.
@@ -140,7 +140,7 @@
     /// the start. Returns the share count if it has changed.
     pub fn tick(&mut self, now: Nanos, lifecycle: &Lifecycle, requests: u64) -> Option<usize> {
         if self.socket.is_none() && now >= self.next_bind {
-            // Binding fails until the process that holds the address has ended.
+            // Binding fails until the process that holds the address has ended; it is retried.
             let _ = self.bind(now);
         }
         let phase = match lifecycle.name() {
@@ -168,7 +168,8 @@
         self.member.enable_shared_shedding(tiers);
     }
 
-    /// Adds the numbers of requests that the engine admitted and rejected for lack of capacity.
+    /// Reports the numbers of requests that the engine admitted and rejected for lack of capacity
+    /// to the member.
     pub fn add_admission_counts(&mut self, counts: AdmissionCounts) {
         self.member.add_admission_counts(counts);
     }
@@ -190,7 +191,7 @@
         if previous == 0.0 {
             log::warn!(
                 level = level;
-                "fleet: overload; all members now shed load by a common level"
+                "fleet: overload: all members now shed load at a common level"
             );
         } else if level == 0.0 {
             log::info!("fleet: overload ended; no load is shed");
@@ -234,7 +235,7 @@
     /// Returns the response body of `/admin/fleet`.
     #[must_use]
     pub fn admin_json(&self, now: Nanos) -> String {
-        FleetRow::new(&self.member, self.share_count, self.unsent, now).to_json()
+        FleetBody::new(&self.member, self.share_count, self.unsent, now).to_json()
     }
 }
 
--- a/crates/balancer/src/gossip/admin_view.rs
+++ b/crates/balancer/src/gossip/admin_view.rs
@@ -9,9 +9,9 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Top-level object of the response body.
+/// The response body.
 #[derive(Serialize)]
-pub(super) struct FleetRow {
+pub(super) struct FleetBody {
     fleet: String,
     name: String,
     address: SocketAddr,
@@ -35,18 +35,18 @@
     unsent: u64,
     /// Present only if regions are configured.
     #[serde(flatten)]
-    regions: Option<RegionsRow>,
+    regions: Option<RegionsBody>,
 }
 
-impl FleetRow {
-    /// Creates the row from the state of this member. `share_count` is the share count of the
+impl FleetBody {
+    /// Creates the body from the state of this member. `share_count` is the share count of the
     /// engine, `unsent` the number of datagrams that were not sent.
     pub(super) fn new(member: &Member, share_count: usize, unsent: u64, now: Nanos) -> Self {
         let view = member.view();
         let metadata = member.metadata();
         let has_regions = !member.location().is_none();
         let members = view.members.iter();
-        FleetRow {
+        FleetBody {
             fleet: member.fleet_name().to_string(),
             name: metadata.name.clone(),
             address: member.id().address,
@@ -61,7 +61,7 @@
             members: members.map(|member| MemberRow::new(member, now)).collect(),
             statistics: member.statistics(),
             unsent,
-            regions: has_regions.then(|| RegionsRow::new(member, now)),
+            regions: has_regions.then(|| RegionsBody::new(member, now)),
         }
     }
 
@@ -120,30 +120,31 @@
     }
 }
 
-/// The location of this member, and the regions of the fleet.
+/// Part of the response body for a fleet with regions: the location of this member, and the
+/// regions.
 #[derive(Serialize)]
-struct RegionsRow {
+struct RegionsBody {
     region: String,
     zone: String,
     site: String,
     delegates: Vec<String>,
     regions: Vec<RegionRow>,
-    regions_dropped: DroppedRow,
+    regions_dropped: DroppedSummaries,
 }
 
-impl RegionsRow {
+impl RegionsBody {
     fn new(member: &Member, now: Nanos) -> Self {
         let view = member.view();
         let location = member.location();
         let (dropped, refused_parts) = member.regions_dropped();
         let regions = view.regions.iter();
-        RegionsRow {
+        RegionsBody {
             region: location.region.clone(),
             zone: location.zone.clone(),
             site: location.site.clone(),
             delegates: view.delegates.iter().map(ToString::to_string).collect(),
             regions: regions.map(|region| RegionRow::new(region, now)).collect(),
-            regions_dropped: DroppedRow {
+            regions_dropped: DroppedSummaries {
                 unsound: dropped.invalid,
                 outdated: dropped.outdated,
                 over_capacity: dropped.over_capacity,
@@ -155,7 +156,7 @@
 
 /// Numbers of dropped region summaries, by reason.
 #[derive(Serialize)]
-struct DroppedRow {
+struct DroppedSummaries {
     unsound: u64,
     #[serde(rename = "older")]
     outdated: u64,
@@ -178,8 +179,8 @@
     requests_per_s: f64,
     delegates: Vec<SocketAddr>,
     authors: u8,
-    /// Time since the summary last changed. It depends on the clocks of the delegates of the region
-    /// and of this balancer.
+    /// Time since the summary last changed. Its precision depends on the clocks of the region's
+    /// delegates and of this balancer.
     changed_ms: u64,
     silent_ms: Option<u64>,
 }
--- a/crates/balancer/src/gossip/tests.rs
+++ b/crates/balancer/src/gossip/tests.rs
@@ -43,7 +43,7 @@
     GossipTransport::open(&poll, options, 5_000 * MS).unwrap()
 }
 
-/// Admin pages as commit cab609d shows them, without and with regions.
+/// Response bodies of `/admin/fleet` as commit cab609d writes them, without and with regions.
 const PAGE: &str = concat!(
     r#"{"address":"127.0.0.1:7946","config":"0000000000000abc","cut_off":false,"#,
     r#""datagrams":{"asked":0,"compared":0,"foreign":0,"full":0,"gaps":0,"given_up":0,"#,
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -16,15 +16,15 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// Maximum number of open connections. A further connection evicts the one that has been incomplete
-/// longest.
+/// Maximum number of open connections. A further connection evicts the oldest one whose request is
+/// incomplete, or the oldest of all if every request is complete.
 pub const CONNECTIONS_MAX: usize = 12;
 /// Maximum number of connections accepted per turn of the event loop.
 const ACCEPT_MAX: usize = 64;
-/// Maximum time between the accept of a connection and the end of its request.
+/// Maximum time between accepting a connection and receiving the end of its request.
 const REQUEST_TIMEOUT: Nanos = 2_000 * MS;
-/// Maximum number of bytes discarded behind a request. Closing a connection with unread input would
-/// reset it and could destroy the response.
+/// Maximum number of bytes that are discarded after a request. Closing a connection with unread
+/// input would reset it and could destroy the response.
 const DISCARD_MAX: usize = 64 * 1024;
 
 /// Command of an admin request.
@@ -78,7 +78,7 @@
         now.saturating_sub(self.accepted_at)
     }
 
-    /// Reads once. Returns whether input arrived, may still arrive, or has ended.
+    /// Reads once. Returns whether input arrived, none has arrived yet, or the input has ended.
     fn read(&mut self) -> io::Result<ReadOutcome> {
         let length = self.input.len();
         self.input.resize(HEAD_MAX, 0);
@@ -178,11 +178,11 @@
             self.evict_connection(counters);
         }
         let number = self.next_connection;
-        let watched = stream.set_nonblocking(true).and_then(|()| {
+        let registered = stream.set_nonblocking(true).and_then(|()| {
             let source = EventSource::AdminConnection(number);
             self.poll.register(stream, source, Interest::READABLE)
         });
-        match watched {
+        match registered {
             Ok(stream) => {
                 self.next_connection += 1;
                 self.connections
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Answers incomplete requests whose timeout is over, and closes connections that their peers
-    /// have left open for too long.
+    /// Responds with status 408 to requests that are incomplete after [`REQUEST_TIMEOUT`], and
+    /// closes connections that their peers have left open for too long.
     pub fn reap(&mut self, now: Nanos, counters: &mut Counters) {
         // Connections are not closed immediately after their response: input that still arrives
         // would reset them and could destroy the response.
--- a/crates/balancer/src/listener/admin/http.rs
+++ b/crates/balancer/src/listener/admin/http.rs
@@ -19,7 +19,7 @@
     MethodNotAllowed { allowed: &'static str },
     /// The request was not complete in time.
     Timeout,
-    /// The request line and headers are too long or there are too many headers.
+    /// The request line and headers are too long, or there are too many headers.
     HeadTooLong,
 }
 
--- a/crates/balancer/src/listener/admin/tests.rs
+++ b/crates/balancer/src/listener/admin/tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads a response and asserts that it is that of a serving process to a health request.
+/// Reads a response and asserts that it reports the process as serving.
 fn expect_serving(mut client: TcpStream) {
     let mut text = String::new();
     client.read_to_string(&mut text).unwrap();
--- a/crates/balancer/src/listener/resp.rs
+++ b/crates/balancer/src/listener/resp.rs
@@ -52,7 +52,8 @@
     accepting: bool,
     /// Times of the last polls of the sockets.
     poll_timestamps: PollTimestamps,
-    /// Time since which clients may have waited in the backlog; `None` if it was found empty.
+    /// Earliest time since which a client may have been waiting in the backlog; `None` if the
+    /// backlog was found empty.
     backlog_since: Option<Nanos>,
     /// Buffer of one read, shared by all connections as most of them are idle.
     read_buffer: Vec<u8>,
@@ -99,14 +100,15 @@
         self.connections_max = connections_max;
     }
 
-    /// Sets the times of the last polls. Has to be called after each poll, before its readiness
-    /// reports are processed.
+    /// Sets the times of the last polls. Must be called after each poll, before the events that it
+    /// reported are processed.
     pub fn set_poll_timestamps(&mut self, timestamps: PollTimestamps) {
         self.poll_timestamps = timestamps;
     }
 
-    /// Returns whether the client of a connection is still connected, as shown by a recent poll or
-    /// otherwise by the kernel. Removes the connection if the client has disconnected.
+    /// Returns whether the client of a connection is still connected. A recent poll suffices as
+    /// evidence; otherwise the kernel is asked. Removes the connection if the client has
+    /// disconnected.
     pub fn is_client_connected(
         &mut self,
         number: u64,
@@ -117,12 +119,12 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return false;
         };
-        let seen = if connection.reads_input() {
+        let last_seen = if connection.reads_input() {
             connection.presence.last_seen(&self.poll_timestamps)
         } else {
             connection.presence.last_confirmed()
         };
-        if PollTimestamps::is_fresh(seen, now) {
+        if PollTimestamps::is_fresh(last_seen, now) {
             return true;
         }
         counters.client_checks += 1;
--- a/crates/balancer/src/listener/resp/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/back_pressure.rs
@@ -6,7 +6,8 @@
 use crate::counters::Counters;
 use routing::{Nanos, RequestId};
 
-/// Number of unsent bytes of a streamed value from which on the cache's response is not read.
+/// Threshold of unsent bytes of a streamed value at which reading of the cache's response is
+/// paused.
 pub(super) const STREAM_WINDOW: usize = 64 * 1024;
 
 /// End of a streamed value.
@@ -73,9 +74,9 @@
         pending.unwrap_or(0)
     }
 
-    /// Returns whether the cache's response must not be read until
-    /// [`ListenerEvent::CapacityAvailable`] is reported for the request. Under memory pressure this
-    /// holds as soon as any byte is unsent.
+    /// Decides whether reading of the cache's response is paused, and returns the decision. Under
+    /// memory pressure any unsent byte suffices. Reading of a paused response may be resumed when
+    /// [`ListenerEvent::CapacityAvailable`] is reported for the request.
     pub fn apply_back_pressure(
         &mut self,
         connection: u64,
--- a/crates/balancer/src/listener/resp/connection.rs
+++ b/crates/balancer/src/listener/resp/connection.rs
@@ -14,7 +14,7 @@
 
 /// Maximum number of pending responses on a connection. Further commands stay unparsed.
 pub(super) const PENDING_RESPONSES_MAX: usize = 128;
-/// Number of unsent bytes from which on no further command of a connection is read.
+/// Threshold of unsent bytes at which the listener stops reading commands from a connection.
 pub(super) const UNSENT_MAX: usize = 2 * VALUE_MAX;
 
 /// A response that is not sent yet: the request is unanswered, or earlier responses are pending.
@@ -29,7 +29,7 @@
         request: RequestId,
         /// Bytes that have arrived and are not in the output buffer yet.
         bytes: Vec<u8>,
-        /// Whether the cache's response is not read until the client has accepted more.
+        /// Whether reading of the cache's response is paused until the client has accepted more.
         paused: bool,
     },
 }
@@ -64,8 +64,8 @@
     pub(super) command_since: Nanos,
     /// Whether a complete command has arrived on the connection.
     pub(super) has_sent_command: bool,
-    /// Set once the sending side is shut down. The connection is removed when the client closes it,
-    /// or at this time.
+    /// Time at which the connection is removed unless the client closes it earlier; set once the
+    /// sending side is shut down.
     pub(super) close_by: Option<Nanos>,
     /// Times at which the client was seen connected.
     pub(super) presence: ClientPresence,
@@ -152,7 +152,8 @@
             && let Some(PendingResponse::Answered(bytes)) = self.responses.pop_front()
         {
             self.output.extend_from_slice(&bytes);
-            // The time that the next command had to wait does not count towards its timeout.
+            // The time for which the next command waited for this response does not count towards
+            // the command timeout.
             self.command_since = now;
         }
         if let Some(PendingResponse::Streaming { bytes, .. }) = self.responses.front_mut() {
@@ -195,7 +196,8 @@
         }
     }
 
-    /// Returns whether all commands are answered and the policy expects no further command.
+    /// Returns whether the connection can be closed: all commands are answered, and either the
+    /// framing is lost or the policy requires idle connections to be closed.
     pub(super) fn is_done(&self, policy: LifecyclePolicy) -> bool {
         if !self.responses.is_empty() || self.unsent_bytes() > 0 {
             return false;
@@ -203,8 +205,8 @@
         if self.is_framing_lost {
             return true;
         }
-        // A client that has just connected is about to send a command. While the listener accepts
-        // clients, the idle reaper closes connections whose clients send nothing.
+        // A client that has just connected is probably about to send a command. While the listener
+        // accepts clients, the idle reaper closes connections whose clients send nothing.
         let has_been_used = self.has_sent_command || policy.listener_mode == ListenerMode::Closed;
         // Once no commands are accepted, an incomplete command does not keep the connection open.
         let no_command_begun =
@@ -212,7 +214,7 @@
         policy.closes_idle && has_been_used && no_command_begun && !self.has_input(policy)
     }
 
-    /// Returns whether input has arrived that has to be answered first.
+    /// Returns whether input has arrived that must be answered before the connection is closed.
     fn has_input(&self, policy: LifecyclePolicy) -> bool {
         let is_parsable = matches!(parse_command(&self.input), Ok(Some(_)) | Err(_));
         is_parsable || policy.accepts_commands && !is_open_without_input(self.stream.socket())
--- a/crates/balancer/src/listener/resp/connection_admission.rs
+++ b/crates/balancer/src/listener/resp/connection_admission.rs
@@ -22,20 +22,26 @@
 pub(super) const EVICT_IDLE_AFTER: Nanos = 20 * MS;
 /// Minimum idle time for the eviction of a connection on which nothing has ever arrived.
 pub(super) const EVICT_SILENT_AFTER: Nanos = 20 * MS;
-/// Minimum time without input for the eviction of a connection with an incomplete command, if no
-/// connection is idle. A slow client that still sends keeps its connection.
+/// Minimum inactive time for the eviction of a connection with an incomplete command, if no
+/// connection of another [`EvictionClass`] can be evicted. A slow client that still sends keeps its
+/// connection.
 pub(super) const EVICT_UNFINISHED_AFTER: Nanos = 1_000 * MS;
-/// If the number of silent connections exceeds the connection limit divided by this, the idle time
-/// for the eviction of other connections is raised to [`IDLE_TIMEOUT_CROWDED`].
+/// If the number of silent connections exceeds the connection limit divided by this, the minimum
+/// idle time for the eviction of connections that have sent commands is raised from
+/// [`EVICT_IDLE_AFTER`] to [`IDLE_TIMEOUT_CROWDED`].
 const SILENT_LIMIT_DIVISOR: usize = 4;
 
-/// Order of eviction. Connections on which nothing has ever arrived are evicted before idle ones;
-/// otherwise silent clients would evict active ones.
+/// Classes of connections in the order of eviction. Connections on which nothing has ever arrived
+/// are evicted before idle ones; otherwise silent clients would evict active ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
+    /// The sending side is shut down.
     Closing,
+    /// Nothing has ever arrived.
     Silent,
+    /// A command has arrived before, and nothing is pending.
     Idle,
+    /// A command has begun to arrive and is incomplete.
     Unfinished,
 }
 
@@ -46,7 +52,7 @@
             return;
         }
         // The earliest time since which a client that is accepted now may have waited. If the
-        // backlog was not emptied last time, that time still applies.
+        // backlog was not emptied by the previous call, the earlier time still applies.
         let waiting_since = self
             .poll_timestamps
             .earliest_arrival()
@@ -84,8 +90,8 @@
         }
     }
 
-    /// Records that the last poll did not report the listening socket, so that the backlog is
-    /// empty.
+    /// Records that the last poll did not report the listening socket. While the socket is polled,
+    /// this means that the backlog is empty.
     pub fn record_empty_backlog(&mut self) {
         if self.accepting {
             self.backlog_since = None;
@@ -110,7 +116,7 @@
         counters: &mut Counters,
     ) {
         let number = self.next_connection;
-        match self.watch(stream, number) {
+        match self.register(stream, number) {
             Ok(stream) => {
                 self.next_connection += 1;
                 counters.clients_accepted += 1;
@@ -122,7 +128,7 @@
         }
     }
 
-    fn watch(&self, stream: TcpStream, number: u64) -> io::Result<Registered<TcpStream>> {
+    fn register(&self, stream: TcpStream, number: u64) -> io::Result<Registered<TcpStream>> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.poll
@@ -155,8 +161,8 @@
             Ok(()) => {
                 self.accepting = accepting;
                 if !accepting {
-                    // The listening socket is not polled any more, so clients may wait since the
-                    // last poll.
+                    // The listening socket is no longer polled: clients may arrive from the last
+                    // poll on without being reported.
                     self.backlog_since
                         .get_or_insert(self.poll_timestamps.last_poll());
                 }
@@ -167,10 +173,12 @@
         }
     }
 
-    /// Evicts the first connection in the order of [`EvictionClass`] and then of inactivity.
-    /// Returns whether there was one. A connection that was just accepted or has unread input is
-    /// not evicted: in a burst of new connections each would be evicted for the next, with its
-    /// request unread. A connection that still receives its last response is not evicted either.
+    /// Evicts one connection: the first in the order of [`EvictionClass`], and within the class the
+    /// one inactive longest. Returns whether a connection was evicted. Closing connections are
+    /// evicted unconditionally. Of the other classes, a connection that was just accepted or has
+    /// unread input is not evicted: in a burst of new connections each would be evicted for the
+    /// next, with its request unread. Nor is one whose last response the kernel has not sent
+    /// completely.
     fn evict_connection(&mut self, now: Nanos, counters: &mut Counters) -> bool {
         let idle_limit = self.idle_limit();
         let mut candidates: Vec<(EvictionClass, Nanos, u64)> = self
@@ -182,7 +190,7 @@
             })
             .collect();
         candidates.sort_unstable();
-        // This check takes system calls, so it comes last.
+        // The check of the socket buffers takes system calls, so it comes last.
         let evicted = candidates.into_iter().find(|(class, _, number)| {
             *class == EvictionClass::Closing
                 || self
--- a/crates/balancer/src/listener/resp/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/idle_reaper.rs
@@ -9,21 +9,22 @@
 use crate::timers::MS;
 use routing::Nanos;
 
-/// Maximum time for which a client with unsent output may read nothing of it.
+/// Maximum time for which a client may read nothing while output for it is unsent.
 const UNREAD_OUTPUT_TIMEOUT: Nanos = 10_000 * MS;
-/// Maximum time between the earliest possible start of a command, including the first one, and its
-/// end. Some clients take 2 s to send a command; a silent client has to get a response in 3 s.
+/// Maximum time between the earliest possible start of a command and its end. It also applies to
+/// the first command, which may start when the connection is accepted. Some clients take 2 s to
+/// send a command; a silent client has to get a response within 3 s.
 pub(super) const COMMAND_TIMEOUT: Nanos = 2_600 * MS;
 /// Maximum idle time of a connection.
 pub(super) const IDLE_TIMEOUT: Nanos = 10_000 * MS;
-/// Maximum idle time of a connection while more than half of the connections are in use.
+/// Maximum idle time of a connection while more than half of the permitted connections are open.
 pub(super) const IDLE_TIMEOUT_CROWDED: Nanos = 2_000 * MS;
 /// Maximum idle time of a connection while the lifecycle requires idle connections to be closed. It
 /// is not 0, as a client that has just connected may be about to send a command.
 pub(super) const IDLE_TIMEOUT_DRAINING: Nanos = 500 * MS;
 /// Percentage of the connection limit above which the longest idle connections are closed. Some
-/// clients send one command per connection, leave it open and have their own limit of connections:
-/// they can't open new ones until the balancer closes the old ones.
+/// clients send one command per connection, leave the connection open and limit the number of their
+/// own connections: they can't open new ones until the balancer closes the old ones.
 const TRIM_ABOVE_PERCENT: usize = 40;
 /// Minimum idle time of a connection that is closed because of [`TRIM_ABOVE_PERCENT`].
 pub(super) const TRIM_IDLE_MIN: Nanos = 100 * MS;
@@ -37,8 +38,8 @@
         self.close_incomplete(now, events, counters);
         self.close_idle(now, events, counters);
         // Accepting is resumed even at the connection limit: connections that were in use when it
-        // was paused may be idle by now and can be evicted. New clients would otherwise wait until
-        // a client disconnects.
+        // was paused may be idle by now, so that they can be evicted. Otherwise new clients would
+        // wait until another client disconnects.
         self.resume_accepting();
     }
 
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Closes connections without a complete command in time, so that clients that send nothing or
-    /// an incomplete command do not occupy connections and memory indefinitely.
+    /// Closes connections whose current command is incomplete after [`COMMAND_TIMEOUT`], so that
+    /// clients that send nothing or a part of a command do not occupy connections and memory
+    /// indefinitely.
     fn close_incomplete(
         &mut self,
         now: Nanos,
@@ -140,8 +142,8 @@
         }
     }
 
-    /// Returns the connections that have sent a command and are idle for [`TRIM_IDLE_MIN`], without
-    /// those in `except`, the longest idle first.
+    /// Returns the connections that have sent a command and have been idle for [`TRIM_IDLE_MIN`],
+    /// except those in `except`. The longest idle is first.
     fn longest_idle(&self, except: &[u64], now: Nanos) -> Vec<u64> {
         let mut idle: Vec<(Nanos, u64)> = self
             .connections
@@ -159,8 +161,8 @@
 }
 
 impl ClientConnection {
-    /// Returns whether the current command has exceeded its timeout. Unread input in the socket may
-    /// still complete it.
+    /// Returns whether the current command has exceeded its timeout. While the socket has unread
+    /// input, which may complete the command, the command does not count as overdue.
     fn is_command_overdue(&self, now: Nanos) -> bool {
         !(self.has_sent_command && self.input.is_empty())
             && self.takes_commands()
--- a/crates/balancer/src/listener/resp/input.rs
+++ b/crates/balancer/src/listener/resp/input.rs
@@ -30,11 +30,11 @@
             return;
         };
         if connection.is_closing() {
-            return self.drain_closing(number, counters, events);
+            return self.handle_closing_input(number, counters, events);
         }
         if !connection.reads_input() {
-            // The connection is not polled for input, so the readiness means that it is broken. It
-            // may also have been polled for input until an earlier event of this turn.
+            // The connection is not polled for input, so its readiness means that it is broken,
+            // unless an earlier event of this turn has ended the polling for input.
             if has_peer_closed(connection.stream.socket()) {
                 self.close(number, counters, events);
             }
@@ -96,7 +96,7 @@
             };
             // When commands are no longer accepted, the first command of a connection still is.
             // Further ones are rejected, so that an endless sequence of commands does not keep the
-            // connection open. They get a response, as they would otherwise be lost.
+            // connection open. The rejection is a response: without it the commands would be lost.
             let is_accepted = self.policy.accepts_commands || !connection.has_sent_command;
             (connection.has_sent_command, connection.command_since) = (true, now);
             let answer_token = AnswerToken {
@@ -133,14 +133,14 @@
 }
 
 impl ClientConnection {
-    /// Adds an encoded response behind the pending ones.
+    /// Adds an encoded response after the pending ones.
     pub(super) fn respond(&mut self, response: Vec<u8>) {
         self.responses
             .push_back(PendingResponse::Answered(response));
     }
 
-    /// Responds with an error to input that can't be parsed. The start of the next command is
-    /// unknown then.
+    /// Responds with an error to input that can't be parsed. From then on, the start of the next
+    /// command is unknown.
     fn reject_rest(&mut self, error: RespError) {
         self.respond(encode_error(&format!("ERR {error}")));
         self.is_framing_lost = true;
--- a/crates/balancer/src/listener/resp/output.rs
+++ b/crates/balancer/src/listener/resp/output.rs
@@ -13,13 +13,13 @@
 use std::io::ErrorKind;
 use std::net::Shutdown;
 
-/// Maximum number of bytes discarded at a time behind a command that can't be parsed. If a client
-/// sends more, its connection is closed immediately.
+/// Maximum number of bytes that are discarded at a time after a command that can't be parsed. If
+/// more bytes have arrived, the connection is closed immediately.
 const DISCARD_MAX: usize = 256 * 1024;
 
 impl RespListener {
-    /// Sets the final answer for a token. It is sent after the earlier responses of the
-    /// connection.
+    /// Sets the final answer to the request of a token. The answer is sent by
+    /// [`RespListener::flush`], after the earlier responses of the connection.
     // The token is consumed, so that no request is answered twice.
     #[allow(clippy::needless_pass_by_value)]
     pub fn answer(&mut self, answer_token: AnswerToken, answer: FinalAnswer) {
@@ -96,8 +96,8 @@
         };
         let pending_before = connection.responses.len();
         if !connection.input.is_empty() && connection.takes_commands() {
-            // Commands that waited behind others on their connection count as arriving now, unless
-            // they were read in this turn.
+            // Commands that waited for earlier ones on their connection count as arriving now,
+            // unless they were read in this turn.
             let arrived_at = connection
                 .presence
                 .arrival_in_turn(&self.poll_timestamps)
@@ -113,9 +113,9 @@
         })
     }
 
-    /// Closes a connection without pending responses. Closing a socket with unread or still
-    /// arriving input resets the connection and could destroy the last response in transit.
-    /// Therefore only the sending side is shut down at first.
+    /// Closes a connection without pending responses. Closing a socket while it has unread input,
+    /// or while input still arrives, resets the connection and could destroy the last response in
+    /// transit. Therefore only the sending side is shut down at first.
     pub(super) fn close_gracefully(
         &mut self,
         number: u64,
@@ -136,13 +136,14 @@
         if shutdown.is_err() || connection.stream.set_interest(Interest::READABLE).is_err() {
             return self.close(number, counters, events);
         }
-        self.drain_closing(number, counters, events);
+        self.handle_closing_input(number, counters, events);
     }
 
     /// Handles input on a closing connection. If the framing is lost, the input is discarded.
-    /// Otherwise it may hold a command, which stays unread: the later reset notifies the client
-    /// that the command was not processed, so that the client can send it elsewhere.
-    pub(super) fn drain_closing(
+    /// Otherwise the input may contain a command. It stays unread, so that closing the socket
+    /// resets the connection: the reset tells the client that the command was not processed and can
+    /// be sent elsewhere.
+    pub(super) fn handle_closing_input(
         &mut self,
         number: u64,
         counters: &mut Counters,
--- a/crates/balancer/src/listener/resp/tests.rs
+++ b/crates/balancer/src/listener/resp/tests.rs
@@ -29,7 +29,7 @@
     ..SERVING
 };
 
-/// Starts a listener for this many connections. Returns it with a function that connects to it.
+/// Starts a listener with this connection limit. Returns it with a function that connects to it.
 fn start_listener(connections_max: usize) -> (RespListener, impl Fn() -> TcpStream) {
     let poll = Poll::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -54,7 +54,7 @@
         client
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("the read timeout can be set");
-        // Small writes are sent immediately.
+        // Small writes are sent without delay.
         client.set_nodelay(true).expect("TCP_NODELAY can be set");
         client
     };
--- a/crates/balancer/src/listener/resp/tests/admission.rs
+++ b/crates/balancer/src/listener/resp/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Tests of which connections are accepted, and which are evicted for new ones.
+//! Tests of connection admission: which connections are accepted, and which are evicted for new
+//! ones.
 
 use super::{read_request, readable, start_listener};
 use crate::counters::Counters;
@@ -79,7 +80,7 @@
     listener.accept(EVICT_IDLE_AFTER - 1, &mut counters);
     assert_eq!(
         counters.clients_closed, 0,
-        "the connection was just answered"
+        "the command on connection 2 was just answered"
     );
     listener.resume_accepting();
     listener.accept(EVICT_IDLE_AFTER, &mut counters);
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -37,8 +37,8 @@
     let (second, first) = (answer_tokens.pop().unwrap(), answer_tokens.pop().unwrap());
     let (first_id, second_id) = (first.request, second.request);
     let mut events = Vec::new();
-    // The second value arrives while the first request is unanswered: it is buffered up to the
-    // window.
+    // The second value arrives while the first request is unanswered: up to `STREAM_WINDOW` bytes
+    // of it are buffered.
     listener.answer(second, FinalAnswer::Streaming(STREAM_WINDOW + 1));
     listener.append_chunk(0, second_id, &[b'y'; STREAM_WINDOW - 20]);
     assert!(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn cache_is_paused_while_its_client_does_not_read() {
+fn reading_from_a_cache_is_paused_while_the_client_does_not_read() {
     let (mut listener, mut client, mut answer_tokens, mut counters) = two_requests();
     let first = answer_tokens.remove(0);
     let (request, mut events) = (first.request, Vec::new());
--- a/crates/balancer/src/listener/resp/tests/disconnects.rs
+++ b/crates/balancer/src/listener/resp/tests/disconnects.rs
@@ -19,7 +19,7 @@
 }
 
 #[rstest]
-fn disconnect_is_noticed_while_the_connection_is_not_read(
+fn disconnect_is_detected_while_the_connection_is_not_read(
     #[values(NotRead::FramingLost, NotRead::InputFull, NotRead::OutputUnsent)] not_read: NotRead,
     #[values(false, true)] reset: bool,
 ) {
@@ -35,8 +35,8 @@
                 .unwrap();
             1
         }
-        // More input arrives than may be pending and unparsed; the remaining bytes stay in the
-        // socket.
+        // More input arrives than the limits of pending responses and of unparsed input allow; the
+        // remaining bytes stay in the socket.
         NotRead::InputFull => {
             client
                 .write_all(&command.repeat(PENDING_RESPONSES_MAX + INPUT_MAX / command.len() + 100))
--- a/crates/balancer/src/listener/resp/tests/idle_reaper.rs
+++ b/crates/balancer/src/listener/resp/tests/idle_reaper.rs
@@ -1,4 +1,4 @@
-//! Tests of which connections are closed because they are idle, silent or have an incomplete
+//! Tests of the idle reaper: it closes connections that are idle, silent or have an incomplete
 //! command.
 
 use super::{open_connections, readable, start_listener};
@@ -29,7 +29,7 @@
     assert_eq!(
         (open_connections(&listener), counters.clients_incomplete),
         (vec![2, 3], 2),
-        "the command on connection 3 has arrived and is only unread"
+        "the command on connection 3 has arrived but is not read yet"
     );
     drop(listener.connections.remove(&3));
     let mut text = String::new();
@@ -46,9 +46,9 @@
     assert_eq!(
         (open_connections(&listener), counters.clients_idle),
         (vec![], 1),
-        "more than half of the connections are in use"
+        "more than half of the permitted connections are open"
     );
-    // The clients do not close their connections: the close timeout does.
+    // The clients do not close their connections, so the close timeout ends them.
     listener.reap(IDLE_TIMEOUT + CLOSE_TIMEOUT - 1, &mut events, &mut counters);
     assert_eq!(
         listener.connections.keys().copied().collect::<Vec<_>>(),
--- a/crates/balancer/src/listener/resp/tests/shutdown.rs
+++ b/crates/balancer/src/listener/resp/tests/shutdown.rs
@@ -16,7 +16,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Reason why a connection is closed behind a response.
+/// Reason why a connection is closed after a response.
 #[derive(Clone, Copy, Debug)]
 enum CloseReason {
     FramingLost,
@@ -29,7 +29,7 @@
 enum RequestTiming {
     FirstOnNewConnection,
     InTwoParts,
-    BehindAResponse,
+    WhileAResponseIsPending,
 }
 
 #[test]
@@ -117,7 +117,7 @@
 }
 
 #[rstest]
-fn response_arrives_complete_even_if_the_client_sends_more_behind_the_close(
+fn response_arrives_complete_even_if_the_client_sends_more_after_the_close(
     #[values(
         CloseReason::FramingLost,
         CloseReason::Drain,
@@ -133,12 +133,14 @@
     SockRef::from(&client).set_recv_buffer_size(4_096).unwrap();
     listener.accept(0, &mut counters);
     let command = read_request(9);
-    let behind: &[u8] = if matches!(reason, CloseReason::FramingLost) {
+    let invalid_input: &[u8] = if matches!(reason, CloseReason::FramingLost) {
         b"*x\r\n"
     } else {
         b""
     };
-    client.write_all(&[&command[..], behind].concat()).unwrap();
+    client
+        .write_all(&[&command[..], invalid_input].concat())
+        .unwrap();
     let ready = Readiness {
         source: EventSource::Client(0),
         readable: true,
@@ -174,7 +176,7 @@
         .unwrap();
     let mut now = 1;
     let end = loop {
-        // The kernel sends more whenever the client reads; the event loop has its turns meanwhile.
+        // The kernel sends more whenever the client reads, and the event loop keeps running.
         listener.handle_ready(now, ready, &mut events, &mut counters);
         now += CLOSE_TIMEOUT / 100_000;
         listener.reap(now, &mut events, &mut counters);
@@ -186,7 +188,11 @@
             Err(e) => break Err(e.kind()),
         }
     };
-    let error = if behind.is_empty() { 0 } else { b"-ERR ".len() };
+    let error = if invalid_input.is_empty() {
+        0
+    } else {
+        b"-ERR ".len()
+    };
     assert!(
         received.len() >= format!("${VALUE_MAX}\r\n").len() + VALUE_MAX + 2 + error,
         "received {} bytes: {end:?}",
@@ -223,11 +229,11 @@
 }
 
 #[rstest]
-fn request_that_arrives_during_the_start_of_a_shutdown_is_accepted(
+fn request_that_arrives_while_a_shutdown_begins_is_accepted(
     #[values(
         RequestTiming::FirstOnNewConnection,
         RequestTiming::InTwoParts,
-        RequestTiming::BehindAResponse
+        RequestTiming::WhileAResponseIsPending
     )]
     timing: RequestTiming,
     #[values(ListenerMode::Open, ListenerMode::HandedOver)] listener_mode: ListenerMode,
@@ -238,14 +244,14 @@
     listener.accept(0, &mut counters);
     let command = read_request(9);
     let ready = readable(0);
-    let ending = LifecyclePolicy {
+    let shutting_down = LifecyclePolicy {
         listener_mode,
         ..DRAINING
     };
     match timing {
         // The connection was just accepted, and nothing is read yet.
         RequestTiming::FirstOnNewConnection => {
-            listener.apply_policy(ending, 1, &mut events, &mut counters);
+            listener.apply_policy(shutting_down, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
         }
         RequestTiming::InTwoParts => {
@@ -254,18 +260,18 @@
             listener.handle_ready(0, ready, &mut events, &mut counters);
             let (half, rest) = command.split_at(command.len() / 2);
             client.write_all(half).unwrap();
-            listener.apply_policy(ending, 1, &mut events, &mut counters);
+            listener.apply_policy(shutting_down, 1, &mut events, &mut counters);
             client.write_all(rest).unwrap();
         }
         // The request arrives after the check for unread input, and before the response after which
         // the connection would be closed.
-        RequestTiming::BehindAResponse => {
+        RequestTiming::WhileAResponseIsPending => {
             client.write_all(&command).unwrap();
             listener.handle_ready(1, ready, &mut events, &mut counters);
             let Some(ListenerEvent::Request(incoming)) = events.pop() else {
                 panic!("expected a request")
             };
-            listener.apply_policy(ending, 1, &mut events, &mut counters);
+            listener.apply_policy(shutting_down, 1, &mut events, &mut counters);
             client.write_all(&command).unwrap();
             listener.answer(incoming.answer_token, FinalAnswer::Served(b"v".to_vec()));
             listener.flush(0, 1, &mut events, &mut counters);
--- a/crates/balancer/src/resp.rs
+++ b/crates/balancer/src/resp.rs
@@ -19,10 +19,10 @@
 /// Maximum length of a value in a cache response, in bytes. Values over [`VALUE_MAX`] are streamed;
 /// a response that announces a value over this limit is unreadable.
 pub const RESPONSE_VALUE_MAX: usize = 4 << 20;
-/// Maximum length of a complete command or reply, in bytes.
+/// Maximum length of a complete command, in bytes.
 pub const MESSAGE_MAX: usize = 2 * VALUE_MAX;
 
-/// Reason why a message can't be parsed. The start of the next message is then unknown.
+/// Reason why a message can't be parsed. The start of the next message is unknown from then on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
     /// A message or element begins with a byte that is not allowed there.
@@ -73,10 +73,10 @@
         value: Vec<u8>,
         /// Cache status (`hit`, `miss` or `pending`), if the cache sent one.
         cache_status: Option<Vec<u8>>,
-        /// Load report, if the cache sent a valid one.
+        /// Load report, if the cache sent one with valid framing.
         load_report: Option<Vec<u8>>,
     },
-    /// Text of an error line.
+    /// The cache responded with an error line; the text follows the `-`.
     Error(String),
 }
 
--- a/crates/balancer/src/resp/parser.rs
+++ b/crates/balancer/src/resp/parser.rs
@@ -91,7 +91,8 @@
     }
 
     fn number(&mut self) -> Parsed<i64> {
-        // Rejects the line at its first byte that can't be part of a number: it may never end.
+        // Rejects the line at its first byte that can't be part of a number, as the end of the line
+        // may never arrive.
         let remaining = &self.input[self.position..];
         let digits = remaining
             .iter()
@@ -189,9 +190,9 @@
         Ok((CacheResponse::Error(text), Some(self.position)))
     }
 
-    /// Parses the elements behind the value of a response: the cache status and the load report. A
-    /// load report that is invalid or incomplete is dropped, and the length of the response is then
-    /// unknown.
+    /// Parses the elements after the value of a response: the cache status and the load report. A
+    /// load report that is invalid or incomplete is dropped; the length of the response is unknown
+    /// in this case.
     fn response_tail(&mut self, value: Vec<u8>) -> Parsed<(CacheResponse, Option<usize>)> {
         let cache_status = self.array_element(WORD_MAX)?;
         let load_report = self.array_element(WORD_MAX);
@@ -241,9 +242,9 @@
 }
 
 /// Parses a cache's response to a request: an array of three elements, or an error line. Returns
-/// the response and its length; without a length the connection can't be used any more. An invalid
-/// response is rejected at its first wrong byte, as the remaining bytes may never arrive. A value
-/// is valid without the load report behind it.
+/// the response and its length. The length is `None` if the load report is invalid or incomplete:
+/// the value is valid without the report, but the connection can't be used any more. An invalid
+/// response is rejected at its first wrong byte, as the remaining bytes may never arrive.
 ///
 /// # Errors
 /// If the input is not a valid response.
@@ -265,7 +266,9 @@
     Some((parser.position, usize::try_from(length).ok()?))
 }
 
-/// Parses the part of a response behind a streamed value, beginning with the value's line end.
+/// Parses the part of a response after a streamed value, beginning with the value's line end. The
+/// value in the returned response is empty, and the length is that of this part, as in
+/// [`parse_response`].
 ///
 /// # Errors
 /// If the input is not the end of a valid response.
--- a/crates/balancer/src/resp/tests.rs
+++ b/crates/balancer/src/resp/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when a message is parsed and which input is invalid.
+//! Tests of incomplete, complete and invalid messages.
 
 use super::*;
 
@@ -41,7 +41,7 @@
     assert_eq!(parse_reply(complete), Ok(Some((reply, complete.len()))));
 }
 
-/// Bytes behind the cache status, the load report parsed from them, and whether the connection can
+/// Bytes after the cache status, the load report parsed from them, and whether the connection can
 /// be used again.
 type TailCase<'a> = (&'a [u8], Option<&'a [u8]>, bool);
 
--- a/crates/balancer/src/response_stream.rs
+++ b/crates/balancer/src/response_stream.rs
@@ -18,12 +18,12 @@
     remaining: usize,
 }
 
-/// Part of a response behind a long value.
+/// Part of a response after a long value.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StreamTail {
     /// Response with the cache status and load report; its value is empty.
     pub response: CacheResponse,
-    /// Length of the part behind the value in bytes; `None` if its end has not arrived.
+    /// Length of the part after the value in bytes; `None` if its end has not arrived.
     pub length: Option<usize>,
 }
 
@@ -60,8 +60,8 @@
         chunk
     }
 
-    /// Parses the part of the response behind the value. Returns `None` until the whole value has
-    /// been taken and that part has arrived.
+    /// Parses the part of the response after the value. Returns `None` until the whole value has
+    /// been taken and the part after it has arrived.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -1,6 +1,5 @@
-//! The pool of connections to the tile caches. A connection carries one job at a time: abandoning a
-//! job, which closes its connection, affects no other job, and no response waits behind a slower
-//! one.
+//! The pool of connections to the tile caches. A connection carries one job at a time. Abandoning a
+//! job closes its connection and so affects no other job, and no response waits for a slower one.
 
 mod address_book;
 mod connection;
@@ -152,7 +151,7 @@
     }
 
     /// Assigns a job to an idle connection or to a new one. Reports [`UpstreamEvent::Connected`]
-    /// once the connection is established, or [`UpstreamEvent::Completed`] if there is none.
+    /// once the connection is established, or [`UpstreamEvent::Completed`] if that is impossible.
     pub fn dispatch(
         &mut self,
         now: Nanos,
@@ -314,8 +313,9 @@
             return None;
         }
         if let Err(e) = connection.set_paused(now, paused) {
-            // The connection stays in its former state. If reading goes on, the buffer grows, which
-            // is better than a response that never ends.
+            // The connection stays as it was. If pausing failed, reading continues and the unsent
+            // bytes of the client grow, which is better than a response that never ends. If
+            // resuming failed, the connection stays paused, and no stall timeout ends its response.
             log::warn!(
                 "connection to endpoint {}: pausing or resuming reads failed: {e}",
                 connection.endpoint.0
@@ -396,7 +396,7 @@
         self.buffered_bytes -= before - connection.input.len();
         match parsed {
             Ok(Some(reply)) => self.complete(number, job, reply, now, events, counters),
-            // The parser limits each message; this limits all incomplete responses together.
+            // The parser limits each message; this limits the total of all incomplete responses.
             Ok(None) if self.buffered_bytes <= self.max_buffered_bytes => {
                 if !connection.has_unwritten_bytes() {
                     timers.set(
@@ -420,9 +420,9 @@
     }
 
     /// Completes a job whose reply has arrived. The connection becomes idle, or is closed if it
-    /// can't carry another job. That is so if the reply arrived before the whole command was
-    /// written, lacks its end or is followed by further bytes, so that the start of the next reply
-    /// is unknown; or if the endpoint drains or has a new address, as the old address may belong to
+    /// can't carry another job. There are two such cases. The start of the next reply is unknown:
+    /// the reply arrived before the whole command was written, lacks its end or is followed by
+    /// further bytes. Or the endpoint drains or has a new address: the old address may belong to
     /// another cache by the time of the next job.
     fn complete(
         &mut self,
--- a/crates/balancer/src/upstream_pool/connection.rs
+++ b/crates/balancer/src/upstream_pool/connection.rs
@@ -11,17 +11,17 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Minimum time without progress after which a response that has begun counts as truncated. Caches
-/// send a response at once, and its parts arrive within a round trip.
+/// send a response without pauses, and its parts arrive within a round trip of each other.
 pub(super) const STALL_TIMEOUT: Nanos = 40 * MS;
 /// Number of round trips without progress after which the response of a distant cache counts as
-/// truncated. The time is limited to [`STREAM_START_STALL_TIMEOUT`], as the measured round trip is
-/// too long if the only connection so far was delayed while it was established.
+/// truncated. The resulting time is limited to [`STREAM_START_STALL_TIMEOUT`]: the measured round
+/// trip is too long if the only connection so far was delayed while it was established.
 pub(super) const STALL_ROUND_TRIPS: u64 = 3;
 /// Stall timeout of a long value of which nothing has been forwarded yet. Long values may arrive
 /// slowly.
 pub(super) const STREAM_START_STALL_TIMEOUT: Nanos = 500 * MS;
-/// Stall timeout of a long value of which a part has been forwarded. No other attempt can replace
-/// it.
+/// Stall timeout of a long value of which a part has been forwarded. It is long, as no other
+/// attempt can replace the value any more.
 pub(super) const STREAM_STALL_TIMEOUT: Nanos = 5_000 * MS;
 
 /// State of a connection.
@@ -39,7 +39,7 @@
 /// A connection to an endpoint. It carries at most one job at a time.
 pub(super) struct UpstreamConnection {
     pub(super) endpoint: EndpointId,
-    /// Address of the peer. The endpoint may have a new address since.
+    /// Address of the peer. The address of the endpoint may have changed since.
     pub(super) address: SocketAddr,
     pub(super) socket: Registered<TcpStream>,
     pub(super) state: ConnectionState,
@@ -53,7 +53,7 @@
     /// Time of the last received bytes, of the last pause or resume, or of the opening. Paused
     /// connections do not stall.
     pub(super) last_progress: Nanos,
-    /// Maximum time without progress of a response that has begun; set when the command is written.
+    /// Stall timeout of a response that is not a long value; set when the command is written.
     pub(super) response_stall_timeout: Nanos,
     /// Long value that is being forwarded.
     stream: Option<ResponseStream>,
--- a/crates/balancer/src/upstream_pool/exchange.rs
+++ b/crates/balancer/src/upstream_pool/exchange.rs
@@ -1,4 +1,4 @@
-//! Jobs that are sent to endpoints, their results and events.
+//! Jobs for endpoints, and their results and events.
 
 use crate::resp::{CacheResponse, Reply};
 use routing::{AttemptNumber, EndpointId, Nanos, RequestId};
@@ -21,7 +21,7 @@
     pub job: UpstreamJob,
     /// Endpoint that receives the command.
     pub endpoint: EndpointId,
-    /// Time at which the job times out. The connection must be established before.
+    /// Time at which the job times out; the latest time for establishing the connection.
     pub deadline: Nanos,
 }
 
--- a/crates/balancer/src/upstream_pool/idle.rs
+++ b/crates/balancer/src/upstream_pool/idle.rs
@@ -10,9 +10,9 @@
 use routing::{EndpointId, Nanos};
 
 /// Minimum time between a response on a connection and the next job on it. A response does not
-/// identify its job, and a second response may follow the first after some milliseconds. With this
-/// delay it is detected while the connection is idle and never taken for the response to the next
-/// job.
+/// identify its job, and a cache may send a second response some milliseconds after the first. With
+/// this delay the second response is detected while the connection is idle, and is never taken for
+/// the response to the next job.
 pub(super) const REUSE_DELAY: Nanos = 10 * MS;
 
 /// An endpoint gets at most the maximum number of connections divided by this.
--- a/crates/balancer/src/upstream_pool/tests.rs
+++ b/crates/balancer/src/upstream_pool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the pool: one job at a time on a connection, and the result of each job.
+//! Tests of the pool: a connection carries one job at a time, and each job gets the right result.
 
 mod idle;
 mod responses;
@@ -19,7 +19,7 @@
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 const ENDPOINT: EndpointId = EndpointId(7);
 
-/// A pool with one endpoint, which the test plays itself.
+/// A pool with one endpoint, whose side of the connections the test controls.
 struct PoolTest {
     pool: UpstreamPool,
     listener: TcpListener,
@@ -34,7 +34,8 @@
 impl PoolTest {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        // The timeout also holds for the accepted sockets: a missing step fails instead of hanging.
+        // The timeout also applies to the accepted sockets: a missing step fails the test instead
+        // of blocking it.
         SockRef::from(&listener)
             .set_read_timeout(Some(STEP_TIMEOUT))
             .unwrap();
--- a/crates/balancer/src/upstream_pool/tests/idle.rs
+++ b/crates/balancer/src/upstream_pool/tests/idle.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn most_recently_used_idle_connection_past_its_reuse_delay_is_taken() {
+fn most_recently_used_idle_connection_past_its_reuse_delay_is_reused() {
     let mut test = PoolTest::start();
     let mut first = test.open_connection(1, 0);
     let mut second = test.open_connection(2, 1);
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -83,7 +83,7 @@
         let admin_address =
             log.find_map(|l| Some(l.split_once("admin listener bound to ")?.1.to_string()));
         let (lines, log_lines) = channel();
-        // The log is read continuously; otherwise the program would block on a full pipe.
+        // The log is read continuously, as the program would block on a full pipe.
         std::thread::spawn(move || log.for_each(|line| drop(lines.send(line))));
         Program {
             process,
--- a/crates/balancer/tests/deployments.rs
+++ b/crates/balancer/tests/deployments.rs
@@ -62,32 +62,34 @@
     let fields = |d: &str| format!("c=read,{tenant}{estimate}size=0.4{retry_mark},d={d}");
     client
         .write_all(get(1, &fields("900000")).as_bytes())
-        .expect("the peer reads");
+        .expect("the program reads the bytes");
     let mut attempt = accept(&cache);
     let header = read_until(&mut attempt, "\r\n").replace("*4", "");
     assert_eq!(header, "\r\n");
     let forwarded = read_until(&mut attempt, ",d=");
     let expected = get(1, &fields(""));
-    let expected = &expected[expected.rfind("c=read").expect("the fields")..expected.len() - 2];
+    let expected =
+        &expected[expected.rfind("c=read").expect("the command has fields")..expected.len() - 2];
     assert!(
         forwarded.ends_with(expected),
         "forwarded {forwarded}, expected {expected}"
     );
     attempt
         .write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-        .expect("the peer reads");
+        .expect("the program reads the bytes");
     assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
 
     let update = json!({"seq": 8, "hosts": [{"host": "s-1", "dial": local(&cache), "health": "terminating"}]});
-    write!(watch, "HTTP/1.1 200 OK\r\n\r\n{update}\n").expect("the peer reads");
-    // The update closes the idle connection. Bytes that are still unread there are ignored.
+    write!(watch, "HTTP/1.1 200 OK\r\n\r\n{update}\n").expect("the program reads the bytes");
+    // The update closes the idle connection, which shows that the program has read it. Bytes that
+    // are still unread on the connection are ignored.
     let mut ignored = Vec::new();
     attempt
         .read_to_end(&mut ignored)
         .expect("the connection is closed in time");
     client
         .write_all(get(2, &fields("900000")).as_bytes())
-        .expect("the peer reads");
+        .expect("the program reads the bytes");
     assert!(read_until(&mut client, "\r\n").starts_with("-BUSY"));
 }
 
@@ -129,7 +131,7 @@
     let mut client = program.client();
     client
         .write_all(get(1, &format!("c=class-{classes},d=19000")).as_bytes())
-        .expect("the peer reads");
+        .expect("the program reads the bytes");
     // The connection ends after the whole command, so the request may have run.
     let mut attempt = accept(&cache);
     read_until(&mut attempt, ",d=");
@@ -141,7 +143,7 @@
         read_until(&mut retry, "\r\n");
         retry
             .write_all(b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n")
-            .expect("the peer reads");
+            .expect("the program reads the bytes");
         assert_eq!(read_until(&mut client, "v\r\n"), "$1\r\nv\r\n");
     } else {
         assert_eq!(read_until(&mut client, "\r\n"), "-ERR failed\r\n");
--- a/crates/balancer/tests/exchanges.rs
+++ b/crates/balancer/tests/exchanges.rs
@@ -9,12 +9,12 @@
 //! - `NAME next`: the peer will accept the program's next connection; its current connection is
 //!   renamed to `former-NAME`.
 //! - `NAME down`: the peer stops accepting connections.
-//! - `rest`: waits until a connection to a cache may carry another job after a response. This is a
-//!   minimum time; the order of events does not depend on it.
-//! - `signal TERM`: sends the signal to the program. After `STOP` the program is stopped until `CONT`,
-//!   so that it processes all events of that time in one turn.
-//! - `file OLD => NEW`: replaces OLD by NEW in the configuration file. Replacements before all other
-//!   steps apply to the start of the program.
+//! - `rest`: waits until a connection to a cache may carry another job after a response. The wait
+//!   is a minimum; the order of events does not depend on its length.
+//! - `signal TERM`: sends the signal to the program. After `STOP` the program is stopped until
+//!   `CONT`, and then processes all events of the meantime in one turn of its event loop.
+//! - `file OLD => NEW`: replaces OLD by NEW in the configuration file. Replacements before all
+//!   other steps apply to the start of the program.
 //! - `log TEXT`: waits for the program's next log line that contains this text.
 //! - `exit`: the program must end with exit code 0.
 //!
--- a/crates/balancer/tests/hot_restart.rs
+++ b/crates/balancer/tests/hot_restart.rs
@@ -13,8 +13,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Configuration with one attempt per request. With more, an attempt would time out after some
-/// 15 ms here; on a busy machine a cache may be delayed that long, and requests would be rejected
+/// Configuration with one attempt per request. With more attempts, each would time out after some
+/// 15 ms here. On a busy machine a cache may be delayed that long, and requests would be rejected
 /// for reasons unrelated to the hot restart.
 const CONFIG: &str = r#"{"name":"n1","listen":"LISTEN","discovery":"127.0.0.1:1","seed":"2a",
     "limits":{"cores":1.0,"memory_mb":64,"sockets":1024},
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn old_process_serves_on_after_the_new_one_is_killed() {
+fn old_process_keeps_serving_after_the_new_one_is_killed() {
     let pair = Pair::new("killed-new");
     let (old, clients) = pair.under_load();
     // The new process is killed as soon as it has started, or once both processes serve.
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn ending_process_accepts_clients_while_the_other_is_quiesced() {
+fn process_that_shuts_down_accepts_clients_while_the_other_is_quiesced() {
     let pair = Pair::new("drained");
     let mut old = pair.start();
     old.wait_ready();
--- a/crates/balancer/tests/long_values.rs
+++ b/crates/balancer/tests/long_values.rs
@@ -10,11 +10,11 @@
 /// Length of each value, in bytes.
 const LENGTH: usize = 4 << 20;
 const CLIENTS: usize = 16;
-/// Number of pipelined commands per client. The values behind the first one wait in the process,
-/// not in the socket buffers.
+/// Number of pipelined commands per client. The values after the first one wait in the process, not
+/// in the socket buffers.
 const COMMANDS: usize = 4;
-/// Memory limit of the process in MB, far less than the total of the values (256 MB).
-const MEMORY: usize = 16;
+/// Memory limit of the process, far less than the total of the values (256 MB).
+const MEMORY_MB: usize = 16;
 
 /// Starts a cache that responds to each command with a long value. Returns its address.
 fn start_cache() -> String {
@@ -42,10 +42,10 @@
 }
 
 #[test]
-fn long_values_for_clients_that_do_not_read_hold_little_memory_and_arrive_whole() {
+fn long_values_for_clients_that_do_not_read_take_little_memory_and_arrive_complete() {
     let hosts = (0..4).map(|n| format!(r#"{{"host":"s-{n}","dial":"{}"}}"#, start_cache()));
     let text = format!(
-        r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"memory_mb":{MEMORY},"sockets":512}},
+        r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"memory_mb":{MEMORY_MB},"sockets":512}},
         "known":{{"seq":1,"whole":true,"hosts":[{}]}},"settings":{{"group_size":1,"membership_mode":"subscribe",
         "profiles":[{{"name":"read","repeat":"safe","goal_time_ns":9000000000,"give_up_ns":30000000000}}]}}}}"#,
         hosts.collect::<Vec<_>>().join(",")
@@ -88,5 +88,5 @@
         .expect("the status has the peak memory")
         .parse()
         .unwrap();
-    assert!(peak < MEMORY << 10, "the peak memory is {peak} kB");
+    assert!(peak < MEMORY_MB << 10, "the peak memory is {peak} kB");
 }
--- a/crates/balancer/tests/stalls.rs
+++ b/crates/balancer/tests/stalls.rs
@@ -15,14 +15,14 @@
 use std::time::Duration;
 
 const MS: u64 = 1_000_000;
-/// Time for which the process is stalled, far longer than [`SHORT`].
+/// Time for which the process is stalled, far longer than [`SHORT_MS`].
 const STALL: Duration = Duration::from_millis(650);
-/// A timeout in milliseconds that ends during the stall.
-const SHORT: u64 = 284;
+/// A client timeout in milliseconds that ends during the stall.
+const SHORT_MS: u64 = 284;
 /// A timeout in milliseconds that ends long after the test.
-const LONG: u64 = 60_000;
+const LONG_MS: u64 = 60_000;
 
-/// The running program with caches, discovery and clients that the test plays.
+/// The running program, with listeners of the test that stand for the caches and discovery.
 struct Setup {
     program: Program,
     caches: Vec<TcpListener>,
@@ -31,7 +31,7 @@
 
 fn class(name: &str, repeat: &str, memory_span_ms: u64) -> Value {
     json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": memory_span_ms * MS,
-        "goal_time_ns": LONG * MS, "give_up_ns": LONG * MS, "worth": 1})
+        "goal_time_ns": LONG_MS * MS, "give_up_ns": LONG_MS * MS, "worth": 1})
 }
 
 impl Setup {
@@ -44,7 +44,7 @@
             "settings": {
                 "membership_mode": "automatic", "group_size": 1, "step_ns": MS,
                 "caps": {"max_attempts": 3, "may_cancel": true, "second_copies": true,
-                    "conn_idle_ns": LONG * MS, "connect_timeout_ns": LONG * MS},
+                    "conn_idle_ns": LONG_MS * MS, "connect_timeout_ns": LONG_MS * MS},
                 "obligations": {"drain_grace_ns": 500 * MS, "grace_to_answer_ns": 16 * MS},
                 "profiles": [class("read", "safe", 0), class("put", "keyed", 400)],
             },
@@ -75,8 +75,8 @@
         self.program.signal("CONT");
     }
 
-    /// Waits until the event loop has processed everything that was ready when the process resumed.
-    /// The response to a new command comes after that.
+    /// Waits until the event loop has processed everything that was ready when the process resumed:
+    /// the process responds to a new command only after that.
     fn wait_until_processed(&self) {
         for _ in 0..5 {
             let mut client = self.client(b"*1\r\n$4\r\nPING\r\n");
@@ -166,14 +166,14 @@
 
 /// Sends a request for which the connection to the cache is established during the stall. Returns
 /// the bytes that the cache received.
-fn attempt_on_a_delayed_connection(name: &str, timeout_ms: u64, closes: bool) -> String {
+fn attempt_on_a_delayed_connection(name: &str, timeout_ms: u64, disconnects: bool) -> String {
     let FullCache { listener, queued } = FullCache::new();
     let setup = Setup::new(name, vec![listener]);
     let client = setup.client(&read_command(1, timeout_ms));
     setup.wait_until_processed();
     let mut open_client = Some(client);
     setup.stall_during(|| {
-        if closes {
+        if disconnects {
             open_client = None;
         }
         FullCache::drain_backlog(&setup.caches[0], queued.len());
@@ -184,7 +184,7 @@
 }
 
 /// Sends a request during the stall. Returns the bytes that its cache received.
-fn first_attempt(name: &str, timeout_ms: u64, closes: bool) -> String {
+fn first_attempt(name: &str, timeout_ms: u64, disconnects: bool) -> String {
     let setup = Setup::new(name, vec![listen()]);
     let client = setup.client(b"");
     setup.wait_until_processed();
@@ -194,7 +194,7 @@
         client
             .write_all(&read_command(1, timeout_ms))
             .expect("the program reads commands");
-        if closes {
+        if disconnects {
             std::thread::sleep(Duration::from_millis(200));
             open_client = None;
         }
@@ -206,7 +206,7 @@
 
 /// Sends a request whose second attempt becomes due during the stall. Returns the bytes that the
 /// caches received besides the first attempt.
-fn second_attempt(name: &str, command: &[u8], closes: bool) -> String {
+fn second_attempt(name: &str, command: &[u8], disconnects: bool) -> String {
     let setup = Setup::new(name, vec![listen(), listen()]);
     let client = setup.client(command);
     let mut first = None;
@@ -220,7 +220,7 @@
     }
     let mut open_client = Some(client);
     setup.stall_during(|| {
-        if closes {
+        if disconnects {
             open_client = None;
         }
     });
@@ -236,20 +236,20 @@
 
 /// Returns the bytes that caches received with each kind of attempt: a first attempt, one on a
 /// delayed connection, a hedge and a retry.
-fn received_by_kind_of_attempt(name: &str, closes: bool, timeout_ms: u64) -> [String; 4] {
+fn received_by_kind_of_attempt(name: &str, disconnects: bool, timeout_ms: u64) -> [String; 4] {
     let timeout_of_second_ms = timeout_ms.min(800);
     [
-        first_attempt(&format!("{name}-first"), timeout_ms, closes),
-        attempt_on_a_delayed_connection(&format!("{name}-delayed"), timeout_ms, closes),
+        first_attempt(&format!("{name}-first"), timeout_ms, disconnects),
+        attempt_on_a_delayed_connection(&format!("{name}-delayed"), timeout_ms, disconnects),
         second_attempt(
             &format!("{name}-hedge"),
             &read_command(1, timeout_of_second_ms),
-            closes,
+            disconnects,
         ),
         second_attempt(
             &format!("{name}-retry"),
             &write_command(1, timeout_of_second_ms),
-            closes,
+            disconnects,
         ),
     ]
 }
@@ -257,7 +257,7 @@
 #[test]
 fn request_of_a_client_that_disconnected_during_a_stall_is_not_forwarded() {
     assert_eq!(
-        received_by_kind_of_attempt("closed", true, LONG),
+        received_by_kind_of_attempt("closed", true, LONG_MS),
         ["", "", "", ""]
     );
 }
@@ -265,7 +265,7 @@
 #[test]
 fn request_that_timed_out_during_a_stall_is_not_forwarded() {
     assert_eq!(
-        received_by_kind_of_attempt("over", false, SHORT),
+        received_by_kind_of_attempt("over", false, SHORT_MS),
         ["", "", "", ""]
     );
 }
--- a/crates/balancer/tests/startup.rs
+++ b/crates/balancer/tests/startup.rs
@@ -1,5 +1,5 @@
-//! Tests the start without an endpoint list: the process calls discovery immediately, and is ready
-//! once it has received the list, even if no client has connected.
+//! Tests a start without an endpoint list: the process calls discovery immediately and becomes
+//! ready when it has received the list, even if no client has connected.
 
 mod common;
 
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,9 +1,10 @@
 //! Three toy tile caches and a toy discovery in one process, for trying pipitrun on one machine.
 //!
 //! Discovery listens on 127.0.0.1:8500, the caches on 127.0.0.1:7001 to 7003. The configurations
-//! `examples/config.json` and `examples/fleet/` use these addresses. Lines on standard input change the
-//! endpoint list: `drain 2` drains the second cache, `up 2` puts it back into service. The caches keep
-//! written values until the process ends; a read of any other key returns a generated tile.
+//! `examples/config.json` and `examples/fleet/` use these addresses. Lines on standard input change
+//! the endpoint list: `drain 2` drains the second cache, `up 2` puts it back into service. The
+//! caches keep written values until the process ends; a read of any other key returns a generated
+//! tile.
 
 use std::io;
 use std::net::SocketAddr;
