--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -105,8 +105,8 @@
     }
 
     /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first
-    /// list is returned whole, as no request can be served before. The version of a message is set
-    /// with its last part.
+    /// list is returned in one part of any size, as no request can be served without it. The list
+    /// gets the version of a message with the last part of the message.
     pub fn take_part(&mut self, limit: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
         match self.list.take_part(limit) {
             Ok(part) => part.map(DiscoveryEvent::ListPart),
--- a/crates/balancer/src/discovery/endpoint_list.rs
+++ b/crates/balancer/src/discovery/endpoint_list.rs
@@ -115,8 +115,8 @@
     }
 
     /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first
-    /// list is returned whole, as no request can be served before. The version of a message is set
-    /// with its last part.
+    /// list is returned in one part of any size, as no request can be served without it. The list
+    /// gets the version of a message with the last part of the message.
     ///
     /// # Errors
     ///
--- a/crates/balancer/src/discovery/tests.rs
+++ b/crates/balancer/src/discovery/tests.rs
@@ -330,7 +330,7 @@
     assert_eq!(
         take(&mut client, 100),
         (300, true),
-        "the first list is returned whole"
+        "the first list is returned in one part"
     );
     client
         .list
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,7 +1,7 @@
 //! The transport of gossip: one UDP socket and one timer that drive a [`Member`]. The state of the
-//! member is reported in the log, the counters and `/admin/fleet`; the engine receives the share
-//! count and the shedding level. The transport exists only if the configuration has the key
-//! `fleet`.
+//! member is reported in the log, the counters and `/admin/fleet`. The engine receives the share
+//! count, which is the number of balancers that quotas, limits and budgets are divided by, and the
+//! shedding level. The transport exists only if the configuration has the key `fleet`.
 
 mod admin_view;
 mod counters_line;
@@ -34,7 +34,8 @@
     pub config: &'a FleetConfig,
     /// Metadata of this balancer, announced to other members.
     pub metadata: MemberMetadata,
-    /// Number of balancers in the settings. It is the share count until the member reports another.
+    /// Number of balancers in the settings, used as the share count until the member reports
+    /// another.
     pub configured_balancers: usize,
     /// Seed of the member's random choices.
     pub seed: u64,
--- a/crates/balancer/src/upstream_pool.rs
+++ b/crates/balancer/src/upstream_pool.rs
@@ -420,9 +420,9 @@
     }
 
     /// Completes a job whose reply has arrived. The connection becomes idle, or is closed if it
-    /// can't carry another job. There are two such cases. The start of the next reply is unknown:
-    /// the reply arrived before the whole command was written, lacks its end or is followed by
-    /// further bytes. Or the endpoint drains or has a new address: the old address may belong to
+    /// can't carry another job. It can't if the reply arrived before the whole command was written,
+    /// lacks its end or is followed by further bytes: the start of the next reply is then unknown.
+    /// It can't either if the endpoint drains or has a new address: the old address may belong to
     /// another cache by the time of the next job.
     fn complete(
         &mut self,
