--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery client. It keeps a watch open, over which the endpoint list and its changes
-//! arrive.
+//! The discovery client. It keeps a watch open: a long-lived HTTP call over which the endpoint list
+//! and its changes arrive.
 
 mod body;
 mod call;
@@ -105,8 +105,8 @@
     }
 
     /// Applies and returns the next endpoints of the pending messages, at most `limit`. The first
-    /// list is returned whole, as no request can be served before. The version of a message is set
-    /// with its last part.
+    /// list is returned in one part of any size, as no request can be served without it. The list
+    /// gets the version of a message with the last part of the message.
     pub fn take_part(&mut self, limit: usize, counters: &mut Counters) -> Option<DiscoveryEvent> {
         match self.list.take_part(limit) {
             Ok(part) => part.map(DiscoveryEvent::ListPart),
@@ -164,7 +164,7 @@
 
     /// Changes the address of discovery and reopens the watch there, from the version received so
     /// far. The watch is opened immediately, regardless of any delay after a failed call: the
-    /// former address may send nothing more, while the balancer still counts as notified of
+    /// former address may send nothing more, yet by the protocol the balancer counts as notified of
     /// changes.
     pub fn change_address(
         &mut self,
