--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A cluster: real processes of the built program with simulated services round them and emulated
-//! networks between them. All of it ends with the [`Cluster`], also in a panic.
+//! Cluster of real processes of the built program, with simulated services and emulated networks.
+//! Everything stops when the [`Cluster`] is dropped, also on a panic.
 
 mod loopback_network;
 mod setup;
@@ -17,69 +17,72 @@
 use crate::simulated_services::clients::{ClientOptions, Clients, RequestRate};
 use crate::simulated_services::discovery::{Discovery, EndpointList, ListedHost};
 use crate::simulated_services::origin::{Origin, OriginOptions};
-use setup::{fleet_key, make_folder, member_seed, start_caches, start_discovery, start_proxies};
+use setup::{
+    fleet_settings, make_folder, member_seed, start_caches, start_discovery, start_proxies,
+};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The most instances and caches: one loopback network has room for so many.
+/// Maximum number of instances, limited by the addresses of a loopback network.
 pub const INSTANCES_MAX: usize = 120;
-/// See [`INSTANCES_MAX`].
+/// Maximum number of caches, limited by the addresses of a loopback network.
 pub const CACHES_MAX: usize = 40;
-/// Where a member finds discovery.
+/// Port of each member's discovery server.
 const DISCOVERY_PORT: u16 = 8_500;
 
-/// What a cluster consists of.
+/// Size and settings of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
-    /// Processes of the program.
+    /// Number of balancer processes.
     pub instances: usize,
-    /// Tile caches.
+    /// Number of tile caches.
     pub caches: usize,
-    /// How the caches work.
+    /// Options of the caches at the start of the cluster.
     pub cache: CacheOptions,
-    /// How a cache works that has just started.
-    pub cold: CacheOptions,
-    /// The origin behind the caches, if there is one.
+    /// Options of a cache that is started again later.
+    pub cold_cache: CacheOptions,
+    /// Options of the origin behind the caches, if there is one.
     pub origin: Option<OriginOptions>,
-    /// How clients behave.
+    /// Behaviour of the clients.
     pub clients: ClientOptions,
-    /// The most requests a second that the timeline asks for; so many clients are there.
-    pub rate_most: f64,
-    /// The key `fleet` is set.
+    /// Highest request rate of the timeline, per second; determines the number of clients.
+    pub max_request_rate: f64,
+    /// Whether the members are configured with a `fleet` setting.
     pub fleet_enabled: bool,
-    /// How many members are join addresses.
-    pub joins: usize,
-    /// Members are of so many fleets, in turn.
+    /// Number of members that are join addresses.
+    pub join_count: usize,
+    /// Number of fleets; members are assigned to them in turn.
     pub fleets: usize,
-    /// Requests a second over all; 0 for no clients.
-    pub rate: f64,
-    /// For all that is drawn.
+    /// Initial request rate of all clients together, per second; 0 for no clients.
+    pub request_rate: f64,
+    /// Seed of clients, proxies and members.
     pub seed: u64,
-    /// The program; else it is looked for beside this one.
+    /// Path of the program; `None` uses the one in the build folder of this executable.
     pub program: Option<PathBuf>,
-    /// Further keys of `fleet`, as JSON.
+    /// Further entries of the members' `fleet` setting.
     pub fleet_keys: serde_json::Map<String, serde_json::Value>,
-    /// A fault that is injected into each process, where the program was built for it.
+    /// Fault injected into each process; requires a program built with the feature
+    /// `fault-injection`.
     pub injected_fault: Option<String>,
-    /// Where the members' log lines are written, in the order in which they came.
+    /// Folder for the members' log lines, if they are to be written.
     pub log_dir: Option<PathBuf>,
 }
 
 impl ClusterPlan {
-    /// The cluster of a scenario.
+    /// Returns the plan of a scenario's cluster.
     pub fn from_scenario(scenario: &Scenario) -> Self {
         ClusterPlan {
             instances: scenario.instances,
             caches: scenario.caches,
-            rate: scenario.rate,
+            request_rate: scenario.rate,
             fleets: scenario.fleets,
             fleet_keys: scenario.fleet.clone(),
             cache: scenario.cache.options(false),
-            cold: scenario.cache.options(true),
+            cold_cache: scenario.cache.options(true),
             origin: scenario.origin.map(|origin| origin.options()),
             clients: scenario.clients,
-            rate_most: scenario
+            max_request_rate: scenario
                 .steps
                 .iter()
                 .filter_map(|step| step.rate)
@@ -95,14 +98,14 @@
             instances: 6,
             caches: 4,
             cache: CacheOptions::default(),
-            cold: CacheOptions::default(),
+            cold_cache: CacheOptions::default(),
             origin: None,
             clients: ClientOptions::default(),
-            rate_most: 0.0,
+            max_request_rate: 0.0,
             fleet_enabled: true,
-            joins: 3,
+            join_count: 3,
             fleets: 1,
-            rate: 0.0,
+            request_rate: 0.0,
             seed: 1,
             program: None,
             fleet_keys: serde_json::Map::new(),
@@ -112,27 +115,27 @@
     }
 }
 
-/// A cluster; all of it ends when it is dropped.
+/// Running cluster. Dropping it stops all processes and services.
 pub struct Cluster {
-    /// What was put on it.
+    /// Plan that the cluster was created from.
     pub plan: ClusterPlan,
-    /// When it was laid out.
-    pub begun: Instant,
-    /// The processes.
+    /// Creation time; reference of all recorded times.
+    pub created: Instant,
+    /// Balancer processes, by member index.
     pub members: Vec<MemberProcess>,
-    /// The caches; `None` while one is down.
+    /// Caches by index; `None` while a cache is down.
     pub caches: Vec<Option<Cache>>,
-    /// The list that discovery serves.
+    /// Endpoint list that discovery serves to all members.
     pub endpoint_list: EndpointList,
-    /// The origin, if there is one.
+    /// Origin behind the caches, if there is one.
     pub origin: Option<Origin>,
-    /// Requests a second of all clients.
+    /// Current request rate of all clients together.
     pub request_rate: RequestRate,
-    /// What came to caches that have died since.
-    counts_of_ended_caches: CacheCounts,
+    /// Sum of the counts of caches that were stopped.
+    stopped_cache_counts: CacheCounts,
     clients: Option<Clients>,
     datagram_proxy: DatagramProxy,
-    /// `relays[member][cache]`.
+    /// Proxies between members and caches, as `stream_proxies[member][cache]`.
     stream_proxies: Vec<Vec<StreamProxy>>,
     _discovery: Vec<Discovery>,
     network: LoopbackNetwork,
@@ -141,20 +144,20 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Clients first: what breaks from here on is no finding.
+        // Clients stop first, so that they do not observe the shutdown of the members.
         self.clients = None;
         self.members.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn add(sum: &mut CacheCounts, more: CacheCounts) {
-    sum.attempts += more.attempts;
-    sum.rejected += more.rejected;
-    sum.health_checks += more.health_checks;
-    sum.connections += more.connections;
-    sum.hits += more.hits;
-    sum.misses += more.misses;
+fn add_counts(sum: &mut CacheCounts, counts: CacheCounts) {
+    sum.attempts += counts.attempts;
+    sum.rejected += counts.rejected;
+    sum.health_checks += counts.health_checks;
+    sum.connections += counts.connections;
+    sum.hits += counts.hits;
+    sum.misses += counts.misses;
 }
 
 fn cache_name(n: usize) -> String {
@@ -162,12 +165,13 @@
 }
 
 impl Cluster {
-    /// Lays it out; no process runs yet.
+    /// Starts the services and proxies of a cluster; the balancers are not started yet.
     ///
     /// # Errors
     ///
-    /// If the plan has no room on the loopback network, or a socket can't be opened.
-    pub fn lay_out(plan: ClusterPlan) -> Result<Self, TestbedError> {
+    /// Fails if the plan exceeds [`INSTANCES_MAX`] or [`CACHES_MAX`], or if a socket can't be
+    /// opened.
+    pub fn create(plan: ClusterPlan) -> Result<Self, TestbedError> {
         if !(1..=INSTANCES_MAX).contains(&plan.instances)
             || !(1..=CACHES_MAX).contains(&plan.caches)
         {
@@ -182,8 +186,8 @@
         let folder = make_folder(&network)?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
-        let own: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
-        let datagram_proxy = DatagramProxy::start(&advertised, &own, plan.seed)
+        let bound: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
+        let datagram_proxy = DatagramProxy::start(&advertised, &bound, plan.seed)
             .map_err(|e| TestbedError::io("datagram proxy", e))?;
         let origin = plan.origin.map(Origin::new);
         let endpoint_list = EndpointList::default();
@@ -200,7 +204,7 @@
                 listen: network.member(i, 6_379),
                 admin: network.member(i, 9_000),
                 discovery: network.member(i, DISCOVERY_PORT),
-                fleet: fleet_key(&plan, i, own[i], &advertised),
+                fleet: fleet_settings(&plan, i, bound[i], &advertised),
                 advertised: advertised[i],
                 group_size: n,
                 seed: member_seed(&plan, i),
@@ -209,13 +213,13 @@
         }
         Ok(Cluster {
             plan,
-            begun: Instant::now(),
+            created: Instant::now(),
             members,
             caches,
             endpoint_list,
             origin,
             request_rate: RequestRate::default(),
-            counts_of_ended_caches: CacheCounts::default(),
+            stopped_cache_counts: CacheCounts::default(),
             clients: None,
             datagram_proxy,
             stream_proxies,
@@ -225,55 +229,61 @@
         })
     }
 
-    /// Starts all processes at once.
+    /// Starts all balancer processes.
     ///
     /// # Errors
     ///
-    /// If the plan has no room on the loopback network, or a socket or process can't be started.
+    /// Fails if a process can't be started.
     pub fn start_all(&mut self) -> Result<(), TestbedError> {
         self.members.iter_mut().try_for_each(MemberProcess::start)
     }
 
     /// Starts the clients, if the plan has any.
     pub fn start_clients(&mut self) {
-        if self.plan.rate > 0.0 && self.clients.is_none() {
+        if self.plan.request_rate > 0.0 && self.clients.is_none() {
             let addresses: Vec<SocketAddr> = (0..self.plan.instances)
                 .map(|i| self.network.member(i, 6_379))
                 .collect();
-            // More at a time than the slowest class keeps out; each has one request out.
-            let workers = (self.plan.rate.max(self.plan.rate_most).ceil() as usize).clamp(8, 1_000);
-            self.request_rate.set(self.plan.rate);
-            let (seed, behaviour) = (self.plan.seed, self.plan.clients);
+            // Each worker has at most one outstanding request. One worker for each request per
+            // second is more than even the class with the longest deadline keeps outstanding.
+            let workers = (self
+                .plan
+                .request_rate
+                .max(self.plan.max_request_rate)
+                .ceil() as usize)
+                .clamp(8, 1_000);
+            self.request_rate.set(self.plan.request_rate);
+            let (seed, options) = (self.plan.seed, self.plan.clients);
             self.clients = Some(Clients::start(
                 &addresses,
                 workers,
                 &self.request_rate,
-                behaviour,
+                options,
                 seed,
-                self.begun,
+                self.created,
             ));
         }
     }
 
-    /// Stops the clients and returns all requests.
+    /// Stops the clients and returns the records of all requests.
     pub fn stop_clients(&mut self) -> Vec<crate::simulated_services::clients::ClientRequest> {
         self.clients.take().map(Clients::stop).unwrap_or_default()
     }
 
-    /// The link for datagrams from one member to another.
+    /// Returns the datagram link from one member to another.
     #[must_use]
     pub fn link(&self, from: usize, to: usize) -> &Link {
         self.datagram_proxy.link(from, to)
     }
 
-    /// The links between a member and a cache, there and back.
+    /// Returns the stream links from a member to a cache and back.
     #[must_use]
     pub fn cache_links(&self, member: usize, cache: usize) -> [&Link; 2] {
-        let relay = &self.stream_proxies[member][cache];
-        [&relay.to_target, &relay.from_target]
+        let proxy = &self.stream_proxies[member][cache];
+        [&proxy.to_target, &proxy.from_target]
     }
 
-    /// Datagrams that the switch passed on, and those lost by faults.
+    /// Returns the numbers of datagrams that the proxy forwarded, and dropped because of faults.
     #[must_use]
     pub fn datagrams(&self) -> (u64, u64) {
         self.datagram_proxy.counts()
@@ -288,35 +298,37 @@
         }
     }
 
-    /// Ends a cache, and takes it from nobody's list: that comes later, as it does in service.
+    /// Stops a cache. It stays in the endpoint list until [`Cluster::unlist_cache`], as discovery
+    /// in production also reports a death with a delay.
     pub fn kill_cache(&mut self, n: usize) {
         if let Some(cache) = self.caches[n].take() {
-            add(&mut self.counts_of_ended_caches, cache.counts());
+            add_counts(&mut self.stopped_cache_counts, cache.counts());
         }
     }
 
-    /// Takes a cache from the list.
+    /// Removes a cache from the endpoint list.
     pub fn unlist_cache(&self, n: usize) {
         self.endpoint_list.remove(&cache_name(n));
     }
 
-    /// Starts a cache again, cold and holding nothing; the list says so later.
+    /// Starts a cache again, cold and empty. It is not in the endpoint list until
+    /// [`Cluster::list_cache`].
     ///
     /// # Errors
     ///
-    /// If the plan has no room on the loopback network, or a socket or process can't be started.
+    /// Fails if the address of the cache can't be bound.
     pub fn start_cache(&mut self, n: usize) -> Result<(), TestbedError> {
         let cache = Cache::start(
             &cache_name(n),
             self.network.cache(n),
-            self.plan.cold,
+            self.plan.cold_cache,
             self.origin.clone(),
         );
         self.caches[n] = Some(cache.map_err(|e| TestbedError::io("cache", e))?);
         Ok(())
     }
 
-    /// Puts a cache on the list.
+    /// Adds a cache to the endpoint list. `born_ms` is the time of its start, in Unix milliseconds.
     pub fn list_cache(&self, n: usize, born_ms: u64) {
         self.endpoint_list.insert(
             &cache_name(n),
@@ -327,19 +339,19 @@
         );
     }
 
-    /// What came to all caches, those that have died included.
+    /// Returns the sum of the counts of all caches, including stopped ones.
     #[must_use]
     pub fn cache_counts(&self) -> CacheCounts {
-        let mut sum = self.counts_of_ended_caches;
+        let mut sum = self.stopped_cache_counts;
         self.caches
             .iter()
             .flatten()
-            .for_each(|cache| add(&mut sum, cache.counts()));
+            .for_each(|cache| add_counts(&mut sum, cache.counts()));
         sum
     }
 
-    /// The members' counters, summed over all their processes. Those that print now are read by the
-    /// next call.
+    /// Returns the members' counters, summed over all their processes, and requests new ones:
+    /// counters printed in response to this call are included in the result of the next call.
     #[must_use]
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
         let mut sum = std::collections::BTreeMap::new();
@@ -352,34 +364,34 @@
         sum
     }
 
-    /// What each member sees, of those that answer; `None` of the others.
+    /// Returns the view of each member; `None` for members that do not answer.
     #[must_use]
     pub fn views(&self) -> Vec<Option<MemberView>> {
-        // Side by side: one after the other takes long enough among many for the first to be out of
-        // date.
+        // Read in parallel: in a large cluster the first views would be outdated by the time the
+        // last ones are read in sequence.
         std::thread::scope(|scope| {
-            let asked: Vec<_> = self
+            let readers: Vec<_> = self
                 .members
                 .iter()
                 .map(|member| scope.spawn(|| member.view()))
                 .collect();
-            asked
+            readers
                 .into_iter()
-                .map(|one| one.join().unwrap_or_default())
+                .map(|reader| reader.join().unwrap_or_default())
                 .collect()
         })
     }
 
-    /// Waits until this holds, at most for so long; how long it took.
-    pub fn wait(
+    /// Waits until `condition` holds; returns the time it took, or `None` after `timeout`.
+    pub fn wait_until(
         &self,
-        most: Duration,
-        mut holds: impl FnMut(&Cluster) -> bool,
+        timeout: Duration,
+        mut condition: impl FnMut(&Cluster) -> bool,
     ) -> Option<Duration> {
-        let begun = Instant::now();
-        while begun.elapsed() < most {
-            if holds(self) {
-                return Some(begun.elapsed());
+        let start = Instant::now();
+        while start.elapsed() < timeout {
+            if condition(self) {
+                return Some(start.elapsed());
             }
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -1,4 +1,4 @@
-//! The parts of a cluster's layout.
+//! Setup of the parts of a cluster.
 
 use super::{ClusterPlan, DISCOVERY_PORT, LoopbackNetwork, cache_name};
 use crate::error::TestbedError;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The first of a member's stream proxies.
+/// Port of a member's stream proxy for cache 0; those of further caches follow.
 const PROXY_PORT: u16 = 7_100;
 
-/// Makes the folder for configurations.
+/// Creates the folder for configuration files.
 pub(super) fn make_folder(network: &LoopbackNetwork) -> Result<PathBuf, TestbedError> {
     let name = format!(
         "pipitrun-trial-{}-{}-{}",
@@ -26,7 +26,7 @@
     Ok(folder)
 }
 
-/// Starts all caches and lists them.
+/// Starts all caches and adds them to the endpoint list.
 pub(super) fn start_caches(
     plan: &ClusterPlan,
     network: &LoopbackNetwork,
@@ -53,16 +53,17 @@
     Ok(caches)
 }
 
+/// Returns the seed of a member and its proxies.
 pub(super) fn member_seed(plan: &ClusterPlan, member: usize) -> u64 {
     plan.seed.wrapping_mul(100_003).wrapping_add(member as u64)
 }
 
-/// Where a member connects to reach a cache.
+/// Returns the address at which a member reaches a cache.
 fn proxy_address(network: &LoopbackNetwork, member: usize, cache: usize) -> SocketAddr {
     network.member(member, PROXY_PORT + cache as u16)
 }
 
-/// Starts a member's stream proxies, one before each cache.
+/// Starts a member's stream proxies, one per cache.
 pub(super) fn start_proxies(
     plan: &ClusterPlan,
     network: &LoopbackNetwork,
@@ -78,7 +79,8 @@
         .collect()
 }
 
-/// Starts a member's discovery, which names its stream proxies as the caches' addresses.
+/// Starts a member's discovery server, which lists the member's stream proxies as the addresses of
+/// the caches.
 pub(super) fn start_discovery(
     plan: &ClusterPlan,
     network: &LoopbackNetwork,
@@ -93,8 +95,8 @@
         .map_err(|e| TestbedError::io("discovery", e))
 }
 
-/// A member's key `fleet`, if the plan has it.
-pub(super) fn fleet_key(
+/// Returns a member's `fleet` setting, if the plan enables it.
+pub(super) fn fleet_settings(
     plan: &ClusterPlan,
     member: usize,
     bind: SocketAddr,
@@ -103,7 +105,7 @@
     if !plan.fleet_enabled {
         return None;
     }
-    let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.joins).collect();
+    let join: Vec<SocketAddr> = advertised.iter().copied().take(plan.join_count).collect();
     let mut fleet = serde_json::json!({
         "name": format!("trial-{}", member % plan.fleets.max(1)),
         "bind": bind,
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -12,7 +12,7 @@
 /// Seconds before and after a stall in which no violation is counted: a member that stalled reports
 /// it itself.
 const NEAR: f64 = 12.0;
-/// An answer that comes this much after its class_deadline_s is counted as late. It is no failure: how fast
+/// An answer that comes this much after its deadline is counted as late. It is no failure: how fast
 /// a machine is must not decide a verdict; none at all, or a connection that breaks though nothing
 /// was done to its balancer, does.
 const SLACK: f64 = 0.05;
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -1,7 +1,7 @@
-//! Datagrams between members: each member has an address at the proxy, by which the others know
-//! it; what comes there is passed on to the member's own address, from the address at the switch of
-//! whoever sent it. So the program needs no code for trials: it binds to one address and advertises
-//! another, as behind any translation of addresses.
+//! Proxy for datagrams between members. The proxy has one socket per member, whose address the
+//! member advertises to the others. A datagram that arrives there is forwarded to the address the
+//! member is bound to, from the proxy socket of its sender. The program therefore needs no code for
+//! trials: it binds to one address and advertises another, as behind address translation.
 
 use crate::network_emulation::faults::Link;
 use rand::{RngExt, SeedableRng};
@@ -14,16 +14,18 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often a thread that waits for datagrams looks whether it is to end.
+/// Maximum time until a waiting thread checks whether the proxy is stopping.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Datagrams that are held for their delay, at most; beyond that they are lost.
+/// Maximum number of delayed datagrams; further ones are dropped.
 const MAX_DELAYED: usize = 100_000;
-/// A datagram that is held back comes this much later.
+/// Additional delay of a reordered datagram.
 const REORDER_DELAY: Duration = Duration::from_millis(20);
 
 struct DelayedDatagram {
-    at: Instant,
-    number: u64,
+    /// Time at which it is forwarded.
+    due: Instant,
+    /// Arrival order, for datagrams that are due at the same time.
+    sequence: u64,
     from: usize,
     to: usize,
     bytes: Vec<u8>,
@@ -31,7 +33,7 @@
 
 impl PartialEq for DelayedDatagram {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.due, self.sequence) == (other.due, other.sequence)
     }
 }
 
@@ -43,45 +45,48 @@
     }
 }
 
-/// The earliest is the greatest: a heap hands that out first.
+/// Reversed order, so that the max-heap returns the datagram that is due first.
 impl Ord for DelayedDatagram {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
 }
 
 #[derive(Default)]
 struct DelayQueue {
     datagrams: BinaryHeap<DelayedDatagram>,
-    number: u64,
+    next_sequence: u64,
 }
 
 struct ProxyState {
-    /// Each member's address at the proxy, and its own.
+    /// Proxy socket of each member.
     sockets: Vec<UdpSocket>,
-    own: Vec<SocketAddr>,
-    /// `links[from][to]`.
+    /// Address that each member is bound to.
+    bound: Vec<SocketAddr>,
+    /// Faults of each link, as `links[from][to]`.
     links: Vec<Vec<Link>>,
     queue: Mutex<DelayQueue>,
     wake: Condvar,
-    end: AtomicBool,
-    passed: AtomicU64,
-    lost: AtomicU64,
+    is_stopping: AtomicBool,
+    forwarded: AtomicU64,
+    /// Datagrams dropped because of faults.
+    dropped: AtomicU64,
 }
 
-/// The proxy; it stops when it is dropped.
+/// Running datagram proxy. Dropping it stops its threads.
 pub struct DatagramProxy {
     shared: Arc<ProxyState>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DatagramProxy {
-    /// Starts a proxy for members that are known to the others by `advertised` and bound to `own`.
+    /// Starts a proxy for members that advertise the addresses `advertised` and are bound to
+    /// `bound`.
     ///
     /// # Errors
     ///
-    /// If an address can't be bound.
-    pub fn start(advertised: &[SocketAddr], own: &[SocketAddr], seed: u64) -> io::Result<Self> {
+    /// Fails if an advertised address can't be bound.
+    pub fn start(advertised: &[SocketAddr], bound: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let sockets = advertised
             .iter()
             .map(|address| {
@@ -93,15 +98,15 @@
         let n = sockets.len();
         let shared = Arc::new(ProxyState {
             sockets,
-            own: own.to_vec(),
+            bound: bound.to_vec(),
             links: (0..n)
                 .map(|_| (0..n).map(|_| Link::default()).collect())
                 .collect(),
             queue: Mutex::default(),
             wake: Condvar::new(),
-            end: AtomicBool::new(false),
-            passed: AtomicU64::new(0),
-            lost: AtomicU64::new(0),
+            is_stopping: AtomicBool::new(false),
+            forwarded: AtomicU64::new(0),
+            dropped: AtomicU64::new(0),
         });
         let mut threads = Vec::new();
         for to in 0..n {
@@ -114,68 +119,69 @@
         Ok(DatagramProxy { shared, threads })
     }
 
-    /// The link from one member to another.
+    /// Returns the link from one member to another.
     #[must_use]
     pub fn link(&self, from: usize, to: usize) -> &Link {
         &self.shared.links[from][to]
     }
 
-    /// Datagrams passed on, and lost by faults.
+    /// Returns the numbers of datagrams forwarded, and dropped because of faults.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (
-            self.shared.passed.load(Ordering::Relaxed),
-            self.shared.lost.load(Ordering::Relaxed),
+            self.shared.forwarded.load(Ordering::Relaxed),
+            self.shared.dropped.load(Ordering::Relaxed),
         )
     }
 }
 
 impl ProxyState {
+    /// Receives datagrams for one member and forwards, delays or drops them, until stopped.
     fn receive(&self, to: usize, mut rng: Xoshiro256PlusPlus) {
         let mut bytes = [0; 2_048];
-        while !self.end.load(Ordering::Relaxed) {
+        while !self.is_stopping.load(Ordering::Relaxed) {
             let Ok((length, source)) = self.sockets[to].recv_from(&mut bytes) else {
                 continue;
             };
-            // Nobody else has business here.
-            let Some(from) = self.own.iter().position(|own| *own == source) else {
+            // Datagrams from addresses other than the members' are ignored.
+            let Some(from) = self.bound.iter().position(|bound| *bound == source) else {
                 continue;
             };
             let faults = self.links[from][to].get();
             if faults.cut || rng.random_bool(faults.drop) {
-                self.lost.fetch_add(1, Ordering::Relaxed);
+                self.dropped.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             let copies = 1 + usize::from(rng.random_bool(faults.duplicate));
             for _ in 0..copies {
                 let jitter = rng.random_range(0..=faults.jitter_ms);
-                let mut wait = Duration::from_millis(faults.delay_ms + jitter);
+                let mut delay = Duration::from_millis(faults.delay_ms + jitter);
                 if rng.random_bool(faults.reorder) {
-                    wait += REORDER_DELAY;
+                    delay += REORDER_DELAY;
                 }
-                if wait.is_zero() {
-                    self.pass(from, to, &bytes[..length]);
+                if delay.is_zero() {
+                    self.forward(from, to, &bytes[..length]);
                 } else {
-                    self.schedule(Instant::now() + wait, from, to, &bytes[..length]);
+                    self.schedule(Instant::now() + delay, from, to, &bytes[..length]);
                 }
             }
         }
     }
 
-    fn pass(&self, from: usize, to: usize, bytes: &[u8]) {
-        self.passed.fetch_add(1, Ordering::Relaxed);
-        // A member that is not there loses it, as anywhere.
-        let _ = self.sockets[from].send_to(bytes, self.own[to]);
+    fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
+        self.forwarded.fetch_add(1, Ordering::Relaxed);
+        // A datagram to a member that does not run is lost, as on a real network.
+        let _ = self.sockets[from].send_to(bytes, self.bound[to]);
     }
 
-    fn schedule(&self, at: Instant, from: usize, to: usize, bytes: &[u8]) {
+    fn schedule(&self, due: Instant, from: usize, to: usize, bytes: &[u8]) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         if queue.datagrams.len() < MAX_DELAYED {
-            queue.number += 1;
-            let number = queue.number;
+            queue.next_sequence += 1;
+            let sequence = queue.next_sequence;
             queue.datagrams.push(DelayedDatagram {
-                at,
-                number,
+                due,
+                sequence,
                 from,
                 to,
                 bytes: bytes.to_vec(),
@@ -184,23 +190,24 @@
         }
     }
 
+    /// Forwards delayed datagrams when they are due, until stopped.
     fn send_delayed(&self) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        while !self.end.load(Ordering::Relaxed) {
+        while !self.is_stopping.load(Ordering::Relaxed) {
             let now = Instant::now();
             let wait = match queue.datagrams.peek() {
-                Some(held) if held.at <= now => {
-                    if let Some(held) = queue.datagrams.pop() {
+                Some(delayed) if delayed.due <= now => {
+                    if let Some(delayed) = queue.datagrams.pop() {
                         drop(queue);
-                        // What was cut meanwhile is lost on its way.
-                        if !self.links[held.from][held.to].get().cut {
-                            self.pass(held.from, held.to, &held.bytes);
+                        // A link that was cut during the delay loses the datagram.
+                        if !self.links[delayed.from][delayed.to].get().cut {
+                            self.forward(delayed.from, delayed.to, &delayed.bytes);
                         }
                         queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
                     }
                     continue;
                 }
-                Some(held) => held.at - now,
+                Some(delayed) => delayed.due - now,
                 None => POLL_INTERVAL,
             };
             queue = self
@@ -214,7 +221,7 @@
 
 impl Drop for DatagramProxy {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.is_stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
--- a/crates/testbed/src/network_emulation/faults.rs
+++ b/crates/testbed/src/network_emulation/faults.rs
@@ -1,42 +1,42 @@
-//! What can be wrong on one direction of one link, and may change while it is in use.
+//! Faults of one direction of a link, adjustable while the link is in use.
 
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What is wrong on one direction of a link. Shares are 0 to 1; times are milliseconds. What makes
-/// no sense for the kind of link is left: a stream has no datagrams to lose, a datagram can't drip.
+/// Faults of one direction of a link. Fractions are from 0 to 1. Faults that do not apply to the
+/// kind of link are ignored: a stream loses no datagrams, and a datagram link has no byte rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkFaults {
-    /// Datagrams: the share that is lost.
+    /// Datagrams: fraction lost.
     pub drop: f64,
-    /// Each datagram or piece of a stream comes this much later.
+    /// Fixed delay of each datagram, or of each chunk of a stream, in milliseconds.
     pub delay_ms: u64,
-    /// And up to this much more, at random.
+    /// Maximum random delay added to `delay_ms`, in milliseconds.
     pub jitter_ms: u64,
-    /// Datagrams: the share that comes twice.
+    /// Datagrams: fraction delivered twice.
     pub duplicate: f64,
-    /// Datagrams: the share that is held back behind those after it.
+    /// Datagrams: fraction delayed further, so that later datagrams overtake them.
     pub reorder: f64,
-    /// Nothing passes, without an error.
+    /// Whether the link delivers nothing; senders see no error.
     pub cut: bool,
-    /// Streams: each connection is reset.
+    /// Streams: whether each connection is reset.
     pub reset: bool,
-    /// Streams: one byte passes in this time.
+    /// Streams: time per byte, in milliseconds; 0 for no limit.
     pub drip_ms: u64,
 }
 
-/// One direction of a link, shared by who changes it and who carries it out.
+/// Faults of one direction of a link, shared by the proxy and its controllers.
 #[derive(Clone, Debug, Default)]
 pub struct Link(Arc<Mutex<LinkFaults>>);
 
 impl Link {
-    /// What is wrong now.
+    /// Returns the current faults.
     pub fn get(&self) -> LinkFaults {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes it.
+    /// Replaces the faults.
     pub fn set(&self, faults: LinkFaults) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
--- a/crates/testbed/src/network_emulation/stream_proxy.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy.rs
@@ -1,4 +1,4 @@
-//! Streams between a process and what it calls, each direction with faults of its own.
+//! Proxy for TCP connections from a process to one target, with separate faults in each direction.
 
 use crate::network_emulation::faults::Link;
 use rand::{RngExt, SeedableRng};
@@ -10,106 +10,117 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often a thread that waits looks whether it is to end, and what is wrong now.
+/// Maximum time until a waiting thread checks whether the proxy is stopping, and the current
+/// faults.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// What is read at once.
+/// Maximum number of bytes per read.
 const BUFFER_SIZE: usize = 16 * 1024;
 
-/// A proxy in front of one address; it ends with this, and so do its connections.
+/// Running proxy in front of one address. Dropping it closes the listener and resets its
+/// connections.
 pub struct StreamProxy {
-    end: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
     listen: SocketAddr,
-    /// From who connects to who is called.
+    /// Faults from the connecting process to the target.
     pub to_target: Link,
-    /// The way back.
+    /// Faults from the target to the connecting process.
     pub from_target: Link,
 }
 
 impl StreamProxy {
-    /// Takes connections at one address and passes them on to another.
+    /// Accepts connections at `listen` and forwards them to `target`.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn start(listen: SocketAddr, target: SocketAddr, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
-        let relay = StreamProxy {
-            end: Arc::default(),
+        let proxy = StreamProxy {
+            is_stopping: Arc::default(),
             listen: listener.local_addr()?,
             to_target: Link::default(),
             from_target: Link::default(),
         };
-        let (end, there, back) = (
-            Arc::clone(&relay.end),
-            relay.to_target.clone(),
-            relay.from_target.clone(),
+        let (is_stopping, to_target, from_target) = (
+            Arc::clone(&proxy.is_stopping),
+            proxy.to_target.clone(),
+            proxy.from_target.clone(),
         );
         std::thread::spawn(move || {
-            let mut number = seed;
+            let mut connection_seed = seed;
             for stream in listener.incoming().flatten() {
-                if end.load(Ordering::Relaxed) {
+                if is_stopping.load(Ordering::Relaxed) {
                     return;
                 }
-                number = number.wrapping_add(2);
-                let (end, there, back) = (Arc::clone(&end), there.clone(), back.clone());
-                std::thread::spawn(move || carry(&stream, target, &end, [there, back], number));
+                connection_seed = connection_seed.wrapping_add(2);
+                let is_stopping = Arc::clone(&is_stopping);
+                let links = [to_target.clone(), from_target.clone()];
+                std::thread::spawn(move || {
+                    forward_connection(&stream, target, &is_stopping, links, connection_seed);
+                });
             }
         });
-        Ok(relay)
+        Ok(proxy)
     }
 }
 
 impl Drop for StreamProxy {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
-        // Whoever waits for a connection gets one, and sees that it is over.
+        self.is_stopping.store(true, Ordering::Relaxed);
+        // Wakes the accepting thread, which then sees the flag.
         let _ = TcpStream::connect(self.listen);
     }
 }
 
+/// Makes the close of a connection a reset.
 fn reset(stream: &TcpStream) {
-    // With no time to linger the close is a reset.
+    // A linger time of zero sends RST instead of FIN.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-fn carry(
-    near: &TcpStream,
+/// Connects to the target and copies both directions until both have ended.
+fn forward_connection(
+    client: &TcpStream,
     target: SocketAddr,
-    end: &Arc<AtomicBool>,
-    [there, back]: [Link; 2],
+    is_stopping: &Arc<AtomicBool>,
+    [to_target, from_target]: [Link; 2],
     seed: u64,
 ) {
-    // While the way is cut a connection is established at the proxy and then hears nothing.
-    while there.get().cut && !end.load(Ordering::Relaxed) {
+    // While the link is cut, a connection is accepted by the proxy but does not reach the target.
+    while to_target.get().cut && !is_stopping.load(Ordering::Relaxed) {
         std::thread::sleep(POLL_INTERVAL);
     }
-    let Ok(far) = TcpStream::connect(target) else {
-        return reset(near);
+    let Ok(server) = TcpStream::connect(target) else {
+        return reset(client);
     };
-    let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else {
+    let (Ok(client_clone), Ok(server_clone)) = (client.try_clone(), server.try_clone()) else {
         return;
     };
     // A reset of either direction ends both.
-    let over = Arc::new(AtomicBool::new(false));
-    let ends = [Arc::clone(end), Arc::clone(&over)];
-    let thread = std::thread::spawn(move || pump(&far2, &near2, &back, &ends, seed + 1));
-    pump(near, &far, &there, &[Arc::clone(end), over], seed);
+    let is_reset = Arc::new(AtomicBool::new(false));
+    let flags = [Arc::clone(is_stopping), Arc::clone(&is_reset)];
+    let thread = std::thread::spawn(move || {
+        copy_stream(&server_clone, &client_clone, &from_target, &flags, seed + 1);
+    });
+    let flags = [Arc::clone(is_stopping), is_reset];
+    copy_stream(client, &server, &to_target, &flags, seed);
     let _ = thread.join();
 }
 
-/// Passes bytes on until either side ends, with what is wrong on the way now.
-fn pump(
+/// Copies bytes in one direction with the current faults of the link, until either side ends.
+/// `flags` are the stop flag of the proxy and the reset flag of the connection.
+fn copy_stream(
     mut from: &TcpStream,
     mut to: &TcpStream,
     link: &Link,
-    ends: &[Arc<AtomicBool>; 2],
+    flags: &[Arc<AtomicBool>; 2],
     seed: u64,
 ) {
-    let ended = || ends.iter().any(|end| end.load(Ordering::Relaxed));
-    let break_off = || {
+    let is_ended = || flags.iter().any(|flag| flag.load(Ordering::Relaxed));
+    let reset_both = || {
         reset(from);
         reset(to);
-        ends[1].store(true, Ordering::Relaxed);
+        flags[1].store(true, Ordering::Relaxed);
     };
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut bytes = [0; BUFFER_SIZE];
@@ -117,11 +128,11 @@
     let _ = to.set_nodelay(true);
     loop {
         let faults = link.get();
-        if faults.reset || ended() {
-            return break_off();
+        if faults.reset || is_ended() {
+            return reset_both();
         }
         if faults.cut {
-            // Bytes wait in the system's buffers; keep-alive notices nothing.
+            // Bytes stay in the socket buffers; TCP keep-alive does not detect the cut.
             std::thread::sleep(POLL_INTERVAL);
             continue;
         }
@@ -136,21 +147,21 @@
             {
                 continue;
             }
-            Err(_) => return break_off(),
+            Err(_) => return reset_both(),
         };
-        let wait = faults.delay_ms + rng.random_range(0..=faults.jitter_ms);
-        std::thread::sleep(Duration::from_millis(wait));
-        let step = if faults.drip_ms > 0 { 1 } else { length };
-        let mut broken = false;
-        for piece in bytes[..length].chunks(step) {
+        let delay_ms = faults.delay_ms + rng.random_range(0..=faults.jitter_ms);
+        std::thread::sleep(Duration::from_millis(delay_ms));
+        let chunk_size = if faults.drip_ms > 0 { 1 } else { length };
+        let mut write_failed = false;
+        for chunk in bytes[..length].chunks(chunk_size) {
             std::thread::sleep(Duration::from_millis(faults.drip_ms));
-            broken |= to.write_all(piece).is_err();
-            if broken || ended() {
+            write_failed |= to.write_all(chunk).is_err();
+            if write_failed || is_ended() {
                 break;
             }
         }
-        if broken {
-            return break_off();
+        if write_failed {
+            return reset_both();
         }
     }
     let _ = to.shutdown(Shutdown::Write);
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes of the program: where it is found, how it is started, signals, and what the operating
-//! system says of what it uses.
+//! Processes of the program: location of the executable, start, signals, and resource usage as
+//! reported by the operating system.
 
 use crate::error::TestbedError;
 use nix::sys::signal::{Signal, kill};
@@ -9,18 +9,19 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The name of the program in the build's folder.
+/// File name of the program in the build folder.
 const PROGRAM: &str = "pipitrun";
-/// Clock ticks a second in `/proc/PID/stat`.
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Finds the program: the one that is named, or else the one beside this in the build's folder.
+/// Returns the path of the program: the given one, or else the one in the build folder of this
+/// executable.
 ///
 /// # Errors
 ///
-/// If it is not there.
-pub fn find_program(named: Option<&Path>) -> Result<PathBuf, TestbedError> {
-    if let Some(path) = named {
+/// Fails if there is no such file.
+pub fn find_program(given: Option<&Path>) -> Result<PathBuf, TestbedError> {
+    if let Some(path) = given {
         return if path.is_file() {
             Ok(path.into())
         } else {
@@ -28,7 +29,7 @@
         };
     }
     let own = std::env::current_exe().map_err(|e| TestbedError::io("this program", e))?;
-    // Tests run from a folder within the one that programs are built in.
+    // Test executables are in a subfolder of the build folder.
     let found = own
         .ancestors()
         .skip(1)
@@ -38,8 +39,8 @@
     found.ok_or(TestbedError::ProgramNotFound(own))
 }
 
-/// The command that starts a balancer with this configuration file; its output still has to be
-/// redirected.
+/// Returns the command that starts a balancer with this configuration file. The caller must
+/// redirect its output.
 #[must_use]
 pub fn balancer_command(program: &Path, config: &Path) -> Command {
     let mut command = Command::new(program);
@@ -51,7 +52,7 @@
     command
 }
 
-/// A child process that is killed and reaped when this is dropped.
+/// Child process that is killed and reaped on drop.
 #[derive(Debug)]
 pub struct ChildGuard(Child);
 
@@ -60,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// If its program can't be started.
+    /// Fails if the program can't be started.
     pub fn spawn(command: &mut Command) -> Result<Self, TestbedError> {
         let child = command.spawn().map_err(|source| TestbedError::File {
             path: command.get_program().into(),
@@ -69,7 +70,7 @@
         Ok(ChildGuard(child))
     }
 
-    /// Sends a signal; a process that has ended ignores it.
+    /// Sends a signal; has no effect on a process that has exited.
     pub fn signal(&self, signal: Signal) {
         if let Ok(pid) = i32::try_from(self.0.id()) {
             let _ = kill(Pid::from_raw(pid), signal);
@@ -98,7 +99,7 @@
     }
 }
 
-/// Parses a line of counters as the program prints them on SIGUSR1.
+/// Parses the `counters:` line that the program prints on SIGUSR1; returns `None` for other lines.
 #[must_use]
 pub fn parse_counters(line: &str) -> Option<BTreeMap<String, u64>> {
     let pairs = line.strip_prefix("counters: ")?;
@@ -109,19 +110,19 @@
     Some(pairs.split(' ').filter_map(parse).collect())
 }
 
-/// Resident memory of a process, in KiB.
+/// Returns the resident memory of a process, in KiB.
 #[must_use]
 pub fn resident_kb(pid: u32) -> Option<u64> {
     status_kb(&pid.to_string(), "VmRSS:")
 }
 
-/// Resident memory of this process, in KiB.
+/// Returns the resident memory of this process, in KiB.
 #[must_use]
 pub fn own_resident_kb() -> Option<u64> {
     status_kb("self", "VmRSS:")
 }
 
-/// The most resident memory that a process has had, in KiB.
+/// Returns the peak resident memory of a process, in KiB.
 #[must_use]
 pub fn peak_resident_kb(pid: u32) -> Option<u64> {
     status_kb(&pid.to_string(), "VmHWM:")
@@ -133,17 +134,17 @@
     value.trim().strip_suffix(" kB")?.trim().parse().ok()
 }
 
-/// Descriptors that a process has open.
+/// Returns the number of open file descriptors of a process.
 #[must_use]
 pub fn open_descriptors(pid: u32) -> Option<usize> {
     Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
 
-/// User and system time of a process, in seconds.
+/// Returns the user and system time of a process, in seconds.
 #[must_use]
 pub fn cpu_seconds(pid: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The fields behind the name of the program, which may hold spaces.
+    // The program name in parentheses may contain spaces, so the fields are counted from its end.
     let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
     let ticks = fields.get(11..13)?.iter();
     let ticks: f64 = ticks.filter_map(|field| field.parse::<f64>().ok()).sum();
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: what happens in a trial and when, read from a TOML file.
+//! Scenarios: the cluster of a trial and the timeline of its actions, parsed from TOML.
 
 use crate::network_emulation::faults::LinkFaults;
 use crate::simulated_services::cache::CacheOptions;
@@ -8,74 +8,75 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A scenario: its cluster, and its timeline.
+/// Scenario of a trial with real processes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name on the command line and in reports.
     pub name: String,
-    /// What it shows, in a line.
+    /// One-line description.
     pub about: String,
-    /// Processes, unless the command says otherwise.
+    /// Number of balancer processes; `--instances` overrides it.
     pub instances: usize,
-    /// Caches.
-    #[serde(default = "four")]
+    /// Number of tile caches.
+    #[serde(default = "default_caches")]
     pub caches: usize,
-    /// Requests a second over all.
+    /// Request rate of all clients together, per second; 0 for no clients.
     #[serde(default)]
     pub rate: f64,
-    /// What is wrong on every link of datagrams from the start.
+    /// Faults of all datagram links between members from the start; `heal` restores them.
     #[serde(default)]
     pub links: LinkFaults,
-    /// Members are of so many fleets, in turn; all have the same join addresses.
-    #[serde(default = "one")]
+    /// Number of fleets. Instances are assigned to them in turn; all have the same join addresses.
+    #[serde(default = "default_fleets")]
     pub fleets: usize,
-    /// Further figures of the members' key `fleet`, such as `hold_ms`.
+    /// Further entries of the members' `fleet` setting, such as `hold_ms`.
     #[serde(default)]
     pub fleet: serde_json::Map<String, serde_json::Value>,
-    /// Suspicions that are refuted at once are no error: datagrams get lost in this scenario.
+    /// Whether a member that is listed as suspect counts as correctly listed. Set where datagram
+    /// loss causes suspicions that are refuted soon afterwards.
     #[serde(default)]
     pub suspicions: bool,
-    /// The greatest sum of all balancers' shares that is borne.
-    #[serde(default = "bound", rename = "shares_most")]
+    /// Maximum sum of all balancers' shares.
+    #[serde(default = "default_max_share_sum", rename = "shares_most")]
     pub max_share_sum: f64,
-    /// The longest any `settles` may take, in seconds: a wide ceiling, no aim.
-    #[serde(default = "ceiling")]
-    pub ceiling: f64,
-    /// How the caches work.
+    /// Timeout of each wait for convergence, in seconds: generous, not a target.
+    #[serde(default = "default_convergence_timeout", rename = "ceiling")]
+    pub convergence_timeout_s: f64,
+    /// Capacity and speed of the caches.
     #[serde(default)]
     pub cache: CacheProfile,
-    /// The origin behind the caches, if there is one.
+    /// Origin behind the caches; without one a cache simulates the time of a fetch.
     pub origin: Option<OriginProfile>,
-    /// How clients behave.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: ClientOptions,
-    /// The disturbance lasts from then to then, in seconds of the timeline: what the fleet does is
-    /// measured second by second and evaluated before, in and after it.
+    /// Start and end of the disturbance, in seconds of the timeline. If set, the fleet is measured
+    /// once a second, and the spans before, during and after the disturbance are evaluated.
     #[serde(rename = "trouble")]
     pub disturbance: Option<(f64, f64)>,
-    /// The timeline, in order.
+    /// Timeline, ordered by time.
     #[serde(default, rename = "step")]
     pub steps: Vec<ScenarioStep>,
 }
 
-fn four() -> usize {
+fn default_caches() -> usize {
     4
 }
 
-/// A cache's figures; times are in milliseconds, the warm-up in seconds.
+/// Capacity and speed of a cache.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CacheProfile {
-    /// Requests at work at a time.
+    /// Maximum number of requests processed concurrently.
     pub slots: usize,
-    /// Requests that wait; more are rejected.
+    /// Maximum number of queued requests; further ones are rejected.
     pub queue: usize,
-    /// What a request takes.
+    /// Processing time of a request at a warm cache, in milliseconds.
     pub service_ms: u64,
-    /// The share of its speed that a cache starts with when it comes back.
+    /// Speed of a cache right after a restart, as a fraction of the warm speed.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// Time after a restart until the cache runs at full speed, in seconds.
     pub warm_s: f64,
 }
 
@@ -92,7 +93,7 @@
 }
 
 impl CacheProfile {
-    /// As a cache takes them: one that has been there for long, or one that has just started.
+    /// Returns the options of a warm cache, or of one that starts cold.
     #[must_use]
     pub fn options(&self, cold: bool) -> CacheOptions {
         CacheOptions {
@@ -105,28 +106,28 @@
         }
     }
 
-    /// Requests a second that one warm cache serves.
+    /// Returns the capacity of one warm cache, in requests per second.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.slots as f64 * 1_000.0 / self.service_ms.max(1) as f64
     }
 }
 
-/// The origin's figures; times are in milliseconds.
+/// Capacity and speed of the origin.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OriginProfile {
-    /// Fetches and writes at a time.
+    /// Maximum number of fetches and writes processed concurrently.
     pub slots: usize,
-    /// What one takes.
+    /// Processing time of a fetch or write, in milliseconds.
     pub service_ms: u64,
-    /// One that has waited so long fails.
+    /// Maximum time in the queue before a fetch or write fails, in milliseconds.
     #[serde(rename = "patience_ms")]
     pub timeout_ms: u64,
 }
 
 impl OriginProfile {
-    /// As the origin takes them.
+    /// Converts the profile to the options of the simulated origin.
     #[must_use]
     pub fn options(&self) -> OriginOptions {
         OriginOptions {
@@ -137,178 +138,183 @@
     }
 }
 
-fn one() -> usize {
+fn default_fleets() -> usize {
     1
 }
 
-fn bound() -> f64 {
+fn default_max_share_sum() -> f64 {
     1.7
 }
 
-fn ceiling() -> f64 {
+fn default_convergence_timeout() -> f64 {
     30.0
 }
 
-/// One thing that happens.
+/// One action of the timeline.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioStep {
-    /// When, in seconds since all views first agreed. Later than that where a step before it waits
-    /// longer.
+    /// Scheduled time, in seconds since the fleet first converged. The step runs later if an
+    /// earlier step still waits for convergence.
     pub at: f64,
-    /// What.
+    /// Action.
     #[serde(rename = "do")]
-    pub act: ScenarioAction,
-    /// With whom, as in [`members`]; for links: from whom.
-    #[serde(default = "all")]
+    pub action: ScenarioAction,
+    /// Members or caches that the action applies to, as accepted by [`parse_member_set`]; for
+    /// links, the sending members.
+    #[serde(default = "all_members")]
     pub members: String,
-    /// For links: to whom.
-    #[serde(default = "all")]
+    /// For links: receiving members.
+    #[serde(default = "all_members")]
     pub to: String,
-    /// For links: the way back too.
+    /// For links: whether the opposite direction changes as well.
     #[serde(default)]
     pub both: bool,
-    /// For `load`: requests a second from then on.
+    /// For `load`: new request rate of all clients together, per second.
     pub rate: Option<f64>,
-    /// For `slow-origin`: how many times as long each fetch takes from then on.
+    /// For `slow-origin`: factor applied to the origin's processing time, 1 or more.
     pub slow: Option<f64>,
-    /// For `link`: what is wrong from then on.
+    /// For `link`: new faults of the links.
     #[serde(default)]
     pub faults: LinkFaults,
-    /// How long until all views agree and are true after this is measured under this name, and
-    /// waited for.
-    pub settles: Option<String>,
+    /// If set, the step waits until all views are correct, and the report lists the time that took
+    /// under this name.
+    #[serde(rename = "settles")]
+    pub convergence_name: Option<String>,
 }
 
-fn all() -> String {
+fn all_members() -> String {
     "all".into()
 }
 
-/// What can happen.
+/// Action of a step.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ScenarioAction {
-    /// SIGKILL.
+    /// Sends SIGKILL to members.
     Kill,
-    /// SIGSTOP.
+    /// Sends SIGSTOP to members.
     Stop,
-    /// SIGCONT.
+    /// Sends SIGCONT to members.
     GoOn,
-    /// SIGTERM.
+    /// Sends SIGTERM to members.
     Term,
-    /// Started again, under the same name and address.
+    /// Starts members again under the same name and address.
     Start,
-    /// SIGTERM, its end, and a start, one after the other.
+    /// Restarts members one after the other: SIGTERM, wait for the exit, start.
     Roll,
-    /// Links are cut.
+    /// Drops all datagrams on links.
     Cut,
-    /// Links have the faults that the step names.
+    /// Sets the faults of links to those of the step.
     Link,
-    /// Links have what was wrong with them at the start.
+    /// Resets the faults of links to those of the scenario.
     Heal,
-    /// Clients send so many requests a second.
+    /// Changes the clients' request rate.
     Load,
-    /// Caches die; `members` names them. The list says so two seconds later.
+    /// Stops the caches in `members`. They are removed from the endpoint list two seconds later.
     KillCaches,
-    /// Caches come back, cold; the list says so a second later.
+    /// Starts the caches in `members` cold. They are added to the endpoint list a second later.
     StartCaches,
-    /// The origin is slowed.
+    /// Changes the speed of the origin.
     SlowOrigin,
-    /// Nothing: for `settles` alone, or to let time pass.
+    /// Does nothing: extends the timeline, or waits for convergence.
     Wait,
 }
 
-/// The most requests a second: each that is out has a thread of its own.
-pub const RATE_MAX: f64 = 1_000.0;
+/// Maximum request rate, per second. It is limited because each outstanding request takes a thread.
+pub const REQUEST_RATE_MAX: f64 = 1_000.0;
 
-/// A scenario that is not valid.
+/// Rejection of a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// It is no TOML of the expected form.
+    /// The text is not valid TOML or does not have the expected keys.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// Members have to belong to a fleet.
-    #[error("fleets: 0; 1 or more are expected")]
+    /// The number of fleets is 0.
+    #[error("fleets: is 0, expected 1 or more")]
     NoFleets,
     /// A value of a step is out of range.
     #[error("step[{index}].{key}: {problem}")]
     Step {
-        /// Which step, from 0.
+        /// Index of the step, from 0.
         index: usize,
-        /// Which key.
+        /// Key within the step.
         key: String,
-        /// The value, and what is expected.
+        /// The value and the expected range.
         problem: String,
     },
 }
 
-/// A text that names no set of members.
+/// Rejection of a text that does not denote a set of members.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error(
-    "\"{text}\" is no member; a number, a range such as 3-5, all, none, first-half, second-half or \
-     last-quarter is expected"
+    "\"{text}\" is not a set of members; expected all, none, first-half, second-half, \
+     last-quarter, or numbers and ranges such as 0,3-5"
 )]
 pub struct MemberSetError {
-    /// The text.
+    /// The rejected text.
     pub text: String,
 }
 
-/// Reads a scenario.
+/// Parses and validates a scenario.
 ///
 /// # Errors
 ///
-/// Says what is wrong and where.
-pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
+/// Fails on invalid TOML, unknown or missing keys, and values out of range.
+pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
     let scenario: Scenario = toml::from_str(text)?;
     if scenario.fleets == 0 {
         return Err(ScenarioError::NoFleets);
     }
-    let mut before = 0.0;
+    let mut previous_at = 0.0;
     for (i, step) in scenario.steps.iter().enumerate() {
-        let wrong = |key: &str, problem: String| {
+        let reject = |key: &str, problem: String| {
             Err(ScenarioError::Step {
                 index: i,
                 key: key.into(),
                 problem,
             })
         };
-        if !step.at.is_finite() || step.at < before {
-            return wrong(
+        if !step.at.is_finite() || step.at < previous_at {
+            return reject(
                 "at",
-                format!("{} comes before the step above, at {before}", step.at),
+                format!(
+                    "is {}, expected the time of the previous step, {previous_at}, or later",
+                    step.at
+                ),
             );
         }
-        before = step.at;
+        previous_at = step.at;
         for (key, text) in [("members", &step.members), ("to", &step.to)] {
-            if let Err(problem) = members(text, scenario.instances) {
-                return wrong(key, problem.to_string());
+            if let Err(problem) = parse_member_set(text, scenario.instances) {
+                return reject(key, problem.to_string());
             }
         }
-        if step.act == ScenarioAction::Load
+        if step.action == ScenarioAction::Load
             && step
                 .rate
-                .is_none_or(|rate| !(0.0..=RATE_MAX).contains(&rate))
+                .is_none_or(|rate| !(0.0..=REQUEST_RATE_MAX).contains(&rate))
         {
-            return wrong(
+            return reject(
                 "rate",
                 format!(
-                    "{:?}; 0 to {RATE_MAX} requests a second are expected",
+                    "is {:?}, expected 0 to {REQUEST_RATE_MAX} requests per second",
                     step.rate
                 ),
             );
         }
-        if step.act == ScenarioAction::SlowOrigin && step.slow.is_none_or(|slow| slow < 1.0) {
-            return wrong("slow", format!("{:?}; 1 or more is expected", step.slow));
+        if step.action == ScenarioAction::SlowOrigin && step.slow.is_none_or(|slow| slow < 1.0) {
+            return reject("slow", format!("is {:?}, expected 1 or more", step.slow));
         }
-        for (key, share) in [
+        for (key, fraction) in [
             ("drop", step.faults.drop),
             ("duplicate", step.faults.duplicate),
             ("reorder", step.faults.reorder),
         ] {
-            if !(0.0..=1.0).contains(&share) {
-                return wrong(
+            if !(0.0..=1.0).contains(&fraction) {
+                return reject(
                     &format!("faults.{key}"),
-                    format!("{share} is no share of 0 to 1"),
+                    format!("is {fraction}, expected a fraction from 0 to 1"),
                 );
             }
         }
@@ -316,14 +322,14 @@
     Ok(scenario)
 }
 
-/// Members by words, of `n`: `all`, `none`, `first-half`, `second-half`, `last-quarter`, or numbers
-/// such as `0,3-5`; numbers beyond the last count for nobody, so that a scenario fits any number of
-/// instances.
+/// Parses a set of `n` members: `all`, `none`, `first-half`, `second-half`, `last-quarter`, or
+/// numbers and ranges such as `0,3-5`. Numbers of `n` or more are ignored, so that a scenario fits
+/// any number of instances.
 ///
 /// # Errors
 ///
-/// If the text is none of these.
-pub fn members(text: &str, n: usize) -> Result<Vec<usize>, MemberSetError> {
+/// Fails if the text has none of these forms.
+pub fn parse_member_set(text: &str, n: usize) -> Result<Vec<usize>, MemberSetError> {
     let range = |from: usize, to: usize| Ok((from.min(n)..to.min(n)).collect());
     match text {
         "all" => return range(0, n),
--- a/crates/testbed/src/scenario_catalog.rs
+++ b/crates/testbed/src/scenario_catalog.rs
@@ -1,9 +1,10 @@
-//! The scenarios that come with the testbed.
+//! Built-in scenarios.
 
 use crate::error::TestbedError;
-use crate::scenario::{Scenario, ScenarioError, read};
+use crate::scenario::{Scenario, ScenarioError, parse};
 
-const ALL: [(&str, &str); 17] = [
+/// Names and TOML texts of the built-in scenarios.
+const SCENARIOS: [(&str, &str); 17] = [
     ("join", include_str!("../scenarios/join.toml")),
     (
         "kill-quarter",
@@ -29,19 +30,19 @@
     ("bursts", include_str!("../scenarios/bursts.toml")),
 ];
 
-/// Their names.
+/// Returns the names of the built-in scenarios.
 pub fn names() -> impl Iterator<Item = &'static str> {
-    ALL.iter().map(|(name, _)| *name)
+    SCENARIOS.iter().map(|(name, _)| *name)
 }
 
-/// One by its name, or else from a file.
+/// Returns the built-in scenario of this name; if there is none, reads the file at this path.
 ///
 /// # Errors
 ///
-/// If there is none, or it is not valid.
+/// Fails if there is neither, or if the scenario is not valid.
 pub fn find(name: &str) -> Result<Scenario, TestbedError> {
-    if let Some((_, text)) = ALL.iter().find(|(n, _)| *n == name) {
-        return read(text).map_err(|e| invalid(name, e));
+    if let Some((_, text)) = SCENARIOS.iter().find(|(n, _)| *n == name) {
+        return parse(text).map_err(|e| invalid(name, e));
     }
     let text = std::fs::read_to_string(name).map_err(|source| {
         let names: Vec<&str> = names().collect();
@@ -51,7 +52,7 @@
             known: names.join(", "),
         }
     })?;
-    read(&text).map_err(|e| invalid(name, e))
+    parse(&text).map_err(|e| invalid(name, e))
 }
 
 fn invalid(name: &str, source: ScenarioError) -> TestbedError {
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario and gives the verdict.
+//! Runs a scenario on a cluster and reports the result.
 
 mod report;
 mod steps;
@@ -18,11 +18,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How much later than a cache's start the endpoint list names it.
+/// Delay from the start of a cache until it is added to the endpoint list.
 const LISTING_DELAY: Duration = Duration::from_secs(1);
-/// Seconds of the timeline in which caches fill; not evaluated.
+/// Start of the timeline in which caches fill, in seconds; excluded from the span before the
+/// disturbance.
 const WARM_UP_S: f64 = 6.0;
-/// How often views are read for the sum of shares while nothing is waited for.
+/// Interval at which views are read between steps, to check the sum of shares.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
 struct ScenarioRun<'a> {
@@ -33,28 +34,30 @@
     converged_s: BTreeMap<String, f64>,
     requests: BTreeMap<String, usize>,
     interrupted: &'a AtomicBool,
-    /// The start of the timeline.
-    begun: Instant,
+    /// Start of the timeline.
+    timeline_start: Instant,
     samples: Vec<ClusterSample>,
-    /// What the list is to say of a cache, and when: whether it is there.
-    listings: Vec<(Instant, usize, bool)>,
+    /// Scheduled changes of the endpoint list: time, cache, and whether the cache is added (true)
+    /// or removed.
+    pending_listings: Vec<(Instant, usize, bool)>,
     seconds: Vec<SecondMetrics>,
     spans: BTreeMap<String, SpanMetrics>,
     recovered_s: Option<f64>,
 }
 
-/// Plays a scenario on a cluster by this plan. `interrupted` ends it early.
+/// Runs a scenario on a cluster created from this plan. Setting `interrupted` ends the run early.
 ///
 /// # Errors
 ///
-/// If the trial can't be played to its end; what it finds wrong stands in the report.
+/// Fails if the trial can't be completed. Violations of invariants are no errors; the report lists
+/// them.
 pub fn run_scenario(
     scenario: &Scenario,
     plan: ClusterPlan,
     interrupted: &AtomicBool,
 ) -> Result<ScenarioReport, TestbedError> {
-    let cluster = Cluster::lay_out(plan)?;
-    let mut play = ScenarioRun {
+    let cluster = Cluster::create(plan)?;
+    let mut run = ScenarioRun {
         cluster,
         invariants: InvariantChecker::default(),
         scenario,
@@ -62,33 +65,33 @@
         converged_s: BTreeMap::new(),
         requests: BTreeMap::new(),
         interrupted,
-        begun: Instant::now(),
+        timeline_start: Instant::now(),
         samples: Vec::new(),
-        listings: Vec::new(),
+        pending_listings: Vec::new(),
         seconds: Vec::new(),
         spans: BTreeMap::new(),
         recovered_s: None,
     };
-    let played = play.run();
-    if let Some(folder) = &play.cluster.plan.log_dir {
-        play.write_logs(folder)?;
+    let result = run.run();
+    if let Some(folder) = &run.cluster.plan.log_dir {
+        run.write_logs(folder)?;
     }
-    played?;
-    Ok(play.report())
+    result?;
+    Ok(run.report())
 }
 
 impl ScenarioRun<'_> {
-    /// What all members logged, by the time at which it came.
+    /// Writes the log lines of all members and the timeline to one file, ordered by time.
     fn write_logs(&self, folder: &Path) -> Result<(), TestbedError> {
         let mut lines: Vec<(f64, String)> = Vec::new();
         for member in &self.cluster.members {
-            let of = |line: LogLine| (line.at, format!("{} {}", member.spec.name, line.text));
-            lines.extend(member.log().into_iter().map(of));
+            let prefixed = |line: LogLine| (line.at, format!("{} {}", member.spec.name, line.text));
+            lines.extend(member.log().into_iter().map(prefixed));
         }
         lines.extend(
             self.timeline
                 .iter()
-                .map(|(at, what)| (*at, format!("TRIAL {what}"))),
+                .map(|(at, entry)| (*at, format!("TRIAL {entry}"))),
         );
         lines.sort_by(|a, b| a.0.total_cmp(&b.0));
         let text: String = lines
@@ -106,16 +109,15 @@
     }
 
     fn now(&self) -> f64 {
-        self.cluster.begun.elapsed().as_secs_f64()
+        self.cluster.created.elapsed().as_secs_f64()
     }
 
     fn run(&mut self) -> Result<(), TestbedError> {
         let n = self.cluster.plan.instances;
-        let everyone: Vec<usize> = (0..n).collect();
-        self.cluster
-            .set_links(&everyone, &everyone, self.scenario.links);
+        let all: Vec<usize> = (0..n).collect();
+        self.cluster.set_links(&all, &all, self.scenario.links);
         (0..n).for_each(|i| self.invariants.set_away(0.0, i, true));
-        // Members of two fleets are to each other as if there were no way.
+        // Members of different fleets must not see each other, as if their links were cut.
         let fleets = self.cluster.plan.fleets;
         for (i, j) in (0..n)
             .flat_map(|i| (0..n).map(move |j| (i, j)))
@@ -124,38 +126,38 @@
             self.invariants.set_cut(0.0, i, j, true);
         }
         self.cluster.start_all()?;
-        self.note("all started".into());
+        self.record_action("all started".into());
         let started = Instant::now();
-        self.settle("join", started);
+        self.wait_for_convergence("join", started);
         let now = self.now();
         (0..n).for_each(|i| self.invariants.set_away(now, i, false));
         self.cluster.start_clients();
-        self.begun = Instant::now();
-        let offset = self.now();
+        self.timeline_start = Instant::now();
+        let timeline_offset = self.now();
         for step in &self.scenario.steps {
-            while self.begun.elapsed().as_secs_f64() < step.at {
+            while self.timeline_start.elapsed().as_secs_f64() < step.at {
                 if self.scenario.disturbance.is_some() {
                     self.sample();
                 } else {
                     self.observe();
                 }
-                self.listings()?;
+                self.apply_due_listings()?;
                 std::thread::sleep(OBSERVE_INTERVAL);
                 self.check_interrupted()?;
             }
-            self.step(step)?;
+            self.execute_step(step)?;
         }
-        let (at, asked) = (self.now(), self.cluster.stop_clients());
+        let (at, requests) = (self.now(), self.cluster.stop_clients());
         self.invariants.check_caches(at, &self.cluster);
         self.invariants.check_false_deaths(&self.cluster);
-        self.requests = self.invariants.check_clients(&asked);
-        self.evaluate_spans(&asked, offset);
+        self.requests = self.invariants.check_clients(&requests);
+        self.evaluate_spans(&requests, timeline_offset);
         Ok(())
     }
 
-    /// Once a second: what the fleet did so far.
+    /// Records the counters of caches, origin and members, at most once a second.
     fn sample(&mut self) {
-        let at = self.begun.elapsed().as_secs_f64();
+        let at = self.timeline_start.elapsed().as_secs_f64();
         if at < self.samples.len() as f64 {
             return;
         }
@@ -174,15 +176,15 @@
         });
     }
 
-    /// Carries out what the list is to say by now.
-    fn listings(&mut self) -> Result<(), TestbedError> {
+    /// Applies the changes of the endpoint list that are due.
+    fn apply_due_listings(&mut self) -> Result<(), TestbedError> {
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.listings)
+        let (due, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_listings)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.listings = later;
-        for (at, cache, there) in due {
-            if there {
+        self.pending_listings = pending;
+        for (at, cache, is_listed) in due {
+            if is_listed {
                 let age = now.saturating_duration_since(at) + LISTING_DELAY;
                 let born = SystemTime::now().duration_since(UNIX_EPOCH)? - age;
                 self.cluster.list_cache(cache, born.as_millis() as u64);
@@ -193,7 +195,8 @@
         Ok(())
     }
 
-    /// Evaluates the spans before, in and after the disturbance, where there is one.
+    /// Evaluates the spans before, during and after the disturbance, if the scenario has one.
+    /// `begun` is the start of the timeline in the time of the requests.
     fn evaluate_spans(&mut self, requests: &[ClientRequest], begun: f64) {
         let Some((from, to)) = self.scenario.disturbance else {
             return;
@@ -227,11 +230,12 @@
         }
     }
 
-    fn note(&mut self, what: String) {
-        self.timeline.push((self.now(), what));
+    /// Adds an entry to the timeline of the report.
+    fn record_action(&mut self, action: String) {
+        self.timeline.push((self.now(), action));
     }
 
-    /// Holds what members see now against the invariants that always hold.
+    /// Reads the views of all members and checks the sum of shares.
     fn observe(&mut self) -> Vec<Option<MemberView>> {
         let views = self.cluster.views();
         let at = self.now();
@@ -240,37 +244,38 @@
         views
     }
 
-    /// Waits until all views agree and are true.
-    fn settle(&mut self, name: &str, since: Instant) {
-        let ceiling = Duration::from_secs_f64(self.scenario.ceiling);
+    /// Waits until all views are correct; a timeout is a violation. `since` is the start of the
+    /// measured time.
+    fn wait_for_convergence(&mut self, name: &str, since: Instant) {
+        let timeout = Duration::from_secs_f64(self.scenario.convergence_timeout_s);
         loop {
             let views = self.observe();
-            // What was true when the last member was asked was so a little earlier.
+            // Taken after all views were read: the views may have been correct slightly earlier.
             let took = since.elapsed();
-            let untrue = if self.cluster.plan.fleet_enabled {
+            let problem = if self.cluster.plan.fleet_enabled {
                 self.invariants
                     .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
             } else {
-                let away = |m: &&MemberProcess| {
+                let not_ready = |m: &&MemberProcess| {
                     m.intended == IntendedState::Up && m.call("/admin/health").is_none()
                 };
                 self.cluster
                     .members
                     .iter()
-                    .find(away)
+                    .find(not_ready)
                     .map(|m| format!("{} is not ready", m.spec.name))
             };
-            let Some(untrue) = untrue else {
+            let Some(problem) = problem else {
                 self.converged_s.insert(name.into(), took.as_secs_f64());
-                return self.note(format!("{name}: settled"));
+                return self.record_action(format!("{name}: views converged"));
             };
-            if took >= ceiling || self.interrupted.load(Ordering::Relaxed) {
+            if took >= timeout || self.interrupted.load(Ordering::Relaxed) {
                 let at = self.now();
-                let what = format!(
-                    "{name}: not settled after {:.0} s: {untrue}",
+                let message = format!(
+                    "{name}: views have not converged after {:.0} s: {problem}",
                     took.as_secs_f64()
                 );
-                return self.invariants.fail(at, "settles", what);
+                return self.invariants.fail(at, "settles", message);
             }
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -1,4 +1,4 @@
-//! What a played scenario showed.
+//! Report of a scenario run.
 
 use super::ScenarioRun;
 use crate::invariants::InvariantViolation;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The figures by which a member's counts are averaged, by their names in `/admin/fleet`.
+/// Datagram counters that the report averages over members, by their names in `/admin/fleet`.
 const DATAGRAM_COUNTS: [&str; 8] = [
     "sent",
     "sent_bytes",
@@ -19,50 +19,50 @@
     "gaps",
 ];
 
-/// What a played scenario showed.
+/// Report of a scenario run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScenarioReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// How many processes.
+    /// Number of balancer processes.
     pub instances: usize,
-    /// By which seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The fault that was injected.
+    /// Fault injected into each balancer process.
     #[serde(rename = "planted")]
     pub injected_fault: Option<String>,
-    /// Seconds from each measured step until all views agreed and were true.
+    /// Seconds from each measured step until all views were correct, by the step's name.
     #[serde(rename = "settled")]
     pub converged_s: BTreeMap<String, f64>,
-    /// The greatest sum of shares that was seen.
+    /// Greatest observed sum of shares.
     #[serde(rename = "shares_most")]
     pub max_share_sum: f64,
-    /// Living members declared dead.
+    /// Number of running members declared dead, among the listed violations.
     pub false_deaths: usize,
-    /// How requests ended.
+    /// Number of client requests by outcome.
     pub requests: BTreeMap<String, usize>,
-    /// Datagrams passed on, and those lost by faults.
+    /// Datagrams that the proxy forwarded, and those it dropped because of faults.
     pub datagrams: (u64, u64),
-    /// Means over the members that ran to the end, since their start.
+    /// Counters and memory (in bytes) averaged over the members that answer at the end.
     pub member: BTreeMap<String, f64>,
-    /// What the fleet did second by second, where it was metered.
+    /// Metrics of the fleet for each second, if the scenario has a disturbance.
     pub seconds: Vec<SecondMetrics>,
-    /// The metrics before, in and after the disturbance.
+    /// Metrics of the spans before, during and after the disturbance.
     pub spans: BTreeMap<String, SpanMetrics>,
-    /// Seconds from the disturbance's end until nine tenths of the weight were back; absent where
-    /// they never came.
+    /// Seconds from the end of the disturbance until nine tenths of the former served weight share
+    /// are reached again; `None` if they never are.
     pub recovered_s: Option<f64>,
-    /// What was done, and when, in seconds.
+    /// Actions of the trial, each with its time in seconds.
     #[serde(rename = "done")]
     pub timeline: Vec<(f64, String)>,
-    /// The violations; at most fifty are listed.
+    /// Violations of invariants, at most fifty.
     pub failures: Vec<InvariantViolation>,
-    /// How many violations there were in all.
+    /// Total number of violations.
     pub failed: usize,
 }
 
 impl ScenarioReport {
-    /// The verdict's line.
+    /// Returns the verdict line that the command prints last.
     #[must_use]
     pub fn verdict(&self) -> String {
         match self.failures.first() {
@@ -76,24 +76,24 @@
 }
 
 impl ScenarioRun<'_> {
-    /// Builds the report from what was collected.
+    /// Builds the report of the finished run.
     pub(super) fn report(self) -> ScenarioReport {
         let mut member: BTreeMap<String, f64> = BTreeMap::new();
         let views: Vec<_> = self.cluster.views().into_iter().flatten().collect();
-        let mean = |of: Vec<f64>| of.iter().sum::<f64>() / of.len().max(1) as f64;
+        let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len().max(1) as f64;
         for name in DATAGRAM_COUNTS {
-            let figures = views
+            let values = views
                 .iter()
                 .filter_map(|v| v.datagrams.get(name)?.as_f64())
                 .collect();
-            member.insert(name.into(), mean(figures));
+            member.insert(name.into(), mean(values));
         }
         let memory = self
             .cluster
             .members
             .iter()
             .filter_map(MemberProcess::memory)
-            .map(|b| b as f64)
+            .map(|bytes| bytes as f64)
             .collect();
         member.insert("memory".into(), mean(memory));
         let (failures, failed) = self.invariants.failures();
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -5,27 +5,30 @@
 use crate::error::TestbedError;
 use crate::member_process::MemberProcess;
 use crate::network_emulation::faults::LinkFaults;
-use crate::scenario::{ScenarioAction, ScenarioStep, members};
+use crate::scenario::{ScenarioAction, ScenarioStep, parse_member_set};
 use std::time::{Duration, Instant};
 
-/// A process that is asked to end has this long; requests of the longest class and the platform's
-/// slack fit in.
-const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How much later than a cache's death the endpoint list drops it.
+/// Maximum time for a process to exit after SIGTERM, and to become ready after a start. Covers
+/// requests of the class with the longest deadline and the platform's slack.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay from the death of a cache until it is removed from the endpoint list.
 const UNLISTING_DELAY: Duration = Duration::from_secs(2);
 
 impl ScenarioRun<'_> {
-    /// Carries out one step and waits until views have settled, where the step says so.
-    pub(super) fn step(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
+    /// Executes one step and waits for convergence if the step requires it.
+    pub(super) fn execute_step(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
         let n = self.cluster.plan.instances;
-        let (from, to) = (members(&step.members, n)?, members(&step.to, n)?);
-        self.note(format!(
+        let (from, to) = (
+            parse_member_set(&step.members, n)?,
+            parse_member_set(&step.to, n)?,
+        );
+        self.record_action(format!(
             "{:?} {} {}",
-            step.act,
+            step.action,
             step.members,
             if step.both { "both ways" } else { "" }
         ));
-        match step.act {
+        match step.action {
             ScenarioAction::Cut | ScenarioAction::Link | ScenarioAction::Heal => {
                 self.change_links(step, &from, &to);
             }
@@ -37,20 +40,21 @@
             _ => self.change_members(step, &from)?,
         }
         let step_done = Instant::now();
-        if let Some(name) = &step.settles {
-            // From the last of it on: processes are killed one after the other.
-            self.settle(name, step_done);
+        if let Some(name) = &step.convergence_name {
+            // Measured from the end of the action, because processes are signalled one after the
+            // other.
+            self.wait_for_convergence(name, step_done);
         }
         self.check_interrupted()
     }
 
-    /// Actions on members; ignores all others.
+    /// Executes actions on members; ignores all others.
     fn change_members(&mut self, step: &ScenarioStep, from: &[usize]) -> Result<(), TestbedError> {
-        match step.act {
-            ScenarioAction::Kill => self.apply(from, true, MemberProcess::kill),
-            ScenarioAction::Stop => self.apply(from, true, MemberProcess::stop),
-            ScenarioAction::GoOn => self.apply(from, false, MemberProcess::go_on),
-            ScenarioAction::Term => self.apply(from, true, MemberProcess::term),
+        match step.action {
+            ScenarioAction::Kill => self.signal_members(from, true, MemberProcess::kill),
+            ScenarioAction::Stop => self.signal_members(from, true, MemberProcess::stop),
+            ScenarioAction::GoOn => self.signal_members(from, false, MemberProcess::go_on),
+            ScenarioAction::Term => self.signal_members(from, true, MemberProcess::term),
             ScenarioAction::Start => {
                 for i in from {
                     self.cluster.members[*i].start()?;
@@ -68,10 +72,10 @@
         Ok(())
     }
 
-    /// Actions on links between members; ignores all others.
+    /// Executes actions on links between members; ignores all others.
     fn change_links(&mut self, step: &ScenarioStep, from: &[usize], to: &[usize]) {
-        match step.act {
-            ScenarioAction::Cut => self.links(
+        match step.action {
+            ScenarioAction::Cut => self.set_links(
                 from,
                 to,
                 step.both,
@@ -80,36 +84,36 @@
                     ..self.scenario.links
                 },
             ),
-            ScenarioAction::Link => self.links(from, to, step.both, step.faults),
-            ScenarioAction::Heal => self.links(from, to, step.both, self.scenario.links),
+            ScenarioAction::Link => self.set_links(from, to, step.both, step.faults),
+            ScenarioAction::Heal => self.set_links(from, to, step.both, self.scenario.links),
             _ => {}
         }
     }
 
-    /// Actions on clients, caches and the origin; ignores all others.
+    /// Executes actions on clients, caches and the origin; ignores all others.
     fn change_services(&mut self, step: &ScenarioStep) -> Result<(), TestbedError> {
-        match step.act {
+        match step.action {
             ScenarioAction::Load => self
                 .cluster
                 .request_rate
                 .set(step.rate.unwrap_or(self.scenario.rate)),
             ScenarioAction::KillCaches => {
-                for cache in members(&step.members, self.cluster.plan.caches)? {
+                for cache in parse_member_set(&step.members, self.cluster.plan.caches)? {
                     self.cluster.kill_cache(cache);
-                    self.listings
+                    self.pending_listings
                         .push((Instant::now() + UNLISTING_DELAY, cache, false));
                 }
             }
             ScenarioAction::StartCaches => {
-                for cache in members(&step.members, self.cluster.plan.caches)? {
+                for cache in parse_member_set(&step.members, self.cluster.plan.caches)? {
                     self.cluster.start_cache(cache)?;
-                    self.listings
+                    self.pending_listings
                         .push((Instant::now() + LISTING_DELAY, cache, true));
                 }
             }
             ScenarioAction::SlowOrigin => {
                 if let Some(origin) = &self.cluster.origin {
-                    origin.slow(step.slow.unwrap_or(1.0));
+                    origin.set_slowdown(step.slow.unwrap_or(1.0));
                 }
             }
             _ => {}
@@ -117,48 +121,65 @@
         Ok(())
     }
 
-    /// Applies a signal to members and notes when each was away.
-    fn apply(&mut self, who: &[usize], away: bool, act: impl Fn(&mut MemberProcess)) {
-        for i in who {
-            // What is seen of it lies between the two, whatever else the machine does.
+    /// Signals members and records for the invariants whether each is away from now on.
+    fn signal_members(
+        &mut self,
+        selected: &[usize],
+        away: bool,
+        signal: impl Fn(&mut MemberProcess),
+    ) {
+        for i in selected {
+            // The signal takes effect between the two times. The earlier one starts and the later
+            // one ends the absence, so that it includes all effects however slow the machine is.
             let before = self.now();
-            act(&mut self.cluster.members[*i]);
+            signal(&mut self.cluster.members[*i]);
             let at = if away { before } else { self.now() };
             self.invariants.set_away(at, *i, away);
         }
     }
 
-    /// Waits for members that were started; until they are ready they count as away.
-    fn wait_until_ready(&mut self, who: &[usize]) {
+    /// Waits until started members are ready; they count as away until then.
+    fn wait_until_ready(&mut self, started: &[usize]) {
         let ready = |cluster: &Cluster| {
-            who.iter()
+            started
+                .iter()
                 .all(|i| cluster.members[*i].call("/admin/health").is_some())
         };
-        if self.cluster.wait(SHUTDOWN_TIMEOUT, ready).is_none() {
+        if self.cluster.wait_until(PROCESS_TIMEOUT, ready).is_none() {
             let at = self.now();
-            self.invariants
-                .fail(at, "starts", format!("{who:?}: not ready in time"));
+            self.invariants.fail(
+                at,
+                "starts",
+                format!("members {started:?} are not ready after {PROCESS_TIMEOUT:?}"),
+            );
         }
         let at = self.now();
-        who.iter()
+        started
+            .iter()
             .for_each(|i| self.invariants.set_away(at, *i, false));
     }
 
+    /// Restarts a member with SIGTERM; an exit that fails or takes too long is a violation.
     fn restart_gracefully(&mut self, i: usize) -> Result<(), TestbedError> {
         let at = self.now();
         self.invariants.set_away(at, i, true);
         self.cluster.members[i].term();
-        let ended = self.cluster.members[i].ended(SHUTDOWN_TIMEOUT);
-        if !ended.is_some_and(|status| status.success()) {
-            self.invariants
-                .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
+        let exit_status = self.cluster.members[i].ended(PROCESS_TIMEOUT);
+        if !exit_status.is_some_and(|status| status.success()) {
+            self.invariants.fail(
+                at,
+                "ends",
+                format!("n{i} has exit status {exit_status:?} after SIGTERM, expected success"),
+            );
         }
         self.cluster.members[i].start()?;
         self.wait_until_ready(&[i]);
         Ok(())
     }
 
-    fn links(&mut self, from: &[usize], to: &[usize], both: bool, faults: LinkFaults) {
+    /// Sets the faults of the links from one set of members to another, and in the opposite
+    /// direction if `both` is set.
+    fn set_links(&mut self, from: &[usize], to: &[usize], both: bool, faults: LinkFaults) {
         let at = self.now();
         for i in from {
             for j in to.iter().filter(|j| *j != i) {
--- a/crates/testbed/src/simulated_services.rs
+++ b/crates/testbed/src/simulated_services.rs
@@ -1,5 +1,5 @@
-//! Simulated services round a balancer: tile caches, origin, discovery and clients. They speak the
-//! published protocol, over loopback, and keep count of all that they saw.
+//! Simulated services around a balancer: tile caches, origin, discovery and clients. They use the
+//! published protocols over loopback and count all requests.
 
 pub mod cache;
 pub mod clients;
@@ -12,20 +12,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A listening thread and the connections it took; all end with this.
+/// TCP server with one thread per connection. Dropping it closes the listener and all connections.
 pub struct TcpService {
-    end: Arc<AtomicBool>,
+    is_closing: Arc<AtomicBool>,
     address: SocketAddr,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    connections: Arc<Mutex<Vec<TcpStream>>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl TcpService {
-    /// Takes connections at an address, each in a thread of its own.
+    /// Listens on an address and calls `serve` for each accepted connection in a thread of its own.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn start(
         address: SocketAddr,
         serve: impl Fn(TcpStream) -> io::Result<()> + Clone + Send + 'static,
@@ -33,34 +33,34 @@
         let listener = TcpListener::bind(address)
             .map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))?;
         let address = listener.local_addr()?;
-        let (end, open) = (
+        let (is_closing, connections) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::<TcpStream>::new())),
         );
-        let (ending, taken) = (Arc::clone(&end), Arc::clone(&open));
+        let (closing, accepted) = (Arc::clone(&is_closing), Arc::clone(&connections));
         let thread = std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if ending.load(Ordering::Relaxed) {
+                if closing.load(Ordering::Relaxed) {
                     return;
                 }
                 let _ = stream.set_nodelay(true);
                 if let Ok(clone) = stream.try_clone() {
-                    let mut open = taken.lock().unwrap_or_else(PoisonError::into_inner);
-                    open.retain(|s| s.peer_addr().is_ok());
+                    let mut open = accepted.lock().unwrap_or_else(PoisonError::into_inner);
+                    open.retain(|stream| stream.peer_addr().is_ok());
                     open.push(clone);
                 }
                 let serve = serve.clone();
                 std::thread::spawn(move || {
                     let _ = serve(stream.try_clone()?);
-                    // The clone above must not keep an ended connection open.
+                    // The clone in the list would otherwise keep the connection open.
                     stream.shutdown(Shutdown::Both)
                 });
             }
         });
         Ok(TcpService {
-            end,
+            is_closing,
             address,
-            open,
+            connections,
             thread: Some(thread),
         })
     }
@@ -68,16 +68,16 @@
 
 impl Drop for TcpService {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
-        // Whoever waits for a connection gets one, and sees that it is over.
+        self.is_closing.store(true, Ordering::Relaxed);
+        // Wakes the accepting thread, which then sees the flag.
         let _ = TcpStream::connect(self.address);
-        // The listener is gone once its thread has ended; connections that came last are among the
-        // taken.
+        // Once the thread has ended the listener is closed, and the list holds every accepted
+        // connection.
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
         for stream in self
-            .open
+            .connections
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .drain(..)
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -1,5 +1,5 @@
-//! A simulated tile cache of limited capacity: it works at so many requests at a time, lets so many
-//! wait, starts cold, reads through, and counts every execution.
+//! Simulated tile cache with limited concurrency and queue, a cold start, read-through to the
+//! origin, and counts of all executions.
 
 use super::origin::Origin;
 use super::{TcpService, resp};
@@ -9,22 +9,22 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How a cache works.
+/// Capacity and speed of a cache.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheOptions {
-    /// Requests at work at a time.
+    /// Maximum number of requests processed concurrently.
     pub slots: usize,
-    /// Requests that wait for a slot; more are rejected.
+    /// Maximum number of requests queued for a slot; further ones are rejected.
     pub queue: usize,
-    /// What a request takes when the cache is warm.
+    /// Processing time of a request at a warm cache.
     pub service_time: Duration,
-    /// What a miss takes beyond that.
+    /// Additional time of a miss, if the cache has no origin.
     pub fetch_time: Duration,
-    /// The share of its speed that it starts with.
+    /// Speed right after the start, as a fraction of the warm speed.
     pub slow_start_fraction: f64,
-    /// It is warm after this.
+    /// Time after the start until the cache runs at full speed.
     pub slow_start_duration: Duration,
-    /// A repeat of a keyed write is dropped for this long.
+    /// Time after a keyed write in which a repeat with the same idempotency key has no effect.
     pub deduplication_window: Duration,
 }
 
@@ -42,33 +42,33 @@
     }
 }
 
-/// What a cache did for one request id.
+/// Executions of one request id at a cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExecutedRequest {
-    /// How often it began it.
-    pub times: u32,
-    /// It was a write that took effect so often; a dropped repeat took none.
+    /// Number of executions.
+    pub executions: u32,
+    /// Number of executions of a write that took effect; deduplicated repeats are not counted.
     pub effects: u32,
-    /// Its idempotency key, if any.
+    /// Idempotency key of the latest execution, if any.
     pub key: Option<String>,
-    /// Its class.
+    /// Request class of the latest execution.
     pub class: String,
 }
 
-/// What came to a cache, as counts since its start.
+/// Counts of a cache since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheCounts {
-    /// Requests, including rejected ones.
+    /// Reads and writes received, including rejected ones.
     pub attempts: u64,
-    /// Rejected requests.
+    /// Reads and writes rejected because the queue was full.
     pub rejected: u64,
-    /// Probes.
+    /// Health checks received.
     pub health_checks: u64,
-    /// Connections.
+    /// Connections accepted.
     pub connections: u64,
-    /// Reads that it held, and those that it had to fetch.
+    /// Reads of cached keys.
     pub hits: u64,
-    /// See `hits`.
+    /// Reads of keys that had to be fetched.
     pub misses: u64,
 }
 
@@ -83,8 +83,10 @@
     waiting: usize,
     rejected: u64,
     cached_keys: HashSet<Vec<u8>>,
+    /// Last written value by key.
     written: HashMap<Vec<u8>, Vec<u8>>,
-    seen: HashMap<String, Instant>,
+    /// Time of the last write by idempotency key.
+    last_writes: HashMap<String, Instant>,
     executed: HashMap<String, ExecutedRequest>,
 }
 
@@ -94,12 +96,12 @@
     origin: Option<Origin>,
     started: Instant,
     state: Mutex<CacheState>,
-    freed: Condvar,
+    slot_freed: Condvar,
 }
 
 impl SharedCache {
-    /// Waits for a slot and takes it; `None` if the queue is full.
-    fn take_slot(&self) -> Option<MutexGuard<'_, CacheState>> {
+    /// Waits for a slot and occupies it; returns `None` if the queue is full.
+    fn acquire_slot(&self) -> Option<MutexGuard<'_, CacheState>> {
         let mut state = self.state();
         state.attempts += 1;
         if state.in_service >= self.options.slots {
@@ -110,7 +112,7 @@
             state.waiting += 1;
             while state.in_service >= self.options.slots {
                 state = self
-                    .freed
+                    .slot_freed
                     .wait(state)
                     .unwrap_or_else(PoisonError::into_inner);
             }
@@ -124,32 +126,33 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How much slower than warm it is now, 1 or more.
-    fn slowness(&self) -> f64 {
-        let warm = self.options.slow_start_duration.as_secs_f64();
-        let age = self.started.elapsed().as_secs_f64();
-        let part = if warm > 0.0 {
-            (age / warm).min(1.0)
+    /// Returns the current processing time as a multiple of the warm one, 1 or more.
+    fn slowdown(&self) -> f64 {
+        let warm_up_s = self.options.slow_start_duration.as_secs_f64();
+        let age_s = self.started.elapsed().as_secs_f64();
+        let progress = if warm_up_s > 0.0 {
+            (age_s / warm_up_s).min(1.0)
         } else {
             1.0
         };
-        1.0 / (self.options.slow_start_fraction + (1.0 - self.options.slow_start_fraction) * part)
+        1.0 / (self.options.slow_start_fraction
+            + (1.0 - self.options.slow_start_fraction) * progress)
     }
 }
 
-/// A tile cache; it ends with this, and so do its connections.
+/// Running tile cache. Dropping it closes the listener and all connections.
 pub struct Cache {
     shared: Arc<SharedCache>,
     _service: TcpService,
 }
 
 impl Cache {
-    /// Starts it at an address; without an origin a miss takes `fetch`, and a write no longer than
-    /// a hit.
+    /// Starts a cache that listens on an address. Without an origin a miss takes the additional
+    /// `fetch_time`, and a write takes as long as a hit.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn start(
         name: &str,
         address: SocketAddr,
@@ -162,29 +165,29 @@
             origin,
             started: Instant::now(),
             state: Mutex::default(),
-            freed: Condvar::new(),
+            slot_freed: Condvar::new(),
         });
-        let serving = Arc::clone(&shared);
-        let service = TcpService::start(address, move |stream| serve(&serving, stream))?;
+        let state = Arc::clone(&shared);
+        let service = TcpService::start(address, move |stream| serve(&state, stream))?;
         Ok(Cache {
             shared,
             _service: service,
         })
     }
 
-    /// What it did, by request id.
+    /// Returns the executions by request id.
     #[must_use]
     pub fn executed_requests(&self) -> HashMap<String, ExecutedRequest> {
         self.shared.state().executed.clone()
     }
 
-    /// Rejected requests.
+    /// Returns the number of rejected requests.
     #[must_use]
-    pub fn turned_away(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.shared.state().rejected
     }
 
-    /// What came to it so far.
+    /// Returns the counts since the start.
     #[must_use]
     pub fn counts(&self) -> CacheCounts {
         let state = self.shared.state();
@@ -204,11 +207,11 @@
     let mut output = stream;
     shared.state().connections += 1;
     loop {
-        let words = resp::read_command(&mut input)?;
-        let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
-        match words[..] {
+        let arguments = resp::read_command(&mut input)?;
+        let arguments: Vec<&[u8]> = arguments.iter().map(Vec::as_slice).collect();
+        match arguments[..] {
             [b"C.GET", key, id, options] => {
-                answer(
+                execute_and_reply(
                     shared,
                     &mut output,
                     &CacheCommand {
@@ -220,7 +223,7 @@
                 )?;
             }
             [b"C.SET", key, id, options, value] => {
-                answer(
+                execute_and_reply(
                     shared,
                     &mut output,
                     &CacheCommand {
@@ -240,8 +243,8 @@
     }
 }
 
-/// A field of a command's list of names and values.
-fn field(options: &str, name: &str) -> Option<String> {
+/// Returns the value of a field in a command's options, a comma-separated list of `name=value`.
+fn option_field(options: &str, name: &str) -> Option<String> {
     options.split(',').find_map(|pair| {
         Some(
             pair.split_once('=')
@@ -252,85 +255,90 @@
     })
 }
 
-/// A read or write as it came.
+/// Received read or write.
 struct CacheCommand<'a> {
     key: &'a [u8],
     id: &'a [u8],
     options: &'a [u8],
-    /// The value of a write.
+    /// Value of a write; `None` for a read.
     value: Option<&'a [u8]>,
 }
 
-/// How a command ended in the cache itself.
+/// Result of a command in the cache itself, before the origin is called.
 struct Execution {
-    /// `hit` or `miss`, for a read.
-    note: Option<&'static str>,
+    /// `hit` or `miss` for a read; `None` for a write.
+    hit_status: Option<&'static str>,
     value: Vec<u8>,
 }
 
-fn answer(shared: &SharedCache, output: &mut TcpStream, command: &CacheCommand) -> io::Result<()> {
-    let Some(mut state) = shared.take_slot() else {
+/// Executes a command in a slot, calls the origin if necessary, and writes the reply.
+fn execute_and_reply(
+    shared: &SharedCache,
+    output: &mut TcpStream,
+    command: &CacheCommand,
+) -> io::Result<()> {
+    let Some(mut state) = shared.acquire_slot() else {
         return output.write_all(b"-BUSY\r\n");
     };
-    let Execution { note, value } = execute(shared, &mut state, command);
+    let Execution { hit_status, value } = execute(shared, &mut state, command);
     drop(state);
-    std::thread::sleep(shared.options.service_time.mul_f64(shared.slowness()));
-    // The slot is the cache's own work; what waits for the origin has none.
+    std::thread::sleep(shared.options.service_time.mul_f64(shared.slowdown()));
+    // A slot covers the cache's own work only; a request that waits for the origin holds none.
     shared.state().in_service -= 1;
-    shared.freed.notify_one();
-    if note != Some("hit") && !fetch(shared, note.is_some()) {
+    shared.slot_freed.notify_one();
+    if hit_status != Some("hit") && !fetch(shared, hit_status.is_some()) {
         return output.write_all(b"-ERR failed\r\n");
     }
-    if note == Some("miss") {
+    if hit_status == Some("miss") {
         shared.state().cached_keys.insert(command.key.to_vec());
     }
     let mut bytes = format!("*3\r\n${}\r\n", value.len()).into_bytes();
     bytes.extend(value);
-    bytes.extend(match note {
-        Some(note) => format!("\r\n${}\r\n{note}\r\n$-1\r\n", note.len()).into_bytes(),
+    bytes.extend(match hit_status {
+        Some(status) => format!("\r\n${}\r\n{status}\r\n$-1\r\n", status.len()).into_bytes(),
         None => b"\r\n$-1\r\n$-1\r\n".to_vec(),
     });
     output.write_all(&bytes)
 }
 
-/// Records a command and finds its answer.
+/// Records a command, applies a write, and returns the result.
 fn execute(shared: &SharedCache, state: &mut CacheState, command: &CacheCommand) -> Execution {
     let (key, options) = (command.key, String::from_utf8_lossy(command.options));
-    let idempotency_key = field(&options, "k");
-    let dropped = command.value.is_some()
+    let idempotency_key = option_field(&options, "k");
+    let is_duplicate = command.value.is_some()
         && idempotency_key.as_ref().is_some_and(|k| {
-            let seen = state.seen.insert(k.clone(), Instant::now());
-            seen.is_some_and(|at| at.elapsed() < shared.options.deduplication_window)
+            let previous = state.last_writes.insert(k.clone(), Instant::now());
+            previous.is_some_and(|at| at.elapsed() < shared.options.deduplication_window)
         });
     let id = String::from_utf8_lossy(command.id).into_owned();
     let executed = state.executed.entry(id).or_default();
-    executed.times += 1;
-    executed.effects += u32::from(command.value.is_some() && !dropped);
-    executed.class = field(&options, "c").unwrap_or_default();
+    executed.executions += 1;
+    executed.effects += u32::from(command.value.is_some() && !is_duplicate);
+    executed.class = option_field(&options, "c").unwrap_or_default();
     executed.key = idempotency_key;
     if let Some(value) = command.value {
         state.cached_keys.remove(key);
         state.written.insert(key.to_vec(), value.to_vec());
         return Execution {
-            note: None,
+            hit_status: None,
             value: b"stored".to_vec(),
         };
     }
     let hit = state.cached_keys.contains(key);
     state.hits += u64::from(hit);
     state.misses += u64::from(!hit);
-    let made_up =
+    let generated =
         || format!("tile {} by {}", String::from_utf8_lossy(key), shared.name).into_bytes();
     Execution {
-        note: Some(if hit { "hit" } else { "miss" }),
-        value: state.written.get(key).cloned().unwrap_or_else(made_up),
+        hit_status: Some(if hit { "hit" } else { "miss" }),
+        value: state.written.get(key).cloned().unwrap_or_else(generated),
     }
 }
 
-/// Works at the origin, or takes as long as a fetch would; whether that succeeded.
+/// Calls the origin; without one, waits for the fetch time of a read. Returns whether it succeeded.
 fn fetch(shared: &SharedCache, is_read: bool) -> bool {
     if let Some(origin) = &shared.origin {
-        return origin.work();
+        return origin.process_request();
     }
     if is_read {
         std::thread::sleep(shared.options.fetch_time);
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: requests in an open loop, each with a deadline. Who finds its connection broken goes to
-//! another balancer; a request is said again only where that is harmless.
+//! Simulated clients: an open loop of requests with deadlines. A client whose connection breaks
+//! moves to another balancer; a request is retried only where a second execution is harmless.
 
 use super::resp::{self, RespReply};
 use rand::{RngExt, SeedableRng};
@@ -12,35 +12,35 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long after its deadline an answer is still waited for, to tell late from never on any
-/// machine.
-const GRACE: Duration = Duration::from_secs(20);
-/// Keys that are requested.
+/// Time after the deadline for which a client still waits for the reply, so that late and missing
+/// replies are distinguished even on a slow machine.
+const LATE_REPLY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Number of distinct keys.
 const KEYS: u64 = 400;
 
-/// How a request ended for its client.
+/// Outcome of a request as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// A value or receipt.
+    /// The expected value, or the receipt of a write.
     Served,
-    /// `-BUSY`.
+    /// Rejected with `-BUSY`.
     Refused,
-    /// Any other answer.
+    /// Any other reply.
     Failed,
-    /// A value that no cache makes for this key.
+    /// A value that no cache produces for this key.
     Wrong,
-    /// The connection broke before the answer.
+    /// The connection broke before the reply.
     Broken,
-    /// No balancer took the connection.
+    /// No balancer accepted the connection.
     #[serde(rename = "no_door")]
     NoConnection,
-    /// No answer until long after the deadline.
+    /// No reply until 20 s after the deadline.
     Never,
 }
 
 impl RequestOutcome {
-    /// The key under which reports count it.
+    /// Returns the key under which reports count this outcome.
     #[must_use]
     pub fn report_key(self) -> &'static str {
         match self {
@@ -55,61 +55,61 @@
     }
 }
 
-/// One request as its client saw it.
+/// Record of one request as seen by its client.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClientRequest {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its class.
+    /// Request class.
     pub class: &'static str,
-    /// Which balancer.
+    /// Index of the balancer it was sent to.
     pub balancer: usize,
-    /// When it was sent, and how long its answer took, in seconds.
+    /// Time at which it was sent, in seconds since the clients' reference time.
     pub at: f64,
-    /// See `at`.
+    /// Time until the reply or until the client gave up, in seconds.
     pub latency_s: f64,
-    /// How it ended.
+    /// Outcome.
     #[serde(rename = "end")]
     pub outcome: RequestOutcome,
-    /// More came on the connection than the answer.
+    /// Whether the connection delivered more bytes than the reply.
     #[serde(rename = "extra")]
     pub extra_data: bool,
-    /// It was said again for one that was refused or failed.
+    /// Whether it retries a rejected or failed request.
     pub is_retry: bool,
-    /// The retry-after time of a rejection, in milliseconds.
+    /// Retry-after time of a rejection, in milliseconds.
     #[serde(rename = "wait_ms")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// A class of requests: its name, its share, its deadline, and whether it is a write and carries a
-/// key.
+/// Request classes: name, fraction of all requests, deadline in milliseconds, whether it is a
+/// write, and whether it carries an idempotency key.
 const CLASSES: [(&str, f64, u64, bool, bool); 3] = [
     ("tile-read", 0.90, 600, false, false),
     ("status-set", 0.05, 1_000, true, true),
     ("map-publish", 0.05, 2_500, true, false),
 ];
 
-/// How long a client of this class waits, in seconds; 0 of an unknown class.
+/// Returns the deadline of a request class, in seconds; 0 for an unknown class.
 #[must_use]
 pub fn class_deadline_s(class: &str) -> f64 {
     let found = CLASSES.iter().find(|(name, ..)| *name == class);
     found.map_or(0.0, |(_, _, ms, ..)| *ms as f64 / 1e3)
 }
 
-/// How clients behave.
+/// Behaviour of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientOptions {
-    /// How often a request that was refused or failed is said again, where that is harmless.
+    /// Maximum number of retries of a rejected or failed request.
     #[serde(rename = "returns")]
     pub retries: u32,
-    /// Whether a return waits as long as the refusal says; else it comes at once, at another
-    /// balancer.
+    /// Whether a retry waits for the retry-after time of the rejection. Otherwise it is sent at
+    /// once, to another balancer.
     #[serde(rename = "obey")]
     pub honors_retry_after: bool,
-    /// The first balancer gets so many times the mean of the others' traffic.
+    /// Traffic of the first balancer, as a multiple of the mean of the others.
     #[serde(rename = "first")]
-    pub first_balancer_share: f64,
+    pub first_balancer_multiple: f64,
 }
 
 impl Default for ClientOptions {
@@ -117,21 +117,22 @@
         ClientOptions {
             retries: 0,
             honors_retry_after: true,
-            first_balancer_share: 1.0,
+            first_balancer_multiple: 1.0,
         }
     }
 }
 
-/// The longest wait that a client obeys, and what it waits where none is named.
-const OBEYED_MOST: u64 = 1_200;
-const WAIT_USUAL: Duration = Duration::from_millis(100);
+/// Maximum retry-after time that a client waits, in milliseconds.
+const RETRY_AFTER_MAX_MS: u64 = 1_200;
+/// Wait before a retry if the reply names no retry-after time.
+const DEFAULT_RETRY_WAIT: Duration = Duration::from_millis(100);
 
-/// Requests a second over all clients, changed while they work.
+/// Request rate of all clients together, adjustable while they run.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRate(Arc<AtomicU64>);
 
 impl RequestRate {
-    /// So many from now on.
+    /// Sets the rate, in requests per second.
     pub fn set(&self, per_s: f64) {
         self.0.store(per_s.max(0.0).to_bits(), Ordering::Relaxed);
     }
@@ -141,141 +142,143 @@
     }
 }
 
-/// What a client wants, over all its returns.
+/// Content of a request, shared by its retries.
 struct RequestTemplate {
     class: &'static str,
-    deadline: u64,
-    write: bool,
-    keyed: Option<String>,
+    deadline_ms: u64,
+    is_write: bool,
+    idempotency_key: Option<String>,
     key: String,
 }
 
-/// Clients at work; they end with this.
+/// Running clients. Dropping this tells their threads to stop.
 pub struct Clients {
-    end: Arc<AtomicBool>,
-    asked: Arc<Mutex<Vec<ClientRequest>>>,
+    is_stopping: Arc<AtomicBool>,
+    requests: Arc<Mutex<Vec<ClientRequest>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 struct Client {
     balancers: Vec<SocketAddr>,
-    /// Where it goes first.
+    /// Index of the balancer that the client normally uses.
     home: usize,
-    at: usize,
-    behaviour: ClientOptions,
+    /// Index of the balancer that the next request goes to.
+    current: usize,
+    options: ClientOptions,
     stream: Option<(TcpStream, BufReader<TcpStream>)>,
     rng: Xoshiro256PlusPlus,
-    name: String,
+    /// Prefix of the client's request ids.
+    id_prefix: String,
     sent: u64,
-    begun: Instant,
+    /// Origin of the recorded times.
+    reference_time: Instant,
 }
 
 impl Clients {
-    /// `workers` clients that together send as many requests a second as `load` says, to these
-    /// doors, as seen from `begun`.
+    /// Starts `workers` clients that together send requests to these balancers at `rate`.
+    /// `reference_time` is the origin of the recorded times.
     #[must_use]
     pub fn start(
         balancers: &[SocketAddr],
         workers: usize,
-        load: &RequestRate,
-        behaviour: ClientOptions,
+        rate: &RequestRate,
+        options: ClientOptions,
         seed: u64,
-        begun: Instant,
+        reference_time: Instant,
     ) -> Self {
-        let (end, asked) = (
+        let (is_stopping, requests) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::new())),
         );
-        // Of workers in turn so many stay with the first balancer that it gets its multiple of the
-        // mean.
+        // The fraction of workers assigned to the first balancer gives it its multiple of the mean.
         let others = balancers.len() as f64 - 1.0;
-        let first = behaviour.first_balancer_share / (behaviour.first_balancer_share + others);
+        let first = options.first_balancer_multiple / (options.first_balancer_multiple + others);
         let threads = (0..workers)
             .map(|worker| {
-                let (end, asked) = (Arc::clone(&end), Arc::clone(&asked));
-                let load = load.clone();
-                let at = match (worker as f64 + 0.5) / workers as f64 {
-                    part if part < first || balancers.len() == 1 => 0,
+                let (is_stopping, requests) = (Arc::clone(&is_stopping), Arc::clone(&requests));
+                let rate = rate.clone();
+                let home = match (worker as f64 + 0.5) / workers as f64 {
+                    position if position < first || balancers.len() == 1 => 0,
                     _ => 1 + worker % (balancers.len() - 1),
                 };
                 let client = Client {
                     balancers: balancers.to_vec(),
-                    home: at,
-                    at,
-                    behaviour,
+                    home,
+                    current: home,
+                    options,
                     stream: None,
                     rng: Xoshiro256PlusPlus::seed_from_u64(
                         seed.wrapping_mul(1_000).wrapping_add(worker as u64),
                     ),
-                    name: format!("{worker:04x}"),
+                    id_prefix: format!("{worker:04x}"),
                     sent: 0,
-                    begun,
+                    reference_time,
                 };
-                std::thread::spawn(move || client.run(&load, workers, &end, &asked))
+                std::thread::spawn(move || client.run(&rate, workers, &is_stopping, &requests))
             })
             .collect();
         Clients {
-            end,
-            asked,
+            is_stopping,
+            requests,
             threads,
         }
     }
 
-    /// Stops the clients and returns all requests.
+    /// Stops the clients and returns the records of all requests.
     pub fn stop(mut self) -> Vec<ClientRequest> {
-        self.end.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
-        std::mem::take(&mut self.asked.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
     }
 }
 
 impl Client {
-    /// Sends requests at this worker's part of the rate until the end.
+    /// Sends requests at this worker's part of the rate until stopped.
     fn run(
         mut self,
-        load: &RequestRate,
+        rate: &RequestRate,
         workers: usize,
-        end: &AtomicBool,
-        asked: &Mutex<Vec<ClientRequest>>,
+        is_stopping: &AtomicBool,
+        requests: &Mutex<Vec<ClientRequest>>,
     ) {
         let mut next = Instant::now();
-        while !end.load(Ordering::Relaxed) {
-            next = self.wait_for_next(next, load, workers, end);
-            // One that was long at work does not send all at once what it missed.
+        while !is_stopping.load(Ordering::Relaxed) {
+            next = self.wait_for_next(next, rate, workers, is_stopping);
+            // After a slow request, the missed ones are not all sent in a burst.
             next = next.max(Instant::now() - Duration::from_millis(500));
-            self.ask_until_done(asked);
+            self.send_with_retries(requests);
         }
     }
 
-    /// Waits for an exponentially distributed gap after `previous`; the rate may change in the
-    /// middle of it.
+    /// Waits for an exponentially distributed interval after `previous` and returns its end. A
+    /// change of the rate takes effect during the interval.
     fn wait_for_next(
         &mut self,
         previous: Instant,
-        load: &RequestRate,
+        rate: &RequestRate,
         workers: usize,
-        end: &AtomicBool,
+        is_stopping: &AtomicBool,
     ) -> Instant {
         let mut next = previous;
-        let gap = -(1.0 - self.rng.random::<f64>()).ln();
+        let interval = -(1.0 - self.rng.random::<f64>()).ln();
         let mut elapsed = 0.0;
-        while elapsed < gap && !end.load(Ordering::Relaxed) {
-            let per_second = load.get() / workers as f64;
-            let left = if per_second > 0.0 {
-                (gap - elapsed) / per_second
+        while elapsed < interval && !is_stopping.load(Ordering::Relaxed) {
+            let per_second = rate.get() / workers as f64;
+            let remaining_s = if per_second > 0.0 {
+                (interval - elapsed) / per_second
             } else {
                 1.0
             };
-            // Shorter steps would round to nothing and never end.
-            let step = Duration::from_secs_f64(left.clamp(1e-4, 0.05));
+            // A shorter step could round to zero, so that the loop never ends.
+            let step = Duration::from_secs_f64(remaining_s.clamp(1e-4, 0.05));
             next += step;
             elapsed += step.as_secs_f64() * per_second;
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
@@ -285,7 +288,7 @@
 
     fn connection(&mut self) -> io::Result<&mut (TcpStream, BufReader<TcpStream>)> {
         if self.stream.is_none() {
-            let address = self.balancers[self.at];
+            let address = self.balancers[self.current];
             let stream = TcpStream::connect_timeout(&address, Duration::from_millis(500))?;
             stream.set_nodelay(true)?;
             self.stream = Some((stream.try_clone()?, BufReader::new(stream)));
@@ -295,154 +298,158 @@
             .ok_or_else(|| io::Error::other("no connection"))
     }
 
-    /// One request, and its returns.
-    fn ask_until_done(&mut self, asked: &Mutex<Vec<ClientRequest>>) {
-        let order = self.order();
-        let mut again = 0;
+    /// Sends a request and its retries, and records each.
+    fn send_with_retries(&mut self, requests: &Mutex<Vec<ClientRequest>>) {
+        let template = self.next_template();
+        let mut retries = 0;
         loop {
-            let one = self.ask(&order, again > 0);
-            let (end, wait_ms) = (one.outcome, one.retry_after_ms);
-            asked
+            let request = self.send(&template, retries > 0);
+            let (outcome, retry_after_ms) = (request.outcome, request.retry_after_ms);
+            requests
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .push(one);
-            // After a failure only what may run twice is said again; a refusal says that a return
-            // is harmless.
-            let harmless = end == RequestOutcome::Refused
-                || end == RequestOutcome::Failed && order.class != "map-publish";
-            if !harmless || again >= self.behaviour.retries {
+                .push(request);
+            // A rejected request was not executed. A failed one may have been, so it is retried
+            // only if a second execution is harmless.
+            let is_retryable = outcome == RequestOutcome::Refused
+                || outcome == RequestOutcome::Failed && template.class != "map-publish";
+            if !is_retryable || retries >= self.options.retries {
                 break;
             }
-            again += 1;
-            if self.behaviour.honors_retry_after {
-                let wait =
-                    wait_ms.map_or(WAIT_USUAL, |ms| Duration::from_millis(ms.min(OBEYED_MOST)));
+            retries += 1;
+            if self.options.honors_retry_after {
+                let wait = retry_after_ms.map_or(DEFAULT_RETRY_WAIT, |ms| {
+                    Duration::from_millis(ms.min(RETRY_AFTER_MAX_MS))
+                });
                 std::thread::sleep(wait);
             } else if self.balancers.len() > 1 {
                 self.stream = None;
-                self.at = (self.at + 1 + self.rng.random_range(0..self.balancers.len() - 1))
-                    % self.balancers.len();
+                self.current =
+                    (self.current + 1 + self.rng.random_range(0..self.balancers.len() - 1))
+                        % self.balancers.len();
             }
         }
-        if self.at != self.home && self.stream.is_some() && !self.behaviour.honors_retry_after {
+        if self.current != self.home && self.stream.is_some() && !self.options.honors_retry_after {
             self.stream = None;
-            self.at = self.home;
+            self.current = self.home;
         }
     }
 
-    /// The next request.
-    fn order(&mut self) -> RequestTemplate {
-        let mut draw = self.rng.random::<f64>();
+    /// Generates the next request.
+    fn next_template(&mut self) -> RequestTemplate {
+        let mut sample = self.rng.random::<f64>();
         let class = CLASSES.iter().find(|(_, share, ..)| {
-            draw -= share;
-            draw < 0.0
+            sample -= share;
+            sample < 0.0
         });
-        let (class, _, deadline, write, keyed) = *class.unwrap_or(&CLASSES[0]);
-        // A few keys are requested far more than the others.
+        let (class, _, deadline_ms, is_write, is_keyed) = *class.unwrap_or(&CLASSES[0]);
+        // The cube makes a few keys far more frequent than the others.
         let key = format!(
             "{:016x}",
             (KEYS as f64 * self.rng.random::<f64>().powi(3)) as u64
         );
-        // A return carries the key of the first.
-        let keyed = keyed.then(|| format!("{}-{:x}", self.name, self.sent + 1));
+        // Retries carry the idempotency key of the first attempt.
+        let idempotency_key = is_keyed.then(|| format!("{}-{:x}", self.id_prefix, self.sent + 1));
         RequestTemplate {
             class,
-            deadline,
-            write,
-            keyed,
+            deadline_ms,
+            is_write,
+            idempotency_key,
             key,
         }
     }
 
-    fn ask(&mut self, order: &RequestTemplate, again: bool) -> ClientRequest {
+    /// Sends one request and waits for its outcome.
+    fn send(&mut self, template: &RequestTemplate, is_retry: bool) -> ClientRequest {
         let RequestTemplate {
             class,
-            deadline,
-            write,
-            keyed,
+            deadline_ms,
+            is_write,
+            idempotency_key,
             key,
-        } = order;
-        let (class, deadline, write) = (*class, *deadline, *write);
+        } = template;
+        let (class, deadline_ms, is_write) = (*class, *deadline_ms, *is_write);
         self.sent += 1;
-        let id = format!("{}{:012x}", self.name, self.sent);
-        let mut options = format!("c={class},t=kvemo-tetri,d={deadline}");
-        if let Some(k) = keyed {
-            options.push_str(&format!(",k={k}"));
+        let id = format!("{}{:012x}", self.id_prefix, self.sent);
+        let mut options = format!("c={class},t=kvemo-tetri,d={deadline_ms}");
+        if let Some(idempotency_key) = idempotency_key {
+            options.push_str(&format!(",k={idempotency_key}"));
         }
-        if again {
+        if is_retry {
             options.push_str(",r=1");
         }
-        let mut words: Vec<&[u8]> = vec![
-            if write { b"C.SET" } else { b"C.GET" },
+        let mut arguments: Vec<&[u8]> = vec![
+            if is_write { b"C.SET" } else { b"C.GET" },
             key.as_bytes(),
             id.as_bytes(),
             options.as_bytes(),
         ];
         let value = format!("written by {id}");
-        if write {
-            words.push(value.as_bytes());
+        if is_write {
+            arguments.push(value.as_bytes());
         }
-        let command = resp::encode_command(&words);
-        let (begun, sent) = (self.begun, Instant::now());
-        let balancer = self.at;
-        let most = Duration::from_millis(deadline) + GRACE;
-        let (end, extra, wait_ms) = self.exchange(&command, most, key, write);
+        let command = resp::encode_command(&arguments);
+        let sent = Instant::now();
+        let balancer = self.current;
+        let timeout = Duration::from_millis(deadline_ms) + LATE_REPLY_TIMEOUT;
+        let (outcome, extra_data, retry_after_ms) = self.exchange(&command, timeout, key, is_write);
         if matches!(
-            end,
+            outcome,
             RequestOutcome::Broken | RequestOutcome::NoConnection | RequestOutcome::Never
         ) {
             self.stream = None;
-            self.at = self.rng.random_range(0..self.balancers.len());
+            self.current = self.rng.random_range(0..self.balancers.len());
         }
-        let at = sent.duration_since(begun).as_secs_f64();
+        let at = sent.duration_since(self.reference_time).as_secs_f64();
         ClientRequest {
             id,
             class,
             balancer,
             at,
             latency_s: sent.elapsed().as_secs_f64(),
-            outcome: end,
-            extra_data: extra,
-            is_retry: again,
-            retry_after_ms: wait_ms,
+            outcome,
+            extra_data,
+            is_retry,
+            retry_after_ms,
         }
     }
 
+    /// Sends a command and reads the reply; returns the outcome, whether more bytes than the reply
+    /// arrived, and the retry-after time of a rejection.
     fn exchange(
         &mut self,
         command: &[u8],
-        most: Duration,
+        timeout: Duration,
         key: &str,
-        write: bool,
+        is_write: bool,
     ) -> (RequestOutcome, bool, Option<u64>) {
-        // Between requests a balancer may close a connection: then the request goes once more, on a
-        // new one.
+        // A balancer may close an idle connection; the request then uses a new one.
         if self.stream.as_ref().is_some_and(|(stream, _)| {
             let _ = stream.set_nonblocking(true);
-            let ended = matches!(stream.peek(&mut [0]), Ok(0))
+            let is_closed = matches!(stream.peek(&mut [0]), Ok(0))
                 || stream
                     .peek(&mut [0])
                     .is_err_and(|e| e.kind() != io::ErrorKind::WouldBlock);
             let _ = stream.set_nonblocking(false);
-            ended
+            is_closed
         }) {
             self.stream = None;
         }
         let Ok((stream, input)) = self.connection() else {
             return (RequestOutcome::NoConnection, false, None);
         };
-        if stream.set_read_timeout(Some(most)).is_err() || stream.write_all(command).is_err() {
+        if stream.set_read_timeout(Some(timeout)).is_err() || stream.write_all(command).is_err() {
             return (RequestOutcome::Broken, false, None);
         }
-        let mut wait_ms = None;
-        let end = match resp::read_reply(input) {
-            Ok(RespReply::Bulk(Some(value))) => classify_answer(&value, key, write),
+        let mut retry_after_ms = None;
+        let outcome = match resp::read_reply(input) {
+            Ok(RespReply::Bulk(Some(value))) => classify_value(&value, key, is_write),
             Ok(RespReply::Array(parts)) => match parts.first() {
-                Some(RespReply::Bulk(Some(value))) => classify_answer(value, key, write),
+                Some(RespReply::Bulk(Some(value))) => classify_value(value, key, is_write),
                 _ => RequestOutcome::Failed,
             },
             Ok(RespReply::Error(text)) if text == "BUSY" || text.starts_with("BUSY ") => {
-                wait_ms = text.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok());
+                retry_after_ms = text.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok());
                 RequestOutcome::Refused
             }
             Ok(_) => RequestOutcome::Failed,
@@ -456,17 +463,17 @@
             }
             Err(_) => RequestOutcome::Broken,
         };
-        // One request is out at a time: whatever else came is a second answer.
-        (end, !input.buffer().is_empty(), wait_ms)
+        // Only one request is outstanding, so any further bytes belong to a second reply.
+        (outcome, !input.buffer().is_empty(), retry_after_ms)
     }
 }
 
-/// Whether a cache makes this for that key.
-fn classify_answer(value: &[u8], key: &str, write: bool) -> RequestOutcome {
+/// Returns `Served` if a cache can produce this value for the key, otherwise `Wrong`.
+fn classify_value(value: &[u8], key: &str, is_write: bool) -> RequestOutcome {
     let text = String::from_utf8_lossy(value);
-    let made = text.starts_with(&format!("tile {key} by ")) || text.starts_with("written by ");
-    let right = if write { text == "stored" } else { made };
-    if right {
+    let is_tile = text.starts_with(&format!("tile {key} by ")) || text.starts_with("written by ");
+    let is_expected = if is_write { text == "stored" } else { is_tile };
+    if is_expected {
         RequestOutcome::Served
     } else {
         RequestOutcome::Wrong
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -1,5 +1,5 @@
-//! A simulated discovery service: one endpoint list over HTTP, in full or as a watch. Each balancer
-//! may get addresses of its own.
+//! Simulated discovery service: serves an endpoint list over HTTP, once or as a watch. The caches'
+//! addresses may differ between balancers.
 
 use super::TcpService;
 use std::collections::BTreeMap;
@@ -8,22 +8,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often a watch looks for changes; an empty line comes after forty looks without one.
+/// Interval at which a watch polls the list for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of polls without a change after which a watch sends an empty line as keep-alive.
 const POLLS_UNTIL_KEEPALIVE: u32 = 40;
-/// The longest head of a call.
+/// Maximum length of a request head, in bytes.
 const HEAD_MAX: usize = 8 * 1024;
 
-/// A cache on the list.
+/// Entry of a cache in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedHost {
-    /// `in_service` or `terminating`.
+    /// Health state on the wire: `in_service` or `terminating`.
     pub health: &'static str,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the cache's last start, in Unix milliseconds; 0 for a cache that has long been warm.
     pub born_ms: u64,
 }
 
-/// The list, shared by all doors.
+/// Endpoint list with its version, shared by all discovery servers.
 #[derive(Clone, Default)]
 pub struct EndpointList(Arc<Mutex<(u64, BTreeMap<String, ListedHost>)>>);
 
@@ -32,22 +33,23 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a cache on the list, or changes what is said of it.
+    /// Adds or replaces the entry of a cache.
     pub fn insert(&self, name: &str, host: ListedHost) {
         let mut list = self.lock();
         list.0 += 1;
         list.1.insert(name.into(), host);
     }
 
-    /// Takes a cache from the list.
+    /// Removes the entry of a cache.
     pub fn remove(&self, name: &str) {
         let mut list = self.lock();
         list.0 += 1;
         list.1.remove(name);
     }
 
-    /// The whole list as it goes over the wire, and its version; `None` if it is not newer than
-    /// what was sent before.
+    /// Returns the version and the full list as one line of JSON, or `None` if the version is not
+    /// newer than `sent_version`. `dial` returns the address of a cache; caches without one are
+    /// left out.
     pub fn encode_if_newer(
         &self,
         sent_version: u64,
@@ -74,17 +76,18 @@
     }
 }
 
-/// Discovery as one balancer reaches it; it ends with this.
+/// Discovery server of one balancer. Dropping it closes the listener and all connections.
 pub struct Discovery {
     _service: TcpService,
 }
 
 impl Discovery {
-    /// Tells the list at an address; `dial` is where a cache is reached from there.
+    /// Serves the list at an address. `dial` returns the address at which the balancer reaches a
+    /// cache.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn start(
         address: SocketAddr,
         list: EndpointList,
@@ -111,18 +114,18 @@
     stream.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n",
     )?;
-    let (mut sent_version, mut silent) = (0, 0);
+    let (mut sent_version, mut unchanged_polls) = (0, 0);
     loop {
         match list.encode_if_newer(sent_version, dial) {
             Some((version, line)) => {
-                (sent_version, silent) = (version, 0);
+                (sent_version, unchanged_polls) = (version, 0);
                 write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
             }
-            None if silent >= POLLS_UNTIL_KEEPALIVE => {
-                silent = 0;
+            None if unchanged_polls >= POLLS_UNTIL_KEEPALIVE => {
+                unchanged_polls = 0;
                 stream.write_all(b"1\r\n\n\r\n")?;
             }
-            None => silent += 1,
+            None => unchanged_polls += 1,
         }
         if !watch {
             return stream.write_all(b"0\r\n\r\n");
--- a/crates/testbed/src/simulated_services/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -1,17 +1,17 @@
-//! The slow map store behind the caches: it takes so many fetches and writes at a time, and may be
-//! slowed while it works. Only caches call it.
+//! Simulated origin: the slow map store behind the caches, with limited concurrency and adjustable
+//! speed. Caches call it directly, in the same process.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How the origin works.
+/// Capacity and speed of the origin.
 #[derive(Clone, Copy, Debug)]
 pub struct OriginOptions {
-    /// Fetches and writes at work at a time.
+    /// Maximum number of fetches and writes processed concurrently.
     pub slots: usize,
-    /// What one takes.
+    /// Processing time of a fetch or write.
     pub service_time: Duration,
-    /// One that has waited this long for a slot fails.
+    /// Maximum time a fetch or write waits for a slot before it fails.
     pub timeout: Duration,
 }
 
@@ -20,11 +20,11 @@
     in_service: usize,
     fetches: u64,
     failed: u64,
-    /// 1 or more; 0 stands for 1.
-    slowness: f64,
+    /// Factor applied to the processing time; values below 1 count as 1.
+    slowdown: f64,
 }
 
-/// The origin; all clones are one.
+/// Handle to an origin; clones share its state.
 #[derive(Clone)]
 pub struct Origin {
     options: OriginOptions,
@@ -32,7 +32,7 @@
 }
 
 impl Origin {
-    /// An origin that works like this.
+    /// Creates an origin with these options.
     #[must_use]
     pub fn new(options: OriginOptions) -> Self {
         Origin {
@@ -45,40 +45,42 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Each fetch takes so many times as long from now on.
-    pub fn slow(&self, slowness: f64) {
-        self.state().slowness = slowness.max(1.0);
+    /// Multiplies the processing time of later fetches and writes by this factor, 1 or more.
+    pub fn set_slowdown(&self, slowdown: f64) {
+        self.state().slowdown = slowdown.max(1.0);
     }
 
-    /// Fetches and writes that were served, and those that timed out in the queue.
+    /// Returns the numbers of fetches and writes that got a slot, and of those that timed out in
+    /// the queue.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         let state = self.state();
         (state.fetches, state.failed)
     }
 
-    /// One fetch or write, from its beginning to its end; false if it timed out in the queue.
-    pub fn work(&self) -> bool {
-        let until = Instant::now() + self.options.timeout;
+    /// Processes one fetch or write and blocks until it ends; returns false if it timed out in the
+    /// queue.
+    pub fn process_request(&self) -> bool {
+        let deadline = Instant::now() + self.options.timeout;
         let mut state = self.state();
         while state.in_service >= self.options.slots {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 state.failed += 1;
                 return false;
             }
             state = self
                 .state
                 .1
-                .wait_timeout(state, left)
+                .wait_timeout(state, remaining)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
         state.in_service += 1;
         state.fetches += 1;
-        let slowness = state.slowness.max(1.0);
+        let slowdown = state.slowdown.max(1.0);
         drop(state);
-        std::thread::sleep(self.options.service_time.mul_f64(slowness));
+        std::thread::sleep(self.options.service_time.mul_f64(slowdown));
         self.state().in_service -= 1;
         self.state.1.notify_one();
         true
--- a/crates/testbed/src/simulated_services/origin/tests.rs
+++ b/crates/testbed/src/simulated_services/origin/tests.rs
@@ -11,12 +11,15 @@
     };
     let origin = Origin::new(options);
     let other = origin.clone();
-    let first = std::thread::spawn(move || other.work());
+    let first = std::thread::spawn(move || other.process_request());
     while origin.counts().0 == 0 {
         std::thread::yield_now();
     }
-    assert!(!origin.work(), "the one slot is taken");
+    assert!(
+        !origin.process_request(),
+        "the request times out while the only slot is occupied"
+    );
     assert!(first.join().unwrap());
     assert_eq!(origin.counts(), (1, 1));
-    assert!(origin.work());
+    assert!(origin.process_request());
 }
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -1,26 +1,26 @@
-//! RESP2, as far as the simulated services need it.
+//! Subset of RESP2 that the simulated services need.
 
 use std::io::{self, BufRead};
 
-/// The longest argument that is read, in bytes.
-const WORD_MAX: usize = 65_536;
-/// Arguments of a command and elements of a reply, at most.
-const WORDS_MAX: usize = 16;
+/// Maximum length of an argument or bulk string, in bytes.
+const BULK_LENGTH_MAX: usize = 65_536;
+/// Maximum number of arguments of a command and of elements of an array.
+const ARRAY_LENGTH_MAX: usize = 16;
 
-/// An answer of a balancer, or an element of one.
+/// Reply of a balancer, or an element of an array reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RespReply {
-    /// A bulk string, or null.
+    /// Bulk string, or null.
     Bulk(Option<Vec<u8>>),
-    /// A simple string or an integer.
+    /// Simple string or integer.
     Simple(String),
-    /// An error.
+    /// Error, without the leading `-`.
     Error(String),
-    /// An array.
+    /// Array.
     Array(Vec<RespReply>),
 }
 
-fn line(input: &mut impl BufRead) -> io::Result<String> {
+fn read_line(input: &mut impl BufRead) -> io::Result<String> {
     let mut line = String::new();
     input.read_line(&mut line)?;
     if !line.ends_with('\n') {
@@ -30,69 +30,75 @@
     Ok(line)
 }
 
-fn number(text: &str, most: usize) -> io::Result<usize> {
-    let number = text.parse().ok().filter(|n| *n <= most);
-    number.ok_or_else(|| io::Error::other(format!("\"{text}\" is no length")))
+fn parse_length(text: &str, max: usize) -> io::Result<usize> {
+    let length = text.parse().ok().filter(|n| *n <= max);
+    length
+        .ok_or_else(|| io::Error::other(format!("\"{text}\" is not a length, expected 0 to {max}")))
 }
 
-fn word(input: &mut impl BufRead, length: usize) -> io::Result<Vec<u8>> {
-    let mut word = vec![0; length + 2];
-    input.read_exact(&mut word)?;
-    word.truncate(length);
-    Ok(word)
+fn read_bulk(input: &mut impl BufRead, length: usize) -> io::Result<Vec<u8>> {
+    let mut bulk = vec![0; length + 2];
+    input.read_exact(&mut bulk)?;
+    bulk.truncate(length);
+    Ok(bulk)
 }
 
-/// Reads the next command; returns its arguments.
+/// Reads the next command and returns its arguments.
 ///
 /// # Errors
 ///
-/// If the connection fails, or the input breaks the protocol.
+/// Fails if the connection fails or the input violates the protocol.
 pub fn read_command(input: &mut impl BufRead) -> io::Result<Vec<Vec<u8>>> {
-    let head = line(input)?;
-    let words = number(head.strip_prefix('*').unwrap_or_default(), WORDS_MAX)?;
-    (0..words)
+    let head = read_line(input)?;
+    let count = parse_length(head.strip_prefix('*').unwrap_or_default(), ARRAY_LENGTH_MAX)?;
+    (0..count)
         .map(|_| {
-            let head = line(input)?;
-            let length = number(head.strip_prefix('$').unwrap_or_default(), WORD_MAX)?;
-            word(input, length)
+            let head = read_line(input)?;
+            let length = parse_length(head.strip_prefix('$').unwrap_or_default(), BULK_LENGTH_MAX)?;
+            read_bulk(input, length)
         })
         .collect()
 }
 
-/// A command on the wire.
+/// Encodes a command with these arguments.
 #[must_use]
-pub fn encode_command(words: &[&[u8]]) -> Vec<u8> {
-    let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
-    for word in words {
-        bytes.extend(format!("${}\r\n", word.len()).as_bytes());
-        bytes.extend(*word);
+pub fn encode_command(arguments: &[&[u8]]) -> Vec<u8> {
+    let mut bytes = format!("*{}\r\n", arguments.len()).into_bytes();
+    for argument in arguments {
+        bytes.extend(format!("${}\r\n", argument.len()).as_bytes());
+        bytes.extend(*argument);
         bytes.extend(b"\r\n");
     }
     bytes
 }
 
-/// The next answer.
+/// Reads the next reply.
 ///
 /// # Errors
 ///
-/// If the connection fails, or the input breaks the protocol.
+/// Fails if the connection fails or the input violates the protocol.
 pub fn read_reply(input: &mut impl BufRead) -> io::Result<RespReply> {
-    let head = line(input)?;
+    let head = read_line(input)?;
     let (kind, rest) = head.split_at_checked(1).unwrap_or(("", ""));
     match kind {
         "+" | ":" => Ok(RespReply::Simple(rest.into())),
         "-" => Ok(RespReply::Error(rest.into())),
         "$" if rest == "-1" => Ok(RespReply::Bulk(None)),
-        "$" => Ok(RespReply::Bulk(Some(word(input, number(rest, WORD_MAX)?)?))),
+        "$" => Ok(RespReply::Bulk(Some(read_bulk(
+            input,
+            parse_length(rest, BULK_LENGTH_MAX)?,
+        )?))),
         "*" => {
-            let length = number(rest, WORDS_MAX)?;
+            let length = parse_length(rest, ARRAY_LENGTH_MAX)?;
             Ok(RespReply::Array(
                 (0..length)
                     .map(|_| read_reply(input))
                     .collect::<io::Result<_>>()?,
             ))
         }
-        _ => Err(io::Error::other(format!("\"{head}\" is no answer"))),
+        _ => Err(io::Error::other(format!(
+            "\"{head}\" is not the first line of a RESP2 reply"
+        ))),
     }
 }
 
--- a/crates/testbed/src/simulated_services/resp/tests.rs
+++ b/crates/testbed/src/simulated_services/resp/tests.rs
@@ -10,7 +10,10 @@
         [b"C.GET".to_vec(), b"a b".to_vec(), Vec::new()]
     );
     for cut in 0..bytes.len() {
-        assert!(read_command(&mut &bytes[..cut]).is_err(), "after {cut}");
+        assert!(
+            read_command(&mut &bytes[..cut]).is_err(),
+            "a command cut off after {cut} bytes is accepted"
+        );
     }
     let text = b"*3\r\n$1\r\nv\r\n$-1\r\n+x\r\n-BUSY 7\r\n";
     let mut input = text.as_slice();
--- a/crates/testbed/src/simulation.rs
+++ b/crates/testbed/src/simulation.rs
@@ -1,5 +1,4 @@
-//! Simulation of a fleet: members of the `membership` crate side by side in virtual time, seeded
-//! and without a machine's pace.
+//! Simulation of a fleet of `membership` members in virtual time, reproducible by its seed.
 
 pub mod fleet;
 pub mod region_trials;
@@ -10,70 +9,70 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// What a simulation trial found.
+/// Failure of a simulation trial.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SimulationFailure {
-    /// Views were not true in time.
-    #[error("{phase}: not settled after {ceiling_s} s")]
-    NotSettled {
-        /// What was waited for.
+    /// The members' views did not become correct in time.
+    #[error("{phase}: views have not converged after {timeout_s} s")]
+    NotConverged {
+        /// Phase of the trial.
         phase: String,
-        /// For how long, in seconds.
-        ceiling_s: u64,
+        /// Timeout in virtual time, in seconds.
+        timeout_s: u64,
     },
-    /// Living members were taken for dead.
-    #[error("{0} deaths that were none")]
+    /// Running members were declared dead this many times.
+    #[error("running members were declared dead {0} times")]
     FalseDeaths(u64),
-    /// A member that hears nobody declared another one dead.
-    #[error("the deaf one gave {0} up")]
+    /// A member whose inbound datagrams were cut off declared another member dead.
+    #[error("the member with inbound traffic cut off declared {0} dead")]
     AccusedWhileIsolated(SocketAddr),
-    /// A member suspected others because it had stalled itself.
-    #[error("it suspected {0} others for its own sleep")]
+    /// A member suspected others after its own stall.
+    #[error("the stalled member suspected {0} other members after its own stall")]
     SuspectedAfterStall(u64),
-    /// A new member lacks metadata of others.
-    #[error("{member}: {known} of {expected} records")]
+    /// A new member lacks the metadata of other members.
+    #[error("{member}: has the metadata of {known} of {expected} members")]
     MissingMetadata {
         /// The new member.
         member: SocketAddr,
-        /// Whose metadata it has.
+        /// Number of other members whose metadata it has.
         known: usize,
-        /// How many there are.
+        /// Number of other members.
         expected: usize,
     },
-    /// Returned members were known to all too late.
-    #[error("back: known to all after {0} ms")]
-    SlowReturn(u64),
-    /// Shares sum to more than their bound.
-    #[error("{context}the shares sum to {sum:.2}")]
+    /// Restarted members were in all views only after this many milliseconds.
+    #[error("restarted members were in all views only after {0} ms")]
+    SlowRejoin(u64),
+    /// The sum of shares exceeds its bound.
+    #[error("{context}the shares sum to {sum:.2}, over their bound")]
     ShareSum {
-        /// In which case, with a colon and a space; may be empty.
+        /// The case, followed by a colon and a space; may be empty.
         context: String,
-        /// The sum.
+        /// Sum of the shares of all members.
         sum: f64,
     },
-    /// Members count more than there are.
-    #[error("shares are divided by {count}, and {members} members run")]
+    /// The share count of a member exceeds the number of running members.
+    #[error("share count is {count}, but only {members} members run")]
     ShareCount {
-        /// The count.
+        /// Greatest share count of a member.
         count: usize,
-        /// Members that run.
+        /// Number of running members.
         members: usize,
     },
     /// A region has no delegate.
-    #[error("nobody speaks for the first region")]
+    #[error("the first region has no delegate")]
     NoDelegate,
-    /// The fleet has no second region.
-    #[error("one region only")]
-    OneRegion,
-    /// Shedding did not do what it should.
+    /// A delegate sees no region beside its own.
+    #[error("the delegate sees no other region")]
+    SingleRegion,
+    /// Shared shedding missed a target.
     #[error("{problem}: {details}")]
     Shedding {
-        /// What was wrong.
+        /// The missed target.
         problem: &'static str,
-        /// The disturbance and what was measured.
+        /// The injected disturbance and the measurement.
         details: String,
     },
-    /// The shedding level follows reports of dead members.
-    #[error("words of the dead are believed: level {0:.2}")]
+    /// The shedding level still follows expired reports of dead members.
+    #[error("expired reports of dead members are still used: shedding level {0:.2}")]
     StaleReports(f64),
 }
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -1,5 +1,5 @@
-//! Members of the `membership` crate side by side in virtual time: the same seed gives the same run
-//! on every machine.
+//! Fleet of `membership` members in virtual time. A run depends only on its seed, not on the speed
+//! of the machine.
 
 mod network;
 mod views;
@@ -19,118 +19,122 @@
 
 struct MemberSlot {
     member: Option<Member>,
-    /// Stalled until then.
+    /// Virtual time at which the current stall ends; in the past if the member is not stalled.
     stalled_until: Nanos,
-    /// Datagrams that are queued during a stall; the oldest ones beyond the bound are lost.
+    /// Datagrams that arrived during a stall, at most [`MAX_INBOX_DATAGRAMS`]; later ones are
+    /// dropped.
     inbox: Vec<(SocketAddr, Vec<u8>)>,
     statistics: MemberStatistics,
-    sent_max: u64,
+    max_sent_per_turn: u64,
     false_deaths: u64,
-    /// Its region, by number; 0 where there is one only.
+    /// Index of the member's region; 0 in a fleet without regions.
     region: usize,
-    /// Processor time of its own calls.
+    /// Real processor time spent in calls to the member.
     cpu_time: Duration,
 }
 
 enum QueuedEvent {
-    Turn(usize),
-    Datagram(usize, SocketAddr, Vec<u8>),
+    RunMember(usize),
+    Deliver(usize, SocketAddr, Vec<u8>),
 }
 
 /// A fleet in virtual time.
 pub struct SimulatedFleet {
     slots: Vec<MemberSlot>,
-    queue: BTreeMap<(Nanos, u64), QueuedEvent>,
-    set: u64,
+    events: BTreeMap<(Nanos, u64), QueuedEvent>,
+    event_sequence: u64,
     rng: Xoshiro256PlusPlus,
-    /// What happens to datagrams.
+    /// Conditions for datagrams within a region, and for all datagrams while `between_regions` is
+    /// `None`.
     pub network: NetworkConditions,
-    /// What happens to those that go from one region to another; as all others if `None`.
+    /// Conditions for datagrams between regions; `None` applies `network` to them as well.
     pub between_regions: Option<NetworkConditions>,
-    /// Whether the way from one to another is cut.
-    cut: Vec<Vec<bool>>,
-    /// The time.
+    /// `link_cut[from][to]` is true while datagrams in that direction are dropped.
+    link_cut: Vec<Vec<bool>>,
+    /// Virtual time since the fleet was created.
     pub now: Nanos,
     timing: Timing,
-    joins: usize,
+    join_count: usize,
     members_max: usize,
-    /// Members agree on a level of so many tiers.
-    tiers: Option<usize>,
-    numbers: HashMap<SocketAddr, usize>,
-    /// Members announce a region, and know only summaries of the others.
-    in_regions: bool,
-    /// Members ask these places besides at first, whatever their region.
-    joins_at: Vec<usize>,
-    /// What members say that they take a second, in tenths; differs from member to member and moves
-    /// on.
+    /// Number of tiers of the shared shedding level; `None` disables shared shedding.
+    shedding_tiers: Option<usize>,
+    slot_by_address: HashMap<SocketAddr, usize>,
+    /// Whether members are configured with a region, so that they hold only summaries of the other
+    /// regions.
+    has_regions: bool,
+    /// Slots that are join addresses of every member, whatever its region.
+    extra_join_slots: Vec<usize>,
+    /// Whether the request rates that members report differ from member to member and change over
+    /// time.
     request_rates_vary: bool,
-    /// Where the last look for views that are not true stopped.
-    last_wrong_view: Cell<usize>,
-    /// Datagrams that were sent, for replays; the first of them.
-    tape: Vec<(SocketAddr, Vec<u8>)>,
+    /// Slot at which the last convergence check found a wrong view; the next check starts there.
+    last_wrong_member: Cell<usize>,
+    /// First datagrams that were sent, at most [`MAX_RECORDED_DATAGRAMS`], for replay tests.
+    recorded_datagrams: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-/// Datagrams that are queued at a stalled member, at most.
-const INBOX: usize = 1_000;
-/// Datagrams that are kept for replays, at most.
-const TAPE: usize = 5_000;
-/// What the members' clock shows at the beginning.
-const EPOCH_MS: u64 = 1_700_000_000_000;
+/// Maximum number of datagrams queued at a stalled member.
+const MAX_INBOX_DATAGRAMS: usize = 1_000;
+/// Maximum number of datagrams recorded for replay.
+const MAX_RECORDED_DATAGRAMS: usize = 5_000;
+/// Unix time of the members' clocks at virtual time 0, in milliseconds.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// The address of the n-th member.
+/// Returns the address of the member in slot `n`.
 #[must_use]
 pub fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7_946))
 }
 
-/// The name of a region, by number.
+/// Returns the name of the region with this index.
 #[must_use]
 pub fn region_name(region: usize) -> String {
     format!("region-{region}")
 }
 
 impl SimulatedFleet {
-    /// `n` places, all empty, by this seed; each member asks the first `joins` places.
+    /// Creates a fleet of `n` empty slots. The first `join_count` slots are the join addresses of
+    /// each member.
     #[must_use]
-    pub fn new(n: usize, joins: usize, seed: u64) -> Self {
+    pub fn new(n: usize, join_count: usize, seed: u64) -> Self {
         let empty = || MemberSlot {
             member: None,
             stalled_until: 0,
             inbox: Vec::new(),
             statistics: MemberStatistics::default(),
-            sent_max: 0,
+            max_sent_per_turn: 0,
             false_deaths: 0,
             region: 0,
             cpu_time: Duration::ZERO,
         };
         SimulatedFleet {
             slots: (0..n).map(|_| empty()).collect(),
-            queue: BTreeMap::new(),
-            set: 0,
+            events: BTreeMap::new(),
+            event_sequence: 0,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             network: NetworkConditions::default(),
             between_regions: None,
-            cut: vec![vec![false; n]; n],
+            link_cut: vec![vec![false; n]; n],
             now: 0,
             timing: Timing::default(),
-            joins,
+            join_count,
             members_max: 2_048,
-            tiers: None,
-            in_regions: false,
-            joins_at: Vec::new(),
+            shedding_tiers: None,
+            has_regions: false,
+            extra_join_slots: Vec::new(),
             request_rates_vary: false,
-            last_wrong_view: Cell::new(0),
-            tape: Vec::new(),
-            numbers: (0..n).map(|i| (address(i), i)).collect(),
+            last_wrong_member: Cell::new(0),
+            recorded_datagrams: Vec::new(),
+            slot_by_address: (0..n).map(|i| (address(i), i)).collect(),
         }
     }
 
-    /// A fleet in regions of these sizes, all places empty. Each member asks the first two places
-    /// of its region at first, and the first of all.
+    /// Creates a fleet of empty slots in regions of these sizes. The join addresses of each member
+    /// are the first two slots of its region and the first slot of the fleet.
     #[must_use]
-    pub fn in_regions(sizes: &[usize], seed: u64) -> Self {
+    pub fn with_regions(sizes: &[usize], seed: u64) -> Self {
         let mut fleet = SimulatedFleet::new(sizes.iter().sum(), 2, seed);
-        fleet.in_regions = true;
+        fleet.has_regions = true;
         let regions = sizes
             .iter()
             .enumerate()
@@ -139,79 +143,82 @@
             .slots
             .iter_mut()
             .zip(regions)
-            .for_each(|(place, region)| place.region = region);
+            .for_each(|(slot, region)| slot.region = region);
         fleet
     }
 
-    /// Members that start from now on ask these places at first, and none of their region unless it
-    /// is among these.
-    pub fn join_at(&mut self, places: &[usize]) {
-        (self.joins, self.joins_at) = (0, places.to_vec());
+    /// Makes these slots the only join addresses of members that start from now on, whatever their
+    /// region.
+    pub fn set_join_slots(&mut self, slots: &[usize]) {
+        (self.join_count, self.extra_join_slots) = (0, slots.to_vec());
     }
 
-    /// Members that start from now on are of this region.
+    /// Moves a slot to another region, which applies from the next start of its member.
     pub fn set_region(&mut self, n: usize, region: usize) {
         self.slots[n].region = region;
     }
 
-    /// The region of a place, by number.
+    /// Returns the index of the region of slot `n`.
     pub fn region(&self, n: usize) -> usize {
         self.slots[n].region
     }
 
-    /// The places of a region.
-    pub fn of_region(&self, region: usize) -> Vec<usize> {
+    /// Returns the slots of a region.
+    pub fn slots_in_region(&self, region: usize) -> Vec<usize> {
         (0..self.slots.len())
             .filter(|n| self.slots[*n].region == region)
             .collect()
     }
 
-    /// From now on the request rates of members change all the time.
+    /// Makes the request rates that members report vary from now on.
     pub fn vary_request_rates(&mut self) {
         self.request_rates_vary = true;
     }
 
-    /// Processor time of one member's own calls.
+    /// Returns the real processor time spent in calls to the member in slot `n`.
     pub fn cpu_time(&self, n: usize) -> Duration {
         self.slots[n].cpu_time
     }
 
-    /// Bounds the members that each holds; for those that start from now on.
+    /// Sets the maximum number of members that each member tracks, for members that start from now
+    /// on.
     pub fn set_members_max(&mut self, members_max: usize) {
         self.members_max = members_max;
     }
 
-    /// Those that start from now on agree on a level of so many tiers.
-    pub fn set_tiers(&mut self, tiers: usize) {
-        self.tiers = Some(tiers);
+    /// Enables shared shedding with this number of tiers, for members that start from now on.
+    pub fn set_shedding_tiers(&mut self, tiers: usize) {
+        self.shedding_tiers = Some(tiers);
     }
 
-    /// Records what a member's engine admitted and what of it found no capacity.
-    pub fn record_admissions(&mut self, n: usize, tally: membership::shedding::AdmissionCounts) {
+    /// Adds admitted requests and capacity rejections to the counts that a member derives its
+    /// shedding level from.
+    pub fn record_admissions(&mut self, n: usize, counts: membership::shedding::AdmissionCounts) {
         if let Some(member) = &mut self.slots[n].member {
-            member.add_admission_counts(tally);
+            member.add_admission_counts(counts);
         }
     }
 
-    /// The level that a member sheds by; 0 if none runs at this place.
+    /// Returns the shedding level of the member in slot `n`; 0 if none runs there.
     pub fn shedding_level(&self, n: usize) -> f64 {
         self.member(n).map_or(0.0, Member::shedding_level)
     }
 
-    /// How many places there are.
+    /// Returns the number of slots, empty ones included.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the fleet has no slots.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Starts a member at a place, on a clock that shows this much more or less than the others'.
+    /// Starts a member in slot `n`. Its clock differs from the other members' clocks by `clock_ms`
+    /// milliseconds.
     pub fn start(&mut self, n: usize, clock_ms: i64) {
         let region = self.slots[n].region;
-        let location = match self.in_regions {
+        let location = match self.has_regions {
             true => Location {
                 region: region_name(region),
                 ..Location::default()
@@ -221,12 +228,12 @@
         let first = self
             .slots
             .iter()
-            .position(|place| place.region == region)
+            .position(|slot| slot.region == region)
             .unwrap_or(0);
-        let of_region = (first..self.slots.len()).filter(|n| self.slots[*n].region == region);
-        let mut join: Vec<SocketAddr> = of_region.take(self.joins).map(address).collect();
-        join.extend(self.joins_at.iter().map(|n| address(*n)));
-        if self.in_regions && self.joins > 0 {
+        let regional = (first..self.slots.len()).filter(|n| self.slots[*n].region == region);
+        let mut join: Vec<SocketAddr> = regional.take(self.join_count).map(address).collect();
+        join.extend(self.extra_join_slots.iter().map(|n| address(*n)));
+        if self.has_regions && self.join_count > 0 {
             join.push(address(0));
         }
         let settings = MembershipSettings {
@@ -239,7 +246,7 @@
             timing: self.timing,
             location,
         };
-        let soft = MemberMetadata {
+        let metadata = MemberMetadata {
             name: format!("n{n}"),
             listen_address: address(n),
             phase: ServingPhase::Serving,
@@ -249,28 +256,28 @@
             places: 1,
             extension: Vec::new(),
         };
-        let unix = (EPOCH_MS + self.now / MS).saturating_add_signed(clock_ms);
-        let mut member = Member::new(settings, soft, unix, self.rng.random(), self.now);
-        if let Some(tiers) = self.tiers {
+        let unix_ms = (START_UNIX_MS + self.now / MS).saturating_add_signed(clock_ms);
+        let mut member = Member::new(settings, metadata, unix_ms, self.rng.random(), self.now);
+        if let Some(tiers) = self.shedding_tiers {
             member.enable_shared_shedding(tiers);
         }
-        let place = &mut self.slots[n];
-        (place.member, place.stalled_until) = (Some(member), 0);
-        place.inbox.clear();
-        self.push(self.now, QueuedEvent::Turn(n));
+        let slot = &mut self.slots[n];
+        (slot.member, slot.stalled_until) = (Some(member), 0);
+        slot.inbox.clear();
+        self.push(self.now, QueuedEvent::RunMember(n));
     }
 
-    /// Starts all at once.
+    /// Starts all members at the current virtual time.
     pub fn start_all(&mut self) {
         (0..self.slots.len()).for_each(|n| self.start(n, 0));
     }
 
-    /// Kills a member.
+    /// Stops a member without an announcement.
     pub fn kill(&mut self, n: usize) {
         self.slots[n].member = None;
     }
 
-    /// A member goes and says so.
+    /// Stops a member after it announced its departure.
     pub fn leave(&mut self, n: usize) {
         if let Some(mut member) = self.slots[n].member.take() {
             member.leave(self.now);
@@ -278,24 +285,24 @@
         }
     }
 
-    /// A member stalls for this long.
-    pub fn stall(&mut self, n: usize, span: Nanos) {
-        self.slots[n].stalled_until = self.now + span;
+    /// Stalls a member for `duration`: it neither runs nor receives datagrams until then.
+    pub fn stall(&mut self, n: usize, duration: Nanos) {
+        self.slots[n].stalled_until = self.now + duration;
     }
 
-    /// A member, if one runs at this place.
+    /// Returns the member in slot `n`, if one runs there.
     pub fn member(&self, n: usize) -> Option<&Member> {
         self.slots[n].member.as_ref()
     }
 
-    /// Those that run.
+    /// Returns the slots whose member runs.
     pub fn running(&self) -> Vec<usize> {
         (0..self.slots.len())
             .filter(|n| self.slots[*n].member.is_some())
             .collect()
     }
 
-    /// What a member sees; it must run.
+    /// Returns the view of the member in slot `n`; an empty view if none runs there.
     pub fn view(&self, n: usize) -> View {
         self.slots[n]
             .member
@@ -304,12 +311,13 @@
             .unwrap_or_default()
     }
 
-    /// How often anybody took a member for dead that ran and could be reached by it.
+    /// Returns the number of times a member declared another member dead that was running, not
+    /// stalled and connected to it in both directions.
     pub fn false_deaths(&self) -> u64 {
         self.slots.iter().map(|p| p.false_deaths).sum()
     }
 
-    /// The sum of all counts of datagrams, of those that run.
+    /// Returns the counters of the member in slot `n`; zeros if none runs there.
     pub fn statistics(&self, n: usize) -> MemberStatistics {
         self.slots[n]
             .member
@@ -318,35 +326,36 @@
             .unwrap_or(self.slots[n].statistics)
     }
 
-    fn push(&mut self, at: Nanos, what: QueuedEvent) {
-        self.set += 1;
-        self.queue.insert((at, self.set), what);
+    fn push(&mut self, at: Nanos, event: QueuedEvent) {
+        self.event_sequence += 1;
+        self.events.insert((at, self.event_sequence), event);
     }
 
-    /// The first datagrams that were sent, and by whom.
-    pub fn tape(&self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.tape.clone()
+    /// Returns the first datagrams that were sent, each with its sender's address.
+    pub fn recorded_datagrams(&self) -> Vec<(SocketAddr, Vec<u8>)> {
+        self.recorded_datagrams.clone()
     }
 
-    /// A datagram from nowhere, as it is.
+    /// Delivers a datagram to a member at once, bypassing the simulated network. `from` is the
+    /// sender's address that the member sees.
     pub fn inject(&mut self, to: usize, from: SocketAddr, datagram: &[u8]) {
         if let Some(member) = &mut self.slots[to].member {
             member.receive(self.now, from, datagram);
         }
     }
 
-    /// Plays on until then.
+    /// Runs all events up to the virtual time `until`.
     pub fn advance_to(&mut self, until: Nanos) {
         while let Some(entry) = self
-            .queue
+            .events
             .first_entry()
             .filter(|entry| entry.key().0 <= until)
         {
-            let ((at, _), what) = entry.remove_entry();
+            let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            match what {
-                QueuedEvent::Turn(n) => self.run_member(n),
-                QueuedEvent::Datagram(n, from, datagram) => self.deliver(n, from, datagram),
+            match event {
+                QueuedEvent::RunMember(n) => self.run_member(n),
+                QueuedEvent::Deliver(n, from, datagram) => self.deliver(n, from, datagram),
             }
         }
         self.now = until;
@@ -354,48 +363,50 @@
 
     fn run_member(&mut self, n: usize) {
         let now = self.now;
-        let place = &mut self.slots[n];
-        let Some(member) = &mut place.member else {
+        let slot = &mut self.slots[n];
+        let Some(member) = &mut slot.member else {
             return;
         };
-        if place.stalled_until > now {
-            let at = place.stalled_until;
-            return self.push(at, QueuedEvent::Turn(n));
+        if slot.stalled_until > now {
+            let at = slot.stalled_until;
+            return self.push(at, QueuedEvent::RunMember(n));
         }
-        let begun = Instant::now();
-        for (from, datagram) in std::mem::take(&mut place.inbox) {
+        let call_start = Instant::now();
+        for (from, datagram) in std::mem::take(&mut slot.inbox) {
             member.receive(now, from, &datagram);
         }
         if self.request_rates_vary && (now / MS / 50 + n as u64).is_multiple_of(40) {
             let requests = (now / (2_000 * MS) * 7_919 + n as u64 * 104_729) % 400;
-            member.update_metadata(|soft| soft.request_rate_tenths = 9_000 + 10 * requests as u32);
+            member.update_metadata(|metadata| {
+                metadata.request_rate_tenths = 9_000 + 10 * requests as u32;
+            });
         }
         let due = (member.next_tick() <= now).then(|| {
             member.tick(now);
             member.next_tick()
         });
-        place.cpu_time += begun.elapsed();
+        slot.cpu_time += call_start.elapsed();
         if let Some(due) = due {
-            self.push(due, QueuedEvent::Turn(n));
+            self.push(due, QueuedEvent::RunMember(n));
         }
         self.collect_output(n);
     }
 
     fn deliver(&mut self, n: usize, from: SocketAddr, datagram: Vec<u8>) {
         let now = self.now;
-        let place = &mut self.slots[n];
-        let Some(member) = &mut place.member else {
+        let slot = &mut self.slots[n];
+        let Some(member) = &mut slot.member else {
             return;
         };
-        if place.stalled_until > now {
-            if place.inbox.len() < INBOX {
-                place.inbox.push((from, datagram));
+        if slot.stalled_until > now {
+            if slot.inbox.len() < MAX_INBOX_DATAGRAMS {
+                slot.inbox.push((from, datagram));
             }
             return;
         }
-        let begun = Instant::now();
+        let call_start = Instant::now();
         member.receive(now, from, &datagram);
-        place.cpu_time += begun.elapsed();
+        slot.cpu_time += call_start.elapsed();
         self.collect_output(n);
     }
 
@@ -403,41 +414,42 @@
         let Some(member) = &mut self.slots[n].member else {
             return;
         };
-        let outputs = member.take_datagrams();
-        let changes = member.take_events();
-        let sent = outputs.len() as u64;
-        self.slots[n].sent_max = self.slots[n].sent_max.max(sent);
-        for change in changes {
+        let datagrams = member.take_datagrams();
+        let events = member.take_events();
+        let sent = datagrams.len() as u64;
+        self.slots[n].max_sent_per_turn = self.slots[n].max_sent_per_turn.max(sent);
+        for event in events {
             if let MembershipEvent::StatusChanged {
                 id,
                 is: MemberStatus::Dead,
                 ..
-            } = change
-                && let Some(&other) = self.numbers.get(&id.address)
+            } = event
+                && let Some(&other) = self.slot_by_address.get(&id.address)
                 && self.slots[other]
                     .member
                     .as_ref()
                     .is_some_and(|m| m.id() == id)
                 && self.slots[other].stalled_until <= self.now
-                && !self.cut[other][n]
-                && !self.cut[n][other]
+                && !self.link_cut[other][n]
+                && !self.link_cut[n][other]
             {
                 self.slots[n].false_deaths += 1;
             }
         }
-        self.send(n, outputs);
+        self.send(n, datagrams);
     }
 
-    /// Plays until this holds, at most for so long; how long it took.
+    /// Runs until `condition` holds or `timeout` has passed; returns the virtual time it took, or
+    /// `None` on timeout.
     pub fn advance_until(
         &mut self,
-        most: Nanos,
-        holds: impl Fn(&SimulatedFleet) -> bool,
+        timeout: Nanos,
+        condition: impl Fn(&SimulatedFleet) -> bool,
     ) -> Option<Nanos> {
-        let begun = self.now;
-        while self.now - begun <= most {
-            if holds(self) {
-                return Some(self.now - begun);
+        let start = self.now;
+        while self.now - start <= timeout {
+            if condition(self) {
+                return Some(self.now - start);
             }
             let next = self.now + 20 * MS;
             self.advance_to(next);
--- a/crates/testbed/src/simulation/fleet/network.rs
+++ b/crates/testbed/src/simulation/fleet/network.rs
@@ -1,23 +1,24 @@
 //! The simulated network: loss, delay, duplicates and cut links.
 
-use super::{QueuedEvent, SimulatedFleet, TAPE, address};
+use super::{MAX_RECORDED_DATAGRAMS, QueuedEvent, SimulatedFleet, address};
 use membership::{MS, Nanos};
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// What the network does to each datagram.
+/// Faults that the simulated network applies to each datagram.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// The share that is lost.
+    /// Fraction of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// The delay of each, and what is added at random.
+    /// Fixed delay of each datagram.
     pub delay: Nanos,
-    /// See `delay`; more than the spacing of datagrams reorders them.
+    /// Maximum random delay added to `delay`. A jitter above the interval between two datagrams can
+    /// reorder them.
     pub jitter: Nanos,
-    /// The share that comes twice.
+    /// Fraction of datagrams delivered twice, 0 to 1.
     pub duplicates: f64,
-    /// The share of level reports that is lost besides.
-    pub load_loss: f64,
+    /// Fraction of level reports lost in addition to `loss`, 0 to 1.
+    pub level_report_loss: f64,
 }
 
 impl Default for NetworkConditions {
@@ -27,54 +28,60 @@
             delay: MS / 2,
             jitter: MS / 2,
             duplicates: 0.0,
-            load_loss: 0.0,
+            level_report_loss: 0.0,
         }
     }
 }
 
 impl SimulatedFleet {
-    /// Cuts the way from one to another, or opens it.
-    pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
-        self.cut[from][to] = cut;
+    /// Cuts or restores the link from one member to another, in that direction only.
+    pub fn set_link_cut(&mut self, from: usize, to: usize, cut: bool) {
+        self.link_cut[from][to] = cut;
     }
 
-    /// Cuts all ways between the members of two sets, given by a side for each, or opens them.
-    pub fn split(&mut self, side: impl Fn(usize) -> usize, cut: bool) {
+    /// Cuts or restores all links between members of different sides, in both directions. `side`
+    /// maps a slot to its side.
+    pub fn set_partition(&mut self, side: impl Fn(usize) -> usize, cut: bool) {
         for from in 0..self.slots.len() {
             for to in 0..self.slots.len() {
                 if side(from) != side(to) {
-                    self.cut[from][to] = cut;
+                    self.link_cut[from][to] = cut;
                 }
             }
         }
     }
 
-    /// Sends the datagrams of a member.
-    pub(super) fn send(&mut self, from: usize, outputs: Vec<(SocketAddr, Vec<u8>)>) {
-        for (to, datagram) in outputs {
-            let Some(to) = self.numbers.get(&to).copied() else {
+    /// Sends a member's datagrams, each to the slot of its destination address; drops those to
+    /// unknown addresses.
+    pub(super) fn send(&mut self, from: usize, datagrams: Vec<(SocketAddr, Vec<u8>)>) {
+        for (to, datagram) in datagrams {
+            let Some(to) = self.slot_by_address.get(&to).copied() else {
                 continue;
             };
             self.transmit(from, to, &datagram);
         }
     }
 
-    /// Hands a datagram to the network.
+    /// Applies the network conditions to a datagram and queues its delivery.
     fn transmit(&mut self, from: usize, to: usize, datagram: &[u8]) {
-        if self.tape.len() < TAPE {
-            self.tape.push((address(from), datagram.to_vec()));
+        if self.recorded_datagrams.len() < MAX_RECORDED_DATAGRAMS {
+            self.recorded_datagrams
+                .push((address(from), datagram.to_vec()));
         }
-        let apart = self.slots[from].region != self.slots[to].region;
+        let crosses_regions = self.slots[from].region != self.slots[to].region;
         let network = self
             .between_regions
-            .filter(|_| apart)
+            .filter(|_| crosses_regions)
             .unwrap_or(self.network);
-        if self.cut[from][to] || self.rng.random_bool(network.loss) {
+        if self.link_cut[from][to] || self.rng.random_bool(network.loss) {
             return;
         }
-        let load =
+        let is_level_report =
             datagram.get(3) == Some(&(membership::envelope::MessageKind::LevelReports as u8));
-        if load && network.load_loss > 0.0 && self.rng.random_bool(network.load_loss) {
+        if is_level_report
+            && network.level_report_loss > 0.0
+            && self.rng.random_bool(network.level_report_loss)
+        {
             return;
         }
         let copies = 1 + usize::from(self.rng.random_bool(network.duplicates));
@@ -83,7 +90,7 @@
             let at = self.now + network.delay + jitter;
             self.push(
                 at,
-                QueuedEvent::Datagram(to, address(from), datagram.to_vec()),
+                QueuedEvent::Deliver(to, address(from), datagram.to_vec()),
             );
         }
     }
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -1,4 +1,4 @@
-//! Comparison of what members see with what is true.
+//! Comparison of the members' views with the actual state of the fleet.
 
 use super::{SimulatedFleet, address, region_name};
 use membership::{Member, MemberStatus, ServingPhase};
@@ -6,122 +6,129 @@
 use std::net::SocketAddr;
 
 impl SimulatedFleet {
-    /// Whether all that run see what is true: each other as serving, by their present generation,
-    /// and nobody else as there; of other regions the number of those who run.
-    pub fn settled(&self) -> bool {
-        self.settled_by(|_| 0)
+    /// Returns whether the views of all running members are correct: each lists all other running
+    /// members of its region as serving with their current generation, no other member as present,
+    /// and for each other region the number of running members.
+    pub fn converged(&self) -> bool {
+        self.converged_by_side(|_| 0)
     }
 
-    /// The same where members of different sides don't reach each other. The look begins where the
-    /// last one found something untrue: a fleet that is not settled costs one member's view, not
-    /// all of them.
-    pub fn settled_by(&self, side: impl Fn(usize) -> usize) -> bool {
+    /// Returns the same for a partitioned fleet, in which members of different sides can't reach
+    /// each other. The check starts at the member whose view was wrong last time, so that in a
+    /// fleet that has not converged it usually examines one view instead of all.
+    pub fn converged_by_side(&self, side: impl Fn(usize) -> usize) -> bool {
         let count = self.slots.len();
-        let living = self.living(&side);
-        let untrue = |n: &usize| !self.has_true_view(*n, &side, &living);
+        let running = self.running_by_region(&side);
+        let is_wrong = |n: &usize| !self.has_correct_view(*n, &side, &running);
         match (0..count)
-            .map(|i| (self.last_wrong_view.get() + i) % count)
-            .find(untrue)
+            .map(|i| (self.last_wrong_member.get() + i) % count)
+            .find(is_wrong)
         {
             Some(n) => {
-                self.last_wrong_view.set(n);
+                self.last_wrong_member.set(n);
                 false
             }
             None => true,
         }
     }
 
-    /// Those who run, by region and side.
-    fn living(&self, side: impl Fn(usize) -> usize) -> HashMap<(usize, usize), usize> {
-        let mut living: HashMap<(usize, usize), usize> = HashMap::new();
+    /// Returns the number of running members by region and side.
+    fn running_by_region(&self, side: impl Fn(usize) -> usize) -> HashMap<(usize, usize), usize> {
+        let mut running: HashMap<(usize, usize), usize> = HashMap::new();
         for n in self.running() {
-            *living.entry((self.slots[n].region, side(n))).or_default() += 1;
+            *running.entry((self.slots[n].region, side(n))).or_default() += 1;
         }
-        living
+        running
     }
 
-    /// Whether the members of a region see what is true of each other.
-    pub fn region_settled(&self, region: usize, side: impl Fn(usize) -> usize) -> bool {
-        let living = self.living(&side);
+    /// Returns whether the members of a region have correct member lists of that region.
+    pub fn region_converged(&self, region: usize, side: impl Fn(usize) -> usize) -> bool {
+        let running = self.running_by_region(&side);
         (0..self.slots.len())
             .filter(|n| self.slots[*n].region == region)
-            .all(|n| self.sees_true_members(n, &side, &living))
+            .all(|n| self.member_list_is_correct(n, &side, &running))
     }
 
-    /// Whether a member, if one runs at this place, sees what is true.
-    fn has_true_view(
+    /// Returns whether the member in slot `n` has a correct view; true if none runs there.
+    fn has_correct_view(
         &self,
         n: usize,
         side: impl Fn(usize) -> usize,
-        living: &HashMap<(usize, usize), usize>,
+        running: &HashMap<(usize, usize), usize>,
     ) -> bool {
-        self.sees_true_members(n, &side, living) && self.sees_true_regions(n, &side, living)
+        self.member_list_is_correct(n, &side, running)
+            && self.region_list_is_correct(n, &side, running)
     }
 
-    /// Whether a member sees what is true of its own region.
-    fn sees_true_members(
+    /// Returns whether a member's list of its own region is correct.
+    fn member_list_is_correct(
         &self,
         n: usize,
         side: impl Fn(usize) -> usize,
-        living: &HashMap<(usize, usize), usize>,
+        running: &HashMap<(usize, usize), usize>,
     ) -> bool {
         let Some(member) = &self.slots[n].member else {
             return true;
         };
         let region = self.slots[n].region;
-        let with_it = living[&(region, side(n))] - 1;
-        let mut there = 0;
-        let true_ones = member.members().filter(|seen| {
-            there += usize::from(seen.status.is_present());
-            // Where datagrams get lost a suspicion that is refuted at once is no error.
+        let expected = running[&(region, side(n))] - 1;
+        let mut present = 0;
+        let correct = member.members().filter(|seen| {
+            present += usize::from(seen.status.is_present());
+            // With datagram loss, a suspicion that is refuted soon afterwards is no error.
             let serves = seen
                 .metadata
                 .as_ref()
-                .is_some_and(|soft| soft.phase == ServingPhase::Serving);
-            let right = seen.status == MemberStatus::Serving
+                .is_some_and(|metadata| metadata.phase == ServingPhase::Serving);
+            let status_is_correct = seen.status == MemberStatus::Serving
                 || seen.status == MemberStatus::Stalled && serves;
-            let of = self
-                .numbers
+            let slot = self
+                .slot_by_address
                 .get(&seen.id.address)
                 .copied()
                 .filter(|m| side(*m) == side(n));
-            let id = of
+            let id = slot
                 .and_then(|m| self.slots[m].member.as_ref())
                 .map(Member::id);
-            right && id == Some(seen.id)
+            status_is_correct && id == Some(seen.id)
         });
-        true_ones.count() == with_it && there == with_it
+        correct.count() == expected && present == expected
     }
 
-    /// Whether a member has heard of all other regions on its side, and how many run there.
-    fn sees_true_regions(
+    /// Returns whether a member's rows of other regions are correct: one row that is not silent,
+    /// with the number of running members, for each other region on its side, and no further such
+    /// row.
+    fn region_list_is_correct(
         &self,
         n: usize,
         side: impl Fn(usize) -> usize,
-        living: &HashMap<(usize, usize), usize>,
+        running: &HashMap<(usize, usize), usize>,
     ) -> bool {
         let Some(member) = &self.slots[n].member else {
             return true;
         };
         let (own, side) = (self.slots[n].region, side(n));
-        let heard: HashMap<&str, usize> = member
+        let alive_by_region: HashMap<&str, usize> = member
             .region_rows()
             .filter(|(_, silent_since)| silent_since.is_none())
             .map(|(row, _)| (row.region.as_str(), row.alive as usize))
             .collect();
-        let others = living
+        let others = running
             .iter()
             .filter(|((region, of_side), _)| *region != own && *of_side == side);
         let mut count = 0;
         let all = others
             .inspect(|_| count += 1)
-            .all(|((region, _), living)| heard.get(region_name(*region).as_str()) == Some(living));
-        !self.in_regions || all && heard.len() == count
+            .all(|((region, _), running)| {
+                alive_by_region.get(region_name(*region).as_str()) == Some(running)
+            });
+        !self.has_regions || all && alive_by_region.len() == count
     }
 
-    /// How many pairs of members are not yet true, by what one holds of the other wrongly.
-    pub fn wrong_views(&self) -> BTreeMap<&'static str, usize> {
-        let mut all = BTreeMap::new();
+    /// Counts the pairs of members in which one has a wrong view of the other, by the kind of
+    /// error.
+    pub fn count_wrong_views(&self) -> BTreeMap<&'static str, usize> {
+        let mut counts = BTreeMap::new();
         for n in self.running() {
             let Some(member) = &self.slots[n].member else {
                 continue;
@@ -130,26 +137,30 @@
                 .members()
                 .map(|seen| (seen.id.address, seen))
                 .collect();
-            for (m, place) in self.slots.iter().enumerate().filter(|(m, _)| *m != n) {
-                let what = match (&place.member, seen.get(&address(m))) {
-                    (Some(_), None) => "not known",
-                    (None, Some(seen)) if seen.status.is_present() => "death not known",
+            for (m, slot) in self.slots.iter().enumerate().filter(|(m, _)| *m != n) {
+                let error = match (&slot.member, seen.get(&address(m))) {
+                    (Some(_), None) => "missing",
+                    (None, Some(seen)) if seen.status.is_present() => {
+                        "dead member listed as present"
+                    }
                     (Some(member), Some(seen))
                         if seen.id != member.id() && seen.status.is_present() =>
                     {
-                        "older life taken for there"
+                        "older generation listed as present"
+                    }
+                    (Some(member), Some(seen)) if seen.id != member.id() => {
+                        "older generation listed as dead"
                     }
-                    (Some(member), Some(seen)) if seen.id != member.id() => "older life known dead",
-                    (Some(_), Some(seen)) if seen.metadata.is_none() => "record not known",
+                    (Some(_), Some(seen)) if seen.metadata.is_none() => "metadata missing",
                     (Some(_), Some(seen)) if seen.status == MemberStatus::Serving => continue,
                     (Some(_), Some(seen)) if seen.status == MemberStatus::Stalled => "suspect",
-                    (Some(_), Some(seen)) if seen.status.is_present() => "record too old",
-                    (Some(_), Some(_)) => "taken for dead",
+                    (Some(_), Some(seen)) if seen.status.is_present() => "metadata outdated",
+                    (Some(_), Some(_)) => "running member listed as dead",
                     (None, _) => continue,
                 };
-                *all.entry(what).or_default() += 1;
+                *counts.entry(error).or_default() += 1;
             }
         }
-        all
+        counts
     }
 }
