--- a/crates/testbed/src/simulation/region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -1,4 +1,4 @@
-//! Trials of a fleet in regions, in virtual time, each with a verdict.
+//! Pass/fail trials of a fleet in regions, in virtual time.
 
 use super::SimulationFailure;
 use crate::simulation::fleet::{NetworkConditions, SimulatedFleet, address, region_name};
@@ -10,106 +10,109 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::net::SocketAddr;
 
-const S: Nanos = 1_000 * MS;
-/// Wide ceilings: how long things take is measured elsewhere.
-const CEILING: Nanos = 60 * S;
+const SECOND: Nanos = 1_000 * MS;
+/// Timeout of a wait for convergence; generous, because `regions::measure` measures the actual
+/// times.
+const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
 
-/// A fleet in regions of these sizes in which all views are true.
+/// Starts a fleet with regions of these sizes and waits until all views are correct.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
-pub fn settled(sizes: &[usize], seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
-    let mut fleet = SimulatedFleet::in_regions(sizes, seed);
+/// Fails if the views do not converge in time.
+pub fn converged_fleet(sizes: &[usize], seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
+    let mut fleet = SimulatedFleet::with_regions(sizes, seed);
     fleet.between_regions = Some(NetworkConditions {
         delay: 40 * MS,
         jitter: 5 * MS,
         ..NetworkConditions::default()
     });
     fleet.start_all();
-    settle(&mut fleet, "the regions meet")?;
+    wait_for_convergence(&mut fleet, "join of all regions")?;
     Ok(fleet)
 }
 
-fn settle(fleet: &mut SimulatedFleet, what: &str) -> Result<(), SimulationFailure> {
-    let settled = fleet.advance_until(CEILING, SimulatedFleet::settled);
-    settled
+fn wait_for_convergence(fleet: &mut SimulatedFleet, phase: &str) -> Result<(), SimulationFailure> {
+    let converged = fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged);
+    converged
         .map(|_| ())
-        .ok_or_else(|| SimulationFailure::NotSettled {
-            phase: what.into(),
-            ceiling_s: CEILING / S,
+        .ok_or_else(|| SimulationFailure::NotConverged {
+            phase: phase.into(),
+            timeout_s: CONVERGENCE_TIMEOUT / SECOND,
         })
 }
 
-/// Regions are cut apart, and one of them in two, in a row drawn by the seed: the shares keep their
-/// bound.
+/// Checks that the sum of shares stays bounded through three random partitions, each between
+/// regions and within one region.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
-pub fn split(seed: u64) -> Result<(), SimulationFailure> {
-    const BOUND: f64 = 2.0;
+/// Returns the first failed check.
+pub fn partitions(seed: u64) -> Result<(), SimulationFailure> {
+    const MAX_SHARE_SUM: f64 = 2.0;
     let sizes = [24, 12, 9, 6];
-    let mut fleet = settled(&sizes, seed)?;
-    fleet.advance_to(fleet.now + 20 * S);
+    let mut fleet = converged_fleet(&sizes, seed)?;
+    fleet.advance_to(fleet.now + 20 * SECOND);
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     for _ in 0..3 {
         let sides: Vec<usize> = sizes.iter().map(|_| rng.random_range(0..3)).collect();
-        let (in_two, at) = (
+        let (divided_region, cut_index) = (
             rng.random_range(0..sizes.len()),
             rng.random_range(0..sizes[0]),
         );
         let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
         let side = |n: usize| {
-            2 * sides[regions[n]] + usize::from(regions[n] == in_two && n % sizes[0] < at)
+            2 * sides[regions[n]]
+                + usize::from(regions[n] == divided_region && n % sizes[0] < cut_index)
         };
-        fleet.split(side, true);
+        fleet.set_partition(side, true);
         for _ in 0..rng.random_range(5..60) {
-            fleet.advance_to(fleet.now + S);
+            fleet.advance_to(fleet.now + SECOND);
             let sum: f64 = fleet
                 .running()
                 .iter()
                 .map(|n| 1.0 / fleet.view(*n).share_count.max(1) as f64)
                 .sum();
-            if sum >= BOUND {
+            if sum >= MAX_SHARE_SUM {
                 return Err(SimulationFailure::ShareSum {
                     context: String::new(),
                     sum,
                 });
             }
         }
-        fleet.split(side, false);
-        settle(&mut fleet, "healed")?;
+        fleet.set_partition(side, false);
+        wait_for_convergence(&mut fleet, "healed")?;
     }
     Ok(())
 }
 
-/// All who speak for a region die at once: others do, and its new figures are known everywhere.
+/// Checks that, after the simultaneous death of all delegates of a region, other members replace
+/// them and all regions receive its new summary.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
-pub fn delegates_die(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(&[20, 8, 8], seed)?;
-    fleet.advance_to(fleet.now + 10 * S);
-    let named: Vec<SocketAddr> = fleet
+/// Returns the first failed check.
+pub fn simultaneous_delegate_death(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = converged_fleet(&[20, 8, 8], seed)?;
+    fleet.advance_to(fleet.now + 10 * SECOND);
+    let delegates: Vec<SocketAddr> = fleet
         .member(0)
         .map(|m| m.delegates().to_vec())
         .unwrap_or_default();
-    for n in (0..20).filter(|n| named.contains(&address(*n))) {
+    for n in (0..20).filter(|n| delegates.contains(&address(*n))) {
         fleet.kill(n);
     }
-    settle(&mut fleet, "all delegates of a region are dead")
+    wait_for_convergence(&mut fleet, "death of all delegates of a region")
 }
 
-/// Half of all datagrams between regions are lost: changes get through, though each is sent once
-/// only.
+/// Checks that changes reach all regions although half of the datagrams between regions are lost
+/// and each announcement is sent only once.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
+/// Returns the first failed check.
 pub fn lossy(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(&[12, 12, 6, 6], seed)?;
+    let mut fleet = converged_fleet(&[12, 12, 6, 6], seed)?;
     fleet.between_regions = Some(NetworkConditions {
         loss: 0.5,
         delay: 40 * MS,
@@ -118,33 +121,36 @@
     });
     for n in [3, 15, 25, 31] {
         fleet.kill(n);
-        settle(&mut fleet, "a death with half of the datagrams lost")?;
+        wait_for_convergence(&mut fleet, "death with half of the datagrams lost")?;
         fleet.start(n, 0);
-        settle(&mut fleet, "a return with half of the datagrams lost")?;
+        wait_for_convergence(&mut fleet, "restart with half of the datagrams lost")?;
     }
     Ok(())
 }
 
-/// Announcements with figures beyond their bounds, and old ones, change nothing.
+/// Checks that an announcement with values out of bounds, and one with an older version, do not
+/// change the share count.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
-pub fn lies(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(&[12, 6], seed)?;
-    fleet.advance_to(fleet.now + 20 * S);
-    let speaks = |n: &usize| {
+/// Returns the first failed check.
+pub fn invalid_announcements(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = converged_fleet(&[12, 6], seed)?;
+    fleet.advance_to(fleet.now + 20 * SECOND);
+    let is_delegate = |n: &usize| {
         fleet
             .member(*n)
             .is_some_and(|m| m.delegates().contains(&address(*n)))
     };
-    let delegate = (0..12).find(speaks).ok_or(SimulationFailure::NoDelegate)?;
+    let delegate = (0..12)
+        .find(is_delegate)
+        .ok_or(SimulationFailure::NoDelegate)?;
     let row = fleet
         .view(delegate)
         .regions
         .first()
         .map(|seen| seen.overview.clone())
-        .ok_or(SimulationFailure::OneRegion)?;
+        .ok_or(SimulationFailure::SingleRegion)?;
     let author = row.delegates[0];
     let announcement = |version: u64, places: u32| Announcement {
         region: region_name(1),
@@ -160,11 +166,11 @@
             replaces: None,
         }),
     };
-    for lie in [
+    for invalid in [
         announcement(row.version + 1, u32::MAX / 2),
         announcement(row.version - 1, 500),
     ] {
-        let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(lie)]);
+        let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(invalid)]);
         fleet.inject(
             delegate,
             author,
@@ -176,7 +182,7 @@
         );
     }
     for _ in 0..100 {
-        fleet.advance_to(fleet.now + S / 10);
+        fleet.advance_to(fleet.now + SECOND / 10);
         let count = fleet
             .running()
             .into_iter()
@@ -190,31 +196,32 @@
     Ok(())
 }
 
-/// Members that have join addresses in another region only find their own by what those refer them
-/// to.
+/// Checks that members whose join addresses are all in another region find their own region through
+/// referrals.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
+/// Returns the first failed check.
 pub fn referral(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = SimulatedFleet::in_regions(&[8, 8], seed);
+    let mut fleet = SimulatedFleet::with_regions(&[8, 8], seed);
     fleet.between_regions = Some(NetworkConditions {
         delay: 40 * MS,
         jitter: 5 * MS,
         ..NetworkConditions::default()
     });
-    fleet.join_at(&[0, 1]);
+    fleet.set_join_slots(&[0, 1]);
     fleet.start_all();
-    settle(&mut fleet, "a region that knows addresses of another only")
+    wait_for_convergence(&mut fleet, "join through addresses in another region only")
 }
 
-/// What the delegates know all members of the region know soon.
+/// Checks that all members of a region receive the overview of another region that their delegates
+/// received.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
-pub fn overview(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(&[20, 12], seed)?;
+/// Returns the first failed check.
+pub fn overview_propagation(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = converged_fleet(&[20, 12], seed)?;
     fleet.kill(25);
-    settle(&mut fleet, "a death in the other region")
+    wait_for_convergence(&mut fleet, "death in the other region")
 }
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -1,5 +1,5 @@
-//! What a fleet in regions costs and how soon its views are true, in virtual time: sizes that no
-//! machine runs live.
+//! Measurements of a fleet in regions in virtual time: costs per member and convergence times, for
+//! fleet sizes that do not fit on one machine as real processes.
 
 use crate::process;
 use crate::simulation::fleet::{NetworkConditions, SimulatedFleet};
@@ -7,57 +7,58 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-const S: Nanos = 1_000 * MS;
-/// Wide ceilings: how long things take is measured.
-const CEILING: Nanos = 60 * S;
-/// Members that share a rack or a switch.
-const RACK: usize = 20;
-/// Between regions datagrams jitter by so much.
-const BETWEEN_JITTER: Nanos = 5 * MS;
-/// Regions of a plan differ: the n-th has this power of n of the first one's members.
-const UNEVEN: f64 = -0.6;
-/// How long a region is cut off.
-const CUT: Nanos = 60 * S;
-/// Views are looked at this often after an event,
-const STEP: Nanos = 100 * MS;
-const STEPS_A_SECOND: u64 = 10;
-/// and so many seconds after it are priced.
-const PRICED_S: u64 = 10;
+const SECOND: Nanos = 1_000 * MS;
+/// Timeout of a wait for convergence; generous, because the times themselves are measured.
+const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
+/// Number of members in a rack.
+const RACK_SIZE: usize = 20;
+/// Maximum random delay of datagrams between regions, added to the fixed delay.
+const INTER_REGION_JITTER: Nanos = 5 * MS;
+/// Exponent of the region sizes: region `n`, counted from 1, has `n` to this power times the
+/// members of region 1.
+const SIZE_EXPONENT: f64 = -0.6;
+/// Duration of a region's isolation after the measurement of its start.
+const ISOLATION: Nanos = 60 * SECOND;
+/// Interval of convergence checks after an event.
+const CHECK_INTERVAL: Nanos = 100 * MS;
+const CHECKS_PER_S: u64 = 10;
+/// Seconds after an event in which traffic and processor time are measured.
+const COST_SPAN_S: u64 = 10;
 
-/// What is played.
+/// Fleet, network and events of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct RegionPlan {
-    /// Members in all.
+    /// Number of members of the whole fleet.
     pub members: usize,
-    /// Regions, uneven.
+    /// Number of regions, of unequal sizes; 1 for a fleet without regions.
     pub regions: usize,
-    /// By which seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// The share of datagrams that is lost, everywhere.
+    /// Fraction of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// The share that is lost between regions, where that is more.
+    /// Fraction of datagrams between regions lost, if greater than `loss`.
     pub loss_between: f64,
-    /// How long datagrams take from one region to another, in milliseconds.
+    /// Fixed delay of datagrams between regions, in milliseconds.
     pub delay_between_ms: u64,
-    /// How long nothing happens, in seconds.
+    /// Duration of the calm span, in which no event occurs, in seconds.
     pub calm_s: u64,
-    /// What happens after the calm.
+    /// Events after the calm span.
     pub events: RegionEvents,
 }
 
-/// What happens after the calm.
+/// Selection of the events after the calm span.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RegionEvents {
-    /// One dies and is back, then the leader of the largest region.
+    /// Death and restart of a member, then of the leader of the largest region.
     pub member_deaths: bool,
-    /// A rack dies and is back, then a zone.
+    /// Death and restart of a rack, then of a zone.
     pub group_deaths: bool,
-    /// A region is cut off for a minute and is back.
+    /// Isolation of a region for a minute, and its end.
     pub region_cut: bool,
 }
 
 impl RegionEvents {
-    /// All of them.
+    /// All events.
     pub const ALL: RegionEvents = RegionEvents {
         member_deaths: true,
         group_deaths: true,
@@ -65,70 +66,74 @@
     };
 }
 
-/// What it costs and takes; times in seconds, `None` if it took over a minute.
+/// Measured costs and convergence times. Times are in seconds; `None` if convergence took more than
+/// 60 s.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RegionMeasurement {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Members of the largest region.
+    /// Number of members of the largest region.
     pub largest: usize,
-    /// The share of datagrams lost.
+    /// Fraction of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// By which seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// All start at once until all views are true.
+    /// Time from the simultaneous start of all members until convergence.
     pub join_s: Option<f64>,
-    /// In calm: datagrams and bytes sent a member a second.
+    /// Datagrams sent per member and second in the calm span, on average.
     pub datagrams_per_s: f64,
-    /// The same, bytes.
+    /// Bytes sent per member and second in the calm span, on average.
     pub bytes_per_s: f64,
-    /// The same of the worst member in its worst second.
+    /// Maximum of the bytes that one member sent in one second of the calm span.
     pub bytes_per_s_worst: u64,
-    /// The same of delegates, in the mean.
+    /// Bytes sent per delegate and second in the calm span, on average.
     pub bytes_per_s_delegates: f64,
-    /// Processor time, as a share of a core in percent, in the mean.
+    /// Processor time per member in the calm span, in percent of a core, on average.
     pub cpu_percent: f64,
-    /// The same of the member that took most.
+    /// Processor time of the member that used most, in percent of a core.
     pub cpu_percent_worst: f64,
-    /// Growth of this process a member, in KB, the network's queue included.
+    /// Growth of this process's resident memory until the end of the calm span, per member, in KiB,
+    /// including the queue of the simulated network.
     pub memory_kb: Option<f64>,
-    /// Entries that a member of the largest region holds: members, regions, announcements.
+    /// Maximum number of entries that a member holds: members, regions and announcements.
     pub entries: usize,
-    /// Deaths that were none, in calm.
+    /// False deaths in the calm span.
     pub false_deaths: u64,
-    /// What happened after the calm.
+    /// Measurements of the events after the calm span, in order.
     pub events: Vec<RegionEvent>,
 }
 
-/// One event and its course.
+/// Measurement of one event.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RegionEvent {
-    /// What happened.
+    /// Description of the event.
     pub what: String,
-    /// Until the members of the region it happened in have true views.
+    /// Time until the member lists of the affected region are correct, in seconds.
     pub region_s: Option<f64>,
-    /// Until all members do.
+    /// Time until the views of all members are correct, in seconds.
     pub settled_s: Option<f64>,
-    /// In the ten seconds from it on: bytes sent by the worst member in its worst second.
+    /// Maximum of the bytes that one member sent in one second of the ten seconds after the event.
     pub bytes_per_s_worst: u64,
-    /// The same of the member that sent most, in the mean over these.
+    /// Bytes per second of the member that sent most in these ten seconds.
     pub bytes_per_s_most: f64,
-    /// Bytes sent a member a second in the mean over these.
+    /// Bytes sent per member and second in these ten seconds, on average.
     pub bytes_per_s: f64,
-    /// Processor time in these in the mean, in percent of a core.
+    /// Processor time per member in these ten seconds, in percent of a core, on average.
     pub cpu_percent: f64,
-    /// The same of the member that took most.
+    /// Processor time of the member that used most, in percent of a core.
     pub cpu_percent_worst: f64,
-    /// Deaths that were none.
+    /// False deaths from the event until the end of its measurement.
     pub false_deaths: u64,
 }
 
-/// The sizes of uneven regions that have so many members in all.
+/// Returns the sizes of `regions` regions of unequal size that have `members` members in total.
 #[must_use]
 pub fn region_sizes(members: usize, regions: usize) -> Vec<usize> {
-    let weights: Vec<f64> = (1..=regions).map(|n| (n as f64).powf(UNEVEN)).collect();
+    let weights: Vec<f64> = (1..=regions)
+        .map(|n| (n as f64).powf(SIZE_EXPONENT))
+        .collect();
     let sum: f64 = weights.iter().sum();
     let mut sizes: Vec<usize> = weights
         .iter()
@@ -143,7 +148,7 @@
     t.map(|t| (t / MS) as f64 / 1e3)
 }
 
-/// What a span cost.
+/// Traffic and processor time of a span, per member.
 struct Cost {
     bytes_worst: u64,
     bytes_most: f64,
@@ -154,23 +159,29 @@
     cpu_worst: f64,
 }
 
-/// Measures what members send and take of processor time over some seconds.
+/// Measures the traffic and processor time of all members from its creation on. Vectors are indexed
+/// by slot.
 struct TrafficMeter {
-    begun: Nanos,
-    bytes: Vec<u64>,
-    last: Vec<u64>,
-    busy: Vec<Duration>,
-    sent: u64,
-    worst: u64,
+    start: Nanos,
+    /// Sent bytes at the start.
+    initial_bytes: Vec<u64>,
+    /// Sent bytes at the last full second.
+    last_bytes: Vec<u64>,
+    /// Processor time at the start.
+    initial_cpu: Vec<Duration>,
+    /// Datagrams sent by all members at the start.
+    initial_datagrams: u64,
+    /// Maximum of the bytes that one member sent in one second.
+    max_bytes_per_s: u64,
 }
 
-fn bytes_of(fleet: &SimulatedFleet) -> Vec<u64> {
+fn sent_bytes(fleet: &SimulatedFleet) -> Vec<u64> {
     (0..fleet.len())
         .map(|n| fleet.statistics(n).sent_bytes)
         .collect()
 }
 
-fn sent_of(fleet: &SimulatedFleet) -> u64 {
+fn sent_datagrams(fleet: &SimulatedFleet) -> u64 {
     (0..fleet.len()).map(|n| fleet.statistics(n).sent).sum()
 }
 
@@ -178,7 +189,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn speaks(fleet: &SimulatedFleet, n: usize) -> bool {
+fn is_delegate(fleet: &SimulatedFleet, n: usize) -> bool {
     fleet
         .member(n)
         .is_some_and(|member| member.delegates().contains(&member.id().address))
@@ -186,49 +197,57 @@
 
 impl TrafficMeter {
     fn new(fleet: &SimulatedFleet) -> Self {
-        let bytes = bytes_of(fleet);
+        let bytes = sent_bytes(fleet);
         TrafficMeter {
-            begun: fleet.now,
-            last: bytes.clone(),
-            bytes,
-            busy: (0..fleet.len()).map(|n| fleet.cpu_time(n)).collect(),
-            sent: sent_of(fleet),
-            worst: 0,
+            start: fleet.now,
+            last_bytes: bytes.clone(),
+            initial_bytes: bytes,
+            initial_cpu: (0..fleet.len()).map(|n| fleet.cpu_time(n)).collect(),
+            initial_datagrams: sent_datagrams(fleet),
+            max_bytes_per_s: 0,
         }
     }
 
-    /// A second has passed.
-    fn second(&mut self, fleet: &SimulatedFleet) {
-        let now = bytes_of(fleet);
+    /// Records the bytes sent since the last call; called once per virtual second.
+    fn record_second(&mut self, fleet: &SimulatedFleet) {
+        let now = sent_bytes(fleet);
         let most = now
             .iter()
-            .zip(&self.last)
+            .zip(&self.last_bytes)
             .map(|(now, last)| now.saturating_sub(*last))
             .max();
-        self.worst = self.worst.max(most.unwrap_or(0));
-        self.last = now;
+        self.max_bytes_per_s = self.max_bytes_per_s.max(most.unwrap_or(0));
+        self.last_bytes = now;
     }
 
     fn cost(&self, fleet: &SimulatedFleet) -> Cost {
-        let length = (fleet.now - self.begun) as f64 / S as f64;
-        let now = bytes_of(fleet);
+        let span_s = (fleet.now - self.start) as f64 / SECOND as f64;
+        let now = sent_bytes(fleet);
         let running = fleet.running();
-        let bytes = |n: usize| now[n].saturating_sub(self.bytes[n]) as f64 / length;
+        let bytes = |n: usize| now[n].saturating_sub(self.initial_bytes[n]) as f64 / span_s;
         let cpu = |n: usize| {
-            fleet.cpu_time(n).saturating_sub(self.busy[n]).as_secs_f64() / length * 100.0
+            fleet
+                .cpu_time(n)
+                .saturating_sub(self.initial_cpu[n])
+                .as_secs_f64()
+                / span_s
+                * 100.0
         };
-        let all = |of: &dyn Fn(usize) -> f64| running.iter().map(|n| of(*n)).collect::<Vec<f64>>();
+        let all =
+            |value: &dyn Fn(usize) -> f64| running.iter().map(|n| value(*n)).collect::<Vec<f64>>();
         let cpus = all(&cpu);
         let delegates: Vec<f64> = running
             .iter()
-            .filter(|n| speaks(fleet, **n))
+            .filter(|n| is_delegate(fleet, **n))
             .map(|n| bytes(*n))
             .collect();
         Cost {
-            bytes_worst: self.worst,
+            bytes_worst: self.max_bytes_per_s,
             bytes_most: all(&bytes).into_iter().fold(0.0, f64::max),
             bytes: mean(&all(&bytes)),
-            datagrams: (sent_of(fleet) - self.sent) as f64 / running.len().max(1) as f64 / length,
+            datagrams: (sent_datagrams(fleet) - self.initial_datagrams) as f64
+                / running.len().max(1) as f64
+                / span_s,
             bytes_delegates: mean(&delegates),
             cpu: mean(&cpus),
             cpu_worst: cpus.iter().copied().fold(0.0, f64::max),
@@ -236,10 +255,10 @@
     }
 }
 
-/// Starts a fleet and plays until all views are true.
-fn started(plan: RegionPlan) -> (SimulatedFleet, Option<Nanos>) {
+/// Starts a fleet and runs it until all views are correct; returns the time that took.
+fn start_fleet(plan: RegionPlan) -> (SimulatedFleet, Option<Nanos>) {
     let mut fleet = if plan.regions > 1 {
-        SimulatedFleet::in_regions(&region_sizes(plan.members, plan.regions), plan.seed)
+        SimulatedFleet::with_regions(&region_sizes(plan.members, plan.regions), plan.seed)
     } else {
         SimulatedFleet::new(plan.members, 3, plan.seed)
     };
@@ -248,51 +267,52 @@
     fleet.between_regions = (plan.regions > 1).then_some(NetworkConditions {
         loss: plan.loss.max(plan.loss_between),
         delay: plan.delay_between_ms * MS,
-        jitter: BETWEEN_JITTER,
+        jitter: INTER_REGION_JITTER,
         ..NetworkConditions::default()
     });
     fleet.vary_request_rates();
     fleet.start_all();
-    let joined = fleet.advance_until(CEILING, SimulatedFleet::settled);
+    let joined = fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged);
     (fleet, joined)
 }
 
-/// Plays an event, prices its first ten seconds, and takes how long views take to be true.
-fn event(
+/// Applies an event, then measures the cost of the ten seconds after it and the convergence times.
+/// `side` is the partition that lasts meanwhile.
+fn measure_event(
     fleet: &mut SimulatedFleet,
-    what: &'static str,
+    description: &'static str,
     region: usize,
     side: impl Fn(usize) -> usize + Copy,
-    happen: impl FnOnce(&mut SimulatedFleet),
+    apply: impl FnOnce(&mut SimulatedFleet),
 ) -> RegionEvent {
     let false_before = fleet.false_deaths();
-    let begun = fleet.now;
-    happen(fleet);
+    let start = fleet.now;
+    apply(fleet);
     let mut meter = TrafficMeter::new(fleet);
     let mut cost = None;
     let (mut region_s, mut settled_s) = (None, None);
     for step in 1.. {
-        fleet.advance_to(begun + step * STEP);
-        if region_s.is_none() && fleet.region_settled(region, side) {
-            region_s = Some(fleet.now - begun);
+        fleet.advance_to(start + step * CHECK_INTERVAL);
+        if region_s.is_none() && fleet.region_converged(region, side) {
+            region_s = Some(fleet.now - start);
         }
-        if settled_s.is_none() && fleet.settled_by(side) {
-            settled_s = Some(fleet.now - begun);
+        if settled_s.is_none() && fleet.converged_by_side(side) {
+            settled_s = Some(fleet.now - start);
         }
-        if cost.is_none() && step % STEPS_A_SECOND == 0 {
-            meter.second(fleet);
+        if cost.is_none() && step % CHECKS_PER_S == 0 {
+            meter.record_second(fleet);
         }
-        if step == PRICED_S * STEPS_A_SECOND {
+        if step == COST_SPAN_S * CHECKS_PER_S {
             cost = Some(meter.cost(fleet));
         }
-        let settled = region_s.is_some() && settled_s.is_some();
-        if cost.is_some() && (settled || fleet.now - begun >= CEILING) {
+        let converged = region_s.is_some() && settled_s.is_some();
+        if cost.is_some() && (converged || fleet.now - start >= CONVERGENCE_TIMEOUT) {
             break;
         }
     }
     let cost = cost.unwrap_or_else(|| meter.cost(fleet));
     RegionEvent {
-        what: what.into(),
+        what: description.into(),
         region_s: seconds(region_s),
         settled_s: seconds(settled_s),
         bytes_per_s_worst: cost.bytes_worst,
@@ -304,103 +324,136 @@
     }
 }
 
-fn events(fleet: &mut SimulatedFleet, which: RegionEvents) -> Vec<RegionEvent> {
+fn measure_events(fleet: &mut SimulatedFleet, selected: RegionEvents) -> Vec<RegionEvent> {
     let mut events = Vec::new();
-    if which.member_deaths {
-        events.extend(deaths(fleet));
+    if selected.member_deaths {
+        events.extend(measure_member_deaths(fleet));
     }
-    if which.group_deaths {
-        events.extend(losses(fleet));
+    if selected.group_deaths {
+        events.extend(measure_group_deaths(fleet));
     }
-    if which.region_cut {
-        events.extend(cut(fleet));
+    if selected.region_cut {
+        events.extend(measure_region_cut(fleet));
     }
     events
 }
 
-/// The region that events befall: the largest.
-const REGION: usize = 0;
+/// Region that the events affect: the largest one.
+const AFFECTED_REGION: usize = 0;
 
-/// One dies and is back, then the leader.
-fn deaths(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
-    let whole = |_: usize| 0;
-    let of_region = fleet.of_region(REGION);
-    let one = of_region[of_region.len() / 2];
+/// Measures the death and restart of a member, then of the leader of the affected region.
+fn measure_member_deaths(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
+    let one_side = |_: usize| 0;
+    let members = fleet.slots_in_region(AFFECTED_REGION);
+    let member = members[members.len() / 2];
     let mut events = vec![
-        event(fleet, "one dies", REGION, whole, |fleet| fleet.kill(one)),
-        event(fleet, "it is back", REGION, whole, |fleet| {
-            fleet.start(one, 0);
+        measure_event(fleet, "one dies", AFFECTED_REGION, one_side, |fleet| {
+            fleet.kill(member);
+        }),
+        measure_event(fleet, "it is back", AFFECTED_REGION, one_side, |fleet| {
+            fleet.start(member, 0);
         }),
     ];
-    let leads = |n: &usize| {
+    let is_leader = |n: &usize| {
         let member = fleet.member(*n);
         member.is_some_and(|member| member.delegates().first() == Some(&member.id().address))
     };
-    if let Some(leader) = of_region.iter().copied().find(leads) {
-        events.push(event(fleet, "the leader dies", REGION, whole, |fleet| {
-            fleet.kill(leader);
-        }));
-        events.push(event(fleet, "it is back", REGION, whole, |fleet| {
-            fleet.start(leader, 0);
-        }));
+    if let Some(leader) = members.iter().copied().find(is_leader) {
+        events.push(measure_event(
+            fleet,
+            "the leader dies",
+            AFFECTED_REGION,
+            one_side,
+            |fleet| {
+                fleet.kill(leader);
+            },
+        ));
+        events.push(measure_event(
+            fleet,
+            "it is back",
+            AFFECTED_REGION,
+            one_side,
+            |fleet| {
+                fleet.start(leader, 0);
+            },
+        ));
     }
     events
 }
 
-/// A rack dies and is back, then a zone.
-fn losses(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
-    let of_region = fleet.of_region(REGION);
-    let rack: Vec<usize> = of_region
+/// Measures the death and restart of a rack, then of a zone with half of the region's members.
+fn measure_group_deaths(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
+    let members = fleet.slots_in_region(AFFECTED_REGION);
+    let rack: Vec<usize> = members
         .iter()
         .copied()
         .rev()
-        .take(RACK.min(of_region.len() / 2))
+        .take(RACK_SIZE.min(members.len() / 2))
         .collect();
-    let zone: Vec<usize> = of_region
+    let zone: Vec<usize> = members
         .iter()
         .copied()
-        .skip(of_region.len().div_ceil(2))
+        .skip(members.len().div_ceil(2))
         .collect();
     let mut events = Vec::new();
-    for (what, lost) in [("a rack dies", rack), ("a zone dies", zone)] {
-        let kill = |fleet: &mut SimulatedFleet| lost.iter().for_each(|n| fleet.kill(*n));
-        let start = |fleet: &mut SimulatedFleet| lost.iter().for_each(|n| fleet.start(*n, 0));
-        events.push(event(fleet, what, REGION, |_| 0, kill));
-        events.push(event(fleet, "it is back", REGION, |_| 0, start));
+    for (description, group) in [("a rack dies", rack), ("a zone dies", zone)] {
+        let kill = |fleet: &mut SimulatedFleet| group.iter().for_each(|n| fleet.kill(*n));
+        let start = |fleet: &mut SimulatedFleet| group.iter().for_each(|n| fleet.start(*n, 0));
+        events.push(measure_event(
+            fleet,
+            description,
+            AFFECTED_REGION,
+            |_| 0,
+            kill,
+        ));
+        events.push(measure_event(
+            fleet,
+            "it is back",
+            AFFECTED_REGION,
+            |_| 0,
+            start,
+        ));
     }
     events
 }
 
-/// A region is cut off and comes back.
-fn cut(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
+/// Measures the isolation of the affected region, and its end a minute after the isolation's
+/// measurement.
+fn measure_region_cut(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
     let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
-    let apart = |n: usize| usize::from(regions[n] == REGION);
-    let off = event(fleet, "a region is cut off", REGION, apart, |fleet| {
-        fleet.split(apart, true);
-    });
-    fleet.advance_to(fleet.now + CUT);
-    let back = event(
+    let side = |n: usize| usize::from(regions[n] == AFFECTED_REGION);
+    let isolation = measure_event(
+        fleet,
+        "a region is cut off",
+        AFFECTED_REGION,
+        side,
+        |fleet| {
+            fleet.set_partition(side, true);
+        },
+    );
+    fleet.advance_to(fleet.now + ISOLATION);
+    let rejoin = measure_event(
         fleet,
         "it is heard again",
-        REGION,
+        AFFECTED_REGION,
         |_| 0,
-        |fleet| fleet.split(apart, false),
+        |fleet| fleet.set_partition(side, false),
     );
-    vec![off, back]
+    vec![isolation, rejoin]
 }
 
-/// Plays a plan and measures it.
+/// Runs a plan and returns its measurements.
 #[must_use]
 pub fn measure(plan: RegionPlan) -> RegionMeasurement {
     let resident = process::own_resident_kb();
-    let (mut fleet, joined) = started(plan);
-    // Rumours of the beginning run out.
-    fleet.advance_to(fleet.now + 8 * S);
+    let (mut fleet, joined) = start_fleet(plan);
+    // Gossip broadcasts of the join have ended after 8 s.
+    fleet.advance_to(fleet.now + 8 * SECOND);
     let false_before = fleet.false_deaths();
     let mut meter = TrafficMeter::new(&fleet);
     for _ in 0..plan.calm_s {
-        fleet.advance_to(fleet.now + S);
-        meter.second(&fleet);
+        fleet.advance_to(fleet.now + SECOND);
+        meter.record_second(&fleet);
     }
     let cost = meter.cost(&fleet);
     let memory_kb = resident
@@ -430,6 +483,6 @@
         memory_kb,
         entries: entries.unwrap_or(0),
         false_deaths,
-        events: events(&mut fleet, plan.events),
+        events: measure_events(&mut fleet, plan.events),
     }
 }
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -1,6 +1,7 @@
-//! The level by which members shed load together, in virtual time: members of the `fleet` crate,
-//! and a model of caches of so much capacity. What is admitted beyond it is rejected in equal
-//! parts; requests are of two kinds, reads worth 3 and, a tenth, writes worth 10.
+//! Simulation of shared shedding in virtual time: members of the `membership` crate, and a model of
+//! caches with a fixed capacity. Requests admitted beyond the capacity are rejected, as the same
+//! fraction of each member's requests. Nine tenths of the requests are reads of weight 3, one tenth
+//! are writes of weight 10.
 
 use super::SimulationFailure;
 use crate::simulation::fleet::SimulatedFleet;
@@ -8,40 +9,44 @@
 use membership::{MS, Nanos};
 use serde::Serialize;
 
-const S: Nanos = 1_000 * MS;
-const CEILING: Nanos = 60 * S;
-/// The tiers of the model: the module's of three classes with shares; those of reads and of writes.
+const SECOND: Nanos = 1_000 * MS;
+const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
+/// Number of shedding tiers, as for three request classes with shares.
 const TIERS: usize = 6;
-const READS: usize = 3;
-const WRITES: usize = 5;
+/// Tier of reads.
+const READ_TIER: usize = 3;
+/// Tier of writes.
+const WRITE_TIER: usize = 5;
 const READ_WEIGHT: f64 = 3.0;
 const WRITE_WEIGHT: f64 = 10.0;
-const WRITE_PART: f64 = 0.1;
-/// The model moves on by so much at a time.
-/// How long the overload lasts, in seconds.
+/// Fraction of requests that are writes.
+const WRITE_FRACTION: f64 = 0.1;
+/// Duration of the overload, in seconds.
 const OVERLOAD_S: u64 = 15;
+/// Time step of the model.
 const TICK: Nanos = 50 * MS;
-/// Requests in calm, and the capacity of the caches, for each member and second.
-const CALM: f64 = 15.0;
+/// Request rate outside the overload, per member and second.
+const NORMAL_RATE: f64 = 15.0;
+/// Capacity of the caches, in requests per member and second.
 const MEMBER_CAPACITY: f64 = 25.0;
 
-/// What disturbs gossip in the middle of the overload.
+/// Disturbance injected during the overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedDisturbance {
-    /// Nothing.
+    /// No disturbance.
     None,
-    /// It is cut in halves for 5 s.
+    /// The fleet is partitioned into halves for 5 s.
     Split,
-    /// All of it is lost for 3 s.
+    /// All level reports are lost for 3 s.
     Silence,
-    /// The first member asks for five times as much as the others.
+    /// The first member receives five times as many requests as each other member.
     Uneven,
-    /// A quarter of the members is killed and starts again after 3 s.
+    /// A quarter of the members is killed and restarted 3 s later.
     Restarts,
 }
 
-/// All of them, in the order of the table.
+/// All disturbances, in the order in which they are measured.
 pub const DISTURBANCES: [InjectedDisturbance; 5] = [
     InjectedDisturbance::None,
     InjectedDisturbance::Split,
@@ -50,71 +55,75 @@
     InjectedDisturbance::Restarts,
 ];
 
-/// What a fleet's level did through an overload of twice the capacity.
+/// Measurement of one fleet through an overload of twice the capacity.
 #[derive(Clone, Debug, Serialize)]
 pub struct SheddingMeasurement {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// The share of datagrams that is lost.
+    /// Fraction of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// By which seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// What disturbed gossip.
+    /// Injected disturbance.
     #[serde(rename = "trouble")]
     pub disturbance: InjectedDisturbance,
-    /// Weight served over the most that could have been served, over the overload.
+    /// Weight served during the overload, as a fraction of the maximum that the capacity allows.
     #[serde(rename = "of_perfect")]
     pub share_of_optimum: f64,
-    /// The same if each went by its own counts alone.
+    /// The same fraction when each member sheds by its own counts alone.
     #[serde(rename = "of_perfect_apart")]
     pub share_of_separate_optimum: f64,
-    /// Attempts at caches over their capacity.
+    /// Admitted requests during the overload, as a multiple of the capacity.
     #[serde(rename = "tries_of_room")]
     pub attempts_per_capacity: f64,
-    /// The greatest difference between the shares of reads that two members shed, in the mean over
-    /// the time from 3 s on.
+    /// Maximum difference between two members' shed fractions of reads, averaged over the overload
+    /// from its 3rd second on.
     pub spread: f64,
-    /// Seconds from the end of the overload until nothing is shed.
-    pub over_s: Option<f64>,
-    /// Datagrams that a member sent a second in it.
+    /// Seconds from the end of the overload until no member sheds; `None` if more than 30 s.
+    #[serde(rename = "over_s")]
+    pub shedding_end_s: Option<f64>,
+    /// Datagrams sent per member and second during the overload.
     pub datagrams_per_s: f64,
 }
 
 #[derive(Default)]
-struct Sum {
-    weight: f64,
-    perfect: f64,
+struct Totals {
+    served_weight: f64,
+    optimal_weight: f64,
     attempts: f64,
     capacity: f64,
+    /// Sum of the sampled spreads.
     spread: f64,
-    samples: f64,
+    spread_samples: f64,
 }
 
-/// The part of a tier that is shed.
-fn shed(level: f64, tier: usize) -> f64 {
+/// Returns the fraction of a tier that is shed at this level.
+fn shed_fraction(level: f64, tier: usize) -> f64 {
     (level - tier as f64).clamp(0.0, MAX_SHED_FRACTION)
 }
 
-/// One tick of the model over the members that run: each asks for `asked` times its weight.
+/// Advances the model and the fleet by one tick. The request rate of the fleet is `rate_per_member`
+/// times the number of slots, divided among the running members by `weights`. `carried` holds the
+/// fractional parts of each member's counts until the next tick.
 fn tick(
     fleet: &mut SimulatedFleet,
     carried: &mut [[f64; 3]],
     weights: &[f64],
-    asked: f64,
-    sum: &mut Sum,
+    rate_per_member: f64,
+    totals: &mut Totals,
 ) {
-    let seconds = TICK as f64 / S as f64;
+    let seconds = TICK as f64 / SECOND as f64;
     let running = fleet.running();
-    // Clients of those that are away ask the others.
-    let here: f64 = running.iter().map(|n| weights[*n]).sum();
-    let total = weights.iter().sum::<f64>() * asked * seconds;
+    // Clients of members that are down use the running members.
+    let running_weight: f64 = running.iter().map(|n| weights[*n]).sum();
+    let total = weights.iter().sum::<f64>() * rate_per_member * seconds;
     let capacity = weights.len() as f64 * MEMBER_CAPACITY * seconds;
     let mut admitted = Vec::new();
     for n in &running {
-        let mine = total * weights[*n] / here;
+        let requests = total * weights[*n] / running_weight;
         let level = fleet.shedding_level(*n);
-        let reads = mine * (1.0 - WRITE_PART) * (1.0 - shed(level, READS));
-        let writes = mine * WRITE_PART * (1.0 - shed(level, WRITES));
+        let reads = requests * (1.0 - WRITE_FRACTION) * (1.0 - shed_fraction(level, READ_TIER));
+        let writes = requests * WRITE_FRACTION * (1.0 - shed_fraction(level, WRITE_TIER));
         admitted.push((*n, reads, writes));
     }
     let attempts: f64 = admitted
@@ -123,107 +132,112 @@
         .sum();
     let served = (capacity / attempts.max(1e-9)).min(1.0);
     for (n, reads, writes) in admitted {
-        sum.weight += served * (reads * READ_WEIGHT + writes * WRITE_WEIGHT);
-        // Requests are whole; what is left over counts next time.
-        let more = [reads, writes, (reads + writes) * (1.0 - served)];
+        totals.served_weight += served * (reads * READ_WEIGHT + writes * WRITE_WEIGHT);
+        // Counts are integers: the fractional part is carried to the next tick.
+        let increments = [reads, writes, (reads + writes) * (1.0 - served)];
         let mut whole = [0; 3];
-        for ((carried, more), whole) in carried[n].iter_mut().zip(more).zip(&mut whole) {
-            *carried += more;
+        for ((carried, increment), whole) in carried[n].iter_mut().zip(increments).zip(&mut whole) {
+            *carried += increment;
             *whole = carried.floor() as u32;
             *carried -= carried.floor();
         }
-        let mut tally = AdmissionCounts {
+        let mut counts = AdmissionCounts {
             capacity_rejections: whole[2],
             ..AdmissionCounts::default()
         };
-        (tally.admitted[READS], tally.admitted[WRITES]) = (whole[0], whole[1]);
-        fleet.record_admissions(n, tally);
+        (counts.admitted[READ_TIER], counts.admitted[WRITE_TIER]) = (whole[0], whole[1]);
+        fleet.record_admissions(n, counts);
     }
-    let writes = (total * WRITE_PART).min(capacity);
-    let reads = (total * (1.0 - WRITE_PART)).min(capacity - writes);
-    sum.perfect += writes * WRITE_WEIGHT + reads * READ_WEIGHT;
-    (sum.attempts, sum.capacity) = (sum.attempts + attempts, sum.capacity + capacity);
+    let writes = (total * WRITE_FRACTION).min(capacity);
+    let reads = (total * (1.0 - WRITE_FRACTION)).min(capacity - writes);
+    totals.optimal_weight += writes * WRITE_WEIGHT + reads * READ_WEIGHT;
+    totals.attempts += attempts;
+    totals.capacity += capacity;
     fleet.advance_to(fleet.now + TICK);
 }
 
-fn spread(fleet: &SimulatedFleet) -> f64 {
-    let levels = fleet
+/// Returns the greatest difference between two members' shed fractions of reads.
+fn shed_spread(fleet: &SimulatedFleet) -> f64 {
+    let fractions = fleet
         .running()
         .into_iter()
-        .map(|n| shed(fleet.shedding_level(n), READS));
-    let (least, most) = levels.fold((f64::MAX, 0f64), |(a, b), level| {
-        (a.min(level), b.max(level))
+        .map(|n| shed_fraction(fleet.shedding_level(n), READ_TIER));
+    let (least, greatest) = fractions.fold((f64::MAX, 0f64), |(least, greatest), fraction| {
+        (least.min(fraction), greatest.max(fraction))
     });
-    (most - least).max(0.0)
+    (greatest - least).max(0.0)
 }
 
-/// A fleet whose members have met, and agree on a level.
-fn met(members: usize, loss: f64, seed: u64) -> SimulatedFleet {
+/// Starts a fleet with shared shedding and waits until its views converge.
+fn converged_fleet(members: usize, loss: f64, seed: u64) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(members, 3, seed);
     fleet.network.loss = loss;
-    fleet.set_tiers(TIERS);
+    fleet.set_shedding_tiers(TIERS);
     fleet.start_all();
-    fleet.advance_until(CEILING, SimulatedFleet::settled);
+    fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged);
     fleet
 }
 
-/// What one run showed.
-struct ShedRun {
-    sum: Sum,
-    /// Seconds from the end of the overload until nothing is shed.
-    over_s: Option<f64>,
+/// Result of one simulated overload.
+struct OverloadRun {
+    /// Totals of the overload.
+    totals: Totals,
+    /// Seconds from the end of the overload until no member sheds.
+    shedding_end_s: Option<f64>,
     datagrams_per_s: f64,
 }
 
-/// How members shed: by the level that all agree on, or each by its own counts.
+/// Whether members share level reports.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Coordination {
+    /// Members exchange level reports and agree on one shedding level.
     Shared,
+    /// All level reports are lost, so that each member sheds by its own counts.
     Separate,
 }
 
-/// A disturbance as it goes on.
-struct DisturbanceCourse {
+/// Progress of a disturbance.
+struct DisturbanceProgress {
     disturbance: InjectedDisturbance,
     coordination: Coordination,
-    /// How many of its changes have been made.
-    stage: u32,
+    /// Number of changes applied so far.
+    changes_applied: u32,
 }
 
-impl DisturbanceCourse {
-    /// Makes the changes that are due at this time since the overload's start.
-    fn advance(&mut self, fleet: &mut SimulatedFleet, at: Nanos) {
+impl DisturbanceProgress {
+    /// Applies the changes that are due `elapsed` after the start of the overload.
+    fn advance(&mut self, fleet: &mut SimulatedFleet, elapsed: Nanos) {
         let members = fleet.len();
         let half = |n: usize| usize::from(n >= members / 2);
         let quarter = members - members.div_ceil(4)..members;
         match self.disturbance {
-            InjectedDisturbance::Split if self.stage == 0 && at >= 5 * S => {
-                fleet.split(half, true);
-                self.stage = 1;
+            InjectedDisturbance::Split if self.changes_applied == 0 && elapsed >= 5 * SECOND => {
+                fleet.set_partition(half, true);
+                self.changes_applied = 1;
             }
-            InjectedDisturbance::Split if self.stage == 1 && at >= 10 * S => {
-                fleet.split(half, false);
-                self.stage = 2;
+            InjectedDisturbance::Split if self.changes_applied == 1 && elapsed >= 10 * SECOND => {
+                fleet.set_partition(half, false);
+                self.changes_applied = 2;
             }
             InjectedDisturbance::Silence => {
-                let silent = (5 * S..8 * S).contains(&at);
+                let silent = (5 * SECOND..8 * SECOND).contains(&elapsed);
                 let separate = self.coordination == Coordination::Separate;
-                fleet.network.load_loss = f64::from(silent || separate);
+                fleet.network.level_report_loss = f64::from(silent || separate);
             }
-            InjectedDisturbance::Restarts if self.stage == 0 && at >= 5 * S => {
+            InjectedDisturbance::Restarts if self.changes_applied == 0 && elapsed >= 5 * SECOND => {
                 quarter.for_each(|n| fleet.kill(n));
-                self.stage = 1;
+                self.changes_applied = 1;
             }
-            InjectedDisturbance::Restarts if self.stage == 1 && at >= 8 * S => {
+            InjectedDisturbance::Restarts if self.changes_applied == 1 && elapsed >= 8 * SECOND => {
                 quarter.for_each(|n| fleet.start(n, 0));
-                self.stage = 2;
+                self.changes_applied = 2;
             }
             _ => {}
         }
     }
 }
 
-/// How much each member is asked for, against the others.
+/// Returns the request rate of each member relative to the mean.
 fn member_weights(members: usize, disturbance: InjectedDisturbance) -> Vec<f64> {
     let mut weights = vec![1.0; members];
     if disturbance == InjectedDisturbance::Uneven {
@@ -239,61 +253,74 @@
     running.iter().map(|n| fleet.statistics(*n).sent).sum()
 }
 
-/// Plays calm, an overload of twice the capacity, and calm until nothing is shed.
-fn run(
+/// Simulates the normal request rate, then an overload of twice the capacity, then the normal rate
+/// until no member sheds.
+fn simulate_overload(
     members: usize,
     loss: f64,
     seed: u64,
     disturbance: InjectedDisturbance,
     coordination: Coordination,
-) -> ShedRun {
-    let mut fleet = met(members, loss, seed);
-    fleet.network.load_loss = f64::from(coordination == Coordination::Separate);
+) -> OverloadRun {
+    let mut fleet = converged_fleet(members, loss, seed);
+    fleet.network.level_report_loss = f64::from(coordination == Coordination::Separate);
     let weights = member_weights(members, disturbance);
     let mut carried = vec![[0.0; 3]; members];
-    let mut calm_sum = Sum::default();
-    for _ in 0..5 * S / TICK {
-        tick(&mut fleet, &mut carried, &weights, CALM, &mut calm_sum);
+    let mut ignored = Totals::default();
+    for _ in 0..5 * SECOND / TICK {
+        tick(
+            &mut fleet,
+            &mut carried,
+            &weights,
+            NORMAL_RATE,
+            &mut ignored,
+        );
     }
-    let mut sum = Sum::default();
-    let (begun, before) = (fleet.now, datagrams_sent(&fleet));
-    let mut course = DisturbanceCourse {
+    let mut totals = Totals::default();
+    let (overload_start, sent_before) = (fleet.now, datagrams_sent(&fleet));
+    let mut progress = DisturbanceProgress {
         disturbance,
         coordination,
-        stage: 0,
+        changes_applied: 0,
     };
-    while fleet.now - begun < OVERLOAD_S * S {
-        let at = fleet.now - begun;
-        course.advance(&mut fleet, at);
+    while fleet.now - overload_start < OVERLOAD_S * SECOND {
+        let elapsed = fleet.now - overload_start;
+        progress.advance(&mut fleet, elapsed);
         tick(
             &mut fleet,
             &mut carried,
             &weights,
             2.0 * MEMBER_CAPACITY,
-            &mut sum,
+            &mut totals,
         );
-        if at >= 3 * S {
-            sum.spread += spread(&fleet);
-            sum.samples += 1.0;
+        if elapsed >= 3 * SECOND {
+            totals.spread += shed_spread(&fleet);
+            totals.spread_samples += 1.0;
         }
     }
-    let sent = datagrams_sent(&fleet) - before;
-    let over = fleet.now;
-    let mut over_s = None;
-    while over_s.is_none() && fleet.now - over < 30 * S {
-        tick(&mut fleet, &mut carried, &weights, CALM, &mut calm_sum);
+    let sent = datagrams_sent(&fleet) - sent_before;
+    let overload_end = fleet.now;
+    let mut shedding_end_s = None;
+    while shedding_end_s.is_none() && fleet.now - overload_end < 30 * SECOND {
+        tick(
+            &mut fleet,
+            &mut carried,
+            &weights,
+            NORMAL_RATE,
+            &mut ignored,
+        );
         let running = fleet.running();
         let done = running.iter().all(|n| fleet.shedding_level(*n) == 0.0);
-        over_s = done.then(|| ((fleet.now - over) / MS) as f64 / 1e3);
+        shedding_end_s = done.then(|| ((fleet.now - overload_end) / MS) as f64 / 1e3);
     }
-    ShedRun {
-        sum,
-        over_s,
+    OverloadRun {
+        totals,
+        shedding_end_s,
         datagrams_per_s: sent as f64 / members as f64 / OVERLOAD_S as f64,
     }
 }
 
-/// Plays one fleet through one disturbance, together and each by itself.
+/// Measures one fleet through one disturbance, with shared and with separate shedding.
 #[must_use]
 pub fn measure(
     members: usize,
@@ -301,69 +328,75 @@
     seed: u64,
     disturbance: InjectedDisturbance,
 ) -> SheddingMeasurement {
-    let ShedRun {
-        sum,
-        over_s,
+    let OverloadRun {
+        totals,
+        shedding_end_s,
         datagrams_per_s,
-    } = run(members, loss, seed, disturbance, Coordination::Shared);
-    let apart = run(members, loss, seed, disturbance, Coordination::Separate).sum;
+    } = simulate_overload(members, loss, seed, disturbance, Coordination::Shared);
+    let separate =
+        simulate_overload(members, loss, seed, disturbance, Coordination::Separate).totals;
     SheddingMeasurement {
         members,
         loss,
         seed,
         disturbance,
-        share_of_optimum: sum.weight / sum.perfect,
-        share_of_separate_optimum: apart.weight / apart.perfect,
-        attempts_per_capacity: sum.attempts / sum.capacity,
-        spread: sum.spread / sum.samples.max(1.0),
-        over_s,
+        share_of_optimum: totals.served_weight / totals.optimal_weight,
+        share_of_separate_optimum: separate.served_weight / separate.optimal_weight,
+        attempts_per_capacity: totals.attempts / totals.capacity,
+        spread: totals.spread / totals.spread_samples.max(1.0),
+        shedding_end_s,
         datagrams_per_s,
     }
 }
 
-/// A trial with a verdict: the overload is shed by all alike, the dearest is kept, and it ends when
-/// its cause does.
+/// Checks shared shedding under each disturbance: members shed nearly equal fractions, mostly
+/// requests of low weight, and shedding ends after the overload. Also checks that expired reports
+/// are ignored.
 ///
 /// # Errors
 ///
-/// What the trial found wrong.
+/// Returns the first failed check.
 pub fn overload(seed: u64) -> Result<(), SimulationFailure> {
     for disturbance in DISTURBANCES {
-        let figures = measure(12, 0.0, seed, disturbance);
+        let measurement = measure(12, 0.0, seed, disturbance);
         let failure = |problem| SimulationFailure::Shedding {
             problem,
-            details: format!("{disturbance:?}: {figures:?}"),
+            details: format!("{disturbance:?}: {measurement:?}"),
         };
-        if figures.share_of_optimum < 0.85 {
-            return Err(failure("too little worth"));
+        if measurement.share_of_optimum < 0.85 {
+            return Err(failure("the served weight is below 0.85 of the optimum"));
         }
-        if figures.spread > 0.1 {
-            return Err(failure("members shed unlike parts"));
+        if measurement.spread > 0.1 {
+            return Err(failure(
+                "the shed fractions of two members differ by more than 0.1",
+            ));
         }
-        if figures.over_s.is_none() {
-            return Err(failure("it goes on being shed"));
+        if measurement.shedding_end_s.is_none() {
+            return Err(failure(
+                "shedding does not end within 30 s after the overload",
+            ));
         }
     }
-    stale(seed)
+    expired_reports(seed)
 }
 
-/// All but one are gone after they shed much; the one that is left follows their reports no longer
-/// than they are fresh.
-fn stale(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = met(6, 0.0, seed);
+/// Checks that the only survivor of an overloaded fleet stops shedding once the reports of the dead
+/// members have expired.
+fn expired_reports(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = converged_fleet(6, 0.0, seed);
     let (mut carried, weights) = (vec![[0.0; 3]; 6], vec![1.0; 6]);
-    for _ in 0..5 * S / TICK {
+    for _ in 0..5 * SECOND / TICK {
         tick(
             &mut fleet,
             &mut carried,
             &weights,
             8.0 * MEMBER_CAPACITY,
-            &mut Sum::default(),
+            &mut Totals::default(),
         );
     }
     (1..6).for_each(|n| fleet.kill(n));
-    let gone = fleet.now;
-    while fleet.shedding_level(0) > 0.0 && fleet.now - gone < REPORT_TTL + 15 * S {
+    let killed_at = fleet.now;
+    while fleet.shedding_level(0) > 0.0 && fleet.now - killed_at < REPORT_TTL + 15 * SECOND {
         fleet.record_admissions(
             0,
             AdmissionCounts {
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -1,5 +1,5 @@
-//! Trials in virtual time, each with a verdict: what real processes can't be brought to in a few
-//! seconds, or only by luck.
+//! Pass/fail trials in virtual time, for conditions that real processes reach only after minutes or
+//! by chance.
 
 use super::SimulationFailure;
 use crate::process;
@@ -8,58 +8,61 @@
 use membership::{MS, Nanos};
 use serde::Serialize;
 
-const S: Nanos = 1_000 * MS;
-/// Wide ceilings: how long things take is measured by [`measure`].
-const CEILING: Nanos = 60 * S;
-/// The bound on the sum of shares through any split.
+const SECOND: Nanos = 1_000 * MS;
+/// Timeout of a wait for convergence; generous, because [`measure`] measures the actual times.
+const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
+/// Maximum sum of shares during any partition.
 const MAX_SHARE_SUM: f64 = 1.5;
 
-/// A trial, by a seed; what broke if it failed.
+/// Runs a trial with a seed.
 type SimulationTrial = fn(u64) -> Result<(), SimulationFailure>;
 
-/// All of them, by name.
+/// All trials, by their names on the command line.
 pub const TRIALS: [(&str, SimulationTrial); 13] = [
     ("virtual-lossy", lossy),
-    ("virtual-deaf", deaf),
-    ("virtual-asleep", asleep),
-    ("virtual-newcomer", newcomer),
-    ("virtual-split", split),
-    ("virtual-return", returns),
+    ("virtual-deaf", inbound_cut_off),
+    ("virtual-asleep", stalled_member),
+    ("virtual-newcomer", late_joiner),
+    ("virtual-split", partition),
+    ("virtual-return", simultaneous_rejoin),
     ("virtual-overload", crate::simulation::shedding::overload),
-    ("regions-split", regions::split),
-    ("regions-delegates", regions::delegates_die),
+    ("regions-split", regions::partitions),
+    ("regions-delegates", regions::simultaneous_delegate_death),
     ("regions-lossy", regions::lossy),
-    ("regions-lies", regions::lies),
+    ("regions-lies", regions::invalid_announcements),
     ("regions-referral", regions::referral),
-    ("regions-overview", regions::overview),
+    ("regions-overview", regions::overview_propagation),
 ];
 
-fn settled(n: usize, seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
+fn converged_fleet(n: usize, seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
     let mut fleet = SimulatedFleet::new(n, 3, seed);
     fleet.start_all();
-    settle(&mut fleet, "join")?;
+    wait_for_convergence(&mut fleet, "join")?;
     Ok(fleet)
 }
 
-fn settle(fleet: &mut SimulatedFleet, what: &str) -> Result<Nanos, SimulationFailure> {
+fn wait_for_convergence(
+    fleet: &mut SimulatedFleet,
+    phase: &str,
+) -> Result<Nanos, SimulationFailure> {
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .ok_or_else(|| SimulationFailure::NotSettled {
-            phase: what.into(),
-            ceiling_s: CEILING / S,
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .ok_or_else(|| SimulationFailure::NotConverged {
+            phase: phase.into(),
+            timeout_s: CONVERGENCE_TIMEOUT / SECOND,
         })
 }
 
-fn no_false_death(fleet: &SimulatedFleet) -> Result<(), SimulationFailure> {
+fn check_no_false_deaths(fleet: &SimulatedFleet) -> Result<(), SimulationFailure> {
     match fleet.false_deaths() {
         0 => Ok(()),
         n => Err(SimulationFailure::FalseDeaths(n)),
     }
 }
 
-/// Six in ten datagrams are lost and all are late: nobody is declared dead in five minutes.
+/// Checks that no member is declared dead within five minutes of 60% datagram loss and delay.
 fn lossy(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(12, seed)?;
+    let mut fleet = converged_fleet(12, seed)?;
     fleet.network = NetworkConditions {
         loss: 0.6,
         delay: 50 * MS,
@@ -67,15 +70,16 @@
         duplicates: 0.02,
         ..NetworkConditions::default()
     };
-    fleet.advance_to(fleet.now + 300 * S);
-    no_false_death(&fleet)
+    fleet.advance_to(fleet.now + 300 * SECOND);
+    check_no_false_deaths(&fleet)
 }
 
-/// One is heard by all and hears nobody: it declares nobody dead, and rejoins.
-fn deaf(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(8, seed)?;
-    (1..8).for_each(|n| fleet.cut(n, 0, true));
-    fleet.advance_to(fleet.now + 8 * S);
+/// Checks that a member whose inbound datagrams are cut off, while its own ones arrive, declares no
+/// member dead, and rejoins afterwards.
+fn inbound_cut_off(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = converged_fleet(8, seed)?;
+    (1..8).for_each(|n| fleet.set_link_cut(n, 0, true));
+    fleet.advance_to(fleet.now + 8 * SECOND);
     if let Some(seen) = fleet
         .view(0)
         .members
@@ -84,72 +88,73 @@
     {
         return Err(SimulationFailure::AccusedWhileIsolated(seen.id.address));
     }
-    no_false_death(&fleet)?;
-    (1..8).for_each(|n| fleet.cut(n, 0, false));
-    settle(&mut fleet, "hears again").map(|_| ())
+    check_no_false_deaths(&fleet)?;
+    (1..8).for_each(|n| fleet.set_link_cut(n, 0, false));
+    wait_for_convergence(&mut fleet, "inbound traffic restored").map(|_| ())
 }
 
-/// A member stalls, and what is sent to it meanwhile is lost: when it resumes it suspects nobody.
-fn asleep(seed: u64) -> Result<(), SimulationFailure> {
-    let mut fleet = settled(8, seed)?;
+/// Checks that a member that stalls, and loses all datagrams sent to it meanwhile, suspects no
+/// other member when it resumes.
+fn stalled_member(seed: u64) -> Result<(), SimulationFailure> {
+    let mut fleet = converged_fleet(8, seed)?;
     let before = fleet.statistics(4).suspicions;
-    fleet.split(|n| usize::from(n == 4), true);
-    fleet.stall(4, 11 * S);
-    fleet.advance_to(fleet.now + 11 * S);
-    fleet.split(|n| usize::from(n == 4), false);
-    settle(&mut fleet, "awake")?;
-    fleet.advance_to(fleet.now + 3 * S);
+    fleet.set_partition(|n| usize::from(n == 4), true);
+    fleet.stall(4, 11 * SECOND);
+    fleet.advance_to(fleet.now + 11 * SECOND);
+    fleet.set_partition(|n| usize::from(n == 4), false);
+    wait_for_convergence(&mut fleet, "resume after a stall")?;
+    fleet.advance_to(fleet.now + 3 * SECOND);
     match fleet.statistics(4).suspicions - before {
-        0 => no_false_death(&fleet),
+        0 => check_no_false_deaths(&fleet),
         n => Err(SimulationFailure::SuspectedAfterStall(n)),
     }
 }
 
-/// A member joins a fleet in which nothing has changed for long: it gets the metadata of all
-/// members.
-fn newcomer(seed: u64) -> Result<(), SimulationFailure> {
+/// Checks that a member receives the metadata of all members when it joins a fleet in which nothing
+/// has changed for 30 s, so that no gossip broadcasts are left to carry it.
+fn late_joiner(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = SimulatedFleet::new(12, 3, seed);
     (0..11).for_each(|n| fleet.start(n, 0));
-    settle(&mut fleet, "the first eleven")?;
-    fleet.advance_to(fleet.now + 30 * S);
+    wait_for_convergence(&mut fleet, "join of the first eleven")?;
+    fleet.advance_to(fleet.now + 30 * SECOND);
     fleet.start(11, 0);
-    settle(&mut fleet, "the twelfth")?;
+    wait_for_convergence(&mut fleet, "join of the twelfth")?;
     let view = fleet.view(11);
-    let heard = view
+    let known = view
         .members
         .iter()
         .filter(|seen| seen.metadata.is_some())
         .count();
-    if heard == 11 {
+    if known == 11 {
         Ok(())
     } else {
         Err(SimulationFailure::MissingMetadata {
             member: address(11),
-            known: heard,
+            known,
             expected: 11,
         })
     }
 }
 
-/// Many return at once: each is known to all soon, though gossip broadcasts die out now and then
-/// before they have reached all.
-fn returns(seed: u64) -> Result<(), SimulationFailure> {
-    // By gossip broadcasts and the round of records alone it takes 2.2 s and more.
-    const SOON: Nanos = 1_500 * MS;
-    let mut fleet = settled(100, seed)?;
+/// Checks that members that restart at the same time are in all views soon, although some gossip
+/// broadcasts end before they have reached every member.
+fn simultaneous_rejoin(seed: u64) -> Result<(), SimulationFailure> {
+    // Without anti-entropy, broadcasts and the periodic metadata exchange take 2.2 s or more.
+    const REJOIN_TIME_MAX: Nanos = 1_500 * MS;
+    let mut fleet = converged_fleet(100, seed)?;
     (90..100).for_each(|n| fleet.kill(n));
-    settle(&mut fleet, "death")?;
+    wait_for_convergence(&mut fleet, "death")?;
     (90..100).for_each(|n| fleet.start(n, 0));
-    let back = settle(&mut fleet, "back")?;
-    if back > SOON {
-        Err(SimulationFailure::SlowReturn(back / MS))
+    let rejoined = wait_for_convergence(&mut fleet, "rejoin")?;
+    if rejoined > REJOIN_TIME_MAX {
+        Err(SimulationFailure::SlowRejoin(rejoined / MS))
     } else {
         Ok(())
     }
 }
 
-/// Parts of a fleet don't hear each other: whatever the parts, the shares keep their sum.
-fn split(seed: u64) -> Result<(), SimulationFailure> {
+/// Checks that the sum of shares stays bounded while a fleet is partitioned into 2, 3 or 5 parts.
+fn partition(seed: u64) -> Result<(), SimulationFailure> {
     for parts in [2, 3, 5] {
         let sum = share_sums(12, parts, seed)?.with_retention;
         if sum > MAX_SHARE_SUM {
@@ -162,17 +167,17 @@
     Ok(())
 }
 
-/// The greatest sums of shares that were seen.
+/// Greatest observed sums of shares.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShareSums {
-    /// By the share count that members use.
+    /// Sum with the share counts that members use.
     pub with_retention: f64,
-    /// If members divided by those they see alive.
+    /// Sum if each member divided by the number of members that it sees alive.
     pub without_retention: f64,
 }
 
 impl ShareSums {
-    /// The greater of each.
+    /// Returns the maximum of each field.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         ShareSums {
@@ -182,15 +187,17 @@
     }
 }
 
-/// The greatest sums of shares through a split into so many parts and its healing.
+/// Measures the greatest sums of shares during a partition of `n` members into `parts` parts and
+/// after its end.
 ///
 /// # Errors
 ///
-/// If views are not true in time.
+/// Fails if views do not converge in time.
 pub fn share_sums(n: usize, parts: usize, seed: u64) -> Result<ShareSums, SimulationFailure> {
-    let mut fleet = settled(n, seed)?;
-    fleet.advance_to(fleet.now + 20 * S);
-    // Parts of different size: the worst for the rule is one that just has more than half.
+    let mut fleet = converged_fleet(n, seed)?;
+    fleet.advance_to(fleet.now + 20 * SECOND);
+    // Two parts are of unequal size: the worst case for share retention is a part with just over
+    // half of the members.
     let side = move |m: usize| {
         if parts == 2 {
             usize::from(m > n / 2)
@@ -198,71 +205,73 @@
             m % parts
         }
     };
-    let mut most = ShareSums::default();
+    let mut greatest = ShareSums::default();
     let mut observe = |fleet: &SimulatedFleet| {
         let views: Vec<_> = fleet.running().into_iter().map(|m| fleet.view(m)).collect();
         let share = |count: usize| 1.0 / count.max(1) as f64;
-        most = most.max(ShareSums {
+        greatest = greatest.max(ShareSums {
             with_retention: views.iter().map(|v| share(v.share_count)).sum(),
             without_retention: views.iter().map(|v| share(v.alive)).sum(),
         });
     };
-    fleet.split(side, true);
+    fleet.set_partition(side, true);
     for _ in 0..300 {
-        fleet.advance_to(fleet.now + S / 10);
+        fleet.advance_to(fleet.now + SECOND / 10);
         observe(&fleet);
     }
-    fleet.split(side, false);
+    fleet.set_partition(side, false);
     for _ in 0..100 {
-        fleet.advance_to(fleet.now + S / 10);
+        fleet.advance_to(fleet.now + SECOND / 10);
         observe(&fleet);
     }
-    settle(&mut fleet, "healed")?;
-    Ok(most)
+    wait_for_convergence(&mut fleet, "healed")?;
+    Ok(greatest)
 }
 
-/// What a fleet of one size does at one rate of loss; times in seconds, `None` if it took over a
-/// minute.
+/// Measured convergence times and costs of a fleet of one size at one loss rate. Times are in
+/// seconds; `None` if convergence took more than 60 s.
 #[derive(Clone, Debug, Serialize)]
 pub struct DetectionMeasurement {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// The share of datagrams that is lost.
+    /// Fraction of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// By which seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// All start at once until all see each other.
+    /// Time from the simultaneous start of all members until convergence.
     pub join_s: Option<f64>,
-    /// A tenth is killed at once until all know.
+    /// Time from the simultaneous death of a tenth of the members until convergence.
     pub death_s: Option<f64>,
-    /// They start again until all see them.
+    /// Time from the restart of these members until convergence.
     pub back_s: Option<f64>,
-    /// A split in halves heals until all see each other.
+    /// Time from the end of a partition into halves until convergence.
     pub healed_s: Option<f64>,
-    /// Datagrams sent a member a second, when nothing happens.
+    /// Datagrams sent per member and second while nothing changes.
     pub packets_per_s: f64,
-    /// Their bytes.
+    /// Bytes sent per member and second while nothing changes.
     pub bytes_per_s: f64,
-    /// Growth of this process by then, a member, in KB: the network's queue is in it, and memory
-    /// that earlier rows freed is not.
+    /// Growth of this process's resident memory until the end of the calm span, per member, in KiB.
+    /// It includes the queue of the simulated network, but not memory that earlier measurements
+    /// freed.
     pub memory_kb: Option<f64>,
-    /// Suspicions that began at a member in an hour, of members that lived.
+    /// Suspicions of running members that a member started, per hour, while nothing changes.
     pub suspicions_per_h: f64,
-    /// False deaths until the split: a death that a member learns of late, after the split, was
-    /// real when it was declared.
+    /// False deaths before the partition. Later ones are not counted: the partition makes real
+    /// deaths, of which a member may learn only after it has ended.
     pub false_deaths: u64,
 }
 
-/// Measures one fleet; the calm span lasts `calm` seconds.
-pub fn measure(members: usize, loss: f64, seed: u64, calm: u64) -> DetectionMeasurement {
+/// Measures one fleet. Traffic is measured over a span of `calm_s` seconds in which nothing
+/// changes.
+pub fn measure(members: usize, loss: f64, seed: u64, calm_s: u64) -> DetectionMeasurement {
     let seconds = |t: Option<Nanos>| t.map(|t| (t / MS) as f64 / 1e3);
     let resident = process::own_resident_kb();
     let mut fleet = SimulatedFleet::new(members, 3, seed);
     fleet.network.loss = loss;
     fleet.start_all();
-    let join_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
-    // Rumours of the beginning run out.
-    fleet.advance_to(fleet.now + 8 * S);
+    let join_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
+    // Gossip broadcasts of the join have ended after 8 s.
+    fleet.advance_to(fleet.now + 8 * SECOND);
     let sum = |fleet: &SimulatedFleet| {
         fleet
             .running()
@@ -273,24 +282,24 @@
             })
     };
     let before = sum(&fleet);
-    fleet.advance_to(fleet.now + calm * S);
+    fleet.advance_to(fleet.now + calm_s * SECOND);
     let after = sum(&fleet);
     let memory_kb = resident
         .zip(process::own_resident_kb())
         .map(|(from, to)| (to as f64 - from as f64) / members as f64);
-    let per_s = |before: u64, after: u64| (after - before) as f64 / members as f64 / calm as f64;
+    let per_s = |before: u64, after: u64| (after - before) as f64 / members as f64 / calm_s as f64;
     let tenth = members - members.div_ceil(10)..members;
     tenth.clone().for_each(|n| fleet.kill(n));
-    let death_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
+    let death_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
     tenth.for_each(|n| fleet.start(n, 0));
-    let back_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
+    let back_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
     let false_deaths = fleet.false_deaths();
-    fleet.advance_to(fleet.now + 2 * S);
+    fleet.advance_to(fleet.now + 2 * SECOND);
     let half = move |n: usize| usize::from(n >= members / 2);
-    fleet.split(half, true);
-    fleet.advance_to(fleet.now + 10 * S);
-    fleet.split(half, false);
-    let healed_s = seconds(fleet.advance_until(CEILING, SimulatedFleet::settled));
+    fleet.set_partition(half, true);
+    fleet.advance_to(fleet.now + 10 * SECOND);
+    fleet.set_partition(half, false);
+    let healed_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
     DetectionMeasurement {
         members,
         loss,
@@ -307,44 +316,44 @@
     }
 }
 
-/// A trace of what `measure` simulates: which views are wrong in how many pairs of members, each
-/// `every` until all views are true, at most for `most`.
+/// Trace of the convergence that [`measure`] measures: counts of wrong views by kind, at an
+/// interval, for the join, the death of a tenth of the members and their restart.
 pub struct ConvergenceTrace {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// The share of datagrams that is lost.
+    /// Fraction of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// For all that is drawn.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// The time between two lines.
+    /// Virtual time between two lines of the trace.
     pub interval: Nanos,
-    /// A step that has not settled is ended after this.
+    /// Maximum virtual time of a phase that does not converge.
     pub step_limit: Nanos,
 }
 
 impl ConvergenceTrace {
-    /// Runs the steps and reports each line.
+    /// Runs all phases and passes each line of the trace to `report`.
     pub fn run(&self, mut report: impl FnMut(&str)) {
         let mut fleet = SimulatedFleet::new(self.members, 3, self.seed);
         fleet.network.loss = self.loss;
         fleet.start_all();
-        self.step(&mut fleet, "join", &mut report);
-        fleet.advance_to(fleet.now + 8 * S);
+        self.trace_phase(&mut fleet, "join", &mut report);
+        fleet.advance_to(fleet.now + 8 * SECOND);
         let tenth = self.members - self.members.div_ceil(10)..self.members;
         tenth.clone().for_each(|n| fleet.kill(n));
-        self.step(&mut fleet, "death", &mut report);
+        self.trace_phase(&mut fleet, "death", &mut report);
         tenth.for_each(|n| fleet.start(n, 0));
-        self.step(&mut fleet, "back", &mut report);
+        self.trace_phase(&mut fleet, "back", &mut report);
     }
 
-    fn step(&self, fleet: &mut SimulatedFleet, name: &str, report: &mut impl FnMut(&str)) {
-        let begun = fleet.now;
-        while fleet.now - begun < self.step_limit {
+    fn trace_phase(&self, fleet: &mut SimulatedFleet, name: &str, report: &mut impl FnMut(&str)) {
+        let start = fleet.now;
+        while fleet.now - start < self.step_limit {
             fleet.advance_to(fleet.now + self.interval);
-            let untrue = fleet.wrong_views();
-            let elapsed_s = ((fleet.now - begun) / MS) as f64 / 1e3;
-            report(&format!("{name} {elapsed_s:6.2} s {untrue:?}"));
-            if fleet.settled() {
+            let wrong = fleet.count_wrong_views();
+            let elapsed_s = ((fleet.now - start) / MS) as f64 / 1e3;
+            report(&format!("{name} {elapsed_s:6.2} s {wrong:?}"));
+            if fleet.converged() {
                 break;
             }
         }
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The page of capacity: fits, tables and the check that names what differs.
+//! Tests of the capacity page: fits, tables, and the check that reports the first differing line.
 
 use std::path::{Path, PathBuf};
 use testbed::capacity::{CapacityPlan, check, rewrite, tables};
@@ -37,22 +37,22 @@
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
     let tables = tables(&plan, &slopes).unwrap();
     check(&page, &tables).unwrap_or_else(|e| panic!("docs/CAPACITY.md: {e}"));
-    // Any figure that differs is named by its line; writing the tables anew mends it.
+    // A line that differs is reported by its number, and rewriting the tables restores the page.
     let (number, line) = page
         .lines()
         .enumerate()
         .find(|(_, line)| line.contains("handshakes with caches"))
         .unwrap();
-    let wrong = page.replace(
+    let changed_page = page.replace(
         line,
         &line.replace("| data", "| no data").replace(" | ", " |  "),
     );
-    let problem = check(&wrong, &tables).unwrap_err().to_string();
+    let problem = check(&changed_page, &tables).unwrap_err().to_string();
     assert!(
         problem.starts_with(&format!("line {}: ", number + 1)),
         "{problem}"
     );
-    assert_eq!(rewrite(&wrong, &tables).unwrap(), page);
+    assert_eq!(rewrite(&changed_page, &tables).unwrap(), page);
     assert!(
         check("", &tables)
             .unwrap_err()
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_faulty_plan_is_rejected_by_name() {
+fn an_invalid_plan_is_rejected_with_the_key_and_the_file() {
     let text = std::fs::read_to_string(docs().join("capacity/plan.toml")).unwrap();
     let path = std::env::temp_dir().join(format!("pipitrun-plan-{}.toml", std::process::id()));
     let cases = [
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -1,6 +1,5 @@
-//! Several processes of the program, with faults between them. What holds is judged by invariants
-//! and by waiting for conditions up to wide ceilings; how fast they come to hold is measured
-//! elsewhere.
+//! Tests of several balancer processes with injected faults. They check invariants and wait for
+//! conditions with generous timeouts; the times themselves are measured elsewhere.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
@@ -9,19 +8,19 @@
 use testbed::scenario_catalog;
 use testbed::scenario_runner::{ScenarioReport, run_scenario};
 
-/// One trial at a time: they are many processes each, and CI has few cores.
-static ONE: Mutex<()> = Mutex::new(());
+/// Runs one trial at a time, because each starts many processes and CI has few cores.
+static TRIAL_LOCK: Mutex<()> = Mutex::new(());
 
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn trial(name: &str) -> ScenarioReport {
-    let _one = ONE
+fn run_trial(name: &str) -> ScenarioReport {
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let scenario = scenario_catalog::find(name).unwrap();
     let plan = ClusterPlan {
         instances: 6,
-        rate: 20.0,
+        request_rate: 20.0,
         ..ClusterPlan::from_scenario(&scenario)
     };
     let report = run_scenario(&scenario, plan, &AtomicBool::new(false)).unwrap();
@@ -37,20 +36,20 @@
             .requests
             .get("served")
             .is_some_and(|served| *served > 0),
-        "{:?}",
+        "no request is served: {:?}",
         report.requests
     );
     report
 }
 
 #[test]
-fn simultaneous_starts_converge_to_one_view() {
-    trial("join");
+fn simultaneously_started_members_converge_to_one_view() {
+    run_trial("join");
 }
 
 #[test]
 fn deaths_are_detected_and_restarted_members_rejoin_under_their_names() {
-    let report = trial("kill-quarter");
+    let report = run_trial("kill-quarter");
     assert!(
         report.converged_s.contains_key("death known") && report.converged_s.contains_key("back")
     );
@@ -58,144 +57,159 @@
 
 #[test]
 fn a_stalled_member_suspects_nobody_and_rejoins() {
-    assert!(trial("stall").converged_s.contains_key("back"));
+    assert!(run_trial("stall").converged_s.contains_key("back"));
 }
 
 #[test]
-fn a_partition_is_no_mass_death_and_heals_by_itself() {
-    let report = trial("split");
+fn a_partition_keeps_the_sum_of_shares_bounded_and_heals_without_help() {
+    let report = run_trial("split");
     assert!(report.converged_s.contains_key("healed") && report.max_share_sum <= 1.5);
 }
 
 #[test]
 fn one_way_link_failures_declare_nobody_dead() {
-    assert_eq!(trial("one-way").false_deaths, 0);
+    assert_eq!(run_trial("one-way").false_deaths, 0);
 }
 
 #[test]
 fn a_rolling_restart_is_announced_rather_than_detected() {
-    let report = trial("rolling");
+    let report = run_trial("rolling");
     assert_eq!(report.false_deaths, 0);
 }
 
-/// Without the key nothing differs: no socket, no descriptor more than that one, no path at the
-/// operators' door.
+/// Guards against fleet resources in a process without the `fleet` setting: it must not open the
+/// gossip socket, not serve `/admin/fleet`, and not log about a fleet.
 #[test]
 fn without_the_fleet_key_there_is_no_socket_and_no_admin_path() {
-    let _one = ONE
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let descriptors = |fleet: bool| {
+    let open_descriptors = |fleet_enabled: bool| {
         let plan = ClusterPlan {
             instances: 1,
             caches: 1,
-            fleet_enabled: fleet,
+            fleet_enabled,
             ..ClusterPlan::default()
         };
-        let mut cluster = Cluster::lay_out(plan).unwrap();
+        let mut cluster = Cluster::create(plan).unwrap();
         cluster.start_all().unwrap();
-        let ready = |g: &Cluster| g.members[0].call("/admin/health").is_some();
+        let is_ready = |cluster: &Cluster| cluster.members[0].call("/admin/health").is_some();
         cluster
-            .wait(CONDITION_TIMEOUT, ready)
-            .expect("it becomes ready");
+            .wait_until(CONDITION_TIMEOUT, is_ready)
+            .expect("the member becomes ready");
         let member = &cluster.members[0];
-        assert_eq!(member.call("/admin/fleet").is_some(), fleet);
+        assert_eq!(member.call("/admin/fleet").is_some(), fleet_enabled);
         let log = member.log();
         assert_eq!(
             log.iter().any(|line| line.text.contains("fleet")),
-            fleet,
+            fleet_enabled,
             "{log:?}"
         );
-        // The calls above are over when the process has let go of them.
-        let mut least = usize::MAX;
-        cluster.wait(Duration::from_millis(500), |g| {
-            least = least.min(g.members[0].descriptors().unwrap_or(usize::MAX));
+        // The connections of the calls above may still be open: the minimum over 500 ms excludes
+        // them.
+        let mut min = usize::MAX;
+        cluster.wait_until(Duration::from_millis(500), |cluster| {
+            min = min.min(cluster.members[0].descriptors().unwrap_or(usize::MAX));
             false
         });
-        least
+        min
     };
-    let (without, with) = (descriptors(false), descriptors(true));
-    assert_eq!(with, without + 1, "the one socket of the talk");
+    let (without, with) = (open_descriptors(false), open_descriptors(true));
+    assert_eq!(
+        with,
+        without + 1,
+        "the gossip socket is the only additional descriptor"
+    );
 }
 
-/// All that a member is told to ask is dead: it serves alone, divides by the settings' figure, and
-/// meets whoever comes.
+/// Guards against a member that does not serve, or never joins, because its join addresses are down
+/// at its start. Until they are up, its share count is the configured number of balancers.
 #[test]
 fn with_all_join_addresses_down_a_member_serves_alone_and_joins_later() {
-    let _one = ONE
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut cluster = Cluster::lay_out(ClusterPlan {
+    let mut cluster = Cluster::create(ClusterPlan {
         instances: 4,
-        joins: 1,
+        join_count: 1,
         ..ClusterPlan::default()
     })
     .unwrap();
     cluster.members[2].start().unwrap();
     cluster.members[3].start().unwrap();
-    let alone = |g: &Cluster, i: usize| {
-        g.members[i]
+    let is_alone = |cluster: &Cluster, i: usize| {
+        cluster.members[i]
             .view()
             .is_some_and(|v| v.living == 1 && v.share_count == 4)
     };
-    let served = |g: &Cluster, i: usize| g.members[i].call("/admin/health").is_some();
-    let both = |g: &Cluster| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
+    let is_serving =
+        |cluster: &Cluster, i: usize| cluster.members[i].call("/admin/health").is_some();
+    let both_alone = |cluster: &Cluster| {
+        [2, 3]
+            .iter()
+            .all(|i| is_alone(cluster, *i) && is_serving(cluster, *i))
+    };
     cluster
-        .wait(CONDITION_TIMEOUT, both)
-        .expect("each serves alone");
+        .wait_until(CONDITION_TIMEOUT, both_alone)
+        .expect("each member serves alone");
     cluster.members[0].start().unwrap();
-    let met = |g: &Cluster| {
+    let have_joined = |cluster: &Cluster| {
         [0, 2, 3]
             .iter()
-            .all(|i| g.members[*i].view().is_some_and(|v| v.living == 3))
+            .all(|i| cluster.members[*i].view().is_some_and(|v| v.living == 3))
     };
     cluster
-        .wait(CONDITION_TIMEOUT, met)
-        .expect("the one that was asked in vain brings them together");
+        .wait_until(CONDITION_TIMEOUT, have_joined)
+        .expect("all members join once the join address is up");
 }
 
-/// Two processes under one name at two addresses are two members; it is said once and both count.
+/// Guards against a member that replaces another one of the same name at a different address: both
+/// must count, and the log must report the duplicate name.
 #[test]
 fn two_members_of_one_name_both_count_and_are_reported() {
-    let _one = ONE
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut cluster = Cluster::lay_out(ClusterPlan {
+    let mut cluster = Cluster::create(ClusterPlan {
         instances: 3,
         ..ClusterPlan::default()
     })
     .unwrap();
-    // Its configuration file bears its name: the later start must not write over it while it is
-    // read.
+    // The configuration file is named after the member, so the third member starts only after the
+    // first two have read theirs.
     cluster.members[2].spec.name = "n1".into();
     cluster.members[0].start().unwrap();
     cluster.members[1].start().unwrap();
-    let two = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
+    let two_alive = |cluster: &Cluster| cluster.members[0].view().is_some_and(|v| v.living == 2);
     cluster
-        .wait(CONDITION_TIMEOUT, two)
-        .expect("the first two meet");
+        .wait_until(CONDITION_TIMEOUT, two_alive)
+        .expect("the first two members join");
     cluster.members[2].start().unwrap();
-    let three = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 3);
-    cluster.wait(CONDITION_TIMEOUT, three).expect("both count");
-    let named = |g: &Cluster| {
-        g.members[0]
+    let three_alive = |cluster: &Cluster| cluster.members[0].view().is_some_and(|v| v.living == 3);
+    cluster
+        .wait_until(CONDITION_TIMEOUT, three_alive)
+        .expect("both members of the same name count");
+    let is_reported = |cluster: &Cluster| {
+        cluster.members[0]
             .log()
             .iter()
             .any(|l| l.text.contains("are both called n1"))
     };
-    cluster.wait(CONDITION_TIMEOUT, named).expect("it is said");
+    cluster
+        .wait_until(CONDITION_TIMEOUT, is_reported)
+        .expect("the log reports the duplicate name");
 }
 
-/// Two regions of two: each member sees its own region's members and the other's summary, and
-/// divides by all; a death is told to the other region by its summary.
+/// Checks two regions of two members: each member sees the members of its region and the summary of
+/// the other one, its share count includes both, and the summary shows a death.
 #[test]
 fn balancers_in_two_regions_see_each_other_as_summaries() {
-    let _one = ONE
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut cluster = Cluster::lay_out(ClusterPlan {
+    let mut cluster = Cluster::create(ClusterPlan {
         instances: 4,
-        joins: 4,
+        join_count: 4,
         caches: 1,
         ..ClusterPlan::default()
     })
@@ -206,46 +220,47 @@
             .fleet
             .as_mut()
             .and_then(serde_json::Value::as_object_mut)
-            .expect("the key is set");
+            .expect("the `fleet` setting is an object");
         fleet.insert("region".into(), format!("region-{}", i / 2).into());
         fleet.insert("zone".into(), format!("z{i}").into());
     }
     cluster.start_all().unwrap();
-    let shown = |g: &Cluster, i: usize| -> Option<serde_json::Value> {
-        serde_json::from_str(&g.members[i].call("/admin/fleet")?).ok()
+    let overview = |cluster: &Cluster, i: usize| -> Option<serde_json::Value> {
+        serde_json::from_str(&cluster.members[i].call("/admin/fleet")?).ok()
     };
-    let sees = |g: &Cluster, i: usize, members: usize, elsewhere: u64, all: u64| {
-        shown(g, i).is_some_and(|shown| {
+    let sees = |cluster: &Cluster, i: usize, members: usize, remote: u64, share_count: u64| {
+        overview(cluster, i).is_some_and(|shown| {
             shown["members"]
                 .as_array()
                 .is_some_and(|m| m.iter().filter(|m| m["state"] == "serving").count() == members)
-                && shown["regions"][0]["living"] == elsewhere
+                && shown["regions"][0]["living"] == remote
                 && shown["regions"][0]["region"] == format!("region-{}", 1 - i / 2)
-                && shown["shared_by"] == all
+                && shown["shared_by"] == share_count
                 && shown["region"] == format!("region-{}", i / 2)
         })
     };
-    let all = |g: &Cluster| (0..4).all(|i| sees(g, i, 1, 2, 4));
+    let all_converged = |cluster: &Cluster| (0..4).all(|i| sees(cluster, i, 1, 2, 4));
     cluster
-        .wait(CONDITION_TIMEOUT, all)
-        .expect("each sees its own region and the other's summary");
+        .wait_until(CONDITION_TIMEOUT, all_converged)
+        .expect("each member sees its own region and the summary of the other one");
     assert_eq!(
-        shown(&cluster, 0).expect("it answers")["members"][0]["zone"],
+        overview(&cluster, 0).expect("the member answers")["members"][0]["zone"],
         "z1"
     );
     cluster.members[3].kill();
-    // Its place is kept: one of two that hears nobody may be half of a split.
-    let told = |g: &Cluster| (0..2).all(|i| sees(g, i, 1, 1, 4)) && sees(g, 2, 0, 2, 4);
+    // The place of the dead member still counts: the survivor of two may be half of a partition.
+    let death_reported =
+        |cluster: &Cluster| (0..2).all(|i| sees(cluster, i, 1, 1, 4)) && sees(cluster, 2, 0, 2, 4);
     cluster
-        .wait(CONDITION_TIMEOUT, told)
-        .expect("a death in one region is told to the other");
+        .wait_until(CONDITION_TIMEOUT, death_reported)
+        .expect("the summary reports the death to the other region");
 }
 
-/// Hollow members over real sockets meet, and nothing of them is left behind, also where a run is
-/// interrupted.
+/// Checks that hollow members over real sockets converge, and that an interrupted run leaves no
+/// process behind.
 #[test]
 fn hollow_members_converge_and_clean_up() {
-    let _one = ONE
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let command = |more: &[&str]| {
@@ -283,7 +298,10 @@
         || std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).unwrap_or_default();
     let begun = std::time::Instant::now();
     while children().split_whitespace().count() < 2 {
-        assert!(begun.elapsed() < CONDITION_TIMEOUT, "two processes start");
+        assert!(
+            begun.elapsed() < CONDITION_TIMEOUT,
+            "the two member processes do not start"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     let members: Vec<String> = children().split_whitespace().map(str::to_string).collect();
@@ -293,15 +311,15 @@
     )
     .unwrap();
     assert_eq!(interrupted.wait().unwrap().code(), Some(1));
-    let runs = |pid: &String| {
+    let is_running = |pid: &String| {
         let command = std::fs::read_to_string(format!("/proc/{pid}/cmdline")).unwrap_or_default();
         command.contains("hollow-members")
     };
-    assert!(!members.iter().any(runs));
+    assert!(!members.iter().any(is_running));
 }
 
 #[test]
-fn a_hollow_run_that_exceeds_the_machine_is_rejected() {
+fn a_hollow_run_that_exceeds_the_memory_of_the_machine_is_rejected() {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_testbed"));
     command.args(["hollow", "--members", "200000", "--processes", "300"]);
     let output = command.output().unwrap();
@@ -313,10 +331,10 @@
     assert_eq!(output.status.code(), Some(1));
 }
 
-/// Ctrl-C in the middle of a trial: no process and no file of it is left.
+/// Checks that a trial interrupted by SIGINT leaves no process and no file behind.
 #[test]
 fn an_interrupted_trial_cleans_up() {
-    let _one = ONE
+    let _lock = TRIAL_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut trial = std::process::Command::new(env!("CARGO_BIN_EXE_testbed"))
@@ -326,11 +344,11 @@
         .unwrap();
     let id = trial.id();
     let folder = || {
-        let mine = format!("pipitrun-trial-{id}-");
+        let prefix = format!("pipitrun-trial-{id}-");
         let entries = std::fs::read_dir(std::env::temp_dir()).unwrap().flatten();
         entries
             .map(|entry| entry.path())
-            .find(|path| path.to_string_lossy().contains(&mine))
+            .find(|path| path.to_string_lossy().contains(&prefix))
     };
     let children = || {
         let path = format!("/proc/{id}/task/{id}/children");
@@ -342,10 +360,13 @@
     };
     let begun = std::time::Instant::now();
     while children().len() < 3 {
-        assert!(begun.elapsed() < CONDITION_TIMEOUT, "three processes start");
+        assert!(
+            begun.elapsed() < CONDITION_TIMEOUT,
+            "the three balancer processes do not start"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
-    let (members, files) = (children(), folder().expect("it has a folder"));
+    let (members, files) = (children(), folder().expect("the trial has a folder"));
     nix::sys::signal::kill(
         nix::unistd::Pid::from_raw(id as i32),
         nix::sys::signal::Signal::SIGINT,
@@ -353,9 +374,9 @@
     .unwrap();
     let status = trial.wait().unwrap();
     assert_eq!(status.code(), Some(1));
-    let runs = |pid: &String| {
+    let is_running = |pid: &String| {
         let command = std::fs::read_to_string(format!("/proc/{pid}/cmdline")).unwrap_or_default();
         command.contains("pipitrun")
     };
-    assert!(!members.iter().any(runs) && !files.exists());
+    assert!(!members.iter().any(is_running) && !files.exists());
 }
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -1,5 +1,6 @@
-//! Several processes that shed load by one level (`fleet.shed_together`), with faults between them.
-//! What holds is waited for, up to wide ceilings; how well and how fast is measured elsewhere.
+//! Tests of shared shedding (`fleet.shed_together`) between several balancer processes with
+//! injected faults. They wait for conditions with generous timeouts; quality and times are measured
+//! elsewhere.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,20 +10,22 @@
 use testbed::simulated_services::cache::CacheOptions;
 use testbed::simulated_services::clients::{ClientRequest, RequestOutcome};
 
-/// One trial at a time: they are many processes each, and CI has few cores.
-static ONE: Mutex<()> = Mutex::new(());
+/// Runs one trial at a time, because each starts many processes and CI has few cores.
+static TRIAL_LOCK: Mutex<()> = Mutex::new(());
 
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 const MEMBERS: usize = 4;
-const CALM: f64 = 12.0;
-/// Some four times what two caches serve.
-const STORM: f64 = 200.0;
+/// Request rate below the capacity of the caches, per second.
+const NORMAL_RATE: f64 = 12.0;
+/// Request rate of about four times the capacity of the two caches, per second.
+const OVERLOAD_RATE: f64 = 200.0;
 
 fn lock_trials() -> MutexGuard<'static, ()> {
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+    TRIAL_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn cluster(shed_together: bool) -> Cluster {
+/// Starts a cluster with clients at the normal rate and waits until all members have joined.
+fn start_cluster(shed_together: bool) -> Cluster {
     let mut keys = serde_json::Map::new();
     if shed_together {
         keys.insert("shed_together".into(), true.into());
@@ -39,118 +42,138 @@
         instances: MEMBERS,
         caches: 2,
         cache,
-        rate: CALM,
-        rate_most: STORM,
+        request_rate: NORMAL_RATE,
+        max_request_rate: OVERLOAD_RATE,
         fleet_keys: keys,
         ..ClusterPlan::default()
     };
-    let mut cluster = Cluster::lay_out(plan).unwrap();
+    let mut cluster = Cluster::create(plan).unwrap();
     cluster.start_all().unwrap();
-    let met = |g: &Cluster| {
-        g.views()
+    let have_joined = |cluster: &Cluster| {
+        cluster
+            .views()
             .iter()
             .flatten()
             .filter(|v| v.living == MEMBERS)
             .count()
             == MEMBERS
     };
-    cluster.wait(CONDITION_TIMEOUT, met).expect("all meet");
+    cluster
+        .wait_until(CONDITION_TIMEOUT, have_joined)
+        .expect("all members join");
     cluster.start_clients();
     cluster
 }
 
-fn levels(cluster: &Cluster, of: &[usize]) -> Option<Vec<f64>> {
+/// Returns the shedding levels of these members; `None` if one does not answer.
+fn levels(cluster: &Cluster, members: &[usize]) -> Option<Vec<f64>> {
     let views = cluster.views();
-    of.iter()
+    members
+        .iter()
         .map(|i| views[*i].as_ref().map(|view| view.level))
         .collect()
 }
 
-/// All of these shed something, and nearly the same.
-fn shed_alike(cluster: &Cluster, of: &[usize]) -> bool {
-    levels(cluster, of).is_some_and(|levels| {
-        let (least, most) = levels
+/// Returns whether all these members shed at levels that differ by less than 0.2.
+fn shed_alike(cluster: &Cluster, members: &[usize]) -> bool {
+    levels(cluster, members).is_some_and(|levels| {
+        let (min, max) = levels
             .iter()
-            .fold((f64::MAX, 0f64), |(a, b), l| (a.min(*l), b.max(*l)));
-        least > 0.0 && most - least < 0.2
+            .fold((f64::MAX, 0f64), |(min, max), l| (min.min(*l), max.max(*l)));
+        min > 0.0 && max - min < 0.2
     })
 }
 
-fn calm(cluster: &Cluster) -> bool {
+/// Returns whether no member sheds.
+fn nothing_is_shed(cluster: &Cluster) -> bool {
     levels(cluster, &[0, 1, 2, 3]).is_some_and(|levels| levels.iter().all(|level| *level == 0.0))
 }
 
-/// How often members refused for the sake of the level, and for want of room.
+/// Returns the numbers of requests rejected by the shedding level, and for lack of capacity.
 fn rejections(cluster: &Cluster) -> (u64, u64) {
     let _ = cluster.member_counts();
     std::thread::sleep(Duration::from_millis(300));
     let counts = cluster.member_counts();
-    let of = |name: &str| counts.get(name).copied().unwrap_or(0);
+    let count = |name: &str| counts.get(name).copied().unwrap_or(0);
     (
-        of("rejected.fleet_shedding"),
-        of("rejected.concurrency_limit") + of("rejected.pacing"),
+        count("rejected.fleet_shedding"),
+        count("rejected.concurrency_limit") + count("rejected.pacing"),
     )
 }
 
-/// Each request has one answer, but for those whose balancer was killed.
-fn assert_answered_once(asked: &[ClientRequest], killed: bool) {
+/// Checks that each request has exactly one valid reply. If a balancer was killed, requests may
+/// also end with a broken or refused connection.
+fn assert_answered_once(requests: &[ClientRequest], killed: bool) {
     let mut ids: HashMap<&str, u32> = HashMap::new();
-    for one in asked {
-        *ids.entry(&one.id).or_default() += 1;
-        assert!(!one.extra_data, "two answers: {one:?}");
+    for request in requests {
+        *ids.entry(&request.id).or_default() += 1;
+        assert!(!request.extra_data, "more than one reply: {request:?}");
         assert!(
-            !matches!(one.outcome, RequestOutcome::Wrong | RequestOutcome::Never),
-            "{one:?}"
+            !matches!(
+                request.outcome,
+                RequestOutcome::Wrong | RequestOutcome::Never
+            ),
+            "{request:?}"
         );
         assert!(
             killed
                 || !matches!(
-                    one.outcome,
+                    request.outcome,
                     RequestOutcome::Broken | RequestOutcome::NoConnection
                 ),
-            "{one:?}"
+            "{request:?}"
         );
     }
     assert!(ids.values().all(|times| *times == 1));
 }
 
-/// Ends the overload and waits until nothing is shed.
+/// Ends the overload and waits until no member sheds.
 fn end_overload(cluster: &Cluster) {
-    cluster.request_rate.set(CALM);
+    cluster.request_rate.set(NORMAL_RATE);
     cluster
-        .wait(CONDITION_TIMEOUT, calm)
-        .expect("nothing is shed when it is over");
+        .wait_until(CONDITION_TIMEOUT, nothing_is_shed)
+        .expect("shedding ends after the overload");
 }
 
 #[test]
 fn members_shed_an_overload_alike_through_a_partition_until_it_ends() {
-    let _one = lock_trials();
-    let mut cluster = cluster(true);
-    cluster.request_rate.set(STORM);
+    let _lock = lock_trials();
+    let mut cluster = start_cluster(true);
+    cluster.request_rate.set(OVERLOAD_RATE);
     cluster
-        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
-        .expect("all shed by one level");
-    // Each half goes by its own counts, and goes on shedding.
+        .wait_until(CONDITION_TIMEOUT, |cluster| {
+            shed_alike(cluster, &[0, 1, 2, 3])
+        })
+        .expect("all members shed at one level");
+    // Each half continues to shed by its own counts.
     let cut = LinkFaults {
         cut: true,
         ..LinkFaults::default()
     };
     cluster.set_links(&[0, 1], &[2, 3], cut);
     cluster.set_links(&[2, 3], &[0, 1], cut);
-    let split =
-        |g: &Cluster| g.views().iter().flatten().filter(|v| v.living == 2).count() == MEMBERS;
+    let is_partitioned = |cluster: &Cluster| {
+        cluster
+            .views()
+            .iter()
+            .flatten()
+            .filter(|v| v.living == 2)
+            .count()
+            == MEMBERS
+    };
     cluster
-        .wait(CONDITION_TIMEOUT, split)
-        .expect("the split is known");
+        .wait_until(CONDITION_TIMEOUT, is_partitioned)
+        .expect("all members detect the partition");
     cluster
-        .wait(CONDITION_TIMEOUT, |g| {
-            shed_alike(g, &[0, 1]) && shed_alike(g, &[2, 3])
+        .wait_until(CONDITION_TIMEOUT, |cluster| {
+            shed_alike(cluster, &[0, 1]) && shed_alike(cluster, &[2, 3])
         })
-        .expect("each half by one level");
+        .expect("each half sheds at one level");
     cluster.set_links(&[0, 1], &[2, 3], LinkFaults::default());
     cluster.set_links(&[2, 3], &[0, 1], LinkFaults::default());
-    let healed = |g: &Cluster| {
-        g.views()
+    let is_healed = |cluster: &Cluster| {
+        cluster
+            .views()
             .iter()
             .flatten()
             .filter(|v| v.living == MEMBERS)
@@ -158,11 +181,13 @@
             == MEMBERS
     };
     cluster
-        .wait(CONDITION_TIMEOUT, healed)
-        .expect("they find each other");
+        .wait_until(CONDITION_TIMEOUT, is_healed)
+        .expect("the halves converge after the partition");
     cluster
-        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
-        .expect("one level again");
+        .wait_until(CONDITION_TIMEOUT, |cluster| {
+            shed_alike(cluster, &[0, 1, 2, 3])
+        })
+        .expect("all members shed at one level again");
     assert!(rejections(&cluster).0 > 0);
     end_overload(&cluster);
     assert_answered_once(&cluster.stop_clients(), false);
@@ -170,44 +195,49 @@
 
 #[test]
 fn members_that_start_or_resume_in_an_overload_adopt_the_shedding_level() {
-    let _one = lock_trials();
-    let mut cluster = cluster(true);
-    cluster.request_rate.set(STORM);
+    let _lock = lock_trials();
+    let mut cluster = start_cluster(true);
+    cluster.request_rate.set(OVERLOAD_RATE);
     cluster
-        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
-        .expect("all shed by one level");
+        .wait_until(CONDITION_TIMEOUT, |cluster| {
+            shed_alike(cluster, &[0, 1, 2, 3])
+        })
+        .expect("all members shed at one level");
     cluster.members[3].kill();
     cluster.members[2].stop();
     cluster
-        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1]))
-        .expect("the others go on");
-    let known = |g: &Cluster| g.members[0].view().is_some_and(|v| v.living == 2);
+        .wait_until(CONDITION_TIMEOUT, |cluster| shed_alike(cluster, &[0, 1]))
+        .expect("the remaining members continue to shed");
+    let both_detected =
+        |cluster: &Cluster| cluster.members[0].view().is_some_and(|v| v.living == 2);
     cluster
-        .wait(CONDITION_TIMEOUT, known)
-        .expect("both are given up");
+        .wait_until(CONDITION_TIMEOUT, both_detected)
+        .expect("both are declared dead");
     cluster.members[2].go_on();
     cluster.members[3].start().unwrap();
     cluster
-        .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
-        .expect("the newcomer and the one that stood still too");
+        .wait_until(CONDITION_TIMEOUT, |cluster| {
+            shed_alike(cluster, &[0, 1, 2, 3])
+        })
+        .expect("the restarted and the resumed member shed at the same level");
     end_overload(&cluster);
     assert_answered_once(&cluster.stop_clients(), true);
 }
 
 #[test]
 fn without_the_key_members_agree_on_no_shedding_level() {
-    let _one = lock_trials();
-    let mut cluster = cluster(false);
-    cluster.request_rate.set(STORM);
+    let _lock = lock_trials();
+    let mut cluster = start_cluster(false);
+    cluster.request_rate.set(OVERLOAD_RATE);
     cluster
-        .wait(CONDITION_TIMEOUT, |g| rejections(g).1 > 20)
-        .expect("they reject for lack of capacity");
-    assert!(calm(&cluster));
+        .wait_until(CONDITION_TIMEOUT, |cluster| rejections(cluster).1 > 20)
+        .expect("members reject requests for lack of capacity");
+    assert!(nothing_is_shed(&cluster));
     assert_eq!(rejections(&cluster).0, 0);
-    let words = |i: usize| cluster.members[i].view().unwrap().datagrams["load"].as_u64();
+    let level_reports = |i: usize| cluster.members[i].view().unwrap().datagrams["load"].as_u64();
     assert!(
-        (0..MEMBERS).all(|i| words(i) == Some(0)),
-        "not one word of load"
+        (0..MEMBERS).all(|i| level_reports(i) == Some(0)),
+        "a member sends level reports"
     );
     assert_answered_once(&cluster.stop_clients(), false);
 }
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -1,4 +1,4 @@
-//! A fleet in regions, in virtual time: the same seed plays the same course everywhere.
+//! Tests of fleets in regions in virtual time; each run is reproducible by its seed.
 
 use membership::envelope::{EnvelopeScope, MessageKind, seal};
 use membership::regions::exchange::AgedAnnouncement;
@@ -10,14 +10,14 @@
 use testbed::simulation::region_trials as trials;
 use testbed::simulation::regions::{RegionEvents, RegionPlan, measure, region_sizes};
 
-const S: Nanos = 1_000 * MS;
-const CEILING: Nanos = 60 * S;
+const SECOND: Nanos = 1_000 * MS;
+const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
 
-fn settled_regions(sizes: &[usize], seed: u64) -> SimulatedFleet {
-    trials::settled(sizes, seed).unwrap_or_else(|e| panic!("{e}"))
+fn converged_regions(sizes: &[usize], seed: u64) -> SimulatedFleet {
+    trials::converged_fleet(sizes, seed).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn sum_of_shares(fleet: &SimulatedFleet) -> f64 {
+fn share_sum(fleet: &SimulatedFleet) -> f64 {
     fleet
         .running()
         .iter()
@@ -27,20 +27,20 @@
 
 fn delegates(fleet: &SimulatedFleet, region: usize) -> Vec<usize> {
     let first = fleet
-        .of_region(region)
+        .slots_in_region(region)
         .into_iter()
         .find_map(|n| fleet.member(n))
-        .expect("one runs");
-    let named: BTreeSet<SocketAddr> = first.delegates().iter().copied().collect();
+        .expect("a member of the region runs");
+    let addresses: BTreeSet<SocketAddr> = first.delegates().iter().copied().collect();
     fleet
         .running()
         .into_iter()
-        .filter(|n| named.contains(&address(*n)))
+        .filter(|n| addresses.contains(&address(*n)))
         .collect()
 }
 
-/// The living that a member sees in another region.
-fn living_in(fleet: &SimulatedFleet, n: usize, region: usize) -> Option<u32> {
+/// Returns the number of alive members that a member sees in another region.
+fn alive_in(fleet: &SimulatedFleet, n: usize, region: usize) -> Option<u32> {
     let name = region_name(region);
     fleet
         .member(n)?
@@ -51,17 +51,21 @@
 
 #[test]
 fn regions_converge_on_the_same_delegates_and_share_count() {
-    let mut fleet = settled_regions(&[20, 12, 5], 1);
-    fleet.advance_to(fleet.now + 20 * S);
+    let mut fleet = converged_regions(&[20, 12, 5], 1);
+    fleet.advance_to(fleet.now + 20 * SECOND);
     for region in 0..3 {
-        let named: BTreeSet<Vec<SocketAddr>> = fleet
-            .of_region(region)
+        let delegate_lists: BTreeSet<Vec<SocketAddr>> = fleet
+            .slots_in_region(region)
             .iter()
             .filter_map(|n| fleet.member(*n))
             .map(|m| m.delegates().to_vec())
             .collect();
-        assert_eq!(named.len(), 1, "{named:?}");
-        assert_eq!(named.first().map(Vec::len), Some(3));
+        assert_eq!(
+            delegate_lists.len(),
+            1,
+            "region {region} has several delegate lists: {delegate_lists:?}"
+        );
+        assert_eq!(delegate_lists.first().map(Vec::len), Some(3));
     }
     for n in fleet.running() {
         let view = fleet.view(n);
@@ -71,8 +75,8 @@
         );
         assert_eq!(
             view.members.len() + 1,
-            fleet.of_region(fleet.region(n)).len(),
-            "of others it knows no member"
+            fleet.slots_in_region(fleet.region(n)).len(),
+            "a member tracks members of another region"
         );
     }
     assert_eq!(fleet.false_deaths(), 0);
@@ -81,33 +85,33 @@
 #[test]
 fn simultaneous_death_of_all_delegates_is_survived() {
     for seed in 0..3 {
-        let mut fleet = settled_regions(&[30, 12, 12], seed);
+        let mut fleet = converged_regions(&[30, 12, 12], seed);
         let dead = delegates(&fleet, 0);
         assert_eq!(dead.len(), 3);
         dead.iter().for_each(|n| fleet.kill(*n));
         fleet
-            .advance_until(CEILING, SimulatedFleet::settled)
-            .expect("others speak for it");
+            .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+            .expect("other members replace the dead delegates");
         assert!(delegates(&fleet, 0).iter().all(|n| !dead.contains(n)));
-        assert_eq!(living_in(&fleet, 45, 0), Some(27));
+        assert_eq!(alive_in(&fleet, 45, 0), Some(27));
     }
 }
 
 #[test]
 fn a_region_isolated_for_minutes_keeps_its_places_and_heals() {
     for seed in 0..3 {
-        let mut fleet = settled_regions(&[30, 12, 12], seed);
-        fleet.advance_to(fleet.now + 20 * S);
+        let mut fleet = converged_regions(&[30, 12, 12], seed);
+        fleet.advance_to(fleet.now + 20 * SECOND);
         let apart = |n: usize| usize::from(n < 30);
-        fleet.split(apart, true);
+        fleet.set_partition(apart, true);
         for _ in 0..180 {
-            fleet.advance_to(fleet.now + S);
-            let sum = sum_of_shares(&fleet);
-            assert!(sum <= 1.5, "seed {seed}: {sum}");
+            fleet.advance_to(fleet.now + SECOND);
+            let sum = share_sum(&fleet);
+            assert!(sum <= 1.5, "seed {seed}: the shares sum to {sum}");
         }
         let count = |n: usize| fleet.view(n).share_count;
-        // The larger part holds more than half of all places and counts the others out; they go on
-        // dividing by all.
+        // The larger part holds more than half of all places and stops counting the other members.
+        // The smaller part still divides by all places.
         assert_eq!((count(0), count(31), count(45)), (30, 54, 54));
         assert!(
             fleet
@@ -116,12 +120,15 @@
                 .iter()
                 .all(|seen| seen.silent_since.is_some())
         );
-        fleet.split(apart, false);
+        fleet.set_partition(apart, false);
         let healed = fleet
-            .advance_until(CEILING, SimulatedFleet::settled)
-            .expect("they hear each other");
-        assert!(healed <= 5 * S, "seed {seed}: {healed}");
-        fleet.advance_to(fleet.now + S);
+            .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+            .expect("the regions converge after the isolation");
+        assert!(
+            healed <= 5 * SECOND,
+            "seed {seed}: converged after {healed} ns"
+        );
+        fleet.advance_to(fleet.now + SECOND);
         assert!(
             fleet
                 .running()
@@ -134,24 +141,24 @@
 #[test]
 fn a_partitioned_region_is_announced_as_one_and_its_places_count_once() {
     for seed in 0..3 {
-        let mut fleet = settled_regions(&[24, 12, 12], seed);
-        fleet.advance_to(fleet.now + 20 * S);
+        let mut fleet = converged_regions(&[24, 12, 12], seed);
+        fleet.advance_to(fleet.now + 20 * SECOND);
         let half = |n: usize| usize::from((12..24).contains(&n));
-        // The halves don't hear each other; both hear the other regions.
-        let cut = |fleet: &mut SimulatedFleet, is: bool| {
+        // The halves of region 0 can't reach each other; both reach the other regions.
+        let set_cut = |fleet: &mut SimulatedFleet, is_cut: bool| {
             for a in 0..12 {
                 for b in 12..24 {
-                    fleet.cut(a, b, is);
-                    fleet.cut(b, a, is);
+                    fleet.set_link_cut(a, b, is_cut);
+                    fleet.set_link_cut(b, a, is_cut);
                 }
             }
         };
-        cut(&mut fleet, true);
-        let mut told = BTreeSet::new();
+        set_cut(&mut fleet, true);
+        let mut summaries = BTreeSet::new();
         for second in 0..90 {
-            fleet.advance_to(fleet.now + S);
-            let sum = sum_of_shares(&fleet);
-            assert!(sum <= 1.5, "seed {seed}: {sum}");
+            fleet.advance_to(fleet.now + SECOND);
+            let sum = share_sum(&fleet);
+            assert!(sum <= 1.5, "seed {seed}: the shares sum to {sum}");
             if second >= 30 {
                 let row = fleet
                     .view(30)
@@ -159,67 +166,77 @@
                     .iter()
                     .find(|seen| seen.overview.region == region_name(0))
                     .cloned();
-                let row = row.expect("it is told of").overview;
-                told.insert((row.alive, row.places, row.authors));
+                let row = row.expect("region 0 is announced").overview;
+                summaries.insert((row.alive, row.places, row.authors));
             }
         }
         assert_eq!(
-            told,
+            summaries,
             BTreeSet::from([(12, 24, 2)]),
-            "the same all the time, and two speak for it"
+            "the summary changes during the partition, or its number of authors is not two"
         );
-        let halves: BTreeSet<Vec<SocketAddr>> = (0..24)
+        let delegate_lists: BTreeSet<Vec<SocketAddr>> = (0..24)
             .filter_map(|n| fleet.member(n))
             .map(|m| m.delegates().to_vec())
             .collect();
-        assert_eq!(halves.len(), 2, "each half has delegates of its own");
+        assert_eq!(
+            delegate_lists.len(),
+            2,
+            "the halves do not have separate delegates"
+        );
         assert_eq!(half(12), 1);
-        cut(&mut fleet, false);
+        set_cut(&mut fleet, false);
         fleet
-            .advance_until(CEILING, SimulatedFleet::settled)
-            .expect("one again");
+            .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+            .expect("the halves converge after the partition");
     }
 }
 
 #[test]
-fn loss_and_return_of_a_rack_and_a_zone() {
-    let mut fleet = settled_regions(&[60, 12, 12], 2);
-    for lost in [20..40, 30..60] {
-        lost.clone().for_each(|n| fleet.kill(n));
-        let known = fleet
-            .advance_until(CEILING, SimulatedFleet::settled)
-            .expect("all know");
-        assert!(known <= 5 * S, "{known}");
-        lost.for_each(|n| fleet.start(n, 0));
-        let back = fleet
-            .advance_until(CEILING, SimulatedFleet::settled)
-            .expect("all are back");
-        assert!(back <= 5 * S, "{back}");
+fn death_and_restart_of_a_rack_and_a_zone_reach_all_views() {
+    let mut fleet = converged_regions(&[60, 12, 12], 2);
+    for group in [20..40, 30..60] {
+        group.clone().for_each(|n| fleet.kill(n));
+        let detected = fleet
+            .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+            .expect("all views show the deaths");
+        assert!(
+            detected <= 5 * SECOND,
+            "deaths are in all views after {detected} ns"
+        );
+        group.for_each(|n| fleet.start(n, 0));
+        let rejoined = fleet
+            .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+            .expect("all views show the restarts");
+        assert!(
+            rejoined <= 5 * SECOND,
+            "restarts are in all views after {rejoined} ns"
+        );
     }
     assert_eq!(fleet.false_deaths(), 0);
 }
 
 #[test]
-fn a_member_that_returns_in_another_region_counts_only_there() {
-    let mut fleet = settled_regions(&[20, 12], 3);
-    fleet.advance_to(fleet.now + 20 * S);
+fn a_member_that_restarts_in_another_region_counts_only_there() {
+    let mut fleet = converged_regions(&[20, 12], 3);
+    fleet.advance_to(fleet.now + 20 * SECOND);
     fleet.kill(7);
     fleet.set_region(7, 1);
     fleet.start(7, 0);
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .expect("it has moved");
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .expect("all views show the member in its new region");
     assert_eq!(
-        (living_in(&fleet, 25, 0), living_in(&fleet, 0, 1)),
+        (alive_in(&fleet, 25, 0), alive_in(&fleet, 0, 1)),
         (Some(19), Some(13))
     );
-    fleet.advance_to(fleet.now + 30 * S);
+    fleet.advance_to(fleet.now + 30 * SECOND);
     assert!(
         fleet
             .running()
             .iter()
             .all(|n| fleet.view(*n).share_count == 32),
-        "its former place is given up"
+        "the member still counts in its former region"
     );
 }
 
@@ -228,59 +245,59 @@
     for seed in 0..4 {
         trials::referral(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
-    let mut fleet = SimulatedFleet::in_regions(&[12, 12], 4);
-    fleet.join_at(&[0, 1]);
+    let mut fleet = SimulatedFleet::with_regions(&[12, 12], 4);
+    fleet.set_join_slots(&[0, 1]);
     fleet.start_all();
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .expect("those of the second region meet through the first");
-    // And one that comes when all is calm.
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .expect("the members of the second region find each other through the first");
+    // A single member that joins later is referred as well.
     fleet.kill(20);
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .expect("its death is known");
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .expect("all views show the death");
     fleet.start(20, 0);
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .expect("it is back");
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .expect("all views show the restart");
 }
 
 #[test]
 fn a_large_region_beside_a_small_one_converges() {
-    let mut fleet = settled_regions(&[150, 4], 5);
+    let mut fleet = converged_regions(&[150, 4], 5);
     fleet.kill(151);
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .expect("a death in the small one is known to all");
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .expect("all views show a death in the small region");
     fleet.kill(9);
     fleet
-        .advance_until(CEILING, SimulatedFleet::settled)
-        .expect("and one in the large one");
+        .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
+        .expect("all views show a death in the large region");
 }
 
-/// The bound that `regions::count` states, through splits of regions and within one.
+/// Checks the bound on the sum of shares that `regions::count` documents.
 #[test]
 fn sum_of_shares_stays_bounded_through_partitions_between_and_within_regions() {
     for seed in 0..20 {
-        trials::split(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        trials::partitions(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
 #[test]
 fn no_false_deaths_with_distant_regions_and_loss_between_them() {
-    let mut fleet = settled_regions(&[40, 20, 20], 6);
+    let mut fleet = converged_regions(&[40, 20, 20], 6);
     fleet.between_regions = Some(NetworkConditions {
         loss: 0.01,
         delay: 80 * MS,
         jitter: 10 * MS,
         ..NetworkConditions::default()
     });
-    fleet.advance_to(fleet.now + 60 * S);
+    fleet.advance_to(fleet.now + 60 * SECOND);
     assert_eq!(fleet.false_deaths(), 0);
-    assert!(fleet.settled(), "and no region for silent");
+    assert!(fleet.converged(), "a region is seen as silent");
 }
 
-/// An announcement as it stands on the wire, with a sign of life.
+/// Returns the datagram that carries an announcement.
 fn sealed_announcement(fleet: &str, announcement: &Announcement) -> Vec<u8> {
     let payload = AgedAnnouncement::encode(&[AgedAnnouncement::new(announcement.clone())]);
     seal(
@@ -290,9 +307,9 @@
     )
 }
 
-fn summary(living: u32, places: u32) -> RegionSummary {
+fn summary(alive: u32, places: u32) -> RegionSummary {
     RegionSummary {
-        alive: living,
+        alive,
         places,
         config_checksum: 7,
         config_minority: 0,
@@ -302,26 +319,26 @@
     }
 }
 
-/// The next announcement of the same author, with other figures.
-fn newer_announcement(sound: &Announcement, alive: u32, places: u32) -> Announcement {
+/// Returns the next announcement of the same author, with other values.
+fn newer_announcement(valid: &Announcement, alive: u32, places: u32) -> Announcement {
     Announcement {
-        version: sound.version + 1,
+        version: valid.version + 1,
         payload: AnnouncementPayload::Summary(summary(alive, places)),
-        ..sound.clone()
+        ..valid.clone()
     }
 }
 
-/// Announcements whose figures, version or region are out of bounds.
-fn unsound_announcements(sound: &Announcement) -> [Announcement; 5] {
+/// Returns announcements whose values, version or region name are out of bounds.
+fn unsound_announcements(valid: &Announcement) -> [Announcement; 5] {
     let year_ms = 31_536_000_000;
-    let mut far_future = sound.clone();
+    let mut far_future = valid.clone();
     far_future.version += year_ms;
-    let mut long_name = sound.clone();
+    let mut long_name = valid.clone();
     long_name.region = "x".repeat(21);
     [
-        newer_announcement(sound, 6, u32::MAX),
-        newer_announcement(sound, 7, 6),
-        newer_announcement(sound, 0, 0),
+        newer_announcement(valid, 6, u32::MAX),
+        newer_announcement(valid, 7, 6),
+        newer_announcement(valid, 0, 0),
         far_future,
         long_name,
     ]
@@ -329,20 +346,23 @@
 
 #[test]
 fn unsound_announcements_are_dropped_and_counted() {
-    let mut fleet = settled_regions(&[12, 6], 7);
-    fleet.advance_to(fleet.now + 20 * S);
+    let mut fleet = converged_regions(&[12, 6], 7);
+    fleet.advance_to(fleet.now + 20 * SECOND);
     let delegate = delegates(&fleet, 0)[0];
-    let leader = fleet.view(delegate).regions[0].overview.clone();
-    let author = leader.delegates[0];
-    let sound = Announcement {
+    let overview = fleet.view(delegate).regions[0].overview.clone();
+    let author = overview.delegates[0];
+    let valid = Announcement {
         region: region_name(1),
         author,
-        version: leader.version,
+        version: overview.version,
         payload: AnnouncementPayload::Summary(summary(6, 6)),
     };
-    let with = |living, places| newer_announcement(&sound, living, places);
-    let before = fleet.member(delegate).expect("it runs").regions_dropped().0;
-    let unsound = unsound_announcements(&sound);
+    let dropped = |fleet: &SimulatedFleet| {
+        let member = fleet.member(delegate).expect("the delegate runs");
+        member.regions_dropped().0
+    };
+    let before = dropped(&fleet);
+    let unsound = unsound_announcements(&valid);
     for announcement in &unsound {
         fleet.inject(
             delegate,
@@ -351,18 +371,18 @@
         );
     }
     let old = Announcement {
-        version: leader.version - 1,
+        version: overview.version - 1,
         payload: AnnouncementPayload::Summary(summary(1, 1)),
-        ..sound.clone()
+        ..valid.clone()
     };
     fleet.inject(delegate, author, &sealed_announcement("trial", &old));
     let foreign = fleet.statistics(delegate).foreign;
     fleet.inject(
         delegate,
         author,
-        &sealed_announcement("another", &with(1, 1)),
+        &sealed_announcement("another", &newer_announcement(&valid, 1, 1)),
     );
-    let after = fleet.member(delegate).expect("it runs").regions_dropped().0;
+    let after = dropped(&fleet);
     assert_eq!(
         (
             after.unsound - before.unsound,
@@ -373,21 +393,21 @@
     assert_eq!(
         fleet.statistics(delegate).foreign,
         foreign + 1,
-        "of another fleet"
+        "the announcement of another fleet is not counted as foreign"
     );
-    fleet.advance_to(fleet.now + 10 * S);
-    assert!(fleet.settled());
+    fleet.advance_to(fleet.now + 10 * SECOND);
+    assert!(fleet.converged());
     assert!(
         fleet
             .running()
             .iter()
             .all(|n| fleet.view(*n).share_count == 18),
-        "nobody divides by what was made up"
+        "a rejected announcement changes the share count"
     );
 }
 
-/// What a member holds and sends follows its region and the number of regions, not the size of the
-/// fleet.
+/// Checks that the entries and the traffic of a member depend on the size of its region and the
+/// number of regions, not on the size of the fleet.
 #[test]
 fn cost_of_a_member_does_not_grow_with_the_fleet() {
     let plan = |members, regions| RegionPlan {
@@ -406,14 +426,14 @@
     let ratio = |large: f64, small: f64| large / small;
     assert!(
         ratio(large.bytes_per_s, small.bytes_per_s) < 1.3,
-        "{} {}",
+        "bytes per second: {} in the small fleet, {} in the large one",
         small.bytes_per_s,
         large.bytes_per_s
     );
     assert!(ratio(large.datagrams_per_s, small.datagrams_per_s) < 1.2);
     assert!(
         large.entries < small.entries + 80,
-        "{} {}",
+        "entries: {} in the small fleet, {} in the large one",
         small.entries,
         large.entries
     );
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,92 +1,102 @@
-//! The fleet crate alone, in virtual time: the same seed plays the same course everywhere.
+//! Tests of the `membership` crate in virtual time; each run is reproducible by its seed.
 
 use membership::{MS, MemberStatus};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use testbed::simulation::fleet::{NetworkConditions, SimulatedFleet, address};
 
-const S: u64 = 1_000 * MS;
+const SECOND: u64 = 1_000 * MS;
 const LOSSY: NetworkConditions = NetworkConditions {
     loss: 0.2,
     delay: 50 * MS,
     jitter: 10 * MS,
     duplicates: 0.02,
-    load_loss: 0.0,
+    level_report_loss: 0.0,
 };
 
-fn settled(n: usize, seed: u64, network: NetworkConditions) -> SimulatedFleet {
+fn converged_fleet(n: usize, seed: u64, network: NetworkConditions) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(n, 3, seed);
     fleet.network = network;
     fleet.start_all();
     fleet
-        .advance_until(60 * S, SimulatedFleet::settled)
-        .expect("all meet");
+        .advance_until(60 * SECOND, SimulatedFleet::converged)
+        .expect("all members join");
     fleet
 }
 
 #[test]
 fn no_false_deaths_in_ten_minutes_with_a_fifth_of_datagrams_lost() {
-    let mut fleet = settled(12, 1, LOSSY);
-    fleet.advance_to(fleet.now + 600 * S);
+    let mut fleet = converged_fleet(12, 1, LOSSY);
+    fleet.advance_to(fleet.now + 600 * SECOND);
     assert_eq!(fleet.false_deaths(), 0);
     assert!(
         fleet.statistics(0).suspicions > 0,
-        "there was something to refute"
+        "the loss causes no suspicions, so that the test checks no refutation"
     );
     fleet
-        .advance_until(10 * S, SimulatedFleet::settled)
-        .expect("and all still see each other");
+        .advance_until(10 * SECOND, SimulatedFleet::converged)
+        .expect("all views are correct after the loss");
 }
 
 #[test]
-fn deaths_and_returns_are_known_to_all_in_time() {
+fn deaths_and_restarts_reach_all_views_in_time() {
     for seed in 0..5 {
-        let mut fleet = settled(40, seed, NetworkConditions::default());
+        let mut fleet = converged_fleet(40, seed, NetworkConditions::default());
         (30..40).for_each(|n| fleet.kill(n));
-        let known = fleet
-            .advance_until(60 * S, SimulatedFleet::settled)
-            .expect("the death is known");
-        assert!(known <= 3 * S, "seed {seed}: {known}");
+        let detected = fleet
+            .advance_until(60 * SECOND, SimulatedFleet::converged)
+            .expect("all views show the deaths");
+        assert!(
+            detected <= 3 * SECOND,
+            "seed {seed}: deaths are in all views after {detected} ns"
+        );
         (30..40).for_each(|n| fleet.start(n, 0));
-        let back = fleet
-            .advance_until(60 * S, SimulatedFleet::settled)
-            .expect("they are back");
-        assert!(back <= 3 * S, "seed {seed}: {back}");
+        let rejoined = fleet
+            .advance_until(60 * SECOND, SimulatedFleet::converged)
+            .expect("all views show the restarted members");
+        assert!(
+            rejoined <= 3 * SECOND,
+            "seed {seed}: restarts are in all views after {rejoined} ns"
+        );
     }
 }
 
-/// A rumour dies out now and then before it has reached all of so many: who is missed is found by
-/// comparing lists.
+/// Guards against members that miss a restart for good: in a fleet of a hundred, a gossip broadcast
+/// sometimes ends before it has reached every member. Anti-entropy must find the difference.
 #[test]
-fn simultaneous_returns_to_a_fleet_of_a_hundred_are_known_to_all_soon() {
+fn simultaneous_restarts_in_a_fleet_of_a_hundred_reach_all_views_soon() {
     for seed in 1..4 {
-        let mut fleet = settled(100, seed, NetworkConditions::default());
+        let mut fleet = converged_fleet(100, seed, NetworkConditions::default());
         (90..100).for_each(|n| fleet.kill(n));
         fleet
-            .advance_until(60 * S, SimulatedFleet::settled)
-            .expect("the death is known");
+            .advance_until(60 * SECOND, SimulatedFleet::converged)
+            .expect("all views show the deaths");
         (90..100).for_each(|n| fleet.start(n, 0));
-        let back = fleet
-            .advance_until(60 * S, SimulatedFleet::settled)
-            .expect("they are back");
+        let rejoined = fleet
+            .advance_until(60 * SECOND, SimulatedFleet::converged)
+            .expect("all views show the restarted members");
         assert!(
-            back <= S,
-            "seed {seed}: {back}; 2.2 s and more where rumours alone tell of them"
+            rejoined <= SECOND,
+            "seed {seed}: restarts are in all views after {rejoined} ns; without anti-entropy it \
+             takes 2.2 s or more"
+        );
+        fleet.advance_to(fleet.now + 20 * SECOND);
+        let (digests_before, calm_s) = (fleet.statistics(3).digests, 10);
+        fleet.advance_to(fleet.now + calm_s * SECOND);
+        let digests = fleet.statistics(3).digests - digests_before;
+        assert!(
+            digests <= calm_s,
+            "{digests} digests in {calm_s} s without a change"
         );
-        fleet.advance_to(fleet.now + 20 * S);
-        let (before, calm) = (fleet.statistics(3).digests, 10);
-        fleet.advance_to(fleet.now + calm * S);
-        let asked = fleet.statistics(3).digests - before;
-        assert!(asked <= calm, "{asked} questions in {calm} calm seconds");
     }
 }
 
 #[test]
 fn a_partition_converges_on_both_sides_and_heals_with_bounded_shares() {
     for seed in 0..5 {
-        let mut fleet = settled(12, seed, NetworkConditions::default());
+        let mut fleet = converged_fleet(12, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 5);
-        fleet.split(side, true);
+        fleet.set_partition(side, true);
         let sum = |fleet: &SimulatedFleet| -> f64 {
             fleet
                 .running()
@@ -95,70 +105,75 @@
                 .sum()
         };
         fleet
-            .advance_until(60 * S, |f| f.settled_by(side))
-            .expect("each side knows");
+            .advance_until(60 * SECOND, |f| f.converged_by_side(side))
+            .expect("both sides converge");
         for _ in 0..40 {
-            fleet.advance_to(fleet.now + S);
-            assert!(sum(&fleet) <= 1.5, "seed {seed}: {}", sum(&fleet));
+            fleet.advance_to(fleet.now + SECOND);
+            assert!(
+                sum(&fleet) <= 1.5,
+                "seed {seed}: the shares sum to {}",
+                sum(&fleet)
+            );
         }
-        fleet.split(side, false);
+        fleet.set_partition(side, false);
         let healed = fleet
-            .advance_until(60 * S, SimulatedFleet::settled)
-            .expect("they find each other");
-        assert!(healed <= 3 * S, "seed {seed}: {healed}");
+            .advance_until(60 * SECOND, SimulatedFleet::converged)
+            .expect("the sides converge after the partition");
+        assert!(
+            healed <= 3 * SECOND,
+            "seed {seed}: converged after {healed} ns"
+        );
         assert!((sum(&fleet) - 1.0).abs() < 1e-9);
     }
 }
 
-/// In a large fleet some are told of by the other side before they have returned under a new life.
+/// Guards against false deaths after a partition: in a large fleet, a member may receive a stale
+/// record of another member from the other side before that member has rejoined under a new
+/// generation.
 #[test]
 fn stale_records_of_a_partition_kill_nobody_when_it_heals() {
     for seed in 0..2 {
-        let mut fleet = settled(40, seed, NetworkConditions::default());
+        let mut fleet = converged_fleet(40, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 19);
-        fleet.split(side, true);
+        fleet.set_partition(side, true);
         fleet
-            .advance_until(60 * S, |f| f.settled_by(side))
-            .expect("each side knows");
-        // Rumours of it run out.
-        fleet.advance_to(fleet.now + 10 * S);
+            .advance_until(60 * SECOND, |f| f.converged_by_side(side))
+            .expect("both sides converge");
+        // Gossip broadcasts of the partition have ended after 10 s.
+        fleet.advance_to(fleet.now + 10 * SECOND);
         let before = fleet.false_deaths();
-        fleet.split(side, false);
+        fleet.set_partition(side, false);
         fleet
-            .advance_until(60 * S, SimulatedFleet::settled)
-            .expect("they find each other");
+            .advance_until(60 * SECOND, SimulatedFleet::converged)
+            .expect("the sides converge after the partition");
         assert_eq!(fleet.false_deaths(), before, "seed {seed}");
     }
 }
 
 #[test]
-fn isolated_members_suspect_nobody_and_deaf_members_rejoin() {
-    let mut fleet = settled(8, 3, NetworkConditions::default());
-    // It is heard by all and hears nobody.
-    (1..8).for_each(|n| fleet.cut(n, 0, true));
-    fleet.advance_to(fleet.now + 8 * S);
+fn a_member_with_inbound_traffic_cut_off_suspects_no_member_and_rejoins() {
+    let mut fleet = converged_fleet(8, 3, NetworkConditions::default());
+    // Member 0 sends to all members but receives nothing.
+    (1..8).for_each(|n| fleet.set_link_cut(n, 0, true));
+    fleet.advance_to(fleet.now + 8 * SECOND);
     assert!(fleet.view(0).isolated);
     assert!(
         fleet.view(0).members.iter().all(|m| m.status.is_present()),
-        "it blames itself"
-    );
-    assert_eq!(
-        fleet.false_deaths(),
-        0,
-        "and nobody else is given up for its sake"
+        "the isolated member attributes the silence to the others"
     );
-    (1..8).for_each(|n| fleet.cut(n, 0, false));
+    assert_eq!(fleet.false_deaths(), 0, "another member is declared dead");
+    (1..8).for_each(|n| fleet.set_link_cut(n, 0, false));
     fleet
-        .advance_until(10 * S, SimulatedFleet::settled)
-        .expect("taken back");
+        .advance_until(10 * SECOND, SimulatedFleet::converged)
+        .expect("all views are correct after the cut");
 }
 
 #[test]
 fn a_stalled_member_is_suspected_and_suspects_nobody() {
     for seed in 0..5 {
-        let mut fleet = settled(12, seed, NetworkConditions::default());
-        fleet.stall(4, 10 * S);
-        fleet.advance_to(fleet.now + 10 * S);
+        let mut fleet = converged_fleet(12, seed, NetworkConditions::default());
+        fleet.stall(4, 10 * SECOND);
+        fleet.advance_to(fleet.now + 10 * SECOND);
         assert!(
             !fleet
                 .view(0)
@@ -167,45 +182,49 @@
                 .any(|m| m.id.address == address(4) && m.status == MemberStatus::Serving)
         );
         fleet
-            .advance_until(10 * S, SimulatedFleet::settled)
-            .expect("taken back");
-        fleet.advance_to(fleet.now + 5 * S);
-        assert!(fleet.settled() && fleet.false_deaths() == 0 && fleet.statistics(4).stalls > 0);
+            .advance_until(10 * SECOND, SimulatedFleet::converged)
+            .expect("all views are correct after the stall");
+        fleet.advance_to(fleet.now + 5 * SECOND);
+        assert!(fleet.converged() && fleet.false_deaths() == 0 && fleet.statistics(4).stalls > 0);
     }
 }
 
 #[test]
 fn a_restart_is_a_new_generation_although_the_clock_was_set_back() {
-    let mut fleet = settled(6, 1, NetworkConditions::default());
-    for clock in [-3_600_000, 0, 5_000] {
+    let mut fleet = converged_fleet(6, 1, NetworkConditions::default());
+    for clock_offset_ms in [-3_600_000, 0, 5_000] {
         let before = fleet.member(2).unwrap().id().generation;
         fleet.kill(2);
-        // At once, and after its death is known.
-        fleet.start(2, clock);
+        // Restart at once, then restart after the death has been detected.
+        fleet.start(2, clock_offset_ms);
         fleet
-            .advance_until(20 * S, SimulatedFleet::settled)
-            .unwrap_or_else(|| panic!("clock {clock}"));
+            .advance_until(20 * SECOND, SimulatedFleet::converged)
+            .unwrap_or_else(|| {
+                panic!("restart at once, clock {clock_offset_ms} ms: no convergence")
+            });
         assert!(
             fleet.member(2).unwrap().id().generation > before,
-            "clock {clock}"
+            "clock {clock_offset_ms} ms: the generation does not increase"
         );
         fleet.kill(2);
-        fleet.advance_to(fleet.now + 6 * S);
-        fleet.start(2, clock);
+        fleet.advance_to(fleet.now + 6 * SECOND);
+        fleet.start(2, clock_offset_ms);
         fleet
-            .advance_until(20 * S, SimulatedFleet::settled)
-            .unwrap_or_else(|| panic!("late, clock {clock}"));
+            .advance_until(20 * SECOND, SimulatedFleet::converged)
+            .unwrap_or_else(|| {
+                panic!("restart after detection, clock {clock_offset_ms} ms: no convergence")
+            });
     }
 }
 
 #[test]
 fn a_leave_is_announced_and_frees_its_place_at_once() {
-    let mut fleet = settled(10, 1, NetworkConditions::default());
+    let mut fleet = converged_fleet(10, 1, NetworkConditions::default());
     fleet.leave(9);
     fleet
-        .advance_until(S, SimulatedFleet::settled)
-        .expect("told, not detected");
-    fleet.advance_to(fleet.now + S);
+        .advance_until(SECOND, SimulatedFleet::converged)
+        .expect("the announcement reaches all members within a second");
+    fleet.advance_to(fleet.now + SECOND);
     for n in 0..9 {
         let view = fleet.view(n);
         assert_eq!(view.share_count, 9);
@@ -222,25 +241,25 @@
     let mut fleet = SimulatedFleet::new(60, 3, 1);
     fleet.set_members_max(10);
     fleet.start_all();
-    fleet.advance_to(20 * S);
+    fleet.advance_to(20 * SECOND);
     for n in 0..60 {
         let members = fleet.view(n).members.len();
         assert!(
             members <= 10 + 1,
-            "{members}: ten, and the sender of a datagram at the bound"
+            "{members} members are tracked; expected at most ten and the sender of a datagram"
         );
     }
     assert!(
         fleet.view(0).members.len() >= 10 && fleet.statistics(0).over_capacity > 0,
-        "the others are counted"
+        "members beyond the limit are counted"
     );
 }
 
 #[test]
 fn malformed_foreign_and_replayed_datagrams_are_counted_and_change_nothing() {
-    let mut fleet = settled(6, 1, NetworkConditions::default());
+    let mut fleet = converged_fleet(6, 1, NetworkConditions::default());
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let (before, seen) = (fleet.statistics(0), fleet.view(0).members.len());
+    let (before, members) = (fleet.statistics(0), fleet.view(0).members.len());
     let rounds = std::env::var("PIPITRUN_DATAGRAMS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -266,7 +285,7 @@
         let length = rng.random_range(0..1_500);
         let mut bytes: Vec<u8> = (0..length).map(|_| rng.random()).collect();
         if round % 2 == 0 {
-            // A whole frame with anything in it.
+            // A valid envelope with a random payload.
             bytes.truncate(membership::envelope::PAYLOAD_MAX);
             bytes = membership::envelope::seal(
                 fleets[round / 2 % 2],
@@ -286,37 +305,41 @@
             && after.malformed > before.malformed
     );
     fleet
-        .advance_until(20 * S, SimulatedFleet::settled)
-        .expect("all see each other as before");
-    assert_eq!(fleet.view(0).members.len(), seen, "nobody was made up");
+        .advance_until(20 * SECOND, SimulatedFleet::converged)
+        .expect("all views are still correct");
+    assert_eq!(
+        fleet.view(0).members.len(),
+        members,
+        "random datagrams add members"
+    );
 }
 
-/// Old datagrams come again, of lives that have ended and of suspicions long refuted: nobody
-/// believes them for good.
+/// Guards against old state taking effect again: datagrams about earlier generations and refuted
+/// suspicions are delivered a second time and must not change the views for good.
 #[test]
 fn replayed_datagrams_neither_revive_nor_kill_members() {
-    let mut fleet = settled(6, 1, LOSSY);
+    let mut fleet = converged_fleet(6, 1, LOSSY);
     fleet.kill(5);
-    fleet.advance_to(fleet.now + 10 * S);
+    fleet.advance_to(fleet.now + 10 * SECOND);
     fleet.start(5, 0);
     fleet.leave(4);
     fleet
-        .advance_until(20 * S, SimulatedFleet::settled)
-        .expect("a new life, and a leave");
-    let tape = fleet.tape();
-    assert!(tape.len() > 1_000);
+        .advance_until(20 * SECOND, SimulatedFleet::converged)
+        .expect("all views show the new generation and the departed member");
+    let recorded = fleet.recorded_datagrams();
+    assert!(recorded.len() > 1_000);
     fleet.network = NetworkConditions::default();
     for to in [0, 3, 5] {
-        for (from, datagram) in &tape {
+        for (from, datagram) in &recorded {
             fleet.inject(to, *from, datagram);
         }
         fleet.advance_to(fleet.now + 20 * MS);
     }
     fleet
-        .advance_until(20 * S, SimulatedFleet::settled)
-        .expect("as before");
-    fleet.advance_to(fleet.now + 5 * S);
-    assert!(fleet.settled());
+        .advance_until(20 * SECOND, SimulatedFleet::converged)
+        .expect("all views are correct after the replay");
+    fleet.advance_to(fleet.now + 5 * SECOND);
+    assert!(fleet.converged());
     assert!(
         fleet
             .view(0)
