--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -26,6 +26,7 @@
 /// Interval at which views are read between steps, to check the sum of shares.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
+/// State of a scenario run. Times are in seconds since the creation of the cluster.
 struct ScenarioRun<'a> {
     cluster: Cluster,
     invariants: InvariantChecker,
@@ -34,8 +35,9 @@
     converged_s: BTreeMap<String, f64>,
     requests: BTreeMap<String, usize>,
     interrupted: &'a AtomicBool,
-    /// Start of the timeline.
+    /// Start of the timeline of steps.
     timeline_start: Instant,
+    /// Counters of the fleet, one sample per second of the timeline.
     samples: Vec<ClusterSample>,
     /// Scheduled changes of the endpoint list: time, cache, and whether the cache is added (true)
     /// or removed.
@@ -108,10 +110,12 @@
             .map_err(|e| TestbedError::file(&file, e))
     }
 
+    /// Returns the time since the creation of the cluster, in seconds.
     fn now(&self) -> f64 {
         self.cluster.created.elapsed().as_secs_f64()
     }
 
+    /// Starts the members, executes the timeline, and checks the invariants.
     fn run(&mut self) -> Result<(), TestbedError> {
         let n = self.cluster.plan.instances;
         let all: Vec<usize> = (0..n).collect();
@@ -196,8 +200,8 @@
     }
 
     /// Evaluates the spans before, during and after the disturbance, if the scenario has one.
-    /// `begun` is the start of the timeline in the time of the requests.
-    fn evaluate_spans(&mut self, requests: &[ClientRequest], begun: f64) {
+    /// `timeline_offset` is the start of the timeline in the time of the requests.
+    fn evaluate_spans(&mut self, requests: &[ClientRequest], timeline_offset: f64) {
         let Some((from, to)) = self.scenario.disturbance else {
             return;
         };
@@ -207,7 +211,7 @@
         let observations = Observations {
             samples: &self.samples,
             requests,
-            begun,
+            begun: timeline_offset,
             capacity: self.scenario.cache.capacity() * caches as f64,
             caches,
         };
@@ -218,7 +222,7 @@
         ] {
             self.spans.insert(name.into(), observations.span(from, to));
         }
-        self.seconds = overload_metrics::seconds(&self.samples, requests, begun);
+        self.seconds = overload_metrics::seconds(&self.samples, requests, timeline_offset);
         self.recovered_s = overload_metrics::recovery(&self.seconds, before, to);
     }
 
@@ -251,7 +255,7 @@
         loop {
             let views = self.observe();
             // Taken after all views were read: the views may have been correct slightly earlier.
-            let took = since.elapsed();
+            let elapsed = since.elapsed();
             let problem = if self.cluster.plan.fleet_enabled {
                 self.invariants
                     .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
@@ -266,14 +270,14 @@
                     .map(|m| format!("{} is not ready", m.spec.name))
             };
             let Some(problem) = problem else {
-                self.converged_s.insert(name.into(), took.as_secs_f64());
+                self.converged_s.insert(name.into(), elapsed.as_secs_f64());
                 return self.record_action(format!("{name}: views converged"));
             };
-            if took >= timeout || self.interrupted.load(Ordering::Relaxed) {
+            if elapsed >= timeout || self.interrupted.load(Ordering::Relaxed) {
                 let at = self.now();
                 let message = format!(
                     "{name}: views have not converged after {:.0} s: {problem}",
-                    took.as_secs_f64()
+                    elapsed.as_secs_f64()
                 );
                 return self.invariants.fail(at, "settles", message);
             }
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -64,7 +64,7 @@
     pub class: &'static str,
     /// Index of the balancer it was sent to.
     pub balancer: usize,
-    /// Time at which it was sent, in seconds since the clients' reference time.
+    /// Time at which it was sent, in seconds since the reference time of the clients.
     pub at: f64,
     /// Time until the reply or until the client gave up, in seconds.
     pub latency_s: f64,
@@ -158,6 +158,7 @@
     threads: Vec<JoinHandle<()>>,
 }
 
+/// State of one client thread, which has at most one outstanding request.
 struct Client {
     balancers: Vec<SocketAddr>,
     /// Index of the balancer that the client normally uses.
@@ -169,14 +170,15 @@
     rng: Xoshiro256PlusPlus,
     /// Prefix of the client's request ids.
     id_prefix: String,
+    /// Number of requests sent.
     sent: u64,
-    /// Origin of the recorded times.
+    /// Time 0 of the recorded times.
     reference_time: Instant,
 }
 
 impl Clients {
     /// Starts `workers` clients that together send requests to these balancers at `rate`.
-    /// `reference_time` is the origin of the recorded times.
+    /// `reference_time` is time 0 of the recorded times.
     #[must_use]
     pub fn start(
         balancers: &[SocketAddr],
@@ -286,6 +288,7 @@
         next
     }
 
+    /// Returns the connection to the current balancer; opens one if there is none.
     fn connection(&mut self) -> io::Result<&mut (TcpStream, BufReader<TcpStream>)> {
         if self.stream.is_none() {
             let address = self.balancers[self.current];
@@ -309,8 +312,8 @@
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(request);
-            // A rejected request was not executed. A failed one may have been, so it is retried
-            // only if a second execution is harmless.
+            // A rejection implies that a retry is harmless. After a failure the request may have
+            // been executed, so only a request that may be executed twice is retried.
             let is_retryable = outcome == RequestOutcome::Refused
                 || outcome == RequestOutcome::Failed && template.class != "map-publish";
             if !is_retryable || retries >= self.options.retries {
@@ -338,8 +341,8 @@
     /// Generates the next request.
     fn next_template(&mut self) -> RequestTemplate {
         let mut sample = self.rng.random::<f64>();
-        let class = CLASSES.iter().find(|(_, share, ..)| {
-            sample -= share;
+        let class = CLASSES.iter().find(|(_, fraction, ..)| {
+            sample -= fraction;
             sample < 0.0
         });
         let (class, _, deadline_ms, is_write, is_keyed) = *class.unwrap_or(&CLASSES[0]);
--- a/crates/testbed/src/simulation.rs
+++ b/crates/testbed/src/simulation.rs
@@ -25,7 +25,7 @@
     FalseDeaths(u64),
     /// A member whose inbound datagrams were cut off declared another member dead.
     #[error("the member with inbound traffic cut off declared {0} dead")]
-    AccusedWhileIsolated(SocketAddr),
+    DeclaredDeadWhileIsolated(SocketAddr),
     /// A member suspected others after its own stall.
     #[error("the stalled member suspected {0} other members after its own stall")]
     SuspectedAfterStall(u64),
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -17,6 +17,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+/// Position of a member in the fleet, with a fixed address. It is empty while no member runs.
 struct MemberSlot {
     member: Option<Member>,
     /// Virtual time at which the current stall ends; in the past if the member is not stalled.
@@ -24,8 +25,11 @@
     /// Datagrams that arrived during a stall, at most [`MAX_INBOX_DATAGRAMS`]; later ones are
     /// dropped.
     inbox: Vec<(SocketAddr, Vec<u8>)>,
+    /// Counters returned while no member runs.
     statistics: MemberStatistics,
+    /// Maximum number of datagrams that the member sent at once.
     max_sent_per_turn: u64,
+    /// Number of false deaths that the member declared.
     false_deaths: u64,
     /// Index of the member's region; 0 in a fleet without regions.
     region: usize,
@@ -33,15 +37,20 @@
     cpu_time: Duration,
 }
 
+/// Event of the simulation.
 enum QueuedEvent {
+    /// Runs the timers of the member in this slot.
     RunMember(usize),
+    /// Delivers a datagram to this slot from this address.
     Deliver(usize, SocketAddr, Vec<u8>),
 }
 
-/// A fleet in virtual time.
+/// Fleet of members and the network between them, in virtual time.
 pub struct SimulatedFleet {
     slots: Vec<MemberSlot>,
+    /// Pending events by virtual time and insertion order.
     events: BTreeMap<(Nanos, u64), QueuedEvent>,
+    /// Sequence number of the last inserted event.
     event_sequence: u64,
     rng: Xoshiro256PlusPlus,
     /// Conditions for datagrams within a region, and for all datagrams while `between_regions` is
@@ -54,7 +63,9 @@
     /// Virtual time since the fleet was created.
     pub now: Nanos,
     timing: Timing,
+    /// Number of slots, from the first of each region on, that are join addresses of its members.
     join_count: usize,
+    /// Maximum number of members that each member tracks.
     members_max: usize,
     /// Number of tiers of the shared shedding level; `None` disables shared shedding.
     shedding_tiers: Option<usize>,
@@ -314,7 +325,7 @@
     /// Returns the number of times a member declared another member dead that was running, not
     /// stalled and connected to it in both directions.
     pub fn false_deaths(&self) -> u64 {
-        self.slots.iter().map(|p| p.false_deaths).sum()
+        self.slots.iter().map(|slot| slot.false_deaths).sum()
     }
 
     /// Returns the counters of the member in slot `n`; zeros if none runs there.
@@ -326,6 +337,7 @@
             .unwrap_or(self.slots[n].statistics)
     }
 
+    /// Inserts an event at a virtual time.
     fn push(&mut self, at: Nanos, event: QueuedEvent) {
         self.event_sequence += 1;
         self.events.insert((at, self.event_sequence), event);
@@ -361,6 +373,7 @@
         self.now = until;
     }
 
+    /// Delivers the datagrams that arrived during a stall, and runs the timers that are due.
     fn run_member(&mut self, n: usize) {
         let now = self.now;
         let slot = &mut self.slots[n];
@@ -392,6 +405,7 @@
         self.collect_output(n);
     }
 
+    /// Passes a datagram to a member, or queues it while the member is stalled.
     fn deliver(&mut self, n: usize, from: SocketAddr, datagram: Vec<u8>) {
         let now = self.now;
         let slot = &mut self.slots[n];
@@ -410,6 +424,7 @@
         self.collect_output(n);
     }
 
+    /// Sends the datagrams that a member produced, and counts false deaths among its events.
     fn collect_output(&mut self, n: usize) {
         let Some(member) = &mut self.slots[n].member else {
             return;
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -107,7 +107,7 @@
         let Some(member) = &self.slots[n].member else {
             return true;
         };
-        let (own, side) = (self.slots[n].region, side(n));
+        let (own_region, side) = (self.slots[n].region, side(n));
         let alive_by_region: HashMap<&str, usize> = member
             .region_rows()
             .filter(|(_, silent_since)| silent_since.is_none())
@@ -115,7 +115,7 @@
             .collect();
         let others = running
             .iter()
-            .filter(|((region, of_side), _)| *region != own && *of_side == side);
+            .filter(|((region, region_side), _)| *region != own_region && *region_side == side);
         let mut count = 0;
         let all = others
             .inspect(|_| count += 1)
--- a/crates/testbed/src/simulation/region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -32,6 +32,7 @@
     Ok(fleet)
 }
 
+/// Runs the fleet until all views are correct. `phase` names the wait in the failure.
 fn wait_for_convergence(fleet: &mut SimulatedFleet, phase: &str) -> Result<(), SimulationFailure> {
     let converged = fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged);
     converged
@@ -81,7 +82,7 @@
             }
         }
         fleet.set_partition(side, false);
-        wait_for_convergence(&mut fleet, "healed")?;
+        wait_for_convergence(&mut fleet, "end of the partition")?;
     }
     Ok(())
 }
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -17,10 +17,11 @@
 /// Exponent of the region sizes: region `n`, counted from 1, has `n` to this power times the
 /// members of region 1.
 const SIZE_EXPONENT: f64 = -0.6;
-/// Duration of a region's isolation after the measurement of its start.
-const ISOLATION: Nanos = 60 * SECOND;
+/// Time for which a region stays isolated after its isolation has been measured.
+const ISOLATION_TIME: Nanos = 60 * SECOND;
 /// Interval of convergence checks after an event.
 const CHECK_INTERVAL: Nanos = 100 * MS;
+/// Number of convergence checks per second, from [`CHECK_INTERVAL`].
 const CHECKS_PER_S: u64 = 10;
 /// Seconds after an event in which traffic and processor time are measured.
 const COST_SPAN_S: u64 = 10;
@@ -148,14 +149,21 @@
     t.map(|t| (t / MS) as f64 / 1e3)
 }
 
-/// Traffic and processor time of a span, per member.
+/// Sent traffic and processor time of members in a span.
 struct Cost {
+    /// Maximum of the bytes that one member sent in one second.
     bytes_worst: u64,
+    /// Bytes per second of the member that sent most.
     bytes_most: f64,
+    /// Bytes per second, on average.
     bytes: f64,
+    /// Datagrams per second, on average.
     datagrams: f64,
+    /// Bytes per second of delegates, on average.
     bytes_delegates: f64,
+    /// Percent of a core, on average.
     cpu: f64,
+    /// Percent of a core of the member that used most.
     cpu_worst: f64,
 }
 
@@ -211,15 +219,16 @@
     /// Records the bytes sent since the last call; called once per virtual second.
     fn record_second(&mut self, fleet: &SimulatedFleet) {
         let now = sent_bytes(fleet);
-        let most = now
+        let max = now
             .iter()
             .zip(&self.last_bytes)
             .map(|(now, last)| now.saturating_sub(*last))
             .max();
-        self.max_bytes_per_s = self.max_bytes_per_s.max(most.unwrap_or(0));
+        self.max_bytes_per_s = self.max_bytes_per_s.max(max.unwrap_or(0));
         self.last_bytes = now;
     }
 
+    /// Returns the cost since the creation of the meter.
     fn cost(&self, fleet: &SimulatedFleet) -> Cost {
         let span_s = (fleet.now - self.start) as f64 / SECOND as f64;
         let now = sent_bytes(fleet);
@@ -235,7 +244,7 @@
         };
         let all =
             |value: &dyn Fn(usize) -> f64| running.iter().map(|n| value(*n)).collect::<Vec<f64>>();
-        let cpus = all(&cpu);
+        let cpu_percents = all(&cpu);
         let delegates: Vec<f64> = running
             .iter()
             .filter(|n| is_delegate(fleet, **n))
@@ -249,8 +258,8 @@
                 / running.len().max(1) as f64
                 / span_s,
             bytes_delegates: mean(&delegates),
-            cpu: mean(&cpus),
-            cpu_worst: cpus.iter().copied().fold(0.0, f64::max),
+            cpu: mean(&cpu_percents),
+            cpu_worst: cpu_percents.iter().copied().fold(0.0, f64::max),
         }
     }
 }
@@ -431,7 +440,7 @@
             fleet.set_partition(side, true);
         },
     );
-    fleet.advance_to(fleet.now + ISOLATION);
+    fleet.advance_to(fleet.now + ISOLATION_TIME);
     let rejoin = measure_event(
         fleet,
         "it is heard again",
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -86,6 +86,7 @@
     pub datagrams_per_s: f64,
 }
 
+/// Sums of the model over all members and ticks. Attempts are admitted requests.
 #[derive(Default)]
 struct Totals {
     served_weight: f64,
@@ -162,10 +163,10 @@
         .running()
         .into_iter()
         .map(|n| shed_fraction(fleet.shedding_level(n), READ_TIER));
-    let (least, greatest) = fractions.fold((f64::MAX, 0f64), |(least, greatest), fraction| {
-        (least.min(fraction), greatest.max(fraction))
+    let (min, max) = fractions.fold((f64::MAX, 0f64), |(min, max), fraction| {
+        (min.min(fraction), max.max(fraction))
     });
-    (greatest - least).max(0.0)
+    (max - min).max(0.0)
 }
 
 /// Starts a fleet with shared shedding and waits until its views converge.
@@ -184,6 +185,7 @@
     totals: Totals,
     /// Seconds from the end of the overload until no member sheds.
     shedding_end_s: Option<f64>,
+    /// Datagrams sent per member and second during the overload.
     datagrams_per_s: f64,
 }
 
@@ -220,9 +222,9 @@
                 self.changes_applied = 2;
             }
             InjectedDisturbance::Silence => {
-                let silent = (5 * SECOND..8 * SECOND).contains(&elapsed);
+                let reports_lost = (5 * SECOND..8 * SECOND).contains(&elapsed);
                 let separate = self.coordination == Coordination::Separate;
-                fleet.network.level_report_loss = f64::from(silent || separate);
+                fleet.network.level_report_loss = f64::from(reports_lost || separate);
             }
             InjectedDisturbance::Restarts if self.changes_applied == 0 && elapsed >= 5 * SECOND => {
                 quarter.for_each(|n| fleet.kill(n));
@@ -248,6 +250,7 @@
     weights
 }
 
+/// Returns the number of datagrams sent by all running members since their start.
 fn datagrams_sent(fleet: &SimulatedFleet) -> u64 {
     let running = fleet.running();
     running.iter().map(|n| fleet.statistics(*n).sent).sum()
@@ -310,8 +313,8 @@
             &mut ignored,
         );
         let running = fleet.running();
-        let done = running.iter().all(|n| fleet.shedding_level(*n) == 0.0);
-        shedding_end_s = done.then(|| ((fleet.now - overload_end) / MS) as f64 / 1e3);
+        let none_shed = running.iter().all(|n| fleet.shedding_level(*n) == 0.0);
+        shedding_end_s = none_shed.then(|| ((fleet.now - overload_end) / MS) as f64 / 1e3);
     }
     OverloadRun {
         totals,
@@ -368,7 +371,7 @@
         }
         if measurement.spread > 0.1 {
             return Err(failure(
-                "the shed fractions of two members differ by more than 0.1",
+                "the shed fractions of two members differ by more than 0.1 on average",
             ));
         }
         if measurement.shedding_end_s.is_none() {
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -34,6 +34,7 @@
     ("regions-overview", regions::overview_propagation),
 ];
 
+/// Starts a fleet and waits until all views are correct.
 fn converged_fleet(n: usize, seed: u64) -> Result<SimulatedFleet, SimulationFailure> {
     let mut fleet = SimulatedFleet::new(n, 3, seed);
     fleet.start_all();
@@ -41,6 +42,8 @@
     Ok(fleet)
 }
 
+/// Runs the fleet until all views are correct; returns the virtual time that took. `phase` names
+/// the wait in the failure.
 fn wait_for_convergence(
     fleet: &mut SimulatedFleet,
     phase: &str,
@@ -60,7 +63,8 @@
     }
 }
 
-/// Checks that no member is declared dead within five minutes of 60% datagram loss and delay.
+/// Checks that no member is declared dead within five minutes in which 60% of the datagrams are
+/// lost and the others delayed.
 fn lossy(seed: u64) -> Result<(), SimulationFailure> {
     let mut fleet = converged_fleet(12, seed)?;
     fleet.network = NetworkConditions {
@@ -86,7 +90,9 @@
         .iter()
         .find(|seen| !seen.status.is_present())
     {
-        return Err(SimulationFailure::AccusedWhileIsolated(seen.id.address));
+        return Err(SimulationFailure::DeclaredDeadWhileIsolated(
+            seen.id.address,
+        ));
     }
     check_no_false_deaths(&fleet)?;
     (1..8).for_each(|n| fleet.set_link_cut(n, 0, false));
@@ -224,7 +230,7 @@
         fleet.advance_to(fleet.now + SECOND / 10);
         observe(&fleet);
     }
-    wait_for_convergence(&mut fleet, "healed")?;
+    wait_for_convergence(&mut fleet, "end of the partition")?;
     Ok(greatest)
 }
 
@@ -256,8 +262,9 @@
     pub memory_kb: Option<f64>,
     /// Suspicions of running members that a member started, per hour, while nothing changes.
     pub suspicions_per_h: f64,
-    /// False deaths before the partition. Later ones are not counted: the partition makes real
-    /// deaths, of which a member may learn only after it has ended.
+    /// False deaths before the partition. Later ones are not counted, because a member may receive
+    /// the record of a death only after the partition, although the death was declared correctly
+    /// during it.
     pub false_deaths: u64,
 }
 
@@ -277,8 +284,12 @@
             .running()
             .iter()
             .map(|n| fleet.statistics(*n))
-            .fold((0, 0, 0), |sum, t| {
-                (sum.0 + t.sent, sum.1 + t.sent_bytes, sum.2 + t.suspicions)
+            .fold((0, 0, 0), |sum, member| {
+                (
+                    sum.0 + member.sent,
+                    sum.1 + member.sent_bytes,
+                    sum.2 + member.suspicions,
+                )
             })
     };
     let before = sum(&fleet);
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -30,11 +30,11 @@
     if shed_together {
         keys.insert("shed_together".into(), true.into());
     }
-    let service = Duration::from_millis(40);
+
     let cache = CacheOptions {
         slots: 1,
         queue: 8,
-        service_time: service,
+        service_time: Duration::from_millis(40),
         fetch_time: Duration::ZERO,
         ..CacheOptions::default()
     };
@@ -77,9 +77,9 @@
 /// Returns whether all these members shed at levels that differ by less than 0.2.
 fn shed_alike(cluster: &Cluster, members: &[usize]) -> bool {
     levels(cluster, members).is_some_and(|levels| {
-        let (min, max) = levels
-            .iter()
-            .fold((f64::MAX, 0f64), |(min, max), l| (min.min(*l), max.max(*l)));
+        let (min, max) = levels.iter().fold((f64::MAX, 0f64), |(min, max), level| {
+            (min.min(*level), max.max(*level))
+        });
         min > 0.0 && max - min < 0.2
     })
 }
