--- a/crates/balancer/src/event_loop/admission.rs
+++ b/crates/balancer/src/event_loop/admission.rs
@@ -39,8 +39,8 @@
         if let Some(answer) = self.rejection(&incoming, event.is_some()) {
             // Not by `send_answer`, which would recurse for each command of a long pipeline.
             let mut events = Vec::new();
-            let connection = incoming.ticket.connection;
-            self.listener.answer(incoming.ticket, answer);
+            let connection = incoming.answer_token.connection;
+            self.listener.answer(incoming.answer_token, answer);
             self.listener
                 .flush(connection, now, &mut events, &mut self.counters);
             return events;
@@ -49,10 +49,10 @@
             class = incoming.class.as_str(),
             tenant = incoming.tenant.as_deref(),
             client_timeout_ms = incoming.client_timeout / MS;
-            "request {} admitted", incoming.ticket.request.0
+            "request {} admitted", incoming.answer_token.request.0
         );
         self.pending_events.extend(event);
-        self.attempt_tracker.add(incoming);
+        self.attempt_tracker.add_request(incoming);
         Vec::new()
     }
 
@@ -67,7 +67,10 @@
         if !is_class_known {
             self.counters.unknown_class += 1;
             Some(FinalAnswer::Invalid("unknown class"))
-        } else if self.attempt_tracker.is_open(&incoming.command.request_id) {
+        } else if self
+            .attempt_tracker
+            .is_request_id_in_use(&incoming.command.request_id)
+        {
             self.counters.duplicate_id += 1;
             Some(FinalAnswer::Invalid("a request with this id is open"))
         } else if self.is_at_limits() {
@@ -84,7 +87,7 @@
 
     /// Whether another request could end the process for its memory, and all open ones with it.
     fn is_at_limits(&self) -> bool {
-        self.attempt_tracker.buffered_bytes() + self.listener.buffered() > self.memory_limit
+        self.attempt_tracker.buffered_bytes() + self.listener.buffered_bytes() > self.memory_limit
             || self.attempt_tracker.open_requests() >= self.open_requests_max
     }
 
--- a/crates/balancer/src/event_loop/dispatch.rs
+++ b/crates/balancer/src/event_loop/dispatch.rs
@@ -2,7 +2,7 @@
 //! at that moment still allows it.
 
 use super::EventLoop;
-use crate::attempt_tracker::AttemptOrder;
+use crate::attempt_tracker::AttemptSpec;
 use crate::poll_timestamps::PollTimestamps;
 use crate::resp::write_command;
 use crate::timers::{MS, TimerKind};
@@ -27,8 +27,10 @@
 
 impl EventLoop {
     /// Starts an attempt, unless its request has no time left.
-    pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptOrder) {
-        let started = self.attempt_tracker.start(now, order, &mut self.counters);
+    pub(super) fn start_attempt(&mut self, now: Nanos, order: AttemptSpec) {
+        let started = self
+            .attempt_tracker
+            .start_attempt(now, order, &mut self.counters);
         match started {
             Ok(outbound) => {
                 if let UpstreamJob::Attempt(request, attempt) = outbound.job {
@@ -128,7 +130,7 @@
             Ok(command) => {
                 let mut events = Vec::new();
                 self.upstream_pool
-                    .begin(job, command, &mut events, &mut self.counters);
+                    .send_command(job, command, &mut events, &mut self.counters);
                 self.handle_upstream_events(now, events);
             }
             Err(not_sent) => {
@@ -147,7 +149,7 @@
             UpstreamJob::Attempt(request, attempt) => {
                 self.check_client_connection(now, request);
                 self.attempt_tracker
-                    .command(now, request, attempt, &mut self.counters)
+                    .encode_command(now, request, attempt, &mut self.counters)
             }
             // Where endpoints report their load, the health check asks for it.
             UpstreamJob::HealthCheck(_) if !self.engine.names().report_columns.is_empty() => {
--- a/crates/balancer/src/listener/admin.rs
+++ b/crates/balancer/src/listener/admin.rs
@@ -143,7 +143,7 @@
         let listener = TcpListener::bind(address)?;
         log::info!("management listens on {}", listener.local_addr()?);
         listener.set_nonblocking(true)?;
-        let listener = poll.watch(listener, EventSource::AdminListener, Interest::READABLE)?;
+        let listener = poll.register(listener, EventSource::AdminListener, Interest::READABLE)?;
         Ok(AdminListener {
             poll: poll.clone(),
             listener,
@@ -176,7 +176,7 @@
         let number = self.next_connection;
         let watched = stream.set_nonblocking(true).and_then(|()| {
             let source = EventSource::AdminConnection(number);
-            self.poll.watch(stream, source, Interest::READABLE)
+            self.poll.register(stream, source, Interest::READABLE)
         });
         match watched {
             Ok(stream) => {
@@ -199,7 +199,11 @@
 
     /// Reads and writes what a connection is ready for. Returns a request that waits for its
     /// response.
-    pub fn ready(&mut self, ready: Readiness, counters: &mut Counters) -> Option<AdminRequest> {
+    pub fn handle_ready(
+        &mut self,
+        ready: Readiness,
+        counters: &mut Counters,
+    ) -> Option<AdminRequest> {
         let EventSource::AdminConnection(number) = ready.source else {
             return None;
         };
--- a/crates/balancer/src/listener/resp/tests/back_pressure.rs
+++ b/crates/balancer/src/listener/resp/tests/back_pressure.rs
@@ -6,7 +6,7 @@
 use crate::listener::resp::input::READ_SIZE;
 use crate::listener::resp::{ListenerEvent, MemoryPressure, RespListener, StreamEnd};
 use crate::poll::{EventSource, Readiness};
-use crate::request::{FinalAnswer, Ticket};
+use crate::request::{AnswerToken, FinalAnswer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
@@ -14,7 +14,7 @@
 const LENGTH: usize = 64 << 20;
 
 /// A listener with two requests taken on one connection, and that connection.
-fn two_requests() -> (RespListener, TcpStream, Vec<Ticket>, Counters) {
+fn two_requests() -> (RespListener, TcpStream, Vec<AnswerToken>, Counters) {
     let (mut listener, connect) = start_listener(9);
     let (mut counters, mut events) = (Counters::default(), Vec::new());
     let mut client = connect();
@@ -22,19 +22,19 @@
     let command = read_request(9);
     client.write_all(&command.repeat(2)).unwrap();
     let ready = readable(0);
-    listener.ready(0, ready, &mut events, &mut counters);
-    let tickets = events.into_iter().map(|event| match event {
-        ListenerEvent::Request(incoming) => incoming.ticket,
+    listener.handle_ready(0, ready, &mut events, &mut counters);
+    let answer_tokens = events.into_iter().map(|event| match event {
+        ListenerEvent::Request(incoming) => incoming.answer_token,
         other => panic!("{other:?}"),
     });
-    let tickets = tickets.collect();
-    (listener, client, tickets, counters)
+    let answer_tokens = answer_tokens.collect();
+    (listener, client, answer_tokens, counters)
 }
 
 #[test]
 fn answers_stay_in_order_around_a_streamed_value() {
-    let (mut listener, mut client, mut tickets, mut counters) = two_requests();
-    let (second, first) = (tickets.pop().unwrap(), tickets.pop().unwrap());
+    let (mut listener, mut client, mut answer_tokens, mut counters) = two_requests();
+    let (second, first) = (answer_tokens.pop().unwrap(), answer_tokens.pop().unwrap());
     let (one, two) = (first.request, second.request);
     let mut events = Vec::new();
     // The second arrives while the first is in flight: what fits into the window waits.
@@ -71,8 +71,8 @@
 
 #[test]
 fn cache_is_paused_while_its_client_does_not_read() {
-    let (mut listener, mut client, mut tickets, mut counters) = two_requests();
-    let first = tickets.remove(0);
+    let (mut listener, mut client, mut answer_tokens, mut counters) = two_requests();
+    let first = answer_tokens.remove(0);
     let (request, mut events) = (first.request, Vec::new());
     listener.answer(first, FinalAnswer::Streaming(LENGTH));
     let mut sent = 0;
@@ -83,7 +83,7 @@
         assert!(sent < LENGTH, "the sockets' buffers are smaller");
     }
     assert!(
-        listener.buffered() <= STREAM_WINDOW + READ_SIZE,
+        listener.buffered_bytes() <= STREAM_WINDOW + READ_SIZE,
         "what one long value holds"
     );
     client.set_nonblocking(true).unwrap();
@@ -94,10 +94,10 @@
     };
     while events.is_empty() {
         while matches!(client.read(&mut [0; READ_SIZE]), Ok(n) if n > 0) {}
-        listener.ready(2, ready, &mut events, &mut counters);
+        listener.handle_ready(2, ready, &mut events, &mut counters);
     }
     assert!(matches!(events[..], [ListenerEvent::CapacityAvailable(r)] if r == request));
-    assert_eq!(listener.buffered(), 0);
+    assert_eq!(listener.buffered_bytes(), 0);
     // The cache breaks off: the client must be able to tell, and the request behind has nobody to
     // wait for.
     events.clear();
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -436,7 +436,7 @@
         for event in events {
             if let MembershipEvent::StatusChanged {
                 id,
-                is: MemberStatus::Dead,
+                current: MemberStatus::Dead,
                 ..
             } = event
                 && let Some(&other) = self.slot_by_address.get(&id.address)
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -109,7 +109,7 @@
         };
         let (own_region, side) = (self.slots[n].region, side(n));
         let alive_by_region: HashMap<&str, usize> = member
-            .region_rows()
+            .other_regions()
             .filter(|(_, silent_since)| silent_since.is_none())
             .map(|(row, _)| (row.region.as_str(), row.alive as usize))
             .collect();
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -44,7 +44,7 @@
     let name = region_name(region);
     fleet
         .member(n)?
-        .region_rows()
+        .other_regions()
         .find(|(row, _)| row.region == name)
         .map(|(row, _)| row.alive)
 }
@@ -164,9 +164,9 @@
                     .view(30)
                     .regions
                     .iter()
-                    .find(|seen| seen.overview.region == region_name(0))
+                    .find(|seen| seen.status.region == region_name(0))
                     .cloned();
-                let row = row.expect("region 0 is announced").overview;
+                let row = row.expect("region 0 is announced").status;
                 summaries.insert((row.alive, row.places, row.authors));
             }
         }
@@ -329,7 +329,7 @@
 }
 
 /// Returns announcements whose values, version or region name are out of bounds.
-fn unsound_announcements(valid: &Announcement) -> [Announcement; 5] {
+fn invalid_announcements(valid: &Announcement) -> [Announcement; 5] {
     let year_ms = 31_536_000_000;
     let mut far_future = valid.clone();
     far_future.version += year_ms;
@@ -345,16 +345,16 @@
 }
 
 #[test]
-fn unsound_announcements_are_dropped_and_counted() {
+fn invalid_announcements_are_dropped_and_counted() {
     let mut fleet = converged_regions(&[12, 6], 7);
     fleet.advance_to(fleet.now + 20 * SECOND);
     let delegate = delegates(&fleet, 0)[0];
-    let overview = fleet.view(delegate).regions[0].overview.clone();
-    let author = overview.delegates[0];
+    let status = fleet.view(delegate).regions[0].status.clone();
+    let author = status.delegates[0];
     let valid = Announcement {
         region: region_name(1),
         author,
-        version: overview.version,
+        version: status.version,
         payload: AnnouncementPayload::Summary(summary(6, 6)),
     };
     let dropped = |fleet: &SimulatedFleet| {
@@ -362,8 +362,8 @@
         member.regions_dropped().0
     };
     let before = dropped(&fleet);
-    let unsound = unsound_announcements(&valid);
-    for announcement in &unsound {
+    let invalid = invalid_announcements(&valid);
+    for announcement in &invalid {
         fleet.inject(
             delegate,
             author,
@@ -371,7 +371,7 @@
         );
     }
     let old = Announcement {
-        version: overview.version - 1,
+        version: status.version - 1,
         payload: AnnouncementPayload::Summary(summary(1, 1)),
         ..valid.clone()
     };
@@ -385,10 +385,10 @@
     let after = dropped(&fleet);
     assert_eq!(
         (
-            after.unsound - before.unsound,
+            after.invalid - before.invalid,
             after.outdated - before.outdated
         ),
-        (unsound.len() as u64, 1)
+        (invalid.len() as u64, 1)
     );
     assert_eq!(
         fleet.statistics(delegate).foreign,
