--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -181,14 +181,14 @@
             });
         }
         let program = process::find_program(plan.program.as_deref())?;
-        let network =
-            LoopbackNetwork::reserve().map_err(|e| TestbedError::io("a loopback network", e))?;
+        let network = LoopbackNetwork::reserve()
+            .map_err(|e| TestbedError::io("reserving a loopback network", e))?;
         let folder = make_folder(&network)?;
         let n = plan.instances;
         let advertised: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_947)).collect();
         let bound: Vec<SocketAddr> = (0..n).map(|i| network.member(i, 7_946)).collect();
         let datagram_proxy = DatagramProxy::start(&advertised, &bound, plan.seed)
-            .map_err(|e| TestbedError::io("datagram proxy", e))?;
+            .map_err(|e| TestbedError::io("starting the datagram proxy", e))?;
         let origin = plan.origin.map(Origin::new);
         let endpoint_list = EndpointList::default();
         let caches = start_caches(&plan, &network, &endpoint_list, origin.as_ref())?;
@@ -324,7 +324,7 @@
             self.plan.cold_cache,
             self.origin.clone(),
         );
-        self.caches[n] = Some(cache.map_err(|e| TestbedError::io("cache", e))?);
+        self.caches[n] = Some(cache.map_err(|e| TestbedError::io("starting a cache", e))?);
         Ok(())
     }
 
--- a/crates/testbed/src/cluster/setup.rs
+++ b/crates/testbed/src/cluster/setup.rs
@@ -41,7 +41,9 @@
             plan.cache,
             origin.cloned(),
         );
-        caches.push(Some(cache.map_err(|e| TestbedError::io("cache", e))?));
+        caches.push(Some(
+            cache.map_err(|e| TestbedError::io("starting a cache", e))?,
+        ));
         list.insert(
             &cache_name(n),
             ListedHost {
@@ -74,7 +76,7 @@
         .map(|cache| {
             let listen = proxy_address(network, member, cache);
             StreamProxy::start(listen, network.cache(cache), seed + cache as u64)
-                .map_err(|e| TestbedError::io("stream proxy", e))
+                .map_err(|e| TestbedError::io("starting a stream proxy", e))
         })
         .collect()
 }
@@ -92,7 +94,7 @@
         .collect();
     let dial = move |name: &str| addresses.get(name).copied();
     Discovery::start(network.member(member, DISCOVERY_PORT), list.clone(), dial)
-        .map_err(|e| TestbedError::io("discovery", e))
+        .map_err(|e| TestbedError::io("starting a discovery server", e))
 }
 
 /// Returns a member's `fleet` setting, if the plan enables it.
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -21,6 +21,7 @@
 /// Additional delay of a reordered datagram.
 const REORDER_DELAY: Duration = Duration::from_millis(20);
 
+/// Datagram that is held until it is due.
 struct DelayedDatagram {
     /// Time at which it is forwarded.
     due: Instant,
@@ -52,12 +53,14 @@
     }
 }
 
+/// Delayed datagrams, ordered by the time at which they are due.
 #[derive(Default)]
 struct DelayQueue {
     datagrams: BinaryHeap<DelayedDatagram>,
-    next_sequence: u64,
+    last_sequence: u64,
 }
 
+/// State shared by the threads of the proxy. Vectors are indexed by member.
 struct ProxyState {
     /// Proxy socket of each member.
     sockets: Vec<UdpSocket>,
@@ -114,8 +117,8 @@
             let rng = Xoshiro256PlusPlus::seed_from_u64(seed.wrapping_add(to as u64));
             threads.push(std::thread::spawn(move || shared.receive(to, rng)));
         }
-        let later = Arc::clone(&shared);
-        threads.push(std::thread::spawn(move || later.send_delayed()));
+        let sender = Arc::clone(&shared);
+        threads.push(std::thread::spawn(move || sender.send_delayed()));
         Ok(DatagramProxy { shared, threads })
     }
 
@@ -168,17 +171,19 @@
         }
     }
 
+    /// Sends a datagram to a member from the proxy socket of its sender.
     fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         self.forwarded.fetch_add(1, Ordering::Relaxed);
         // A datagram to a member that does not run is lost, as on a real network.
         let _ = self.sockets[from].send_to(bytes, self.bound[to]);
     }
 
+    /// Queues a datagram until it is due; drops it if the queue is full.
     fn schedule(&self, due: Instant, from: usize, to: usize, bytes: &[u8]) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         if queue.datagrams.len() < MAX_DELAYED {
-            queue.next_sequence += 1;
-            let sequence = queue.next_sequence;
+            queue.last_sequence += 1;
+            let sequence = queue.last_sequence;
             queue.datagrams.push(DelayedDatagram {
                 due,
                 sequence,
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -28,7 +28,8 @@
             Err(TestbedError::ProgramNotAFile(path.into()))
         };
     }
-    let own = std::env::current_exe().map_err(|e| TestbedError::io("this program", e))?;
+    let own = std::env::current_exe()
+        .map_err(|e| TestbedError::io("finding the path of this executable", e))?;
     // Test executables are in a subfolder of the build folder.
     let found = own
         .ancestors()
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -72,6 +72,7 @@
     pub misses: u64,
 }
 
+/// Counts and contents of a cache.
 #[derive(Default)]
 struct CacheState {
     attempts: u64,
@@ -79,7 +80,9 @@
     connections: u64,
     hits: u64,
     misses: u64,
+    /// Requests that hold a slot.
     in_service: usize,
+    /// Requests queued for a slot.
     waiting: usize,
     rejected: u64,
     cached_keys: HashSet<Vec<u8>>,
@@ -90,12 +93,14 @@
     executed: HashMap<String, ExecutedRequest>,
 }
 
+/// State shared by the connections of a cache.
 struct SharedCache {
     name: String,
     options: CacheOptions,
     origin: Option<Origin>,
     started: Instant,
     state: Mutex<CacheState>,
+    /// Signalled when a slot becomes free.
     slot_freed: Condvar,
 }
 
@@ -202,6 +207,7 @@
     }
 }
 
+/// Reads and executes the commands of a connection until it fails or closes.
 fn serve(shared: &SharedCache, stream: TcpStream) -> io::Result<()> {
     let mut input = BufReader::new(stream.try_clone()?);
     let mut output = stream;
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -99,6 +99,7 @@
     }
 }
 
+/// Answers one request with the list, and with each newer version if the request asks for a watch.
 fn serve(
     mut stream: TcpStream,
     list: &EndpointList,
--- a/crates/testbed/src/simulated_services/origin.rs
+++ b/crates/testbed/src/simulated_services/origin.rs
@@ -15,10 +15,14 @@
     pub timeout: Duration,
 }
 
+/// Counters and speed of an origin, shared by its clones.
 #[derive(Default)]
 struct OriginState {
+    /// Fetches and writes that hold a slot.
     in_service: usize,
+    /// Fetches and writes that got a slot so far.
     fetches: u64,
+    /// Fetches and writes that timed out in the queue.
     failed: u64,
     /// Factor applied to the processing time; values below 1 count as 1.
     slowdown: f64,
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_stalled_member_suspects_nobody_and_rejoins() {
+fn a_stalled_member_suspects_no_member_and_rejoins() {
     assert!(run_trial("stall").converged_s.contains_key("back"));
 }
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn one_way_link_failures_declare_nobody_dead() {
+fn one_way_link_failures_cause_no_false_deaths() {
     assert_eq!(run_trial("one-way").false_deaths, 0);
 }
 
@@ -296,10 +296,10 @@
     let id = interrupted.id();
     let children =
         || std::fs::read_to_string(format!("/proc/{id}/task/{id}/children")).unwrap_or_default();
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     while children().split_whitespace().count() < 2 {
         assert!(
-            begun.elapsed() < CONDITION_TIMEOUT,
+            start.elapsed() < CONDITION_TIMEOUT,
             "the two member processes do not start"
         );
         std::thread::sleep(Duration::from_millis(10));
@@ -358,10 +358,10 @@
             .map(str::to_string)
             .collect::<Vec<_>>()
     };
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     while children().len() < 3 {
         assert!(
-            begun.elapsed() < CONDITION_TIMEOUT,
+            start.elapsed() < CONDITION_TIMEOUT,
             "the three balancer processes do not start"
         );
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -97,7 +97,7 @@
         let mut fleet = converged_fleet(12, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 5);
         fleet.set_partition(side, true);
-        let sum = |fleet: &SimulatedFleet| -> f64 {
+        let share_sum = |fleet: &SimulatedFleet| -> f64 {
             fleet
                 .running()
                 .iter()
@@ -110,9 +110,9 @@
         for _ in 0..40 {
             fleet.advance_to(fleet.now + SECOND);
             assert!(
-                sum(&fleet) <= 1.5,
+                share_sum(&fleet) <= 1.5,
                 "seed {seed}: the shares sum to {}",
-                sum(&fleet)
+                share_sum(&fleet)
             );
         }
         fleet.set_partition(side, false);
@@ -123,7 +123,7 @@
             healed <= 3 * SECOND,
             "seed {seed}: converged after {healed} ns"
         );
-        assert!((sum(&fleet) - 1.0).abs() < 1e-9);
+        assert!((share_sum(&fleet) - 1.0).abs() < 1e-9);
     }
 }
 
@@ -131,7 +131,7 @@
 /// record of another member from the other side before that member has rejoined under a new
 /// generation.
 #[test]
-fn stale_records_of_a_partition_kill_nobody_when_it_heals() {
+fn stale_records_of_a_partition_cause_no_false_deaths_when_it_heals() {
     for seed in 0..2 {
         let mut fleet = converged_fleet(40, seed, NetworkConditions::default());
         let side = |n: usize| usize::from(n >= 19);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_member_with_inbound_traffic_cut_off_suspects_no_member_and_rejoins() {
+fn a_member_with_inbound_traffic_cut_off_declares_no_member_dead_and_rejoins() {
     let mut fleet = converged_fleet(8, 3, NetworkConditions::default());
     // Member 0 sends to all members but receives nothing.
     (1..8).for_each(|n| fleet.set_link_cut(n, 0, true));
@@ -159,9 +159,9 @@
     assert!(fleet.view(0).isolated);
     assert!(
         fleet.view(0).members.iter().all(|m| m.status.is_present()),
-        "the isolated member attributes the silence to the others"
+        "the isolated member declares another one dead"
     );
-    assert_eq!(fleet.false_deaths(), 0, "another member is declared dead");
+    assert_eq!(fleet.false_deaths(), 0, "a member is falsely declared dead");
     (1..8).for_each(|n| fleet.set_link_cut(n, 0, false));
     fleet
         .advance_until(10 * SECOND, SimulatedFleet::converged)
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_stalled_member_is_suspected_and_suspects_nobody() {
+fn a_stalled_member_is_suspected_and_suspects_no_member() {
     for seed in 0..5 {
         let mut fleet = converged_fleet(12, seed, NetworkConditions::default());
         fleet.stall(4, 10 * SECOND);
@@ -251,7 +251,7 @@
     }
     assert!(
         fleet.view(0).members.len() >= 10 && fleet.statistics(0).over_capacity > 0,
-        "members beyond the limit are counted"
+        "fewer than ten members are tracked, or the members beyond the limit are not counted"
     );
 }
 
