--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -28,16 +28,16 @@
             Err(TestbedError::ProgramNotAFile(path.into()))
         };
     }
-    let own = std::env::current_exe()
+    let executable = std::env::current_exe()
         .map_err(|e| TestbedError::io("finding the path of this executable", e))?;
     // Test executables are in a subfolder of the build folder.
-    let found = own
+    let program = executable
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join(PROGRAM))
         .find(|path| path.is_file());
-    found.ok_or(TestbedError::ProgramNotFound(own))
+    program.ok_or(TestbedError::ProgramNotFound(executable))
 }
 
 /// Returns the command that starts a balancer with this configuration file. The caller must
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -344,15 +344,15 @@
             .parse::<usize>()
             .map_err(|_| MemberSetError { text: text.into() })
     };
-    let mut found = Vec::new();
+    let mut members = Vec::new();
     for part in text.split(',') {
         let (from, to) = match part.split_once('-') {
             Some((from, to)) => (number(from)?, number(to)?),
             None => (number(part)?, number(part)?),
         };
-        found.extend((from..=to.min(n.saturating_sub(1))).filter(|m| *m < n));
+        members.extend((from..=to.min(n.saturating_sub(1))).filter(|m| *m < n));
     }
-    Ok(found)
+    Ok(members)
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -118,8 +118,9 @@
     /// Starts the members, executes the timeline, and checks the invariants.
     fn run(&mut self) -> Result<(), TestbedError> {
         let n = self.cluster.plan.instances;
-        let all: Vec<usize> = (0..n).collect();
-        self.cluster.set_links(&all, &all, self.scenario.links);
+        let all_members: Vec<usize> = (0..n).collect();
+        self.cluster
+            .set_links(&all_members, &all_members, self.scenario.links);
         (0..n).for_each(|i| self.invariants.set_away(0.0, i, true));
         // Members of different fleets must not see each other, as if their links were cut.
         let fleets = self.cluster.plan.fleets;
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -92,8 +92,8 @@
 /// Returns the deadline of a request class, in seconds; 0 for an unknown class.
 #[must_use]
 pub fn class_deadline_s(class: &str) -> f64 {
-    let found = CLASSES.iter().find(|(name, ..)| *name == class);
-    found.map_or(0.0, |(_, _, ms, ..)| *ms as f64 / 1e3)
+    let entry = CLASSES.iter().find(|(name, ..)| *name == class);
+    entry.map_or(0.0, |(_, _, ms, ..)| *ms as f64 / 1e3)
 }
 
 /// Behaviour of clients.
@@ -193,14 +193,15 @@
             Arc::new(Mutex::new(Vec::new())),
         );
         // The fraction of workers assigned to the first balancer gives it its multiple of the mean.
-        let others = balancers.len() as f64 - 1.0;
-        let first = options.first_balancer_multiple / (options.first_balancer_multiple + others);
+        let other_balancers = balancers.len() as f64 - 1.0;
+        let first_fraction =
+            options.first_balancer_multiple / (options.first_balancer_multiple + other_balancers);
         let threads = (0..workers)
             .map(|worker| {
                 let (is_stopping, requests) = (Arc::clone(&is_stopping), Arc::clone(&requests));
                 let rate = rate.clone();
                 let home = match (worker as f64 + 0.5) / workers as f64 {
-                    position if position < first || balancers.len() == 1 => 0,
+                    position if position < first_fraction || balancers.len() == 1 => 0,
                     _ => 1 + worker % (balancers.len() - 1),
                 };
                 let client = Client {
--- a/crates/testbed/src/simulated_services/resp.rs
+++ b/crates/testbed/src/simulated_services/resp.rs
@@ -49,12 +49,18 @@
 ///
 /// Fails if the connection fails or the input violates the protocol.
 pub fn read_command(input: &mut impl BufRead) -> io::Result<Vec<Vec<u8>>> {
-    let head = read_line(input)?;
-    let count = parse_length(head.strip_prefix('*').unwrap_or_default(), ARRAY_LENGTH_MAX)?;
+    let header = read_line(input)?;
+    let count = parse_length(
+        header.strip_prefix('*').unwrap_or_default(),
+        ARRAY_LENGTH_MAX,
+    )?;
     (0..count)
         .map(|_| {
-            let head = read_line(input)?;
-            let length = parse_length(head.strip_prefix('$').unwrap_or_default(), BULK_LENGTH_MAX)?;
+            let header = read_line(input)?;
+            let length = parse_length(
+                header.strip_prefix('$').unwrap_or_default(),
+                BULK_LENGTH_MAX,
+            )?;
             read_bulk(input, length)
         })
         .collect()
@@ -78,8 +84,8 @@
 ///
 /// Fails if the connection fails or the input violates the protocol.
 pub fn read_reply(input: &mut impl BufRead) -> io::Result<RespReply> {
-    let head = read_line(input)?;
-    let (kind, rest) = head.split_at_checked(1).unwrap_or(("", ""));
+    let header = read_line(input)?;
+    let (kind, rest) = header.split_at_checked(1).unwrap_or(("", ""));
     match kind {
         "+" | ":" => Ok(RespReply::Simple(rest.into())),
         "-" => Ok(RespReply::Error(rest.into())),
@@ -97,7 +103,7 @@
             ))
         }
         _ => Err(io::Error::other(format!(
-            "\"{head}\" is not the first line of a RESP2 reply"
+            "\"{header}\" is not the first line of a RESP2 reply"
         ))),
     }
 }
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -225,9 +225,9 @@
         self.slots.is_empty()
     }
 
-    /// Starts a member in slot `n`. Its clock differs from the other members' clocks by `clock_ms`
-    /// milliseconds.
-    pub fn start(&mut self, n: usize, clock_ms: i64) {
+    /// Starts a member in slot `n`. Its clock differs from the other members' clocks by
+    /// `clock_offset_ms` milliseconds.
+    pub fn start(&mut self, n: usize, clock_offset_ms: i64) {
         let region = self.slots[n].region;
         let location = match self.has_regions {
             true => Location {
@@ -236,12 +236,13 @@
             },
             false => Location::default(),
         };
-        let first = self
+        let first_in_region = self
             .slots
             .iter()
             .position(|slot| slot.region == region)
             .unwrap_or(0);
-        let regional = (first..self.slots.len()).filter(|n| self.slots[*n].region == region);
+        let regional =
+            (first_in_region..self.slots.len()).filter(|n| self.slots[*n].region == region);
         let mut join: Vec<SocketAddr> = regional.take(self.join_count).map(address).collect();
         join.extend(self.extra_join_slots.iter().map(|n| address(*n)));
         if self.has_regions && self.join_count > 0 {
@@ -267,7 +268,7 @@
             places: 1,
             extension: Vec::new(),
         };
-        let unix_ms = (START_UNIX_MS + self.now / MS).saturating_add_signed(clock_ms);
+        let unix_ms = (START_UNIX_MS + self.now / MS).saturating_add_signed(clock_offset_ms);
         let mut member = Member::new(settings, metadata, unix_ms, self.rng.random(), self.now);
         if let Some(tiers) = self.shedding_tiers {
             member.enable_shared_shedding(tiers);
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -113,16 +113,17 @@
             .filter(|(_, silent_since)| silent_since.is_none())
             .map(|(row, _)| (row.region.as_str(), row.alive as usize))
             .collect();
-        let others = running
+        let expected_rows = running
             .iter()
             .filter(|((region, region_side), _)| *region != own_region && *region_side == side);
         let mut count = 0;
-        let all = others
-            .inspect(|_| count += 1)
-            .all(|((region, _), running)| {
-                alive_by_region.get(region_name(*region).as_str()) == Some(running)
-            });
-        !self.has_regions || all && alive_by_region.len() == count
+        let all_match =
+            expected_rows
+                .inspect(|_| count += 1)
+                .all(|((region, _), running_count)| {
+                    alive_by_region.get(region_name(*region).as_str()) == Some(running_count)
+                });
+        !self.has_regions || all_match && alive_by_region.len() == count
     }
 
     /// Counts the pairs of members in which one has a wrong view of the other, by the kind of
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -242,9 +242,9 @@
                 / span_s
                 * 100.0
         };
-        let all =
+        let per_member =
             |value: &dyn Fn(usize) -> f64| running.iter().map(|n| value(*n)).collect::<Vec<f64>>();
-        let cpu_percents = all(&cpu);
+        let cpu_percents = per_member(&cpu);
         let delegates: Vec<f64> = running
             .iter()
             .filter(|n| is_delegate(fleet, **n))
@@ -252,8 +252,8 @@
             .collect();
         Cost {
             bytes_worst: self.max_bytes_per_s,
-            bytes_most: all(&bytes).into_iter().fold(0.0, f64::max),
-            bytes: mean(&all(&bytes)),
+            bytes_most: per_member(&bytes).into_iter().fold(0.0, f64::max),
+            bytes: mean(&per_member(&bytes)),
             datagrams: (sent_datagrams(fleet) - self.initial_datagrams) as f64
                 / running.len().max(1) as f64
                 / span_s,
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -210,15 +210,15 @@
     /// Applies the changes that are due `elapsed` after the start of the overload.
     fn advance(&mut self, fleet: &mut SimulatedFleet, elapsed: Nanos) {
         let members = fleet.len();
-        let half = |n: usize| usize::from(n >= members / 2);
+        let side = |n: usize| usize::from(n >= members / 2);
         let quarter = members - members.div_ceil(4)..members;
         match self.disturbance {
             InjectedDisturbance::Split if self.changes_applied == 0 && elapsed >= 5 * SECOND => {
-                fleet.set_partition(half, true);
+                fleet.set_partition(side, true);
                 self.changes_applied = 1;
             }
             InjectedDisturbance::Split if self.changes_applied == 1 && elapsed >= 10 * SECOND => {
-                fleet.set_partition(half, false);
+                fleet.set_partition(side, false);
                 self.changes_applied = 2;
             }
             InjectedDisturbance::Silence => {
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -299,17 +299,17 @@
         .zip(process::own_resident_kb())
         .map(|(from, to)| (to as f64 - from as f64) / members as f64);
     let per_s = |before: u64, after: u64| (after - before) as f64 / members as f64 / calm_s as f64;
-    let tenth = members - members.div_ceil(10)..members;
-    tenth.clone().for_each(|n| fleet.kill(n));
+    let affected = members - members.div_ceil(10)..members;
+    affected.clone().for_each(|n| fleet.kill(n));
     let death_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
-    tenth.for_each(|n| fleet.start(n, 0));
+    affected.for_each(|n| fleet.start(n, 0));
     let back_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
     let false_deaths = fleet.false_deaths();
     fleet.advance_to(fleet.now + 2 * SECOND);
-    let half = move |n: usize| usize::from(n >= members / 2);
-    fleet.set_partition(half, true);
+    let side = move |n: usize| usize::from(n >= members / 2);
+    fleet.set_partition(side, true);
     fleet.advance_to(fleet.now + 10 * SECOND);
-    fleet.set_partition(half, false);
+    fleet.set_partition(side, false);
     let healed_s = seconds(fleet.advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged));
     DetectionMeasurement {
         members,
@@ -350,10 +350,10 @@
         fleet.start_all();
         self.trace_phase(&mut fleet, "join", &mut report);
         fleet.advance_to(fleet.now + 8 * SECOND);
-        let tenth = self.members - self.members.div_ceil(10)..self.members;
-        tenth.clone().for_each(|n| fleet.kill(n));
+        let affected = self.members - self.members.div_ceil(10)..self.members;
+        affected.clone().for_each(|n| fleet.kill(n));
         self.trace_phase(&mut fleet, "death", &mut report);
-        tenth.for_each(|n| fleet.start(n, 0));
+        affected.for_each(|n| fleet.start(n, 0));
         self.trace_phase(&mut fleet, "back", &mut report);
     }
 
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -26,12 +26,12 @@
 }
 
 fn delegates(fleet: &SimulatedFleet, region: usize) -> Vec<usize> {
-    let first = fleet
+    let member = fleet
         .slots_in_region(region)
         .into_iter()
         .find_map(|n| fleet.member(n))
         .expect("a member of the region runs");
-    let addresses: BTreeSet<SocketAddr> = first.delegates().iter().copied().collect();
+    let addresses: BTreeSet<SocketAddr> = member.delegates().iter().copied().collect();
     fleet
         .running()
         .into_iter()
@@ -143,7 +143,7 @@
     for seed in 0..3 {
         let mut fleet = converged_regions(&[24, 12, 12], seed);
         fleet.advance_to(fleet.now + 20 * SECOND);
-        let half = |n: usize| usize::from((12..24).contains(&n));
+        let side = |n: usize| usize::from((12..24).contains(&n));
         // The halves of region 0 can't reach each other; both reach the other regions.
         let set_cut = |fleet: &mut SimulatedFleet, is_cut: bool| {
             for a in 0..12 {
@@ -184,7 +184,7 @@
             2,
             "the halves do not have separate delegates"
         );
-        assert_eq!(half(12), 1);
+        assert_eq!(side(12), 1);
         set_cut(&mut fleet, false);
         fleet
             .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
