--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -249,7 +249,7 @@
     }
 
     /// It goes on.
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         self.signal(Signal::SIGCONT);
         self.intended = IntendedState::Up;
     }
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -49,7 +49,7 @@
         match step.act {
             ScenarioAction::Kill => self.apply(from, true, MemberProcess::kill),
             ScenarioAction::Stop => self.apply(from, true, MemberProcess::stop),
-            ScenarioAction::GoOn => self.apply(from, false, MemberProcess::go_on),
+            ScenarioAction::GoOn => self.apply(from, false, MemberProcess::resume),
             ScenarioAction::Term => self.apply(from, true, MemberProcess::term),
             ScenarioAction::Start => {
                 for i in from {
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -185,7 +185,7 @@
     cluster
         .wait(CONDITION_TIMEOUT, known)
         .expect("both are given up");
-    cluster.members[2].go_on();
+    cluster.members[2].resume();
     cluster.members[3].start().unwrap();
     cluster
         .wait(CONDITION_TIMEOUT, |g| shed_alike(g, &[0, 1, 2, 3]))
