--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -255,7 +255,7 @@
     }
 
     /// It is asked to end.
-    pub fn term(&mut self) {
+    pub fn request_shutdown(&mut self) {
         self.signal(Signal::SIGTERM);
         self.intended = IntendedState::Left;
     }
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -50,7 +50,7 @@
             ScenarioAction::Kill => self.apply(from, true, MemberProcess::kill),
             ScenarioAction::Stop => self.apply(from, true, MemberProcess::stop),
             ScenarioAction::GoOn => self.apply(from, false, MemberProcess::resume),
-            ScenarioAction::Term => self.apply(from, true, MemberProcess::term),
+            ScenarioAction::Term => self.apply(from, true, MemberProcess::request_shutdown),
             ScenarioAction::Start => {
                 for i in from {
                     self.cluster.members[*i].start()?;
@@ -147,7 +147,7 @@
     fn restart_gracefully(&mut self, i: usize) -> Result<(), TestbedError> {
         let at = self.now();
         self.invariants.set_away(at, i, true);
-        self.cluster.members[i].term();
+        self.cluster.members[i].request_shutdown();
         let ended = self.cluster.members[i].ended(SHUTDOWN_TIMEOUT);
         if !ended.is_some_and(|status| status.success()) {
             self.invariants
