--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -261,13 +261,13 @@
     }
 
     /// How it ended, if it has; it is waited for that long.
-    pub fn ended(&mut self, most: Duration) -> Option<ExitStatus> {
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let begun = Instant::now();
         let child = self.child.as_mut()?;
         loop {
             match child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                _ if begun.elapsed() >= most => return None,
+                _ if begun.elapsed() >= timeout => return None,
                 _ => std::thread::sleep(Duration::from_millis(5)),
             }
         }
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -148,7 +148,7 @@
         let at = self.now();
         self.invariants.set_away(at, i, true);
         self.cluster.members[i].request_shutdown();
-        let ended = self.cluster.members[i].ended(SHUTDOWN_TIMEOUT);
+        let ended = self.cluster.members[i].wait_for_exit(SHUTDOWN_TIMEOUT);
         if !ended.is_some_and(|status| status.success()) {
             self.invariants
                 .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
