--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -204,7 +204,7 @@
                 advertised: advertised[i],
                 group_size: n,
                 seed: member_seed(&plan, i),
-                planted: plan.injected_fault.clone(),
+                injected_fault: plan.injected_fault.clone(),
             }));
         }
         Ok(Cluster {
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -42,7 +42,7 @@
     /// For its random numbers.
     pub seed: u64,
     /// An injected fault.
-    pub planted: Option<String>,
+    pub injected_fault: Option<String>,
 }
 
 /// A line of a member's log, and when it came.
@@ -159,8 +159,8 @@
         let path = spec.folder.join(format!("{}.json", spec.name));
         std::fs::write(&path, config.to_string()).map_err(|e| TestbedError::file(&path, e))?;
         let mut command = process::balancer_command(&spec.program, &path);
-        if let Some(planted) = &spec.planted {
-            command.env("PIPITRUN_PLANTED", planted);
+        if let Some(fault) = &spec.injected_fault {
+            command.env("PIPITRUN_PLANTED", fault);
         }
         let mut child = ChildGuard::spawn(command.stdout(Stdio::piped()).stderr(Stdio::piped()))?;
         if let Some(log) = child.stderr.take() {
