--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -344,7 +344,7 @@
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
         let mut sum = std::collections::BTreeMap::new();
         for member in &self.members {
-            member.ask_counters();
+            member.request_counters();
             for (name, count) in member.counters() {
                 *sum.entry(name).or_insert(0) += count;
             }
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -199,7 +199,7 @@
     }
 
     /// Has it print its counters, if it is at work.
-    pub fn ask_counters(&self) {
+    pub fn request_counters(&self) {
         if self.intended == IntendedState::Up {
             self.signal(Signal::SIGUSR1);
         }
