--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -287,7 +287,7 @@
 
     /// A call of the operators, and the body of its answer if it is 200.
     #[must_use]
-    pub fn call(&self, path: &str) -> Option<String> {
+    pub fn admin_get(&self, path: &str) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.spec.admin, ADMIN_TIMEOUT).ok()?;
         stream.set_read_timeout(Some(ADMIN_TIMEOUT)).ok()?;
         write!(stream, "GET {path} HTTP/1.1\r\n\r\n").ok()?;
@@ -303,7 +303,7 @@
         if self.intended != IntendedState::Up {
             return None;
         }
-        serde_json::from_str(&self.call("/admin/fleet")?).ok()
+        serde_json::from_str(&self.admin_get("/admin/fleet")?).ok()
     }
 }
 
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -252,7 +252,7 @@
                     .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
             } else {
                 let away = |m: &&MemberProcess| {
-                    m.intended == IntendedState::Up && m.call("/admin/health").is_none()
+                    m.intended == IntendedState::Up && m.admin_get("/admin/health").is_none()
                 };
                 self.cluster
                     .members
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -132,7 +132,7 @@
     fn wait_until_ready(&mut self, who: &[usize]) {
         let ready = |cluster: &Cluster| {
             who.iter()
-                .all(|i| cluster.members[*i].call("/admin/health").is_some())
+                .all(|i| cluster.members[*i].admin_get("/admin/health").is_some())
         };
         if self.cluster.wait(SHUTDOWN_TIMEOUT, ready).is_none() {
             let at = self.now();
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -94,12 +94,12 @@
         };
         let mut cluster = Cluster::lay_out(plan).unwrap();
         cluster.start_all().unwrap();
-        let ready = |g: &Cluster| g.members[0].call("/admin/health").is_some();
+        let ready = |g: &Cluster| g.members[0].admin_get("/admin/health").is_some();
         cluster
             .wait(CONDITION_TIMEOUT, ready)
             .expect("it becomes ready");
         let member = &cluster.members[0];
-        assert_eq!(member.call("/admin/fleet").is_some(), fleet);
+        assert_eq!(member.admin_get("/admin/fleet").is_some(), fleet);
         let log = member.log();
         assert_eq!(
             log.iter().any(|line| line.text.contains("fleet")),
@@ -138,7 +138,7 @@
             .view()
             .is_some_and(|v| v.living == 1 && v.share_count == 4)
     };
-    let served = |g: &Cluster, i: usize| g.members[i].call("/admin/health").is_some();
+    let served = |g: &Cluster, i: usize| g.members[i].admin_get("/admin/health").is_some();
     let both = |g: &Cluster| [2, 3].iter().all(|i| alone(g, *i) && served(g, *i));
     cluster
         .wait(CONDITION_TIMEOUT, both)
@@ -212,7 +212,7 @@
     }
     cluster.start_all().unwrap();
     let shown = |g: &Cluster, i: usize| -> Option<serde_json::Value> {
-        serde_json::from_str(&g.members[i].call("/admin/fleet")?).ok()
+        serde_json::from_str(&g.members[i].admin_get("/admin/fleet")?).ok()
     };
     let sees = |g: &Cluster, i: usize, members: usize, elsewhere: u64, all: u64| {
         shown(g, i).is_some_and(|shown| {
