--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -71,7 +71,7 @@
 
 impl InvariantChecker {
     /// A member is away from now on, or back.
-    pub fn set_away(&mut self, at: f64, member: usize, away: bool) {
+    pub fn set_unavailable(&mut self, at: f64, member: usize, away: bool) {
         let spans = self.away_spans.entry(member).or_default();
         if away {
             begin(spans, at);
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -34,8 +34,8 @@
         retry_after_ms: None,
     };
     let mut checker = InvariantChecker::default();
-    checker.set_away(10.0, 2, true);
-    checker.set_away(12.0, 2, false);
+    checker.set_unavailable(10.0, 2, true);
+    checker.set_unavailable(12.0, 2, false);
     let fine = [
         one(1.0, RequestOutcome::Served, 0.1, false),
         one(10.5, RequestOutcome::Broken, 0.1, false),
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -114,7 +114,7 @@
         let everyone: Vec<usize> = (0..n).collect();
         self.cluster
             .set_links(&everyone, &everyone, self.scenario.links);
-        (0..n).for_each(|i| self.invariants.set_away(0.0, i, true));
+        (0..n).for_each(|i| self.invariants.set_unavailable(0.0, i, true));
         // Members of two fleets are to each other as if there were no way.
         let fleets = self.cluster.plan.fleets;
         for (i, j) in (0..n)
@@ -128,7 +128,7 @@
         let started = Instant::now();
         self.settle("join", started);
         let now = self.now();
-        (0..n).for_each(|i| self.invariants.set_away(now, i, false));
+        (0..n).for_each(|i| self.invariants.set_unavailable(now, i, false));
         self.cluster.start_clients();
         self.begun = Instant::now();
         let offset = self.now();
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -124,7 +124,7 @@
             let before = self.now();
             act(&mut self.cluster.members[*i]);
             let at = if away { before } else { self.now() };
-            self.invariants.set_away(at, *i, away);
+            self.invariants.set_unavailable(at, *i, away);
         }
     }
 
@@ -141,12 +141,12 @@
         }
         let at = self.now();
         who.iter()
-            .for_each(|i| self.invariants.set_away(at, *i, false));
+            .for_each(|i| self.invariants.set_unavailable(at, *i, false));
     }
 
     fn restart_gracefully(&mut self, i: usize) -> Result<(), TestbedError> {
         let at = self.now();
-        self.invariants.set_away(at, i, true);
+        self.invariants.set_unavailable(at, i, true);
         self.cluster.members[i].request_shutdown();
         let ended = self.cluster.members[i].wait_for_exit(SHUTDOWN_TIMEOUT);
         if !ended.is_some_and(|status| status.success()) {
