--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -91,7 +91,7 @@
     }
 
     /// Notes a failure.
-    pub fn fail(&mut self, at: f64, invariant: &'static str, what: String) {
+    pub fn record_violation(&mut self, at: f64, invariant: &'static str, what: String) {
         self.count += 1;
         if self.failures.len() < REPORTED_FAILURES_MAX {
             self.failures.push(InvariantViolation {
@@ -104,7 +104,7 @@
 
     /// What broke, and how often in all.
     #[must_use]
-    pub fn failures(&self) -> (&[InvariantViolation], usize) {
+    pub fn violations(&self) -> (&[InvariantViolation], usize) {
         (&self.failures, self.count)
     }
 
@@ -190,7 +190,7 @@
         self.max_share_sum = self.max_share_sum.max(sum);
         if sum > most {
             let divisors: Vec<usize> = views.iter().flatten().map(|v| v.share_count).collect();
-            self.fail(
+            self.record_violation(
                 at,
                 "shares",
                 format!("the shares sum to {sum:.2}, over {most}: divided by {divisors:?}"),
@@ -239,7 +239,7 @@
                         .any(|at| (at - line.at).abs() < NEAR);
                 if !excused {
                     found += 1;
-                    self.fail(
+                    self.record_violation(
                         line.at,
                         "false-death",
                         format!("n{i} took n{j} for dead: {}", line.text),
@@ -247,7 +247,7 @@
                 }
             }
             for line in log.iter().filter(|l| l.text.contains("panicked")) {
-                self.fail(line.at, "panic", format!("n{i}: {}", line.text));
+                self.record_violation(line.at, "panic", format!("n{i}: {}", line.text));
             }
         }
         found
@@ -266,14 +266,14 @@
                 )
             };
             if one.extra_data {
-                self.fail(
+                self.record_violation(
                     one.at,
                     "one-answer",
                     format!("more than one answer: {}", what()),
                 );
             }
             if one.outcome == RequestOutcome::Wrong {
-                self.fail(one.at, "true-answer", what());
+                self.record_violation(one.at, "true-answer", what());
             }
             let away = near(
                 self.away_spans.get(&one.balancer),
@@ -292,7 +292,7 @@
                 RequestOutcome::Never | RequestOutcome::Broken | RequestOutcome::NoConnection
             ) && !away
             {
-                self.fail(one.at, "answered", what());
+                self.record_violation(one.at, "answered", what());
             }
         }
         ends
@@ -309,7 +309,7 @@
             }
         }
         for (id, times) in effects.into_iter().filter(|(_, times)| *times > 1) {
-            self.fail(
+            self.record_violation(
                 at,
                 "runs-once",
                 format!("{id} (map-publish) ran {times} times"),
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -42,7 +42,7 @@
         one(11.0, RequestOutcome::NoConnection, 0.0, false),
     ];
     assert_eq!(checker.check_clients(&fine)["served"], 1);
-    assert_eq!(checker.failures().1, 0);
+    assert_eq!(checker.violations().1, 0);
     let bad = [
         one(1.0, RequestOutcome::Broken, 0.1, false),
         one(1.0, RequestOutcome::Wrong, 0.1, false),
@@ -53,7 +53,7 @@
         checker.check_clients(&[one(1.0, RequestOutcome::Served, 1.7, false)])["late"],
         1
     );
-    assert_eq!(checker.failures().1, 0, "a busy machine is no failure");
+    assert_eq!(checker.violations().1, 0, "a busy machine is no failure");
     checker.check_clients(&bad);
-    assert_eq!(checker.failures().1, 4);
+    assert_eq!(checker.violations().1, 4);
 }
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -270,7 +270,7 @@
                     "{name}: not settled after {:.0} s: {untrue}",
                     took.as_secs_f64()
                 );
-                return self.invariants.fail(at, "settles", what);
+                return self.invariants.record_violation(at, "settles", what);
             }
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -96,7 +96,7 @@
             .map(|b| b as f64)
             .collect();
         member.insert("memory".into(), mean(memory));
-        let (failures, failed) = self.invariants.failures();
+        let (failures, failed) = self.invariants.violations();
         ScenarioReport {
             scenario: self.scenario.name.clone(),
             instances: self.cluster.plan.instances,
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -137,7 +137,7 @@
         if self.cluster.wait(SHUTDOWN_TIMEOUT, ready).is_none() {
             let at = self.now();
             self.invariants
-                .fail(at, "starts", format!("{who:?}: not ready in time"));
+                .record_violation(at, "starts", format!("{who:?}: not ready in time"));
         }
         let at = self.now();
         who.iter()
@@ -151,7 +151,7 @@
         let ended = self.cluster.members[i].wait_for_exit(SHUTDOWN_TIMEOUT);
         if !ended.is_some_and(|status| status.success()) {
             self.invariants
-                .fail(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
+                .record_violation(at, "ends", format!("n{i}: {ended:?} after SIGTERM"));
         }
         self.cluster.members[i].start()?;
         self.wait_until_ready(&[i]);
