--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -138,7 +138,7 @@
 
     /// The first thing in which a member's view is not true, if any.
     #[must_use]
-    pub fn first_wrong_view(
+    pub fn first_incorrect_view(
         &self,
         cluster: &Cluster,
         views: &[Option<MemberView>],
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -249,7 +249,7 @@
             let took = since.elapsed();
             let untrue = if self.cluster.plan.fleet_enabled {
                 self.invariants
-                    .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
+                    .first_incorrect_view(&self.cluster, &views, self.scenario.suspicions)
             } else {
                 let away = |m: &&MemberProcess| {
                     m.intended == IntendedState::Up && m.admin_get("/admin/health").is_none()
