--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -134,7 +134,7 @@
     for failure in &report.failures {
         println!(
             "  {:7.2} s  {}: {}",
-            failure.at, failure.invariant, failure.what
+            failure.at, failure.invariant, failure.detail
         );
     }
 }
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -25,7 +25,8 @@
     /// Which invariant.
     pub invariant: &'static str,
     /// Who, and what was seen.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub detail: String,
 }
 
 /// A span in which something was wrong with a member, by the trial's doing.
@@ -91,13 +92,13 @@
     }
 
     /// Notes a failure.
-    pub fn record_violation(&mut self, at: f64, invariant: &'static str, what: String) {
+    pub fn record_violation(&mut self, at: f64, invariant: &'static str, detail: String) {
         self.count += 1;
         if self.failures.len() < REPORTED_FAILURES_MAX {
             self.failures.push(InvariantViolation {
                 at,
                 invariant,
-                what,
+                detail,
             });
         }
     }
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -69,7 +69,7 @@
             None => "verdict: passed".into(),
             Some(first) => format!(
                 "verdict: failed {} ({} in all; first at {:.1} s: {})",
-                first.invariant, self.failed, first.at, first.what
+                first.invariant, self.failed, first.at, first.detail
             ),
         }
     }
