--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -215,7 +215,7 @@
     /// The clients' requests.
     pub requests: &'a [ClientRequest],
     /// The start of the timeline in the clients' time.
-    pub begun: f64,
+    pub timeline_start: f64,
     /// How many requests all caches serve a second when warm.
     pub capacity: f64,
     /// How many caches there are.
@@ -284,7 +284,7 @@
         let mut sums = RequestSums::default();
         // By class and balancer: all requests, and those rejected.
         let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
-        let in_span = |one: &&ClientRequest| (from..to).contains(&(one.at - self.begun));
+        let in_span = |one: &&ClientRequest| (from..to).contains(&(one.at - self.timeline_start));
         for one in self.requests.iter().filter(in_span) {
             let class = sums.classes.entry(one.class.into()).or_default();
             if !one.is_retry {
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -57,7 +57,7 @@
     let observations = Observations {
         samples: &samples,
         requests: &asked,
-        begun: 100.0,
+        timeline_start: 100.0,
         capacity: 5.0,
         caches: 2,
     };
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -204,7 +204,7 @@
         let observations = Observations {
             samples: &self.samples,
             requests,
-            begun,
+            timeline_start: begun,
             capacity: self.scenario.cache.capacity() * caches as f64,
             caches,
         };
