--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -24,7 +24,7 @@
 
 /// A line through the points.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fit {
+pub struct LinearFit {
     /// The value at size 0.
     pub at_zero: f64,
     /// What it grows by for each step of size 1.
@@ -48,12 +48,12 @@
     /// What was measured.
     pub points: Vec<Point>,
     /// The line.
-    pub fit: Fit,
+    pub fit: LinearFit,
 }
 
 impl Slope {
     fn new(name: &str, unit: &str, by: &str, how: &str, points: Vec<Point>) -> Self {
-        let fit = fit(&points);
+        let fit = fit_line(&points);
         Slope {
             name: name.into(),
             unit: unit.into(),
@@ -100,7 +100,7 @@
 
 /// The line of least squares.
 #[must_use]
-pub fn fit(points: &[Point]) -> Fit {
+pub fn fit_line(points: &[Point]) -> LinearFit {
     let count = points.len().max(1) as f64;
     let mean = |of: &dyn Fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (size, value) = (mean(&|point| point.size), mean(&|point| point.value));
@@ -111,7 +111,7 @@
     };
     let at_zero = value - each * size;
     let beside = mean(&|point| (point.value - at_zero - each * point.size).powi(2)).sqrt();
-    Fit {
+    LinearFit {
         at_zero,
         each,
         residual: if value == 0.0 {
@@ -235,7 +235,7 @@
         {
             Some(slope) => {
                 slope.points.extend(more.points);
-                slope.fit = fit(&slope.points);
+                slope.fit = fit_line(&slope.points);
             }
             None => slopes.slopes.push(more),
         }
