--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -325,7 +325,7 @@
             slope.unit,
             slope.by,
             slope.fit.at_zero,
-            slope.fit.each,
+            slope.fit.per_unit,
             slope.fit.residual,
             slope.how
         ));
--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -28,7 +28,8 @@
     /// The value at size 0.
     pub at_zero: f64,
     /// What it grows by for each step of size 1.
-    pub each: f64,
+    #[serde(rename = "each")]
+    pub per_unit: f64,
     /// The root of the mean square of what the points lie beside the line, over their mean.
     pub residual: f64,
 }
@@ -80,7 +81,7 @@
         if there.is_finite() {
             return there;
         }
-        let line = (self.fit.at_zero + self.fit.each * size).max(0.0);
+        let line = (self.fit.at_zero + self.fit.per_unit * size).max(0.0);
         if size > self.range().1 {
             line.max(greatest(&|_| true))
         } else {
@@ -105,15 +106,15 @@
     let mean = |of: &dyn Fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (size, value) = (mean(&|point| point.size), mean(&|point| point.value));
     let spread = mean(&|point| (point.size - size).powi(2));
-    let each = match spread {
+    let per_unit = match spread {
         0.0 => 0.0,
         spread => mean(&|point| (point.size - size) * (point.value - value)) / spread,
     };
-    let at_zero = value - each * size;
-    let beside = mean(&|point| (point.value - at_zero - each * point.size).powi(2)).sqrt();
+    let at_zero = value - per_unit * size;
+    let beside = mean(&|point| (point.value - at_zero - per_unit * point.size).powi(2)).sqrt();
     LinearFit {
         at_zero,
-        each,
+        per_unit,
         residual: if value == 0.0 {
             0.0
         } else {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -21,13 +21,13 @@
     let line = fit_line(&[point(100.0, 21.0), point(200.0, 41.0), point(300.0, 61.0)]);
     assert!(
         (line.at_zero - 1.0).abs() < 1e-9
-            && (line.each - 0.2).abs() < 1e-12
+            && (line.per_unit - 0.2).abs() < 1e-12
             && line.residual < 1e-12
     );
     let bent = fit_line(&[point(1.0, 1.0), point(2.0, 4.0), point(3.0, 9.0)]);
     assert!(bent.residual > 0.05, "{bent:?}");
     let flat = fit_line(&[point(5.0, 7.0)]);
-    assert_eq!((flat.at_zero, flat.each, flat.residual), (7.0, 0.0, 0.0));
+    assert_eq!((flat.at_zero, flat.per_unit, flat.residual), (7.0, 0.0, 0.0));
 }
 
 #[test]
