--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -248,8 +248,11 @@
             // What was true when the last member was asked was so a little earlier.
             let took = since.elapsed();
             let untrue = if self.cluster.plan.fleet_enabled {
-                self.invariants
-                    .first_incorrect_view(&self.cluster, &views, self.scenario.suspicions)
+                self.invariants.first_incorrect_view(
+                    &self.cluster,
+                    &views,
+                    self.scenario.suspicions,
+                )
             } else {
                 let away = |m: &&MemberProcess| {
                     m.intended == IntendedState::Up && m.admin_get("/admin/health").is_none()
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -27,7 +27,10 @@
     let bent = fit_line(&[point(1.0, 1.0), point(2.0, 4.0), point(3.0, 9.0)]);
     assert!(bent.residual > 0.05, "{bent:?}");
     let flat = fit_line(&[point(5.0, 7.0)]);
-    assert_eq!((flat.at_zero, flat.per_unit, flat.residual), (7.0, 0.0, 0.0));
+    assert_eq!(
+        (flat.at_zero, flat.per_unit, flat.residual),
+        (7.0, 0.0, 0.0)
+    );
 }
 
 #[test]
