--- a/crates/testbed/src/chart.rs
+++ b/crates/testbed/src/chart.rs
@@ -1,5 +1,5 @@
-//! Charts and tables of measurements: reports as `run --out` writes them, rows as
-//! `detection-latency` prints them.
+//! Draws charts and prints tables of measurements: the reports that `run --out` writes and the rows
+//! that `detection-latency` prints.
 
 use crate::error::TestbedError;
 use plotters::prelude::*;
@@ -8,14 +8,14 @@
 use std::fmt::Display;
 use std::path::Path;
 
-/// Seconds until all views were true, by what was waited for and the number of processes.
-pub type Settled = BTreeMap<(String, u64), Vec<f64>>;
+/// Seconds until all views were correct, by the awaited condition and the number of processes.
+pub type ConvergenceTimes = BTreeMap<(String, u64), Vec<f64>>;
 
-/// Reads all reports of a folder.
+/// Reads all JSON reports of a folder, in the order of their file names.
 ///
 /// # Errors
 ///
-/// If the file can't be read or drawn, or holds nothing to draw.
+/// Returns an error if the folder or a file cannot be read, or a file is not JSON.
 pub fn reports(folder: &Path) -> Result<Vec<Value>, TestbedError> {
     let problem = |e| TestbedError::file(folder, e);
     let mut files: Vec<_> = std::fs::read_dir(folder)
@@ -33,21 +33,21 @@
         .collect()
 }
 
-/// Gathers the times of all reports.
+/// Collects the convergence times of all reports, each list sorted.
 #[must_use]
-pub fn settled(reports: &[Value]) -> Settled {
-    let mut all = Settled::new();
+pub fn convergence_times(reports: &[Value]) -> ConvergenceTimes {
+    let mut all = ConvergenceTimes::new();
     for report in reports {
         let scenario = report["scenario"].as_str().unwrap_or_default();
         let instances = report["instances"].as_u64().unwrap_or_default();
-        for (what, seconds) in report["settled"].as_object().into_iter().flatten() {
+        for (condition, seconds) in report["settled"].as_object().into_iter().flatten() {
             let Some(seconds) = seconds.as_f64() else {
                 continue;
             };
-            let name = if what == "join" {
+            let name = if condition == "join" {
                 "join".into()
             } else {
-                format!("{scenario}: {what}")
+                format!("{scenario}: {condition}")
             };
             all.entry((name, instances)).or_default().push(seconds);
         }
@@ -57,13 +57,13 @@
     all
 }
 
-/// A table of medians and worst cases, as Markdown.
+/// Returns a Markdown table of the median and the longest convergence times.
 #[must_use]
-pub fn table(settled: &Settled) -> String {
+pub fn table(convergence: &ConvergenceTimes) -> String {
     let mut text = String::from(
-        "| all views true after | processes | plays | median s | worst s |\n| --- | --- | --- | --- | --- |\n",
+        "| all views correct after | processes | runs | median s | longest s |\n| --- | --- | --- | --- | --- |\n",
     );
-    for ((name, instances), times) in settled {
+    for ((name, instances), times) in convergence {
         let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
         text.push_str(&format!(
             "| {name} | {instances} | {} | {median:.2} | {worst:.2} |\n",
@@ -73,7 +73,7 @@
     text
 }
 
-const COLOURS: [RGBColor; 5] = [
+const COLORS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
     RGBColor(44, 160, 44),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Draws the legend of a chart's series.
+/// Draws the legend of the series of a chart.
 fn draw_legend<'a, 'b, C: CoordTranslate>(
     chart: &mut ChartContext<'a, SVGBackend<'b>, C>,
     position: SeriesLabelPosition,
@@ -104,29 +104,39 @@
         .draw()
 }
 
-/// Draws each run as a dot, with a row for each condition that was waited for.
+/// Draws the convergence time of each run as a dot, in one row per awaited condition. The time axis
+/// reaches at least to `objective` seconds.
 ///
 /// # Errors
 ///
-/// If the file can't be read or drawn, or holds nothing to draw.
-pub fn draw_settled(settled: &Settled, aim: f64, file: &Path) -> Result<(), TestbedError> {
+/// Returns an error if the chart cannot be drawn or written.
+pub fn draw_convergence(
+    convergence: &ConvergenceTimes,
+    objective: f64,
+    file: &Path,
+) -> Result<(), TestbedError> {
     let problem = |e: &dyn Display| chart_error(file, e);
-    let names: BTreeSet<&String> = settled.keys().map(|(name, _)| name).collect();
+    let names: BTreeSet<&String> = convergence.keys().map(|(name, _)| name).collect();
     let names: Vec<&String> = names.into_iter().collect();
-    let sizes: BTreeSet<u64> = settled.keys().map(|(_, n)| *n).collect();
-    let most = settled.values().flatten().copied().fold(aim, f64::max) * 1.05;
+    let sizes: BTreeSet<u64> = convergence.keys().map(|(_, n)| *n).collect();
+    let max_seconds = convergence
+        .values()
+        .flatten()
+        .copied()
+        .fold(objective, f64::max)
+        * 1.05;
     let height = 90 + 34 * names.len() as u32;
     let root = SVGBackend::new(file, (860, height)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| problem(&e))?;
     let mut chart = ChartBuilder::on(&root)
         .caption(
-            "Seconds until all views are true; each dot a play",
+            "Seconds until all views are correct; each dot is one run",
             ("sans-serif", 17),
         )
         .margin(12)
         .x_label_area_size(32)
         .y_label_area_size(200)
-        .build_cartesian_2d(0.0..most, 0.0..names.len() as f64)
+        .build_cartesian_2d(0.0..max_seconds, 0.0..names.len() as f64)
         .map_err(|e| problem(&e))?;
     let label = |y: &f64| {
         let row = y.floor() as usize;
@@ -147,30 +157,31 @@
         .draw()
         .map_err(|e| problem(&e))?;
     for (i, size) in sizes.iter().enumerate() {
-        let colour = COLOURS[i % COLOURS.len()];
-        let dots = settled
-            .iter()
-            .filter(|((_, n), _)| n == size)
-            .flat_map(|((name, _), times)| {
-                let row = names.iter().position(|n| *n == name).unwrap_or(0) as f64;
-                let y = row + (i as f64 + 1.0) / (sizes.len() as f64 + 1.0);
-                times.iter().map(move |x| (*x, y))
-            });
+        let color = COLORS[i % COLORS.len()];
+        let dots =
+            convergence
+                .iter()
+                .filter(|((_, n), _)| n == size)
+                .flat_map(|((name, _), times)| {
+                    let row = names.iter().position(|n| *n == name).unwrap_or(0) as f64;
+                    let y = row + (i as f64 + 1.0) / (sizes.len() as f64 + 1.0);
+                    times.iter().map(move |x| (*x, y))
+                });
         chart
-            .draw_series(dots.map(|(x, y)| Circle::new((x, y), 3, colour.mix(0.6).filled())))
+            .draw_series(dots.map(|(x, y)| Circle::new((x, y), 3, color.mix(0.6).filled())))
             .map_err(|e| problem(&e))?
             .label(format!("{size} processes"))
-            .legend(move |(x, y)| Circle::new((x + 8, y), 4, colour.filled()));
+            .legend(move |(x, y)| Circle::new((x + 8, y), 4, color.filled()));
     }
     draw_legend(&mut chart, SeriesLabelPosition::UpperRight).map_err(|e| problem(&e))?;
     root.present().map_err(|e| problem(&e))
 }
 
-/// The values of a figure by loss and number of members.
-fn measured_lines(rows: &[Value], figure: &str) -> BTreeMap<String, BTreeMap<u64, Vec<f64>>> {
+/// Returns the values of a metric by loss ratio and number of members.
+fn values_by_loss(rows: &[Value], metric: &str) -> BTreeMap<String, BTreeMap<u64, Vec<f64>>> {
     let mut lines: BTreeMap<String, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
-        let (Some(members), Some(value)) = (row["members"].as_u64(), row[figure].as_f64()) else {
+        let (Some(members), Some(value)) = (row["members"].as_u64(), row[metric].as_f64()) else {
             continue;
         };
         let loss = format!(
@@ -187,30 +198,33 @@
     lines
 }
 
-/// Draws one figure of the measured rows over the number of members, a line for each rate of loss.
+/// Draws the mean of one metric of the measured rows over the number of members, one line per loss
+/// ratio.
 ///
 /// # Errors
 ///
-/// If the file can't be read or drawn, or holds nothing to draw.
+/// Returns an error if the chart cannot be drawn or written, or no row has a value above 0 for the
+/// metric.
 pub fn draw_measured(
     rows: &[Value],
-    figure: &str,
+    metric: &str,
     title: &str,
     file: &Path,
 ) -> Result<(), TestbedError> {
     let problem = |e: &dyn Display| chart_error(file, e);
-    let lines = measured_lines(rows, figure);
+    let lines = values_by_loss(rows, metric);
     let members = lines.values().flat_map(|line| line.keys().copied());
-    let (least, most) = members.fold((u64::MAX, 1), |(a, b), n| (a.min(n), b.max(n)));
-    let highest = lines
+    let (min_members, max_members) =
+        members.fold((u64::MAX, 1), |(min, max), n| (min.min(n), max.max(n)));
+    let max_value = lines
         .values()
         .flat_map(|l| l.values())
         .flatten()
         .copied()
         .fold(0.0, f64::max)
         * 1.1;
-    if highest <= 0.0 {
-        return Err(TestbedError::MissingFigure(figure.into()));
+    if max_value <= 0.0 {
+        return Err(TestbedError::MissingMetric(metric.into()));
     }
     let root = SVGBackend::new(file, (720, 380)).into_drawing_area();
     root.fill(&WHITE).map_err(|e| problem(&e))?;
@@ -219,7 +233,10 @@
         .margin(12)
         .x_label_area_size(34)
         .y_label_area_size(56)
-        .build_cartesian_2d((least as f64..most as f64 * 1.1).log_scale(), 0.0..highest)
+        .build_cartesian_2d(
+            (min_members as f64..max_members as f64 * 1.1).log_scale(),
+            0.0..max_value,
+        )
         .map_err(|e| problem(&e))?;
     chart
         .configure_mesh()
@@ -227,7 +244,7 @@
         .draw()
         .map_err(|e| problem(&e))?;
     for (i, (name, line)) in lines.iter().enumerate() {
-        let colour = COLOURS[i % COLOURS.len()];
+        let color = COLORS[i % COLORS.len()];
         let points: Vec<(f64, f64)> = line
             .iter()
             .map(|(members, values)| {
@@ -238,10 +255,10 @@
             })
             .collect();
         chart
-            .draw_series(LineSeries::new(points, colour.stroke_width(2)).point_size(3))
+            .draw_series(LineSeries::new(points, color.stroke_width(2)).point_size(3))
             .map_err(|e| problem(&e))?
             .label(name)
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
     }
     draw_legend(&mut chart, SeriesLabelPosition::UpperLeft).map_err(|e| problem(&e))?;
     root.present().map_err(|e| problem(&e))
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands, each with its arguments in a module of its own.
+//! Subcommands of the testbed. Each module holds the arguments and the code of one subcommand.
 
 mod capacity;
 mod chart;
@@ -25,10 +25,10 @@
 use testbed::error::TestbedError;
 use testbed::soak;
 
-/// What a subcommand returns: the exit code, or why it could not run.
+/// Result of a subcommand: the exit code, or the reason why it could not run.
 type CommandResult = Result<ExitCode, TestbedError>;
 
-/// Trials of many pipitrun processes, with faults between them.
+/// Runs trials of many pipitrun processes with injected faults.
 #[derive(Parser)]
 #[command(name = "testbed", version, about)]
 pub struct CommandLine {
@@ -38,60 +38,63 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one scenario, by its name or from a file.
+    /// Runs one scenario, by its name or from a file, and checks the invariants.
     Run(run::RunArguments),
-    /// Names the scenarios, and the trials in virtual time.
+    /// Lists the scenarios and the trials in virtual time.
     List,
-    /// Measures how fast the membership crate alone detects deaths and returns, in virtual time; a
-    /// row of JSON for each size, loss and seed.
+    /// Measures how fast the membership crate alone detects deaths and rejoins, in virtual time;
+    /// prints one row of JSON per size, loss ratio and seed.
     #[command(alias = "measure")]
     DetectionLatency(detection_latency::DetectionLatencyArguments),
-    /// Measures a fleet in regions, in virtual time; a row of JSON for each size, loss and seed.
+    /// Measures a fleet with regions, in virtual time; prints one row of JSON per size, loss ratio
+    /// and seed.
     Regions(regions::RegionsArguments),
-    /// Runs hollow balancers, the control plane without data traffic, over real sockets on
+    /// Runs hollow balancers (the control plane without data traffic) over real sockets on
     /// loopback; the last line is the measurement as JSON.
     Hollow(hollow::HollowArguments),
-    /// One process of `hollow`, which starts it.
+    /// Runs one member process; started by `hollow`.
     #[command(hide = true)]
     HollowMembers(hollow::HollowMembersArguments),
-    /// Measures how costs grow, for docs/CAPACITY.md; takes some minutes on a machine that is
-    /// otherwise idle.
+    /// Measures how costs grow with the size of a fleet, for docs/CAPACITY.md; takes some minutes
+    /// on an otherwise idle machine.
     Slopes(slopes::SlopesArguments),
-    /// Prints, checks or writes the tables of docs/CAPACITY.md, by the plan and the slopes.
+    /// Prints, checks or writes the tables of docs/CAPACITY.md, computed from the plan and the
+    /// slopes.
     Capacity(capacity::CapacityArguments),
-    /// Measures the level at which members shed load together through an overload of twice the
-    /// capacity, in virtual time; a row of JSON for each size, loss, disturbance and seed.
+    /// Measures the shedding level of a fleet during an overload of twice its capacity, in virtual
+    /// time; prints one row of JSON per size, loss ratio, disturbance and seed.
     #[command(alias = "levels")]
     Shedding(shedding::SheddingArguments),
-    /// Prints which views are wrong in how many pairs of members, step by step, in virtual time:
-    /// for tracing what `detection-latency` shows.
+    /// Prints, at regular intervals of virtual time, how many pairs of members have which incorrect
+    /// views; traces the steps that `detection-latency` measures.
     #[command(alias = "course")]
     Convergence(convergence::ConvergenceArguments),
-    /// Measures what a decision costs by the number of caches; the last line is the ratio of a
-    /// request's cost, largest over smallest number.
+    /// Measures the CPU time of the decision engine by the number of caches; the last line is the
+    /// ratio of the cost of a request at the largest number to that at the smallest.
     Decisions(decisions::DecisionsArguments),
-    /// Measures the longest time without an answer while discovery notifies one real process of a
-    /// batch of caches; a row for each size.
+    /// Measures the longest response time of one real process while discovery notifies it of a
+    /// batch of caches; prints one row per size.
     #[command(alias = "silence")]
     Stall(stall::StallArguments),
-    /// Runs real balancers between caches, a discovery and clients with faults drawn from a seed,
-    /// and checks what all observed against the rules. The last line is the verdict.
+    /// Runs real balancers between simulated caches, discovery and clients with faults generated
+    /// from a seed, and checks the records against the rules; the last line is the verdict.
     Soak(soak::command::SoakArguments),
-    /// Compares what one balancer uses on the same day with few caches and with many against what
-    /// it may use.
+    /// Measures the resources that one balancer uses for the same traffic with few and with many
+    /// caches, and checks their growth against limits; the last line is the verdict.
     Growth(soak::growth::GrowthArguments),
-    /// Prints the greatest sum of shares through splits in virtual time, with share retention and
-    /// without it.
+    /// Prints the largest sum of shares during splits in virtual time, with and without share
+    /// retention.
     #[command(alias = "shares")]
     ShareCount(share_count::ShareCountArguments),
-    /// Draws charts and prints a table of what `run --out` and `detection-latency` have written.
+    /// Draws charts and prints a table of the results of `run --out` and `detection-latency`.
     Chart(chart::ChartArguments),
-    /// Injects each fault and plays the trial that has to find it; needs the feature `fault-injection`.
+    /// Injects each fault and runs the trial that must detect it; needs the feature
+    /// `fault-injection`.
     Mutations(mutations::MutationsArguments),
 }
 
 impl Command {
-    /// Whether the command has processes to end in order when it is interrupted.
+    /// Returns whether the command must end child processes in order when it is interrupted.
     fn handles_interrupts(&self) -> bool {
         matches!(
             self,
@@ -104,14 +107,17 @@
 ///
 /// # Errors
 ///
-/// Says what kept a trial from being run to its end.
+/// Returns the reason why the subcommand could not complete.
 pub fn execute(command_line: CommandLine) -> CommandResult {
     let command = command_line.command;
     let interrupted = Arc::new(AtomicBool::new(false));
     if command.handles_interrupts() {
         for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
             if let Err(e) = signal_hook::flag::register(signal, Arc::clone(&interrupted)) {
-                eprintln!("testbed: signals: {e}");
+                eprintln!(
+                    "testbed: cannot register the signal handler: {e}; child processes may keep \
+                     running after an interrupt"
+                );
             }
         }
     }
@@ -136,13 +142,13 @@
     }
 }
 
-/// Prints a row of JSON.
+/// Prints a value as one line of JSON.
 fn print_json(row: &impl Serialize) -> Result<(), TestbedError> {
     println!("{}", serde_json::to_string(row)?);
     Ok(())
 }
 
-/// Reads lines of JSON from a file.
+/// Reads a file that contains one JSON value per line.
 fn read_json_lines<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, TestbedError> {
     let text = std::fs::read_to_string(path).map_err(|e| TestbedError::file(path, e))?;
     text.lines()
@@ -150,7 +156,7 @@
         .collect()
 }
 
-/// All pairs of a size and a loss.
+/// Returns all pairs of a size and a loss ratio.
 fn sizes_and_losses<'a>(
     sizes: &'a [usize],
     losses: &'a [f64],
--- a/crates/testbed/src/commands/capacity.rs
+++ b/crates/testbed/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! `testbed capacity`: the tables of docs/CAPACITY.md.
+//! `testbed capacity`: prints, checks or writes the tables of docs/CAPACITY.md.
 
 use super::CommandResult;
 use std::path::{Path, PathBuf};
@@ -9,16 +9,16 @@
 
 #[derive(clap::Args)]
 pub struct CapacityArguments {
-    /// The plan.
+    /// File of the plan (TOML).
     #[arg(long)]
     plan: PathBuf,
-    /// The slopes.
+    /// File of the slopes (JSON).
     #[arg(long)]
     slopes: PathBuf,
-    /// Compares this page with them; the first line that differs is named.
+    /// Page to compare with the computed tables; the first line that differs is an error.
     #[arg(long)]
     check: Option<PathBuf>,
-    /// Writes them into this page.
+    /// Page in which the tables are replaced by the computed ones.
     #[arg(long, conflicts_with = "check")]
     write: Option<PathBuf>,
 }
--- a/crates/testbed/src/commands/convergence.rs
+++ b/crates/testbed/src/commands/convergence.rs
@@ -1,4 +1,4 @@
-//! `testbed convergence`: which views are wrong, step by step.
+//! `testbed convergence`: prints the number of incorrect views at regular intervals.
 
 use super::CommandResult;
 use membership::MS;
@@ -7,19 +7,19 @@
 
 #[derive(clap::Args)]
 pub struct ConvergenceArguments {
-    /// Members.
+    /// Number of members.
     #[arg(long, default_value_t = 100)]
     members: usize,
-    /// The share of datagrams that is lost.
+    /// Ratio of datagrams that are lost, from 0 to 1.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
-    /// For all that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The time between two lines, in milliseconds.
+    /// Interval between two printed lines, in milliseconds of virtual time.
     #[arg(long, default_value_t = 200)]
     every: u64,
-    /// A step that has not settled is ended after this; in seconds.
+    /// Maximum duration of a step that does not converge, in seconds of virtual time.
     #[arg(long, default_value_t = 60)]
     most: u64,
 }
--- a/crates/testbed/src/commands/decisions.rs
+++ b/crates/testbed/src/commands/decisions.rs
@@ -1,4 +1,4 @@
-//! `testbed decisions`: what a decision costs by the number of caches.
+//! `testbed decisions`: measures the CPU time of the decision engine by the number of caches.
 
 use super::CommandResult;
 use std::process::ExitCode;
@@ -6,13 +6,13 @@
 
 #[derive(clap::Args)]
 pub struct DecisionsArguments {
-    /// Numbers of caches.
+    /// Numbers of caches to measure.
     #[arg(long, value_delimiter = ',', default_values_t = [13, 50, 200, 1_300])]
     caches: Vec<usize>,
-    /// How long each is measured, in seconds of the module's time.
+    /// Duration of each measurement, in seconds of virtual time.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// Rounds; the least of each figure counts.
+    /// Number of rounds; the minimum of each value is printed.
     #[arg(long, default_value_t = 5)]
     rounds: u64,
 }
--- a/crates/testbed/src/commands/detection_latency.rs
+++ b/crates/testbed/src/commands/detection_latency.rs
@@ -1,4 +1,5 @@
-//! `testbed detection-latency`: how fast the membership crate alone detects deaths and returns.
+//! `testbed detection-latency`: measures how fast the membership crate alone detects deaths and
+//! rejoins.
 
 use super::{CommandResult, print_json, sizes_and_losses};
 use std::process::ExitCode;
@@ -6,19 +7,20 @@
 
 #[derive(clap::Args)]
 pub struct DetectionLatencyArguments {
-    /// Sizes.
+    /// Numbers of members to measure.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 100])]
     members: Vec<usize>,
-    /// Shares of datagrams that are lost.
+    /// Ratios of datagrams that are lost, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.1, 0.2, 0.3])]
     loss: Vec<f64>,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// How long nothing happens, for the figures a second; in seconds.
+    /// Duration of the span without events in which the rates are measured, in seconds of virtual
+    /// time.
     #[arg(long, default_value_t = 30)]
     calm: u64,
-    /// The first seed.
+    /// First seed; the others follow it.
     #[arg(long, default_value_t = 1)]
     first: u64,
 }
--- a/crates/testbed/src/commands/hollow.rs
+++ b/crates/testbed/src/commands/hollow.rs
@@ -1,4 +1,4 @@
-//! `testbed hollow`: the control plane without data traffic, over real sockets.
+//! `testbed hollow`: runs and measures the control plane without data traffic, over real sockets.
 
 use super::{CommandResult, print_json};
 use std::process::ExitCode;
@@ -8,11 +8,11 @@
 #[derive(clap::Args)]
 pub struct HollowArguments {
     #[command(flatten)]
-    layout: Layout,
-    /// How long nothing happens, in seconds.
+    size: FleetArguments,
+    /// Duration of the span without events, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// What happens then.
+    /// Event that is injected after it.
     #[arg(long, value_enum, default_value_t = HollowEvent::None)]
     event: HollowEvent,
 }
@@ -20,30 +20,30 @@
 #[derive(clap::Args)]
 pub struct HollowMembersArguments {
     #[command(flatten)]
-    layout: Layout,
-    /// Which of the processes this is.
+    size: FleetArguments,
+    /// Index of this process, from 0.
     #[arg(long)]
     share: usize,
 }
 
-/// How hollow members are laid out.
+/// Size of the fleet and its distribution over processes.
 #[derive(clap::Args)]
-struct Layout {
-    /// Members in all.
+struct FleetArguments {
+    /// Number of members.
     #[arg(long, default_value_t = 120)]
     members: usize,
-    /// Regions, uneven; 1: without regions.
+    /// Number of regions, which differ in size; 1 disables regions.
     #[arg(long, default_value_t = 1)]
     regions: usize,
-    /// Processes among which the members are divided.
+    /// Number of processes among which the members are divided.
     #[arg(long, default_value_t = 4)]
     processes: usize,
-    /// For all that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-impl Layout {
+impl FleetArguments {
     fn plan(&self, seconds: u64, event: HollowEvent) -> HollowPlan {
         HollowPlan {
             members: self.members,
@@ -57,13 +57,13 @@
 }
 
 pub fn run(arguments: &HollowArguments, interrupted: &AtomicBool) -> CommandResult {
-    let plan = arguments.layout.plan(arguments.seconds, arguments.event);
+    let plan = arguments.size.plan(arguments.seconds, arguments.event);
     print_json(&hollow::run(plan, interrupted)?)?;
     Ok(ExitCode::SUCCESS)
 }
 
 pub fn run_members(arguments: &HollowMembersArguments) -> CommandResult {
-    let plan = arguments.layout.plan(0, HollowEvent::None);
+    let plan = arguments.size.plan(0, HollowEvent::None);
     hollow::serve(plan, arguments.share)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/testbed/src/commands/list.rs
+++ b/crates/testbed/src/commands/list.rs
@@ -1,4 +1,4 @@
-//! `testbed list`: names the scenarios and the simulation trials.
+//! `testbed list`: lists the scenarios and the trials in virtual time.
 
 use super::CommandResult;
 use std::process::ExitCode;
--- a/crates/testbed/src/commands/mutations.rs
+++ b/crates/testbed/src/commands/mutations.rs
@@ -1,4 +1,4 @@
-//! `testbed mutations`: whether each injected fault is found.
+//! `testbed mutations`: checks that each injected fault is detected by its trial.
 
 use super::CommandResult;
 use std::path::PathBuf;
@@ -8,7 +8,8 @@
 
 #[derive(clap::Args)]
 pub struct MutationsArguments {
-    /// The program, built with the feature too.
+    /// Path of the pipitrun program, also built with the feature; by default the one in this
+    /// executable's folder.
     #[arg(long)]
     program: Option<PathBuf>,
 }
--- a/crates/testbed/src/commands/regions.rs
+++ b/crates/testbed/src/commands/regions.rs
@@ -1,4 +1,4 @@
-//! `testbed regions`: measures a fleet in regions.
+//! `testbed regions`: measures a fleet with regions, in virtual time.
 
 use super::{CommandResult, print_json, sizes_and_losses};
 use std::process::ExitCode;
@@ -6,28 +6,28 @@
 
 #[derive(clap::Args)]
 pub struct RegionsArguments {
-    /// Sizes.
+    /// Numbers of members to measure.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 600, 1_150])]
     members: Vec<usize>,
-    /// Regions, uneven; 1: one region, as without the key.
+    /// Number of regions, which differ in size; 1 is a fleet without the setting `region`.
     #[arg(long, default_value_t = 26)]
     regions: usize,
-    /// Shares of datagrams that are lost.
+    /// Ratios of datagrams that are lost, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0])]
     loss: Vec<f64>,
-    /// The share that is lost between regions, where that is more.
+    /// Ratio of datagrams between regions that are lost, if it is higher than `--loss`.
     #[arg(long, default_value_t = 0.0)]
     loss_between: f64,
-    /// How long datagrams take from one region to another, in milliseconds.
+    /// Delay of datagrams between regions, in milliseconds.
     #[arg(long, default_value_t = 40)]
     delay_between: u64,
-    /// Seeds, from 1.
+    /// Number of seeds, from 1.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long nothing happens, in seconds.
+    /// Duration of the span without events, in seconds of virtual time.
     #[arg(long, default_value_t = 30)]
     calm: u64,
-    /// What happens after the calm.
+    /// Events that are injected after it.
     #[arg(
         long,
         value_enum,
@@ -37,16 +37,16 @@
     events: Vec<EventChoice>,
 }
 
-/// What happens after the calm.
+/// Events that are injected after the span without events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 enum EventChoice {
-    /// Nothing.
+    /// No event.
     None,
-    /// One dies and is back, then the leader of the largest region.
+    /// A member dies and rejoins, then the leader of the largest region dies.
     Deaths,
-    /// A rack dies and is back, then a zone.
+    /// A rack of members dies and rejoins, then a zone dies.
     Losses,
-    /// A region is cut off for a minute and is back.
+    /// A region is cut off for one minute and reconnected.
     Cut,
 }
 
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `testbed run`: runs one scenario with real processes, or one simulation trial.
+//! `testbed run`: runs one scenario with real processes, or one trial in virtual time.
 
 use super::CommandResult;
 use std::collections::BTreeSet;
@@ -14,39 +14,39 @@
 
 #[derive(clap::Args)]
 pub struct RunArguments {
-    /// The scenario.
+    /// Name of a scenario or a trial in virtual time, or path of a scenario file.
     scenario: String,
-    /// Processes; as many as the scenario says if not given.
+    /// Number of balancer processes; by default that of the scenario.
     #[arg(long)]
     instances: Option<usize>,
-    /// For all that is drawn; with --repeat the first of several.
+    /// Seed of all random choices; with `--repeat` the first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How often, each time by the next seed.
+    /// Number of runs, each with the next seed.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Where figures and the record of faults are written, one JSON file for each play.
+    /// Folder in which the report of each run is written as a JSON file.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// The program, if not the one beside this.
+    /// Path of the pipitrun program; by default the one in this executable's folder.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Without the key `fleet`: what the members did before they had a view.
+    /// Omits the key `fleet` from the configuration, so that the members have no view of the fleet.
     #[arg(long)]
     no_fleet: bool,
-    /// With the key `shed_together`: load is shed by a level that all agree on.
+    /// Sets the key `shed_together`, so that all members shed load by a common level.
     #[arg(long)]
     shed_together: bool,
-    /// Where the members' log lines are written, one file for each play.
+    /// Folder in which the members' log lines are written, one file per run.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// A fault to inject; the program must have been built with the feature `fault-injection`.
+    /// Name of a fault to inject; the program must be built with the feature `fault-injection`.
     #[arg(long)]
     planted: Option<String>,
 }
 
 pub fn run(arguments: &RunArguments, interrupted: &AtomicBool) -> CommandResult {
-    if let Some(result) = mutations::play_virtual(&arguments.scenario, arguments.seed) {
+    if let Some(result) = mutations::run_virtual(&arguments.scenario, arguments.seed) {
         return Ok(match result {
             Ok(()) => {
                 println!("verdict: passed");
@@ -110,14 +110,14 @@
         "{} with {} instances, seed {}",
         report.scenario, report.instances, report.seed
     );
-    for (at, what) in &report.timeline {
-        println!("  {at:7.2} s  {what}");
+    for (at, event) in &report.timeline {
+        println!("  {at:7.2} s  {event}");
     }
-    for (what, seconds) in &report.converged_s {
-        println!("  {what}: all views true after {seconds:.2} s");
+    for (condition, seconds) in &report.converged_s {
+        println!("  {condition}: all views correct after {seconds:.2} s");
     }
     println!(
-        "  greatest sum of shares {:.2}; requests {:?}",
+        "  largest sum of shares {:.2}; requests by outcome {:?}",
         report.max_share_sum, report.requests
     );
     for (name, span) in &report.spans {
@@ -126,9 +126,13 @@
     if !report.spans.is_empty() {
         match report.recovered_s {
             Some(seconds) => {
-                println!("  nine tenths of the worth back {seconds:.0} s after the trouble");
+                println!(
+                    "  served weight back to 0.9 of before {seconds:.0} s after the disturbance"
+                );
+            }
+            None => {
+                println!("  served weight did not return to 0.9 of before the disturbance");
             }
-            None => println!("  nine tenths of the worth did not come back"),
         }
     }
     for failure in &report.failures {
@@ -141,7 +145,8 @@
 
 fn print_span(name: &str, span: &SpanMetrics) {
     println!(
-        "  {name}: worth {:.2}, of perfect {:.2}; tries {:.2}, copies {:.2}, connections {:.2} a request; probes {:.2} a cache a second",
+        "  {name}: served weight {:.2} of requested, {:.2} of optimum; per request {:.2} attempts, \
+         {:.2} hedges, {:.2} connections; {:.2} health checks per cache per second",
         span.served_weight_share,
         span.share_of_optimum,
         span.attempts_per_request,
@@ -149,32 +154,33 @@
         span.connections_per_request,
         span.health_checks_per_cache_s
     );
-    for (class, of) in &span.classes {
+    for (class, results) in &span.classes {
         println!(
-            "    {class}: asked {}, served {}, late {}, refused {}, failed {}, unanswered {}; refused {:.2} to {:.2} by balancer",
-            of.requests,
-            of.served,
-            of.late,
-            of.rejected,
-            of.failed,
-            of.unanswered,
-            of.rejected_share_min,
-            of.rejected_share_max
+            "    {class}: {} requests, {} served, {} late, {} rejected, {} failed, {} unanswered; \
+             rejected ratio by balancer {:.2} to {:.2}",
+            results.requests,
+            results.served,
+            results.late,
+            results.rejected,
+            results.failed,
+            results.unanswered,
+            results.rejected_share_min,
+            results.rejected_share_max
         );
     }
-    println!("    refused for {:?}", span.rejections_by_reason);
+    println!("    rejections by reason {:?}", span.rejections_by_reason);
 }
 
 fn write_report(out: &Path, report: &ScenarioReport) -> Result<(), TestbedError> {
     let problem = |e: std::io::Error| TestbedError::io(format!("--out {}", out.display()), e);
     std::fs::create_dir_all(out).map_err(problem)?;
-    let planted = report
+    let fault_suffix = report
         .injected_fault
         .as_ref()
         .map(|fault| format!("-{fault}"))
         .unwrap_or_default();
     let file = format!(
-        "{}-{}-{}{planted}.json",
+        "{}-{}-{}{fault_suffix}.json",
         report.scenario, report.instances, report.seed
     );
     let json = serde_json::to_string_pretty(report)?;
@@ -184,21 +190,21 @@
 fn print_summary(reports: &[ScenarioReport]) {
     let names: BTreeSet<&String> = reports.iter().flat_map(|r| r.converged_s.keys()).collect();
     for name in names {
-        let mut all: Vec<f64> = reports
+        let mut times: Vec<f64> = reports
             .iter()
             .filter_map(|r| r.converged_s.get(name).copied())
             .collect();
-        all.sort_by(f64::total_cmp);
-        let (median, worst) = (all[all.len() / 2], all[all.len() - 1]);
+        times.sort_by(f64::total_cmp);
+        let (median, longest) = (times[times.len() / 2], times[times.len() - 1]);
         println!(
-            "{name}: median {median:.2} s, worst {worst:.2} s of {}",
-            all.len()
+            "{name}: median {median:.2} s, longest {longest:.2} s of {} runs",
+            times.len()
         );
     }
-    let shares = reports.iter().map(|r| r.max_share_sum).fold(0.0, f64::max);
+    let max_share_sum = reports.iter().map(|r| r.max_share_sum).fold(0.0, f64::max);
     let passed = reports.iter().filter(|r| r.failed == 0).count();
     println!(
-        "greatest sum of shares {shares:.2}; {passed} of {} passed",
+        "largest sum of shares {max_share_sum:.2}; {passed} of {} passed",
         reports.len()
     );
 }
--- a/crates/testbed/src/commands/shedding.rs
+++ b/crates/testbed/src/commands/shedding.rs
@@ -1,4 +1,4 @@
-//! `testbed shedding`: the level at which members shed load together through an overload.
+//! `testbed shedding`: measures the shedding level of a fleet during an overload, in virtual time.
 
 use super::{CommandResult, print_json, sizes_and_losses};
 use std::process::ExitCode;
@@ -6,13 +6,13 @@
 
 #[derive(clap::Args)]
 pub struct SheddingArguments {
-    /// Sizes.
+    /// Numbers of members to measure.
     #[arg(long, value_delimiter = ',', default_values_t = [4, 12, 40])]
     members: Vec<usize>,
-    /// Shares of datagrams that are lost.
+    /// Ratios of datagrams that are lost, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.3])]
     loss: Vec<f64>,
-    /// Seeds, from 1.
+    /// Number of seeds, from 1.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
 }
--- a/crates/testbed/src/commands/slopes.rs
+++ b/crates/testbed/src/commands/slopes.rs
@@ -1,4 +1,4 @@
-//! `testbed slopes`: measures how costs grow.
+//! `testbed slopes`: measures how costs grow with the size of a fleet.
 
 use super::{CommandResult, read_json_lines};
 use std::path::PathBuf;
@@ -10,26 +10,27 @@
 
 #[derive(clap::Args)]
 pub struct SlopesArguments {
-    /// Where they are written.
+    /// File to which the slopes are written (JSON).
     #[arg(long)]
     out: PathBuf,
-    /// Numbers of caches.
+    /// Numbers of caches for the decision engine.
     #[arg(long, value_delimiter = ',', default_values_t = [13, 50, 200, 1_300])]
     caches: Vec<usize>,
-    /// Members of one region, in virtual time.
+    /// Numbers of members of a fleet of one region, in virtual time.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 300, 600])]
     one_region: Vec<usize>,
-    /// Members of a fleet in regions, in virtual time; larger ones are better measured apart, see
-    /// `--add`.
+    /// Numbers of members of a fleet with regions, in virtual time; larger fleets are better
+    /// measured by separate runs of `regions` and added with `--add`.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 600])]
     in_regions: Vec<usize>,
-    /// Hollow members over real sockets.
+    /// Numbers of hollow members of a fleet with regions, over real sockets.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 600, 1_150])]
     hollow: Vec<usize>,
-    /// Regions.
+    /// Number of regions.
     #[arg(long, default_value_t = 26)]
     regions: usize,
-    /// Measures nothing, and adds these rows that `regions` printed to the file that is there.
+    /// Files of JSON rows that `regions` printed; adds them to the existing file `--out` instead of
+    /// measuring.
     #[arg(long)]
     add: Vec<PathBuf>,
 }
--- a/crates/testbed/src/commands/stall.rs
+++ b/crates/testbed/src/commands/stall.rs
@@ -1,4 +1,4 @@
-//! `testbed stall`: how long a balancer answers nothing while it takes in a large change of the
+//! `testbed stall`: measures how long a balancer stalls while it processes a large change of the
 //! endpoint list.
 
 use super::CommandResult;
@@ -8,14 +8,14 @@
 
 #[derive(clap::Args)]
 pub struct StallArguments {
-    /// Numbers of caches, each with its batch, as in `3200:1000`.
+    /// Numbers of listed caches and sizes of the added batch, as in `3200:1000`.
     #[arg(
         long,
         value_delimiter = ',',
         default_values = ["200:60", "400:150", "1300:400", "3200:1000"]
     )]
     sizes: Vec<stall::BatchSize>,
-    /// The program, if not the one beside this.
+    /// Path of the pipitrun program; by default the one in this executable's folder.
     #[arg(long)]
     program: Option<PathBuf>,
 }
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,5 +1,5 @@
-//! Why a trial could not be run or evaluated. A trial that ran and failed is no error; see its
-//! report.
+//! Errors of the testbed: a trial could not be run or evaluated. A trial that ran and failed is not
+//! an error; its report lists the violations.
 
 use crate::capacity::CapacityError;
 use crate::hollow::HollowError;
@@ -9,138 +9,142 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a trial could not be run or evaluated.
+/// Reason why a trial could not be run or evaluated.
 #[derive(Debug, Error)]
 pub enum TestbedError {
     /// A file or folder could not be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// Which one.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file holds no JSON of the expected form.
+    /// A file does not contain JSON of the expected form.
     #[error("{}: {source}", path.display())]
     Json {
-        /// Which one.
+        /// Path of the file.
         path: PathBuf,
-        /// Where and why.
+        /// Position and reason, from the JSON parser.
         source: serde_json::Error,
     },
-    /// A file holds no TOML of the expected form.
+    /// A file does not contain TOML of the expected form.
     #[error("{}: {source}", path.display())]
     Toml {
-        /// Which one.
+        /// Path of the file.
         path: PathBuf,
-        /// Where and why.
+        /// Position and reason, from the TOML parser.
         source: toml::de::Error,
     },
     /// A socket, thread or process could not be set up or used.
     #[error("{context}: {source}")]
     Io {
-        /// What for.
+        /// Name or purpose of the socket, thread or process.
         context: String,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A record could not be written as JSON.
-    #[error("JSON: {0}")]
+    #[error("a record cannot be written as JSON: {0}")]
     Serialize(#[from] serde_json::Error),
-    /// The clock of the machine stands before 1970.
-    #[error("clock: {0}")]
+    /// The machine's clock is set to a time before 1970.
+    #[error("the machine's clock is set before 1970: {0}")]
     Clock(#[from] std::time::SystemTimeError),
-    /// The program that was named is not there.
-    #[error("{} is no file", .0.display())]
+    /// `--program` does not name an existing file.
+    #[error("{} is not a file; --program expects the path of the pipitrun program", .0.display())]
     ProgramNotAFile(PathBuf),
-    /// The program was looked for beside this one.
+    /// The folder of this executable does not contain the pipitrun program.
     #[error(
-        "no pipitrun beside {}; build the workspace first, or name it with --program",
+        "the program pipitrun is not in the folder of {}; build the workspace first, or pass its \
+         path with --program",
         .0.display()
     )]
     ProgramNotFound(PathBuf),
-    /// A scenario is neither known by name nor a readable file.
+    /// A scenario is neither one of the built-in names nor a readable file.
     #[error("{name}: {source}; a file or one of {known} is expected")]
     ScenarioNotFound {
-        /// The name.
+        /// Name or path that was passed.
         name: String,
-        /// Why it could not be read as a file.
+        /// Error from reading `name` as a file.
         source: io::Error,
-        /// The names that are known.
+        /// Names of the built-in scenarios, for the message.
         known: String,
     },
     /// A scenario is not valid.
     #[error("{name}: {source}")]
     InvalidScenario {
-        /// The scenario.
+        /// Name or path of the scenario.
         name: String,
-        /// What is wrong.
+        /// The invalid setting.
         source: ScenarioError,
     },
     /// A set of members is not valid.
     #[error(transparent)]
     MemberSet(#[from] MemberSetError),
     /// More instances or caches than the loopback network has addresses for.
-    #[error("1 to {max_instances} instances and 1 to {max_caches} caches have room")]
+    #[error(
+        "the loopback network has addresses for 1 to {max_instances} instances and 1 to \
+         {max_caches} caches"
+    )]
     ClusterSize {
-        /// Instances at most.
+        /// Maximum number of instances.
         max_instances: usize,
-        /// Caches at most.
+        /// Maximum number of caches.
         max_caches: usize,
     },
     /// The tables of the capacity page could not be computed.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
-    /// The tables of a page could not be checked or written.
+    /// The plan or the page that holds the tables is invalid.
     #[error("{}: {source}", path.display())]
     CapacityPage {
-        /// The page.
+        /// Path of the plan or the page.
         path: PathBuf,
-        /// What is wrong.
+        /// The invalid value or the line that differs.
         source: CapacityError,
     },
     /// A run of hollow members failed.
     #[error(transparent)]
     Hollow(#[from] HollowError),
-    /// Settings of the decision module contradict themselves.
+    /// The settings of the decision engine are invalid.
     #[error(transparent)]
     Settings(#[from] routing::SettingsError),
-    /// A simulation that a measurement needs failed.
+    /// A simulation run as part of a measurement failed.
     #[error(transparent)]
     Simulation(#[from] SimulationFailure),
-    /// Balancers did not become ready in time.
-    #[error("the balancers do not become ready")]
+    /// The balancers did not become ready within the timeout.
+    #[error("the balancers did not become ready in time")]
     NotReady,
-    /// A balancer's log does not name the address it listens on.
-    #[error("the program does not say where it listens")]
+    /// A balancer's log ended without a line that contains its listen address.
+    #[error("the program's log contains no listen address")]
     NoListenAddress,
-    /// Fault injection is not compiled in.
-    #[error("built without the feature fault-injection")]
+    /// The testbed was built without the feature `fault-injection`.
+    #[error("the testbed was built without the feature fault-injection")]
     NoFaultInjection,
-    /// A trial in a process of its own printed nothing.
-    #[error("{trial}: no verdict")]
+    /// A trial that ran in a separate process printed no output, so it has no verdict.
+    #[error("the trial {trial} printed no verdict")]
     NoVerdict {
-        /// The trial.
+        /// Name of the trial.
         trial: String,
     },
     /// A chart could not be drawn.
     #[error("{}: {problem}", path.display())]
     Chart {
-        /// Its file.
+        /// Path of the chart's file.
         path: PathBuf,
-        /// Why.
+        /// Error of the drawing library.
         problem: String,
     },
-    /// No row holds the figure that a chart is to show.
-    #[error("no row has {0}")]
-    MissingFigure(String),
-    /// A signal ended the trial.
-    #[error("interrupted")]
+    /// None of the measured rows contains the metric of a chart.
+    #[error("none of the measured rows contains a value above 0 for {0}")]
+    MissingMetric(String),
+    /// SIGINT or SIGTERM ended the trial early.
+    #[error("interrupted by a signal")]
     Interrupted,
 }
 
 impl TestbedError {
-    /// An error of a file or folder.
+    /// Returns an error of reading or writing a file or folder.
     #[must_use]
     pub fn file(path: &Path, source: io::Error) -> Self {
         TestbedError::File {
@@ -149,7 +153,7 @@
         }
     }
 
-    /// An error of a file of JSON.
+    /// Returns an error of parsing a file as JSON.
     #[must_use]
     pub fn json(path: &Path, source: serde_json::Error) -> Self {
         TestbedError::Json {
@@ -158,7 +162,7 @@
         }
     }
 
-    /// An error of a socket, thread or process.
+    /// Returns an error of a socket, thread or process.
     #[must_use]
     pub fn io(context: impl Into<String>, source: io::Error) -> Self {
         TestbedError::Io {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,12 @@
-//! The testbed: many balancers, injected faults between them, and checks by invariants.
+//! The testbed runs trials of many balancers with injected faults and checks invariants.
 //!
-//! [`simulation`] runs the `membership` crate alone in virtual time. Everything else starts real
-//! processes of the built program on loopback addresses: [`cluster`] lays them out, [`scenario`]
-//! says what happens to them, [`scenario_runner`] makes it happen, and [`invariants`] compares what
-//! was observed with what is true. [`soak`] does the same with faults drawn from a seed. [`hollow`]
-//! runs the control plane without data traffic.
+//! [`simulation`] runs the `membership` crate alone in virtual time. [`cluster`], [`scenario`],
+//! [`scenario_runner`] and [`invariants`] test real processes of the built program on loopback
+//! addresses: a cluster holds the processes, a scenario lists the faults by time, the runner
+//! injects them, and the invariants compare what members and clients observed with the injected
+//! state.
+//! [`soak`] tests real processes with faults that are randomly generated from a seed. [`hollow`]
+//! runs the control plane over real sockets without data traffic.
 #![forbid(unsafe_code)]
 
 pub mod capacity;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs trials from the command line; the last line of the output is the verdict or the
-//! measurement.
+//! Command line of the testbed. The last line of a trial's output is its verdict, that of a
+//! measurement its result.
 
 mod commands;
 
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -1,5 +1,5 @@
-//! The mutation check: each fault that can be injected has to be found by a trial that passes
-//! without it.
+//! The mutation check: for each fault that can be injected, a trial must pass without the fault and
+//! fail with it.
 
 use crate::error::TestbedError;
 use crate::simulation::{SimulationFailure, trials};
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Which trial detects which fault.
+/// Each fault with the trial that must detect it.
 const DETECTING_TRIALS: [(InjectedFault, &str); 22] = [
     (InjectedFault::NeverRefutes, "lossy"),
     (InjectedFault::PrefersOlderGeneration, "rolling"),
@@ -37,43 +37,50 @@
     (InjectedFault::IgnoresReferrals, "regions-referral"),
 ];
 
-/// One row of the table.
+/// Result of one fault and its trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct MutationResult {
-    /// The injected fault.
+    /// Name of the injected fault.
     pub fault: &'static str,
-    /// The trial.
+    /// Name of the trial.
     pub trial: &'static str,
-    /// Its verdict without.
+    /// Verdict line of the trial without the fault.
     pub without: String,
-    /// Its verdict with it.
+    /// Verdict line of the trial with the fault.
     pub with: String,
-    /// It passes without and fails with it.
+    /// Whether the trial passed without the fault and failed with it.
     pub found: bool,
 }
 
-/// Runs each fault's trial without and with it, by this very command in processes of its own.
+/// Runs the trial of each fault without and with the fault, as child processes of `executable`.
 ///
 /// # Errors
 ///
-/// If a trial can't be started, or faults can't be injected.
-pub fn check(own: &Path, program: Option<&Path>) -> Result<Vec<MutationResult>, TestbedError> {
+/// Returns an error if a trial cannot be started or prints nothing, or if the testbed was built
+/// without the feature `fault-injection`.
+pub fn check(
+    executable: &Path,
+    program: Option<&Path>,
+) -> Result<Vec<MutationResult>, TestbedError> {
     if !cfg!(feature = "fault-injection") {
         return Err(TestbedError::NoFaultInjection);
     }
-    let play = |trial: &str, fault: Option<&str>| -> Result<String, TestbedError> {
-        let mut command = Command::new(own);
+    let run_trial = |trial: &str, fault: Option<&str>| -> Result<String, TestbedError> {
+        let mut command = Command::new(executable);
         command.args(["run", trial]).env_remove("PIPITRUN_PLANTED");
         if let Some(program) = program {
             command.arg("--program").arg(program);
         }
         if let Some(fault) = fault {
-            // For the members, which are processes or run in this one.
+            // The flag reaches members that are processes, the variable members that run inside the
+            // trial's own process.
             command
                 .args(["--planted", fault])
                 .env("PIPITRUN_PLANTED", fault);
         }
-        let output = command.output().map_err(|e| TestbedError::file(own, e))?;
+        let output = command
+            .output()
+            .map_err(|e| TestbedError::file(executable, e))?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         text.lines()
             .last()
@@ -89,7 +96,7 @@
                 .iter()
                 .find(|(f, _)| f == fault)
                 .map_or("", |(_, name)| name);
-            let (without, with) = (play(trial, None)?, play(trial, Some(name))?);
+            let (without, with) = (run_trial(trial, None)?, run_trial(trial, Some(name))?);
             let found = without == "verdict: passed"
                 && with.starts_with("verdict: failed ")
                 && !with.ends_with("to play");
@@ -104,8 +111,8 @@
         .collect()
 }
 
-/// Plays a trial in virtual time, if there is one of this name.
-pub fn play_virtual(name: &str, seed: u64) -> Option<Result<(), SimulationFailure>> {
+/// Runs the trial in virtual time of this name; `None` if there is no such trial.
+pub fn run_virtual(name: &str, seed: u64) -> Option<Result<(), SimulationFailure>> {
     trials::TRIALS
         .iter()
         .find(|(n, _)| *n == name)
--- a/crates/testbed/src/stall.rs
+++ b/crates/testbed/src/stall.rs
@@ -1,6 +1,7 @@
-//! How long one balancer stalls while discovery notifies it of many caches at once: a real process,
-//! a client that sends `PING` without a pause, and a watch that names a batch of new, draining or
-//! removed caches in one message.
+//! Measures how long one balancer stalls while it processes a large change of the endpoint list.
+//!
+//! The balancer is a real process. Discovery sends it one message that adds, drains or removes a
+//! batch of caches, and a client that sends `PING` back to back records the longest response time.
 
 use crate::error::TestbedError;
 use crate::process::{self, ChildGuard};
@@ -17,52 +18,58 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Reads before the batch comes, so that the balancer has candidates for many slots.
+/// Number of reads sent before the batch, so that the balancer has computed the candidates of many
+/// slots.
 const READ_COUNT: usize = 4_000;
-/// How long the client goes on after each message.
+/// Time that the client keeps sending after each change.
 const MEASURE_SPAN: Duration = Duration::from_millis(1_500);
-/// A step that takes longer has failed.
+/// Timeout for the balancer to become ready.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
-/// Listeners that all caches share.
+/// Number of listeners, shared by all listed caches.
 const CACHE_LISTENERS: usize = 8;
 
-/// What a message of the watch says of the batch.
+/// Change that one discovery message reports for all caches of the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchChange {
-    /// The caches are new.
-    Joins,
-    /// They drain.
-    Drains,
-    /// They are gone.
-    Goes,
+    /// The caches are added to the list.
+    Added,
+    /// The caches start draining.
+    Draining,
+    /// The caches are removed from the list.
+    Removed,
 }
 
 impl BatchChange {
-    /// All changes, in the order in which a batch goes through them.
-    pub const ALL: [BatchChange; 3] = [BatchChange::Joins, BatchChange::Drains, BatchChange::Goes];
+    /// All changes, in the order in which they are applied to a batch.
+    pub const ALL: [BatchChange; 3] = [
+        BatchChange::Added,
+        BatchChange::Draining,
+        BatchChange::Removed,
+    ];
 
     fn health(self) -> &'static str {
         match self {
-            BatchChange::Joins => "in_service",
-            BatchChange::Drains => "terminating",
-            BatchChange::Goes => "terminated",
+            BatchChange::Added => "in_service",
+            BatchChange::Draining => "terminating",
+            BatchChange::Removed => "terminated",
         }
     }
 }
 
-/// What was measured of one balancer.
+/// Response times and memory of one balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct StallMeasurement {
-    /// The longest time without an answer before any change.
-    pub calm: Duration,
-    /// The same around each of [`BatchChange::ALL`].
-    pub around: [Duration; 3],
-    /// Peak memory of the process in kB.
+    /// Longest response time of a `PING` before the first change.
+    pub baseline: Duration,
+    /// Longest response time of a `PING` after each change, in the order of [`BatchChange::ALL`].
+    pub after_change: [Duration; 3],
+    /// Peak resident memory of the process, in kB.
     pub peak_kb: u64,
 }
 
-fn host(number: usize, health: &str, dials: &[SocketAddr]) -> Value {
-    json!({"host": format!("s-{number:05}"), "dial": dials[number % dials.len()].to_string(), "site": "dc-vake",
+fn host(number: usize, health: &str, cache_addresses: &[SocketAddr]) -> Value {
+    let address = cache_addresses[number % cache_addresses.len()];
+    json!({"host": format!("s-{number:05}"), "dial": address.to_string(), "site": "dc-vake",
         "class": "small-1c", "block": 1, "health": health, "share": 1.0, "born_ms": 0})
 }
 
@@ -74,8 +81,9 @@
     json!({"seq": seq, "whole": false, "hosts": hosts}).to_string()
 }
 
-/// Discovery for one watch: sends this message first, then whatever comes.
-fn discovery(first: String) -> io::Result<(SocketAddr, Sender<String>)> {
+/// Starts a discovery service for one watch. It sends `first`, then each message sent through the
+/// returned channel, and an empty line after 2 s without a message.
+fn start_discovery(first: String) -> io::Result<(SocketAddr, Sender<String>)> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let (sender, messages): (Sender<String>, Receiver<String>) = channel();
@@ -99,7 +107,7 @@
     Ok((address, sender))
 }
 
-/// Starts the program; its client address comes from its log.
+/// Starts the program and reads its listen address from its log.
 fn start(program: &Path, discovery: SocketAddr) -> Result<(ChildGuard, SocketAddr), TestbedError> {
     let settings = crate::member_process::settings(1);
     let config = json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "2a",
@@ -118,12 +126,12 @@
             .parse()
             .ok()
     });
-    // Read on, or the program would wait for its log to be read.
+    // Keeps reading the log: the program would block on a full pipe.
     std::thread::spawn(move || lines.for_each(drop));
     Ok((child, address.ok_or(TestbedError::NoListenAddress)?))
 }
 
-/// A client that sends `PING` without a pause and keeps the longest time that an answer took.
+/// Client that sends `PING` back to back and records the longest response time.
 struct PingProbe {
     longest: Arc<Mutex<Duration>>,
     end: Arc<AtomicBool>,
@@ -137,24 +145,26 @@
             Arc::new(Mutex::new(Duration::ZERO)),
             Arc::new(AtomicBool::new(false)),
         );
-        let (kept, ending) = (Arc::clone(&longest), Arc::clone(&end));
+        let (thread_longest, thread_end) = (Arc::clone(&longest), Arc::clone(&end));
         std::thread::spawn(move || -> io::Result<()> {
-            let mut answer = [0; 7];
-            while !ending.load(Ordering::Relaxed) {
+            let mut reply = [0; 7];
+            while !thread_end.load(Ordering::Relaxed) {
                 let sent = Instant::now();
                 stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
-                stream.read_exact(&mut answer)?;
-                let took = sent.elapsed();
-                let mut longest = kept.lock().unwrap_or_else(PoisonError::into_inner);
-                *longest = longest.max(took);
+                stream.read_exact(&mut reply)?;
+                let response_time = sent.elapsed();
+                let mut longest = thread_longest
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                *longest = longest.max(response_time);
             }
             Ok(())
         });
         Ok(PingProbe { longest, end })
     }
 
-    /// The longest time so far, counted anew from now on.
-    fn take(&self) -> Duration {
+    /// Returns the longest response time since the last call and resets it.
+    fn take_longest(&self) -> Duration {
         std::mem::take(&mut self.longest.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
@@ -166,13 +176,13 @@
 }
 
 fn wait_ready(address: SocketAddr) -> Result<(), TestbedError> {
-    let asked = Instant::now();
-    while asked.elapsed() < STEP_TIMEOUT {
+    let begin = Instant::now();
+    while begin.elapsed() < STEP_TIMEOUT {
         let ready = TcpStream::connect(address).and_then(|mut stream| {
             stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
-            let mut answer = [0; 7];
-            stream.read_exact(&mut answer)?;
-            Ok(&answer == b"+PONG\r\n")
+            let mut reply = [0; 7];
+            stream.read_exact(&mut reply)?;
+            Ok(&reply == b"+PONG\r\n")
         });
         if matches!(ready, Ok(true)) {
             return Ok(());
@@ -199,75 +209,79 @@
     Ok(())
 }
 
-/// Measures a balancer of `program` with so many caches, and a batch of so many more.
+/// Measures one balancer with `caches` listed caches while a batch of `batch` caches is added,
+/// drained and removed.
 ///
 /// # Errors
 ///
-/// Says which step failed: a socket, the program's start, or its readiness.
+/// Returns an error if a socket fails, or if the program cannot be started or does not become
+/// ready.
 pub fn measure(
     program: &Path,
     caches: usize,
     batch: usize,
 ) -> Result<StallMeasurement, TestbedError> {
-    let quick = CacheOptions {
+    let cache_options = CacheOptions {
         slots: 64,
         service_time: Duration::ZERO,
         fetch_time: Duration::ZERO,
         ..CacheOptions::default()
     };
-    let mut dials = Vec::new();
+    let mut cache_addresses = Vec::new();
     let mut running = Vec::new();
     for number in 0..CACHE_LISTENERS {
-        let free = TcpListener::bind("127.0.0.1:0")
+        let cache_address = TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
             .map_err(|e| TestbedError::io("cache", e))?;
-        let cache = Cache::start(&format!("c{number}"), free, quick, None)
+        let cache = Cache::start(&format!("c{number}"), cache_address, cache_options, None)
             .map_err(|e| TestbedError::io("cache", e))?;
         running.push(cache);
-        dials.push(free);
+        cache_addresses.push(cache_address);
     }
     let hosts = |range: std::ops::Range<usize>, health| {
-        range.map(|n| host(n, health, &dials)).collect::<Vec<_>>()
+        range
+            .map(|n| host(n, health, &cache_addresses))
+            .collect::<Vec<_>>()
     };
     let first = full_list(1, &hosts(0..caches, "in_service"));
     let (discovery, list_changes) =
-        discovery(first).map_err(|e| TestbedError::io("discovery", e))?;
+        start_discovery(first).map_err(|e| TestbedError::io("discovery", e))?;
     let (balancer, address) = start(program, discovery)?;
     wait_ready(address)?;
     read_keys(address).map_err(|e| TestbedError::io("reads", e))?;
-    let pings = PingProbe::start(address).map_err(|e| TestbedError::io("pings", e))?;
+    let ping_probe = PingProbe::start(address).map_err(|e| TestbedError::io("pings", e))?;
     std::thread::sleep(MEASURE_SPAN);
-    let calm = pings.take();
-    let mut around = [Duration::ZERO; 3];
+    let baseline = ping_probe.take_longest();
+    let mut after_change = [Duration::ZERO; 3];
     for (place, change) in BatchChange::ALL.into_iter().enumerate() {
         let batch = hosts(caches..caches + batch, change.health());
         list_changes
             .send(list_delta(2 + place as u64, &batch))
             .map_err(|e| TestbedError::io("discovery", std::io::Error::other(e)))?;
         std::thread::sleep(MEASURE_SPAN);
-        around[place] = pings.take();
+        after_change[place] = ping_probe.take_longest();
     }
     Ok(StallMeasurement {
-        calm,
-        around,
+        baseline,
+        after_change,
         peak_kb: process::peak_resident_kb(balancer.id()).unwrap_or(0),
     })
 }
 
-/// A number of caches and the batch that comes to them, written `3200:1000`.
+/// Number of listed caches and size of the added batch, written as `3200:1000`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchSize {
-    /// Caches before the batch.
+    /// Number of caches listed before the batch is added.
     pub caches: usize,
-    /// Caches in the batch.
+    /// Number of caches in the batch.
     pub batch: usize,
 }
 
-/// A text that is no [`BatchSize`].
+/// Text that cannot be parsed as a [`BatchSize`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("\"{text}\": caches and batch are expected, as in 3200:1000")]
+#[error("\"{text}\": the number of caches and the batch size are expected, as in 3200:1000")]
 pub struct InvalidBatchSize {
-    /// The text.
+    /// Text that was passed.
     pub text: String,
 }
 
@@ -275,37 +289,37 @@
     type Err = InvalidBatchSize;
 
     fn from_str(text: &str) -> Result<Self, InvalidBatchSize> {
-        let read = || {
+        let parse = || {
             let (caches, batch) = text.split_once(':')?;
             Some(BatchSize {
                 caches: caches.parse().ok()?,
                 batch: batch.parse().ok()?,
             })
         };
-        read().ok_or_else(|| InvalidBatchSize { text: text.into() })
+        parse().ok_or_else(|| InvalidBatchSize { text: text.into() })
     }
 }
 
-/// Measures each size and prints a row for it.
+/// Measures each size and prints one row per size.
 ///
 /// # Errors
 ///
-/// As [`measure`].
+/// Returns the errors of [`measure`].
 pub fn print_table(program: &Path, sizes: &[BatchSize]) -> Result<(), TestbedError> {
     println!("caches batch   calm_ms  joins_ms drains_ms   goes_ms   peak_kb");
     for size in sizes {
         let StallMeasurement {
-            calm,
-            around,
+            baseline,
+            after_change,
             peak_kb,
         } = measure(program, size.caches, size.batch)?;
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
-        let [joins, drains, goes] = around.map(ms);
+        let [joins, drains, goes] = after_change.map(ms);
         println!(
             "{:6} {:5} {:9.2} {joins:9.2} {drains:9.2} {goes:9.2} {peak_kb:9}",
             size.caches,
             size.batch,
-            ms(calm)
+            ms(baseline)
         );
     }
     Ok(())
