--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants of a cluster: what the trial did is what is true; what members, clients and caches
-//! saw is held against it.
+//! Invariants of a cluster. The expected state follows from the faults that the trial injected; the
+//! checks compare it with what members, clients and caches observed.
 
 use crate::cluster::Cluster;
 use crate::member_process::{IntendedState, MemberView};
@@ -7,45 +7,46 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Violations that are kept in full; the others are counted.
-const REPORTED_FAILURES_MAX: usize = 50;
-/// Seconds before and after a stall in which no violation is counted: a member that stalled reports
-/// it itself.
-const NEAR: f64 = 12.0;
-/// An answer that comes this much after its deadline is counted as late. It is no failure: how fast
-/// a machine is must not decide a verdict; none at all, or a connection that breaks though nothing
-/// was done to its balancer, does.
-const SLACK: f64 = 0.05;
+/// Maximum number of violations that are kept; further violations are only counted.
+const REPORTED_VIOLATIONS_MAX: usize = 50;
+/// Time in seconds by which a detected death may follow a fault, or precede or follow a stall that
+/// a member logged itself, and still be attributed to it.
+const FAULT_WINDOW_S: f64 = 12.0;
+/// Time in seconds after its deadline from which an answer is counted as late. A late answer is not
+/// a violation, because the verdict must not depend on the machine's speed. A missing answer, or a
+/// connection that breaks while its balancer had no fault, is one.
+const DEADLINE_SLACK_S: f64 = 0.05;
 
-/// What went wrong.
+/// One violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct InvariantViolation {
     /// Seconds since the start of the trial.
     pub at: f64,
-    /// Which invariant.
+    /// Name of the invariant.
     pub invariant: &'static str,
-    /// Who, and what was seen.
+    /// The members or requests concerned and what was observed.
     #[serde(rename = "what")]
     pub detail: String,
 }
 
-/// A span in which something was wrong with a member, by the trial's doing.
+/// Span in which an injected fault was active, in seconds since the start of the trial.
 #[derive(Clone, Copy, Debug)]
 struct TimeSpan {
     from: f64,
+    /// `None` while the fault is active.
     to: Option<f64>,
 }
 
-/// What is true, since when, and what broke.
+/// Injected faults over time, and the violations found so far.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// By member: when it was down, stopped or leaving.
-    away_spans: HashMap<usize, Vec<TimeSpan>>,
-    /// By pair, in one direction: when it was cut.
+    /// Spans in which a member was down, stopped or leaving, by member.
+    unavailable_spans: HashMap<usize, Vec<TimeSpan>>,
+    /// Spans in which a link was cut, by sender and receiver.
     cut_spans: HashMap<(usize, usize), Vec<TimeSpan>>,
-    failures: Vec<InvariantViolation>,
+    violations: Vec<InvariantViolation>,
     count: usize,
-    /// The greatest sum of shares that was seen.
+    /// Largest sum of the members' shares in any check.
     pub max_share_sum: f64,
 }
 
@@ -61,8 +62,8 @@
     }
 }
 
-/// Whether any of these spans reaches into that time.
-fn near(spans: Option<&Vec<TimeSpan>>, from: f64, to: f64) -> bool {
+/// Returns whether any of the spans overlaps `from` to `to`.
+fn overlaps(spans: Option<&Vec<TimeSpan>>, from: f64, to: f64) -> bool {
     spans.is_some_and(|spans| {
         spans
             .iter()
@@ -71,17 +72,17 @@
 }
 
 impl InvariantChecker {
-    /// A member is away from now on, or back.
-    pub fn set_unavailable(&mut self, at: f64, member: usize, away: bool) {
-        let spans = self.away_spans.entry(member).or_default();
-        if away {
+    /// Records that a member becomes unavailable, or available again, at `at`.
+    pub fn set_unavailable(&mut self, at: f64, member: usize, unavailable: bool) {
+        let spans = self.unavailable_spans.entry(member).or_default();
+        if unavailable {
             begin(spans, at);
         } else {
             end(spans, at);
         }
     }
 
-    /// A link is cut from now on, or open.
+    /// Records that the link in one direction is cut, or open again, at `at`.
     pub fn set_cut(&mut self, at: f64, from: usize, to: usize, cut: bool) {
         let spans = self.cut_spans.entry((from, to)).or_default();
         if cut {
@@ -91,11 +92,11 @@
         }
     }
 
-    /// Notes a failure.
+    /// Adds a violation.
     pub fn record_violation(&mut self, at: f64, invariant: &'static str, detail: String) {
         self.count += 1;
-        if self.failures.len() < REPORTED_FAILURES_MAX {
-            self.failures.push(InvariantViolation {
+        if self.violations.len() < REPORTED_VIOLATIONS_MAX {
+            self.violations.push(InvariantViolation {
                 at,
                 invariant,
                 detail,
@@ -103,10 +104,10 @@
         }
     }
 
-    /// What broke, and how often in all.
+    /// Returns the kept violations and the number of all violations.
     #[must_use]
     pub fn violations(&self) -> (&[InvariantViolation], usize) {
-        (&self.failures, self.count)
+        (&self.violations, self.count)
     }
 
     fn is_open(&self, from: usize, to: usize) -> bool {
@@ -116,28 +117,30 @@
             .is_none_or(|span| span.to.is_some())
     }
 
-    /// Who is reached from whom, over others too, by ways that are open in both directions: a
-    /// number for each side.
+    /// Returns the partition of each of `n` members. Members are in the same partition if they are
+    /// connected, directly or through other members, by links that are open in both directions. A
+    /// partition is identified by its smallest member index.
     #[must_use]
-    pub fn sides(&self, n: usize) -> Vec<usize> {
-        let mut side: Vec<usize> = (0..n).collect();
+    pub fn partitions(&self, n: usize) -> Vec<usize> {
+        let mut partition: Vec<usize> = (0..n).collect();
         loop {
             let mut changed = false;
             for i in 0..n {
                 for j in 0..n {
-                    if side[j] < side[i] && self.is_open(i, j) && self.is_open(j, i) {
-                        side[i] = side[j];
+                    if partition[j] < partition[i] && self.is_open(i, j) && self.is_open(j, i) {
+                        partition[i] = partition[j];
                         changed = true;
                     }
                 }
             }
             if !changed {
-                return side;
+                return partition;
             }
         }
     }
 
-    /// The first thing in which a member's view is not true, if any.
+    /// Returns a description of the first member view that contradicts the injected faults; `None`
+    /// if all views are correct. With `suspicions`, a running member may be seen as stalled.
     #[must_use]
     pub fn first_incorrect_view(
         &self,
@@ -146,7 +149,7 @@
         suspicions: bool,
     ) -> Option<String> {
         let n = cluster.members.len();
-        let side = self.sides(n);
+        let partition = self.partitions(n);
         for (i, view) in views.iter().enumerate() {
             if cluster.members[i].intended != IntendedState::Up {
                 continue;
@@ -157,19 +160,22 @@
             let seen: HashMap<_, _> = view.members.iter().map(|m| (m.address, m)).collect();
             for (j, other) in cluster.members.iter().enumerate().filter(|(j, _)| *j != i) {
                 let state = seen.get(&other.spec.advertised).map(|m| m.state.as_str());
-                let right = match other.intended {
-                    IntendedState::Up if side[i] != side[j] => matches!(state, Some("dead") | None),
+                let correct = match other.intended {
+                    IntendedState::Up if partition[i] != partition[j] => {
+                        matches!(state, Some("dead") | None)
+                    }
                     IntendedState::Up => {
-                        let same = views[j].as_ref().map(|v| v.generation);
-                        let life = seen.get(&other.spec.advertised).map(|m| m.generation);
+                        let own_generation = views[j].as_ref().map(|v| v.generation);
+                        let seen_generation =
+                            seen.get(&other.spec.advertised).map(|m| m.generation);
                         (state == Some("serving") || suspicions && state == Some("stalled"))
-                            && same == life
+                            && own_generation == seen_generation
                     }
                     IntendedState::Stopped => matches!(state, Some("stalled" | "dead")),
                     IntendedState::Left => matches!(state, Some("left" | "draining") | None),
                     IntendedState::Down => matches!(state, Some("dead" | "left") | None),
                 };
-                if !right {
+                if !correct {
                     return Some(format!(
                         "n{i} sees n{j} as {}, which is {:?}",
                         state.unwrap_or("unknown"),
@@ -181,26 +187,27 @@
         None
     }
 
-    /// Holds the sum of all shares against its bound.
-    pub fn check_shares(&mut self, at: f64, views: &[Option<MemberView>], most: f64) {
+    /// Checks that the shares of all members sum to at most `max_sum`.
+    pub fn check_shares(&mut self, at: f64, views: &[Option<MemberView>], max_sum: f64) {
         let sum: f64 = views
             .iter()
             .flatten()
             .map(|v| 1.0 / v.share_count.max(1) as f64)
             .sum();
         self.max_share_sum = self.max_share_sum.max(sum);
-        if sum > most {
+        if sum > max_sum {
             let divisors: Vec<usize> = views.iter().flatten().map(|v| v.share_count).collect();
             self.record_violation(
                 at,
                 "shares",
-                format!("the shares sum to {sum:.2}, over {most}: divided by {divisors:?}"),
+                format!("the shares sum to {sum:.2}, over {max_sum}: divided by {divisors:?}"),
             );
         }
     }
 
-    /// Reads the members' logs for deaths that were none: of a member that was there, stood not
-    /// still, and could be reached, for as long as it takes to find a death.
+    /// Checks the members' logs for panics and false deaths and returns the number of false deaths.
+    /// A death is false if neither the member that reports it nor the member that is reported dead
+    /// was unavailable or stalled, and no link between them was cut, within `FAULT_WINDOW_S`.
     pub fn check_false_deaths(&mut self, cluster: &Cluster) -> usize {
         let n = cluster.members.len();
         let logs: Vec<Vec<crate::member_process::LogLine>> = cluster
@@ -208,7 +215,7 @@
             .iter()
             .map(super::member_process::MemberProcess::log)
             .collect();
-        let stood: Vec<Vec<f64>> = logs
+        let stalls: Vec<Vec<f64>> = logs
             .iter()
             .map(|log| {
                 log.iter()
@@ -229,16 +236,16 @@
                 }) else {
                     continue;
                 };
-                let (from, to) = (line.at - NEAR, line.at);
-                let excused = near(self.away_spans.get(&j), from, to)
-                    || near(self.away_spans.get(&i), from, to)
-                    || near(self.cut_spans.get(&(i, j)), from, to)
-                    || near(self.cut_spans.get(&(j, i)), from, to)
-                    || stood[j]
+                let (from, to) = (line.at - FAULT_WINDOW_S, line.at);
+                let explained = overlaps(self.unavailable_spans.get(&j), from, to)
+                    || overlaps(self.unavailable_spans.get(&i), from, to)
+                    || overlaps(self.cut_spans.get(&(i, j)), from, to)
+                    || overlaps(self.cut_spans.get(&(j, i)), from, to)
+                    || stalls[j]
                         .iter()
-                        .chain(&stood[i])
-                        .any(|at| (at - line.at).abs() < NEAR);
-                if !excused {
+                        .chain(&stalls[i])
+                        .any(|at| (at - line.at).abs() < FAULT_WINDOW_S);
+                if !explained {
                     found += 1;
                     self.record_violation(
                         line.at,
@@ -254,62 +261,68 @@
         found
     }
 
-    /// Judges what the clients saw: one answer at most, a true one, and in time unless its balancer
-    /// was away.
-    pub fn check_clients(&mut self, asked: &[ClientRequest]) -> BTreeMap<String, usize> {
-        let mut ends: BTreeMap<String, usize> = BTreeMap::new();
-        for one in asked {
-            *ends.entry(one.outcome.report_key().into()).or_default() += 1;
-            let what = || {
+    /// Checks the results of client requests and returns their number by outcome. A request must
+    /// get at most one answer, the answer must belong to it, and it must not stay unanswered unless
+    /// its balancer was unavailable.
+    pub fn check_clients(&mut self, requests: &[ClientRequest]) -> BTreeMap<String, usize> {
+        let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
+        for request in requests {
+            *outcomes
+                .entry(request.outcome.report_key().into())
+                .or_default() += 1;
+            let detail = || {
                 format!(
                     "{} ({}) at n{}: {:?} after {:.3} s",
-                    one.id, one.class, one.balancer, one.outcome, one.latency_s
+                    request.id, request.class, request.balancer, request.outcome, request.latency_s
                 )
             };
-            if one.extra_data {
+            if request.extra_data {
                 self.record_violation(
-                    one.at,
+                    request.at,
                     "one-answer",
-                    format!("more than one answer: {}", what()),
+                    format!("more than one answer: {}", detail()),
                 );
             }
-            if one.outcome == RequestOutcome::Wrong {
-                self.record_violation(one.at, "true-answer", what());
+            if request.outcome == RequestOutcome::Wrong {
+                self.record_violation(request.at, "true-answer", detail());
             }
-            let away = near(
-                self.away_spans.get(&one.balancer),
-                one.at - 1.0,
-                one.at + one.latency_s,
+            let unavailable = overlaps(
+                self.unavailable_spans.get(&request.balancer),
+                request.at - 1.0,
+                request.at + request.latency_s,
             );
             let answered = matches!(
-                one.outcome,
+                request.outcome,
                 RequestOutcome::Served | RequestOutcome::Refused | RequestOutcome::Failed
             );
-            if answered && one.latency_s > class_deadline_s(one.class) + SLACK && !away {
-                *ends.entry("late".into()).or_default() += 1;
+            if answered
+                && request.latency_s > class_deadline_s(request.class) + DEADLINE_SLACK_S
+                && !unavailable
+            {
+                *outcomes.entry("late".into()).or_default() += 1;
             }
             if matches!(
-                one.outcome,
+                request.outcome,
                 RequestOutcome::Never | RequestOutcome::Broken | RequestOutcome::NoConnection
-            ) && !away
+            ) && !unavailable
             {
-                self.record_violation(one.at, "answered", what());
+                self.record_violation(request.at, "answered", detail());
             }
         }
-        ends
+        outcomes
     }
 
-    /// Judges what the caches did: a write that must not run twice ran at most once.
+    /// Checks that each write of a class that must not run twice ran at most once in all caches.
     pub fn check_caches(&mut self, at: f64, cluster: &Cluster) {
-        let mut effects: HashMap<String, u32> = HashMap::new();
+        let mut runs: HashMap<String, u32> = HashMap::new();
         for cache in cluster.caches.iter().flatten() {
-            for (id, done) in cache.executed_requests() {
-                if done.class == "map-publish" {
-                    *effects.entry(id).or_default() += done.effects;
+            for (id, executed) in cache.executed_requests() {
+                if executed.class == "map-publish" {
+                    *runs.entry(id).or_default() += executed.effects;
                 }
             }
         }
-        for (id, times) in effects.into_iter().filter(|(_, times)| *times > 1) {
+        for (id, times) in runs.into_iter().filter(|(_, times)| *times > 1) {
             self.record_violation(
                 at,
                 "runs-once",
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -1,5 +1,4 @@
-//! One process of the program: its configuration, its signals, its log, and what it says of the
-//! fleet.
+//! One balancer process of a cluster: its configuration, signals, log, counters and fleet view.
 
 use crate::error::TestbedError;
 use crate::process::{self, ChildGuard};
@@ -13,106 +12,106 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Timeout of a call to the admin listener; a stalled process answers none.
+/// Timeout of a request to the admin listener; a stopped process does not answer.
 const ADMIN_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The most log lines that are kept of one member.
+/// Maximum number of log lines that are kept per member.
 const MAX_LOG_LINES: usize = 100_000;
 
-/// How a process is started.
+/// Configuration and environment of a process.
 #[derive(Clone, Debug)]
 pub struct MemberSpec {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// The program.
+    /// Path of the pipitrun program.
     pub program: PathBuf,
-    /// Where its configuration is written.
+    /// Folder in which the configuration file is written.
     pub folder: PathBuf,
-    /// Where its clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// The address of its admin listener.
+    /// Address of the admin listener.
     pub admin: SocketAddr,
-    /// Where it finds discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The key `fleet`, if it is set.
+    /// Value of the key `fleet` in the configuration; `None` to omit the key.
     pub fleet: Option<serde_json::Value>,
-    /// Where the other members send.
+    /// Address to which the other members send datagrams.
     pub advertised: SocketAddr,
-    /// The settings' number of balancers.
+    /// Number of balancers in the settings (`group_size`).
     pub group_size: usize,
-    /// For its random numbers.
+    /// Base of the member's random seed; each start uses a different seed.
     pub seed: u64,
-    /// An injected fault.
+    /// Fault to inject, passed in `PIPITRUN_PLANTED`.
     pub injected_fault: Option<String>,
 }
 
-/// A line of a member's log, and when it came.
+/// A line of a member's log with the time at which it was read.
 #[derive(Clone, Debug, Serialize)]
 pub struct LogLine {
     /// Seconds since the start of the trial.
     pub at: f64,
-    /// The line.
+    /// Text of the line.
     pub text: String,
 }
 
-/// What `/admin/fleet` shows.
+/// Answer of `/admin/fleet`: a member's view of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MemberView {
-    /// Its own name.
+    /// Name of the answering member.
     pub name: String,
-    /// Its generation.
+    /// Generation of the answering member.
     pub generation: u64,
-    /// By how many shares are divided.
+    /// Number of members among which this member divides fleet-wide limits.
     #[serde(rename = "shared_by")]
     pub share_count: usize,
-    /// Those who are there.
+    /// Number of members present, the answering member included.
     pub living: usize,
-    /// It hears no other member.
+    /// Whether the member receives no datagrams from other members.
     #[serde(rename = "cut_off")]
     pub isolated: bool,
-    /// The level that load is shed by.
+    /// Shedding level that the member applies.
     pub level: f64,
-    /// The others.
+    /// Other members.
     pub members: Vec<PeerView>,
-    /// Its counts.
+    /// Counters of sent and received datagrams, by name.
     pub datagrams: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Another member as one sees it.
+/// State of another member in a member's view.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PeerView {
-    /// Its name.
+    /// Name of the other member.
     pub name: String,
-    /// Where it is reached.
+    /// Address to which datagrams to it are sent.
     pub address: SocketAddr,
     /// Its generation.
     pub generation: u64,
-    /// What it is.
+    /// Its status, for example `serving` or `dead`.
     pub state: String,
 }
 
-/// What a process is meant to do now, as the trial has it.
+/// State of a process that the trial has set by starting it or by signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntendedState {
     /// Not started yet, or killed.
     Down,
-    /// At work.
+    /// Started and running.
     Up,
-    /// Stopped by a signal; it can be let go on.
+    /// Stopped by SIGSTOP; SIGCONT resumes it.
     Stopped,
-    /// Asked to end, or ended so.
+    /// Shutdown was requested by SIGTERM; the process may have exited.
     Left,
 }
 
-/// A process and its log; it ends with this.
+/// A balancer process and its log. Dropping it kills the process.
 pub struct MemberProcess {
-    /// How it is started.
+    /// Configuration and environment of the process.
     pub spec: MemberSpec,
-    /// What it is meant to do.
+    /// State that the trial has set.
     pub intended: IntendedState,
     child: Option<ChildGuard>,
-    begun: Instant,
+    begin: Instant,
     lines: Arc<Mutex<Vec<LogLine>>>,
-    /// The counters of each process, as last printed.
+    /// Last printed counters, one entry per start.
     counters: Arc<Mutex<Vec<BTreeMap<String, u64>>>>,
     starts: u64,
 }
@@ -124,26 +123,26 @@
 }
 
 impl MemberProcess {
-    /// A process that is not started yet.
+    /// Returns a member whose process is not started yet.
     #[must_use]
     pub fn new(spec: MemberSpec) -> Self {
-        let (begun, lines, counters) = (Instant::now(), Arc::default(), Arc::default());
+        let (begin, lines, counters) = (Instant::now(), Arc::default(), Arc::default());
         MemberProcess {
             spec,
             intended: IntendedState::Down,
             child: None,
-            begun,
+            begin,
             lines,
             counters,
             starts: 0,
         }
     }
 
-    /// Starts it, under the same name and addresses each time.
+    /// Kills a running process and starts a new one: same name and addresses, different seed.
     ///
     /// # Errors
     ///
-    /// If the configuration can't be written, or the program not be started.
+    /// Returns an error if the configuration cannot be written or the program cannot be started.
     pub fn start(&mut self) -> Result<(), TestbedError> {
         self.kill();
         self.starts += 1;
@@ -164,14 +163,14 @@
         }
         let mut child = ChildGuard::spawn(command.stdout(Stdio::piped()).stderr(Stdio::piped()))?;
         if let Some(log) = child.stderr.take() {
-            let (lines, begun) = (Arc::clone(&self.lines), self.begun);
-            // Read on though nobody asks, or the program would wait for its log to be read.
+            let (lines, begin) = (Arc::clone(&self.lines), self.begin);
+            // Keeps reading the log: the program would block on a full pipe.
             std::thread::spawn(move || {
                 for text in BufReader::new(log).lines().map_while(Result::ok) {
                     let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
                     if lines.len() < MAX_LOG_LINES {
                         lines.push(LogLine {
-                            at: begun.elapsed().as_secs_f64(),
+                            at: begin.elapsed().as_secs_f64(),
                             text,
                         });
                     }
@@ -180,7 +179,7 @@
         }
         if let Some(output) = child.stdout.take() {
             let counters = Arc::clone(&self.counters);
-            let life = {
+            let start = {
                 let mut counters = counters.lock().unwrap_or_else(PoisonError::into_inner);
                 counters.push(BTreeMap::new());
                 counters.len() - 1
@@ -188,7 +187,7 @@
             std::thread::spawn(move || {
                 for text in BufReader::new(output).lines().map_while(Result::ok) {
                     if let Some(parsed) = process::parse_counters(&text) {
-                        counters.lock().unwrap_or_else(PoisonError::into_inner)[life] = parsed;
+                        counters.lock().unwrap_or_else(PoisonError::into_inner)[start] = parsed;
                     }
                 }
             });
@@ -198,30 +197,30 @@
         Ok(())
     }
 
-    /// Has it print its counters, if it is at work.
+    /// Makes a running process print its counters (SIGUSR1).
     pub fn request_counters(&self) {
         if self.intended == IntendedState::Up {
             self.signal(Signal::SIGUSR1);
         }
     }
 
-    /// Its counters as last printed, summed over its processes.
+    /// Returns the last printed counters, summed over all starts.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         let mut sum = BTreeMap::new();
-        for life in self
+        for counters in self
             .counters
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .iter()
         {
-            for (name, count) in life {
+            for (name, count) in counters {
                 *sum.entry(name.clone()).or_insert(0) += count;
             }
         }
         sum
     }
 
-    /// Its log so far, over all its processes.
+    /// Returns the log lines so far, of all starts.
     pub fn log(&self) -> Vec<LogLine> {
         self.lines
             .lock()
@@ -235,57 +234,58 @@
         }
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if self.child.take().is_some() {
             self.intended = IntendedState::Down;
         }
     }
 
-    /// Stops the process until it is resumed.
+    /// Stops the process by SIGSTOP until it is resumed.
     pub fn stop(&mut self) {
         self.signal(Signal::SIGSTOP);
         self.intended = IntendedState::Stopped;
     }
 
-    /// It goes on.
+    /// Resumes a stopped process by SIGCONT.
     pub fn resume(&mut self) {
         self.signal(Signal::SIGCONT);
         self.intended = IntendedState::Up;
     }
 
-    /// It is asked to end.
+    /// Requests a graceful shutdown by SIGTERM.
     pub fn request_shutdown(&mut self) {
         self.signal(Signal::SIGTERM);
         self.intended = IntendedState::Left;
     }
 
-    /// How it ended, if it has; it is waited for that long.
+    /// Waits up to `timeout` for the process to exit and returns its exit status; `None` if it is
+    /// still running or was not started.
     pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
-        let begun = Instant::now();
+        let begin = Instant::now();
         let child = self.child.as_mut()?;
         loop {
             match child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                _ if begun.elapsed() >= timeout => return None,
+                _ if begin.elapsed() >= timeout => return None,
                 _ => std::thread::sleep(Duration::from_millis(5)),
             }
         }
     }
 
-    /// Descriptors that the process holds open.
+    /// Returns the number of open file descriptors of the process.
     #[must_use]
     pub fn descriptors(&self) -> Option<usize> {
         process::open_descriptors(self.child.as_ref()?.id())
     }
 
-    /// Resident memory of the process, in bytes.
+    /// Returns the resident memory of the process, in bytes.
     #[must_use]
     pub fn memory(&self) -> Option<u64> {
         Some(process::resident_kb(self.child.as_ref()?.id())? * 1_024)
     }
 
-    /// A call of the operators, and the body of its answer if it is 200.
+    /// Sends `GET path` to the admin listener and returns the body of a 200 answer.
     #[must_use]
     pub fn admin_get(&self, path: &str) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.spec.admin, ADMIN_TIMEOUT).ok()?;
@@ -297,7 +297,7 @@
         head.starts_with("HTTP/1.1 200 ").then(|| body.to_string())
     }
 
-    /// What it sees of the fleet, if it is at work and answers.
+    /// Returns the member's view of the fleet; `None` unless the process runs and answers.
     #[must_use]
     pub fn view(&self) -> Option<MemberView> {
         if self.intended != IntendedState::Up {
@@ -307,7 +307,7 @@
     }
 }
 
-/// The settings of all members; the classes are those of `stand_ins::clients`.
+/// Returns the settings of all members. The classes are those of `simulated_services::clients`.
 pub(crate) fn settings(group_size: usize) -> serde_json::Value {
     serde_json::json!({
         "areas": ["dc-vake"], "machine_types": ["small-1c"],
--- a/crates/testbed/src/overload_metrics.rs
+++ b/crates/testbed/src/overload_metrics.rs
@@ -1,12 +1,12 @@
-//! Metrics of a whole fleet by second and by span, from the counts of members and caches and the
-//! results of clients.
+//! Metrics of a whole fleet per second and per time span, computed from the counters of members and
+//! caches and the results of client requests.
 
 use crate::simulated_services::cache::CacheCounts;
 use crate::simulated_services::clients::{ClientRequest, RequestOutcome};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A class's priority weight, and its latency objective in seconds; as in the members'
+/// Name, priority weight and latency objective (in seconds) of each class; must equal the members'
 /// settings.
 pub const CLASSES: [(&str, f64, f64); 3] = [
     ("tile-read", 3.0, 0.3),
@@ -14,112 +14,112 @@
     ("map-publish", 5.0, 0.6),
 ];
 
-/// A balancer's share of rejections counts from so many requests on.
+/// Minimum number of requests of a class at a balancer for its ratio of rejections to be compared.
 const MIN_REQUESTS_FOR_SHARE: u64 = 20;
 
-/// Sums over the fleet at one moment, since the start.
+/// Counters summed over the fleet at one moment, counted since the start of the trial.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterSample {
     /// Seconds since the start of the timeline.
     pub at: f64,
-    /// What came to all caches.
+    /// Counters summed over all caches.
     pub caches: CacheCounts,
-    /// Fetches and writes at the origin, and those that timed out in its queue.
+    /// Number of fetches and writes at the origin, and number of them that timed out in its queue.
     pub origin: (u64, u64),
-    /// The members' counters, summed over all their processes.
+    /// Counters of all members, summed over all their processes.
     pub members: BTreeMap<String, u64>,
 }
 
-/// One second of the fleet.
+/// Metrics of one second, over the whole fleet.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SecondMetrics {
-    /// Since the start of the timeline.
+    /// Start of the second, in seconds since the start of the timeline.
     pub at: u64,
-    /// Requests of clients, without returns; and returns.
+    /// Number of client requests, client retries not included.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// See `requests`.
+    /// Number of client retries.
     #[serde(rename = "again")]
     pub client_retries: u64,
-    /// Attempts at caches, and those rejected there.
+    /// Number of attempts that caches received.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// See `attempts`.
+    /// Number of attempts that caches rejected.
     #[serde(rename = "turned_away")]
     pub rejected_by_caches: u64,
-    /// Hedged requests that members sent.
+    /// Number of hedged requests that members sent.
     #[serde(rename = "hedges")]
     pub hedges: u64,
-    /// Health checks at caches.
+    /// Number of health checks that caches received.
     #[serde(rename = "probes")]
     pub health_checks: u64,
-    /// Connections at caches.
+    /// Number of connections that caches accepted.
     #[serde(rename = "connects")]
     pub connections: u64,
-    /// Fetches and writes at the origin.
+    /// Number of fetches and writes at the origin.
     pub fetches: u64,
-    /// Weight of first requests, and weight of answers in time.
+    /// Sum of the weights of requests, client retries not included.
     #[serde(rename = "worth_asked")]
     pub requested_weight: f64,
-    /// See `requested_weight`.
+    /// Sum of the weights of requests served within their latency objective.
     #[serde(rename = "worth")]
     pub served_weight: f64,
 }
 
-/// Results of one class in a span.
+/// Results of one class in a time span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassMetrics {
-    /// First requests.
+    /// Number of requests, client retries not included.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Of all requests, those served in time, served late, rejected, failed, and without an answer.
+    /// Number of requests served within the latency objective, client retries included.
     pub served: u64,
-    /// See `served`.
+    /// Number of requests served after the latency objective.
     pub late: u64,
-    /// See `served`.
+    /// Number of requests rejected with `-BUSY`.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// See `served`.
+    /// Number of requests answered with another error or a wrong value.
     pub failed: u64,
-    /// See `served`.
+    /// Number of requests without an answer.
     pub unanswered: u64,
-    /// The share that was rejected at the balancer that rejected least, and at the one that
-    /// rejected most; of those with twenty requests or more.
+    /// Lowest ratio of rejected requests at any balancer that received 20 requests or more of this
+    /// class.
     #[serde(rename = "refused_least")]
     pub rejected_share_min: f64,
-    /// See `rejected_share_min`.
+    /// Highest ratio of rejected requests at any such balancer.
     #[serde(rename = "refused_most")]
     pub rejected_share_max: f64,
 }
 
-/// Metrics of one span.
+/// Metrics of one time span.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SpanMetrics {
-    /// From when to when, in seconds since the start of the timeline.
+    /// Start, in seconds since the start of the timeline.
     pub from: f64,
-    /// See `from`.
+    /// End, in seconds since the start of the timeline.
     pub to: f64,
-    /// Weight served in time over weight requested.
+    /// Ratio of the weight served within the latency objectives to the requested weight.
     #[serde(rename = "worth_share")]
     pub served_weight_share: f64,
-    /// Weight served in time over what the caches' capacity could earn.
+    /// Ratio of the weight served within the latency objectives to [`optimal_weight`].
     #[serde(rename = "of_perfect")]
     pub share_of_optimum: f64,
-    /// Attempts at caches for each first request.
+    /// Attempts at caches per request; client retries do not count as requests.
     #[serde(rename = "tries_per_request")]
     pub attempts_per_request: f64,
-    /// Hedged requests for each first request.
+    /// Hedged requests per request.
     #[serde(rename = "copies_per_request")]
     pub hedges_per_request: f64,
-    /// Health checks a cache a second.
+    /// Health checks per cache per second.
     #[serde(rename = "probes_per_cache_s")]
     pub health_checks_per_cache_s: f64,
-    /// Connections for each first request.
+    /// Connections to caches per request.
     #[serde(rename = "connects_per_request")]
     pub connections_per_request: f64,
-    /// By class.
+    /// Results by class.
     pub classes: BTreeMap<String, ClassMetrics>,
-    /// Rejections by reason, from the counters of members.
+    /// Number of rejections by reason, from the counters of members.
     #[serde(rename = "refused_by_reason")]
     pub rejections_by_reason: BTreeMap<String, u64>,
 }
@@ -131,9 +131,9 @@
         .map_or((0.0, 0.0), |(_, weight, objective)| (*weight, *objective))
 }
 
-fn in_time(one: &ClientRequest) -> bool {
-    one.outcome == RequestOutcome::Served
-        && one.latency_s <= class_weight_and_objective(one.class).1
+fn in_time(request: &ClientRequest) -> bool {
+    request.outcome == RequestOutcome::Served
+        && request.latency_s <= class_weight_and_objective(request.class).1
 }
 
 fn delta(before: &BTreeMap<String, u64>, after: &BTreeMap<String, u64>, name: &str) -> u64 {
@@ -141,12 +141,13 @@
     get(after).saturating_sub(get(before))
 }
 
-/// The fleet second by second; `begun` is the start of the timeline in the clients' time.
+/// Computes the metrics of each second. `timeline_start` is the start of the timeline on the
+/// clients' clock, in seconds.
 #[must_use]
 pub fn seconds(
     samples: &[ClusterSample],
-    asked: &[ClientRequest],
-    begun: f64,
+    requests: &[ClientRequest],
+    timeline_start: f64,
 ) -> Vec<SecondMetrics> {
     let mut seconds: Vec<SecondMetrics> = samples
         .windows(2)
@@ -167,80 +168,80 @@
             }
         })
         .collect();
-    for one in asked {
-        let at = one.at - begun;
+    for request in requests {
+        let at = request.at - timeline_start;
         let Some(i) = samples
             .windows(2)
             .position(|pair| (pair[0].at..pair[1].at).contains(&at))
         else {
             continue;
         };
-        let weight = class_weight_and_objective(one.class).0;
-        if one.is_retry {
+        let weight = class_weight_and_objective(request.class).0;
+        if request.is_retry {
             seconds[i].client_retries += 1;
         } else {
             seconds[i].requests += 1;
             seconds[i].requested_weight += weight;
         }
-        if in_time(one) {
+        if in_time(request) {
             seconds[i].served_weight += weight;
         }
     }
     seconds
 }
 
-/// The most weight that so much capacity can earn: heaviest classes first, one unit of capacity a
-/// request.
+/// Returns the maximum weight that `capacity` requests can serve if the classes with the highest
+/// weight are served first.
 #[must_use]
-pub fn perfect(asked: &BTreeMap<String, ClassMetrics>, capacity: f64) -> f64 {
-    let mut classes: Vec<(f64, f64)> = asked
+pub fn optimal_weight(classes: &BTreeMap<String, ClassMetrics>, capacity: f64) -> f64 {
+    let mut weights_and_counts: Vec<(f64, f64)> = classes
         .iter()
         .map(|(name, class)| (class_weight_and_objective(name).0, class.requests as f64))
         .collect();
-    classes.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let mut left = capacity;
+    weights_and_counts.sort_by(|a, b| b.0.total_cmp(&a.0));
+    let mut remaining = capacity;
     let mut weight = 0.0;
-    for (each, many) in classes {
-        let taken = many.min(left);
-        weight += each * taken;
-        left -= taken;
+    for (class_weight, requests) in weights_and_counts {
+        let served = requests.min(remaining);
+        weight += class_weight * served;
+        remaining -= served;
     }
     weight
 }
 
-/// What is known of a timeline when its spans are evaluated.
+/// Observations of a whole timeline, from which time spans are evaluated.
 pub struct Observations<'a> {
-    /// The fleet, once a second.
+    /// Counters of the fleet, sampled once a second.
     pub samples: &'a [ClusterSample],
-    /// The clients' requests.
+    /// Requests of all clients.
     pub requests: &'a [ClientRequest],
-    /// The start of the timeline in the clients' time.
+    /// Start of the timeline on the clients' clock, in seconds.
     pub timeline_start: f64,
-    /// How many requests all caches serve a second when warm.
+    /// Requests per second that all caches together serve when warm.
     pub capacity: f64,
-    /// How many caches there are.
+    /// Number of caches.
     pub caches: usize,
 }
 
-/// Sums over the requests of a span.
+/// Sums over the requests of a time span.
 #[derive(Default)]
 struct RequestSums {
     classes: BTreeMap<String, ClassMetrics>,
     requested_weight: f64,
     served_weight: f64,
-    /// Requests that are no retries.
+    /// Number of requests, client retries not included.
     requests: u64,
 }
 
 impl Observations<'_> {
-    /// Evaluates one span, in seconds since the start of the timeline.
+    /// Computes the metrics of one time span, given in seconds since the start of the timeline.
     #[must_use]
     pub fn span(&self, from: f64, to: f64) -> SpanMetrics {
         let sums = self.request_sums(from, to);
         let (a, b) = (self.sample_near(from), self.sample_near(to));
         let per_request = |count: u64| count as f64 / sums.requests.max(1) as f64;
         let length = (b.at - a.at).max(0.001);
-        let optimum = perfect(&sums.classes, self.capacity * (to - from));
+        let optimum = optimal_weight(&sums.classes, self.capacity * (to - from));
         let reasons = b
             .members
             .keys()
@@ -282,20 +283,21 @@
 
     fn request_sums(&self, from: f64, to: f64) -> RequestSums {
         let mut sums = RequestSums::default();
-        // By class and balancer: all requests, and those rejected.
+        // Number of requests and of rejected requests, by class and balancer.
         let mut balancers: BTreeMap<(String, usize), (u64, u64)> = BTreeMap::new();
-        let in_span = |one: &&ClientRequest| (from..to).contains(&(one.at - self.timeline_start));
-        for one in self.requests.iter().filter(in_span) {
-            let class = sums.classes.entry(one.class.into()).or_default();
-            if !one.is_retry {
+        let in_span =
+            |request: &&ClientRequest| (from..to).contains(&(request.at - self.timeline_start));
+        for request in self.requests.iter().filter(in_span) {
+            let class = sums.classes.entry(request.class.into()).or_default();
+            if !request.is_retry {
                 class.requests += 1;
                 sums.requests += 1;
-                sums.requested_weight += class_weight_and_objective(one.class).0;
+                sums.requested_weight += class_weight_and_objective(request.class).0;
             }
-            match one.outcome {
-                RequestOutcome::Served if in_time(one) => {
+            match request.outcome {
+                RequestOutcome::Served if in_time(request) => {
                     class.served += 1;
-                    sums.served_weight += class_weight_and_objective(one.class).0;
+                    sums.served_weight += class_weight_and_objective(request.class).0;
                 }
                 RequestOutcome::Served => class.late += 1,
                 RequestOutcome::Refused => class.rejected += 1,
@@ -304,11 +306,11 @@
                     class.unanswered += 1;
                 }
             }
-            let of = balancers
-                .entry((one.class.into(), one.balancer))
+            let counts = balancers
+                .entry((request.class.into(), request.balancer))
                 .or_default();
-            of.0 += 1;
-            of.1 += u64::from(one.outcome == RequestOutcome::Refused);
+            counts.0 += 1;
+            counts.1 += u64::from(request.outcome == RequestOutcome::Refused);
         }
         for (name, class) in &mut sums.classes {
             let shares = balancers
@@ -324,25 +326,30 @@
     }
 }
 
-/// Seconds from `end` until, for two seconds on end, at least nine tenths of the weight share from
-/// before the disturbance is served; `None` if that never comes.
+/// Returns the time in seconds from `end` until, for two consecutive seconds, the ratio of served
+/// to requested weight is at least 0.9 of that in the span `before` the disturbance; `None` if it
+/// does not recover.
 #[must_use]
 pub fn recovery(seconds: &[SecondMetrics], before: (f64, f64), end: f64) -> Option<f64> {
-    let share = |of: &[&SecondMetrics]| {
-        let (weight, asked) = of.iter().fold((0.0, 0.0), |sum, s| {
+    let served_ratio = |seconds: &[&SecondMetrics]| {
+        let (served, requested) = seconds.iter().fold((0.0, 0.0), |sum, s| {
             (sum.0 + s.served_weight, sum.1 + s.requested_weight)
         });
-        if asked > 0.0 { weight / asked } else { 1.0 }
+        if requested > 0.0 {
+            served / requested
+        } else {
+            1.0
+        }
     };
-    let usual: Vec<&SecondMetrics> = seconds
+    let baseline: Vec<&SecondMetrics> = seconds
         .iter()
         .filter(|s| (before.0..before.1).contains(&(s.at as f64)))
         .collect();
-    let wanted = 0.9 * share(&usual);
+    let threshold = 0.9 * served_ratio(&baseline);
     let after: Vec<&SecondMetrics> = seconds.iter().filter(|s| s.at as f64 >= end).collect();
     after
         .windows(2)
-        .find(|pair| share(pair) >= wanted)
+        .find(|pair| served_ratio(pair) >= threshold)
         .map(|pair| (pair[0].at as f64 - end).max(0.0))
 }
 
--- a/crates/testbed/src/overload_metrics/tests.rs
+++ b/crates/testbed/src/overload_metrics/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn one(
+fn client_request(
     at: f64,
     class: &'static str,
-    end: RequestOutcome,
-    took: f64,
+    outcome: RequestOutcome,
+    latency_s: f64,
     balancer: usize,
 ) -> ClientRequest {
     ClientRequest {
@@ -14,17 +14,17 @@
         class,
         balancer,
         at,
-        latency_s: took,
-        outcome: end,
+        latency_s,
+        outcome,
         extra_data: false,
         is_retry: false,
         retry_after_ms: None,
     }
 }
 
-fn sample(at: f64, attempts: u64, refused: u64) -> ClusterSample {
+fn sample(at: f64, attempts: u64, rejected: u64) -> ClusterSample {
     let members = [
-        ("rejected.concurrency_limit".to_string(), refused),
+        ("rejected.concurrency_limit".to_string(), rejected),
         ("hedges".to_string(), attempts / 10),
     ]
     .into();
@@ -41,29 +41,38 @@
 }
 
 #[test]
-fn a_span_is_evaluated_by_weight_capacity_and_counters() {
+fn a_span_combines_request_weights_capacity_and_counters() {
     let samples: Vec<ClusterSample> = (0..=4).map(|s| sample(s as f64, 30 * s, 5 * s)).collect();
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for i in 0..40 {
         let at = 100.0 + i as f64 / 10.0;
-        let end = if i % 2 == 0 {
+        let outcome = if i % 2 == 0 {
             RequestOutcome::Served
         } else {
             RequestOutcome::Refused
         };
-        asked.push(one(at, "tile-read", end, 0.1, i % 2));
+        requests.push(client_request(at, "tile-read", outcome, 0.1, i % 2));
     }
-    asked.push(one(100.5, "status-set", RequestOutcome::Served, 0.31, 0));
+    requests.push(client_request(
+        100.5,
+        "status-set",
+        RequestOutcome::Served,
+        0.31,
+        0,
+    ));
     let observations = Observations {
         samples: &samples,
-        requests: &asked,
+        requests: &requests,
         timeline_start: 100.0,
         capacity: 5.0,
         caches: 2,
     };
     let span = observations.span(0.0, 4.0);
     assert_eq!(span.classes["tile-read"].served, 20);
-    assert_eq!(span.classes["status-set"].late, 1, "past its aim");
+    assert_eq!(
+        span.classes["status-set"].late, 1,
+        "0.31 s is after the objective of 0.3 s"
+    );
     assert_eq!(
         (
             span.classes["tile-read"].rejected_share_min,
@@ -71,7 +80,7 @@
         ),
         (0.0, 1.0)
     );
-    // Room for 20: the one status-set and 19 reads.
+    // The capacity is 20 requests; the optimum serves the status-set and 19 reads.
     assert!(
         (span.share_of_optimum - 60.0 / 67.0).abs() < 1e-9,
         "{}",
@@ -83,7 +92,7 @@
 }
 
 #[test]
-fn recovery_is_the_first_two_good_seconds_after_the_disturbance() {
+fn recovery_is_at_the_first_two_consecutive_seconds_above_the_threshold() {
     let second = |at: u64, weight: f64| SecondMetrics {
         at,
         served_weight: weight,
@@ -99,20 +108,20 @@
     assert_eq!(
         recovery(&seconds[..6], (0.0, 2.0), 3.0),
         None,
-        "it stays bad"
+        "the served ratio stays below the threshold"
     );
 }
 
 #[test]
-fn seconds_collect_client_requests_and_cache_counts() {
+fn seconds_collect_client_requests_client_retries_and_cache_counts() {
     let samples: Vec<ClusterSample> = (0..=2).map(|s| sample(s as f64, 30 * s, 0)).collect();
-    let mut again = one(101.2, "tile-read", RequestOutcome::Served, 0.1, 0);
-    again.is_retry = true;
-    let asked = [
-        one(100.2, "tile-read", RequestOutcome::Refused, 0.1, 0),
-        again,
+    let mut retry = client_request(101.2, "tile-read", RequestOutcome::Served, 0.1, 0);
+    retry.is_retry = true;
+    let requests = [
+        client_request(100.2, "tile-read", RequestOutcome::Refused, 0.1, 0),
+        retry,
     ];
-    let seconds = seconds(&samples, &asked, 100.0);
+    let seconds = seconds(&samples, &requests, 100.0);
     assert_eq!(
         (
             seconds[0].requests,
