--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The tables of docs/CAPACITY.md: what each role costs at today's size, at the plan's and in the
-//! plan's worst hour, worked out from the plan and the measured slopes.
+//! Computes the tables of docs/CAPACITY.md from the plan and the measured slopes: the cost of each
+//! role at today's size, at the planned size, and at the planned size in the worst hour.
 
 mod rows;
 
@@ -9,108 +9,109 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// A size of the fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Caches.
+    /// Number of caches.
     pub caches: f64,
-    /// Requests of all clients.
+    /// Requests per second of all clients together.
     pub requests_per_s: f64,
-    /// Balancers of the largest region.
+    /// Number of balancers in the largest region.
     pub largest_region_balancers: f64,
 }
 
-/// What the fleet has to carry beside requests.
+/// Load of the fleet other than client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlDemand {
-    /// Purges.
+    /// Purges per second.
     pub purges_per_s: f64,
-    /// Within which each is done everywhere.
+    /// Maximum time until a purge is done at all caches, in seconds.
     pub purge_within_s: f64,
-    /// Caches of a region that hold an object.
+    /// Number of caches in each region that hold a copy of an object.
     pub replicas_a_region: f64,
-    /// Changes of configuration.
+    /// Configuration changes per day.
     pub config_changes_per_day: f64,
-    /// Within which each is in force everywhere.
+    /// Maximum time until a configuration change applies at all balancers, in seconds.
     pub config_within_s: f64,
-    /// Machines that fail on an ordinary day.
+    /// Machine failures on an ordinary day.
     pub machines_that_fail_per_day: f64,
-    /// Machines that are restarted or replaced on an ordinary day.
+    /// Machine restarts and replacements on an ordinary day.
     pub restarts_per_day: f64,
-    /// How long a region is cut off.
+    /// Time that a region is cut off from the others, in minutes.
     pub region_cut_minutes: f64,
 }
 
-/// What is allowed.
+/// Limits that the costs must not exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceBudget {
-    /// Processor time of control a balancer, in percent of a core.
+    /// CPU time of the control plane per balancer, in percent of a core.
     pub control_core_percent: f64,
-    /// Memory of control a balancer.
+    /// Memory of the control plane per balancer, in MB.
     pub control_memory_mb: f64,
-    /// Bytes of control that a balancer sends a second.
+    /// Control-plane bytes that a balancer sends per second.
     pub control_bytes_per_s: f64,
-    /// Machines for control.
+    /// Number of machines for discovery, configuration and purges.
     pub control_machines: f64,
-    /// Until a death is known in its region.
+    /// Time until a member's death is known in its region, in seconds.
     pub death_in_region_s: f64,
-    /// Until a change of a region's summary is known everywhere.
+    /// Time until a change of a region's summary is known in all regions, in seconds.
     pub summary_everywhere_s: f64,
-    /// Until a healed cut has settled.
+    /// Time until all views are correct after a cut region is reconnected, in seconds.
     pub healed_s: f64,
 }
 
-/// What is assumed.
+/// Values that are assumed rather than measured.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumptions {
-    /// How long a cache takes to answer.
+    /// Response time of a cache, in milliseconds.
     pub answer_ms: f64,
-    /// The message of one purge.
+    /// Size of the message of one purge.
     pub purge_bytes: f64,
-    /// One configuration.
+    /// Size of one configuration.
     pub config_bytes: f64,
-    /// Caches that come or go on an ordinary day.
+    /// Number of caches that are added or removed on an ordinary day.
     pub cache_changes_per_day: f64,
-    /// What a machine for control sends at most.
+    /// Maximum bytes per second that a control machine sends.
     pub machine_egress_bytes_per_s: f64,
-    /// Calls that it answers at most.
+    /// Maximum calls per second that a control machine answers.
     pub machine_calls_per_s: f64,
-    /// Handshakes that a cache bears beside its work.
+    /// Maximum TCP handshakes per second that a cache can accept in addition to its requests.
     pub cache_handshakes_per_s: f64,
-    /// Connections that a cache bears.
+    /// Maximum number of open connections of a cache.
     pub cache_connections: f64,
 }
 
-/// The plan, as it stands in its file.
+/// Contents of the plan file.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityPlan {
-    /// Today's fleet.
+    /// Size of today's fleet.
     pub today: FleetSize,
-    /// The fleet to design for.
+    /// Size of the fleet to design for.
     pub plan: FleetSize,
-    /// What it has to carry.
+    /// Load of the planned fleet other than client requests.
     pub demand: ControlDemand,
-    /// What is allowed.
+    /// Limits that the costs must not exceed.
     pub budget: ResourceBudget,
-    /// What is assumed.
+    /// Values that are assumed rather than measured.
     pub assumed: Assumptions,
 }
 
 impl CapacityPlan {
-    /// Reads a plan.
+    /// Reads a plan file.
     ///
     /// # Errors
     ///
-    /// Names the file, and the key that is missing, unknown or makes no sense.
+    /// Returns an error if the file cannot be read, a key is missing or unknown, or a size is less
+    /// than 1.
     pub fn read(path: &Path) -> Result<Self, TestbedError> {
         let text = std::fs::read_to_string(path).map_err(|e| TestbedError::file(path, e))?;
         let plan: CapacityPlan = toml::from_str(&text).map_err(|source| TestbedError::Toml {
@@ -118,14 +119,14 @@
             source,
         })?;
         for (name, size) in [("today", plan.today), ("plan", plan.plan)] {
-            let figures = [
+            let values = [
                 ("balancers", size.balancers),
                 ("regions", size.regions),
                 ("caches", size.caches),
                 ("requests_per_s", size.requests_per_s),
                 ("largest_region_balancers", size.largest_region_balancers),
             ];
-            for (key, value) in figures {
+            for (key, value) in values {
                 if !(value >= 1.0 && value.is_finite()) {
                     let invalid = CapacityError::InvalidSize { name, key, value };
                     return Err(invalid.in_file(path));
@@ -136,48 +137,48 @@
     }
 }
 
-/// Why tables could not be computed, checked or written.
+/// Reason why tables could not be computed, checked or written.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CapacityError {
-    /// A size of the plan is out of range.
+    /// A size in the plan is less than 1 or not finite.
     #[error("{name}.{key}: {value} is not 1 or more")]
     InvalidSize {
-        /// Which size.
+        /// Name of the size: `today` or `plan`.
         name: &'static str,
-        /// Which figure of it.
+        /// Key of the value.
         key: &'static str,
-        /// The figure.
+        /// Value in the plan.
         value: f64,
     },
-    /// A row needs a slope that was not measured.
+    /// A row needs a slope that the file of slopes does not contain.
     #[error(transparent)]
     UnknownSlope(#[from] UnknownSlope),
-    /// The page lacks the line that begins a table.
-    #[error("no line \"{line}\"")]
+    /// The page does not contain the line that begins a table.
+    #[error("no line \"{line}\", which must begin a table")]
     MissingLine {
-        /// The line.
+        /// Text of the missing line.
         line: String,
     },
-    /// The page lacks the line that ends a table.
-    #[error("table \"{name}\" has no end")]
+    /// The page does not contain the line that ends a table.
+    #[error("the table \"{name}\" is not followed by the line \"{END_LINE}\"")]
     NoTableEnd {
-        /// The table.
+        /// Name of the table.
         name: String,
     },
-    /// A line of the page is not the table's.
-    #[error("line {number}: \"{found}\" stands there, and \"{expected}\" is right")]
+    /// A line of the page differs from the computed table.
+    #[error("line {number}: found \"{found}\", expected \"{expected}\"")]
     LineDiffers {
-        /// Its number in the page, from 1.
+        /// Line number in the page, from 1.
         number: usize,
-        /// The page's line.
+        /// Line of the page.
         found: String,
-        /// The table's line.
+        /// Line of the computed table.
         expected: String,
     },
 }
 
 impl CapacityError {
-    /// The error with the file it was found in.
+    /// Adds the file in which the error was found.
     #[must_use]
     pub fn in_file(self, path: &Path) -> TestbedError {
         TestbedError::CapacityPage {
@@ -187,14 +188,14 @@
     }
 }
 
-/// Whether there is a mechanism that carries a row.
+/// Implementation state of the mechanism that a row depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MechanismState {
-    /// There is.
+    /// Implemented.
     Built,
-    /// It carries a part.
+    /// Partly implemented.
     Part,
-    /// There is none.
+    /// Not implemented.
     Missing,
 }
 
@@ -208,39 +209,39 @@
     }
 }
 
-/// One figure of the page.
+/// One row of a table.
 #[derive(Clone, Debug)]
 pub struct CapacityRow {
-    /// Who pays it.
+    /// Role that bears the cost, for example `caches`; each role has one table.
     pub role: &'static str,
-    /// What it is, with its unit.
-    pub what: String,
-    /// At today's size.
+    /// Name of the quantity, with its unit.
+    pub quantity: String,
+    /// Value at today's size, if known.
     pub today: Option<f64>,
-    /// At the plan's.
+    /// Value at the planned size.
     pub plan: f64,
-    /// At the plan's in its worst hour.
+    /// Value at the planned size in the worst hour.
     pub worst: f64,
-    /// What is allowed, if the plan or an assumption says.
+    /// Limit from the plan's budget or its assumptions, if there is one.
     pub budget: Option<f64>,
-    /// The slope, or the assumption, that it comes from.
+    /// Slopes or assumptions from which the values are computed.
     pub source: String,
-    /// What carries it.
+    /// Mechanism that handles the load.
     pub mechanism: &'static str,
-    /// Whether that is there.
+    /// Implementation state of the mechanism.
     pub state: MechanismState,
 }
 
 impl CapacityRow {
-    /// The need in the worst hour over what is allowed.
+    /// Returns the ratio of the value in the worst hour to the limit.
     #[must_use]
-    pub fn over(&self) -> Option<f64> {
+    pub fn budget_ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.worst / budget)
     }
 }
 
-/// A figure as the page shows it: three figures, or whole thousands.
-fn figure(value: f64) -> String {
+/// Formats a value for a table cell, with a unit prefix (k, M, G) from 10,000.
+fn format_value(value: f64) -> String {
     match value {
         0.0 => "0".into(),
         v if v >= 1e9 => format!("{:.2} G", v / 1e9),
@@ -258,17 +259,17 @@
             .to_string(),
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |".into(),
     ];
-    let shown = |value: Option<f64>| value.map_or_else(|| "-".into(), figure);
+    let format_optional = |value: Option<f64>| value.map_or_else(|| "-".into(), format_value);
     for row in rows {
         lines.push(format!(
             "| {} | {} | {} | {} | {} | {} | {} | {} | {} |",
-            row.what,
-            shown(row.today),
-            figure(row.plan),
-            figure(row.worst),
-            shown(row.budget),
-            row.over()
-                .map_or_else(|| "-".into(), |over| format!("{over:.2}")),
+            row.quantity,
+            format_optional(row.today),
+            format_value(row.plan),
+            format_value(row.worst),
+            format_optional(row.budget),
+            row.budget_ratio()
+                .map_or_else(|| "-".into(), |ratio| format!("{ratio:.2}")),
             row.source,
             row.mechanism,
             row.state.name()
@@ -277,24 +278,25 @@
     lines
 }
 
-/// What is missing or only in part there, the greatest need over what is allowed first.
-fn missing(rows: &[CapacityRow]) -> Vec<String> {
-    let mut open: Vec<&CapacityRow> = rows
+/// Returns the table of mechanisms that are not or only partly implemented, highest budget ratio
+/// first.
+fn missing_mechanisms(rows: &[CapacityRow]) -> Vec<String> {
+    let mut not_built: Vec<&CapacityRow> = rows
         .iter()
         .filter(|row| row.state != MechanismState::Built)
         .collect();
-    open.sort_by(|a, b| {
-        let worst = |row: &CapacityRow| row.over().unwrap_or(0.0);
-        worst(b).total_cmp(&worst(a))
+    not_built.sort_by(|a, b| {
+        let ratio = |row: &CapacityRow| row.budget_ratio().unwrap_or(0.0);
+        ratio(b).total_cmp(&ratio(a))
     });
     let line = |row: &&CapacityRow| {
-        let over = row
-            .over()
-            .map_or_else(|| "-".into(), |over| format!("{over:.2}"));
+        let ratio = row
+            .budget_ratio()
+            .map_or_else(|| "-".into(), |ratio| format!("{ratio:.2}"));
         format!(
-            "| {} | {} | {} | {over} | {} |",
+            "| {} | {} | {} | {ratio} | {} |",
             row.role,
-            row.what,
+            row.quantity,
             row.mechanism,
             row.state.name()
         )
@@ -303,12 +305,12 @@
         "| role | figure | mechanism | need over allowed | |".to_string(),
         "| --- | --- | --- | --- | --- |".into(),
     ];
-    lines.extend(open.iter().map(line));
+    lines.extend(not_built.iter().map(line));
     lines
 }
 
-/// The slopes with the sizes that were measured.
-fn measured(slopes: &Slopes) -> Vec<String> {
+/// Returns the table of the slopes, with the range of their measured sizes.
+fn slope_table(slopes: &Slopes) -> Vec<String> {
     let mut lines = vec![
         "| slope | unit | by | measured from, to | at 0 | for each | residual | how |".to_string(),
         "| --- | --- | --- | --- | --- | --- | --- | --- |".into(),
@@ -318,9 +320,9 @@
         .iter()
         .filter(|slope| !slope.points.is_empty())
     {
-        let (least, most) = slope.range();
+        let (min, max) = slope.size_range();
         lines.push(format!(
-            "| `{}` | {} | {} | {least}, {most} | {:.4} | {:.6} | {:.2} | {} |",
+            "| `{}` | {} | {} | {min}, {max} | {:.4} | {:.6} | {:.2} | {} |",
             slope.name,
             slope.unit,
             slope.by,
@@ -333,11 +335,11 @@
     lines
 }
 
-/// All tables of the page, by name, each as its lines.
+/// Returns all tables of the page, each as its name and its lines.
 ///
 /// # Errors
 ///
-/// Names a slope that is missing.
+/// Returns an error if a slope that a row needs is missing.
 pub fn tables(
     plan: &CapacityPlan,
     slopes: &Slopes,
@@ -345,46 +347,46 @@
     let rows = rows::all(plan, slopes)?;
     let mut tables = Vec::new();
     for role in rows::ROLES {
-        let of_role: Vec<CapacityRow> = rows
+        let role_rows: Vec<CapacityRow> = rows
             .iter()
             .filter(|row| row.role == role)
             .cloned()
             .collect();
-        tables.push((role.to_string(), table(&of_role)));
+        tables.push((role.to_string(), table(&role_rows)));
     }
-    tables.push(("missing".into(), missing(&rows)));
-    tables.push(("slopes".into(), measured(slopes)));
+    tables.push(("missing".into(), missing_mechanisms(&rows)));
+    tables.push(("slopes".into(), slope_table(slopes)));
     Ok(tables)
 }
 
-fn begins(name: &str) -> String {
+fn begin_line(name: &str) -> String {
     format!("<!-- table: {name} -->")
 }
 
-const ENDS: &str = "<!-- end of table -->";
+const END_LINE: &str = "<!-- end of table -->";
 
-/// Holds a page against the tables.
+/// Checks that a page contains the tables.
 ///
 /// # Errors
 ///
-/// Names the first line of the page that differs, or a table that it lacks.
+/// Returns the first line of the page that differs, or a table that the page does not contain.
 pub fn check(page: &str, tables: &[(String, Vec<String>)]) -> Result<(), CapacityError> {
     let lines: Vec<&str> = page.lines().collect();
     for (name, expected) in tables {
-        let begin = begins(name);
+        let begin = begin_line(name);
         let at = lines.iter().position(|line| *line == begin);
         let at = at.ok_or(CapacityError::MissingLine { line: begin })? + 1;
         for (n, expected) in expected
             .iter()
             .map(String::as_str)
-            .chain([ENDS])
+            .chain([END_LINE])
             .enumerate()
         {
-            let is = lines.get(at + n).copied().unwrap_or_default();
-            if is != expected {
+            let found = lines.get(at + n).copied().unwrap_or_default();
+            if found != expected {
                 return Err(CapacityError::LineDiffers {
                     number: at + n + 1,
-                    found: is.into(),
+                    found: found.into(),
                     expected: expected.into(),
                 });
             }
@@ -393,21 +395,23 @@
     Ok(())
 }
 
-/// The page with its tables replaced by these; what stands outside them stays.
+/// Returns the page with its tables replaced by these. Text outside the tables is unchanged.
 ///
 /// # Errors
 ///
-/// Names a table that has no place in the page, or no end.
+/// Returns an error if the page lacks the line that begins or ends a table.
 pub fn rewrite(page: &str, tables: &[(String, Vec<String>)]) -> Result<String, CapacityError> {
     let mut page = page.to_string();
     for (name, lines) in tables {
-        let begin = begins(name) + "\n";
+        let begin = begin_line(name) + "\n";
         let from = page
             .find(&begin)
-            .ok_or_else(|| CapacityError::MissingLine { line: begins(name) })?
+            .ok_or_else(|| CapacityError::MissingLine {
+                line: begin_line(name),
+            })?
             + begin.len();
         let to = page[from..]
-            .find(ENDS)
+            .find(END_LINE)
             .ok_or_else(|| CapacityError::NoTableEnd { name: name.clone() })?
             + from;
         page.replace_range(from..to, &(lines.join("\n") + "\n"));
--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the page: how each figure follows from the plan and the slopes.
+//! Rows of the tables: the formulas that compute each value from the plan and the slopes.
 
 mod balancers;
 mod caches;
@@ -7,7 +7,7 @@
 use super::{CapacityPlan, CapacityRow, FleetSize};
 use crate::slopes::{Slopes, UnknownSlope};
 
-/// The roles, in the order of the page.
+/// Names of the roles, in the order of their tables.
 pub(super) const ROLES: [&str; 8] = [
     "data path",
     "control",
@@ -19,50 +19,52 @@
     "machines",
 ];
 
-/// Connections that stay open at a cache over all balancers, and for how long each
-/// (`IDLE_CONNECTIONS`, `IDLE_LEAST` of the decision module).
-const IDLE_CONNECTIONS: f64 = 60.0;
-const IDLE_LEAST_S: f64 = 0.5;
-/// Rounds of housekeeping of the decision module a second.
+/// Number of idle connections that all balancers together keep open to one cache. Must equal
+/// `MAX_IDLE_PER_ENDPOINT` in `routing::idle_connections`.
+const MAX_IDLE_PER_CACHE: f64 = 60.0;
+/// Minimum time that an idle connection stays open, in seconds. Must equal `MIN_IDLE_TIME` in
+/// `routing::idle_connections`.
+const MIN_IDLE_S: f64 = 0.5;
+/// Housekeeping rounds of the decision engine per second.
 const HOUSEKEEPING_PER_S: f64 = 10.0;
-/// The table of candidates: ten bytes for each of 65,536 slots.
+/// Size of the candidate table: 10 bytes for each of 65,536 slots.
 const SLOT_TABLE_BYTES: f64 = 655_360.0;
 const DAY_S: f64 = 86_400.0;
 const MB: f64 = 1e6;
 
-/// Figures of one size that several rows need.
-struct Derived {
+/// Values derived from a fleet size that several rows need.
+struct DerivedLoad {
     size: FleetSize,
-    /// Requests a second of one balancer.
+    /// Requests per second of one balancer.
     requests: f64,
 }
 
-impl Derived {
+impl DerivedLoad {
     fn new(size: FleetSize) -> Self {
-        Derived {
+        DerivedLoad {
             size,
             requests: size.requests_per_s / size.balancers,
         }
     }
 
-    /// Handshakes with caches a second of one balancer that sends to so many: those that find no
-    /// connection left open.
+    /// Returns the TCP handshakes per second of one balancer that sends to `caches` caches. A
+    /// request needs a handshake if no idle connection to its cache is open.
     fn handshakes(&self, caches: f64) -> f64 {
-        let each = self.requests / caches;
-        let kept = (IDLE_CONNECTIONS * caches / self.size.balancers).min(caches);
-        let stays_open = 1.0 - (-each * IDLE_LEAST_S).exp();
-        let share_kept = (kept / caches).max(stays_open);
-        self.requests * (1.0 - share_kept)
+        let requests_per_cache = self.requests / caches;
+        let kept = (MAX_IDLE_PER_CACHE * caches / self.size.balancers).min(caches);
+        let reused = 1.0 - (-requests_per_cache * MIN_IDLE_S).exp();
+        let reused_share = (kept / caches).max(reused);
+        self.requests * (1.0 - reused_share)
     }
 }
 
-/// All rows.
+/// Computes all rows.
 pub(super) fn all(plan: &CapacityPlan, slopes: &Slopes) -> Result<Vec<CapacityRow>, UnknownSlope> {
     let context = Context {
         plan,
         slopes,
-        today: Derived::new(plan.today),
-        planned: Derived::new(plan.plan),
+        today: DerivedLoad::new(plan.today),
+        planned: DerivedLoad::new(plan.plan),
     };
     let mut rows = context.data_path()?;
     rows.extend(context.control()?);
@@ -78,30 +80,32 @@
 struct Context<'a> {
     plan: &'a CapacityPlan,
     slopes: &'a Slopes,
-    today: Derived,
-    planned: Derived,
+    today: DerivedLoad,
+    planned: DerivedLoad,
 }
 
 impl Context<'_> {
-    fn at(&self, name: &str, size: f64) -> Result<f64, UnknownSlope> {
-        Ok(self.slopes.find(name)?.at(size))
+    fn slope_value(&self, name: &str, size: f64) -> Result<f64, UnknownSlope> {
+        Ok(self.slopes.find(name)?.value_at(size))
     }
 
-    /// Where a figure comes from: the slope, and whether the size lies beyond what was measured.
+    /// Returns the name of a slope as the source of a value, and the largest measured size if
+    /// `size` is larger.
     fn source(&self, name: &str, size: f64) -> Result<String, UnknownSlope> {
-        let (_, most) = self.slopes.find(name)?.range();
-        let beyond = if size > most {
-            format!(", measured up to {most}")
+        let (_, max) = self.slopes.find(name)?.size_range();
+        let extrapolation = if size > max {
+            format!(", measured up to {max}")
         } else {
             String::new()
         };
-        Ok(format!("`{name}`{beyond}"))
+        Ok(format!("`{name}`{extrapolation}"))
     }
 
-    fn core_of_decisions(&self, of: &Derived) -> Result<f64, UnknownSlope> {
-        let caches = of.size.caches;
-        let requests = of.requests * self.at("decision_request", caches)? / 1e6;
-        let rounds = HOUSEKEEPING_PER_S * self.at("decision_housekeeping", caches)? / 1e3;
+    /// Returns the CPU time of the decision engine of one balancer, in percent of a core.
+    fn decision_core_percent(&self, load: &DerivedLoad) -> Result<f64, UnknownSlope> {
+        let caches = load.size.caches;
+        let requests = load.requests * self.slope_value("decision_request", caches)? / 1e6;
+        let rounds = HOUSEKEEPING_PER_S * self.slope_value("decision_housekeeping", caches)? / 1e3;
         Ok((requests + rounds) * 100.0)
     }
 }
--- a/crates/testbed/src/capacity/rows/balancers.rs
+++ b/crates/testbed/src/capacity/rows/balancers.rs
@@ -1,25 +1,25 @@
 //! Rows of the balancers: data path, control plane and delegates.
 
-use super::{Context, Derived, MB, SLOT_TABLE_BYTES};
+use super::{Context, DerivedLoad, MB, SLOT_TABLE_BYTES};
 use crate::capacity::{CapacityRow, MechanismState};
 use crate::slopes::UnknownSlope;
 
-/// The figures of a row of the control plane.
-struct Figures {
+/// Values of a row of the control plane.
+struct ControlValues {
     today: Option<f64>,
     plan: f64,
     worst: f64,
     budget: f64,
 }
 
-fn control_row(what: &str, figures: &Figures, source: String) -> CapacityRow {
+fn control_row(quantity: &str, values: &ControlValues, source: String) -> CapacityRow {
     CapacityRow {
         role: "control",
-        what: what.into(),
-        today: figures.today,
-        plan: figures.plan,
-        worst: figures.worst,
-        budget: Some(figures.budget),
+        quantity: quantity.into(),
+        today: values.today,
+        plan: values.plan,
+        worst: values.worst,
+        budget: Some(values.budget),
         source,
         mechanism: "a view in two levels",
         state: MechanismState::Built,
@@ -28,27 +28,28 @@
 
 impl Context<'_> {
     pub(super) fn data_path(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
-        // A zone of the largest region is gone: its other half takes all of that region's requests.
-        let doubled = Derived {
+        // Worst case: a zone of the largest region fails, and the other half of the region's
+        // balancers receives all its requests.
+        let doubled = DerivedLoad {
             requests: 2.0 * self.planned.requests,
-            ..Derived::new(self.plan.plan)
+            ..DerivedLoad::new(self.plan.plan)
         };
         let mut rows = self.decisions(&doubled)?;
         rows.extend(self.handshakes(&doubled));
         Ok(rows)
     }
 
-    /// What decisions cost a balancer.
-    fn decisions(&self, doubled: &Derived) -> Result<Vec<CapacityRow>, UnknownSlope> {
+    /// Computes the rows for the decision engine of a balancer.
+    fn decisions(&self, doubled: &DerivedLoad) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (today, plan) = (self.plan.today, self.plan.plan);
         let role = "data path";
         Ok(vec![
             CapacityRow {
                 role,
-                what: "decisions, % of a core".into(),
-                today: Some(self.core_of_decisions(&self.today)?),
-                plan: self.core_of_decisions(&self.planned)?,
-                worst: self.core_of_decisions(doubled)?,
+                quantity: "decisions, % of a core".into(),
+                today: Some(self.decision_core_percent(&self.today)?),
+                plan: self.decision_core_percent(&self.planned)?,
+                worst: self.decision_core_percent(doubled)?,
                 budget: None,
                 source: self.source("decision_request", plan.caches)?,
                 mechanism: "table of candidates mended in place",
@@ -56,10 +57,10 @@
             },
             CapacityRow {
                 role,
-                what: "one cache comes or goes, ms of a core".into(),
-                today: Some(self.at("decision_change", today.caches)?),
-                plan: self.at("decision_change", plan.caches)?,
-                worst: self.at("decision_whole_list", plan.caches)?,
+                quantity: "one cache comes or goes, ms of a core".into(),
+                today: Some(self.slope_value("decision_change", today.caches)?),
+                plan: self.slope_value("decision_change", plan.caches)?,
+                worst: self.slope_value("decision_whole_list", plan.caches)?,
                 budget: None,
                 source: self.source("decision_change", plan.caches)?,
                 mechanism: "table of candidates mended in place",
@@ -67,7 +68,7 @@
             },
             CapacityRow {
                 role,
-                what: "table of candidates, MB".into(),
+                quantity: "table of candidates, MB".into(),
                 today: Some(SLOT_TABLE_BYTES / MB),
                 plan: SLOT_TABLE_BYTES / MB,
                 worst: SLOT_TABLE_BYTES / MB,
@@ -79,15 +80,15 @@
         ])
     }
 
-    /// Handshakes of a balancer with caches.
-    fn handshakes(&self, doubled: &Derived) -> Vec<CapacityRow> {
+    /// Computes the rows for the handshakes of a balancer with caches.
+    fn handshakes(&self, doubled: &DerivedLoad) -> Vec<CapacityRow> {
         let (today, plan) = (self.plan.today, self.plan.plan);
         let role = "data path";
         let regional = plan.caches / plan.regions;
         vec![
             CapacityRow {
                 role,
-                what: "handshakes with caches, a second, all caches seen".into(),
+                quantity: "handshakes with caches, a second, all caches seen".into(),
                 today: Some(self.today.handshakes(today.caches)),
                 plan: self.planned.handshakes(plan.caches),
                 worst: doubled.handshakes(plan.caches),
@@ -100,7 +101,7 @@
             },
             CapacityRow {
                 role,
-                what: "the same, only its region's caches seen".into(),
+                quantity: "the same, only its region's caches seen".into(),
                 today: None,
                 plan: self.planned.handshakes(regional),
                 worst: doubled.handshakes(regional),
@@ -120,7 +121,7 @@
         Ok(rows)
     }
 
-    /// What membership costs a balancer.
+    /// Computes the rows for CPU time, memory and traffic of membership at a balancer.
     fn control_costs(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (today, plan) = (self.plan.today.balancers, self.plan.plan.balancers);
         let budget = self.plan.budget;
@@ -128,30 +129,31 @@
         Ok(vec![
             control_row(
                 "processor time with sockets, % of a core",
-                &Figures {
-                    today: Some(self.at("one_region_cpu", today)?),
-                    plan: self.at("hollow_cpu", plan)?,
-                    worst: self.at("hollow_cpu", plan)? + self.at("zone_cpu_mean", plan)?,
+                &ControlValues {
+                    today: Some(self.slope_value("one_region_cpu", today)?),
+                    plan: self.slope_value("hollow_cpu", plan)?,
+                    worst: self.slope_value("hollow_cpu", plan)?
+                        + self.slope_value("zone_cpu_mean", plan)?,
                     budget: budget.control_core_percent,
                 },
                 format!("{}, `zone_cpu_mean`", self.source("hollow_cpu", plan)?),
             ),
             control_row(
                 "memory, MB",
-                &Figures {
+                &ControlValues {
                     today: None,
-                    plan: memory(self.at("regions_memory", plan)?),
-                    worst: memory(self.at("regions_memory", plan)?),
+                    plan: memory(self.slope_value("regions_memory", plan)?),
+                    worst: memory(self.slope_value("regions_memory", plan)?),
                     budget: budget.control_memory_mb,
                 },
                 self.source("regions_memory", plan)?,
             ),
             control_row(
                 "bytes sent, a second; worst: who sends most, ten seconds from a zone's loss",
-                &Figures {
-                    today: Some(self.at("one_region_bytes", today)?),
-                    plan: self.at("regions_bytes", plan)?,
-                    worst: self.at("zone_bytes", plan)?,
+                &ControlValues {
+                    today: Some(self.slope_value("one_region_bytes", today)?),
+                    plan: self.slope_value("regions_bytes", plan)?,
+                    worst: self.slope_value("zone_bytes", plan)?,
                     budget: budget.control_bytes_per_s,
                 },
                 format!("{}, `zone_bytes`", self.source("regions_bytes", plan)?),
@@ -160,10 +162,10 @@
                 state: MechanismState::Part,
                 ..control_row(
                     "bytes sent, a second, by who returns, in its first ten seconds",
-                    &Figures {
+                    &ControlValues {
                         today: None,
-                        plan: self.at("returning_bytes", plan)?,
-                        worst: self.at("returning_bytes", plan)?,
+                        plan: self.slope_value("returning_bytes", plan)?,
+                        worst: self.slope_value("returning_bytes", plan)?,
                         budget: budget.control_bytes_per_s,
                     },
                     self.source("returning_bytes", plan)?,
@@ -171,10 +173,10 @@
             },
             control_row(
                 "bytes sent, a second, a tenth of all datagrams lost",
-                &Figures {
+                &ControlValues {
                     today: None,
-                    plan: self.at("regions_lossy_bytes", plan)?,
-                    worst: self.at("regions_lossy_bytes", plan)?,
+                    plan: self.slope_value("regions_lossy_bytes", plan)?,
+                    worst: self.slope_value("regions_lossy_bytes", plan)?,
                     budget: budget.control_bytes_per_s,
                 },
                 self.source("regions_lossy_bytes", plan)?,
@@ -182,36 +184,36 @@
         ])
     }
 
-    /// How long changes take until they are known.
+    /// Computes the rows for the time until members detect a change.
     fn control_times(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (plan, budget) = (self.plan.plan.balancers, self.plan.budget);
         Ok(vec![
             control_row(
                 "a death known in its region, s",
-                &Figures {
+                &ControlValues {
                     today: None,
-                    plan: self.at("death_region", plan)?,
-                    worst: self.at("death_region", plan)?,
+                    plan: self.slope_value("death_region", plan)?,
+                    worst: self.slope_value("death_region", plan)?,
                     budget: budget.death_in_region_s,
                 },
                 self.source("death_region", plan)?,
             ),
             control_row(
                 "a death's change of the summary known everywhere, s; worst: a zone's loss",
-                &Figures {
+                &ControlValues {
                     today: None,
-                    plan: self.at("death_settled", plan)?,
-                    worst: self.at("zone_settled", plan)?,
+                    plan: self.slope_value("death_settled", plan)?,
+                    worst: self.slope_value("zone_settled", plan)?,
                     budget: budget.summary_everywhere_s,
                 },
                 format!("{}, `zone_settled`", self.source("death_settled", plan)?),
             ),
             control_row(
                 "a region heard again, all views true, s",
-                &Figures {
+                &ControlValues {
                     today: None,
-                    plan: self.at("healed_settled", plan)?,
-                    worst: self.at("healed_settled", plan)?,
+                    plan: self.slope_value("healed_settled", plan)?,
+                    worst: self.slope_value("healed_settled", plan)?,
                     budget: budget.healed_s,
                 },
                 self.source("healed_settled", plan)?,
@@ -225,10 +227,10 @@
         Ok(vec![
             CapacityRow {
                 role,
-                what: "bytes sent, a second".into(),
+                quantity: "bytes sent, a second".into(),
                 today: None,
-                plan: self.at("regions_bytes_delegates", plan)?,
-                worst: self.at("zone_bytes", plan)?,
+                plan: self.slope_value("regions_bytes_delegates", plan)?,
+                worst: self.slope_value("zone_bytes", plan)?,
                 budget: Some(self.plan.budget.control_bytes_per_s),
                 source: self.source("regions_bytes_delegates", plan)?,
                 mechanism: "three of each region exchange summaries",
@@ -236,10 +238,10 @@
             },
             CapacityRow {
                 role,
-                what: "entries held by who holds most: members, regions, announcements".into(),
+                quantity: "entries held by who holds most: members, regions, announcements".into(),
                 today: None,
-                plan: self.at("regions_entries", plan)?,
-                worst: self.at("regions_entries", plan)?,
+                plan: self.slope_value("regions_entries", plan)?,
+                worst: self.slope_value("regions_entries", plan)?,
                 budget: None,
                 source: self.source("regions_entries", plan)?,
                 mechanism: "three of each region exchange summaries",
--- a/crates/testbed/src/capacity/rows/caches.rs
+++ b/crates/testbed/src/capacity/rows/caches.rs
@@ -1,12 +1,18 @@
-//! Rows of the caches, and of purges to them.
+//! Rows of the caches and of purges.
 
-use super::{Context, Derived, IDLE_CONNECTIONS, IDLE_LEAST_S};
+use super::{Context, DerivedLoad, MAX_IDLE_PER_CACHE, MIN_IDLE_S};
 use crate::capacity::{CapacityRow, MechanismState};
 
-fn purge_row(what: &str, plan: f64, worst: f64, budget: Option<f64>, source: &str) -> CapacityRow {
+fn purge_row(
+    quantity: &str,
+    plan: f64,
+    worst: f64,
+    budget: Option<f64>,
+    source: &str,
+) -> CapacityRow {
     CapacityRow {
         role: "purges",
-        what: what.into(),
+        quantity: quantity.into(),
         today: None,
         plan,
         worst,
@@ -73,19 +79,23 @@
     pub(super) fn caches(&self) -> Vec<CapacityRow> {
         let (today, plan, assumed) = (self.plan.today, self.plan.plan, self.plan.assumed);
         let role = "caches";
-        let handshakes =
-            |of: &Derived| of.handshakes(of.size.caches) * of.size.balancers / of.size.caches;
-        let in_flight =
-            |of: &Derived| of.size.requests_per_s * assumed.answer_ms / 1e3 / of.size.caches;
-        let open = |of: &Derived| in_flight(of) + IDLE_CONNECTIONS + handshakes(of) * IDLE_LEAST_S;
-        let doubled = Derived {
+        let handshakes = |load: &DerivedLoad| {
+            load.handshakes(load.size.caches) * load.size.balancers / load.size.caches
+        };
+        let in_flight = |load: &DerivedLoad| {
+            load.size.requests_per_s * assumed.answer_ms / 1e3 / load.size.caches
+        };
+        let open = |load: &DerivedLoad| {
+            in_flight(load) + MAX_IDLE_PER_CACHE + handshakes(load) * MIN_IDLE_S
+        };
+        let doubled = DerivedLoad {
             requests: 2.0 * self.planned.requests,
-            ..Derived::new(plan)
+            ..DerivedLoad::new(plan)
         };
         vec![
             CapacityRow {
                 role,
-                what: "requests a second at one cache".into(),
+                quantity: "requests a second at one cache".into(),
                 today: Some(today.requests_per_s / today.caches),
                 plan: plan.requests_per_s / plan.caches,
                 worst: 2.0 * plan.requests_per_s / plan.caches,
@@ -96,7 +106,7 @@
             },
             CapacityRow {
                 role,
-                what: "handshakes a second at one cache".into(),
+                quantity: "handshakes a second at one cache".into(),
                 today: Some(handshakes(&self.today)),
                 plan: handshakes(&self.planned),
                 worst: handshakes(&doubled),
@@ -107,7 +117,7 @@
             },
             CapacityRow {
                 role,
-                what: "connections open at one cache".into(),
+                quantity: "connections open at one cache".into(),
                 today: Some(open(&self.today)),
                 plan: open(&self.planned),
                 worst: open(&doubled),
--- a/crates/testbed/src/capacity/rows/control_machines.rs
+++ b/crates/testbed/src/capacity/rows/control_machines.rs
@@ -1,4 +1,4 @@
-//! Rows of discovery, configuration and the machines that carry them.
+//! Rows of discovery, configuration and the control machines.
 
 use super::{Context, DAY_S};
 use crate::capacity::{CapacityRow, MechanismState};
@@ -8,13 +8,13 @@
     pub(super) fn discovery(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (today, plan, assumed) = (self.plan.today, self.plan.plan, self.plan.assumed);
         let role = "discovery";
-        let list = |caches: f64| self.at("list_bytes", caches);
+        let list = |caches: f64| self.slope_value("list_bytes", caches);
         let per_s = assumed.cache_changes_per_day / DAY_S;
         let egress = self.plan.budget.control_machines * assumed.machine_egress_bytes_per_s;
         Ok(vec![
             CapacityRow {
                 role,
-                what: "a whole list, bytes".into(),
+                quantity: "a whole list, bytes".into(),
                 today: Some(list(today.caches)?),
                 plan: list(plan.caches)?,
                 worst: list(plan.caches)?,
@@ -25,7 +25,7 @@
             },
             CapacityRow {
                 role,
-                what: "whole lists at each change, bytes a second to all; worst: all call anew within 1 s"
+                quantity: "whole lists at each change, bytes a second to all; worst: all call anew within 1 s"
                     .into(),
                 today: Some(list(today.caches)? * today.balancers * per_s),
                 plan: list(plan.caches)? * plan.balancers * per_s,
@@ -47,7 +47,7 @@
         vec![
             CapacityRow {
                 role,
-                what: "deliveries a second; worst: one change within its time".into(),
+                quantity: "deliveries a second; worst: one change within its time".into(),
                 today: None,
                 plan: demand.config_changes_per_day / DAY_S * plan.balancers,
                 worst: plan.balancers / demand.config_within_s,
@@ -58,7 +58,7 @@
             },
             CapacityRow {
                 role,
-                what: "bytes a second; worst: one whole configuration to all within its time"
+                quantity: "bytes a second; worst: one whole configuration to all within its time"
                     .into(),
                 today: None,
                 plan: demand.config_changes_per_day / DAY_S * bytes,
@@ -70,7 +70,7 @@
             },
             CapacityRow {
                 role,
-                what: "in force after a change, s; today at the next start only".into(),
+                quantity: "in force after a change, s; today at the next start only".into(),
                 today: Some(DAY_S),
                 plan: DAY_S,
                 worst: DAY_S,
@@ -82,7 +82,7 @@
             },
             CapacityRow {
                 role,
-                what: "changes that a region cut off has missed when it is back".into(),
+                quantity: "changes that a region cut off has missed when it is back".into(),
                 today: None,
                 plan: 0.0,
                 worst: cut,
@@ -97,16 +97,16 @@
     pub(super) fn machines(&self) -> Result<Vec<CapacityRow>, UnknownSlope> {
         let (plan, budget, assumed) = (self.plan.plan, self.plan.budget, self.plan.assumed);
         let role = "machines";
-        let list = self.at("list_bytes", plan.caches)?;
+        let list = self.slope_value("list_bytes", plan.caches)?;
         let egress = assumed.machine_egress_bytes_per_s;
-        // All call anew within five seconds, as they do after an outage.
+        // After a discovery outage all balancers fetch the full list within 5 s.
         let lists = list * plan.balancers / 5.0 / egress;
         let config =
             assumed.config_bytes * plan.balancers / self.plan.demand.config_within_s / egress;
         let purges = self.plan.demand.purges_per_s * plan.caches / assumed.machine_calls_per_s;
-        let row = |what: &str, plan: f64, worst: f64, state| CapacityRow {
+        let row = |quantity: &str, plan: f64, worst: f64, state| CapacityRow {
             role,
-            what: what.into(),
+            quantity: quantity.into(),
             today: None,
             plan,
             worst,
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -1,10 +1,9 @@
-//! What the decision module costs, by the number of caches: a [`Engine`] driven by hand, without
-//! sockets.
+//! Measures the CPU time of the decision [`Engine`] by the number of caches, without sockets.
 //!
-//! Reads of random keys arrive at a steady rate, each is answered after the same time, and each
-//! second one cache goes or another comes. Time is taken on the machine's clock round each event.
-//! The rows of the table of candidates fill up while the run warms up; that is measured apart, as
-//! the cost of a first request.
+//! Reads of random keys arrive at a constant rate in virtual time, each is answered after a
+//! constant time, and once a second one cache is removed or added. Each event is timed with the
+//! machine's clock. The candidate table fills during the warm-up; the requests of its first second
+//! are measured separately, as the cost of first requests.
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -19,40 +18,42 @@
 use std::time::Instant;
 
 const MS: Nanos = 1_000_000;
-const S: Nanos = 1_000 * MS;
-/// Requests a second: the plan's 4.4 million over its 4,600 balancers.
+const SECOND: Nanos = 1_000 * MS;
+/// Requests per second: 4.4 million of the planned fleet divided by its 4,600 balancers.
 pub const REQUESTS_PER_S: u64 = 956;
-/// How long a cache takes to answer.
-const ANSWER_AFTER: Nanos = 8 * MS;
-/// A cache goes, and as long after it another comes.
-const CHANGE_EVERY: Nanos = S;
+/// Response time of the simulated caches.
+const RESPONSE_TIME: Nanos = 8 * MS;
+/// Interval between changes of the endpoint list; changes alternately remove and add a cache.
+const CHANGE_INTERVAL: Nanos = SECOND;
 const CLIENT_TIMEOUT: Nanos = 1_000 * MS;
-/// After so long nearly all slots have been requested.
-const WARM_UP: Nanos = 300 * S;
+/// Time after which nearly all slots have been requested.
+const WARM_UP: Nanos = 300 * SECOND;
 
-/// What one number of caches costs.
+/// Measured cost at one number of caches.
 #[derive(Clone, Debug, Serialize)]
 pub struct DecisionCost {
-    /// Caches listed.
+    /// Number of listed caches.
     pub caches: usize,
-    /// A request and all that follows from it, once its slot's candidates are known, in
+    /// CPU time of a request and all its events once the candidates of its slot are computed, in
     /// microseconds.
     pub request_us: f64,
-    /// The same in the first seconds, while nearly each request is its slot's first.
+    /// CPU time of a request and all its events in the first second, in which nearly every request
+    /// is the first of its slot, in microseconds.
     pub first_request_us: f64,
-    /// A message by which one cache goes or comes, in milliseconds.
+    /// CPU time of an update that removes or adds one cache, in milliseconds.
     pub change_ms: f64,
-    /// A full endpoint list, in milliseconds.
+    /// CPU time of a full endpoint list, in milliseconds.
     #[serde(rename = "whole_list_ms")]
     pub full_list_ms: f64,
-    /// One round of housekeeping, ten a second, in milliseconds.
+    /// CPU time of one housekeeping round, of which there are 10 per second, in milliseconds.
     pub housekeeping_ms: f64,
-    /// All of it at this rate, as a share of a core in percent.
+    /// CPU time of all events at [`REQUESTS_PER_S`], in percent of a core.
     pub core_percent: f64,
 }
 
 impl DecisionCost {
-    fn take_least(&mut self, other: &DecisionCost) {
+    /// Replaces each value by the smaller one of both measurements.
+    fn take_minimum(&mut self, other: &DecisionCost) {
         self.request_us = self.request_us.min(other.request_us);
         self.first_request_us = self.first_request_us.min(other.first_request_us);
         self.change_ms = self.change_ms.min(other.change_ms);
@@ -62,16 +63,16 @@
     }
 }
 
-/// What an event is booked under.
+/// Category in which the CPU time of an event is counted.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum CostAccount {
+enum CostCategory {
     Request,
     Change,
-    WholeList,
+    FullList,
     Housekeeping,
 }
 
-/// What is due in the driven module.
+/// Event that is scheduled for the engine.
 enum DueEvent {
     Arrival,
     Answer(RequestId, AttemptNumber, EndpointId, Nanos),
@@ -83,14 +84,14 @@
     engine: Engine,
     rng: Xoshiro256PlusPlus,
     due: BTreeMap<(Nanos, u64), DueEvent>,
-    set: u64,
+    scheduled: u64,
     requests: u128,
     caches: Vec<u64>,
-    /// How many caches are listed while none is gone.
+    /// Number of listed caches while none is removed.
     listed: usize,
     next_cache: u64,
-    /// Time and count since the last reset.
-    spent: BTreeMap<CostAccount, (f64, u64)>,
+    /// Total CPU time in seconds and number of events by category, since the last reset.
+    spent: BTreeMap<CostCategory, (f64, u64)>,
 }
 
 fn settings() -> Settings {
@@ -104,7 +105,7 @@
         }],
         tenants: Vec::new(),
         over_quota_weight: 0.0,
-        // So few that no request is queued: that would be counted too.
+        // A small number, so that no request is queued; queueing would add to the measured cost.
         balancers: 3,
         origin: OriginMode::ReadThrough,
         discovery: DiscoveryMode::Push,
@@ -121,31 +122,31 @@
             final_answer_grace: 20 * MS,
             drain_grace: 250 * MS,
             slow_start_fraction: 0.2,
-            slow_start_duration: 10 * S,
+            slow_start_duration: 10 * SECOND,
             overload_factor: 2.5,
-            overload_window: 3 * S,
+            overload_window: 3 * SECOND,
         },
         tick: MS,
     }
 }
 
-fn entry(cache: u64, phase: EndpointState) -> Endpoint {
+fn entry(cache: u64, state: EndpointState) -> Endpoint {
     Endpoint {
         id: EndpointId(cache),
         weight: 1.0,
-        state: phase,
+        state,
         ..Endpoint::default()
     }
 }
 
 impl EngineDriver {
     fn new(caches: usize, seed: u64) -> Result<Self, SettingsError> {
-        let brain = Engine::new(settings(), seed, 0)?;
+        let engine = Engine::new(settings(), seed, 0)?;
         let mut driver = EngineDriver {
-            engine: brain,
+            engine,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             due: BTreeMap::new(),
-            set: 0,
+            scheduled: 0,
             requests: 0,
             caches: (1..=caches as u64).collect(),
             listed: caches,
@@ -163,37 +164,38 @@
                 kind: UpdateKind::Full,
                 endpoints: entries,
             },
-            CostAccount::Change,
+            CostCategory::Change,
         );
         driver.push(0, DueEvent::Arrival);
-        driver.push(CHANGE_EVERY, DueEvent::Change);
+        driver.push(CHANGE_INTERVAL, DueEvent::Change);
         Ok(driver)
     }
 
     fn push(&mut self, at: Nanos, due: DueEvent) {
-        self.set += 1;
-        self.due.insert((at, self.set), due);
+        self.scheduled += 1;
+        self.due.insert((at, self.scheduled), due);
     }
 
-    /// Hands an event to the engine, records its cost, and simulates the effect of its actions.
-    fn handle(&mut self, now: Nanos, event: Event, account: CostAccount) {
+    /// Passes an event to the engine, records its CPU time, and schedules the results of its
+    /// actions.
+    fn handle(&mut self, now: Nanos, event: Event, category: CostCategory) {
         let mut actions = Vec::new();
-        let begun = Instant::now();
+        let begin = Instant::now();
         self.engine.handle(now, event, &mut actions);
-        let spent = self.spent.entry(account).or_default();
-        spent.0 += begun.elapsed().as_secs_f64();
+        let spent = self.spent.entry(category).or_default();
+        spent.0 += begin.elapsed().as_secs_f64();
         spent.1 += 1;
         for action in actions {
             match action {
                 Action::Send {
                     request,
                     attempt,
-                    endpoint: server,
+                    endpoint,
                     ..
                 } => {
                     self.push(
-                        now + ANSWER_AFTER,
-                        DueEvent::Answer(request, attempt, server, now),
+                        now + RESPONSE_TIME,
+                        DueEvent::Answer(request, attempt, endpoint, now),
                     );
                 }
                 Action::SetTimer { after, token } => self.push(now + after, DueEvent::Timer(token)),
@@ -213,29 +215,29 @@
             estimated_work: None,
             is_write: false,
         };
-        self.push(now + S / REQUESTS_PER_S, DueEvent::Arrival);
-        self.handle(now, Event::RequestArrived(read), CostAccount::Request);
+        self.push(now + SECOND / REQUESTS_PER_S, DueEvent::Arrival);
+        self.handle(now, Event::RequestArrived(read), CostCategory::Request);
     }
 
     fn answer(
         &mut self,
         now: Nanos,
-        (request, attempt, server, sent): (RequestId, AttemptNumber, EndpointId, Nanos),
+        (request, attempt, endpoint, sent): (RequestId, AttemptNumber, EndpointId, Nanos),
     ) {
-        let end = AttemptResult {
+        let result = AttemptResult {
             request,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome: AttemptOutcome::Ok,
             latency: now - sent,
             request_finished: true,
             cache_status: Some(CacheStatus::Hit),
             load_report: None,
         };
-        self.handle(now, Event::AttemptEnded(end), CostAccount::Request);
+        self.handle(now, Event::AttemptEnded(result), CostCategory::Request);
     }
 
-    /// One cache goes, or another comes in the place of the one that went before.
+    /// Removes a random cache, or adds a new cache in place of the removed one.
     fn change(&mut self, now: Nanos) {
         let entry = if self.caches.len() == self.listed {
             let chosen = self.rng.random_range(0..self.caches.len());
@@ -245,14 +247,14 @@
             self.next_cache += 1;
             entry(self.next_cache - 1, EndpointState::Active)
         };
-        self.push(now + CHANGE_EVERY, DueEvent::Change);
+        self.push(now + CHANGE_INTERVAL, DueEvent::Change);
         self.handle(
             now,
             Event::EndpointUpdate {
                 kind: UpdateKind::Delta,
                 endpoints: vec![entry],
             },
-            CostAccount::Change,
+            CostCategory::Change,
         );
     }
 
@@ -269,7 +271,7 @@
                 kind: UpdateKind::Full,
                 endpoints: entries,
             },
-            CostAccount::WholeList,
+            CostCategory::FullList,
         );
     }
 
@@ -278,88 +280,89 @@
             let ((now, _), due) = entry.remove_entry();
             match due {
                 DueEvent::Arrival => self.arrival(now),
-                DueEvent::Answer(request, attempt, server, sent) => {
-                    self.answer(now, (request, attempt, server, sent));
+                DueEvent::Answer(request, attempt, endpoint, sent) => {
+                    self.answer(now, (request, attempt, endpoint, sent));
                 }
                 DueEvent::Change => self.change(now),
                 DueEvent::Timer(token) => {
-                    // A deadline or a hedge that is no longer wanted costs next to nothing; the
-                    // rest is housekeeping.
-                    let account = if self.is_housekeeping(now) {
-                        CostAccount::Housekeeping
+                    // Other timers are deadlines and hedges of completed requests, which cost
+                    // little and are counted as requests.
+                    let category = if self.is_housekeeping(now) {
+                        CostCategory::Housekeeping
                     } else {
-                        CostAccount::Request
+                        CostCategory::Request
                     };
-                    self.handle(now, Event::TimerFired(token), account);
+                    self.handle(now, Event::TimerFired(token), category);
                 }
             }
         }
     }
 
-    /// Housekeeping is due at whole tenths of a second; of the timers of requests next to none is.
+    /// Returns whether a timer at `now` is a housekeeping round. Housekeeping runs at multiples of
+    /// 100 ms, at which almost no request timers fire.
     fn is_housekeeping(&self, now: Nanos) -> bool {
         now.is_multiple_of(100 * MS)
     }
 
-    fn mean(&self, account: CostAccount) -> f64 {
+    fn mean(&self, category: CostCategory) -> f64 {
         self.spent
-            .get(&account)
+            .get(&category)
             .map_or(0.0, |(seconds, count)| seconds / (*count).max(1) as f64)
     }
 
-    fn seconds(&self, account: CostAccount) -> f64 {
+    fn seconds(&self, category: CostCategory) -> f64 {
         self.spent
-            .get(&account)
+            .get(&category)
             .map_or(0.0, |(seconds, _)| *seconds)
     }
 }
 
-/// Measures these numbers of caches in turn, so many times, over so many seconds of the module's
-/// time each, and takes the least of each figure: what else the machine does only ever adds to it.
+/// Measures each number of caches in `rounds` rounds of `seconds` seconds of virtual time and
+/// returns the minimum of each value. Other load on the machine can only increase a value.
 ///
 /// # Errors
 ///
-/// Says what of the settings makes no sense.
+/// Returns an error if the engine rejects the settings.
 pub fn measure(
     caches: &[usize],
     seconds: u64,
     rounds: u64,
 ) -> Result<Vec<DecisionCost>, SettingsError> {
-    let round = |seed: u64| -> Result<Vec<DecisionCost>, SettingsError> {
+    let measure_round = |seed: u64| -> Result<Vec<DecisionCost>, SettingsError> {
         caches
             .iter()
             .map(|count| measure_once(*count, seconds, seed))
             .collect()
     };
-    let mut least = round(1)?;
+    let mut minima = measure_round(1)?;
     for seed in 2..=rounds {
-        let again = round(seed)?;
-        least
+        let costs = measure_round(seed)?;
+        minima
             .iter_mut()
-            .zip(&again)
-            .for_each(|(cost, other)| cost.take_least(other));
+            .zip(&costs)
+            .for_each(|(cost, other)| cost.take_minimum(other));
     }
-    Ok(least)
+    Ok(minima)
 }
 
 fn measure_once(caches: usize, seconds: u64, seed: u64) -> Result<DecisionCost, SettingsError> {
     let mut driver = EngineDriver::new(caches, seed)?;
-    driver.advance_to(S);
-    let first_request_us = driver.seconds(CostAccount::Request) / driver.requests as f64 * 1e6;
+    driver.advance_to(SECOND);
+    let first_request_us = driver.seconds(CostCategory::Request) / driver.requests as f64 * 1e6;
     driver.advance_to(WARM_UP);
     driver.spent.clear();
     let before = driver.requests;
     driver.send_full_list(WARM_UP);
-    driver.advance_to(WARM_UP + seconds * S);
+    driver.advance_to(WARM_UP + seconds * SECOND);
     let requests = (driver.requests - before) as f64;
-    let all: f64 = driver.spent.values().map(|(seconds, _)| seconds).sum();
+    let total: f64 = driver.spent.values().map(|(seconds, _)| seconds).sum();
     Ok(DecisionCost {
         caches,
-        request_us: driver.seconds(CostAccount::Request) / requests * 1e6,
+        request_us: driver.seconds(CostCategory::Request) / requests * 1e6,
         first_request_us,
-        change_ms: driver.mean(CostAccount::Change) * 1e3,
-        full_list_ms: driver.mean(CostAccount::WholeList) * 1e3,
-        housekeeping_ms: driver.mean(CostAccount::Housekeeping) * 1e3,
-        core_percent: all / seconds as f64 * 100.0,
+        change_ms: driver.mean(CostCategory::Change) * 1e3,
+        full_list_ms: driver.mean(CostCategory::FullList) * 1e3,
+        housekeeping_ms: driver.mean(CostCategory::Housekeeping) * 1e3,
+        core_percent: total / seconds as f64 * 100.0,
     })
 }
--- a/crates/testbed/src/slopes.rs
+++ b/crates/testbed/src/slopes.rs
@@ -1,5 +1,5 @@
-//! How costs grow: each quantity that docs/CAPACITY.md uses, measured at several sizes and fitted
-//! by a line.
+//! Measures how costs grow with the size of a fleet. Each quantity that docs/CAPACITY.md uses is
+//! measured at several sizes, and a line is fitted through the values.
 
 use crate::decisions;
 use crate::error::TestbedError;
@@ -11,44 +11,44 @@
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
 
-/// One value at one size.
+/// One measured value at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size, in the unit that the slope names.
+    /// Size, in the unit of [`Slope::by`].
     pub size: f64,
-    /// By which seed.
+    /// Random seed of the measurement.
     pub seed: u64,
-    /// What was measured.
+    /// Measured value, in the unit of the slope.
     pub value: f64,
 }
 
-/// A line through the points.
+/// Least-squares line through the points of a slope.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LinearFit {
-    /// The value at size 0.
+    /// Value of the line at size 0.
     pub at_zero: f64,
-    /// What it grows by for each step of size 1.
+    /// Growth of the value per unit of size.
     #[serde(rename = "each")]
     pub per_unit: f64,
-    /// The root of the mean square of what the points lie beside the line, over their mean.
+    /// Root mean square deviation of the points from the line, divided by the mean value.
     pub residual: f64,
 }
 
-/// One quantity and how it grows.
+/// One quantity, measured at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// Its name.
+    /// Name of the quantity, unique in a file.
     pub name: String,
-    /// The unit of its values.
+    /// Unit of the values, for example `bytes/s`.
     pub unit: String,
-    /// What its sizes count.
+    /// Unit of the sizes, for example `caches`.
     pub by: String,
-    /// How it was measured.
+    /// Method of the measurement.
     pub how: String,
-    /// What was measured.
+    /// Measured values.
     pub points: Vec<Point>,
-    /// The line.
+    /// Line through the points.
     pub fit: LinearFit,
 }
 
@@ -65,122 +65,122 @@
         }
     }
 
-    /// The value at a size: the greatest measured there, or that of the line where it was not
-    /// measured. Beyond the sizes that were measured it is not under the greatest value of any: a
-    /// line that falls is no promise.
+    /// Returns the value at a size: the largest measured value if the size was measured, otherwise
+    /// the value of the line, at least 0. Above the largest measured size the result is at least
+    /// the largest measured value of any size, because a falling line must not be extrapolated.
     #[must_use]
-    pub fn at(&self, size: f64) -> f64 {
-        let greatest = |of: &dyn Fn(&&Point) -> bool| {
+    pub fn value_at(&self, size: f64) -> f64 {
+        let max_value = |is_selected: &dyn Fn(&&Point) -> bool| {
             self.points
                 .iter()
-                .filter(of)
+                .filter(is_selected)
                 .map(|point| point.value)
                 .fold(f64::NEG_INFINITY, f64::max)
         };
-        let there = greatest(&|point| point.size == size);
-        if there.is_finite() {
-            return there;
+        let measured = max_value(&|point| point.size == size);
+        if measured.is_finite() {
+            return measured;
         }
         let line = (self.fit.at_zero + self.fit.per_unit * size).max(0.0);
-        if size > self.range().1 {
-            line.max(greatest(&|_| true))
+        if size > self.size_range().1 {
+            line.max(max_value(&|_| true))
         } else {
             line
         }
     }
 
-    /// The least and the greatest size that was measured.
+    /// Returns the smallest and the largest measured size.
     #[must_use]
-    pub fn range(&self) -> (f64, f64) {
+    pub fn size_range(&self) -> (f64, f64) {
         let sizes = self.points.iter().map(|point| point.size);
-        sizes.fold((f64::INFINITY, 0.0), |(least, most), size| {
-            (least.min(size), most.max(size))
+        sizes.fold((f64::INFINITY, 0.0), |(min, max), size| {
+            (min.min(size), max.max(size))
         })
     }
 }
 
-/// The line of least squares.
+/// Returns the least-squares line through the points.
 #[must_use]
 pub fn fit_line(points: &[Point]) -> LinearFit {
     let count = points.len().max(1) as f64;
-    let mean = |of: &dyn Fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
+    let mean = |value: &dyn Fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
     let (size, value) = (mean(&|point| point.size), mean(&|point| point.value));
-    let spread = mean(&|point| (point.size - size).powi(2));
-    let per_unit = match spread {
+    let variance = mean(&|point| (point.size - size).powi(2));
+    let per_unit = match variance {
         0.0 => 0.0,
-        spread => mean(&|point| (point.size - size) * (point.value - value)) / spread,
+        variance => mean(&|point| (point.size - size) * (point.value - value)) / variance,
     };
     let at_zero = value - per_unit * size;
-    let beside = mean(&|point| (point.value - at_zero - per_unit * point.size).powi(2)).sqrt();
+    let deviation = mean(&|point| (point.value - at_zero - per_unit * point.size).powi(2)).sqrt();
     LinearFit {
         at_zero,
         per_unit,
         residual: if value == 0.0 {
             0.0
         } else {
-            beside / value.abs()
+            deviation / value.abs()
         },
     }
 }
 
-/// All slopes, as they stand in a file.
+/// Contents of a file of slopes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
-    /// In the order in which they were measured.
+    /// Slopes, in the order in which they were measured.
     pub slopes: Vec<Slope>,
 }
 
-/// A slope that is not there.
+/// A slope that is missing from a file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no slope is called \"{name}\"")]
+#[error("the file of slopes contains no slope \"{name}\"")]
 pub struct UnknownSlope {
-    /// Its name.
+    /// Name of the missing slope.
     pub name: String,
 }
 
 impl Slopes {
-    /// Reads a file.
+    /// Reads a file of slopes.
     ///
     /// # Errors
     ///
-    /// Names the file, and what is wrong in it.
+    /// Returns an error if the file cannot be read or does not contain slopes.
     pub fn read(path: &Path) -> Result<Self, TestbedError> {
         let text = std::fs::read_to_string(path).map_err(|e| TestbedError::file(path, e))?;
         serde_json::from_str(&text).map_err(|e| TestbedError::json(path, e))
     }
 
-    /// The slope of this name.
+    /// Returns the slope of this name.
     ///
     /// # Errors
     ///
-    /// Names it if there is none.
+    /// Returns an error if there is no such slope.
     pub fn find(&self, name: &str) -> Result<&Slope, UnknownSlope> {
         let found = self.slopes.iter().find(|slope| slope.name == name);
         found.ok_or_else(|| UnknownSlope { name: name.into() })
     }
 }
 
-/// What is measured.
+/// Sizes to measure.
 #[derive(Clone, Debug)]
 pub struct SlopeSizes {
-    /// Numbers of caches for the decision module.
+    /// Numbers of caches for the decision engine.
     pub caches: Vec<usize>,
-    /// Members of one region, in virtual time.
+    /// Numbers of members of a fleet of one region, in virtual time.
     pub one_region: Vec<usize>,
-    /// Members of a fleet in regions, in virtual time.
+    /// Numbers of members of a fleet with `regions` regions, in virtual time.
     pub in_regions: Vec<usize>,
-    /// Members of a fleet in regions, hollow, over real sockets.
+    /// Numbers of hollow members of a fleet with `regions` regions, over real sockets.
     pub hollow: Vec<usize>,
-    /// Regions of a fleet in regions.
+    /// Number of regions.
     pub regions: usize,
 }
 
-/// Measures all.
+/// Measures all slopes at these sizes.
 ///
 /// # Errors
 ///
-/// Says which measurement failed, and why.
+/// Returns the error of the first measurement that fails.
 pub fn measure(sizes: &SlopeSizes, interrupted: &AtomicBool) -> Result<Slopes, TestbedError> {
     let mut slopes = decision_slopes(&sizes.caches)?;
     slopes.push(list_slope(&sizes.caches));
@@ -198,72 +198,79 @@
             RegionEvents::default()
         },
     };
-    let one: Vec<RegionMeasurement> = sizes
+    let one_region: Vec<RegionMeasurement> = sizes
         .one_region
         .iter()
         .map(|members| regions::measure(plan(*members, 1, 0.0)))
         .collect();
-    slopes.extend(view_slopes("one_region", "members of one region", &one));
-    let mut many: Vec<RegionMeasurement> = Vec::new();
+    slopes.extend(view_slopes(
+        "one_region",
+        "members of one region",
+        &one_region,
+    ));
+    let mut in_regions: Vec<RegionMeasurement> = Vec::new();
     for members in &sizes.in_regions {
-        many.push(regions::measure(plan(*members, sizes.regions, 0.0)));
-        many.push(regions::measure(plan(*members, sizes.regions, 0.1)));
+        in_regions.push(regions::measure(plan(*members, sizes.regions, 0.0)));
+        in_regions.push(regions::measure(plan(*members, sizes.regions, 0.1)));
     }
-    slopes.extend(row_slopes(&many));
+    slopes.extend(region_slopes(&in_regions));
     slopes.extend(hollow_slopes(sizes, interrupted)?);
     Ok(Slopes { slopes })
 }
 
-/// Adds rows of simulated fleets in regions, which run apart since they take long, to slopes that
-/// were measured before.
+/// Adds measurements of simulated fleets with regions to existing slopes. Large fleets take long
+/// and are measured in separate runs.
 #[must_use]
 pub fn extend(mut slopes: Slopes, rows: &[RegionMeasurement]) -> Slopes {
-    // Each ran in a process of its own, in which no memory was freed before.
-    let alone: Vec<RegionMeasurement> =
+    // Each of these ran in a separate process, so its memory growth is not reduced by memory that
+    // an earlier measurement freed.
+    let without_loss: Vec<RegionMeasurement> =
         rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
     let memory = points(
-        &alone,
+        &without_loss,
         |row| row.members as f64,
         |row| row.memory_kb.unwrap_or(0.0),
     );
     let how = "virtual time, the network's queue included (`regions`)";
     let memory = Slope::new("regions_memory", "KB", "members in 26 regions", how, memory);
-    for more in row_slopes(rows).into_iter().chain([memory]) {
+    for added in region_slopes(rows).into_iter().chain([memory]) {
         match slopes
             .slopes
             .iter_mut()
-            .find(|slope| slope.name == more.name)
+            .find(|slope| slope.name == added.name)
         {
             Some(slope) => {
-                slope.points.extend(more.points);
+                slope.points.extend(added.points);
                 slope.fit = fit_line(&slope.points);
             }
-            None => slopes.slopes.push(more),
+            None => slopes.slopes.push(added),
         }
     }
     slopes
 }
 
-/// The slopes of fleets in regions, in virtual time.
-fn row_slopes(rows: &[RegionMeasurement]) -> Vec<Slope> {
-    let calm: Vec<RegionMeasurement> = rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
-    let lossy: Vec<RegionMeasurement> = rows.iter().filter(|row| row.loss > 0.0).cloned().collect();
-    let mut slopes = view_slopes("regions", "members in 26 regions", &calm);
+/// Returns the slopes of fleets with regions, in virtual time.
+fn region_slopes(rows: &[RegionMeasurement]) -> Vec<Slope> {
+    let without_loss: Vec<RegionMeasurement> =
+        rows.iter().filter(|row| row.loss == 0.0).cloned().collect();
+    let with_loss: Vec<RegionMeasurement> =
+        rows.iter().filter(|row| row.loss > 0.0).cloned().collect();
+    let mut slopes = view_slopes("regions", "members in 26 regions", &without_loss);
     slopes.extend(view_slopes(
         "regions_lossy",
         "members in 26 regions, a tenth lost",
-        &lossy,
+        &with_loss,
     ));
-    slopes.extend(event_slopes(&calm));
+    slopes.extend(event_slopes(&without_loss));
     slopes
 }
 
-fn points<T>(of: &[T], size: impl Fn(&T) -> f64, value: impl Fn(&T) -> f64) -> Vec<Point> {
-    of.iter()
-        .map(|one| Point {
-            size: size(one),
+fn points<T>(rows: &[T], size: impl Fn(&T) -> f64, value: impl Fn(&T) -> f64) -> Vec<Point> {
+    rows.iter()
+        .map(|row| Point {
+            size: size(row),
             seed: 1,
-            value: value(one),
+            value: value(row),
         })
         .collect()
 }
@@ -289,7 +296,7 @@
     ])
 }
 
-/// The bytes of a whole list.
+/// Returns the slope of the size of a full endpoint list, in bytes.
 fn list_slope(caches: &[usize]) -> Slope {
     let bytes = |count: usize| {
         let list = EndpointList::default();
@@ -339,25 +346,26 @@
     ]
 }
 
-/// What events cost in a fleet in regions.
+/// Returns the slopes of convergence time, traffic and CPU time after events in a fleet with
+/// regions.
 fn event_slopes(rows: &[RegionMeasurement]) -> Vec<Slope> {
     let by = "members in 26 regions";
     let slope =
-        |name: &str, unit: &str, what: &str, value: fn(&regions::RegionEvent) -> Option<f64>| {
-            let of = |row: &RegionMeasurement| {
-                let event = row.events.iter().find(|event| event.what == what)?;
+        |name: &str, unit: &str, event: &str, value: fn(&regions::RegionEvent) -> Option<f64>| {
+            let point = |row: &RegionMeasurement| {
+                let measured = row.events.iter().find(|measured| measured.what == event)?;
                 Some(Point {
                     size: row.members as f64,
                     seed: row.seed,
-                    value: value(event)?,
+                    value: value(measured)?,
                 })
             };
-            let points = rows.iter().filter_map(of).collect();
+            let points = rows.iter().filter_map(point).collect();
             Slope::new(
                 name,
                 unit,
                 by,
-                &format!("virtual time: {what} (`regions`)"),
+                &format!("virtual time: {event} (`regions`)"),
                 points,
             )
         };
