--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,10 +1,9 @@
-//! Hollow balancers: the real control code over real sockets, many in a process and without the
-//! data path, for sizes at which whole balancers don't fit on a machine.
+//! Hollow balancers: the control plane over real sockets without the data path, many members per
+//! process, for fleet sizes at which complete balancers do not fit on one machine.
 //!
-//! The parent ([`run`]) lays the fleet out, starts processes that run a share of the members each
-//! ([`members`]), sends them what happens, and compares what they report with what is true. A
-//! process ends when its standard input ends, so that nothing stays behind whatever becomes of the
-//! parent.
+//! The parent ([`run`]) starts processes that each run a share of the members ([`members`]), sends
+//! them commands and the expected state of the fleet, and collects their reports. A process exits
+//! when its standard input is closed, so no process outlives the parent.
 
 pub mod members;
 mod messages;
@@ -23,82 +22,86 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// What a member takes in memory at most, in KB: a share for itself, and one for each member of its
-/// region.
+/// Maximum memory of a member in KB, without its entries for other members.
 const MEMBER_KB: usize = 160;
+/// Maximum memory in KB that a member needs per member of its region.
 const ENTRY_KB: f64 = 1.6;
-/// The part of the machine's memory that a run may take.
-const MEMORY_PART: usize = 2;
-/// Members of a process at most: each has a socket, and processes have 1,024 descriptors.
+/// A run may use at most the machine's memory divided by this.
+const MEMORY_DIVISOR: usize = 2;
+/// Maximum number of members per process: each member has a socket, and a process may have 1,024
+/// file descriptors.
 const PER_PROCESS_MAX: usize = 900;
-/// The most processes.
+/// Maximum number of processes.
 const PROCESSES_MAX: usize = 300;
-/// Members that share a rack.
-const RACK: usize = 20;
-/// How long views may take to be true.
-const CEILING: Duration = Duration::from_secs(90);
-/// Rumours of the beginning run out for so long before anything is measured.
-const SETTLING: Duration = Duration::from_secs(8);
+/// Number of members in a rack.
+const RACK_SIZE: usize = 20;
+/// Maximum time to wait until all views are correct.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
+/// Time between the convergence after the start and the measurement, in which gossip broadcasts
+/// about the start end.
+const START_GOSSIP_DURATION: Duration = Duration::from_secs(8);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What happens after the calm stretch.
+/// Event that is injected after the span without events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum HollowEvent {
-    /// Nothing.
+    /// No event.
     None,
-    /// Twenty members die at once.
+    /// Twenty members of the largest region die at once, or half of it if it is smaller than 40.
     Rack,
     /// Half of the largest region dies at once.
     Zone,
-    /// The largest region is cut off from the others for ten seconds, and heals.
+    /// The largest region is cut off from the others for ten seconds and reconnected.
     Cut,
 }
 
-/// A run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct HollowPlan {
-    /// Members in all.
+    /// Number of members.
     pub members: usize,
-    /// Regions, uneven; 1: without regions.
+    /// Number of regions, which differ in size; 1 disables regions.
     pub regions: usize,
-    /// Processes that the members are dealt out over.
+    /// Number of processes among which the members are divided.
     pub processes: usize,
-    /// For all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How long the calm stretch lasts, in seconds.
+    /// Duration of the span without events, in seconds.
     pub seconds: u64,
-    /// What happens after it.
+    /// Event that is injected after it.
     pub event: HollowEvent,
 }
 
-/// What a run measured.
+/// Measurements of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct HollowMeasurement {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Processor time a member in calm, sockets included, in percent of a core.
+    /// Mean CPU time per member without events, sockets included, in percent of a core.
     pub cpu_percent: f64,
-    /// Resident memory a member, in KB.
+    /// Mean resident memory per member, in KB.
     pub memory_kb: f64,
-    /// Datagrams sent a member a second in calm.
+    /// Mean number of datagrams sent per member per second without events.
     pub datagrams_per_s: f64,
-    /// Bytes sent a member a second in calm.
+    /// Mean number of bytes sent per member per second without events.
     pub bytes_per_s: f64,
-    /// The same of the worst member in its worst second, in calm and in the ten seconds behind the
-    /// event.
+    /// Maximum number of bytes that any member sent in any second, without events and in the ten
+    /// seconds after the event.
     pub bytes_per_s_worst: u64,
-    /// From the joint start until all views were true.
+    /// Time from the start of all members until all views were correct, in seconds; `None` if it
+    /// exceeded the timeout.
     pub joined_s: Option<f64>,
-    /// From the event, or the healing of the cut, until all views were true; the joint start's
-    /// where nothing happens.
-    pub settled_s: Option<f64>,
-    /// Living members that were taken for dead.
+    /// Time from the event, or from the end of the cut, until all views were correct, in seconds;
+    /// equals `joined_s` without an event.
+    #[serde(rename = "settled_s")]
+    pub converged_s: Option<f64>,
+    /// Number of times that a running member was reported dead.
     pub false_deaths: u64,
 }
 
-/// The address of the n-th member of a region.
+/// Returns the address of the n-th member of a region.
 #[must_use]
 pub fn address(region: usize, n: usize) -> SocketAddr {
     SocketAddr::from((
@@ -107,7 +110,7 @@
     ))
 }
 
-/// One member of the layout.
+/// Region and address of one member.
 #[derive(Clone, Copy, Debug)]
 struct MemberPlacement {
     region: usize,
@@ -120,7 +123,7 @@
     } else {
         vec![plan.members]
     };
-    let of_region = |(region, size): (usize, &usize)| {
+    let region_members = |(region, size): (usize, &usize)| {
         (0..*size)
             .map(move |n| MemberPlacement {
                 region,
@@ -128,11 +131,11 @@
             })
             .collect::<Vec<_>>()
     };
-    sizes.iter().enumerate().flat_map(of_region).collect()
+    sizes.iter().enumerate().flat_map(region_members).collect()
 }
 
-/// What a run of these members takes in memory at most, in KB.
-fn expected_kb(sizes: &[usize]) -> usize {
+/// Returns the maximum memory of a run with regions of these sizes, in KB.
+fn max_expected_kb(sizes: &[usize]) -> usize {
     sizes
         .iter()
         .map(|size| size * (MEMBER_KB + (*size as f64 * ENTRY_KB) as usize))
@@ -151,16 +154,16 @@
     fn check(&self) -> Result<(), HollowError> {
         if self.members < 2 || self.regions == 0 || self.regions > self.members || self.regions > 64
         {
-            return Err(HollowError::NoFleet {
+            return Err(HollowError::InvalidSize {
                 members: self.members,
                 regions: self.regions,
             });
         }
-        let least = self.members.div_ceil(PER_PROCESS_MAX);
-        if !(least..=PROCESSES_MAX).contains(&self.processes) {
+        let min = self.members.div_ceil(PER_PROCESS_MAX);
+        if !(min..=PROCESSES_MAX).contains(&self.processes) {
             return Err(HollowError::ProcessCount {
                 processes: self.processes,
-                least,
+                min,
                 members: self.members,
             });
         }
@@ -169,88 +172,91 @@
         } else {
             vec![self.members]
         };
-        let (expected, most) = (expected_kb(&sizes), machine_kb()? / MEMORY_PART);
-        if expected > most {
+        let (expected, available) = (max_expected_kb(&sizes), machine_kb()? / MEMORY_DIVISOR);
+        if expected > available {
             return Err(HollowError::TooLarge {
                 members: self.members,
                 regions: self.regions,
                 expected_mb: expected / 1_024,
-                available_mb: most / 1_024,
+                available_mb: available / 1_024,
             });
         }
         Ok(())
     }
 }
 
-/// Why hollow members could not be run.
+/// Reason why hollow members could not be run.
 #[derive(Debug, Error)]
 pub enum HollowError {
-    /// The plan's sizes make no fleet.
-    #[error("{members} members in {regions} regions make no fleet")]
-    NoFleet {
-        /// Members.
+    /// The numbers of members and regions are invalid.
+    #[error(
+        "{members} members in {regions} regions: at least 2 members, and 1 to 64 regions but no \
+         more than members, are expected"
+    )]
+    InvalidSize {
+        /// Number of members.
         members: usize,
-        /// Regions.
+        /// Number of regions.
         regions: usize,
     },
     /// The plan has too few or too many processes.
-    #[error("--processes {processes}: {least} to {PROCESSES_MAX} for {members} members")]
+    #[error("--processes {processes}: {min} to {PROCESSES_MAX} are expected for {members} members")]
     ProcessCount {
-        /// Processes.
+        /// Number of processes.
         processes: usize,
-        /// The fewest that can run the members.
-        least: usize,
-        /// Members.
+        /// Minimum number of processes for the members.
+        min: usize,
+        /// Number of members.
         members: usize,
     },
-    /// The plan needs more memory than may be taken.
+    /// The run would need more memory than it may use.
     #[error(
-        "{members} members in {regions} regions take up to {expected_mb} MB, and half of the \
-         machine's memory is {available_mb} MB"
+        "{members} members in {regions} regions need up to {expected_mb} MB, but the limit of \
+         half of the machine's memory is {available_mb} MB"
     )]
     TooLarge {
-        /// Members.
+        /// Number of members.
         members: usize,
-        /// Regions.
+        /// Number of regions.
         regions: usize,
-        /// What they take, in MB.
+        /// Maximum memory of the run, in MB.
         expected_mb: usize,
-        /// What may be taken, in MB.
+        /// Memory that a run may use, in MB.
         available_mb: usize,
     },
-    /// The run takes more memory than may be taken.
-    #[error("{resident_mb} MB are taken, more than half of the machine's memory")]
+    /// The run uses more memory than it may.
+    #[error("the run uses {resident_mb} MB, more than half of the machine's memory, and is ended")]
     OutOfMemory {
-        /// What is taken, in MB.
+        /// Resident memory of all processes, in MB.
         resident_mb: usize,
     },
-    /// The machine does not say how much memory it has.
-    #[error("/proc/meminfo: no MemTotal")]
+    /// `/proc/meminfo` does not contain the machine's memory size.
+    #[error("/proc/meminfo contains no valid line MemTotal")]
     NoMemTotal,
-    /// A process of members ended by itself.
-    #[error("process {index} of members: {status}")]
+    /// A member process exited before the end of the run.
+    #[error("member process {index} exited before the end of the run: {status}")]
     ProcessEnded {
-        /// Which one.
+        /// Index of the process.
         index: usize,
-        /// How.
+        /// Exit status.
         status: ExitStatus,
     },
     /// A socket, pipe or process could not be set up or used.
     #[error("{context}: {source}")]
     Io {
-        /// What for.
+        /// Name or purpose of the socket, pipe or process.
         context: String,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A message could not be written as JSON.
-    #[error("JSON: {0}")]
+    #[error("a message cannot be written as JSON: {0}")]
     Serialize(#[from] serde_json::Error),
-    /// The clock of the machine stands before 1970.
-    #[error("clock: {0}")]
+    /// The machine's clock is set to a time before 1970.
+    #[error("the machine's clock is set before 1970: {0}")]
     Clock(#[from] std::time::SystemTimeError),
-    /// A signal ended the run.
-    #[error("interrupted")]
+    /// SIGINT or SIGTERM ended the run early.
+    #[error("interrupted by a signal")]
     Interrupted,
 }
 
@@ -263,38 +269,39 @@
     }
 }
 
-/// A run under way.
+/// State of a run in the parent process.
 struct Run<'a> {
     plan: HollowPlan,
-    places: Vec<MemberPlacement>,
+    placements: Vec<MemberPlacement>,
     processes: Processes,
-    /// Who runs, by place.
+    /// Whether each member runs, by its index in `placements`.
     alive: Vec<bool>,
+    /// Region that is cut off from the others.
     cut: Option<usize>,
     interrupted: &'a AtomicBool,
-    memory_most_kb: usize,
+    memory_max_kb: usize,
 }
 
-/// Plays a plan on real sockets and measures it.
+/// Runs a plan over real sockets and measures it.
 ///
 /// # Errors
 ///
-/// Says what of the plan does not fit the machine, which process failed, or that it was
-/// interrupted.
+/// Returns an error if the plan is invalid or too large for the machine, a process fails, or the
+/// run is interrupted.
 pub fn run(plan: HollowPlan, interrupted: &AtomicBool) -> Result<HollowMeasurement, HollowError> {
     plan.check()?;
-    let places = layout(&plan);
+    let placements = layout(&plan);
     let processes = Processes::start(&plan)?;
-    let alive = vec![false; places.len()];
-    let memory_most_kb = machine_kb()? / MEMORY_PART;
+    let alive = vec![false; placements.len()];
+    let memory_max_kb = machine_kb()? / MEMORY_DIVISOR;
     let mut run = Run {
         plan,
-        places,
+        placements,
         processes,
         alive,
         cut: None,
         interrupted,
-        memory_most_kb,
+        memory_max_kb,
     };
     let result = run.measure();
     run.processes.end();
@@ -304,14 +311,14 @@
 impl Run<'_> {
     fn measure(&mut self) -> Result<HollowMeasurement, HollowError> {
         let empty_kb = self.processes.resident_kb();
-        self.start(0..self.places.len())?;
-        let joined = self.until_settled()?;
-        self.wait(SETTLING)?;
-        let calm = self.measured(Duration::from_secs(self.plan.seconds))?;
+        self.start(0..self.placements.len())?;
+        let joined = self.wait_for_convergence()?;
+        self.wait(START_GOSSIP_DURATION)?;
+        let calm = self.measure_calm(Duration::from_secs(self.plan.seconds))?;
         let memory_kb = (self.processes.resident_kb().saturating_sub(empty_kb)) as f64
             / self.plan.members as f64;
         let before = self.processes.false_deaths();
-        let (event, settled) = self.event(joined)?;
+        let (event_bytes_per_s, converged) = self.run_event(joined)?;
         let members = self.plan.members as f64;
         let span = calm.span.as_secs_f64();
         Ok(HollowMeasurement {
@@ -321,96 +328,107 @@
             memory_kb,
             datagrams_per_s: calm.datagrams as f64 / span / members,
             bytes_per_s: calm.bytes as f64 / span / members,
-            bytes_per_s_worst: calm.max_bytes_per_s.max(event),
+            bytes_per_s_worst: calm.max_bytes_per_s.max(event_bytes_per_s),
             joined_s: seconds(joined),
-            settled_s: seconds(settled),
+            converged_s: seconds(converged),
             false_deaths: before.max(self.processes.false_deaths()),
         })
     }
 
-    /// What happens after the calm, and how long until all views were true; the worst second's
-    /// bytes in it.
-    fn event(&mut self, joined: Option<Duration>) -> Result<(u64, Option<Duration>), HollowError> {
-        let largest: Vec<usize> = (0..self.places.len())
-            .filter(|n| self.places[*n].region == 0)
+    /// Injects the event of the plan. Returns the maximum number of bytes that any member sent in a
+    /// second after it, and the time until all views were correct.
+    fn run_event(
+        &mut self,
+        joined: Option<Duration>,
+    ) -> Result<(u64, Option<Duration>), HollowError> {
+        let largest_region: Vec<usize> = (0..self.placements.len())
+            .filter(|n| self.placements[*n].region == 0)
             .collect();
         match self.plan.event {
             HollowEvent::None => return Ok((0, joined)),
             HollowEvent::Rack => {
-                self.kill(&largest[largest.len().saturating_sub(RACK.min(largest.len() / 2))..])?;
+                self.kill(
+                    &largest_region[largest_region
+                        .len()
+                        .saturating_sub(RACK_SIZE.min(largest_region.len() / 2))..],
+                )?;
             }
-            HollowEvent::Zone => self.kill(&largest[largest.len().div_ceil(2)..])?,
+            HollowEvent::Zone => self.kill(&largest_region[largest_region.len().div_ceil(2)..])?,
             HollowEvent::Cut => {
                 self.set_cut(Some(0))?;
                 self.wait(Duration::from_secs(10))?;
                 self.set_cut(None)?;
             }
         }
-        self.processes.reset();
-        let settled = self.until_settled()?;
-        let rest = Duration::from_secs(10).saturating_sub(settled.unwrap_or_default());
-        self.wait(rest)?;
-        Ok((self.processes.max_bytes_per_s(), settled))
+        self.processes.reset_max_bytes();
+        let converged = self.wait_for_convergence()?;
+        let remaining = Duration::from_secs(10).saturating_sub(converged.unwrap_or_default());
+        self.wait(remaining)?;
+        Ok((self.processes.max_bytes_per_s(), converged))
     }
 
-    fn start(&mut self, who: std::ops::Range<usize>) -> Result<(), HollowError> {
-        who.clone().for_each(|n| self.alive[n] = true);
-        self.expect()?;
-        self.processes.send(&MemberCommand::Start(who.collect()))
+    fn start(&mut self, members: std::ops::Range<usize>) -> Result<(), HollowError> {
+        members.clone().for_each(|n| self.alive[n] = true);
+        self.send_expected_state()?;
+        self.processes
+            .send(&MemberCommand::Start(members.collect()))
     }
 
-    fn kill(&mut self, who: &[usize]) -> Result<(), HollowError> {
-        who.iter().for_each(|n| self.alive[*n] = false);
-        self.expect()?;
-        self.processes.send(&MemberCommand::Kill(who.to_vec()))
+    fn kill(&mut self, members: &[usize]) -> Result<(), HollowError> {
+        members.iter().for_each(|n| self.alive[*n] = false);
+        self.send_expected_state()?;
+        self.processes.send(&MemberCommand::Kill(members.to_vec()))
     }
 
     fn set_cut(&mut self, region: Option<usize>) -> Result<(), HollowError> {
         self.cut = region;
-        self.expect()?;
+        self.send_expected_state()?;
         self.processes.send(&MemberCommand::Cut(region))
     }
 
-    /// Tells all what is true from now on.
-    fn expect(&mut self) -> Result<(), HollowError> {
+    /// Sends the number of running members by region, which the views are compared with.
+    fn send_expected_state(&mut self) -> Result<(), HollowError> {
         let mut living: BTreeMap<usize, usize> = BTreeMap::new();
-        for (place, _) in self
-            .places
+        for (placement, _) in self
+            .placements
             .iter()
             .zip(&self.alive)
             .filter(|(_, alive)| **alive)
         {
-            *living.entry(place.region).or_default() += 1;
+            *living.entry(placement.region).or_default() += 1;
         }
         self.processes.expect(living)
     }
 
-    fn until_settled(&mut self) -> Result<Option<Duration>, HollowError> {
-        let begun = Instant::now();
-        while begun.elapsed() < CEILING {
-            if let Some(settled) = self.processes.settled_at() {
-                return Ok(Some(settled.saturating_duration_since(begun)));
+    /// Waits until all views are correct and returns the time that it took; `None` on a timeout.
+    fn wait_for_convergence(&mut self) -> Result<Option<Duration>, HollowError> {
+        let begin = Instant::now();
+        while begin.elapsed() < CONVERGENCE_TIMEOUT {
+            if let Some(converged) = self.processes.converged_at() {
+                return Ok(Some(converged.saturating_duration_since(begin)));
             }
             self.wait(POLL_INTERVAL)?;
         }
         Ok(None)
     }
 
-    fn measured(&mut self, span: Duration) -> Result<Calm, HollowError> {
-        self.processes.reset();
-        let (first, begun) = (self.processes.sums(), Instant::now());
+    /// Measures CPU time and traffic over a span without events.
+    fn measure_calm(&mut self, span: Duration) -> Result<CalmMeasurement, HollowError> {
+        self.processes.reset_max_bytes();
+        let (first, begin) = (self.processes.sums(), Instant::now());
         self.wait(span)?;
         let last = self.processes.sums();
-        Ok(Calm {
-            span: begun.elapsed(),
-            cpu_time: Duration::from_nanos(last.busy_ns.saturating_sub(first.busy_ns)),
+        Ok(CalmMeasurement {
+            span: begin.elapsed(),
+            cpu_time: Duration::from_nanos(last.cpu_ns.saturating_sub(first.cpu_ns)),
             datagrams: last.datagrams - first.datagrams,
             bytes: last.bytes - first.bytes,
             max_bytes_per_s: self.processes.max_bytes_per_s(),
         })
     }
 
-    /// Waits, unless it is interrupted, a process fails, or memory runs short.
+    /// Waits for a span; fails if the run is interrupted, a process exits, or the run uses too much
+    /// memory.
     fn wait(&mut self, span: Duration) -> Result<(), HollowError> {
         let until = Instant::now() + span;
         loop {
@@ -419,21 +437,22 @@
                 return Err(HollowError::Interrupted);
             }
             let resident = self.processes.resident_kb();
-            if resident > self.memory_most_kb {
+            if resident > self.memory_max_kb {
                 return Err(HollowError::OutOfMemory {
                     resident_mb: resident / 1_024,
                 });
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(POLL_INTERVAL));
+            std::thread::sleep(remaining.min(POLL_INTERVAL));
         }
     }
 }
 
-struct Calm {
+/// CPU time and traffic of all members over a span without events.
+struct CalmMeasurement {
     span: Duration,
     cpu_time: Duration,
     datagrams: u64,
@@ -445,24 +464,24 @@
     span.map(|span| (span.as_millis() as f64) / 1e3)
 }
 
-/// The time between two reports of a process, in nanoseconds.
-const REPORT: u64 = 100 * MS;
+/// Interval between two reports of a process, in nanoseconds.
+const REPORT_INTERVAL: u64 = 100 * MS;
 
-/// Runs a share of the members, as a process of its own; ends when standard input does.
+/// Runs a share of the members in this process until standard input is closed.
 ///
 /// # Errors
 ///
-/// If a socket or the standard streams fail.
+/// Returns an error if a socket or a standard stream fails.
 pub fn serve(plan: HollowPlan, share: usize) -> Result<(), HollowError> {
-    let places = layout(&plan);
-    let own = (share..places.len()).step_by(plan.processes).collect();
-    members::serve(&plan, &places, own)
+    let placements = layout(&plan);
+    let own_members = (share..placements.len()).step_by(plan.processes).collect();
+    members::serve(&plan, &placements, own_members)
 }
 
 impl MemberReport {
-    /// Adds up what processes have sent and taken.
+    /// Adds the counters of another process.
     fn add(&mut self, other: &MemberReport) {
-        self.busy_ns += other.busy_ns;
+        self.cpu_ns += other.cpu_ns;
         self.datagrams += other.datagrams;
         self.bytes += other.bytes;
         self.false_deaths += other.false_deaths;
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -1,7 +1,7 @@
-//! One process of hollow members: a loop over their sockets and timers.
+//! A process of hollow members: an event loop over their sockets and timers.
 
 use super::messages::{MemberCommand, MemberReport};
-use super::{HollowError, HollowPlan, MemberPlacement, REPORT};
+use super::{HollowError, HollowPlan, MemberPlacement, REPORT_INTERVAL};
 use crate::process;
 use crate::simulation::fleet::region_name;
 use membership::envelope::DATAGRAM_MAX;
@@ -17,48 +17,58 @@
 use std::sync::mpsc::{Receiver, TryRecvError, channel};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Datagrams read of one socket in a turn.
+/// Maximum number of datagrams read from one socket per loop iteration.
 const READ_MAX: usize = 64;
-/// Ready sockets that are handled in one turn.
+/// Maximum number of ready sockets handled per loop iteration.
 const EVENTS_MAX: usize = 256;
-/// The most that a turn waits for sockets, in milliseconds.
+/// Maximum time to wait for sockets per loop iteration, in milliseconds.
 const WAIT_MAX_MS: u64 = 50;
-/// Members that hold more than a region's share are refused.
+/// Maximum number of members that a member tracks (setting `members_max`).
 const MEMBERS_MAX: usize = 4_096;
 
-struct Hollow {
-    place: usize,
+struct HollowMember {
+    index: usize,
     member: Member,
     socket: UdpSocket,
-    /// Bytes sent when the last second began.
-    bytes: u64,
+    /// Number of bytes sent up to the beginning of the current second.
+    bytes_at_second: u64,
 }
 
+/// State of the process. Members are identified by their index in `placements`.
 struct Process<'a> {
     plan: &'a HollowPlan,
-    places: &'a [MemberPlacement],
+    placements: &'a [MemberPlacement],
     by_address: HashMap<SocketAddr, usize>,
     epoll: Epoll,
-    members: BTreeMap<usize, Hollow>,
-    own: Vec<usize>,
+    /// Running members of this process.
+    members: BTreeMap<usize, HollowMember>,
+    /// Members that this process may run, sorted.
+    own_members: Vec<usize>,
+    /// Times at which members are due for a tick.
     due: BinaryHeap<Reverse<(Nanos, usize)>>,
+    /// Whether each member of the fleet was killed or not started yet.
     killed: Vec<bool>,
+    /// Region that is cut off from the others.
     cut: Option<usize>,
+    /// Number of running members by region, as expected by the parent.
     living: BTreeMap<usize, usize>,
     report: MemberReport,
-    /// Processor time of the look at the views.
-    check_ns: u64,
+    /// CPU time spent on creating reports, in nanoseconds.
+    report_cpu_ns: u64,
+    /// Beginning of the current second.
     second: Nanos,
     next_report: Nanos,
-    /// The place whose view was last found untrue.
-    untrue: usize,
-    begun: Instant,
+    /// Member whose view was last found incorrect; the next check begins with it.
+    first_checked: usize,
+    begin: Instant,
+    /// Unix time at `begin`, in milliseconds.
     unix_ms: u64,
-    gone: (u64, u64),
+    /// Number of datagrams and bytes that killed members had sent.
+    sent_by_killed: (u64, u64),
 }
 
-/// Processor time of this process so far.
-fn busy_ns() -> u64 {
+/// Returns the CPU time of this process so far, in nanoseconds.
+fn process_cpu_ns() -> u64 {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     text.split(' ')
         .next()
@@ -66,11 +76,11 @@
         .unwrap_or(0)
 }
 
-/// Runs these members until standard input ends.
+/// Runs a process that may run `own_members` until standard input is closed.
 pub(super) fn serve(
     plan: &HollowPlan,
-    places: &[MemberPlacement],
-    own: Vec<usize>,
+    placements: &[MemberPlacement],
+    own_members: Vec<usize>,
 ) -> Result<(), HollowError> {
     let (sender, commands) = channel();
     std::thread::spawn(move || {
@@ -87,34 +97,34 @@
     let unix = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let mut process = Process {
         plan,
-        places,
-        by_address: places
+        placements,
+        by_address: placements
             .iter()
             .enumerate()
-            .map(|(n, place)| (place.address, n))
+            .map(|(n, placement)| (placement.address, n))
             .collect(),
         epoll,
         members: BTreeMap::new(),
-        own,
+        own_members,
         due: BinaryHeap::new(),
-        killed: vec![true; places.len()],
+        killed: vec![true; placements.len()],
         cut: None,
         living: BTreeMap::new(),
         report: MemberReport::default(),
-        check_ns: 0,
+        report_cpu_ns: 0,
         second: 0,
         next_report: 0,
-        untrue: 0,
-        begun: Instant::now(),
+        first_checked: 0,
+        begin: Instant::now(),
         unix_ms: unix.as_millis() as u64,
-        gone: (0, 0),
+        sent_by_killed: (0, 0),
     };
     process.run(&commands)
 }
 
 impl Process<'_> {
     fn now(&self) -> Nanos {
-        self.begun.elapsed().as_nanos() as Nanos
+        self.begin.elapsed().as_nanos() as Nanos
     }
 
     fn run(&mut self, commands: &Receiver<MemberCommand>) -> Result<(), HollowError> {
@@ -122,7 +132,7 @@
         loop {
             loop {
                 match commands.try_recv() {
-                    Ok(command) => self.carry_out(command)?,
+                    Ok(command) => self.apply(command)?,
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return Ok(()),
                 }
@@ -144,27 +154,27 @@
             }
             self.run_due_members();
             self.send_report()
-                .map_err(|e| HollowError::io("reporting", e))?;
+                .map_err(|e| HollowError::io("standard output of a member process", e))?;
         }
     }
 
-    fn carry_out(&mut self, command: MemberCommand) -> Result<(), HollowError> {
+    fn apply(&mut self, command: MemberCommand) -> Result<(), HollowError> {
         match command {
-            MemberCommand::Start(who) => {
-                who.iter().for_each(|n| self.killed[*n] = false);
-                let own: Vec<usize> = who
+            MemberCommand::Start(members) => {
+                members.iter().for_each(|n| self.killed[*n] = false);
+                let own: Vec<usize> = members
                     .into_iter()
-                    .filter(|n| self.own.binary_search(n).is_ok())
+                    .filter(|n| self.own_members.binary_search(n).is_ok())
                     .collect();
                 own.into_iter().try_for_each(|n| self.start(n))?;
             }
-            MemberCommand::Kill(who) => {
-                for n in who {
+            MemberCommand::Kill(members) => {
+                for n in members {
                     self.killed[n] = true;
                     if let Some(hollow) = self.members.remove(&n) {
                         let traffic = hollow.member.statistics();
-                        self.gone.0 += traffic.sent;
-                        self.gone.1 += traffic.sent_bytes;
+                        self.sent_by_killed.0 += traffic.sent;
+                        self.sent_by_killed.1 += traffic.sent_bytes;
                         let _ = self.epoll.delete(&hollow.socket);
                     }
                 }
@@ -172,16 +182,16 @@
             MemberCommand::Cut(region) => self.cut = region,
             MemberCommand::Expect { epoch, living } => {
                 (self.report.epoch, self.living) = (epoch, living);
-                self.report.settled = false;
+                self.report.converged = false;
             }
         }
         Ok(())
     }
 
     fn start(&mut self, n: usize) -> Result<(), HollowError> {
-        let place = self.places[n];
-        let problem = |e: std::io::Error| HollowError::io(place.address.to_string(), e);
-        let socket = UdpSocket::bind(place.address).map_err(problem)?;
+        let placement = self.placements[n];
+        let problem = |e: std::io::Error| HollowError::io(placement.address.to_string(), e);
+        let socket = UdpSocket::bind(placement.address).map_err(problem)?;
         socket.set_nonblocking(true).map_err(problem)?;
         let event = EpollEvent::new(EpollFlags::EPOLLIN, n as u64);
         self.epoll
@@ -191,7 +201,7 @@
         let settings = self.member_settings(n);
         let metadata = MemberMetadata {
             name: settings.name.clone(),
-            listen_address: place.address,
+            listen_address: placement.address,
             phase: ServingPhase::Serving,
             build: env!("CARGO_PKG_VERSION").into(),
             config_checksum: 7,
@@ -208,35 +218,35 @@
         self.due.push(Reverse((now, n)));
         self.members.insert(
             n,
-            Hollow {
-                place: n,
+            HollowMember {
+                index: n,
                 member,
                 socket,
-                bytes: 0,
+                bytes_at_second: 0,
             },
         );
         Ok(())
     }
 
     fn member_settings(&self, n: usize) -> MembershipSettings {
-        let place = self.places[n];
+        let placement = self.placements[n];
         let location = match self.plan.regions {
             1 => Location::default(),
             _ => Location {
-                region: region_name(place.region),
+                region: region_name(placement.region),
                 ..Location::default()
             },
         };
-        let of_region = self
-            .places
+        let in_region = self
+            .placements
             .iter()
-            .filter(|other| other.region == place.region);
-        let mut join: Vec<SocketAddr> = of_region.take(2).map(|other| other.address).collect();
-        join.push(self.places[0].address);
+            .filter(|other| other.region == placement.region);
+        let mut join: Vec<SocketAddr> = in_region.take(2).map(|other| other.address).collect();
+        join.push(self.placements[0].address);
         MembershipSettings {
             fleet: "hollow".into(),
             name: format!("h{n}"),
-            address: place.address,
+            address: placement.address,
             join,
             members_max: MEMBERS_MAX,
             configured_balancers: self.plan.members,
@@ -282,22 +292,22 @@
         }
     }
 
-    /// Sends what the member hands out, and counts whom it takes for dead wrongly.
+    /// Sends the datagrams of a member and counts running members that it reports dead.
     fn collect_output(&mut self, n: usize) {
         let Some(hollow) = self.members.get_mut(&n) else {
             return;
         };
-        let region = self.places[hollow.place].region;
+        let region = self.placements[hollow.index].region;
         for (to, datagram) in hollow.member.take_datagrams() {
             let to_region = self
                 .by_address
                 .get(&to)
-                .map(|other| self.places[*other].region);
-            let apart = self
+                .map(|other| self.placements[*other].region);
+            let is_cut = self
                 .cut
                 .is_some_and(|cut| (cut == region) != (Some(cut) == to_region));
-            if !apart {
-                // What does not go is as good as lost on the way.
+            if !is_cut {
+                // A datagram that cannot be sent counts as lost in the network.
                 let _ = hollow.socket.send_to(&datagram, to);
             }
         }
@@ -315,16 +325,16 @@
         }
     }
 
-    /// Whether a member sees those who run, and nobody else.
-    fn is_true(&self, hollow: &Hollow) -> bool {
-        let region = self.places[hollow.place].region;
-        let living = |region: usize| self.living.get(&region).copied().unwrap_or(0);
-        let (mut there, mut serving) = (0, 0);
+    /// Returns whether the view of a member equals the expected state.
+    fn is_view_correct(&self, hollow: &HollowMember) -> bool {
+        let region = self.placements[hollow.index].region;
+        let expected = |region: usize| self.living.get(&region).copied().unwrap_or(0);
+        let (mut present, mut serving) = (0, 0);
         for seen in hollow.member.members() {
-            there += usize::from(seen.status.is_present());
+            present += usize::from(seen.status.is_present());
             serving += usize::from(seen.status == MemberStatus::Serving);
         }
-        if there != serving || there + 1 != living(region) {
+        if present != serving || present + 1 != expected(region) {
             return false;
         }
         if self.plan.regions == 1 {
@@ -336,22 +346,23 @@
             .map(|(row, silent_since)| (row.region.as_str(), (row.alive, silent_since.is_none())))
             .collect();
         let others = self.living.iter().filter(|(other, _)| **other != region);
-        let mut all = others.map(|(other, living)| (region_name(*other), (*living as u32, true)));
-        all.all(|(name, truth)| rows.get(name.as_str()) == Some(&truth))
+        let mut expected_rows =
+            others.map(|(other, living)| (region_name(*other), (*living as u32, true)));
+        expected_rows.all(|(name, expected)| rows.get(name.as_str()) == Some(&expected))
     }
 
-    /// Whether all members of this process see what is true; the look begins where the last one
-    /// ended.
-    fn is_settled(&mut self) -> bool {
+    /// Returns whether the views of all members of this process are correct. The check begins with
+    /// the member whose view was last found incorrect.
+    fn is_converged(&mut self) -> bool {
         let order = self
             .members
-            .range(self.untrue..)
-            .chain(self.members.range(..self.untrue));
-        let untrue = order
-            .map(|(n, hollow)| (*n, self.is_true(hollow)))
-            .find(|(_, is_true)| !is_true);
-        self.untrue = untrue.map_or(self.untrue, |(n, _)| n);
-        untrue.is_none()
+            .range(self.first_checked..)
+            .chain(self.members.range(..self.first_checked));
+        let incorrect = order
+            .map(|(n, hollow)| (*n, self.is_view_correct(hollow)))
+            .find(|(_, is_correct)| !is_correct);
+        self.first_checked = incorrect.map_or(self.first_checked, |(n, _)| n);
+        incorrect.is_none()
     }
 
     fn send_report(&mut self) -> std::io::Result<()> {
@@ -359,29 +370,33 @@
         if now < self.next_report {
             return Ok(());
         }
-        self.next_report = now + REPORT;
-        let before = busy_ns();
-        self.report.settled = self.is_settled();
+        self.next_report = now + REPORT_INTERVAL;
+        let before = process_cpu_ns();
+        self.report.converged = self.is_converged();
         let traffic = self
             .members
             .values()
             .map(|hollow| hollow.member.statistics());
-        let (sent, bytes) =
-            traffic.fold(self.gone, |sum, t| (sum.0 + t.sent, sum.1 + t.sent_bytes));
+        let (sent, bytes) = traffic.fold(self.sent_by_killed, |sum, t| {
+            (sum.0 + t.sent, sum.1 + t.sent_bytes)
+        });
         (self.report.datagrams, self.report.bytes) = (sent, bytes);
         if now - self.second >= 1_000 * MS {
             self.second = now;
-            self.report.worst = 0;
+            self.report.max_bytes_per_s = 0;
             for hollow in self.members.values_mut() {
                 let sent = hollow.member.statistics().sent_bytes;
-                self.report.worst = self.report.worst.max(sent - hollow.bytes);
-                hollow.bytes = sent;
+                self.report.max_bytes_per_s = self
+                    .report
+                    .max_bytes_per_s
+                    .max(sent - hollow.bytes_at_second);
+                hollow.bytes_at_second = sent;
             }
         }
         self.report.resident_kb = process::own_resident_kb().unwrap_or(0) as usize;
-        let after = busy_ns();
-        self.check_ns += after.saturating_sub(before);
-        self.report.busy_ns = after.saturating_sub(self.check_ns);
+        let after = process_cpu_ns();
+        self.report_cpu_ns += after.saturating_sub(before);
+        self.report.cpu_ns = after.saturating_sub(self.report_cpu_ns);
         let line = serde_json::to_string(&self.report)?;
         let mut output = std::io::stdout().lock();
         writeln!(output, "{line}")?;
--- a/crates/testbed/src/hollow/messages.rs
+++ b/crates/testbed/src/hollow/messages.rs
@@ -1,43 +1,47 @@
-//! Messages between the parent and the processes of hollow members, a line of JSON each.
+//! Messages between the parent and the member processes, one line of JSON each.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// From the parent to a process.
+/// Message from the parent to a member process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum MemberCommand {
-    /// These members start, as far as they are of this process.
+    /// Starts these members; a process starts only its own.
     Start(Vec<usize>),
-    /// These are killed.
+    /// Kills these members.
     Kill(Vec<usize>),
-    /// Nothing passes between this region and the others; `None`: all passes.
+    /// Drops all datagrams between this region and the others; `None` ends the cut.
     Cut(Option<usize>),
-    /// What is true from now on.
+    /// Sets the state that the members' views must show from now on.
     Expect {
-        /// Counts up; reports say which one they were held against.
+        /// Number of the expected state, counted up; reports name the state they refer to.
         epoch: u64,
-        /// Members that run, by region.
+        /// Number of running members, by region.
         living: BTreeMap<usize, usize>,
     },
 }
 
-/// From a process to the parent, some times a second; counts are since its start.
+/// Message from a member process to the parent, sent every 100 ms. Counters are since the start of
+/// the process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct MemberReport {
-    /// What the views were held against.
+    /// Number of the expected state that the views were compared with.
     pub(super) epoch: u64,
-    /// All views of its members are true.
-    pub(super) settled: bool,
-    /// Processor time, without that of the look at the views.
-    pub(super) busy_ns: u64,
-    /// Datagrams sent.
+    /// Whether the views of all members of the process are correct.
+    #[serde(rename = "settled")]
+    pub(super) converged: bool,
+    /// CPU time of the process in nanoseconds, without that of creating the reports.
+    #[serde(rename = "busy_ns")]
+    pub(super) cpu_ns: u64,
+    /// Number of datagrams sent.
     pub(super) datagrams: u64,
-    /// Their bytes.
+    /// Number of bytes sent.
     pub(super) bytes: u64,
-    /// Bytes of the member that sent most in the last whole second.
-    pub(super) worst: u64,
-    /// Living members that were taken for dead.
+    /// Maximum number of bytes that any member sent in the last complete second.
+    #[serde(rename = "worst")]
+    pub(super) max_bytes_per_s: u64,
+    /// Number of times that a running member was reported dead.
     pub(super) false_deaths: u64,
-    /// Resident memory.
+    /// Resident memory of the process, in KB.
     pub(super) resident_kb: usize,
 }
--- a/crates/testbed/src/hollow/processes.rs
+++ b/crates/testbed/src/hollow/processes.rs
@@ -1,4 +1,4 @@
-//! The processes that run hollow members, as the parent sees them.
+//! Member processes as the parent controls them: their start, commands, reports and end.
 
 use super::messages::{MemberCommand, MemberReport};
 use super::{HollowError, HollowPlan};
@@ -8,36 +8,40 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// What a process last reported.
+/// State of a process according to its reports.
 #[derive(Default)]
-struct Last {
+struct ProcessState {
+    /// Last received report.
     report: MemberReport,
-    /// When its views were first true, by the last expectation.
-    settled: Option<Instant>,
+    /// Time since which the views of its members have been correct.
+    converged: Option<Instant>,
+    /// Maximum number of bytes that any member sent in a second since the last reset.
     max_bytes_per_s: u64,
 }
 
 struct Process {
     child: Child,
     input: Option<ChildStdin>,
-    last: Arc<Mutex<Last>>,
+    state: Arc<Mutex<ProcessState>>,
 }
 
-/// All processes of a run. They end with their standard input, also if this one is killed.
+/// All member processes of a run. They exit when their standard input is closed, even if the parent
+/// is killed.
 pub(super) struct Processes {
     all: Vec<Process>,
+    /// Number of the last expected state that was sent.
     epoch: u64,
 }
 
 impl Processes {
     pub(super) fn start(plan: &HollowPlan) -> Result<Self, HollowError> {
-        let own = std::env::current_exe().map_err(|e| HollowError::io("this program", e))?;
+        let executable = std::env::current_exe().map_err(|e| HollowError::io("this program", e))?;
         let mut processes = Processes {
             all: Vec::new(),
             epoch: 0,
         };
         for share in 0..plan.processes {
-            let mut command = std::process::Command::new(&own);
+            let mut command = std::process::Command::new(&executable);
             command
                 .arg("hollow-members")
                 .args(["--share", &share.to_string()]);
@@ -56,14 +60,18 @@
             command.stdin(Stdio::piped()).stdout(Stdio::piped());
             let mut child = command
                 .spawn()
-                .map_err(|e| HollowError::io(own.display().to_string(), e))?;
+                .map_err(|e| HollowError::io(executable.display().to_string(), e))?;
             let (input, output) = (child.stdin.take(), child.stdout.take());
-            let last = Arc::new(Mutex::new(Last::default()));
+            let state = Arc::new(Mutex::new(ProcessState::default()));
             if let Some(output) = output {
-                let last = Arc::clone(&last);
-                std::thread::spawn(move || listen(BufReader::new(output), &last));
+                let state = Arc::clone(&state);
+                std::thread::spawn(move || read_reports(BufReader::new(output), &state));
             }
-            processes.all.push(Process { child, input, last });
+            processes.all.push(Process {
+                child,
+                input,
+                state,
+            });
         }
         Ok(processes)
     }
@@ -74,12 +82,13 @@
             let Some(input) = &mut process.input else {
                 continue;
             };
-            writeln!(input, "{line}").map_err(|e| HollowError::io("a process of members", e))?;
+            writeln!(input, "{line}")
+                .map_err(|e| HollowError::io("standard input of a member process", e))?;
         }
         Ok(())
     }
 
-    /// What is true from now on.
+    /// Sends the expected state of the fleet: the number of running members by region.
     pub(super) fn expect(&mut self, living: BTreeMap<usize, usize>) -> Result<(), HollowError> {
         self.epoch += 1;
         self.send(&MemberCommand::Expect {
@@ -88,7 +97,7 @@
         })
     }
 
-    /// A process that ended by itself is named.
+    /// Returns an error if a process has exited.
     pub(super) fn check(&mut self) -> Result<(), HollowError> {
         for (share, process) in self.all.iter_mut().enumerate() {
             if let Ok(Some(status)) = process.child.try_wait() {
@@ -101,24 +110,26 @@
         Ok(())
     }
 
-    fn lasts(&self) -> impl Iterator<Item = std::sync::MutexGuard<'_, Last>> {
+    fn states(&self) -> impl Iterator<Item = std::sync::MutexGuard<'_, ProcessState>> {
         self.all
             .iter()
-            .filter_map(|process| process.last.lock().ok())
+            .filter_map(|process| process.state.lock().ok())
     }
 
-    /// When the last process's views came to be true, if all are.
-    pub(super) fn settled_at(&self) -> Option<Instant> {
-        let settled = |last: std::sync::MutexGuard<'_, Last>| {
-            last.settled.filter(|_| last.report.epoch == self.epoch)
+    /// Returns the time since which all views have matched the expected state; `None` if any view
+    /// does not.
+    pub(super) fn converged_at(&self) -> Option<Instant> {
+        let converged = |state: std::sync::MutexGuard<'_, ProcessState>| {
+            state.converged.filter(|_| state.report.epoch == self.epoch)
         };
-        let all: Option<Vec<Instant>> = self.lasts().map(settled).collect();
-        all.and_then(|all| all.into_iter().max())
+        let times: Option<Vec<Instant>> = self.states().map(converged).collect();
+        times.and_then(|times| times.into_iter().max())
     }
 
+    /// Returns the sum of the counters of all processes.
     pub(super) fn sums(&self) -> MemberReport {
         let mut sum = MemberReport::default();
-        self.lasts().for_each(|last| sum.add(&last.report));
+        self.states().for_each(|state| sum.add(&state.report));
         sum
     }
 
@@ -130,19 +141,21 @@
         self.sums().false_deaths
     }
 
-    /// The most that a member sent in a second since the last reset.
+    /// Returns the maximum number of bytes that any member sent in a second since the last reset.
     pub(super) fn max_bytes_per_s(&self) -> u64 {
-        self.lasts()
-            .map(|last| last.max_bytes_per_s)
+        self.states()
+            .map(|state| state.max_bytes_per_s)
             .max()
             .unwrap_or(0)
     }
 
-    pub(super) fn reset(&mut self) {
-        self.lasts().for_each(|mut last| last.max_bytes_per_s = 0);
+    /// Resets the maximum number of bytes sent in a second.
+    pub(super) fn reset_max_bytes(&mut self) {
+        self.states()
+            .for_each(|mut state| state.max_bytes_per_s = 0);
     }
 
-    /// Ends all and waits for them.
+    /// Closes the standard input of all processes and waits for their exit.
     pub(super) fn end(&mut self) {
         for process in &mut self.all {
             process.input = None;
@@ -159,20 +172,20 @@
     }
 }
 
-/// Reads the reports of one process until it ends.
-fn listen(output: impl BufRead, last: &Mutex<Last>) {
+/// Reads the reports of one process until it exits.
+fn read_reports(output: impl BufRead, state: &Mutex<ProcessState>) {
     for line in output.lines().map_while(Result::ok) {
         let Ok(report) = serde_json::from_str::<MemberReport>(&line) else {
             continue;
         };
-        let Ok(mut last) = last.lock() else { return };
-        let same = last.report.epoch == report.epoch;
-        last.settled = match (report.settled, last.settled.filter(|_| same)) {
+        let Ok(mut state) = state.lock() else { return };
+        let same_epoch = state.report.epoch == report.epoch;
+        state.converged = match (report.converged, state.converged.filter(|_| same_epoch)) {
             (false, _) => None,
             (true, Some(since)) => Some(since),
             (true, None) => Some(Instant::now()),
         };
-        last.max_bytes_per_s = last.max_bytes_per_s.max(report.worst);
-        last.report = report;
+        state.max_bytes_per_s = state.max_bytes_per_s.max(report.max_bytes_per_s);
+        state.report = report;
     }
 }
