--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,5 +1,5 @@
-//! Soak trials: real balancers on loopback between simulated caches, discovery and clients, with
-//! faults drawn from a seed, and rules that all that was recorded is checked against.
+//! Soak trials: real balancers on loopback with simulated caches, discovery and clients. Faults are
+//! randomly generated from a seed, and the records of all services are checked against rules.
 
 pub mod balancers;
 pub mod caches;
@@ -24,33 +24,37 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What one seed showed.
+/// Results of one seed.
 #[derive(Debug)]
 pub struct SoakOutcome {
-    /// The rules that were broken.
+    /// Violations of the rules, in order of time.
     pub violations: Vec<RuleViolation>,
-    /// How many requests ended how.
+    /// Number of requests by [`RequestEnd`](records::RequestEnd).
     pub ends: BTreeMap<String, usize>,
-    /// Attempts.
+    /// Number of attempts that caches received.
     pub attempts: usize,
-    /// By balancer: what its process had used at the end, with the most descriptors that were seen.
+    /// Resources that the last process of each balancer used; descriptors are the maximum seen.
     pub usage: Vec<ProcessUsage>,
-    /// By balancer: the counters of its last process.
+    /// Counters of the last process of each balancer.
     pub counters: Vec<BTreeMap<String, u64>>,
-    /// Bytes of changes that discovery wrote.
+    /// Number of bytes of list changes that discovery wrote, full lists not included.
     pub change_bytes: u64,
-    /// All that was seen.
+    /// Records of all services and processes.
     pub records: Records,
 }
 
-/// Plays a plan with this program; the balancers' logs go to the folder.
+/// Runs a plan with this program. Configurations and logs of the balancers are written to `folder`.
 ///
 /// # Errors
 ///
-/// Says which part of the trial itself failed.
-pub fn play(plan: SoakPlan, program: &Path, folder: &Path) -> Result<SoakOutcome, TestbedError> {
+/// Returns an error if the trial itself could not be run.
+pub fn run_plan(
+    plan: SoakPlan,
+    program: &Path,
+    folder: &Path,
+) -> Result<SoakOutcome, TestbedError> {
     std::fs::create_dir_all(folder).map_err(|e| TestbedError::file(folder, e))?;
-    let mut run = SoakRun::lay_out(plan, program, folder)?;
+    let mut run = SoakRun::set_up(plan, program, folder)?;
     run.start()?;
     let clients = Clients::start(
         run.client_addresses(),
@@ -59,6 +63,6 @@
         run.clock,
         run.plan.seed,
     );
-    run.play_events();
+    run.run_events();
     Ok(run.finish(clients.stop()))
 }
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -1,4 +1,4 @@
-//! The balancers of a soak: real processes with signals, and what was done to them.
+//! The balancers of a soak: real processes, the signals sent to them, and records of both.
 
 use super::connections::Clock;
 use super::records::{Nanos, ProcessRecord, TimeSpan};
@@ -14,80 +14,80 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What a balancer's clients may do now.
+/// Whether clients may send requests to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAccess {
-    /// It is not there, or not ready.
-    Shut,
-    /// It serves.
-    Open,
-    /// It was asked to end: open connections are used on.
-    Ending,
+    /// The balancer does not run or is not ready.
+    Unavailable,
+    /// The balancer is ready.
+    Available,
+    /// Shutdown was requested: clients keep using open connections.
+    ShuttingDown,
 }
 
-/// What others may know of a balancer while the soak goes on.
+/// Status of a balancer, shared with the clients during the soak.
 #[derive(Clone, Debug)]
 pub struct BalancerStatus {
-    /// What its clients may do.
+    /// Whether clients may send requests.
     pub access: ClientAccess,
-    /// Its processes so far.
+    /// Processes so far, the last one is the current one.
     pub processes: Vec<ProcessRecord>,
-    /// When it was stalled.
+    /// Spans in which the trial stalled the process.
     pub stalls: Vec<TimeSpan>,
 }
 
-/// The same, shared.
+/// Status of all balancers, shared between threads.
 #[derive(Clone)]
 pub struct StatusBoard(Arc<Mutex<Vec<BalancerStatus>>>);
 
 impl StatusBoard {
-    /// For so many balancers.
+    /// Creates the status of `balancers` balancers that are not started yet.
     #[must_use]
     pub fn new(balancers: usize) -> Self {
-        let none = BalancerStatus {
-            access: ClientAccess::Shut,
+        let not_started = BalancerStatus {
+            access: ClientAccess::Unavailable,
             processes: Vec::new(),
             stalls: Vec::new(),
         };
-        StatusBoard(Arc::new(Mutex::new(vec![none; balancers])))
+        StatusBoard(Arc::new(Mutex::new(vec![not_started; balancers])))
     }
 
-    /// To look or change.
+    /// Locks the status of all balancers.
     pub fn lock(&self) -> MutexGuard<'_, Vec<BalancerStatus>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessUsage {
-    /// Processor seconds.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// Peak memory in MB.
+    /// Peak resident memory, in MB.
     pub peak_mb: f64,
-    /// Descriptors open now.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// What a balancer is started with.
+/// Configuration and environment of a balancer.
 pub struct BalancerSpec {
-    /// Its number, from 0.
+    /// Number of the balancer, from 0.
     pub number: usize,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// The program.
+    /// Path of the pipitrun program.
     pub program: PathBuf,
-    /// Its configuration.
+    /// Configuration, written to a file at each start.
     pub config: Value,
-    /// Where its configuration and its log are written.
+    /// Folder of the configuration file and the log.
     pub folder: PathBuf,
-    /// The clock of the trial.
+    /// Clock of the soak.
     pub clock: Clock,
-    /// Where its status is shown.
+    /// Status of all balancers, which this balancer updates.
     pub status: StatusBoard,
 }
 
-/// One balancer.
+/// A balancer and its current process.
 pub struct Balancer {
     spec: BalancerSpec,
     child: Option<ChildGuard>,
@@ -100,27 +100,28 @@
 }
 
 impl Balancer {
-    /// One that is not started yet.
+    /// Creates a balancer whose process is not started yet.
     #[must_use]
     pub fn new(spec: BalancerSpec) -> Self {
         Balancer { spec, child: None }
     }
 
-    /// Where clients connect.
+    /// Returns the listen address for clients.
     #[must_use]
     pub fn listen(&self) -> SocketAddr {
         self.spec.listen
     }
 
-    fn public<T>(&self, change: impl FnOnce(&mut BalancerStatus) -> T) -> T {
-        change(&mut self.spec.status.lock()[self.spec.number])
+    fn update_status<T>(&self, update: impl FnOnce(&mut BalancerStatus) -> T) -> T {
+        update(&mut self.spec.status.lock()[self.spec.number])
     }
 
-    /// Writes a key of its configuration; heeded at its next start, or when it is read again.
+    /// Sets a key of the configuration and writes the file. The process applies it at its next
+    /// start or when it reloads the configuration.
     ///
     /// # Errors
     ///
-    /// If the file can't be written.
+    /// Returns an error if the file cannot be written.
     pub fn configure(&mut self, key: &str, value: Value) -> Result<PathBuf, TestbedError> {
         self.spec.config[key] = value;
         let path = self.spec.folder.join(format!("n{}.json", self.spec.number));
@@ -129,11 +130,12 @@
         Ok(path)
     }
 
-    /// Starts it; it is open to clients once it says that it is ready.
+    /// Starts a process with `known` as its initial endpoint list. Clients may connect once it is
+    /// ready.
     ///
     /// # Errors
     ///
-    /// If the configuration can't be written, or the program not be started.
+    /// Returns an error if the configuration cannot be written or the program cannot be started.
     pub fn start(&mut self, known: Value) -> Result<(), TestbedError> {
         self.kill();
         let path = self.configure("known", known)?;
@@ -148,8 +150,8 @@
         let mut command = process::balancer_command(&self.spec.program, &path);
         self.child = Some(ChildGuard::spawn(command.stdout(stdout).stderr(stderr))?);
         let started = self.spec.clock.now();
-        self.public(|me| {
-            me.processes.push(ProcessRecord {
+        self.update_status(|status| {
+            status.processes.push(ProcessRecord {
                 started,
                 ..ProcessRecord::default()
             });
@@ -157,86 +159,90 @@
         Ok(())
     }
 
-    /// Asks whether it is ready, if it is not known to be.
+    /// Checks by a `PING` whether the process is ready, unless it already was.
     pub fn update_readiness(&mut self) {
-        let shut = self.public(|me| {
-            me.access == ClientAccess::Shut
-                && me.processes.last().is_some_and(|l| l.ready.is_none())
+        let is_starting = self.update_status(|status| {
+            status.access == ClientAccess::Unavailable
+                && status
+                    .processes
+                    .last()
+                    .is_some_and(|process| process.ready.is_none())
         });
-        if self.child.is_none() || !shut || !self.says_ready() {
+        if self.child.is_none() || !is_starting || !self.answers_ping() {
             return;
         }
         let now = self.spec.clock.now();
-        self.public(|me| {
-            me.access = ClientAccess::Open;
-            if let Some(life) = me.processes.last_mut() {
-                life.ready = Some(now);
+        self.update_status(|status| {
+            status.access = ClientAccess::Available;
+            if let Some(process) = status.processes.last_mut() {
+                process.ready = Some(now);
             }
         });
     }
 
-    fn says_ready(&self) -> bool {
-        let wait = Duration::from_millis(20);
-        let asked = TcpStream::connect_timeout(&self.spec.listen, wait).and_then(|mut stream| {
-            stream.set_read_timeout(Some(wait))?;
-            stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
-            let mut answer = [0; 7];
-            stream.read_exact(&mut answer)?;
-            Ok(&answer == b"+PONG\r\n")
-        });
-        matches!(asked, Ok(true))
+    fn answers_ping(&self) -> bool {
+        let timeout = Duration::from_millis(20);
+        let result =
+            TcpStream::connect_timeout(&self.spec.listen, timeout).and_then(|mut stream| {
+                stream.set_read_timeout(Some(timeout))?;
+                stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
+                let mut reply = [0; 7];
+                stream.read_exact(&mut reply)?;
+                Ok(&reply == b"+PONG\r\n")
+            });
+        matches!(result, Ok(true))
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
             child.signal(signal);
         }
     }
 
-    /// Asks it to end.
-    pub fn term(&mut self) {
+    /// Requests a graceful shutdown by SIGTERM.
+    pub fn request_shutdown(&mut self) {
         let now = self.spec.clock.now();
-        self.public(|me| {
-            me.access = ClientAccess::Ending;
-            if let Some(life) = me.processes.last_mut() {
-                life.asked_to_end = Some(now);
+        self.update_status(|status| {
+            status.access = ClientAccess::ShuttingDown;
+            if let Some(process) = status.processes.last_mut() {
+                process.shutdown_requested = Some(now);
             }
         });
         self.signal(Signal::SIGTERM);
     }
 
-    /// Stalls the process for this long.
+    /// Stalls the process for `span` by SIGSTOP and SIGCONT.
     pub fn stall(&self, span: Duration) {
         let from = self.spec.clock.now();
         self.signal(Signal::SIGSTOP);
         std::thread::sleep(span);
         self.signal(Signal::SIGCONT);
         let to = self.spec.clock.now();
-        self.public(|me| me.stalls.push(TimeSpan { from, to }));
+        self.update_status(|status| status.stalls.push(TimeSpan { from, to }));
     }
 
-    /// Whether it runs; notes its end.
+    /// Returns whether the process runs, and records its exit.
     pub fn is_running(&mut self) -> bool {
         let Some(child) = &mut self.child else {
             return false;
         };
-        let Ok(Some(status)) = child.try_wait() else {
+        let Ok(Some(exit_status)) = child.try_wait() else {
             return true;
         };
         let now = self.spec.clock.now();
         self.child = None;
-        self.public(|me| {
-            me.access = ClientAccess::Shut;
-            if let Some(life) = me.processes.last_mut() {
-                let asked = life.asked_to_end.is_some();
-                life.ended = Some((now, asked && status.success()));
+        self.update_status(|status| {
+            status.access = ClientAccess::Unavailable;
+            if let Some(process) = status.processes.last_mut() {
+                let expected = process.shutdown_requested.is_some();
+                process.ended = Some((now, expected && exit_status.success()));
             }
         });
         false
     }
 
-    /// Kills it.
+    /// Kills the process, if it runs.
     pub fn kill(&mut self) {
         if !self.is_running() {
             return;
@@ -245,16 +251,16 @@
             return;
         };
         let now: Nanos = self.spec.clock.now();
-        self.public(|me| {
-            me.access = ClientAccess::Shut;
-            if let Some(life) = me.processes.last_mut() {
-                life.killed = Some(now);
+        self.update_status(|status| {
+            status.access = ClientAccess::Unavailable;
+            if let Some(process) = status.processes.last_mut() {
+                process.killed = Some(now);
             }
         });
         drop(child);
     }
 
-    /// Its counters as it prints them now.
+    /// Makes the process print its counters (SIGUSR1) and returns them from the log.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         self.signal(Signal::SIGUSR1);
         std::thread::sleep(Duration::from_millis(100));
@@ -264,7 +270,7 @@
         counters.unwrap_or_default()
     }
 
-    /// What it has used so far.
+    /// Returns the resources that the process has used so far; `None` if it does not run.
     #[must_use]
     pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.child.as_ref()?.id();
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -1,5 +1,5 @@
-//! The caches of a soak: listeners that many cache identities share, or that one has to itself,
-//! served by one thread.
+//! The simulated caches of a soak, served by one thread. Some caches have a listener of their own;
+//! the others share listeners.
 
 use super::connections::{Clock, Connection, ConnectionState, readable};
 use super::records::{AttemptEnd, AttemptRecord, MS, Nanos};
@@ -14,52 +14,52 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-/// How caches behave now; shares are of requests.
+/// Active faults of the caches. Ratios are of requests; at most one of them applies to a request.
 #[derive(Clone, Debug, Default)]
 pub struct CacheFaults {
-    /// Listeners that take requests and answer none.
+    /// Listeners that accept requests but do not answer them.
     pub hanging: HashSet<usize>,
-    /// Listeners whose connections are reset, and at which none comes up.
+    /// Listeners whose connections are reset, new ones included.
     pub down: HashSet<usize>,
-    /// Turned away.
+    /// Ratio rejected with `-BUSY`.
     pub busy: f64,
-    /// Answered with an error after the work.
+    /// Ratio executed but answered with an error.
     pub error: f64,
-    /// The connection is reset after the request has come.
+    /// Ratio executed and followed by a reset of the connection instead of an answer.
     pub reset: f64,
-    /// Half an answer comes, and no more.
-    pub cut: f64,
-    /// A second answer comes some milliseconds behind the first.
-    pub second: f64,
-    /// The idle connection is closed right behind the answer.
+    /// Ratio executed but answered only by the first half of the answer.
+    pub truncated: f64,
+    /// Ratio answered a second time 3 ms after the first answer.
+    pub answered_twice: f64,
+    /// Ratio followed by closing the connection immediately after the answer.
     pub close: f64,
 }
 
-/// How long a request takes, in milliseconds: at least, and less than.
-const SERVICE_MS: (u64, u64) = (2, 12);
+/// Service time of a request in milliseconds: minimum, and exclusive maximum.
+const SERVICE_TIME_MS: (u64, u64) = (2, 12);
 
-/// The faults, shared with who sets them.
+/// Active faults, shared between the caches and the trial.
 #[derive(Clone, Default)]
 pub struct SharedFaults(Arc<Mutex<CacheFaults>>);
 
 impl SharedFaults {
-    /// To look or change.
+    /// Locks the faults.
     pub fn lock(&self) -> MutexGuard<'_, CacheFaults> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// All listeners at work.
+/// Running caches.
 pub struct Caches {
-    /// Where each listens.
+    /// Address of each listener.
     pub addresses: Vec<SocketAddr>,
-    /// How they behave.
+    /// Active faults.
     pub faults: SharedFaults,
     end: Arc<AtomicBool>,
     thread: JoinHandle<Vec<AttemptRecord>>,
 }
 
-/// What a connection still has to write, and what becomes of it then.
+/// An answer that is scheduled to be written, and the action after it.
 struct DueAnswer {
     at: Nanos,
     connection: u64,
@@ -68,6 +68,8 @@
     then: AfterAnswer,
 }
 
+/// Action on a connection after an answer was written.
+
 #[derive(Clone, Copy, PartialEq)]
 enum AfterAnswer {
     KeepOpen,
@@ -78,8 +80,9 @@
 struct ClientConnection {
     connection: Connection,
     listener: usize,
-    /// The earliest time at which what is in its input can have begun.
+    /// Earliest time at which the first byte in the input may have arrived.
     began: Nanos,
+    /// Attempts without an answer, by their index in the records.
     open: Vec<usize>,
 }
 
@@ -89,17 +92,18 @@
     faults: SharedFaults,
     rng: Xoshiro256PlusPlus,
     connections: BTreeMap<u64, ClientConnection>,
-    next: u64,
+    /// Number of the next connection.
+    next_connection: u64,
     due: Vec<DueAnswer>,
     attempts: Vec<AttemptRecord>,
 }
 
 impl Caches {
-    /// Starts so many listeners.
+    /// Starts caches with `count` listeners.
     ///
     /// # Errors
     ///
-    /// If no port is free.
+    /// Returns an error if a listener cannot be created.
     pub fn start(count: usize, clock: Clock, seed: u64) -> io::Result<Self> {
         let listeners = (0..count).map(|_| TcpListener::bind("127.0.0.1:0"));
         let listeners: Vec<TcpListener> = listeners.collect::<io::Result<_>>()?;
@@ -109,20 +113,20 @@
             .map(TcpListener::local_addr)
             .collect::<io::Result<_>>()?;
         let (faults, end) = (SharedFaults::default(), Arc::new(AtomicBool::new(false)));
-        let mut work = CacheServer {
+        let mut server = CacheServer {
             clock,
             listeners,
             faults: faults.clone(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             connections: BTreeMap::new(),
-            next: 0,
+            next_connection: 0,
             due: Vec::new(),
             attempts: Vec::new(),
         };
-        let ending = Arc::clone(&end);
+        let thread_end = Arc::clone(&end);
         let thread = std::thread::spawn(move || {
-            while !ending.load(Ordering::Relaxed) && work.turn().is_ok() {}
-            work.attempts
+            while !thread_end.load(Ordering::Relaxed) && server.poll_once().is_ok() {}
+            server.attempts
         });
         Ok(Caches {
             addresses,
@@ -132,7 +136,7 @@
         })
     }
 
-    /// Ends them; all attempts that came.
+    /// Stops the caches and returns the records of all attempts.
     #[must_use]
     pub fn stop(self) -> Vec<AttemptRecord> {
         self.end.store(true, Ordering::Relaxed);
@@ -141,34 +145,44 @@
 }
 
 impl CacheServer {
-    fn turn(&mut self) -> io::Result<()> {
-        // Whatever this look finds came after the one before, which ended no sooner than this.
+    /// Waits for ready sockets, reads them and writes the answers that are due.
+    fn poll_once(&mut self) -> io::Result<()> {
+        // Data that this poll finds arrived after the previous poll, so not before now.
         let before = self.clock.now();
         let listeners = self.listeners.iter().map(AsFd::as_fd);
         let connections = self
             .connections
             .values()
-            .map(|served| served.connection.fd());
+            .map(|client| client.connection.fd());
         let ready = readable(listeners.chain(connections))?;
-        let (at_door, at_work) = ready.split_at(self.listeners.len());
+        let (ready_listeners, ready_connections) = ready.split_at(self.listeners.len());
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         let down = self.faults.lock().down.clone();
-        for (number, _) in numbers.iter().zip(at_work).filter(|(_, ready)| **ready) {
+        for (number, _) in numbers
+            .iter()
+            .zip(ready_connections)
+            .filter(|(_, ready)| **ready)
+        {
             self.read(*number, before);
         }
-        for (listener, _) in at_door.iter().enumerate().filter(|(_, ready)| **ready) {
+        for (listener, _) in ready_listeners
+            .iter()
+            .enumerate()
+            .filter(|(_, ready)| **ready)
+        {
             self.accept(listener, before, &down);
         }
-        let cut_off = |served: &ClientConnection| down.contains(&served.listener);
-        let lost: Vec<u64> = self
+        let is_down = |client: &ClientConnection| down.contains(&client.listener);
+        let to_reset: Vec<u64> = self
             .connections
             .iter()
-            .filter(|(_, c)| cut_off(c))
+            .filter(|(_, c)| is_down(c))
             .map(|(n, _)| *n)
             .collect();
-        lost.into_iter()
+        to_reset
+            .into_iter()
             .for_each(|number| self.drop_connection(number, true));
-        self.answer();
+        self.write_due_answers();
         Ok(())
     }
 
@@ -182,7 +196,7 @@
                 continue;
             }
             self.connections.insert(
-                self.next,
+                self.next_connection,
                 ClientConnection {
                     connection,
                     listener,
@@ -190,41 +204,42 @@
                     open: Vec::new(),
                 },
             );
-            self.next += 1;
-            self.read(self.next - 1, before);
+            self.next_connection += 1;
+            self.read(self.next_connection - 1, before);
         }
     }
 
     fn read(&mut self, number: u64, before: Nanos) {
-        let Some(served) = self.connections.get_mut(&number) else {
+        let Some(client) = self.connections.get_mut(&number) else {
             return;
         };
-        if served.connection.input.is_empty() {
-            served.began = before;
+        if client.connection.input.is_empty() {
+            client.began = before;
         }
-        let state = served.connection.read();
-        while let Some(served) = self.connections.get_mut(&number) {
-            let mut input = served.connection.input.as_slice();
-            let held = input.len();
+        let state = client.connection.read();
+        while let Some(client) = self.connections.get_mut(&number) {
+            let mut input = client.connection.input.as_slice();
+            let length = input.len();
             let Ok(words) = resp::read_command(&mut input) else {
                 break;
             };
-            let (used, began) = (held - input.len(), served.began);
-            served.connection.input.drain(..used);
-            served.began = before;
-            self.take(number, &words, began);
+            let (used, began) = (length - input.len(), client.began);
+            client.connection.input.drain(..used);
+            client.began = before;
+            self.receive_command(number, &words, began);
         }
         if state != ConnectionState::Open {
             self.drop_connection(number, false);
         }
     }
 
-    fn take(&mut self, number: u64, words: &[Vec<u8>], began: Nanos) {
-        let Some(served) = self.connections.get_mut(&number) else {
+    /// Records an attempt and schedules its answer, or answers `PING`.
+    fn receive_command(&mut self, number: u64, words: &[Vec<u8>], began: Nanos) {
+        let Some(client) = self.connections.get_mut(&number) else {
             return;
         };
         let [name, key, id, fields, ..] = words else {
-            served
+            client
                 .connection
                 .write(if words.first().is_some_and(|w| w == b"PING") {
                     b"+PONG\r\n"
@@ -240,9 +255,9 @@
             .unwrap_or(u64::MAX);
         let now = self.clock.now();
         let attempt = self.attempts.len();
-        let listener = served.listener;
+        let listener = client.listener;
         let id = String::from_utf8_lossy(id).into_owned();
-        served.open.push(attempt);
+        client.open.push(attempt);
         let value = if name == b"C.SET" {
             format!("receipt {id}")
         } else {
@@ -255,27 +270,27 @@
             received: now,
             deadline_ms,
             end: AttemptEnd::Open,
-            over: None,
+            finished: None,
         });
         let faults = self.faults.lock().clone();
         if faults.hanging.contains(&listener) {
             return;
         }
-        let whole =
+        let answer =
             format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes();
-        self.schedule_answer(number, attempt, &faults, now, whole);
+        self.schedule_answer(number, attempt, &faults, now, answer);
     }
 
-    /// Decides by chance, and by the faults that are on, what comes back for an attempt and when.
+    /// Randomly selects, according to the active faults, the answer to an attempt and its time.
     fn schedule_answer(
         &mut self,
         connection: u64,
         attempt: usize,
         faults: &CacheFaults,
         now: Nanos,
-        whole: Vec<u8>,
+        answer: Vec<u8>,
     ) {
-        let at = now + self.rng.random_range(SERVICE_MS.0..SERVICE_MS.1) * MS;
+        let at = now + self.rng.random_range(SERVICE_TIME_MS.0..SERVICE_TIME_MS.1) * MS;
         let mut due = |at, bytes, then| {
             self.due.push(DueAnswer {
                 at,
@@ -285,34 +300,38 @@
                 then,
             });
         };
-        let mut left = self.rng.random::<f64>();
-        let mut falls = |share: f64| {
-            left -= share;
-            left < 0.0
+        let mut remaining = self.rng.random::<f64>();
+        let mut selects = |ratio: f64| {
+            remaining -= ratio;
+            remaining < 0.0
         };
-        if falls(faults.busy) {
+        if selects(faults.busy) {
             self.attempts[attempt].end = AttemptEnd::TurnedAway;
             due(now, b"-BUSY\r\n".to_vec(), AfterAnswer::KeepOpen);
             return;
         }
         self.attempts[attempt].end = AttemptEnd::Ran;
-        if falls(faults.error) {
+        if selects(faults.error) {
             due(at, b"-ERR failed\r\n".to_vec(), AfterAnswer::KeepOpen);
-        } else if falls(faults.reset) {
+        } else if selects(faults.reset) {
             due(at, Vec::new(), AfterAnswer::Reset);
-        } else if falls(faults.cut) {
-            due(at, whole[..whole.len() / 2].to_vec(), AfterAnswer::KeepOpen);
-        } else if falls(faults.second) {
-            due(at, whole.clone(), AfterAnswer::KeepOpen);
-            due(at + 3 * MS, whole, AfterAnswer::KeepOpen);
-        } else if falls(faults.close) {
-            due(at, whole, AfterAnswer::Close);
+        } else if selects(faults.truncated) {
+            due(
+                at,
+                answer[..answer.len() / 2].to_vec(),
+                AfterAnswer::KeepOpen,
+            );
+        } else if selects(faults.answered_twice) {
+            due(at, answer.clone(), AfterAnswer::KeepOpen);
+            due(at + 3 * MS, answer, AfterAnswer::KeepOpen);
+        } else if selects(faults.close) {
+            due(at, answer, AfterAnswer::Close);
         } else {
-            due(at, whole, AfterAnswer::KeepOpen);
+            due(at, answer, AfterAnswer::KeepOpen);
         }
     }
 
-    fn answer(&mut self) {
+    fn write_due_answers(&mut self) {
         let now = self.clock.now();
         let (due, later): (Vec<DueAnswer>, Vec<DueAnswer>) =
             self.due.drain(..).partition(|due| due.at <= now);
@@ -325,12 +344,12 @@
             ..
         } in due
         {
-            let Some(served) = self.connections.get_mut(&connection) else {
+            let Some(client) = self.connections.get_mut(&connection) else {
                 continue;
             };
-            served.connection.write(&bytes);
-            served.open.retain(|open| *open != attempt);
-            self.attempts[attempt].over = Some(self.clock.now());
+            client.connection.write(&bytes);
+            client.open.retain(|open| *open != attempt);
+            self.attempts[attempt].finished = Some(self.clock.now());
             if then != AfterAnswer::KeepOpen {
                 self.drop_connection(connection, then == AfterAnswer::Reset);
             }
@@ -338,18 +357,18 @@
     }
 
     fn drop_connection(&mut self, number: u64, reset: bool) {
-        let Some(served) = self.connections.remove(&number) else {
+        let Some(client) = self.connections.remove(&number) else {
             return;
         };
         if reset {
-            served.connection.reset();
+            client.connection.reset();
         } else {
-            served.connection.close();
+            client.connection.close();
         }
         let now = self.clock.now();
-        served
+        client
             .open
             .into_iter()
-            .for_each(|attempt| self.attempts[attempt].over = Some(now));
+            .for_each(|attempt| self.attempts[attempt].finished = Some(now));
     }
 }
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of a soak: requests in an open loop to all balancers, by one thread; some leave,
-//! some send many at once, some write slowly, some stop in the middle.
+//! The simulated clients of a soak. One thread sends requests to all balancers in an open loop.
+//! Some clients disconnect early, pipeline requests, write slowly, or send incomplete commands.
 
 use super::balancers::{ClientAccess, StatusBoard};
 use super::connections::{Clock, Connection, ConnectionState, readable};
@@ -15,33 +15,33 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Keys that are requested.
-const KEYS: u64 = 400;
-/// How long beyond its time an answer is waited for.
-const NEVER: Nanos = 4_000 * MS;
-/// After a request to end new connections are made for so long.
-const NEW_CONNECTIONS: Nanos = 300 * MS;
-/// The second half of a command that is written slowly comes so much later.
-const SLOW: Nanos = 60 * MS;
+/// Number of different keys that are requested.
+const KEY_COUNT: u64 = 400;
+/// Time after its deadline for which a client still waits for an answer.
+const ANSWER_TIMEOUT: Nanos = 4_000 * MS;
+/// Time after a shutdown request in which clients still open new connections.
+const CONNECT_AFTER_SHUTDOWN: Nanos = 300 * MS;
+/// Delay of the second half of a command that is written slowly.
+const SLOW_WRITE_DELAY: Nanos = 60 * MS;
 
-/// How clients behave; shares are of requests.
+/// Behavior of clients. Ratios are of requests.
 #[derive(Clone, Debug)]
 pub struct ClientBehavior {
-    /// Requests a second at each balancer.
-    pub per_s: f64,
-    /// How long clients wait, by [`RequestKind::CLASSES`].
+    /// Requests per second at each balancer.
+    pub requests_per_s: f64,
+    /// Time that clients wait for an answer, in the order of [`RequestKind::CLASSES`].
     pub timeouts: [Nanos; 3],
-    /// They close before their answer.
-    pub leave: f64,
-    /// Several are sent at once on a connection.
+    /// Ratio after which the client closes the connection at a random time before its deadline.
+    pub disconnect: f64,
+    /// Ratio that starts a pipeline of 2 to 11 requests on one connection.
     pub pipeline: f64,
-    /// The command comes in two parts.
+    /// Ratio whose command is written in two parts.
     pub slow: f64,
-    /// Half a command comes, and no more.
-    pub half: f64,
+    /// Ratio of which only the first half of the command is written.
+    pub incomplete: f64,
 }
 
-/// All clients at work.
+/// Running clients.
 pub struct Clients {
     end: Arc<AtomicBool>,
     thread: JoinHandle<Vec<RequestRecord>>,
@@ -49,68 +49,74 @@
 
 struct Client {
     balancer: usize,
-    generation: usize,
+    /// Number of starts of the balancer, the current process included.
+    starts: usize,
     connection: Connection,
-    /// Something was answered on it.
+    /// Whether a request was answered on the connection.
     answered: bool,
-    /// Requests whose answers are to come, by their places.
+    /// Requests without an answer, by their index in the records.
     open: VecDeque<usize>,
-    leaves: Option<Nanos>,
-    /// What is left of a command, when it comes, and whose it is.
-    rest: Option<(Nanos, Vec<u8>, usize)>,
+    /// Time at which the client disconnects without waiting for an answer.
+    disconnect_at: Option<Nanos>,
+    /// Second half of a command: the time to write it, its bytes, and its request.
+    second_half: Option<(Nanos, Vec<u8>, usize)>,
 }
 
-struct Work {
+struct ClientDriver {
     clock: Clock,
-    board: StatusBoard,
+    status: StatusBoard,
     addresses: Vec<SocketAddr>,
     behavior: ClientBehavior,
     rng: Xoshiro256PlusPlus,
     clients: BTreeMap<u64, Client>,
     next_client: u64,
-    next_at: Vec<Nanos>,
+    /// Time of the next request, by balancer.
+    next_request_at: Vec<Nanos>,
     requests: Vec<RequestRecord>,
     /// The key of each request.
     keys: Vec<u64>,
 }
 
 impl Clients {
-    /// Starts them.
+    /// Starts the thread that runs all clients.
     #[must_use]
     pub fn start(
         addresses: Vec<SocketAddr>,
         behavior: ClientBehavior,
-        board: StatusBoard,
+        status: StatusBoard,
         clock: Clock,
         seed: u64,
     ) -> Self {
         let end = Arc::new(AtomicBool::new(false));
-        let next_at = vec![0; addresses.len()];
-        let mut work = Work {
+        let next_request_at = vec![0; addresses.len()];
+        let mut driver = ClientDriver {
             clock,
-            board,
+            status,
             addresses,
             behavior,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             clients: BTreeMap::new(),
             next_client: 0,
-            next_at,
+            next_request_at,
             requests: Vec::new(),
             keys: Vec::new(),
         };
-        let ending = Arc::clone(&end);
+        let thread_end = Arc::clone(&end);
         let thread = std::thread::spawn(move || {
-            while !ending.load(Ordering::Relaxed) && work.turn(true).is_ok() {}
+            while !thread_end.load(Ordering::Relaxed) && driver.poll_once(true).is_ok() {}
             // Waits for the answers to open requests.
-            while work.clients.values().any(|client| !client.open.is_empty())
-                && work.turn(false).is_ok()
+            while driver
+                .clients
+                .values()
+                .any(|client| !client.open.is_empty())
+                && driver.poll_once(false).is_ok()
             {}
-            work.requests
+            driver.requests
         });
         Clients { end, thread }
     }
 
-    /// Sends no more requests, waits for the open ones and returns all.
+    /// Stops sending requests, waits for the open ones and returns the records of all requests.
     #[must_use]
     pub fn stop(self) -> Vec<RequestRecord> {
         self.end.store(true, Ordering::Relaxed);
@@ -118,8 +124,9 @@
     }
 }
 
-impl Work {
-    fn turn(&mut self, ask: bool) -> io::Result<()> {
+impl ClientDriver {
+    /// Reads answers, runs timed actions and, with `send`, sends the requests that are due.
+    fn poll_once(&mut self, send: bool) -> io::Result<()> {
         let before = self.clock.now();
         let ready = readable(self.clients.values().map(|client| client.connection.fd()))?;
         let numbers: Vec<u64> = self.clients.keys().copied().collect();
@@ -127,10 +134,10 @@
             self.read(*number, before);
         }
         for number in numbers {
-            self.go_on(number);
+            self.run_timed_actions(number);
         }
-        if ask {
-            (0..self.addresses.len()).for_each(|balancer| self.ask_when_due(balancer));
+        if send {
+            (0..self.addresses.len()).for_each(|balancer| self.send_if_due(balancer));
         }
         Ok(())
     }
@@ -142,11 +149,11 @@
         let state = client.connection.read();
         loop {
             let mut input = client.connection.input.as_slice();
-            let held = input.len();
+            let length = input.len();
             let Ok(answer) = resp::read_reply(&mut input) else {
                 break;
             };
-            let used = held - input.len();
+            let used = length - input.len();
             client.connection.input.drain(..used);
             client.answered = true;
             let Some(request) = client.open.pop_front() else {
@@ -175,25 +182,25 @@
         client.connection.close();
     }
 
-    /// What a client does by time: writes the rest, leaves, gives up.
-    fn go_on(&mut self, number: u64) {
+    /// Writes the second half of a command, disconnects, or stops waiting for an answer, if due.
+    fn run_timed_actions(&mut self, number: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&number) else {
             return;
         };
         client.connection.flush();
-        if let Some((at, bytes, request)) = client.rest.take() {
+        if let Some((at, bytes, request)) = client.second_half.take() {
             if now < at {
-                client.rest = Some((at, bytes, request));
+                client.second_half = Some((at, bytes, request));
             } else {
                 client.connection.write(&bytes);
                 self.requests[request].sent = self.clock.now();
             }
         }
-        let last = client.open.back().map(|request| &self.requests[*request]);
-        let never = last.is_some_and(|asked| now > asked.deadline() + NEVER);
-        let leaves = client.leaves.is_some_and(|at| now >= at);
-        if !never && !leaves {
+        let last_open = client.open.back().map(|request| &self.requests[*request]);
+        let timed_out = last_open.is_some_and(|request| now > request.deadline() + ANSWER_TIMEOUT);
+        let disconnects = client.disconnect_at.is_some_and(|at| now >= at);
+        if !timed_out && !disconnects {
             return;
         }
         let Some(client) = self.clients.remove(&number) else {
@@ -202,58 +209,66 @@
         client.connection.close();
         let closed = self.clock.now();
         for request in client.open {
-            let asked = &mut self.requests[request];
-            (asked.end, asked.ended) = (
-                if leaves {
+            let record = &mut self.requests[request];
+            (record.end, record.ended) = (
+                if disconnects {
                     RequestEnd::Left
                 } else {
                     RequestEnd::Never
                 },
                 closed,
             );
-            asked.closed = Some(closed);
+            record.closed = Some(closed);
         }
     }
 
-    fn ask_when_due(&mut self, balancer: usize) {
+    /// Sends a request to a balancer if one is due and the balancer may be used.
+    fn send_if_due(&mut self, balancer: usize) {
         let now = self.clock.now();
-        let due = self.next_at[balancer];
+        let due = self.next_request_at[balancer];
         if now < due {
             return;
         }
-        let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.behavior.per_s;
-        self.next_at[balancer] = now.min(due + 50 * MS).max(due) + (gap * 1e9) as Nanos;
-        let (addresses, life, asked_to_end) = {
-            let board = self.board.lock();
-            let me = &board[balancer];
-            let asked_to_end = me.processes.last().and_then(|life| life.asked_to_end);
-            (me.access, me.processes.len(), asked_to_end)
+        let interval = -(1.0 - self.rng.random::<f64>()).ln() / self.behavior.requests_per_s;
+        self.next_request_at[balancer] =
+            now.min(due + 50 * MS).max(due) + (interval * 1e9) as Nanos;
+        let (access, starts, shutdown_requested) = {
+            let statuses = self.status.lock();
+            let status = &statuses[balancer];
+            let process = status.processes.last();
+            let shutdown_requested = process.and_then(|process| process.shutdown_requested);
+            (status.access, status.processes.len(), shutdown_requested)
         };
-        let may_connect = match addresses {
-            ClientAccess::Shut => return,
-            ClientAccess::Open => true,
-            ClientAccess::Ending => asked_to_end.is_some_and(|at| now < at + NEW_CONNECTIONS),
+        let may_connect = match access {
+            ClientAccess::Unavailable => return,
+            ClientAccess::Available => true,
+            ClientAccess::ShuttingDown => {
+                shutdown_requested.is_some_and(|at| now < at + CONNECT_AFTER_SHUTDOWN)
+            }
         };
-        let idle = |c: &Client| {
-            c.balancer == balancer && c.open.is_empty() && c.rest.is_none() && c.leaves.is_none()
+        let is_idle = |client: &Client| {
+            client.balancer == balancer
+                && client.open.is_empty()
+                && client.second_half.is_none()
+                && client.disconnect_at.is_none()
         };
-        let found = self
+        let idle_client = self
             .clients
             .iter()
-            .find(|(_, client)| idle(client))
+            .find(|(_, client)| is_idle(client))
             .map(|(number, _)| *number);
-        let number = match found {
+        let number = match idle_client {
             Some(number) => number,
-            None if may_connect => match self.connect(balancer, life) {
+            None if may_connect => match self.connect(balancer, starts) {
                 Some(number) => number,
                 None => return,
             },
             None => return,
         };
-        self.ask(number);
+        self.send_requests(number);
     }
 
-    fn connect(&mut self, balancer: usize, life: usize) -> Option<u64> {
+    fn connect(&mut self, balancer: usize, starts: usize) -> Option<u64> {
         let stream =
             TcpStream::connect_timeout(&self.addresses[balancer], Duration::from_millis(20))
                 .ok()?;
@@ -261,99 +276,106 @@
         let (answered, open) = (false, VecDeque::new());
         let client = Client {
             balancer,
-            generation: life,
+            starts,
             connection,
             answered,
             open,
-            leaves: None,
-            rest: None,
+            disconnect_at: None,
+            second_half: None,
         };
         self.clients.insert(self.next_client, client);
         self.next_client += 1;
         Some(self.next_client - 1)
     }
 
-    fn ask(&mut self, number: u64) {
-        let draw = self.rng.random::<f64>();
+    /// Sends a request, or a pipeline of requests, on the connection of a client. The behavior is
+    /// selected by one random value.
+    fn send_requests(&mut self, number: u64) {
+        let random = self.rng.random::<f64>();
         let ClientBehavior {
-            leave,
+            disconnect,
             pipeline,
             slow,
-            half,
+            incomplete,
             ..
         } = self.behavior;
-        let commands = if draw < pipeline {
+        let commands = if random < pipeline {
             self.rng.random_range(2..12)
         } else {
             1
         };
-        let draw = if draw < pipeline {
+        let random = if random < pipeline {
             1.0
         } else {
-            draw - pipeline
+            random - pipeline
         };
         for _ in 0..commands {
             let (command, request) = self.command(number);
             let Some(client) = self.clients.get_mut(&number) else {
                 return;
             };
-            if draw < half {
-                // It never asks: what becomes of its connection is no request's end.
+            if random < incomplete {
+                // An incomplete command is not a request, so it is not recorded.
                 client.connection.write(&command[..command.len() / 2]);
-                client.leaves = Some(self.clock.now() + 6_000 * MS);
+                client.disconnect_at = Some(self.clock.now() + 6_000 * MS);
                 self.requests.pop();
                 self.keys.pop();
                 return;
             }
             client.open.push_back(request);
-            if draw < half + slow {
+            if random < incomplete + slow {
                 let at = command.len() / 2;
                 client.connection.write(&command[..at]);
-                client.rest = Some((self.clock.now() + SLOW, command[at..].to_vec(), request));
+                client.second_half = Some((
+                    self.clock.now() + SLOW_WRITE_DELAY,
+                    command[at..].to_vec(),
+                    request,
+                ));
                 return;
             }
             client.connection.write(&command);
             self.requests[request].sent = self.clock.now();
         }
-        if commands == 1 && draw < half + slow + leave {
-            let timeout = self.requests.last().map_or(0, |asked| asked.timeout);
+        if commands == 1 && random < incomplete + slow + disconnect {
+            let timeout = self.requests.last().map_or(0, |request| request.timeout);
             let after = self.rng.random_range(0..timeout.clamp(2, 400 * MS));
             if let Some(client) = self.clients.get_mut(&number) {
-                client.leaves = Some(self.clock.now() + after);
+                client.disconnect_at = Some(self.clock.now() + after);
             }
         }
     }
 
+    /// Records a request of a random kind and key; returns its encoded command and its index.
     fn command(&mut self, number: u64) -> (Vec<u8>, usize) {
         let client = &self.clients[&number];
-        let effect = match self.rng.random_range(0..20) {
+        let kind = match self.rng.random_range(0..20) {
             0..14 => RequestKind::Safe,
             14..17 => RequestKind::Keyed,
             _ => RequestKind::Unsafe,
         };
         let request = self.requests.len();
         let id = format!("b{}r{request:x}", client.balancer);
-        let key = self.rng.random_range(0..KEYS);
-        let timeout = self.behavior.timeouts[effect as usize];
-        let mut fields = format!("c={},d={}", effect.class(), timeout / MS);
-        if effect == RequestKind::Keyed {
+        let key = self.rng.random_range(0..KEY_COUNT);
+        let timeout = self.behavior.timeouts[kind as usize];
+        let mut fields = format!("c={},d={}", kind.class(), timeout / MS);
+        if kind == RequestKind::Keyed {
             fields.push_str(&format!(",k={request:x}"));
         }
         let text = format!("{key:016x}");
         let mut words: Vec<&[u8]> =
             vec![b"C.GET", text.as_bytes(), id.as_bytes(), fields.as_bytes()];
-        if effect != RequestKind::Safe {
+        if kind != RequestKind::Safe {
             words[0] = b"C.SET";
             words.push(b"value");
         }
         let bytes = encode_command(&words);
-        let (balancer, life) = (client.balancer, client.generation - 1);
+        let (balancer, generation) = (client.balancer, client.starts - 1);
         let sent = self.clock.now();
         self.requests.push(RequestRecord {
             id,
             balancer,
-            generation: life,
-            kind: effect,
+            generation,
+            kind,
             sent,
             previous_answered: 0,
             first_on_connection: !client.answered,
@@ -367,7 +389,8 @@
     }
 }
 
-fn classify_answer(answer: &RespReply, key: u64, asked: &RequestRecord) -> RequestEnd {
+/// Returns the outcome of a request that was answered, given its key.
+fn classify_answer(answer: &RespReply, key: u64, request: &RequestRecord) -> RequestEnd {
     let value = match answer {
         RespReply::Bulk(Some(value)) => value,
         RespReply::Array(parts) => match parts.first() {
@@ -379,12 +402,12 @@
         }
         _ => return RequestEnd::Failed,
     };
-    let made = if asked.kind == RequestKind::Safe {
+    let expected = if request.kind == RequestKind::Safe {
         format!("value {key:016x}")
     } else {
-        format!("receipt {}", asked.id)
+        format!("receipt {}", request.id)
     };
-    if *value == made.into_bytes() {
+    if *value == expected.into_bytes() {
         RequestEnd::Served
     } else {
         RequestEnd::Wrong
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,7 +1,7 @@
-//! `testbed soak`: runs seeds and prints a row for each, the violations, and the verdict.
+//! `testbed soak`: runs a range of seeds, prints a row and the violations of each, and the verdict.
 
-use super::plan::draw;
-use super::{SoakOutcome, play};
+use super::plan::generate;
+use super::{SoakOutcome, run_plan};
 use crate::error::TestbedError;
 use crate::process;
 use std::path::{Path, PathBuf};
@@ -9,37 +9,37 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Breaches of one seed that are printed.
-const BREACHES_PRINTED: usize = 6;
+/// Maximum number of violations that are printed per seed.
+const PRINTED_VIOLATIONS_MAX: usize = 6;
 
-/// What is played.
+/// Arguments of `testbed soak`.
 #[derive(clap::Args)]
 pub struct SoakArguments {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, from the first on.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// A few balancers only, as in CI.
+    /// Runs only 2 to 4 balancers, as in CI.
     #[arg(long)]
     short: bool,
-    /// Seeds that are played side by side.
+    /// Number of seeds that run concurrently.
     #[arg(long, default_value_t = 1)]
     at_once: usize,
-    /// Where logs, configurations and the records of seeds that failed are kept.
+    /// Folder in which the logs, configurations and records of each seed are kept.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// The program, if not the one beside this.
+    /// Path of the pipitrun program; by default the one in this executable's folder.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Plays all seeds.
+/// Runs all seeds. A trial that could not be run counts as a failed seed.
 ///
 /// # Errors
 ///
-/// Says which part of a trial itself failed; the verdict counts that as a failure too.
+/// Returns an error if the program is not found.
 pub fn run(arguments: &SoakArguments) -> Result<ExitCode, TestbedError> {
     let program = process::find_program(arguments.program.as_deref())?;
     let next = AtomicU64::new(arguments.seed);
@@ -53,10 +53,10 @@
                     if seed >= end {
                         return;
                     }
-                    if let Some(why) = play_seed(seed, arguments, &program)
+                    if let Some(failure) = run_seed(seed, arguments, &program)
                         && let Ok(mut failed) = failed.lock()
                     {
-                        failed.push(why);
+                        failed.push(failure);
                     }
                 }
             });
@@ -71,21 +71,21 @@
     Ok(ExitCode::FAILURE)
 }
 
-/// Plays one; the seed with the rules that it broke, if any.
-fn play_seed(seed: u64, arguments: &SoakArguments, program: &Path) -> Option<String> {
-    let plan = draw(seed, arguments.short);
+/// Runs one seed. Returns the seed and the violated rules for the verdict; `None` if it passed.
+fn run_seed(seed: u64, arguments: &SoakArguments, program: &Path) -> Option<String> {
+    let plan = generate(seed, arguments.short);
     let (balancers, caches) = (plan.balancers, plan.caches);
-    let own = std::env::temp_dir().join(format!("pipitrun-soak-{}-{seed}", std::process::id()));
-    let kept = arguments
+    let temporary_folder =
+        std::env::temp_dir().join(format!("pipitrun-soak-{}-{seed}", std::process::id()));
+    let kept_folder = arguments
         .out
         .as_ref()
         .map(|out| out.join(format!("seed-{seed}")));
-    let folder = kept.clone().unwrap_or(own);
-    let played = play(plan, program, &folder);
-    let outcome = match played {
+    let folder = kept_folder.clone().unwrap_or(temporary_folder);
+    let outcome = match run_plan(plan, program, &folder) {
         Ok(outcome) => outcome,
         Err(e) => {
-            println!("seed {seed}: the trial failed: {e}");
+            println!("seed {seed}: the trial could not be run: {e}");
             return Some(format!("seed {seed} (trial)"));
         }
     };
@@ -95,39 +95,42 @@
         .map(|(end, count)| format!("{end} {count}"))
         .collect();
     println!(
-        "seed {seed}: {balancers} balancers, {caches} caches, {} attempts, {}, {} breaches",
+        "seed {seed}: {balancers} balancers, {caches} caches, {} attempts, {}, {} violations",
         outcome.attempts,
         ends.join(" "),
         outcome.violations.len()
     );
-    for breach in outcome.violations.iter().take(BREACHES_PRINTED) {
+    for violation in outcome.violations.iter().take(PRINTED_VIOLATIONS_MAX) {
         println!(
             "  {:.3} {}: {}",
-            breach.at as f64 / 1e9,
-            breach.rule,
-            breach.what
+            violation.at as f64 / 1e9,
+            violation.rule,
+            violation.detail
         );
     }
-    match &kept {
-        Some(folder) => keep(&outcome, folder),
+    match &kept_folder {
+        Some(folder) => write_records(&outcome, folder),
         None => drop(std::fs::remove_dir_all(&folder)),
     }
     let mut rules: Vec<&str> = outcome
         .violations
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.rule)
         .collect();
     rules.sort_unstable();
     rules.dedup();
     (!rules.is_empty()).then(|| format!("seed {seed} ({})", rules.join(" ")))
 }
 
-/// Writes the records beside the logs.
-fn keep(outcome: &SoakOutcome, folder: &Path) {
+/// Writes the records into the folder of the logs.
+fn write_records(outcome: &SoakOutcome, folder: &Path) {
     let written = serde_json::to_vec(&outcome.records)
         .map_err(std::io::Error::from)
         .and_then(|json| std::fs::write(folder.join("records.json"), json));
     if let Err(e) = written {
-        println!("  records: {e}");
+        println!(
+            "  the records could not be written to {}: {e}",
+            folder.display()
+        );
     }
 }
--- a/crates/testbed/src/soak/connections.rs
+++ b/crates/testbed/src/soak/connections.rs
@@ -1,5 +1,5 @@
-//! What the simulated services of a soak share: a clock, polling of many sockets, and connections
-//! that never block.
+//! Shared parts of the simulated services of a soak: a clock, polling of many sockets, and
+//! non-blocking connections.
 
 use super::records::Nanos;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
@@ -8,71 +8,71 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::time::Instant;
 
-/// The longest wait of a service, in milliseconds: what it reads has come no longer ago, and then
-/// its own lag.
-const WAIT_MS: u8 = 2;
-/// One read takes at most this much.
+/// Maximum time that a service waits in one poll, in milliseconds. It bounds, apart from delays of
+/// the service itself, how long data can have been available before it is read.
+const MAX_WAIT_MS: u8 = 2;
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 64 * 1024;
 
-/// The soak's clock.
+/// Clock of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Begins now.
+    /// Starts the clock at 0.
     #[must_use]
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// The time now.
+    /// Returns the time since the start.
     #[must_use]
     pub fn now(&self) -> Nanos {
         self.0.elapsed().as_nanos() as Nanos
     }
 }
 
-/// Waits a moment for any of these to become readable; tells which are, by their places.
+/// Waits up to 2 ms until a socket is readable. Returns for each socket whether it is.
 ///
 /// # Errors
 ///
-/// If the system call fails.
+/// Returns an error if the system call fails.
 pub fn readable<'a>(sockets: impl Iterator<Item = BorrowedFd<'a>>) -> io::Result<Vec<bool>> {
     let mut fds: Vec<PollFd> = sockets
         .map(|fd| PollFd::new(fd, PollFlags::POLLIN))
         .collect();
-    match poll(&mut fds, PollTimeout::from(WAIT_MS)) {
+    match poll(&mut fds, PollTimeout::from(MAX_WAIT_MS)) {
         Ok(_) | Err(nix::errno::Errno::EINTR) => {}
         Err(e) => return Err(e.into()),
     }
     Ok(fds.iter().map(|fd| fd.any().unwrap_or(false)).collect())
 }
 
-/// What a connection is found to be when it is read.
+/// State of a connection after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// More may come.
+    /// Open; more data may arrive.
     Open,
-    /// The other end has closed behind all that it had read.
+    /// Closed by the peer after it had read all data.
     Ended,
-    /// It broke, or the other end closed over bytes that it had not read.
+    /// Broken, or closed by the peer before it had read all data.
     Reset,
 }
 
 /// A non-blocking connection of a simulated service.
 pub struct Connection {
     stream: TcpStream,
-    /// What has come and is not used yet.
+    /// Received bytes that are not processed yet.
     pub input: Vec<u8>,
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// Takes a connected socket.
+    /// Creates a connection from a connected socket.
     ///
     /// # Errors
     ///
-    /// If the system call fails.
+    /// Returns an error if a system call fails.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -83,13 +83,13 @@
         })
     }
 
-    /// For looks.
+    /// Returns the file descriptor, for [`readable`].
     #[must_use]
     pub fn fd(&self) -> BorrowedFd<'_> {
         self.stream.as_fd()
     }
 
-    /// Reads all that has come.
+    /// Reads all available bytes into `input`.
     pub fn read(&mut self) -> ConnectionState {
         let mut bytes = [0; READ_SIZE];
         loop {
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Writes this, behind what could not be written yet. True once all is written; an end is found
-    /// by the next read.
+    /// Writes bytes after those that could not be written yet. Returns whether all are written; a
+    /// broken connection is detected by the next read.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.output.extend_from_slice(bytes);
         self.flush()
     }
 
-    /// Goes on writing.
+    /// Writes the remaining bytes. Returns whether all are written.
     pub fn flush(&mut self) -> bool {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
@@ -122,12 +122,12 @@
         true
     }
 
-    /// Ends it with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 
-    /// Ends it.
+    /// Closes the connection.
     pub fn close(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery for a soak: one endpoint list, served to each balancer at addresses of its own, with
-//! faults.
+//! The simulated discovery of a soak: one endpoint list, served to each balancer at separate
+//! addresses, with faults.
 
 use super::connections::Clock;
 use super::records::{CacheState, ListChange, Nanos, Notification, TimeSpan};
@@ -11,41 +11,44 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often a watch looks for changes.
+/// Interval at which a watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
-/// An empty line comes behind so many looks without a change: every 2 s.
+/// Number of checks without a change after which a watch sends an empty line: every 2 s.
 const POLLS_UNTIL_KEEPALIVE: u32 = 500;
-/// The longest head of a call.
-const HEAD_MAX: usize = 8 * 1024;
-/// A torn message comes in parts of this size, this far from each other.
-const TORN: (usize, Duration) = (1_500, Duration::from_millis(2));
+/// Maximum size of the head of an HTTP request, in bytes.
+const MAX_HEAD_SIZE: usize = 8 * 1024;
+/// Minimum size in bytes of the parts of a message in [`ListFormat::Torn`]; a message has at most
+/// about 20 parts.
+const TORN_PART_SIZE: usize = 1_500;
+/// Pause after each part of a message in [`ListFormat::Torn`].
+const TORN_PAUSE: Duration = Duration::from_millis(2);
 
-/// What is wrong with discovery now.
+/// Active fault of discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Calls are reset, and watches have ended.
+    /// Calls are closed without an answer, and watches are ended.
     Down,
-    /// Watches stay open and say nothing; new ones work.
+    /// Existing watches stay open but send nothing; new watches work.
     Silent {
-        /// The watches that are silent are those begun before this one.
+        /// Number of the first watch that works; watches with smaller numbers are silent.
         before: u64,
     },
-    /// Calls wait in turn for so many milliseconds.
-    Crowded(u64),
+    /// Calls are delayed by this number of milliseconds before they are answered.
+    SlowCalls(u64),
 }
 
-/// How messages are written.
+/// Format in which messages are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListFormat {
-    /// One to a line.
+    /// One message per line.
     #[default]
     Line,
-    /// Over many lines.
+    /// Indented JSON over many lines.
     Indented,
-    /// In parts with pauses between.
+    /// One message per line, written in parts with pauses between them.
     Torn,
 }
 
@@ -55,33 +58,38 @@
     caches: BTreeMap<usize, CacheState>,
     changes: Vec<ListChange>,
     notifications: Vec<Notification>,
-    down: Vec<TimeSpan>,
+    /// Spans in which discovery was down.
+    outages: Vec<TimeSpan>,
     fault: DiscoveryFault,
-    form: ListFormat,
+    format: ListFormat,
+    /// Number of watches opened so far.
     watches: u64,
-    /// Bytes of changes that were written.
+    /// Number of bytes of list changes written, full lists not included.
     change_bytes: u64,
 }
 
-/// The list, and what was sent of it.
+/// Endpoint list and the record of the messages sent to balancers.
 #[derive(Clone)]
 pub struct DiscoveryService {
     state: Arc<Mutex<DiscoveryState>>,
     clock: Clock,
-    /// The listener of each cache, by its number.
+    /// Returns the address of a cache's listener, given the number of the cache.
     cache_address: Arc<dyn Fn(usize) -> SocketAddr + Send + Sync>,
 }
 
-/// What discovery did.
+/// Records of discovery: list changes, notifications and outages.
 pub type DiscoveryLog = (Vec<ListChange>, Vec<Notification>, Vec<TimeSpan>);
 
 impl DiscoveryService {
-    /// An empty one.
-    pub fn new(clock: Clock, dials: impl Fn(usize) -> SocketAddr + Send + Sync + 'static) -> Self {
+    /// Creates a service with an empty list.
+    pub fn new(
+        clock: Clock,
+        cache_address: impl Fn(usize) -> SocketAddr + Send + Sync + 'static,
+    ) -> Self {
         DiscoveryService {
             state: Arc::default(),
             clock,
-            cache_address: Arc::new(dials),
+            cache_address: Arc::new(cache_address),
         }
     }
 
@@ -89,67 +97,70 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// These caches are so from now on.
-    pub fn change(&self, caches: Vec<usize>, to: CacheState) {
+    /// Changes the state of these caches from now on.
+    pub fn change(&self, caches: Vec<usize>, new_state: CacheState) {
         let mut state = self.lock();
         state.version += 1;
         for cache in &caches {
-            if to == CacheState::Gone {
+            if new_state == CacheState::Gone {
                 state.caches.remove(cache);
             } else {
-                state.caches.insert(*cache, to);
+                state.caches.insert(*cache, new_state);
             }
         }
         let change = ListChange {
             version: state.version,
             at: self.clock.now(),
             caches,
-            state: to,
+            state: new_state,
         };
         state.changes.push(change);
     }
 
-    /// What is wrong from now on.
+    /// Sets the active fault, which replaces the previous one.
     pub fn set_fault(&self, fault: DiscoveryFault) {
         let mut state = self.lock();
         let now = self.clock.now();
         if fault == DiscoveryFault::Down && state.fault != DiscoveryFault::Down {
-            state.down.push(TimeSpan {
+            state.outages.push(TimeSpan {
                 from: now,
                 to: Nanos::MAX,
             });
         }
         if fault != DiscoveryFault::Down
-            && let Some(span) = state.down.last_mut().filter(|span| span.to == Nanos::MAX)
+            && let Some(span) = state
+                .outages
+                .last_mut()
+                .filter(|span| span.to == Nanos::MAX)
         {
             span.to = now;
         }
         state.fault = fault;
     }
 
-    /// All watches that are open fall silent.
+    /// Makes all open watches silent.
     pub fn silence(&self) {
         let before = self.lock().watches;
         self.set_fault(DiscoveryFault::Silent { before });
     }
 
-    /// How messages are written from now on.
-    pub fn set_format(&self, form: ListFormat) {
-        self.lock().form = form;
+    /// Sets the format of messages from now on.
+    pub fn set_format(&self, format: ListFormat) {
+        self.lock().format = format;
     }
 
-    /// What was done.
+    /// Returns the records so far.
     #[must_use]
     pub fn log(&self) -> DiscoveryLog {
         let state = self.lock();
         (
             state.changes.clone(),
             state.notifications.clone(),
-            state.down.clone(),
+            state.outages.clone(),
         )
     }
 
-    /// Bytes of changes that were written so far, to all balancers.
+    /// Returns the number of bytes of list changes written to all balancers so far.
     #[must_use]
     pub fn change_bytes(&self) -> u64 {
         self.lock().change_bytes
@@ -165,7 +176,8 @@
             "block": 1, "health": health, "share": 1.0, "born_ms": born_ms})
     }
 
-    /// What is new since a version: the whole list, or the changes.
+    /// Returns the current version with the changes since `since`, or with the full list if `since`
+    /// is `None`. Returns `None` if there are no changes.
     fn message(&self, since: Option<u64>) -> Option<(u64, Value)> {
         let state = self.lock();
         let version = state.version;
@@ -192,20 +204,20 @@
         ))
     }
 
-    /// The whole list as a balancer's configuration has it.
+    /// Returns the full list, as it is written to the configuration key `known` of a balancer.
     #[must_use]
-    pub fn known(&self) -> Value {
+    pub fn full_list(&self) -> Value {
         self.message(None).map(|(_, list)| list).unwrap_or_default()
     }
 
-    /// Listens for one balancer.
+    /// Starts a listener for one balancer.
     ///
     /// # Errors
     ///
-    /// If the address is taken.
+    /// Returns an error if the address is in use.
     pub fn listen(&self, address: SocketAddr, balancer: usize) -> io::Result<TcpService> {
-        let list = self.clone();
-        TcpService::start(address, move |stream| list.serve(stream, balancer))
+        let service = self.clone();
+        TcpService::start(address, move |stream| service.serve(stream, balancer))
     }
 
     fn serve(&self, mut stream: TcpStream, balancer: usize) -> io::Result<()> {
@@ -214,12 +226,12 @@
             return Ok(());
         }
         let head = read_head(&mut stream)?;
-        let crowded = match self.lock().fault {
-            DiscoveryFault::Crowded(ms) => ms,
+        let delay_ms = match self.lock().fault {
+            DiscoveryFault::SlowCalls(ms) => ms,
             _ => 0,
         };
-        std::thread::sleep(Duration::from_millis(crowded));
-        let number = {
+        std::thread::sleep(Duration::from_millis(delay_ms));
+        let watch = {
             let mut state = self.lock();
             state.watches += 1;
             state.watches - 1
@@ -228,16 +240,16 @@
             .split_once("since=")
             .and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok());
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n")?;
-        let mut empty = POLLS_UNTIL_KEEPALIVE;
+        let mut polls_without_change = POLLS_UNTIL_KEEPALIVE;
         loop {
             let fault = self.lock().fault;
             match fault {
                 DiscoveryFault::Down => return Ok(()),
-                DiscoveryFault::Silent { before } if number < before => {}
+                DiscoveryFault::Silent { before } if watch < before => {}
                 _ => match self.message(since) {
                     Some((version, message)) => {
                         self.write(&mut stream, &message)?;
-                        (since, empty) = (Some(version), 0);
+                        (since, polls_without_change) = (Some(version), 0);
                         let at = self.clock.now();
                         self.lock().notifications.push(Notification {
                             balancer,
@@ -245,11 +257,11 @@
                             at,
                         });
                     }
-                    None if empty >= POLLS_UNTIL_KEEPALIVE => {
+                    None if polls_without_change >= POLLS_UNTIL_KEEPALIVE => {
                         stream.write_all(b"\n")?;
-                        empty = 0;
+                        polls_without_change = 0;
                     }
-                    None => empty += 1,
+                    None => polls_without_change += 1,
                 },
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -257,8 +269,8 @@
     }
 
     fn write(&self, stream: &mut TcpStream, message: &Value) -> io::Result<()> {
-        let form = self.lock().form;
-        let mut text = match form {
+        let format = self.lock().format;
+        let mut text = match format {
             ListFormat::Indented => serde_json::to_string_pretty(message)?,
             ListFormat::Line | ListFormat::Torn => message.to_string(),
         };
@@ -266,12 +278,12 @@
         if message["whole"] == false {
             self.lock().change_bytes += text.len() as u64;
         }
-        if form != ListFormat::Torn {
+        if format != ListFormat::Torn {
             return stream.write_all(text.as_bytes());
         }
-        for part in text.as_bytes().chunks(TORN.0.max(text.len() / 20)) {
+        for part in text.as_bytes().chunks(TORN_PART_SIZE.max(text.len() / 20)) {
             stream.write_all(part)?;
-            std::thread::sleep(TORN.1);
+            std::thread::sleep(TORN_PAUSE);
         }
         Ok(())
     }
@@ -279,7 +291,7 @@
 
 fn read_head(stream: &mut TcpStream) -> io::Result<String> {
     let mut head = Vec::new();
-    while !head.ends_with(b"\r\n\r\n") && head.len() < HEAD_MAX {
+    while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_SIZE {
         let mut byte = [0];
         stream.read_exact(&mut byte)?;
         head.push(byte[0]);
--- a/crates/testbed/src/soak/growth.rs
+++ b/crates/testbed/src/soak/growth.rs
@@ -1,30 +1,31 @@
-//! What one balancer needs of the same day with few caches and with many, held against what it may.
+//! `testbed growth`: measures the resources that one balancer uses for the same traffic with few
+//! and with many caches, and checks their growth against limits.
 
-use super::plan::growth;
-use super::{SoakOutcome, play};
+use super::plan::growth_plan;
+use super::{SoakOutcome, run_plan};
 use crate::error::TestbedError;
 use crate::process;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What is played.
+/// Arguments of `testbed growth`.
 #[derive(clap::Args)]
 pub struct GrowthArguments {
-    /// Numbers of caches: the usual one, then the larger ones.
+    /// Numbers of caches; the first is the baseline for the limits of the others.
     #[arg(long, value_delimiter = ',', default_values_t = [200, 3_200])]
     caches: Vec<usize>,
-    /// Requests a second at the balancer.
+    /// Requests per second at the balancer.
     #[arg(long, default_value_t = 30.0)]
     per_s: f64,
-    /// For all that is drawn.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The program, if not the one beside this.
+    /// Path of the pipitrun program; by default the one in this executable's folder.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// What was needed.
+/// Resources that a balancer used in one run.
 #[derive(Clone, Copy, Debug)]
 struct ResourceUse {
     cpu_s: f64,
@@ -36,7 +37,7 @@
 }
 
 impl ResourceUse {
-    fn of(outcome: &SoakOutcome) -> Self {
+    fn from_outcome(outcome: &SoakOutcome) -> Self {
         let usage = outcome.usage.first().copied().unwrap_or_default();
         let counter = |name: &str| {
             outcome
@@ -47,19 +48,19 @@
                 .unwrap_or(0)
         };
         let served = outcome.ends.get("Served").copied().unwrap_or(0);
-        let asked: usize = outcome.ends.values().sum();
+        let requests: usize = outcome.ends.values().sum();
         ResourceUse {
             cpu_s: usage.cpu_s,
             memory_mb: usage.peak_mb,
             descriptors: usage.descriptors as f64,
             connections: counter("upstream_opened") as f64,
             list_kb: outcome.change_bytes as f64 / 1_024.0,
-            served: served as f64 / asked.max(1) as f64,
+            served: served as f64 / requests.max(1) as f64,
         }
     }
 
-    /// What may be needed with so many caches, by what was needed with the usual number.
-    fn allowed(&self, caches: usize) -> Self {
+    /// Returns the limits at `caches` caches, given the resources used at the baseline.
+    fn limits(&self, caches: usize) -> Self {
         let thousands = caches as f64 / 1_000.0;
         ResourceUse {
             cpu_s: 1.4 * self.cpu_s + 0.02 + 0.03 * thousands,
@@ -71,8 +72,9 @@
         }
     }
 
-    /// Each figure by its name; of the last one more is better.
-    fn figures(&self) -> [(&'static str, f64); 6] {
+    /// Returns each value with its name. The limit of `served` is a minimum, the other limits are
+    /// maximums.
+    fn values(&self) -> [(&'static str, f64); 6] {
         [
             ("cpu_s", self.cpu_s),
             ("memory_mb", self.memory_mb),
@@ -84,51 +86,51 @@
     }
 }
 
-/// Plays all sizes and prints what each needed beside what it may.
+/// Runs all sizes and prints the used resources with their limits.
 ///
 /// # Errors
 ///
-/// Says which part of a trial itself failed.
+/// Returns an error if a trial itself could not be run.
 pub fn run(arguments: &GrowthArguments) -> Result<ExitCode, TestbedError> {
     let program = process::find_program(arguments.program.as_deref())?;
-    let mut usual: Option<ResourceUse> = None;
-    let mut over = Vec::new();
+    let mut baseline: Option<ResourceUse> = None;
+    let mut exceeded = Vec::new();
     for caches in &arguments.caches {
         let folder =
             std::env::temp_dir().join(format!("pipitrun-growth-{}-{caches}", std::process::id()));
-        let outcome = play(
-            growth(arguments.seed, *caches, arguments.per_s),
+        let outcome = run_plan(
+            growth_plan(arguments.seed, *caches, arguments.per_s),
             &program,
             &folder,
         )?;
         let _ = std::fs::remove_dir_all(&folder);
-        let need = ResourceUse::of(&outcome);
-        let allowed = usual.map(|usual| usual.allowed(*caches));
-        println!("{caches} caches, {} breaches", outcome.violations.len());
-        for (place, (name, figure)) in need.figures().into_iter().enumerate() {
-            let limit = allowed.map(|allowed| allowed.figures()[place].1);
-            let fails = limit.is_some_and(|limit| {
+        let used = ResourceUse::from_outcome(&outcome);
+        let limits = baseline.map(|baseline| baseline.limits(*caches));
+        println!("{caches} caches, {} violations", outcome.violations.len());
+        for (index, (name, value)) in used.values().into_iter().enumerate() {
+            let limit = limits.map(|limits| limits.values()[index].1);
+            let is_exceeded = limit.is_some_and(|limit| {
                 if name == "served" {
-                    figure < limit
+                    value < limit
                 } else {
-                    figure > limit
+                    value > limit
                 }
             });
             let limit = limit.map_or(String::new(), |limit| format!("  allowed {limit:.3}"));
             println!(
-                "  {name:12} {figure:9.3}{limit}{}",
-                if fails { "  OVER" } else { "" }
+                "  {name:12} {value:9.3}{limit}{}",
+                if is_exceeded { "  OVER" } else { "" }
             );
-            if fails {
-                over.push(format!("{name} at {caches}"));
+            if is_exceeded {
+                exceeded.push(format!("{name} at {caches}"));
             }
         }
-        usual = usual.or(Some(need));
+        baseline = baseline.or(Some(used));
     }
-    if over.is_empty() {
+    if exceeded.is_empty() {
         println!("verdict: passed");
         return Ok(ExitCode::SUCCESS);
     }
-    println!("verdict: failed {}", over.join(", "));
+    println!("verdict: failed {}", exceeded.join(", "));
     Ok(ExitCode::FAILURE)
 }
--- a/crates/testbed/src/soak/injection.rs
+++ b/crates/testbed/src/soak/injection.rs
@@ -1,4 +1,4 @@
-//! Injection of a soak's events into caches, discovery and balancers.
+//! Injects the events of a soak into caches, discovery and balancers.
 
 use super::balancers::ClientAccess;
 use super::caches::CacheFaults;
@@ -10,49 +10,50 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Before a shutdown caches hang for this long, so that requests are open.
+/// Time that caches hang before a shutdown is requested, so that requests are open.
 const HANG_BEFORE_SHUTDOWN: Nanos = 100 * MS;
-/// Connections are reset for so long.
+/// Time for which connections to caches are reset.
 const RESET_DURATION: Nanos = 30 * MS;
-/// The share of a processor is kept over periods of this length.
+/// Period over which the CPU share of a balancer is limited.
 const CPU_PERIOD: Duration = Duration::from_millis(50);
-/// By the protocol a process is killed no sooner than this and the longest deadline after the
-/// request to end.
-const KILL_AFTER: Nanos = 700 * MS;
-/// The longest deadline that counts for it.
+/// Minimum time, in addition to the longest deadline, that the protocol requires between a shutdown
+/// request and the kill of the process.
+const KILL_DELAY: Nanos = 700 * MS;
+/// Maximum deadline that is added to [`KILL_DELAY`].
 const MAX_DEADLINE: Nanos = 3_000 * MS;
 
-/// What follows from an event some time later.
+/// Follow-up action of an event, run some time after it.
 pub(super) enum DeferredEvent {
-    /// These caches are removed from the list.
+    /// Removes these caches from the list.
     RemoveCaches(Vec<usize>),
-    /// These caches go down for a moment, so that what is open there is reset long after it
-    /// arrived.
+    /// Resets the connections of these caches, so that requests open there end by a reset long
+    /// after they arrived.
     ResetCaches(Vec<usize>),
-    /// These caches work again.
+    /// Ends the hang or outage of these caches.
     RestoreCaches(Vec<usize>),
-    /// Answers are right again.
+    /// Ends faulty answers of all caches.
     EndCorruption,
-    /// Discovery works again.
+    /// Ends all faults of discovery.
     RestoreDiscovery,
-    /// This balancer is asked to end.
-    Terminate(usize),
-    /// This balancer is killed, if it still runs.
+    /// Requests the shutdown of this balancer.
+    RequestShutdown(usize),
+    /// Kills this balancer if it still runs.
     Kill(usize),
-    /// This balancer is started.
+    /// Starts this balancer.
     Start(usize),
 }
 
 impl SoakRun {
-    fn own(&self, count: usize) -> Vec<usize> {
+    /// Returns the first `count` caches that have a listener of their own.
+    fn own_caches(&self, count: usize) -> Vec<usize> {
         (0..count.min(self.plan.rules.own_listeners)).collect()
     }
 
-    fn defer(&mut self, span: Nanos, what: DeferredEvent) {
-        self.deferred.push((self.clock.now() + span, what));
+    fn defer(&mut self, delay: Nanos, event: DeferredEvent) {
+        self.deferred.push((self.clock.now() + delay, event));
     }
 
-    /// Has an event happen.
+    /// Injects an event.
     pub(super) fn inject(&mut self, event: &SoakEvent) {
         match event {
             SoakEvent::Silence
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Events of caches; ignores all others.
+    /// Injects an event of caches; ignores other events.
     fn inject_at_caches(&mut self, event: &SoakEvent) {
         match *event {
             SoakEvent::Joins(count) => {
@@ -84,32 +85,32 @@
                 self.inject(&SoakEvent::Joins(count));
             }
             SoakEvent::Drains(count, span) => {
-                let caches = self.own(count);
+                let caches = self.own_caches(count);
                 self.discovery.change(caches.clone(), CacheState::Draining);
                 self.defer(span, DeferredEvent::RemoveCaches(caches));
             }
             SoakEvent::Cold(count) => {
-                let born = SystemTime::now()
+                let start = SystemTime::now()
                     .duration_since(UNIX_EPOCH)
                     .unwrap_or_default();
-                let born_ms = born.as_millis() as u64;
+                let born_ms = start.as_millis() as u64;
                 self.discovery
-                    .change(self.own(count), CacheState::Up { born_ms });
+                    .change(self.own_caches(count), CacheState::Up { born_ms });
             }
             SoakEvent::Hangs(count, span) => {
-                let caches = self.own(count);
+                let caches = self.own_caches(count);
                 self.caches.faults.lock().hanging.extend(&caches);
                 self.defer(span, DeferredEvent::ResetCaches(caches));
             }
             SoakEvent::CachesDown(count, span) => {
-                let caches = self.own(count);
+                let caches = self.own_caches(count);
                 self.caches.faults.lock().down.extend(&caches);
                 self.defer(span, DeferredEvent::RestoreCaches(caches));
             }
             SoakEvent::Spoilt(span) => {
                 let mut faults = self.caches.faults.lock();
                 (faults.busy, faults.error, faults.reset) = (0.1, 0.05, 0.05);
-                (faults.cut, faults.second, faults.close) = (0.03, 0.05, 0.1);
+                (faults.truncated, faults.answered_twice, faults.close) = (0.03, 0.05, 0.1);
                 drop(faults);
                 self.defer(span, DeferredEvent::EndCorruption);
             }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Events of discovery; ignores all others.
+    /// Injects an event of discovery; ignores other events.
     fn inject_at_discovery(&mut self, event: &SoakEvent) {
         match *event {
             SoakEvent::Silence => self.discovery.silence(),
@@ -130,36 +131,36 @@
                 self.defer(span, DeferredEvent::RestoreDiscovery);
             }
             SoakEvent::DiscoveryCrowded(span) => {
-                self.discovery.set_fault(DiscoveryFault::Crowded(300));
+                self.discovery.set_fault(DiscoveryFault::SlowCalls(300));
                 self.defer(span, DeferredEvent::RestoreDiscovery);
             }
             _ => {}
         }
     }
 
-    /// Events of balancers; ignores all others.
+    /// Injects an event of balancers; ignores other events.
     fn inject_at_balancer(&mut self, event: &SoakEvent) {
         match *event {
-            SoakEvent::Restart(one) => self.restart(one),
-            SoakEvent::Kill(one) => {
-                self.run_deferred(DeferredEvent::Kill(one));
-                self.defer(200 * MS, DeferredEvent::Start(one));
-            }
-            SoakEvent::Reload(one) => self.reload(one),
-            SoakEvent::HoldUp(one, span) => {
-                let balancer = Arc::clone(&self.balancers[one]);
+            SoakEvent::Restart(number) => self.restart(number),
+            SoakEvent::Kill(number) => {
+                self.run_deferred(DeferredEvent::Kill(number));
+                self.defer(200 * MS, DeferredEvent::Start(number));
+            }
+            SoakEvent::Reload(number) => self.reload(number),
+            SoakEvent::HoldUp(number, span) => {
+                let balancer = Arc::clone(&self.balancers[number]);
                 let span = Duration::from_nanos(span);
                 self.threads
                     .push(std::thread::spawn(move || lock(&balancer).stall(span)));
             }
-            SoakEvent::Share(one, share, span) => self.limit_cpu(one, share, span),
+            SoakEvent::Share(number, share, span) => self.limit_cpu(number, share, span),
             _ => {}
         }
     }
 
-    /// Has happen what follows from an earlier event.
-    pub(super) fn run_deferred(&mut self, what: DeferredEvent) {
-        match what {
+    /// Runs the follow-up action of an earlier event.
+    pub(super) fn run_deferred(&mut self, event: DeferredEvent) {
+        match event {
             DeferredEvent::RemoveCaches(caches) => self.discovery.change(caches, CacheState::Gone),
             DeferredEvent::ResetCaches(caches) => {
                 self.caches.faults.lock().down.extend(&caches);
@@ -182,20 +183,21 @@
                 };
             }
             DeferredEvent::RestoreDiscovery => self.discovery.set_fault(DiscoveryFault::None),
-            DeferredEvent::Terminate(one) => self.term(one),
-            DeferredEvent::Kill(one) => lock(&self.balancers[one]).kill(),
-            DeferredEvent::Start(one) => {
-                let known = self.discovery.known();
-                if let Err(e) = lock(&self.balancers[one]).start(known) {
+            DeferredEvent::RequestShutdown(number) => self.request_shutdown(number),
+            DeferredEvent::Kill(number) => lock(&self.balancers[number]).kill(),
+            DeferredEvent::Start(number) => {
+                let known = self.discovery.full_list();
+                if let Err(e) = lock(&self.balancers[number]).start(known) {
                     self.events.push((self.clock.now(), e.to_string()));
                 }
             }
         }
     }
 
-    /// How long after the request to end a process is killed: as early as may be.
-    fn kill_after(&self) -> Nanos {
-        let longest = self
+    /// Returns the time between a shutdown request and the kill: the minimum that the protocol
+    /// permits.
+    fn kill_delay(&self) -> Nanos {
+        let longest_deadline = self
             .plan
             .client_behavior
             .timeouts
@@ -203,47 +205,50 @@
             .max()
             .copied()
             .unwrap_or_default();
-        longest.min(MAX_DEADLINE) + KILL_AFTER
+        longest_deadline.min(MAX_DEADLINE) + KILL_DELAY
     }
 
-    fn restart(&mut self, one: usize) {
-        let kill = self.kill_after();
-        let is_open = self.status.lock()[one].access == ClientAccess::Open;
-        if !is_open {
+    fn restart(&mut self, number: usize) {
+        let kill_delay = self.kill_delay();
+        let is_available = self.status.lock()[number].access == ClientAccess::Available;
+        if !is_available {
             return;
         }
-        // Caches that hang through the whole of a shutdown.
-        self.inject(&SoakEvent::Hangs(self.plan.rules.own_listeners, kill));
-        let started = self.clock.now() + HANG_BEFORE_SHUTDOWN;
-        self.deferred.push((started, DeferredEvent::Terminate(one)));
+        // Caches hang during the whole shutdown.
+        let own_listeners = self.plan.rules.own_listeners;
+        self.inject(&SoakEvent::Hangs(own_listeners, kill_delay));
+        self.defer(HANG_BEFORE_SHUTDOWN, DeferredEvent::RequestShutdown(number));
     }
 
-    fn term(&mut self, one: usize) {
-        let kill = self.kill_after();
-        lock(&self.balancers[one]).term();
-        self.defer(kill, DeferredEvent::Kill(one));
-        self.defer(kill + 50 * MS, DeferredEvent::Start(one));
+    fn request_shutdown(&mut self, number: usize) {
+        let kill_delay = self.kill_delay();
+        lock(&self.balancers[number]).request_shutdown();
+        self.defer(kill_delay, DeferredEvent::Kill(number));
+        self.defer(kill_delay + 50 * MS, DeferredEvent::Start(number));
     }
 
-    fn reload(&mut self, one: usize) {
-        self.discovery_in_use[one] = 1 - self.discovery_in_use[one];
-        let address = self.discovery_addresses[one][self.discovery_in_use[one]];
-        let mut balancer = lock(&self.balancers[one]);
+    /// Changes the discovery address in the configuration of a balancer and makes the balancer
+    /// reload it.
+    fn reload(&mut self, number: usize) {
+        self.discovery_in_use[number] = 1 - self.discovery_in_use[number];
+        let address = self.discovery_addresses[number][self.discovery_in_use[number]];
+        let mut balancer = lock(&self.balancers[number]);
         match balancer.configure("discovery", serde_json::json!(address)) {
             Ok(_) => balancer.signal(Signal::SIGHUP),
             Err(e) => self.events.push((self.clock.now(), e.to_string())),
         }
     }
 
-    fn limit_cpu(&mut self, one: usize, share: u64, span: Nanos) {
-        let balancer = Arc::clone(&self.balancers[one]);
+    /// Limits a balancer to a share of the CPU, in percent, by stalling it in each period.
+    fn limit_cpu(&mut self, number: usize, share: u64, span: Nanos) {
+        let balancer = Arc::clone(&self.balancers[number]);
         let clock = self.clock;
         let until = clock.now() + span;
         self.threads.push(std::thread::spawn(move || {
-            let runs = CPU_PERIOD.mul_f64(share as f64 / 100.0);
+            let run_time = CPU_PERIOD.mul_f64(share as f64 / 100.0);
             while clock.now() < until {
-                lock(&balancer).stall(CPU_PERIOD - runs);
-                std::thread::sleep(runs);
+                lock(&balancer).stall(CPU_PERIOD - run_time);
+                std::thread::sleep(run_time);
             }
         }));
     }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,4 +1,5 @@
-//! What a seed draws: settings, sizes, manners of clients, and a timeline of faults.
+//! The plan of a soak, generated from a seed: settings, sizes, client behavior, and a timeline of
+//! faults.
 
 use super::clients::ClientBehavior;
 use super::discovery::ListFormat;
@@ -6,129 +7,138 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::{Value, json};
+use std::ops::Range;
 
-/// Listeners that many caches share.
+/// Number of listeners that are shared by the caches without a listener of their own.
 pub const SHARED_LISTENERS: usize = 16;
-/// The most caches that have a listener of their own.
-const OWN_MOST: usize = 60;
-/// How long a soak of one seed takes.
-pub const LENGTH: Nanos = 9_000 * MS;
-/// How long a day of [`growth`] takes, and how many balancers its settings tell of.
-const GROWTH_LENGTH: Nanos = 20_000 * MS;
+/// Maximum number of caches that have a listener of their own.
+const MAX_OWN_LISTENERS: usize = 60;
+/// Duration of the timeline of one seed.
+pub const DURATION: Nanos = 9_000 * MS;
+/// Duration of the timeline of [`growth_plan`].
+const GROWTH_DURATION: Nanos = 20_000 * MS;
+/// Number of balancers in the settings of [`growth_plan`].
 const GROWTH_BALANCERS: usize = 300;
-/// Work that a cache of mean size does, over its part of all requests.
-const SPARE: f64 = 2.0;
+/// Ratio of the capacity of a cache to its share of all requests.
+const CAPACITY_FACTOR: f64 = 2.0;
 
-/// The settings that the rules depend on.
+/// Settings that the rules depend on.
 #[derive(Clone, Debug)]
 pub struct CheckedRules {
-    /// The grace of a drain.
-    pub grace: Nanos,
-    /// The window of keyed writes.
-    pub window: Nanos,
-    /// The share of its capacity at which a cache starts.
+    /// Grace period after which a draining cache must receive no requests.
+    pub drain_grace: Nanos,
+    /// Window within which a keyed write may be repeated.
+    pub deduplication_window: Nanos,
+    /// Ratio of its capacity that a cache has when it starts.
     pub slow_start_fraction: f64,
-    /// It is warm after this.
+    /// Time after its start until a cache is warm.
     pub slow_start_duration: Nanos,
-    /// It falls by more than this multiple ...
+    /// Ratio of load to capacity above which a cache is overloaded.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Window over which the load of a cache is measured.
     pub overload_window: Nanos,
-    /// What a cache can do, requests a second.
+    /// Capacity of a warm cache, in requests per second.
     pub capacity: f64,
-    /// Caches with smaller numbers have a listener of their own: they alone are checked one by one.
+    /// Number of caches with a listener of their own. Caches with smaller numbers than this are
+    /// checked individually, the others are not.
     pub own_listeners: usize,
-    /// A process has to be ready within this.
-    pub ready_within: Nanos,
-    /// When the soak ends.
-    pub length: Nanos,
+    /// Maximum time from the start of a process until it is ready.
+    pub ready_timeout: Nanos,
+    /// Duration of the timeline.
+    pub duration: Nanos,
 }
 
 impl CheckedRules {
-    /// The most requests that a cache may get in a window, at this age as a part of its warm-up.
+    /// Returns the maximum number of requests that a cache may receive in an overload window. `age`
+    /// is the time since its start divided by `slow_start_duration`. The maximum allows for random
+    /// deviations of 2 to 3 standard deviations from the mean.
     #[must_use]
-    pub fn allowed(&self, age: f64) -> f64 {
-        let ramp =
+    pub fn max_requests(&self, age: f64) -> f64 {
+        let capacity_ratio =
             self.slow_start_fraction + (1.0 - self.slow_start_fraction) * age.clamp(0.0, 1.0);
-        let mean = self.overload_factor * self.capacity * ramp * self.overload_window as f64 / 1e9;
-        let (times, plus) = if mean < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-        mean + times * mean.sqrt() + plus
+        let mean =
+            self.overload_factor * self.capacity * capacity_ratio * self.overload_window as f64
+                / 1e9;
+        let (deviations, margin) = if mean < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+        mean + deviations * mean.sqrt() + margin
     }
 }
 
-/// Something that happens.
+/// Event of a timeline. Events of a number of caches concern the first caches that have a listener
+/// of their own, unless stated otherwise. Spans are in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SoakEvent {
-    /// So many caches are new, long at work.
+    /// This number of new, warm caches is added to the list.
     Joins(usize),
-    /// So many of the oldest caches drain, are gone soon, and as many new ones come.
+    /// This number of the oldest caches, with any listener, drains and is removed 1 s later; the
+    /// same number of new, warm caches is added.
     Replaced(usize),
-    /// The first of the caches that have listeners of their own drain, and are gone after the
-    /// second time.
+    /// This number of caches drains and is removed after the span.
     Drains(usize, Nanos),
-    /// So many of the same come, or come back, cold.
+    /// This number of caches is listed as started just now, so they are cold.
     Cold(usize),
-    /// They hang for so long.
+    /// This number of caches does not answer for the span; then their connections are reset.
     Hangs(usize, Nanos),
-    /// They are down for so long, and discovery does not say so.
+    /// This number of caches is down for the span; discovery still lists them as active.
     CachesDown(usize, Nanos),
-    /// Answers go wrong for so long.
+    /// All caches give faulty answers for the span.
     Spoilt(Nanos),
-    /// All open watches fall silent.
+    /// All open watches stay open but send nothing.
     Silence,
-    /// All watches are reset.
+    /// All watches are closed, and discovery is down for 30 ms.
     WatchesReset,
-    /// Discovery is down for so long.
+    /// Discovery is down for the span.
     DiscoveryDown(Nanos),
-    /// Calls of discovery wait in turn.
+    /// Discovery delays each call by 300 ms for the span.
     DiscoveryCrowded(Nanos),
-    /// A balancer is asked to end, killed as early as may be, and started anew.
+    /// A balancer's shutdown is requested, its process is killed as early as the protocol permits,
+    /// and a new process is started.
     Restart(usize),
-    /// A balancer is killed and started anew.
+    /// A balancer's process is killed and a new one is started.
     Kill(usize),
-    /// A balancer reads a new configuration, by which discovery is elsewhere.
+    /// A balancer reloads its configuration, in which the discovery address has changed.
     Reload(usize),
-    /// A balancer stalls for this long.
+    /// A balancer is stalled for the span.
     HoldUp(usize, Nanos),
-    /// A balancer has only this part of its time, in hundredths, for so long.
+    /// A balancer is limited to this share of its CPU time, in percent, for the span.
     Share(usize, u64, Nanos),
 }
 
-/// The run that a seed draws.
+/// Plan of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The seed.
+    /// Seed from which the plan was generated.
     pub seed: u64,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Caches at the beginning.
+    /// Number of caches at the start.
     pub caches: usize,
-    /// The settings of all balancers.
+    /// Settings of all balancers.
     pub settings: Value,
-    /// What the rules depend on.
+    /// Settings that the rules depend on.
     pub rules: CheckedRules,
-    /// How clients behave.
+    /// Behavior of all clients.
     pub client_behavior: ClientBehavior,
-    /// Lists come indented or torn.
+    /// Format of discovery messages.
     pub list_format: ListFormat,
-    /// What happens, by time.
+    /// Events, in order of their times since the start of the timeline.
     pub events: Vec<(Nanos, SoakEvent)>,
 }
 
-fn pick<T: Copy>(rng: &mut impl Rng, of: &[T]) -> T {
-    of[rng.random_range(0..of.len())]
+fn choose<T: Copy>(rng: &mut impl Rng, values: &[T]) -> T {
+    values[rng.random_range(0..values.len())]
 }
 
-/// Draws the run of this seed, a small one if `short`.
+/// Generates the plan of a seed; with `short` a small one.
 #[must_use]
-pub fn draw(seed: u64, short: bool) -> SoakPlan {
+pub fn generate(seed: u64, short: bool) -> SoakPlan {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let balancers = if short {
         rng.random_range(2..5)
     } else {
-        pick(&mut rng, &[2, 3, 5, 8, 16, 40])
+        choose(&mut rng, &[2, 3, 5, 8, 16, 40])
     };
-    let caches = pick(
+    let caches = choose(
         &mut rng,
         if short {
             &[10, 10, 60, 400, 3_200]
@@ -136,25 +146,25 @@
             &[10, 40, 200, 800, 1_300, 3_200]
         },
     );
-    let per_s = if balancers > 8 {
+    let requests_per_s = if balancers > 8 {
         8.0
     } else {
-        pick(&mut rng, &[15.0, 30.0, 60.0])
+        choose(&mut rng, &[15.0, 30.0, 60.0])
     };
-    let timeouts = |rng: &mut Xoshiro256PlusPlus, of: &[u64]| pick(rng, of) * MS;
+    let timeout = |rng: &mut Xoshiro256PlusPlus, values_ms: &[u64]| choose(rng, values_ms) * MS;
     let timeouts = [
-        timeouts(&mut rng, &[150, 284, 600, 1_200]),
-        timeouts(&mut rng, &[300, 1_000, 2_000]),
-        timeouts(&mut rng, &[400, 1_000, 2_500]),
+        timeout(&mut rng, &[150, 284, 600, 1_200]),
+        timeout(&mut rng, &[300, 1_000, 2_000]),
+        timeout(&mut rng, &[400, 1_000, 2_500]),
     ];
-    let rules = draw_rules(
+    let rules = generate_rules(
         &mut rng,
-        SPARE * per_s * balancers as f64 / caches as f64,
+        CAPACITY_FACTOR * requests_per_s * balancers as f64 / caches as f64,
         caches,
     );
-    let settings = settings(&mut rng, balancers, &timeouts, &rules);
-    let client_behavior = draw_client_behavior(&mut rng, per_s, timeouts);
-    let list_format = pick(
+    let settings = generate_settings(&mut rng, balancers, &timeouts, &rules);
+    let client_behavior = generate_client_behavior(&mut rng, requests_per_s, timeouts);
+    let list_format = choose(
         &mut rng,
         &[
             ListFormat::Line,
@@ -163,7 +173,7 @@
             ListFormat::Torn,
         ],
     );
-    let events = draw_events(&mut rng, balancers, caches);
+    let events = generate_events(&mut rng, balancers, caches);
     SoakPlan {
         seed,
         balancers,
@@ -176,87 +186,91 @@
     }
 }
 
-/// Shares of requests that are made in an unusual way.
-const SHARES: [f64; 3] = [0.0, 0.03, 0.1];
+/// Ratios of requests with an unusual client behavior.
+const UNUSUAL_RATIOS: [f64; 3] = [0.0, 0.03, 0.1];
 
-fn draw_rules(rng: &mut impl Rng, capacity: f64, caches: usize) -> CheckedRules {
+fn generate_rules(rng: &mut impl Rng, capacity: f64, caches: usize) -> CheckedRules {
     CheckedRules {
-        grace: pick(rng, &[400, 500, 1_000, 2_500]) * MS,
-        window: pick(rng, &[200, 250, 600, 2_000]) * MS,
-        slow_start_fraction: pick(rng, &[0.05, 0.12, 0.3]),
-        slow_start_duration: pick(rng, &[4_000, 10_000, 23_000]) * MS,
-        overload_factor: pick(rng, &[1.5, 2.5]),
-        overload_window: pick(rng, &[1_000, 2_000]) * MS,
+        drain_grace: choose(rng, &[400, 500, 1_000, 2_500]) * MS,
+        deduplication_window: choose(rng, &[200, 250, 600, 2_000]) * MS,
+        slow_start_fraction: choose(rng, &[0.05, 0.12, 0.3]),
+        slow_start_duration: choose(rng, &[4_000, 10_000, 23_000]) * MS,
+        overload_factor: choose(rng, &[1.5, 2.5]),
+        overload_window: choose(rng, &[1_000, 2_000]) * MS,
         capacity,
-        own_listeners: OWN_MOST.min(caches / 2),
-        ready_within: 6_000 * MS,
-        length: LENGTH,
+        own_listeners: MAX_OWN_LISTENERS.min(caches / 2),
+        ready_timeout: 6_000 * MS,
+        duration: DURATION,
     }
 }
 
-fn draw_client_behavior(rng: &mut impl Rng, per_s: f64, timeouts: [Nanos; 3]) -> ClientBehavior {
+fn generate_client_behavior(
+    rng: &mut impl Rng,
+    requests_per_s: f64,
+    timeouts: [Nanos; 3],
+) -> ClientBehavior {
     ClientBehavior {
-        per_s,
+        requests_per_s,
         timeouts,
-        leave: pick(rng, &[0.05, 0.15, 0.3]),
-        pipeline: pick(rng, &SHARES) / 3.0,
-        slow: pick(rng, &SHARES),
-        half: pick(rng, &SHARES) / 5.0,
+        disconnect: choose(rng, &[0.05, 0.15, 0.3]),
+        pipeline: choose(rng, &UNUSUAL_RATIOS) / 3.0,
+        slow: choose(rng, &UNUSUAL_RATIOS),
+        incomplete: choose(rng, &UNUSUAL_RATIOS) / 5.0,
     }
 }
 
-fn draw_time(rng: &mut impl Rng) -> Nanos {
-    rng.random_range(1_000..LENGTH / MS - 2_500) * MS
+fn random_time(rng: &mut impl Rng) -> Nanos {
+    rng.random_range(1_000..DURATION / MS - 2_500) * MS
 }
 
-fn draw_events(rng: &mut impl Rng, balancers: usize, caches: usize) -> Vec<(Nanos, SoakEvent)> {
+fn generate_events(rng: &mut impl Rng, balancers: usize, caches: usize) -> Vec<(Nanos, SoakEvent)> {
     let count = rng.random_range(4..9);
     let mut events: Vec<(Nanos, SoakEvent)> = (0..count)
-        .map(|_| (draw_time(rng), event(rng, balancers, caches)))
+        .map(|_| (random_time(rng), generate_event(rng, balancers, caches)))
         .collect();
-    // Each seed has a shutdown, a stall, caches that hang and caches that come back cold,
-    // whatever else.
-    let own = OWN_MOST.min(caches / 2);
-    events.push((draw_time(rng), SoakEvent::Cold(own.div_ceil(2))));
+    // Each seed has at least one shutdown, one stall, caches that hang and caches that restart
+    // cold.
+    let own_listeners = MAX_OWN_LISTENERS.min(caches / 2);
+    events.push((random_time(rng), SoakEvent::Cold(own_listeners.div_ceil(2))));
     events.push((
-        draw_time(rng),
-        SoakEvent::Hangs(own, rng.random_range(300..1_500) * MS),
+        random_time(rng),
+        SoakEvent::Hangs(own_listeners, rng.random_range(300..1_500) * MS),
     ));
-    let held_up = SoakEvent::HoldUp(
+    let stall = SoakEvent::HoldUp(
         rng.random_range(0..balancers),
         rng.random_range(150..1_500) * MS,
     );
-    events.push((draw_time(rng), held_up));
+    events.push((random_time(rng), stall));
     events.push((
-        draw_time(rng),
+        random_time(rng),
         SoakEvent::Restart(rng.random_range(0..balancers)),
     ));
     events.sort_by_key(|(at, _)| *at);
     events
 }
 
-/// The same day for one balancer at any number of caches: the same traffic and the same capacity of
-/// all caches together; a tenth of the caches is replaced twice, and a batch of a quarter comes.
+/// Generates a plan for one balancer whose traffic does not depend on the number of caches. Twice a
+/// tenth of the caches is replaced, then a batch of a quarter of their number is added.
 #[must_use]
-pub fn growth(seed: u64, caches: usize, per_s: f64) -> SoakPlan {
-    let mut plan = draw(seed, true);
+pub fn growth_plan(seed: u64, caches: usize, requests_per_s: f64) -> SoakPlan {
+    let mut plan = generate(seed, true);
     plan.balancers = 1;
     plan.caches = caches;
     plan.list_format = ListFormat::Line;
     plan.client_behavior = ClientBehavior {
-        per_s,
-        leave: 0.0,
+        requests_per_s,
+        disconnect: 0.0,
         pipeline: 0.0,
         slow: 0.0,
-        half: 0.0,
+        incomplete: 0.0,
         ..plan.client_behavior
     };
     plan.client_behavior.timeouts = [600 * MS, 1_000 * MS, 2_500 * MS];
     plan.rules.own_listeners = 0;
-    plan.rules.length = GROWTH_LENGTH;
+    plan.rules.duration = GROWTH_DURATION;
     plan.settings["group_size"] = json!(GROWTH_BALANCERS);
     let tenth = caches / 10;
-    let at = |s: u64| s * 1_000 * MS;
+    let at = |seconds: u64| seconds * 1_000 * MS;
     plan.events = vec![
         (at(3), SoakEvent::Replaced(tenth)),
         (at(6), SoakEvent::Replaced(tenth)),
@@ -265,33 +279,33 @@
     plan
 }
 
-fn event(rng: &mut impl Rng, balancers: usize, caches: usize) -> SoakEvent {
-    let one = rng.random_range(0..balancers);
-    let own = OWN_MOST.min(caches / 2);
-    let some = rng.random_range(1..own.max(2));
+fn generate_event(rng: &mut impl Rng, balancers: usize, caches: usize) -> SoakEvent {
+    let balancer = rng.random_range(0..balancers);
+    let own_listeners = MAX_OWN_LISTENERS.min(caches / 2);
+    let count = rng.random_range(1..own_listeners.max(2));
     let span =
-        |rng: &mut dyn FnMut(std::ops::Range<u64>) -> u64, of: std::ops::Range<u64>| rng(of) * MS;
-    let mut draw = |of: std::ops::Range<u64>| rng.random_range(of);
-    match draw(0..18) {
-        0 | 1 => SoakEvent::Joins(1 + draw(0..(caches as u64 / 3).max(1)) as usize),
-        2 | 3 => SoakEvent::Drains(some, span(&mut draw, 100..2_000)),
-        4 => SoakEvent::Cold(some),
-        5 => SoakEvent::Hangs(some, span(&mut draw, 300..3_000)),
-        6 => SoakEvent::CachesDown(some, span(&mut draw, 300..3_000)),
-        7 => SoakEvent::Spoilt(span(&mut draw, 500..3_000)),
+        |random: &mut dyn FnMut(Range<u64>) -> u64, range_ms: Range<u64>| random(range_ms) * MS;
+    let mut random = |range: Range<u64>| rng.random_range(range);
+    match random(0..18) {
+        0 | 1 => SoakEvent::Joins(1 + random(0..(caches as u64 / 3).max(1)) as usize),
+        2 | 3 => SoakEvent::Drains(count, span(&mut random, 100..2_000)),
+        4 => SoakEvent::Cold(count),
+        5 => SoakEvent::Hangs(count, span(&mut random, 300..3_000)),
+        6 => SoakEvent::CachesDown(count, span(&mut random, 300..3_000)),
+        7 => SoakEvent::Spoilt(span(&mut random, 500..3_000)),
         8 => SoakEvent::Silence,
         9 => SoakEvent::WatchesReset,
-        10 => SoakEvent::DiscoveryDown(span(&mut draw, 300..3_000)),
-        11 => SoakEvent::DiscoveryCrowded(span(&mut draw, 300..3_000)),
-        12 => SoakEvent::Restart(one),
-        13 => SoakEvent::Kill(one),
-        14 => SoakEvent::Reload(one),
-        15 | 16 => SoakEvent::HoldUp(one, span(&mut draw, 50..2_000)),
-        _ => SoakEvent::Share(one, 8 + draw(0..80), span(&mut draw, 500..3_000)),
+        10 => SoakEvent::DiscoveryDown(span(&mut random, 300..3_000)),
+        11 => SoakEvent::DiscoveryCrowded(span(&mut random, 300..3_000)),
+        12 => SoakEvent::Restart(balancer),
+        13 => SoakEvent::Kill(balancer),
+        14 => SoakEvent::Reload(balancer),
+        15 | 16 => SoakEvent::HoldUp(balancer, span(&mut random, 50..2_000)),
+        _ => SoakEvent::Share(balancer, 8 + random(0..80), span(&mut random, 500..3_000)),
     }
 }
 
-fn settings(
+fn generate_settings(
     rng: &mut impl Rng,
     balancers: usize,
     timeouts: &[Nanos; 3],
@@ -300,19 +314,19 @@
     let profiles: Vec<Value> = RequestKind::CLASSES
         .iter()
         .zip(timeouts)
-        .map(|((_, name, repeat), timeouts)| {
-            json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": rules.window,
-                "goal_time_ns": timeouts / 2, "give_up_ns": timeouts, "worth": 1.0 + rng.random::<f64>() * 9.0})
+        .map(|((_, name, repeat), timeout)| {
+            json!({"name": name, "repeat": repeat, "group": "all", "memory_span_ns": rules.deduplication_window,
+                "goal_time_ns": timeout / 2, "give_up_ns": timeout, "worth": 1.0 + rng.random::<f64>() * 9.0})
         })
         .collect();
     json!({
         "areas": ["a"], "machine_types": ["m"], "accounts": [], "over_share_worth": 0.2, "group_size": balancers,
-        "membership_mode": pick(rng, &["subscribe", "automatic"]), "step_ns": pick(rng, &[1, 4, 5]) * MS,
-        "caps": {"max_attempts": pick(rng, &[2, 3, 6]), "second_copies": rng.random::<f64>() < 0.8,
+        "membership_mode": choose(rng, &["subscribe", "automatic"]), "step_ns": choose(rng, &[1, 4, 5]) * MS,
+        "caps": {"max_attempts": choose(rng, &[2, 3, 6]), "second_copies": rng.random::<f64>() < 0.8,
             "may_cancel": rng.random::<f64>() < 0.8, "may_probe": rng.random::<f64>() < 0.5, "retry_after": true,
-            "max_retry_after_ns": 1_200 * MS, "conn_idle_ns": pick(rng, &[3_000, 30_000]) * MS,
-            "connect_timeout_ns": pick(rng, &[150, 500]) * MS, "max_open": 10_000},
-        "obligations": {"grace_to_answer_ns": 16 * MS, "drain_grace_ns": rules.grace, "must_ask_in_ns": 10_000 * MS,
+            "max_retry_after_ns": 1_200 * MS, "conn_idle_ns": choose(rng, &[3_000, 30_000]) * MS,
+            "connect_timeout_ns": choose(rng, &[150, 500]) * MS, "max_open": 10_000},
+        "obligations": {"grace_to_answer_ns": 16 * MS, "drain_grace_ns": rules.drain_grace, "must_ask_in_ns": 10_000 * MS,
             "cold_from": rules.slow_start_fraction, "warm_after_ns": rules.slow_start_duration, "overload_factor": rules.overload_factor,
             "tip_after_ns": rules.overload_window},
         "profiles": profiles,
--- a/crates/testbed/src/soak/records.rs
+++ b/crates/testbed/src/soak/records.rs
@@ -1,234 +1,238 @@
-//! What the simulated services of a soak recorded, in nanoseconds since its beginning.
+//! Records of the simulated services of a soak. Times are in nanoseconds since the start of the
+//! soak.
 //!
-//! Where something can have come earlier than it was read, the record has the earliest time: that
-//! of the look before. What the trial itself delays is allowed for by that, and by nothing else.
+//! If an event may have occurred before the service read it, the record holds the earliest possible
+//! time, which is that of the previous poll. No other allowance is made for delays of the services.
 
 use serde::Serialize;
 
-/// Nanoseconds since the beginning of the soak.
+/// Time in nanoseconds since the start of the soak, or a duration in nanoseconds.
 pub type Nanos = u64;
 
 /// One millisecond.
 pub const MS: Nanos = 1_000_000;
 
-/// What a repeat of a request may do.
+/// Idempotency of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum RequestKind {
-    /// It may be repeated.
+    /// May be repeated at any time.
     Safe,
-    /// It may be repeated within a window.
+    /// Carries a key; may be repeated within the deduplication window.
     Keyed,
-    /// It must not run twice.
+    /// Must not run twice.
     Unsafe,
 }
 
 impl RequestKind {
-    /// All of them, as classes of the settings, by name and `repeat`.
+    /// Class of the settings for each kind: its name and its value of `repeat`.
     pub const CLASSES: [(RequestKind, &'static str, &'static str); 3] = [
         (RequestKind::Safe, "read", "safe"),
         (RequestKind::Keyed, "put", "keyed"),
         (RequestKind::Unsafe, "once", "unsafe"),
     ];
 
-    /// The name of its class.
+    /// Returns the name of the class of this kind.
     #[must_use]
     pub fn class(self) -> &'static str {
         Self::CLASSES[self as usize].1
     }
 }
 
-/// How a request ended for its client.
+/// Outcome of a request at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum RequestEnd {
-    /// A value or receipt that a cache made for it.
+    /// A cache answered with the value or receipt of this request.
     Served,
-    /// `-BUSY`.
+    /// The balancer answered `-BUSY`.
     Refused,
-    /// Any other answer.
+    /// Any other answer, such as an error.
     Failed,
-    /// A value that was made for another request.
+    /// The answer belongs to another request.
     Wrong,
-    /// The balancer ended the connection before, having read all that was written.
+    /// The balancer closed the connection before an answer and had read all data.
     Closed,
-    /// The connection was reset before.
+    /// The connection was reset before an answer.
     Reset,
-    /// The client left before.
+    /// The client disconnected before an answer.
     Left,
-    /// Nothing came until the client gave up waiting, long after its time.
+    /// No answer until the client closed the connection, some seconds after the deadline.
     Never,
 }
 
-/// A request as its client saw it.
+/// A request, as recorded by its client.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Request id, unique in the soak.
     pub id: String,
-    /// Which balancer, and which of its processes.
+    /// Index of the balancer.
     pub balancer: usize,
-    /// See `balancer`.
+    /// Index of the balancer's process, counted from 0 at each start.
     #[serde(rename = "life")]
     pub generation: usize,
-    /// What a repeat may do.
+    /// Idempotency of the request.
     #[serde(rename = "effect")]
     pub kind: RequestKind,
-    /// When its last byte had been written.
+    /// Time at which the last byte was written.
     pub sent: Nanos,
-    /// When the answer before it on its connection had come, if it was sent behind another: until
-    /// then its time stands.
+    /// Time at which the previous request of a pipeline was answered; 0 for the first one. The
+    /// deadline of a pipelined request counts from then.
     #[serde(rename = "behind")]
     pub previous_answered: Nanos,
-    /// Nothing had been answered on its connection before.
+    /// Whether no request had been answered on the connection before.
     #[serde(rename = "fresh")]
     pub first_on_connection: bool,
-    /// How long its client waits.
+    /// Time that the client waits for the answer.
     #[serde(rename = "patience")]
     pub timeout: Nanos,
-    /// When its client had closed, if it left.
+    /// Time at which the client closed the connection, if it did so without an answer.
     pub closed: Option<Nanos>,
-    /// How it ended, and the earliest time at which that came.
+    /// Outcome of the request.
     pub end: RequestEnd,
-    /// See `end`.
+    /// Earliest possible time of the outcome.
     pub ended: Nanos,
 }
 
 impl RequestRecord {
-    /// From when its time counts.
+    /// Returns the time from which the deadline counts.
     #[must_use]
-    pub fn since(&self) -> Nanos {
+    pub fn deadline_start(&self) -> Nanos {
         self.sent.max(self.previous_answered)
     }
 
-    /// When its time is over.
+    /// Returns the time of the deadline.
     #[must_use]
     pub fn deadline(&self) -> Nanos {
-        self.since() + self.timeout
+        self.deadline_start() + self.timeout
     }
 }
 
-/// What a cache made of an attempt.
+/// Outcome of an attempt at a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum AttemptEnd {
-    /// Nothing was answered.
+    /// Not answered.
     Open,
-    /// It was rejected: it never ran.
+    /// Rejected with `-BUSY` and not executed.
     TurnedAway,
-    /// It ran, whatever came back of it.
+    /// Executed, with any or no answer.
     Ran,
 }
 
-/// An attempt as a cache saw it.
+/// An attempt, as recorded by a cache.
 #[derive(Clone, Debug, Serialize)]
 pub struct AttemptRecord {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// Which listener it came to.
+    /// Index of the listener that received it.
     pub listener: usize,
-    /// The earliest time at which its first byte can have come.
+    /// Earliest time at which its first byte may have arrived.
     pub began: Nanos,
-    /// When its last byte had come.
+    /// Time at which its last byte had been read.
     #[serde(rename = "whole")]
     pub received: Nanos,
-    /// The time that it was given, in milliseconds.
+    /// Remaining time that the balancer sent with it, in milliseconds.
     #[serde(rename = "told_ms")]
     pub deadline_ms: u64,
-    /// What was made of it.
+    /// Outcome of the attempt.
     pub end: AttemptEnd,
-    /// When its answer was written, or its connection was found to have ended.
-    pub over: Option<Nanos>,
+    /// Time at which its answer was written or the end of its connection was detected.
+    #[serde(rename = "over")]
+    pub finished: Option<Nanos>,
 }
 
-/// A change of the list, and when discovery had it.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListChange {
-    /// The version that it made.
+    /// Version of the list after the change.
     pub version: u64,
-    /// When.
+    /// Time of the change at discovery.
     pub at: Nanos,
-    /// Which caches, by number.
+    /// Numbers of the changed caches.
     pub caches: Vec<usize>,
-    /// What they are from then on.
+    /// State of these caches from then on.
     pub state: CacheState,
 }
 
-/// What the list says of a cache.
+/// State of a cache in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum CacheState {
-    /// At work; started at this Unix time in milliseconds, or long ago.
+    /// Active.
     Up {
-        /// See there.
+        /// Unix time of the cache's start in milliseconds; 0 for a cache that is warm.
         born_ms: u64,
     },
-    /// It wants nothing new.
+    /// Draining: must receive no new requests.
     Draining,
-    /// It is gone.
+    /// Removed from the list.
     Gone,
 }
 
-/// A version that discovery had written to a balancer.
+/// A version of the endpoint list that discovery wrote to a balancer.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Notification {
-    /// Which balancer.
+    /// Index of the balancer.
     pub balancer: usize,
-    /// Up to which version.
+    /// Version of the list, which includes all earlier changes.
     pub version: u64,
-    /// When.
+    /// Time at which the message had been written.
     pub at: Nanos,
 }
 
-/// A time in which something was so.
+/// A time span, for example of a stall or an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct TimeSpan {
-    /// From then on.
+    /// Start of the span.
     pub from: Nanos,
-    /// Until then.
+    /// End of the span; `Nanos::MAX` while it lasts.
     pub to: Nanos,
 }
 
 impl TimeSpan {
-    /// How much of it lies in another.
+    /// Returns the duration of the overlap with `from` to `to`.
     #[must_use]
-    pub fn within(&self, from: Nanos, to: Nanos) -> Nanos {
+    pub fn overlap(&self, from: Nanos, to: Nanos) -> Nanos {
         self.to.min(to).saturating_sub(self.from.max(from))
     }
 }
 
-/// One process of a balancer.
+/// Life cycle of one process of a balancer.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ProcessRecord {
-    /// When it was started.
+    /// Time of the start.
     pub started: Nanos,
-    /// When it first answered `PING` with a yes.
+    /// Time at which it first answered `PING` with `PONG`.
     pub ready: Option<Nanos>,
-    /// When it was asked to end.
-    pub asked_to_end: Option<Nanos>,
-    /// When it was killed, asked to end before or not.
+    /// Time at which its shutdown was requested (SIGTERM).
+    #[serde(rename = "asked_to_end")]
+    pub shutdown_requested: Option<Nanos>,
+    /// Time at which it was killed, with or without an earlier shutdown request.
     pub killed: Option<Nanos>,
-    /// When it was found to have ended by itself, and whether as it should.
+    /// Time at which it was found to have exited by itself, and whether it exited with success
+    /// after a shutdown request.
     pub ended: Option<(Nanos, bool)>,
 }
 
-/// All that was seen.
+/// Records of all services and processes of a soak.
 #[derive(Debug, Default, Serialize)]
 pub struct Records {
-    /// Requests.
+    /// Requests of all clients.
     #[serde(rename = "asked")]
     pub requests: Vec<RequestRecord>,
-    /// Attempts.
+    /// Attempts at all caches.
     pub attempts: Vec<AttemptRecord>,
-    /// Changes of the list.
+    /// Changes of the endpoint list.
     pub changes: Vec<ListChange>,
-    /// What discovery wrote.
+    /// List versions that discovery wrote to balancers.
     #[serde(rename = "told")]
     pub notifications: Vec<Notification>,
-    /// When discovery could not be reached.
+    /// Spans in which discovery was unreachable.
     #[serde(rename = "down")]
     pub discovery_outages: Vec<TimeSpan>,
-    /// By balancer: when it was stalled.
+    /// Spans in which the trial stalled a process, by balancer.
     #[serde(rename = "stops")]
     pub stalls: Vec<Vec<TimeSpan>>,
-    /// By balancer: its processes.
+    /// Processes, by balancer.
     #[serde(rename = "lives")]
     pub processes: Vec<Vec<ProcessRecord>>,
-    /// What happened, for the reader.
+    /// Injected events, for troubleshooting.
     pub events: Vec<(Nanos, String)>,
 }
--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -1,7 +1,7 @@
-//! Checks what a soak recorded against the rules.
+//! Checks the records of a soak against the rules.
 //!
-//! A balancer that the trial stalled is given as much longer to answer, and no more. Where
-//! a record has an earliest and a latest time, the one counts that speaks for the balancer.
+//! Time limits of a balancer are extended by the time for which the trial stalled it. If a record
+//! allows an earlier and a later time of an event, the time that favors the balancer is used.
 
 use super::plan::CheckedRules;
 use super::records::{
@@ -11,46 +11,50 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// An answer is lost when it comes so long after its time.
+/// Time after its deadline from which an answer counts as lost.
 const ANSWER_SLACK: Nanos = 550 * MS;
-/// An attempt may begin so long after its client has closed.
-const CLOSED_SLACK: Nanos = 100 * MS;
-/// An attempt may be given so much more time than is left.
+/// Maximum time by which an attempt may begin after its client has disconnected.
+const DISCONNECT_SLACK: Nanos = 100 * MS;
+/// Maximum time by which the time sent with an attempt may exceed the remaining time of its
+/// request.
 const TIMEOUT_SLACK: Nanos = 150 * MS;
-/// Windows and the grace of drains allow for a stall of that length between the clock and the
-/// write.
+/// Tolerance of the deduplication window: the balancer may be delayed by this time between reading
+/// its clock and writing an attempt.
 const WINDOW_SLACK: Nanos = 150 * MS;
+/// Tolerance of the drain grace, for the same reason.
 const DRAIN_SLACK: Nanos = 50 * MS;
-/// A change counts as notified after this, if it can be reached.
-const NOTIFIED_AT_LATEST: Nanos = 6_000 * MS;
-/// Requests that come later than this behind the request to end are owed an answer whatever ends
-/// the process.
-const ACCEPT_AFTER_END: Nanos = 700 * MS;
-/// Of a cold cache's requests so many came from notified balancers, if its overload breaks
-/// the rule.
-const INFORMED_PART: f64 = 2.0 / 3.0;
+/// Time after a change, while discovery is reachable, after which a balancer counts as notified
+/// even if discovery recorded no message.
+const MAX_NOTIFICATION_DELAY: Nanos = 6_000 * MS;
+/// Time after a shutdown request up to which a later kill excuses missing answers. Requests sent
+/// after it must be answered even if the process is killed.
+const KILL_EXCUSE_DURATION: Nanos = 700 * MS;
+/// Ratio of the requests at an overloaded cold cache that must come from notified balancers for the
+/// overload to be a violation.
+const MIN_NOTIFIED_RATIO: f64 = 2.0 / 3.0;
 
-/// A rule that was broken.
+/// Violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleViolation {
-    /// Which rule.
+    /// Name of the rule: `lost`, `duplicate`, `drain`, `failback`, `crash` or `ready`.
     pub rule: &'static str,
-    /// When.
+    /// Time of the violation.
     pub at: Nanos,
-    /// What happened.
-    pub what: String,
+    /// Description with the request, balancer or cache concerned.
+    #[serde(rename = "what")]
+    pub detail: String,
 }
 
-/// Checks all rules; the violations in order of time.
+/// Checks all rules and returns the violations in order of time.
 #[must_use]
 pub fn check(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
-    let mut by_id: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
+    let mut attempts_by_id: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &records.attempts {
-        by_id.entry(&attempt.id).or_default().push(attempt);
+        attempts_by_id.entry(&attempt.id).or_default().push(attempt);
     }
     let mut violations = Vec::new();
     for request in &records.requests {
-        let attempts = by_id
+        let attempts = attempts_by_id
             .get(request.id.as_str())
             .map(Vec::as_slice)
             .unwrap_or_default();
@@ -72,6 +76,7 @@
     violations
 }
 
+/// Returns the process to which a request was sent.
 fn process_of<'a>(records: &'a Records, request: &RequestRecord) -> Option<&'a ProcessRecord> {
     records
         .processes
@@ -79,39 +84,41 @@
         .get(request.generation)
 }
 
-/// How long the balancer was stalled in this time.
+/// Returns the total time for which a balancer was stalled between `from` and `to`.
 fn stalled_time(records: &Records, balancer: usize, from: Nanos, to: Nanos) -> Nanos {
     records.stalls.get(balancer).map_or(0, |stalls| {
-        stalls.iter().map(|stall| stall.within(from, to)).sum()
+        stalls.iter().map(|stall| stall.overlap(from, to)).sum()
     })
 }
 
-/// Whether the process was gone before it had to have answered, by no fault of its own.
+/// Returns whether the trial killed the process before the answer limit and the missing answer is
+/// therefore no violation.
 fn is_excused(request: &RequestRecord, process: &ProcessRecord, limit: Nanos) -> bool {
     let Some(killed) = process.killed.filter(|killed| *killed <= limit) else {
         return false;
     };
-    match process.asked_to_end {
-        Some(end) => request.sent <= end + ACCEPT_AFTER_END && killed >= request.sent,
+    match process.shutdown_requested {
+        Some(at) => request.sent <= at + KILL_EXCUSE_DURATION && killed >= request.sent,
         None => true,
     }
 }
 
-/// By when a request has to be answered.
+/// Returns the time by which a request must be answered.
 fn answer_limit(records: &Records, request: &RequestRecord) -> Nanos {
-    let due = request.deadline() + ANSWER_SLACK;
-    let mut limit = due;
-    // A stall moves the limit, and the balancer may be stalled again until then.
+    let limit_without_stalls = request.deadline() + ANSWER_SLACK;
+    let mut limit = limit_without_stalls;
+    // A stall extends the limit, and the balancer may be stalled again within the extension.
     loop {
-        let moved = due + stalled_time(records, request.balancer, request.sent, limit);
-        if moved == limit {
+        let extended =
+            limit_without_stalls + stalled_time(records, request.balancer, request.sent, limit);
+        if extended == limit {
             return limit;
         }
-        limit = moved;
+        limit = extended;
     }
 }
 
-/// Requests that are owed an answer and did not get theirs in time.
+/// Checks that a request got its own answer in time, unless the process was killed.
 fn check_answer(
     records: &Records,
     request: &RequestRecord,
@@ -120,81 +127,86 @@
     let limit = answer_limit(records, request);
     let excused =
         process_of(records, request).is_some_and(|process| is_excused(request, process, limit));
-    let violation = |at, what: &str| {
+    let violation = |at, problem: &str| {
         let RequestRecord {
             id, balancer, sent, ..
         } = request;
-        let what = format!(
-            "{what}: {id} of {:?} at n{balancer}, sent {:.3}",
+        let detail = format!(
+            "{problem}: request {id} ({:?}) at n{balancer}, sent at {:.3} s",
             request.kind,
             *sent as f64 / 1e9
         );
         Some(RuleViolation {
             rule: "lost",
             at,
-            what,
+            detail,
         })
     };
     match request.end {
-        RequestEnd::Wrong => violation(request.ended, "a value that was made for another request"),
-        RequestEnd::Never if !excused => violation(limit, "no answer"),
-        // Between two requests a balancer may end its sending; a request that crosses that is not
-        // read.
+        RequestEnd::Wrong => violation(request.ended, "the answer belongs to another request"),
+        RequestEnd::Never if !excused => violation(limit, "the request was not answered"),
+        // A balancer may shut down the connection for writing between two requests; a request that
+        // arrives then is not read.
         RequestEnd::Closed if !excused && (request.first_on_connection || !attempts.is_empty()) => {
             violation(
                 request.ended,
-                "read, and its connection closed with no answer",
+                "the request was read, but the connection was closed without an answer",
             )
         }
         RequestEnd::Reset if !excused && !attempts.is_empty() => violation(
             request.ended,
-            "forwarded, and its connection reset with no answer",
+            "the request was forwarded, but the connection was reset without an answer",
         ),
         RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed if request.ended > limit => {
             let ms = (request.ended - request.deadline()) / MS;
-            violation(request.ended, &format!("answered {ms} ms after its time"))
+            violation(
+                request.ended,
+                &format!("the answer came {ms} ms after the deadline"),
+            )
         }
         _ => None,
     }
 }
 
-/// An attempt that begins after its client has closed, or is given more time than is left.
+/// Checks that an attempt did not begin after its client disconnected and was not sent with more
+/// than the remaining time of its request.
 fn check_attempt(request: &RequestRecord, attempt: &AttemptRecord) -> Option<RuleViolation> {
     let id = &request.id;
     if let Some(closed) = request
         .closed
-        .filter(|closed| attempt.began > closed + CLOSED_SLACK)
+        .filter(|closed| attempt.began > closed + DISCONNECT_SLACK)
     {
         let ms = (attempt.began - closed) / MS;
-        let what = format!(
-            "attempt of {id} at n{} began {ms} ms after its client had closed",
+        let detail = format!(
+            "an attempt of request {id} at n{} began {ms} ms after the client disconnected",
             request.balancer
         );
         return Some(RuleViolation {
             rule: "lost",
             at: attempt.began,
-            what,
+            detail,
         });
     }
-    let left = request.deadline().saturating_sub(attempt.began);
-    let given = attempt.deadline_ms.saturating_mul(MS);
-    if given <= left + TIMEOUT_SLACK {
+    let remaining = request.deadline().saturating_sub(attempt.began);
+    let sent_time = attempt.deadline_ms.saturating_mul(MS);
+    if sent_time <= remaining + TIMEOUT_SLACK {
         return None;
     }
-    let what = format!(
-        "attempt of {id} at n{} is told {} ms, {} are left",
+    let detail = format!(
+        "an attempt of request {id} at n{} was sent with {} ms, but {} ms remained",
         request.balancer,
         attempt.deadline_ms,
-        left / MS
+        remaining / MS
     );
     Some(RuleViolation {
         rule: "lost",
         at: attempt.began,
-        what,
+        detail,
     })
 }
 
-/// Attempts of a request that must not run twice, or only within the deduplication window.
+/// Checks that a request that must not run twice has at most one attempt that may have run, and
+/// that a keyed request is repeated only within the deduplication window, one attempt at a time.
 fn check_duplicates(
     rules: &CheckedRules,
     request: &RequestRecord,
@@ -203,77 +215,91 @@
     if request.kind == RequestKind::Safe {
         return None;
     }
-    let mut ran: Vec<&&AttemptRecord> = attempts
+    let mut executed: Vec<&&AttemptRecord> = attempts
         .iter()
         .filter(|a| a.end != AttemptEnd::TurnedAway)
         .collect();
-    ran.sort_by_key(|attempt| attempt.began);
-    let violation = |at, what: String| {
+    executed.sort_by_key(|attempt| attempt.began);
+    let violation = |at, detail: String| {
         Some(RuleViolation {
             rule: "duplicate",
             at,
-            what,
+            detail,
         })
     };
-    let (first, rest) = ran.split_first()?;
-    let mut former = first;
-    for attempt in rest {
+    let (first, repeats) = executed.split_first()?;
+    let mut previous = first;
+    for attempt in repeats {
         if request.kind == RequestKind::Unsafe {
-            return violation(attempt.began, format!("{} may have run twice", request.id));
+            return violation(
+                attempt.began,
+                format!("request {} may have run twice", request.id),
+            );
         }
-        if attempt.began > first.received + rules.window + WINDOW_SLACK {
+        if attempt.began > first.received + rules.deduplication_window + WINDOW_SLACK {
             let ms = (attempt.began - first.received) / MS;
             return violation(
                 attempt.began,
-                format!("{} repeated {ms} ms after it may have run", request.id),
+                format!(
+                    "request {} was repeated {ms} ms after it may have run",
+                    request.id
+                ),
             );
         }
-        if former
-            .over
-            .is_none_or(|over| over > attempt.received + TIMEOUT_SLACK)
+        if previous
+            .finished
+            .is_none_or(|finished| finished > attempt.received + TIMEOUT_SLACK)
         {
             return violation(
                 attempt.began,
-                format!("{} sent while another was out", request.id),
+                format!(
+                    "request {} was repeated before its previous attempt had finished",
+                    request.id
+                ),
             );
         }
-        former = attempt;
+        previous = attempt;
     }
     None
 }
 
-/// When a balancer counts as notified of a change.
+/// Returns the time from which a balancer counts as notified of a change: that of the first message
+/// with the change, or [`MAX_NOTIFICATION_DELAY`] after the change while discovery is reachable,
+/// whichever is earlier.
 fn notified_at(records: &Records, balancer: usize, version: u64, changed: Nanos) -> Nanos {
-    let written = records
+    let notifications = records
         .notifications
         .iter()
         .filter(|n| n.balancer == balancer && n.version >= version);
-    let written = written.map(|n| n.at).min().unwrap_or(Nanos::MAX);
-    let had = |at: Nanos| {
-        let down = records
+    let first_notification = notifications.map(|n| n.at).min().unwrap_or(Nanos::MAX);
+    let reachable_from = |at: Nanos| {
+        let outage = records
             .discovery_outages
             .iter()
             .find(|span| span.from <= at && at < span.to);
-        down.map_or(at, |span| span.to)
+        outage.map_or(at, |span| span.to)
     };
-    // Counted anew from each moment from which discovery could be reached.
-    let mut reachable = had(changed);
+    // The delay starts again at the end of each outage.
+    let mut reachable = reachable_from(changed);
     for span in &records.discovery_outages {
-        if span.from > reachable && span.from < reachable.saturating_add(NOTIFIED_AT_LATEST) {
+        if span.from > reachable && span.from < reachable.saturating_add(MAX_NOTIFICATION_DELAY) {
             reachable = span.to;
         }
     }
-    written.min(reachable.saturating_add(NOTIFIED_AT_LATEST))
+    first_notification.min(reachable.saturating_add(MAX_NOTIFICATION_DELAY))
 }
 
-/// The balancer that sent an attempt, by its request's id.
-fn sender(requests: &HashMap<&str, &RequestRecord>, attempt: &AttemptRecord) -> Option<usize> {
+/// Returns the balancer that sent an attempt.
+fn sending_balancer(
+    requests: &HashMap<&str, &RequestRecord>,
+    attempt: &AttemptRecord,
+) -> Option<usize> {
     requests
         .get(attempt.id.as_str())
         .map(|request| request.balancer)
 }
 
-/// Attempts at draining or removed caches after the grace.
+/// Checks that draining and removed caches receive no attempts after the drain grace.
 fn check_drains(
     records: &Records,
     rules: &CheckedRules,
@@ -290,33 +316,34 @@
             .iter()
             .filter(|cache| **cache < rules.own_listeners)
         {
-            // Until it is at work again.
-            let back = records.changes.iter().find(|later| {
+            // The rule applies until the cache is active again.
+            let reactivation = records.changes.iter().find(|later| {
                 later.version > change.version
                     && later.caches.contains(cache)
                     && matches!(later.state, CacheState::Up { .. })
             });
-            let until = back.map_or(Nanos::MAX, |back| back.at);
-            let at_cache = records
+            let until = reactivation.map_or(Nanos::MAX, |later| later.at);
+            let cache_attempts = records
                 .attempts
                 .iter()
                 .filter(|a| a.listener == *cache && a.began < until);
-            for attempt in at_cache.filter(|attempt| attempt.began > change.at) {
-                let Some(balancer) = sender(requests, attempt) else {
+            for attempt in cache_attempts.filter(|attempt| attempt.began > change.at) {
+                let Some(balancer) = sending_balancer(requests, attempt) else {
                     continue;
                 };
                 let notified = notified_at(records, balancer, change.version, change.at);
-                let limit = notified.saturating_add(rules.grace + DRAIN_SLACK);
+                let limit = notified.saturating_add(rules.drain_grace + DRAIN_SLACK);
                 if attempt.began > limit {
                     let ms = (attempt.began - notified) / MS;
-                    let what = format!(
-                        "{} sent by n{balancer} to cache {cache} {ms} ms after it was told that it is {:?}",
+                    let detail = format!(
+                        "n{balancer} sent an attempt of request {} to cache {cache} {ms} ms after \
+                         it was notified that the cache is {:?}",
                         attempt.id, change.state
                     );
                     violations.push(RuleViolation {
                         rule: "drain",
                         at: attempt.began,
-                        what,
+                        detail,
                     });
                 }
             }
@@ -325,8 +352,8 @@
     violations
 }
 
-/// Cold caches that get more, from all balancers together, than the settings allow them at their
-/// age.
+/// Checks that all balancers together send a cold cache at most as many requests as the settings
+/// permit at its age.
 fn check_slow_start(
     records: &Records,
     rules: &CheckedRules,
@@ -343,38 +370,41 @@
             .filter(|cache| **cache < rules.own_listeners)
         {
             let cold = change.at..change.at + rules.slow_start_duration;
-            let came = records
+            let in_slow_start = records
                 .attempts
                 .iter()
                 .filter(|a| a.listener == *cache && cold.contains(&a.began));
-            let mut came: Vec<&AttemptRecord> = came.collect();
-            came.sort_by_key(|attempt| attempt.began);
-            let fall = (0..came.len()).find_map(|last| {
-                let now = came[last].began;
-                let window = came[..=last]
+            let mut received: Vec<&AttemptRecord> = in_slow_start.collect();
+            received.sort_by_key(|attempt| attempt.began);
+            let overload = (0..received.len()).find_map(|last| {
+                let now = received[last].began;
+                let window = received[..=last]
                     .iter()
                     .filter(|a| a.began + rules.overload_window > now);
                 let window: Vec<&AttemptRecord> = window.copied().collect();
                 let age = (now - change.at) as f64 / rules.slow_start_duration as f64;
-                (window.len() as f64 > rules.allowed(age)).then_some((now, window))
+                (window.len() as f64 > rules.max_requests(age)).then_some((now, window))
             });
-            let Some((at, window)) = fall else { continue };
-            let knew = |attempt: &&&AttemptRecord| {
-                let balancer = sender(requests, attempt);
+            let Some((at, window)) = overload else {
+                continue;
+            };
+            let by_notified = |attempt: &&&AttemptRecord| {
+                let balancer = sending_balancer(requests, attempt);
                 balancer.is_some_and(|b| {
                     notified_at(records, b, change.version, change.at) <= attempt.began
                 })
             };
-            let informed = window.iter().filter(knew).count();
-            if informed as f64 > INFORMED_PART * window.len() as f64 {
-                let what = format!(
-                    "cold cache {cache} got {} requests in a window, {informed} of them by who knew",
+            let notified = window.iter().filter(by_notified).count();
+            if notified as f64 > MIN_NOTIFIED_RATIO * window.len() as f64 {
+                let detail = format!(
+                    "cold cache {cache} received {} requests in an overload window, {notified} of \
+                     them from notified balancers",
                     window.len()
                 );
                 violations.push(RuleViolation {
                     rule: "failback",
                     at,
-                    what,
+                    detail,
                 });
             }
         }
@@ -382,7 +412,7 @@
     violations
 }
 
-/// Processes that ended by themselves or became ready too late.
+/// Checks that processes do not exit by themselves and become ready in time.
 fn check_processes(records: &Records, rules: &CheckedRules) -> Vec<RuleViolation> {
     let mut violations = Vec::new();
     for (balancer, processes) in records.processes.iter().enumerate() {
@@ -391,22 +421,24 @@
                 violations.push(RuleViolation {
                     rule: "crash",
                     at,
-                    what: format!("n{balancer} ended by itself"),
+                    detail: format!(
+                        "n{balancer} exited without a shutdown request or with an error"
+                    ),
                 });
             }
-            let over = process
+            let end = process
                 .killed
                 .or(process.ended.map(|(at, _)| at))
-                .or(process.asked_to_end)
-                .unwrap_or(rules.length);
-            let ready = process.ready.unwrap_or(over);
-            let late = process.started + rules.ready_within;
-            if ready > late + stalled_time(records, balancer, process.started, ready) {
+                .or(process.shutdown_requested)
+                .unwrap_or(rules.duration);
+            let ready = process.ready.unwrap_or(end);
+            let limit = process.started + rules.ready_timeout;
+            if ready > limit + stalled_time(records, balancer, process.started, ready) {
                 let ms = (ready - process.started) / MS;
                 violations.push(RuleViolation {
                     rule: "ready",
                     at: ready,
-                    what: format!("n{balancer} not ready after {ms} ms"),
+                    detail: format!("n{balancer} was not ready within {ms} ms"),
                 });
             }
         }
@@ -414,14 +446,14 @@
     violations
 }
 
-/// How many requests ended how, for the figures.
+/// Returns the number of requests by [`RequestEnd`].
 #[must_use]
-pub fn ends(requests: &[RequestRecord]) -> BTreeMap<String, usize> {
-    let mut ends = BTreeMap::new();
+pub fn count_by_end(requests: &[RequestRecord]) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
     for request in requests {
-        *ends.entry(format!("{:?}", request.end)).or_insert(0) += 1;
+        *counts.entry(format!("{:?}", request.end)).or_insert(0) += 1;
     }
-    ends
+    counts
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/soak/rule_checker/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/tests.rs
@@ -1,85 +1,81 @@
-//! Records that break each rule, and the same a little earlier, which do not.
+//! Tests of `rule_checker`: records at the limit of each rule, which pass, and records just beyond
+//! it, which violate the rule.
 
 use super::*;
-use crate::soak::plan::draw;
+use crate::soak::plan::generate;
 use crate::soak::records::{ListChange, Notification, TimeSpan};
 
-const S: Nanos = 1_000 * MS;
+const SECOND: Nanos = 1_000 * MS;
 
 fn rules() -> CheckedRules {
-    let drawn = draw(1, true).rules;
-    let (grace, window, own_listeners) = (500 * MS, 600 * MS, 5);
-    let (cold_from, overload_factor, capacity) = (0.1, 2.0, 10.0);
-    let (tip_after, warm_after) = (S, 10 * S);
     CheckedRules {
-        grace,
-        window,
-        own_listeners,
-        slow_start_fraction: cold_from,
-        overload_factor,
-        capacity,
-        overload_window: tip_after,
-        slow_start_duration: warm_after,
-        ..drawn
+        drain_grace: 500 * MS,
+        deduplication_window: 600 * MS,
+        own_listeners: 5,
+        slow_start_fraction: 0.1,
+        overload_factor: 2.0,
+        capacity: 10.0,
+        overload_window: SECOND,
+        slow_start_duration: 10 * SECOND,
+        ..generate(1, true).rules
     }
 }
 
-fn asked(effect: RequestKind) -> RequestRecord {
+fn request(kind: RequestKind) -> RequestRecord {
     RequestRecord {
         id: "b0r0".into(),
         balancer: 0,
         generation: 0,
-        kind: effect,
-        sent: 2 * S,
+        kind,
+        sent: 2 * SECOND,
         previous_answered: 0,
         first_on_connection: true,
         timeout: 400 * MS,
         closed: None,
         end: RequestEnd::Served,
-        ended: 2 * S + 10 * MS,
+        ended: 2 * SECOND + 10 * MS,
     }
 }
 
 fn attempt(began: Nanos) -> AttemptRecord {
-    let (id, over) = ("b0r0".into(), Some(began + 10 * MS));
     AttemptRecord {
-        id,
+        id: "b0r0".into(),
         listener: 0,
         began,
         received: began,
         deadline_ms: 0,
         end: AttemptEnd::Ran,
-        over,
+        finished: Some(began + 10 * MS),
     }
 }
 
-/// A request whose connection was reset.
+/// Returns a request whose connection was reset.
 fn reset_request() -> RequestRecord {
     RequestRecord {
         end: RequestEnd::Reset,
-        ..asked(RequestKind::Safe)
+        ..request(RequestKind::Safe)
     }
 }
 
-/// What the checker finds in one request and its attempts.
-fn found(
-    asked: RequestRecord,
+/// Returns the rules that one request and its attempts violate, after `edit` changed the records.
+fn violated_rules(
+    request: RequestRecord,
     attempts: Vec<AttemptRecord>,
-    with: impl FnOnce(&mut Records),
+    edit: impl FnOnce(&mut Records),
 ) -> Vec<&'static str> {
-    let life = ProcessRecord {
+    let process = ProcessRecord {
         ready: Some(1),
         ..ProcessRecord::default()
     };
-    let processes = vec![vec![life]];
+    let processes = vec![vec![process]];
     let mut records = Records {
-        requests: vec![asked],
+        requests: vec![request],
         attempts,
         processes,
         stalls: vec![Vec::new()],
         ..Records::default()
     };
-    with(&mut records);
+    edit(&mut records);
     check(&records, &rules())
         .into_iter()
         .map(|violation| violation.rule)
@@ -87,40 +83,49 @@
 }
 
 #[test]
-fn a_request_needs_its_answer_in_time_unless_its_balancer_was_stalled() {
-    let late = |ms: u64| RequestRecord {
-        ended: 2 * S + (400 + ms) * MS,
-        ..asked(RequestKind::Safe)
+fn a_request_must_be_answered_by_its_limit_which_stalls_extend() {
+    let answered_after = |ms: u64| RequestRecord {
+        ended: 2 * SECOND + (400 + ms) * MS,
+        ..request(RequestKind::Safe)
     };
-    assert!(found(late(550), vec![], |_| {}).is_empty());
-    assert_eq!(found(late(551), vec![], |_| {}), ["lost"]);
+    assert!(violated_rules(answered_after(550), vec![], |_| {}).is_empty());
+    assert_eq!(
+        violated_rules(answered_after(551), vec![], |_| {}),
+        ["lost"]
+    );
     let stalled = |records: &mut Records| {
         records.stalls[0].push(TimeSpan {
-            from: 2 * S,
-            to: 2 * S + 300 * MS,
+            from: 2 * SECOND,
+            to: 2 * SECOND + 300 * MS,
         });
     };
-    assert!(found(late(850), vec![], stalled).is_empty());
-    assert_eq!(found(late(851), vec![], stalled), ["lost"]);
-    let stalled_on = |records: &mut Records| {
+    assert!(violated_rules(answered_after(850), vec![], stalled).is_empty());
+    assert_eq!(
+        violated_rules(answered_after(851), vec![], stalled),
+        ["lost"]
+    );
+    let stalled_repeatedly = |records: &mut Records| {
         let spans = [(2_000, 2_900), (2_900, 4_000), (4_000, 5_000)];
         records.stalls[0].extend(spans.map(|(from, to)| TimeSpan {
             from: from * MS,
             to: to * MS,
         }));
     };
-    assert!(found(late(3_550), vec![], stalled_on).is_empty());
-    assert_eq!(found(late(3_551), vec![], stalled_on), ["lost"]);
+    assert!(violated_rules(answered_after(3_550), vec![], stalled_repeatedly).is_empty());
+    assert_eq!(
+        violated_rules(answered_after(3_551), vec![], stalled_repeatedly),
+        ["lost"]
+    );
 }
 
 #[test]
-fn a_connection_that_ends_without_an_answer_loses_a_request_that_was_read() {
+fn a_request_is_lost_if_it_was_read_and_its_connection_ended_without_an_answer() {
     for end in [RequestEnd::Never, RequestEnd::Closed, RequestEnd::Wrong] {
         assert_eq!(
-            found(
+            violated_rules(
                 RequestRecord {
                     end,
-                    ..asked(RequestKind::Safe)
+                    ..request(RequestKind::Safe)
                 },
                 vec![],
                 |_| {}
@@ -129,164 +134,186 @@
             "{end:?}"
         );
     }
-    let crossed = || RequestRecord {
+    let on_reused_connection = || RequestRecord {
         end: RequestEnd::Closed,
         first_on_connection: false,
-        ..asked(RequestKind::Safe)
+        ..request(RequestKind::Safe)
     };
     assert!(
-        found(crossed(), vec![], |_| {}).is_empty(),
-        "the balancer ended its sending between two requests"
+        violated_rules(on_reused_connection(), vec![], |_| {}).is_empty(),
+        "the balancer may close a connection between two requests"
+    );
+    assert_eq!(
+        violated_rules(on_reused_connection(), vec![attempt(2 * SECOND)], |_| {}),
+        ["lost"]
     );
-    assert_eq!(found(crossed(), vec![attempt(2 * S)], |_| {}), ["lost"]);
     assert!(
-        found(reset_request(), vec![], |_| {}).is_empty(),
-        "it was not read"
+        violated_rules(reset_request(), vec![], |_| {}).is_empty(),
+        "a request without an attempt may not have been read"
     );
     assert_eq!(
-        found(reset_request(), vec![attempt(2 * S)], |_| {}),
+        violated_rules(reset_request(), vec![attempt(2 * SECOND)], |_| {}),
         ["lost"],
-        "it was forwarded"
+        "a request with an attempt was read"
     );
 }
 
 #[test]
-fn a_killed_balancer_owes_no_answer_unless_it_was_asked_to_end_before() {
-    let killed = |asked_to_end: Option<Nanos>| {
+fn a_kill_excuses_a_missing_answer_unless_shutdown_was_requested_long_before() {
+    let killed = |shutdown_requested: Option<Nanos>| {
         move |records: &mut Records| {
             records.processes[0][0] = ProcessRecord {
                 ready: Some(1),
-                asked_to_end,
-                killed: Some(2 * S),
+                shutdown_requested,
+                killed: Some(2 * SECOND),
                 ..ProcessRecord::default()
             };
         }
     };
-    assert!(found(reset_request(), vec![attempt(2 * S)], killed(None)).is_empty());
+    assert!(violated_rules(reset_request(), vec![attempt(2 * SECOND)], killed(None)).is_empty());
     assert_eq!(
-        found(reset_request(), vec![attempt(2 * S)], killed(Some(S))),
+        violated_rules(
+            reset_request(),
+            vec![attempt(2 * SECOND)],
+            killed(Some(SECOND))
+        ),
         ["lost"],
-        "it came 1 s behind the request to end"
+        "the request was sent 1 s after the shutdown request"
     );
 }
 
 #[test]
 fn no_attempt_begins_after_disconnect_or_with_more_than_the_remaining_time() {
-    let left = || RequestRecord {
-        closed: Some(2 * S),
+    let disconnected = || RequestRecord {
+        closed: Some(2 * SECOND),
         end: RequestEnd::Left,
-        ..asked(RequestKind::Safe)
+        ..request(RequestKind::Safe)
     };
-    assert!(found(left(), vec![attempt(2 * S + 100 * MS)], |_| {}).is_empty());
+    assert!(
+        violated_rules(disconnected(), vec![attempt(2 * SECOND + 100 * MS)], |_| {}).is_empty()
+    );
     assert_eq!(
-        found(left(), vec![attempt(2 * S + 101 * MS)], |_| {}),
+        violated_rules(disconnected(), vec![attempt(2 * SECOND + 101 * MS)], |_| {}),
         ["lost"]
     );
-    let notified = |deadline_ms| AttemptRecord {
+    let attempt_with_deadline = |deadline_ms| AttemptRecord {
         deadline_ms,
-        ..attempt(2 * S + 300 * MS)
+        ..attempt(2 * SECOND + 300 * MS)
     };
-    assert!(found(asked(RequestKind::Safe), vec![notified(250)], |_| {}).is_empty());
+    assert!(
+        violated_rules(
+            request(RequestKind::Safe),
+            vec![attempt_with_deadline(250)],
+            |_| {}
+        )
+        .is_empty()
+    );
     assert_eq!(
-        found(asked(RequestKind::Safe), vec![notified(251)], |_| {}),
+        violated_rules(
+            request(RequestKind::Safe),
+            vec![attempt_with_deadline(251)],
+            |_| {}
+        ),
         ["lost"]
     );
 }
 
 #[test]
 fn attempts_that_may_have_run_are_repeated_only_as_their_class_permits() {
-    let twice = |effect, after: Nanos| {
-        found(
-            asked(effect),
-            vec![attempt(2 * S), attempt(2 * S + after)],
+    let twice = |kind, after: Nanos| {
+        violated_rules(
+            request(kind),
+            vec![attempt(2 * SECOND), attempt(2 * SECOND + after)],
             |_| {},
         )
     };
-    assert!(twice(RequestKind::Safe, 5 * S).is_empty());
+    assert!(twice(RequestKind::Safe, 5 * SECOND).is_empty());
     assert!(twice(RequestKind::Keyed, 750 * MS).is_empty());
     assert_eq!(twice(RequestKind::Keyed, 751 * MS), ["duplicate"]);
     assert_eq!(twice(RequestKind::Unsafe, 20 * MS), ["duplicate"]);
     let turned_away = AttemptRecord {
         end: AttemptEnd::TurnedAway,
-        ..attempt(2 * S)
+        ..attempt(2 * SECOND)
     };
-    let second = attempt(2 * S + 20 * MS);
+    let second = attempt(2 * SECOND + 20 * MS);
     assert!(
-        found(
-            asked(RequestKind::Unsafe),
+        violated_rules(
+            request(RequestKind::Unsafe),
             vec![turned_away, second.clone()],
             |_| {}
         )
         .is_empty()
     );
     let open = AttemptRecord {
-        over: None,
-        ..attempt(2 * S)
+        finished: None,
+        ..attempt(2 * SECOND)
     };
     assert_eq!(
-        found(asked(RequestKind::Keyed), vec![open, second], |_| {}),
+        violated_rules(request(RequestKind::Keyed), vec![open, second], |_| {}),
         ["duplicate"],
-        "two are out"
+        "the second attempt began before the first had finished"
     );
 }
 
 #[test]
 fn a_draining_cache_gets_nothing_new_after_notification_and_grace() {
-    let drain = |written: Option<Nanos>, down: Option<TimeSpan>| {
+    let drain = |notified_at: Option<Nanos>, outage: Option<TimeSpan>| {
         move |records: &mut Records| {
-            let (version, at, caches) = (7, S, vec![0]);
+            let (version, at, caches) = (7, SECOND, vec![0]);
             records.changes.push(ListChange {
                 version,
                 at,
                 caches,
                 state: CacheState::Draining,
             });
-            records.notifications.extend(written.map(|at| Notification {
-                balancer: 0,
-                version,
-                at,
-            }));
-            records.discovery_outages.extend(down);
+            records
+                .notifications
+                .extend(notified_at.map(|at| Notification {
+                    balancer: 0,
+                    version,
+                    at,
+                }));
+            records.discovery_outages.extend(outage);
         }
     };
-    let late = |began, with: Box<dyn FnOnce(&mut Records)>| {
-        let asked = RequestRecord {
+    let attempt_at = |began, edit: Box<dyn FnOnce(&mut Records)>| {
+        let request = RequestRecord {
             sent: began,
             ended: began,
-            ..asked(RequestKind::Safe)
+            ..request(RequestKind::Safe)
         };
-        found(asked, vec![attempt(began)], with)
+        violated_rules(request, vec![attempt(began)], edit)
     };
-    let notified = Some(2 * S);
-    assert!(late(2 * S + 550 * MS, Box::new(drain(notified, None))).is_empty());
+    let notified = Some(2 * SECOND);
+    assert!(attempt_at(2 * SECOND + 550 * MS, Box::new(drain(notified, None))).is_empty());
     assert_eq!(
-        late(2 * S + 551 * MS, Box::new(drain(notified, None))),
+        attempt_at(2 * SECOND + 551 * MS, Box::new(drain(notified, None))),
         ["drain"]
     );
-    assert!(late(7 * S + 550 * MS, Box::new(drain(None, None))).is_empty());
+    assert!(attempt_at(7 * SECOND + 550 * MS, Box::new(drain(None, None))).is_empty());
     assert_eq!(
-        late(7 * S + 551 * MS, Box::new(drain(None, None))),
+        attempt_at(7 * SECOND + 551 * MS, Box::new(drain(None, None))),
         ["drain"],
-        "told at the latest 6 s later"
+        "the balancer counts as notified 6 s after the change"
     );
-    let down = Some(TimeSpan {
-        from: S / 2,
-        to: 3 * S,
+    let outage = Some(TimeSpan {
+        from: SECOND / 2,
+        to: 3 * SECOND,
     });
-    assert!(late(9 * S + 550 * MS, Box::new(drain(None, down))).is_empty());
+    assert!(attempt_at(9 * SECOND + 550 * MS, Box::new(drain(None, outage))).is_empty());
     assert_eq!(
-        late(9 * S + 551 * MS, Box::new(drain(None, down))),
+        attempt_at(9 * SECOND + 551 * MS, Box::new(drain(None, outage))),
         ["drain"],
-        "6 s after it could be reached"
+        "the balancer counts as notified 6 s after the outage"
     );
 }
 
 #[test]
 fn a_cold_cache_gets_no_more_than_slow_start_allows_over_all_balancers() {
     let rules = rules();
-    let most = rules.allowed(0.0) as usize;
+    let max_requests = rules.max_requests(0.0) as usize;
     let cold = |records: &mut Records| {
-        let (version, at, caches) = (7, 2 * S, vec![0]);
+        let (version, at, caches) = (7, 2 * SECOND, vec![0]);
         records.changes.push(ListChange {
             version,
             at,
@@ -299,32 +326,33 @@
             at,
         });
     };
-    let burst = |count| (0..count).map(|_| attempt(2 * S + MS)).collect();
-    assert!(found(asked(RequestKind::Safe), burst(most), cold).is_empty());
+    let burst = |count| (0..count).map(|_| attempt(2 * SECOND + MS)).collect();
+    assert!(violated_rules(request(RequestKind::Safe), burst(max_requests), cold).is_empty());
     assert_eq!(
-        found(asked(RequestKind::Safe), burst(most + 2), cold),
+        violated_rules(request(RequestKind::Safe), burst(max_requests + 2), cold),
         ["failback"]
     );
 }
 
 #[test]
-fn a_process_must_not_exit_by_itself_and_has_to_be_ready_in_time() {
-    let life = |life: ProcessRecord| move |records: &mut Records| records.processes[0][0] = life;
+fn a_process_must_not_exit_by_itself_and_must_become_ready_in_time() {
+    let with_process =
+        |process: ProcessRecord| move |records: &mut Records| records.processes[0][0] = process;
     let crashed = ProcessRecord {
         ready: Some(1),
-        ended: Some((S, false)),
+        ended: Some((SECOND, false)),
         ..ProcessRecord::default()
     };
     assert_eq!(
-        found(asked(RequestKind::Safe), vec![], life(crashed)),
+        violated_rules(request(RequestKind::Safe), vec![], with_process(crashed)),
         ["crash"]
     );
-    let late = ProcessRecord {
-        ready: Some(7 * S),
+    let late_ready = ProcessRecord {
+        ready: Some(7 * SECOND),
         ..ProcessRecord::default()
     };
     assert_eq!(
-        found(asked(RequestKind::Safe), vec![], life(late)),
+        violated_rules(request(RequestKind::Safe), vec![], with_process(late_ready)),
         ["ready"]
     );
 }
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One soak trial from its layout to its records.
+//! One soak trial, from the start of its services to the check of its records.
 
 use super::SoakOutcome;
 use super::balancers::{Balancer, BalancerSpec, ClientAccess, ProcessUsage, StatusBoard};
@@ -18,19 +18,21 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long processes may take to become ready before the timeline begins.
+/// Maximum time until all processes are ready at the start.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Where clients connect and discovery is found, at each balancer's address.
-const CLIENTS_PORT: u16 = 6_379;
+/// Port on which each balancer listens for clients.
+const CLIENT_PORT: u16 = 6_379;
+/// Ports on which discovery listens at the address of each balancer.
 const DISCOVERY_PORTS: [u16; 2] = [8_500, 8_501];
-/// How often the timeline and the processes are checked.
+/// Interval between checks of the timeline and the processes.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
-/// How often descriptors are counted.
+/// Interval between counts of open descriptors.
 const DESCRIPTOR_SAMPLE_INTERVAL: Nanos = 100 * MS;
 
-/// A balancer that a thread may keep stalled.
+/// A balancer, shared with threads that stall it.
 pub(super) type SharedBalancer = Arc<Mutex<Balancer>>;
 
+/// State of a soak trial.
 pub(super) struct SoakRun {
     pub(super) plan: SoakPlan,
     pub(super) clock: Clock,
@@ -38,34 +40,37 @@
     pub(super) discovery: DiscoveryService,
     pub(super) status: StatusBoard,
     pub(super) balancers: Vec<SharedBalancer>,
-    /// Two addresses of discovery for each balancer, and which of them its configuration names.
+    /// The two discovery addresses of each balancer.
     pub(super) discovery_addresses: Vec<[SocketAddr; 2]>,
+    /// Index of the discovery address in the configuration of each balancer.
     pub(super) discovery_in_use: Vec<usize>,
     _services: Vec<TcpService>,
     _network: LoopbackNetwork,
+    /// Number of the next new cache.
     pub(super) next_cache: usize,
+    /// Number of the oldest cache that was not replaced yet.
     pub(super) oldest_cache: usize,
-    /// What follows from earlier events, and when.
+    /// Follow-up actions of earlier events, with the times at which they are due.
     pub(super) deferred: Vec<(Nanos, DeferredEvent)>,
     pub(super) threads: Vec<std::thread::JoinHandle<()>>,
     pub(super) events: Vec<(Nanos, String)>,
-    /// By balancer: the most descriptors that were seen.
+    /// Maximum number of open descriptors seen, by balancer.
     pub(super) descriptors: Vec<usize>,
 }
 
-/// Locks a balancer; a thread that stalls it holds the lock for as long.
+/// Locks a balancer. A thread that stalls the balancer holds the lock for the whole stall.
 pub(super) fn lock(balancer: &SharedBalancer) -> MutexGuard<'_, Balancer> {
     balancer.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn start_discovery(plan: &SoakPlan, caches: &Caches, clock: Clock) -> DiscoveryService {
-    let own = plan.rules.own_listeners;
+    let own_listeners = plan.rules.own_listeners;
     let addresses = caches.addresses.clone();
     let cache_address = move |cache: usize| {
-        addresses[if cache < own {
+        addresses[if cache < own_listeners {
             cache
         } else {
-            own + cache % SHARED_LISTENERS
+            own_listeners + cache % SHARED_LISTENERS
         }]
     };
     let discovery = DiscoveryService::new(clock, cache_address);
@@ -88,8 +93,8 @@
 }
 
 impl SoakRun {
-    /// Sets up everything but the processes.
-    pub(super) fn lay_out(
+    /// Starts the simulated services and prepares the balancers without starting their processes.
+    pub(super) fn set_up(
         plan: SoakPlan,
         program: &Path,
         folder: &Path,
@@ -114,7 +119,7 @@
                     service.map_err(|e| TestbedError::io(format!("discovery at {address}"), e))?,
                 );
             }
-            let listen = network.member(number, CLIENTS_PORT);
+            let listen = network.member(number, CLIENT_PORT);
             let balancer = Balancer::new(BalancerSpec {
                 number,
                 listen,
@@ -147,25 +152,25 @@
         })
     }
 
-    /// Where clients connect, by balancer.
+    /// Returns the listen addresses for clients, by balancer.
     pub(super) fn client_addresses(&self) -> Vec<SocketAddr> {
         self.balancers.iter().map(|b| lock(b).listen()).collect()
     }
 
     /// Starts all balancers and waits until they are ready.
     pub(super) fn start(&mut self) -> Result<(), TestbedError> {
-        let known = self.discovery.known();
+        let known = self.discovery.full_list();
         for balancer in &self.balancers {
             lock(balancer).start(known.clone())?;
         }
-        let asked = Instant::now();
+        let begin = Instant::now();
         while self
             .status
             .lock()
             .iter()
-            .any(|me| me.access == ClientAccess::Shut)
+            .any(|status| status.access == ClientAccess::Unavailable)
         {
-            if asked.elapsed() > READY_TIMEOUT {
+            if begin.elapsed() > READY_TIMEOUT {
                 return Err(TestbedError::NotReady);
             }
             self.poll_balancers();
@@ -174,7 +179,7 @@
         Ok(())
     }
 
-    /// Updates the status of all processes that no thread has stalled.
+    /// Updates the status of all processes that are not stalled by a thread.
     fn poll_balancers(&self) {
         for balancer in self
             .balancers
@@ -188,14 +193,14 @@
         }
     }
 
-    /// Injects the plan's events at their times, then ends all faults.
-    pub(super) fn play_events(&mut self) {
-        let begun = self.clock.now();
-        let mut sample = begun;
+    /// Injects the events of the plan at their times, then ends all faults.
+    pub(super) fn run_events(&mut self) {
+        let begin = self.clock.now();
+        let mut next_sample = begin;
         let mut events = self.plan.events.clone().into_iter().peekable();
-        while self.clock.now() < begun + self.plan.rules.length {
+        while self.clock.now() < begin + self.plan.rules.duration {
             let now = self.clock.now();
-            while let Some((_, event)) = events.next_if(|(at, _)| begun + at <= now) {
+            while let Some((_, event)) = events.next_if(|(at, _)| begin + at <= now) {
                 self.events.push((now, format!("{event:?}")));
                 self.inject(&event);
             }
@@ -203,45 +208,46 @@
                 self.deferred.drain(..).partition(|(at, _)| *at <= now);
             self.deferred = later;
             due.into_iter()
-                .for_each(|(_, what)| self.run_deferred(what));
+                .for_each(|(_, event)| self.run_deferred(event));
             self.poll_balancers();
-            if now >= sample {
-                sample = now + DESCRIPTOR_SAMPLE_INTERVAL;
+            if now >= next_sample {
+                next_sample = now + DESCRIPTOR_SAMPLE_INTERVAL;
                 self.count_descriptors();
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        // Everything is well again, so that what is open can be answered.
+        // Ends all faults, so that open requests can be answered.
         *self.caches.faults.lock() = CacheFaults::default();
         self.discovery.set_fault(DiscoveryFault::None);
         self.threads.drain(..).for_each(|thread| _ = thread.join());
-        let later = std::mem::take(&mut self.deferred);
-        for (at, what) in later {
-            if matches!(what, DeferredEvent::Kill(_)) {
+        // A shutdown that was requested must still end in a kill at its time.
+        let remaining = std::mem::take(&mut self.deferred);
+        for (at, event) in remaining {
+            if matches!(event, DeferredEvent::Kill(_)) {
                 let now = self.clock.now();
                 std::thread::sleep(Duration::from_nanos(at.saturating_sub(now)));
-                self.run_deferred(what);
+                self.run_deferred(event);
             }
         }
     }
 
     fn count_descriptors(&mut self) {
-        for (balancer, most) in self.balancers.iter().zip(&mut self.descriptors) {
+        for (balancer, max) in self.balancers.iter().zip(&mut self.descriptors) {
             let usage = balancer
                 .try_lock()
                 .ok()
                 .and_then(|balancer| balancer.usage());
-            *most = usage.map_or(*most, |usage| usage.descriptors.max(*most));
+            *max = usage.map_or(*max, |usage| usage.descriptors.max(*max));
         }
     }
 
     /// Collects all records and checks them.
     pub(super) fn finish(self, requests: Vec<RequestRecord>) -> SoakOutcome {
         self.poll_balancers();
-        let with_most = |(balancer, most): (&SharedBalancer, &usize)| {
+        let usage_with_max = |(balancer, max_descriptors): (&SharedBalancer, &usize)| {
             let usage = lock(balancer).usage().unwrap_or_default();
             ProcessUsage {
-                descriptors: *most,
+                descriptors: *max_descriptors,
                 ..usage
             }
         };
@@ -249,7 +255,7 @@
             .balancers
             .iter()
             .zip(&self.descriptors)
-            .map(with_most)
+            .map(usage_with_max)
             .collect();
         let counters = self
             .balancers
@@ -258,11 +264,11 @@
             .collect();
         let change_bytes = self.discovery.change_bytes();
         let attempts = self.caches.stop();
-        let (changes, notifications, down) = self.discovery.log();
-        let public = self.status.lock().clone();
-        let (stalls, processes) = public
+        let (changes, notifications, discovery_outages) = self.discovery.log();
+        let statuses = self.status.lock().clone();
+        let (stalls, processes) = statuses
             .into_iter()
-            .map(|me| (me.stalls, me.processes))
+            .map(|status| (status.stalls, status.processes))
             .unzip();
         let events = self.events;
         let records = Records {
@@ -270,13 +276,13 @@
             attempts,
             changes,
             notifications,
-            discovery_outages: down,
+            discovery_outages,
             stalls,
             processes,
             events,
         };
         let violations = rule_checker::check(&records, &self.plan.rules);
-        let ends = rule_checker::ends(&records.requests);
+        let ends = rule_checker::count_by_end(&records.requests);
         let attempts = records.attempts.len();
         SoakOutcome {
             violations,
