--- a/crates/testbed/src/commands/mutations.rs
+++ b/crates/testbed/src/commands/mutations.rs
@@ -21,7 +21,7 @@
         let found = if result.found { "found" } else { "NOT FOUND" };
         println!(
             "| `{}` | `{}` | {found} | {} |",
-            result.fault, result.trial, result.with
+            result.fault, result.trial, result.verdict_with_fault
         );
     }
     let found = results.iter().filter(|result| result.found).count();
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -388,16 +388,16 @@
 
     /// Sends the number of running members by region, which the views are compared with.
     fn send_expected_state(&mut self) -> Result<(), HollowError> {
-        let mut living: BTreeMap<usize, usize> = BTreeMap::new();
+        let mut running: BTreeMap<usize, usize> = BTreeMap::new();
         for (placement, _) in self
             .placements
             .iter()
             .zip(&self.alive)
             .filter(|(_, alive)| **alive)
         {
-            *living.entry(placement.region).or_default() += 1;
+            *running.entry(placement.region).or_default() += 1;
         }
-        self.processes.expect(living)
+        self.processes.expect(running)
     }
 
     /// Waits until all views are correct and returns the time that it took; `None` on a timeout.
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -51,7 +51,7 @@
     /// Region that is cut off from the others.
     cut: Option<usize>,
     /// Number of running members by region, as expected by the parent.
-    living: BTreeMap<usize, usize>,
+    running: BTreeMap<usize, usize>,
     report: MemberReport,
     /// CPU time spent on creating reports, in nanoseconds.
     report_cpu_ns: u64,
@@ -109,7 +109,7 @@
         due: BinaryHeap::new(),
         killed: vec![true; placements.len()],
         cut: None,
-        living: BTreeMap::new(),
+        running: BTreeMap::new(),
         report: MemberReport::default(),
         report_cpu_ns: 0,
         second: 0,
@@ -180,8 +180,8 @@
                 }
             }
             MemberCommand::Cut(region) => self.cut = region,
-            MemberCommand::Expect { epoch, living } => {
-                (self.report.epoch, self.living) = (epoch, living);
+            MemberCommand::Expect { epoch, running } => {
+                (self.report.epoch, self.running) = (epoch, running);
                 self.report.converged = false;
             }
         }
@@ -328,7 +328,7 @@
     /// Returns whether the view of a member equals the expected state.
     fn is_view_correct(&self, hollow: &HollowMember) -> bool {
         let region = self.placements[hollow.index].region;
-        let expected = |region: usize| self.living.get(&region).copied().unwrap_or(0);
+        let expected = |region: usize| self.running.get(&region).copied().unwrap_or(0);
         let (mut present, mut serving) = (0, 0);
         for seen in hollow.member.members() {
             present += usize::from(seen.status.is_present());
@@ -345,9 +345,9 @@
             .other_regions()
             .map(|(row, silent_since)| (row.region.as_str(), (row.alive, silent_since.is_none())))
             .collect();
-        let others = self.living.iter().filter(|(other, _)| **other != region);
+        let others = self.running.iter().filter(|(other, _)| **other != region);
         let mut expected_rows =
-            others.map(|(other, living)| (region_name(*other), (*living as u32, true)));
+            others.map(|(other, running)| (region_name(*other), (*running as u32, true)));
         expected_rows.all(|(name, expected)| rows.get(name.as_str()) == Some(&expected))
     }
 
--- a/crates/testbed/src/hollow/messages.rs
+++ b/crates/testbed/src/hollow/messages.rs
@@ -17,7 +17,8 @@
         /// Number of the expected state, counted up; reports name the state they refer to.
         epoch: u64,
         /// Number of running members, by region.
-        living: BTreeMap<usize, usize>,
+        #[serde(rename = "living")]
+        running: BTreeMap<usize, usize>,
     },
 }
 
--- a/crates/testbed/src/hollow/processes.rs
+++ b/crates/testbed/src/hollow/processes.rs
@@ -89,11 +89,11 @@
     }
 
     /// Sends the expected state of the fleet: the number of running members by region.
-    pub(super) fn expect(&mut self, living: BTreeMap<usize, usize>) -> Result<(), HollowError> {
+    pub(super) fn expect(&mut self, running: BTreeMap<usize, usize>) -> Result<(), HollowError> {
         self.epoch += 1;
         self.send(&MemberCommand::Expect {
             epoch: self.epoch,
-            living,
+            running,
         })
     }
 
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -45,7 +45,7 @@
     /// Spans in which a link was cut, by sender and receiver.
     cut_spans: HashMap<(usize, usize), Vec<TimeSpan>>,
     violations: Vec<InvariantViolation>,
-    count: usize,
+    total_count: usize,
     /// Largest sum of the members' shares in any check.
     pub max_share_sum: f64,
 }
@@ -94,7 +94,7 @@
 
     /// Adds a violation.
     pub fn record_violation(&mut self, at: f64, invariant: &'static str, detail: String) {
-        self.count += 1;
+        self.total_count += 1;
         if self.violations.len() < REPORTED_VIOLATIONS_MAX {
             self.violations.push(InvariantViolation {
                 at,
@@ -107,7 +107,7 @@
     /// Returns the kept violations and the number of all violations.
     #[must_use]
     pub fn violations(&self) -> (&[InvariantViolation], usize) {
-        (&self.violations, self.count)
+        (&self.violations, self.total_count)
     }
 
     fn is_open(&self, from: usize, to: usize) -> bool {
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -45,9 +45,11 @@
     /// Name of the trial.
     pub trial: &'static str,
     /// Verdict line of the trial without the fault.
-    pub without: String,
+    #[serde(rename = "without")]
+    pub verdict_without_fault: String,
     /// Verdict line of the trial with the fault.
-    pub with: String,
+    #[serde(rename = "with")]
+    pub verdict_with_fault: String,
     /// Whether the trial passed without the fault and failed with it.
     pub found: bool,
 }
@@ -96,15 +98,16 @@
                 .iter()
                 .find(|(f, _)| f == fault)
                 .map_or("", |(_, name)| name);
-            let (without, with) = (run_trial(trial, None)?, run_trial(trial, Some(name))?);
-            let found = without == "verdict: passed"
-                && with.starts_with("verdict: failed ")
-                && !with.ends_with("to play");
+            let verdict_without_fault = run_trial(trial, None)?;
+            let verdict_with_fault = run_trial(trial, Some(name))?;
+            let found = verdict_without_fault == "verdict: passed"
+                && verdict_with_fault.starts_with("verdict: failed ")
+                && !verdict_with_fault.ends_with("to play");
             Ok(MutationResult {
                 fault: name,
                 trial,
-                without,
-                with,
+                verdict_without_fault,
+                verdict_with_fault,
                 found,
             })
         })
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -14,24 +14,24 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-/// Active faults of the caches. Ratios are of requests; at most one of them applies to a request.
+/// Active faults of the caches. At most one of the ratios applies to a request.
 #[derive(Clone, Debug, Default)]
 pub struct CacheFaults {
     /// Listeners that accept requests but do not answer them.
     pub hanging: HashSet<usize>,
     /// Listeners whose connections are reset, new ones included.
     pub down: HashSet<usize>,
-    /// Ratio rejected with `-BUSY`.
+    /// Ratio of requests that are rejected with `-BUSY`.
     pub busy: f64,
-    /// Ratio executed but answered with an error.
+    /// Ratio of requests that are executed but answered with an error.
     pub error: f64,
-    /// Ratio executed and followed by a reset of the connection instead of an answer.
+    /// Ratio of requests that are executed, but whose connection is reset instead of an answer.
     pub reset: f64,
-    /// Ratio executed but answered only by the first half of the answer.
+    /// Ratio of requests that are executed, but whose answer is sent only to its half.
     pub truncated: f64,
-    /// Ratio answered a second time 3 ms after the first answer.
+    /// Ratio of requests that are answered a second time, 3 ms after the first answer.
     pub answered_twice: f64,
-    /// Ratio followed by closing the connection immediately after the answer.
+    /// Ratio of requests whose connection is closed immediately after the answer.
     pub close: f64,
 }
 
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -24,20 +24,20 @@
 /// Delay of the second half of a command that is written slowly.
 const SLOW_WRITE_DELAY: Nanos = 60 * MS;
 
-/// Behavior of clients. Ratios are of requests.
+/// Behavior of clients.
 #[derive(Clone, Debug)]
 pub struct ClientBehavior {
     /// Requests per second at each balancer.
     pub requests_per_s: f64,
     /// Time that clients wait for an answer, in the order of [`RequestKind::CLASSES`].
     pub timeouts: [Nanos; 3],
-    /// Ratio after which the client closes the connection at a random time before its deadline.
+    /// Ratio of requests whose client disconnects at a random time before the deadline.
     pub disconnect: f64,
-    /// Ratio that starts a pipeline of 2 to 11 requests on one connection.
+    /// Ratio of requests that are sent as a pipeline of 2 to 11 requests on one connection.
     pub pipeline: f64,
-    /// Ratio whose command is written in two parts.
+    /// Ratio of requests whose command is written in two parts.
     pub slow: f64,
-    /// Ratio of which only the first half of the command is written.
+    /// Ratio of requests of which only the first half of the command is written.
     pub incomplete: f64,
 }
 
--- a/crates/testbed/src/soak/records.rs
+++ b/crates/testbed/src/soak/records.rs
@@ -66,7 +66,7 @@
     pub id: String,
     /// Index of the balancer.
     pub balancer: usize,
-    /// Index of the balancer's process, counted from 0 at each start.
+    /// Index of the balancer's process, from 0; each start of the balancer adds one.
     #[serde(rename = "life")]
     pub generation: usize,
     /// Idempotency of the request.
--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -26,8 +26,8 @@
 /// Time after a change, while discovery is reachable, after which a balancer counts as notified
 /// even if discovery recorded no message.
 const MAX_NOTIFICATION_DELAY: Nanos = 6_000 * MS;
-/// Time after a shutdown request up to which a later kill excuses missing answers. Requests sent
-/// after it must be answered even if the process is killed.
+/// Time after a shutdown request within which a request must have been sent for a kill to excuse
+/// its missing answer. Later requests must be answered even if the process is killed.
 const KILL_EXCUSE_DURATION: Nanos = 700 * MS;
 /// Ratio of the requests at an overloaded cold cache that must come from notified balancers for the
 /// overload to be a violation.
