--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -208,7 +208,7 @@
                 advertised: advertised[i],
                 group_size: n,
                 seed: member_seed(&plan, i),
-                planted: plan.injected_fault.clone(),
+                injected_fault: plan.injected_fault.clone(),
             }));
         }
         Ok(Cluster {
@@ -356,7 +356,7 @@
     pub fn member_counts(&self) -> std::collections::BTreeMap<String, u64> {
         let mut sum = std::collections::BTreeMap::new();
         for member in &self.members {
-            member.ask_counters();
+            member.request_counters();
             for (name, count) in member.counters() {
                 *sum.entry(name).or_insert(0) += count;
             }
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -121,7 +121,7 @@
         let all_members: Vec<usize> = (0..n).collect();
         self.cluster
             .set_links(&all_members, &all_members, self.scenario.links);
-        (0..n).for_each(|i| self.invariants.set_away(0.0, i, true));
+        (0..n).for_each(|i| self.invariants.set_unavailable(0.0, i, true));
         // Members of different fleets must not see each other, as if their links were cut.
         let fleets = self.cluster.plan.fleets;
         for (i, j) in (0..n)
@@ -135,7 +135,7 @@
         let started = Instant::now();
         self.wait_for_convergence("join", started);
         let now = self.now();
-        (0..n).for_each(|i| self.invariants.set_away(now, i, false));
+        (0..n).for_each(|i| self.invariants.set_unavailable(now, i, false));
         self.cluster.start_clients();
         self.timeline_start = Instant::now();
         let timeline_offset = self.now();
@@ -212,7 +212,7 @@
         let observations = Observations {
             samples: &self.samples,
             requests,
-            begun: timeline_offset,
+            timeline_start: timeline_offset,
             capacity: self.scenario.cache.capacity() * caches as f64,
             caches,
         };
@@ -258,11 +258,14 @@
             // Taken after all views were read: the views may have been correct slightly earlier.
             let elapsed = since.elapsed();
             let problem = if self.cluster.plan.fleet_enabled {
-                self.invariants
-                    .first_wrong_view(&self.cluster, &views, self.scenario.suspicions)
+                self.invariants.first_incorrect_view(
+                    &self.cluster,
+                    &views,
+                    self.scenario.suspicions,
+                )
             } else {
                 let not_ready = |m: &&MemberProcess| {
-                    m.intended == IntendedState::Up && m.call("/admin/health").is_none()
+                    m.intended == IntendedState::Up && m.admin_get("/admin/health").is_none()
                 };
                 self.cluster
                     .members
@@ -280,7 +283,7 @@
                     "{name}: views have not converged after {:.0} s: {problem}",
                     elapsed.as_secs_f64()
                 );
-                return self.invariants.fail(at, "settles", message);
+                return self.invariants.record_violation(at, "settles", message);
             }
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -69,7 +69,7 @@
             None => "verdict: passed".into(),
             Some(first) => format!(
                 "verdict: failed {} ({} in all; first at {:.1} s: {})",
-                first.invariant, self.failed, first.at, first.what
+                first.invariant, self.failed, first.at, first.detail
             ),
         }
     }
@@ -96,7 +96,7 @@
             .map(|bytes| bytes as f64)
             .collect();
         member.insert("memory".into(), mean(memory));
-        let (failures, failed) = self.invariants.failures();
+        let (failures, failed) = self.invariants.violations();
         ScenarioReport {
             scenario: self.scenario.name.clone(),
             instances: self.cluster.plan.instances,
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -53,8 +53,10 @@
         match step.action {
             ScenarioAction::Kill => self.signal_members(from, true, MemberProcess::kill),
             ScenarioAction::Stop => self.signal_members(from, true, MemberProcess::stop),
-            ScenarioAction::GoOn => self.signal_members(from, false, MemberProcess::go_on),
-            ScenarioAction::Term => self.signal_members(from, true, MemberProcess::term),
+            ScenarioAction::GoOn => self.signal_members(from, false, MemberProcess::resume),
+            ScenarioAction::Term => {
+                self.signal_members(from, true, MemberProcess::request_shutdown)
+            }
             ScenarioAction::Start => {
                 for i in from {
                     self.cluster.members[*i].start()?;
@@ -134,7 +136,7 @@
             let before = self.now();
             signal(&mut self.cluster.members[*i]);
             let at = if away { before } else { self.now() };
-            self.invariants.set_away(at, *i, away);
+            self.invariants.set_unavailable(at, *i, away);
         }
     }
 
@@ -143,11 +145,11 @@
         let ready = |cluster: &Cluster| {
             started
                 .iter()
-                .all(|i| cluster.members[*i].call("/admin/health").is_some())
+                .all(|i| cluster.members[*i].admin_get("/admin/health").is_some())
         };
         if self.cluster.wait_until(PROCESS_TIMEOUT, ready).is_none() {
             let at = self.now();
-            self.invariants.fail(
+            self.invariants.record_violation(
                 at,
                 "starts",
                 format!("members {started:?} are not ready after {PROCESS_TIMEOUT:?}"),
@@ -156,17 +158,17 @@
         let at = self.now();
         started
             .iter()
-            .for_each(|i| self.invariants.set_away(at, *i, false));
+            .for_each(|i| self.invariants.set_unavailable(at, *i, false));
     }
 
     /// Restarts a member with SIGTERM; an exit that fails or takes too long is a violation.
     fn restart_gracefully(&mut self, i: usize) -> Result<(), TestbedError> {
         let at = self.now();
-        self.invariants.set_away(at, i, true);
-        self.cluster.members[i].term();
-        let exit_status = self.cluster.members[i].ended(PROCESS_TIMEOUT);
+        self.invariants.set_unavailable(at, i, true);
+        self.cluster.members[i].request_shutdown();
+        let exit_status = self.cluster.members[i].wait_for_exit(PROCESS_TIMEOUT);
         if !exit_status.is_some_and(|status| status.success()) {
-            self.invariants.fail(
+            self.invariants.record_violation(
                 at,
                 "ends",
                 format!("n{i} has exit status {exit_status:?} after SIGTERM, expected success"),
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -93,12 +93,12 @@
         };
         let mut cluster = Cluster::create(plan).unwrap();
         cluster.start_all().unwrap();
-        let is_ready = |cluster: &Cluster| cluster.members[0].call("/admin/health").is_some();
+        let is_ready = |cluster: &Cluster| cluster.members[0].admin_get("/admin/health").is_some();
         cluster
             .wait_until(CONDITION_TIMEOUT, is_ready)
             .expect("the member becomes ready");
         let member = &cluster.members[0];
-        assert_eq!(member.call("/admin/fleet").is_some(), fleet_enabled);
+        assert_eq!(member.admin_get("/admin/fleet").is_some(), fleet_enabled);
         let log = member.log();
         assert_eq!(
             log.iter().any(|line| line.text.contains("fleet")),
@@ -143,7 +143,7 @@
             .is_some_and(|v| v.living == 1 && v.share_count == 4)
     };
     let is_serving =
-        |cluster: &Cluster, i: usize| cluster.members[i].call("/admin/health").is_some();
+        |cluster: &Cluster, i: usize| cluster.members[i].admin_get("/admin/health").is_some();
     let both_alone = |cluster: &Cluster| {
         [2, 3]
             .iter()
@@ -226,7 +226,7 @@
     }
     cluster.start_all().unwrap();
     let overview = |cluster: &Cluster, i: usize| -> Option<serde_json::Value> {
-        serde_json::from_str(&cluster.members[i].call("/admin/fleet")?).ok()
+        serde_json::from_str(&cluster.members[i].admin_get("/admin/fleet")?).ok()
     };
     let sees = |cluster: &Cluster, i: usize, members: usize, remote: u64, share_count: u64| {
         overview(cluster, i).is_some_and(|shown| {
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -213,7 +213,7 @@
     cluster
         .wait_until(CONDITION_TIMEOUT, both_detected)
         .expect("both are declared dead");
-    cluster.members[2].go_on();
+    cluster.members[2].resume();
     cluster.members[3].start().unwrap();
     cluster
         .wait_until(CONDITION_TIMEOUT, |cluster| {
