--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -55,7 +55,7 @@
             ScenarioAction::Stop => self.signal_members(from, true, MemberProcess::stop),
             ScenarioAction::GoOn => self.signal_members(from, false, MemberProcess::resume),
             ScenarioAction::Term => {
-                self.signal_members(from, true, MemberProcess::request_shutdown)
+                self.signal_members(from, true, MemberProcess::request_shutdown);
             }
             ScenarioAction::Start => {
                 for i in from {
