--- a/crates/balancer/src/gossip/event_log.rs
+++ b/crates/balancer/src/gossip/event_log.rs
@@ -1,8 +1,8 @@
-//! Log lines of membership events, one for each.
+//! Log lines of membership events, one line per event.
 
 use membership::{Identity, MemberStatus, MembershipEvent};
 
-/// Logs an event.
+/// Writes the log line of an event.
 pub(super) fn log_event(event: &MembershipEvent) {
     match event {
         MembershipEvent::StatusChanged {
@@ -20,18 +20,21 @@
         } => {
             log::info!(
                 was = *previous, is = *current, alive = *alive;
-                "fleet: shares are divided by {current}"
+                "fleet: share count is now {current}"
             );
         }
         MembershipEvent::DuplicateName { name, addresses } => {
             let [first, second] = addresses;
             log::warn!(
                 member = name.as_str();
-                "fleet: {first} and {second} are both called {name}; both count"
+                "fleet: {first} and {second} are both called {name}; both count as members"
             );
         }
         MembershipEvent::Rejoined { generation } => {
-            log::warn!(generation = *generation; "fleet: declared dead by others; rejoined");
+            log::warn!(
+                generation = *generation;
+                "fleet: other members declared this balancer dead; it rejoined"
+            );
         }
         MembershipEvent::RegionReachability {
             region,
@@ -45,25 +48,25 @@
             };
             log::log!(
                 level, region = region.as_str(), alive = *alive;
-                "fleet: region {region} is {state}"
+                "fleet: region {region} is now {state}"
             );
         }
         MembershipEvent::Stalled => {
-            log::warn!("fleet: this process stalled; its suspicions start over");
+            log::warn!("fleet: this process stalled; its suspicion timers restart");
         }
     }
 }
 
-fn log_status(name: &str, id: Identity, was: Option<MemberStatus>, is: MemberStatus) {
-    let level = if is == MemberStatus::Dead {
+fn log_status(name: &str, id: Identity, previous: Option<MemberStatus>, current: MemberStatus) {
+    let level = if current == MemberStatus::Dead {
         log::Level::Warn
     } else {
         log::Level::Info
     };
-    let was = was.map_or("unknown", MemberStatus::name);
+    let previous = previous.map_or("unknown", MemberStatus::name);
     log::log!(
         level, member = name, address:% = id.address, generation = id.generation,
-        was = was, is = is.name();
-        "fleet: {name} is {}", is.name()
+        was = previous, is = current.name();
+        "fleet: member {name} is {}", current.name()
     );
 }
--- a/crates/routing/src/engine/selection.rs
+++ b/crates/routing/src/engine/selection.rs
@@ -13,7 +13,7 @@
 /// Result of selecting an endpoint for the next attempt.
 pub(super) enum Selection {
     Endpoint(EndpointId),
-    /// Every usable endpoint lacks capacity, the first one for this reason.
+    /// No usable endpoint has capacity; this is the reason at the first of them.
     AtCapacity(DecisionReason),
     NoneEligible,
 }
@@ -216,7 +216,7 @@
     /// Selects a healthy endpoint that the request has not tried: a candidate, or if all candidates
     /// are unhealthy, the next one in rank order.
     pub(super) fn select_healthy_alternative(&mut self, request: &Request) -> Option<EndpointId> {
-        // While most of the fleet is unhealthy, the few healthy endpoints must not receive the
+        // While most endpoints are unhealthy, the few healthy endpoints must not receive the
         // whole load.
         if self.outliers.is_suspended() {
             return None;
--- a/crates/routing/tests/failures.rs
+++ b/crates/routing/tests/failures.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn unreachable_zone_stays_ejected_even_if_it_is_more_than_half_of_the_fleet() {
+fn unreachable_zone_stays_ejected_even_if_it_has_more_than_half_of_the_endpoints() {
     let mut balancer = balancer(settings_without_health_checks());
     balancer.list_endpoints(&[1, 2, 3, 4, 5, 7, 9]);
     let mut attempts_at_unreachable = 0;
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn fleet_at_capacity_queues_and_then_rejects() {
+fn requests_beyond_the_capacity_are_queued_and_then_rejected() {
     let mut balancer = balancer(settings());
     balancer.list_endpoints(&[1]);
     for id in 1..=50u128 {
@@ -329,7 +329,7 @@
     let intervals: Vec<u64> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
         intervals.iter().all(|interval| *interval <= 4_000 * MS),
-        "together with a call that does not return, an interval stays within 6 s"
+        "an interval plus 1.6 s for a call without a response must stay within 6 s: {intervals:?}"
     );
     assert!(intervals[intervals.len() - 1] >= 1_200 * MS);
     balancer.run_for(10_000 * MS);
