--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -119,7 +119,7 @@
 pub struct Cluster {
     /// Plan that the cluster was created from.
     pub plan: ClusterPlan,
-    /// Creation time; reference of all recorded times.
+    /// Creation time; recorded times are relative to it.
     pub created: Instant,
     /// Balancer processes, by member index.
     pub members: Vec<MemberProcess>,
@@ -298,8 +298,8 @@
         }
     }
 
-    /// Stops a cache. It stays in the endpoint list until [`Cluster::unlist_cache`], as discovery
-    /// in production also reports a death with a delay.
+    /// Stops a cache. It stays in the endpoint list until [`Cluster::unlist_cache`], because
+    /// discovery in production also reports a death with a delay.
     pub fn kill_cache(&mut self, n: usize) {
         if let Some(cache) = self.caches[n].take() {
             add_counts(&mut self.stopped_cache_counts, cache.counts());
--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -62,7 +62,7 @@
 
 /// State shared by the threads of the proxy. Vectors are indexed by member.
 struct ProxyState {
-    /// Proxy socket of each member.
+    /// Socket of each member at the proxy, bound to the address that the member advertises.
     sockets: Vec<UdpSocket>,
     /// Address that each member is bound to.
     bound: Vec<SocketAddr>,
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -37,10 +37,12 @@
     /// loss causes suspicions that are refuted soon afterwards.
     #[serde(default)]
     pub suspicions: bool,
-    /// Maximum sum of all balancers' shares.
+    /// Maximum sum of all balancers' shares. A balancer's share is 1 divided by its share count;
+    /// the shares of one fleet sum to 1 if each balancer counts exactly the running ones.
     #[serde(default = "default_max_share_sum", rename = "shares_most")]
     pub max_share_sum: f64,
-    /// Timeout of each wait for convergence, in seconds: generous, not a target.
+    /// Timeout of each wait for convergence, in seconds. It guards against endless waits and is no
+    /// target for the convergence time.
     #[serde(default = "default_convergence_timeout", rename = "ceiling")]
     pub convergence_timeout_s: f64,
     /// Capacity and speed of the caches.
@@ -221,7 +223,8 @@
     Wait,
 }
 
-/// Maximum request rate, per second. It is limited because each outstanding request takes a thread.
+/// Maximum request rate, per second. It is limited because each outstanding request occupies a
+/// thread.
 pub const REQUEST_RATE_MAX: f64 = 1_000.0;
 
 /// Rejection of a scenario.
--- a/crates/testbed/src/scenario_runner.rs
+++ b/crates/testbed/src/scenario_runner.rs
@@ -255,7 +255,8 @@
         let timeout = Duration::from_secs_f64(self.scenario.convergence_timeout_s);
         loop {
             let views = self.observe();
-            // Taken after all views were read: the views may have been correct slightly earlier.
+            // Taken after all views were read: the views may have been correct slightly earlier, so
+            // the reported time is never too short.
             let elapsed = since.elapsed();
             let problem = if self.cluster.plan.fleet_enabled {
                 self.invariants.first_incorrect_view(
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -49,8 +49,9 @@
     pub seconds: Vec<SecondMetrics>,
     /// Metrics of the spans before, during and after the disturbance.
     pub spans: BTreeMap<String, SpanMetrics>,
-    /// Seconds from the end of the disturbance until nine tenths of the former served weight share
-    /// are reached again; `None` if they never are.
+    /// Seconds from the end of the disturbance until, for two consecutive seconds, the ratio of
+    /// served to requested weight is at least nine tenths of that before the disturbance; `None`
+    /// if it does not recover.
     pub recovered_s: Option<f64>,
     /// Actions of the trial, each with its time in seconds.
     #[serde(rename = "done")]
--- a/crates/testbed/src/scenario_runner/steps.rs
+++ b/crates/testbed/src/scenario_runner/steps.rs
@@ -8,8 +8,8 @@
 use crate::scenario::{ScenarioAction, ScenarioStep, parse_member_set};
 use std::time::{Duration, Instant};
 
-/// Maximum time for a process to exit after SIGTERM, and to become ready after a start. Covers
-/// requests of the class with the longest deadline and the platform's slack.
+/// Maximum time for a process to exit after SIGTERM, and to become ready after a start. It
+/// exceeds the longest deadline of a request class plus the platform's slack.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
 /// Delay from the death of a cache until it is removed from the endpoint list.
 const UNLISTING_DELAY: Duration = Duration::from_secs(2);
@@ -55,7 +55,7 @@
             ScenarioAction::Stop => self.signal_members(from, true, MemberProcess::stop),
             ScenarioAction::GoOn => self.signal_members(from, false, MemberProcess::resume),
             ScenarioAction::Term => {
-                self.signal_members(from, true, MemberProcess::request_shutdown)
+                self.signal_members(from, true, MemberProcess::request_shutdown);
             }
             ScenarioAction::Start => {
                 for i in from {
@@ -123,24 +123,24 @@
         Ok(())
     }
 
-    /// Signals members and records for the invariants whether each is away from now on.
+    /// Signals members and records for the invariants whether they are unavailable from now on.
     fn signal_members(
         &mut self,
         selected: &[usize],
-        away: bool,
+        unavailable: bool,
         signal: impl Fn(&mut MemberProcess),
     ) {
         for i in selected {
-            // The signal takes effect between the two times. The earlier one starts and the later
-            // one ends the absence, so that it includes all effects however slow the machine is.
+            // The signal takes effect between the two times. Unavailability starts at the earlier
+            // and ends at the later one, so that it covers all effects on a slow machine too.
             let before = self.now();
             signal(&mut self.cluster.members[*i]);
-            let at = if away { before } else { self.now() };
-            self.invariants.set_unavailable(at, *i, away);
+            let at = if unavailable { before } else { self.now() };
+            self.invariants.set_unavailable(at, *i, unavailable);
         }
     }
 
-    /// Waits until started members are ready; they count as away until then.
+    /// Waits until started members are ready; they count as unavailable until then.
     fn wait_until_ready(&mut self, started: &[usize]) {
         let ready = |cluster: &Cluster| {
             started
--- a/crates/testbed/src/simulated_services/cache.rs
+++ b/crates/testbed/src/simulated_services/cache.rs
@@ -24,7 +24,7 @@
     pub slow_start_fraction: f64,
     /// Time after the start until the cache runs at full speed.
     pub slow_start_duration: Duration,
-    /// Time after a keyed write in which a repeat with the same idempotency key has no effect.
+    /// Time after a write with an idempotency key in which a repeat with this key has no effect.
     pub deduplication_window: Duration,
 }
 
--- a/crates/testbed/src/simulated_services/clients.rs
+++ b/crates/testbed/src/simulated_services/clients.rs
@@ -35,7 +35,7 @@
     /// No balancer accepted the connection.
     #[serde(rename = "no_door")]
     NoConnection,
-    /// No reply until 20 s after the deadline.
+    /// No reply within 20 s after the deadline.
     Never,
 }
 
@@ -64,9 +64,9 @@
     pub class: &'static str,
     /// Index of the balancer it was sent to.
     pub balancer: usize,
-    /// Time at which it was sent, in seconds since the reference time of the clients.
+    /// Time at which it was sent, in seconds since the clients' reference time.
     pub at: f64,
-    /// Time until the reply or until the client gave up, in seconds.
+    /// Time from sending until the reply or until the client gave up, in seconds.
     pub latency_s: f64,
     /// Outcome.
     #[serde(rename = "end")]
@@ -151,7 +151,7 @@
     key: String,
 }
 
-/// Running clients. Dropping this tells their threads to stop.
+/// Running clients. Dropping this signals their threads to stop.
 pub struct Clients {
     is_stopping: Arc<AtomicBool>,
     requests: Arc<Mutex<Vec<ClientRequest>>>,
@@ -255,7 +255,8 @@
         let mut next = Instant::now();
         while !is_stopping.load(Ordering::Relaxed) {
             next = self.wait_for_next(next, rate, workers, is_stopping);
-            // After a slow request, the missed ones are not all sent in a burst.
+            // After a slow request, only requests that were due in the last 500 ms are made up
+            // for, which limits the burst.
             next = next.max(Instant::now() - Duration::from_millis(500));
             self.send_with_retries(requests);
         }
--- a/crates/testbed/src/simulated_services/discovery.rs
+++ b/crates/testbed/src/simulated_services/discovery.rs
@@ -1,5 +1,5 @@
 //! Simulated discovery service: serves an endpoint list over HTTP, once or as a watch. The caches'
-//! addresses may differ between balancers.
+//! addresses may differ between balancers, which reach the caches through proxies of their own.
 
 use super::TcpService;
 use std::collections::BTreeMap;
--- a/crates/testbed/src/simulation.rs
+++ b/crates/testbed/src/simulation.rs
@@ -12,7 +12,7 @@
 /// Failure of a simulation trial.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SimulationFailure {
-    /// The members' views did not become correct in time.
+    /// The members' views were still wrong at the timeout.
     #[error("{phase}: views have not converged after {timeout_s} s")]
     NotConverged {
         /// Phase of the trial.
@@ -39,11 +39,12 @@
         /// Number of other members.
         expected: usize,
     },
-    /// Restarted members were in all views only after this many milliseconds.
+    /// Restarted members were in all views only after this time, in milliseconds, which exceeds
+    /// the maximum.
     #[error("restarted members were in all views only after {0} ms")]
     SlowRejoin(u64),
     /// The sum of shares exceeds its bound.
-    #[error("{context}the shares sum to {sum:.2}, over their bound")]
+    #[error("{context}the shares sum to {sum:.2}, which exceeds their bound")]
     ShareSum {
         /// The case, followed by a colon and a space; may be empty.
         context: String,
@@ -61,7 +62,7 @@
     /// A region has no delegate.
     #[error("the first region has no delegate")]
     NoDelegate,
-    /// A delegate sees no region beside its own.
+    /// A delegate sees no region other than its own.
     #[error("the delegate sees no other region")]
     SingleRegion,
     /// Shared shedding missed a target.
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -25,7 +25,7 @@
     /// Datagrams that arrived during a stall, at most [`MAX_INBOX_DATAGRAMS`]; later ones are
     /// dropped.
     inbox: Vec<(SocketAddr, Vec<u8>)>,
-    /// Counters returned while no member runs.
+    /// Counters returned while no member runs: zeros.
     statistics: MemberStatistics,
     /// Maximum number of datagrams that the member sent at once.
     max_sent_per_turn: u64,
@@ -53,7 +53,7 @@
     /// Sequence number of the last inserted event.
     event_sequence: u64,
     rng: Xoshiro256PlusPlus,
-    /// Conditions for datagrams within a region, and for all datagrams while `between_regions` is
+    /// Conditions for datagrams within a region; for all datagrams if `between_regions` is
     /// `None`.
     pub network: NetworkConditions,
     /// Conditions for datagrams between regions; `None` applies `network` to them as well.
@@ -78,9 +78,9 @@
     /// Whether the request rates that members report differ from member to member and change over
     /// time.
     request_rates_vary: bool,
-    /// Slot at which the last convergence check found a wrong view; the next check starts there.
+    /// Slot whose view the last failed convergence check found wrong; the next check starts there.
     last_wrong_member: Cell<usize>,
-    /// First datagrams that were sent, at most [`MAX_RECORDED_DATAGRAMS`], for replay tests.
+    /// Datagrams sent first, at most [`MAX_RECORDED_DATAGRAMS`], for replay tests.
     recorded_datagrams: Vec<(SocketAddr, Vec<u8>)>,
 }
 
@@ -344,7 +344,7 @@
         self.events.insert((at, self.event_sequence), event);
     }
 
-    /// Returns the first datagrams that were sent, each with its sender's address.
+    /// Returns the first datagrams that were sent, at most 5,000, each with its sender's address.
     pub fn recorded_datagrams(&self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.recorded_datagrams.clone()
     }
@@ -389,6 +389,7 @@
         for (from, datagram) in std::mem::take(&mut slot.inbox) {
             member.receive(now, from, &datagram);
         }
+        // Updates the rate of each member in one 50 ms window of every 2 s.
         if self.request_rates_vary && (now / MS / 50 + n as u64).is_multiple_of(40) {
             let requests = (now / (2_000 * MS) * 7_919 + n as u64 * 104_729) % 400;
             member.update_metadata(|metadata| {
--- a/crates/testbed/src/simulation/fleet/network.rs
+++ b/crates/testbed/src/simulation/fleet/network.rs
@@ -12,8 +12,8 @@
     pub loss: f64,
     /// Fixed delay of each datagram.
     pub delay: Nanos,
-    /// Maximum random delay added to `delay`. A jitter above the interval between two datagrams can
-    /// reorder them.
+    /// Maximum random delay added to `delay`. Datagrams sent within this time of each other can be
+    /// reordered.
     pub jitter: Nanos,
     /// Fraction of datagrams delivered twice, 0 to 1.
     pub duplicates: f64,
@@ -76,6 +76,7 @@
         if self.link_cut[from][to] || self.rng.random_bool(network.loss) {
             return;
         }
+        // Byte 3 of a datagram is the message kind.
         let is_level_report =
             datagram.get(3) == Some(&(membership::envelope::MessageKind::LevelReports as u8));
         if is_level_report
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -13,9 +13,10 @@
         self.converged_by_side(|_| 0)
     }
 
-    /// Returns the same for a partitioned fleet, in which members of different sides can't reach
-    /// each other. The check starts at the member whose view was wrong last time, so that in a
-    /// fleet that has not converged it usually examines one view instead of all.
+    /// Returns whether the views are correct in a partitioned fleet: each member is expected to see
+    /// its own side only. `side` maps a slot to its side. The check starts at the member whose view
+    /// was wrong last time, so that in a fleet that has not converged it usually examines one view
+    /// instead of all.
     pub fn converged_by_side(&self, side: impl Fn(usize) -> usize) -> bool {
         let count = self.slots.len();
         let running = self.running_by_region(&side);
@@ -41,7 +42,7 @@
         running
     }
 
-    /// Returns whether the members of a region have correct member lists of that region.
+    /// Returns whether all running members of a region have correct member lists of that region.
     pub fn region_converged(&self, region: usize, side: impl Fn(usize) -> usize) -> bool {
         let running = self.running_by_region(&side);
         (0..self.slots.len())
@@ -95,9 +96,9 @@
         correct.count() == expected && present == expected
     }
 
-    /// Returns whether a member's rows of other regions are correct: one row that is not silent,
-    /// with the number of running members, for each other region on its side, and no further such
-    /// row.
+    /// Returns whether a member's rows of other regions are correct: for each other region on its
+    /// side, one row with the number of running members, and no further row. Rows of silent
+    /// regions are ignored.
     fn region_list_is_correct(
         &self,
         n: usize,
--- a/crates/testbed/src/simulation/region_trials.rs
+++ b/crates/testbed/src/simulation/region_trials.rs
@@ -43,8 +43,8 @@
         })
 }
 
-/// Checks that the sum of shares stays bounded through three random partitions, each between
-/// regions and within one region.
+/// Checks that the sum of shares stays bounded through three random partitions, each of which
+/// may separate regions from each other and divide one region.
 ///
 /// # Errors
 ///
--- a/crates/testbed/src/simulation/regions.rs
+++ b/crates/testbed/src/simulation/regions.rs
@@ -21,9 +21,9 @@
 const ISOLATION_TIME: Nanos = 60 * SECOND;
 /// Interval of convergence checks after an event.
 const CHECK_INTERVAL: Nanos = 100 * MS;
-/// Number of convergence checks per second, from [`CHECK_INTERVAL`].
+/// Number of convergence checks per second; follows from [`CHECK_INTERVAL`].
 const CHECKS_PER_S: u64 = 10;
-/// Seconds after an event in which traffic and processor time are measured.
+/// Span after an event in which traffic and processor time are measured, in seconds.
 const COST_SPAN_S: u64 = 10;
 
 /// Fleet, network and events of a measurement.
@@ -93,7 +93,7 @@
     pub bytes_per_s_delegates: f64,
     /// Processor time per member in the calm span, in percent of a core, on average.
     pub cpu_percent: f64,
-    /// Processor time of the member that used most, in percent of a core.
+    /// Processor time of the member that used the most, in percent of a core.
     pub cpu_percent_worst: f64,
     /// Growth of this process's resident memory until the end of the calm span, per member, in KiB,
     /// including the queue of the simulated network.
@@ -117,13 +117,13 @@
     pub settled_s: Option<f64>,
     /// Maximum of the bytes that one member sent in one second of the ten seconds after the event.
     pub bytes_per_s_worst: u64,
-    /// Bytes per second of the member that sent most in these ten seconds.
+    /// Bytes per second of the member that sent the most in these ten seconds, on average.
     pub bytes_per_s_most: f64,
     /// Bytes sent per member and second in these ten seconds, on average.
     pub bytes_per_s: f64,
     /// Processor time per member in these ten seconds, in percent of a core, on average.
     pub cpu_percent: f64,
-    /// Processor time of the member that used most, in percent of a core.
+    /// Processor time of the member that used the most, in percent of a core.
     pub cpu_percent_worst: f64,
     /// False deaths from the event until the end of its measurement.
     pub false_deaths: u64,
@@ -153,7 +153,7 @@
 struct Cost {
     /// Maximum of the bytes that one member sent in one second.
     bytes_worst: u64,
-    /// Bytes per second of the member that sent most.
+    /// Bytes per second of the member that sent the most, on average.
     bytes_most: f64,
     /// Bytes per second, on average.
     bytes: f64,
@@ -161,9 +161,9 @@
     datagrams: f64,
     /// Bytes per second of delegates, on average.
     bytes_delegates: f64,
-    /// Percent of a core, on average.
+    /// Processor time in percent of a core, on average.
     cpu: f64,
-    /// Percent of a core of the member that used most.
+    /// Percent of a core of the member that used the most, on average.
     cpu_worst: f64,
 }
 
@@ -264,7 +264,8 @@
     }
 }
 
-/// Starts a fleet and runs it until all views are correct; returns the time that took.
+/// Starts a fleet and runs it until all views are correct; returns the virtual time until then,
+/// or `None` on timeout.
 fn start_fleet(plan: RegionPlan) -> (SimulatedFleet, Option<Nanos>) {
     let mut fleet = if plan.regions > 1 {
         SimulatedFleet::with_regions(&region_sizes(plan.members, plan.regions), plan.seed)
@@ -286,7 +287,7 @@
 }
 
 /// Applies an event, then measures the cost of the ten seconds after it and the convergence times.
-/// `side` is the partition that lasts meanwhile.
+/// `side` maps each slot to its side of the partition that exists after the event.
 fn measure_event(
     fleet: &mut SimulatedFleet,
     description: &'static str,
@@ -347,7 +348,7 @@
     events
 }
 
-/// Region that the events affect: the largest one.
+/// Index of the region that the events affect: the largest one.
 const AFFECTED_REGION: usize = 0;
 
 /// Measures the death and restart of a member, then of the leader of the affected region.
@@ -426,8 +427,7 @@
     events
 }
 
-/// Measures the isolation of the affected region, and its end a minute after the isolation's
-/// measurement.
+/// Measures the isolation of the affected region and, a minute after that measurement, its end.
 fn measure_region_cut(fleet: &mut SimulatedFleet) -> Vec<RegionEvent> {
     let regions: Vec<usize> = (0..fleet.len()).map(|n| fleet.region(n)).collect();
     let side = |n: usize| usize::from(regions[n] == AFFECTED_REGION);
--- a/crates/testbed/src/simulation/shedding.rs
+++ b/crates/testbed/src/simulation/shedding.rs
@@ -11,7 +11,8 @@
 
 const SECOND: Nanos = 1_000 * MS;
 const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
-/// Number of shedding tiers, as for three request classes with shares.
+/// Number of shedding tiers: two for each of three request classes, for requests beyond and within
+/// their tenant's quota.
 const TIERS: usize = 6;
 /// Tier of reads.
 const READ_TIER: usize = 3;
@@ -103,9 +104,9 @@
     (level - tier as f64).clamp(0.0, MAX_SHED_FRACTION)
 }
 
-/// Advances the model and the fleet by one tick. The request rate of the fleet is `rate_per_member`
-/// times the number of slots, divided among the running members by `weights`. `carried` holds the
-/// fractional parts of each member's counts until the next tick.
+/// Advances the model and the fleet by one [`TICK`]. The request rate of the fleet is
+/// `rate_per_member` times the number of slots, divided among the running members by `weights`.
+/// `carried` holds the fractional parts of each member's counts until the next tick.
 fn tick(
     fleet: &mut SimulatedFleet,
     carried: &mut [[f64; 3]],
@@ -202,7 +203,7 @@
 struct DisturbanceProgress {
     disturbance: InjectedDisturbance,
     coordination: Coordination,
-    /// Number of changes applied so far.
+    /// Number of changes applied so far, at most two: start and end of the disturbance.
     changes_applied: u32,
 }
 
--- a/crates/testbed/src/simulation/trials.rs
+++ b/crates/testbed/src/simulation/trials.rs
@@ -11,7 +11,8 @@
 const SECOND: Nanos = 1_000 * MS;
 /// Timeout of a wait for convergence; generous, because [`measure`] measures the actual times.
 const CONVERGENCE_TIMEOUT: Nanos = 60 * SECOND;
-/// Maximum sum of shares during any partition.
+/// Maximum sum of shares during any partition. A member's share is 1 divided by its share count;
+/// the shares sum to 1 if each member counts exactly the running ones.
 const MAX_SHARE_SUM: f64 = 1.5;
 
 /// Runs a trial with a seed.
@@ -42,7 +43,7 @@
     Ok(fleet)
 }
 
-/// Runs the fleet until all views are correct; returns the virtual time that took. `phase` names
+/// Runs the fleet until all views are correct; returns the virtual time until then. `phase` names
 /// the wait in the failure.
 fn wait_for_convergence(
     fleet: &mut SimulatedFleet,
@@ -176,9 +177,10 @@
 /// Greatest observed sums of shares.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShareSums {
-    /// Sum with the share counts that members use.
+    /// Sum with the share counts that members use, which include vanished members for a time
+    /// (share retention).
     pub with_retention: f64,
-    /// Sum if each member divided by the number of members that it sees alive.
+    /// Sum as it would be if each member divided by the number of members that it sees alive.
     pub without_retention: f64,
 }
 
@@ -338,7 +340,7 @@
     pub seed: u64,
     /// Virtual time between two lines of the trace.
     pub interval: Nanos,
-    /// Maximum virtual time of a phase that does not converge.
+    /// Maximum virtual time of a phase; a phase that has not converged by then is ended.
     pub step_limit: Nanos,
 }
 
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -24,8 +24,8 @@
             && (line.per_unit - 0.2).abs() < 1e-12
             && line.residual < 1e-12
     );
-    let bent = fit_line(&[point(1.0, 1.0), point(2.0, 4.0), point(3.0, 9.0)]);
-    assert!(bent.residual > 0.05, "{bent:?}");
+    let curved = fit_line(&[point(1.0, 1.0), point(2.0, 4.0), point(3.0, 9.0)]);
+    assert!(curved.residual > 0.05, "{curved:?}");
     let flat = fit_line(&[point(5.0, 7.0)]);
     assert_eq!(
         (flat.at_zero, flat.per_unit, flat.residual),
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -248,7 +248,8 @@
         "z1"
     );
     cluster.members[3].kill();
-    // The place of the dead member still counts: the survivor of two may be half of a partition.
+    // The place of the dead member still counts, because the survivor of a region of two may be one
+    // side of a partition.
     let death_reported =
         |cluster: &Cluster| (0..2).all(|i| sees(cluster, i, 1, 1, 4)) && sees(cluster, 2, 0, 2, 4);
     cluster
--- a/crates/testbed/tests/shedding.rs
+++ b/crates/testbed/tests/shedding.rs
@@ -30,7 +30,6 @@
     if shed_together {
         keys.insert("shed_together".into(), true.into());
     }
-
     let cache = CacheOptions {
         slots: 1,
         queue: 8,
@@ -89,7 +88,9 @@
     levels(cluster, &[0, 1, 2, 3]).is_some_and(|levels| levels.iter().all(|level| *level == 0.0))
 }
 
-/// Returns the numbers of requests rejected by the shedding level, and for lack of capacity.
+/// Returns the numbers of requests rejected because of the shedding level, and for lack of
+/// capacity. `member_counts` returns the counters requested by the previous call, so the first
+/// result is discarded.
 fn rejections(cluster: &Cluster) -> (u64, u64) {
     let _ = cluster.member_counts();
     std::thread::sleep(Duration::from_millis(300));
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn without_the_key_members_agree_on_no_shedding_level() {
+fn without_the_key_members_share_no_shedding_level() {
     let _lock = lock_trials();
     let mut cluster = start_cluster(false);
     cluster.request_rate.set(OVERLOAD_RATE);
--- a/crates/testbed/tests/virtual_regions.rs
+++ b/crates/testbed/tests/virtual_regions.rs
@@ -102,8 +102,8 @@
     for seed in 0..3 {
         let mut fleet = converged_regions(&[30, 12, 12], seed);
         fleet.advance_to(fleet.now + 20 * SECOND);
-        let apart = |n: usize| usize::from(n < 30);
-        fleet.set_partition(apart, true);
+        let side = |n: usize| usize::from(n < 30);
+        fleet.set_partition(side, true);
         for _ in 0..180 {
             fleet.advance_to(fleet.now + SECOND);
             let sum = share_sum(&fleet);
@@ -120,7 +120,7 @@
                 .iter()
                 .all(|seen| seen.silent_since.is_some())
         );
-        fleet.set_partition(apart, false);
+        fleet.set_partition(side, false);
         let healed = fleet
             .advance_until(CONVERGENCE_TIMEOUT, SimulatedFleet::converged)
             .expect("the regions converge after the isolation");
