--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum time until a waiting thread checks whether the proxy is stopping.
+/// Maximum interval at which a waiting thread checks the stop flag.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of delayed datagrams; further ones are dropped.
 const MAX_DELAYED: usize = 100_000;
--- a/crates/testbed/src/network_emulation/stream_proxy.rs
+++ b/crates/testbed/src/network_emulation/stream_proxy.rs
@@ -10,8 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Maximum time until a waiting thread checks whether the proxy is stopping, and the current
-/// faults.
+/// Maximum interval at which a waiting thread checks the stop flag and the current faults.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of bytes per read.
 const BUFFER_SIZE: usize = 16 * 1024;
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -43,7 +43,8 @@
     pub requests: BTreeMap<String, usize>,
     /// Datagrams that the proxy forwarded, and those it dropped because of faults.
     pub datagrams: (u64, u64),
-    /// Counters and memory (in bytes) averaged over the members that answer at the end.
+    /// Counters since the start of each member's process, and memory in bytes, averaged over the
+    /// members that answer at the end.
     pub member: BTreeMap<String, f64>,
     /// Metrics of the fleet for each second, if the scenario has a disturbance.
     pub seconds: Vec<SecondMetrics>,
--- a/crates/testbed/src/simulation.rs
+++ b/crates/testbed/src/simulation.rs
@@ -46,7 +46,7 @@
     /// The sum of shares exceeds its bound.
     #[error("{context}the shares sum to {sum:.2}, which exceeds their bound")]
     ShareSum {
-        /// The case, followed by a colon and a space; may be empty.
+        /// Checked case, followed by a colon and a space; empty if there is only one.
         context: String,
         /// Sum of the shares of all members.
         sum: f64,
@@ -68,7 +68,7 @@
     /// Shared shedding missed a target.
     #[error("{problem}: {details}")]
     Shedding {
-        /// The missed target.
+        /// Description of the missed target.
         problem: &'static str,
         /// The injected disturbance and the measurement.
         details: String,
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -33,7 +33,7 @@
     false_deaths: u64,
     /// Index of the member's region; 0 in a fleet without regions.
     region: usize,
-    /// Real processor time spent in calls to the member.
+    /// Wall-clock time spent in calls to the member, an estimate of its processor time.
     cpu_time: Duration,
 }
 
@@ -186,7 +186,8 @@
         self.request_rates_vary = true;
     }
 
-    /// Returns the real processor time spent in calls to the member in slot `n`.
+    /// Returns the wall-clock time spent in calls to the member in slot `n`, an estimate of its
+    /// processor time.
     pub fn cpu_time(&self, n: usize) -> Duration {
         self.slots[n].cpu_time
     }
--- a/crates/testbed/src/simulation/fleet/views.rs
+++ b/crates/testbed/src/simulation/fleet/views.rs
@@ -76,7 +76,8 @@
         let mut present = 0;
         let correct = member.members().filter(|seen| {
             present += usize::from(seen.status.is_present());
-            // With datagram loss, a suspicion that is refuted soon afterwards is no error.
+            // A suspected member whose metadata says that it serves counts as correctly listed:
+            // with datagram loss, members are suspected now and then and refute it soon afterwards.
             let serves = seen
                 .metadata
                 .as_ref()
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -260,6 +260,7 @@
     let mut fleet = converged_fleet(6, 1, NetworkConditions::default());
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let (before, members) = (fleet.statistics(0), fleet.view(0).members.len());
+    // `PIPITRUN_DATAGRAMS` sets another number of datagrams, for longer runs.
     let rounds = std::env::var("PIPITRUN_DATAGRAMS")
         .ok()
         .and_then(|n| n.parse().ok())
