--- a/crates/testbed/src/network_emulation/datagram_proxy.rs
+++ b/crates/testbed/src/network_emulation/datagram_proxy.rs
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum time until a waiting thread checks whether the proxy is stopping.
+/// Maximum interval at which a waiting thread checks the stop flag.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of delayed datagrams; further ones are dropped.
 const MAX_DELAYED: usize = 100_000;
@@ -62,7 +62,7 @@
 
 /// State shared by the threads of the proxy. Vectors are indexed by member.
 struct ProxyState {
-    /// Proxy socket of each member.
+    /// Socket of each member at the proxy, bound to the address that the member advertises.
     sockets: Vec<UdpSocket>,
     /// Address that each member is bound to.
     bound: Vec<SocketAddr>,
--- a/crates/testbed/src/scenario_runner/report.rs
+++ b/crates/testbed/src/scenario_runner/report.rs
@@ -43,14 +43,16 @@
     pub requests: BTreeMap<String, usize>,
     /// Datagrams that the proxy forwarded, and those it dropped because of faults.
     pub datagrams: (u64, u64),
-    /// Counters and memory (in bytes) averaged over the members that answer at the end.
+    /// Counters since the start of each member's process, and memory in bytes, averaged over the
+    /// members that answer at the end.
     pub member: BTreeMap<String, f64>,
     /// Metrics of the fleet for each second, if the scenario has a disturbance.
     pub seconds: Vec<SecondMetrics>,
     /// Metrics of the spans before, during and after the disturbance.
     pub spans: BTreeMap<String, SpanMetrics>,
-    /// Seconds from the end of the disturbance until nine tenths of the former served weight share
-    /// are reached again; `None` if they never are.
+    /// Seconds from the end of the disturbance until, for two consecutive seconds, the ratio of
+    /// served to requested weight is at least nine tenths of that before the disturbance; `None`
+    /// if it does not recover.
     pub recovered_s: Option<f64>,
     /// Actions of the trial, each with its time in seconds.
     #[serde(rename = "done")]
--- a/crates/testbed/src/simulation.rs
+++ b/crates/testbed/src/simulation.rs
@@ -12,7 +12,7 @@
 /// Failure of a simulation trial.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SimulationFailure {
-    /// The members' views did not become correct in time.
+    /// The members' views were still wrong at the timeout.
     #[error("{phase}: views have not converged after {timeout_s} s")]
     NotConverged {
         /// Phase of the trial.
@@ -39,13 +39,14 @@
         /// Number of other members.
         expected: usize,
     },
-    /// Restarted members were in all views only after this many milliseconds.
+    /// Restarted members were in all views only after this time, in milliseconds, which exceeds
+    /// the maximum.
     #[error("restarted members were in all views only after {0} ms")]
     SlowRejoin(u64),
     /// The sum of shares exceeds its bound.
-    #[error("{context}the shares sum to {sum:.2}, over their bound")]
+    #[error("{context}the shares sum to {sum:.2}, which exceeds their bound")]
     ShareSum {
-        /// The case, followed by a colon and a space; may be empty.
+        /// Checked case, followed by a colon and a space; empty if there is only one.
         context: String,
         /// Sum of the shares of all members.
         sum: f64,
@@ -61,13 +62,13 @@
     /// A region has no delegate.
     #[error("the first region has no delegate")]
     NoDelegate,
-    /// A delegate sees no region beside its own.
+    /// A delegate sees no region other than its own.
     #[error("the delegate sees no other region")]
     SingleRegion,
     /// Shared shedding missed a target.
     #[error("{problem}: {details}")]
     Shedding {
-        /// The missed target.
+        /// Description of the missed target.
         problem: &'static str,
         /// The injected disturbance and the measurement.
         details: String,
