--- a/crates/testbed/src/capacity/rows/balancers.rs
+++ b/crates/testbed/src/capacity/rows/balancers.rs
@@ -95,7 +95,8 @@
                 budget: Some(
                     self.plan.assumed.cache_handshakes_per_s * plan.caches / plan.balancers,
                 ),
-                source: "assumed: keys spread evenly; `IDLE_CONNECTIONS`, `IDLE_LEAST`".into(),
+                source: "assumed: keys spread evenly; `MAX_IDLE_PER_ENDPOINT`, `MIN_IDLE_TIME`"
+                    .into(),
                 mechanism: "caches of the own region only",
                 state: MechanismState::Missing,
             },
