--- a/crates/testbed/src/capacity.rs
+++ b/crates/testbed/src/capacity.rs
@@ -31,7 +31,7 @@
 pub struct ControlDemand {
     /// Purges per second.
     pub purges_per_s: f64,
-    /// Maximum time until a purge is done at all caches, in seconds.
+    /// Maximum time until all caches have applied a purge, in seconds.
     pub purge_within_s: f64,
     /// Number of caches in each region that hold a copy of an object.
     pub replicas_a_region: f64,
@@ -73,9 +73,9 @@
 pub struct Assumptions {
     /// Response time of a cache, in milliseconds.
     pub answer_ms: f64,
-    /// Size of the message of one purge.
+    /// Size of the message of one purge, in bytes.
     pub purge_bytes: f64,
-    /// Size of one configuration.
+    /// Size of one configuration, in bytes.
     pub config_bytes: f64,
     /// Number of caches that are added or removed on an ordinary day.
     pub cache_changes_per_day: f64,
--- a/crates/testbed/src/capacity/rows.rs
+++ b/crates/testbed/src/capacity/rows.rs
@@ -89,8 +89,8 @@
         Ok(self.slopes.find(name)?.value_at(size))
     }
 
-    /// Returns the name of a slope as the source of a value, and the largest measured size if
-    /// `size` is larger.
+    /// Returns the name of a slope as the source of a value, followed by the largest measured size
+    /// if `size` exceeds it.
     fn source(&self, name: &str, size: f64) -> Result<String, UnknownSlope> {
         let (_, max) = self.slopes.find(name)?.size_range();
         let extrapolation = if size > max {
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -65,8 +65,8 @@
     /// time; prints one row of JSON per size, loss ratio, disturbance and seed.
     #[command(alias = "levels")]
     Shedding(shedding::SheddingArguments),
-    /// Prints, at regular intervals of virtual time, how many pairs of members have which incorrect
-    /// views; traces the steps that `detection-latency` measures.
+    /// Prints the number of pairs of members with an incorrect view, by kind of view, at regular
+    /// intervals of virtual time; traces the steps that `detection-latency` measures.
     #[command(alias = "course")]
     Convergence(convergence::ConvergenceArguments),
     /// Measures the CPU time of the decision engine by the number of caches; the last line is the
@@ -94,7 +94,8 @@
 }
 
 impl Command {
-    /// Returns whether the command must end child processes in order when it is interrupted.
+    /// Returns whether the command must shut down its child processes itself when it is interrupted
+    /// by SIGINT or SIGTERM.
     fn handles_interrupts(&self) -> bool {
         matches!(
             self,
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -1,7 +1,7 @@
 //! Measures the CPU time of the decision [`Engine`] by the number of caches, without sockets.
 //!
 //! Reads of random keys arrive at a constant rate in virtual time, each is answered after a
-//! constant time, and once a second one cache is removed or added. Each event is timed with the
+//! constant time, and every second one cache is removed or added. Each event is timed with the
 //! machine's clock. The candidate table fills during the warm-up; the requests of its first second
 //! are measured separately, as the cost of first requests.
 
@@ -105,7 +105,7 @@
         }],
         tenants: Vec::new(),
         over_quota_weight: 0.0,
-        // A small number, so that no request is queued; queueing would add to the measured cost.
+        // A small fleet, so that no request is queued; queueing would add to the measured cost.
         balancers: 3,
         origin: OriginMode::ReadThrough,
         discovery: DiscoveryMode::Push,
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -75,13 +75,14 @@
     InvalidScenario {
         /// Name or path of the scenario.
         name: String,
-        /// The invalid setting.
+        /// Error that names the invalid setting.
         source: ScenarioError,
     },
     /// A set of members is not valid.
     #[error(transparent)]
     MemberSet(#[from] MemberSetError),
-    /// More instances or caches than the loopback network has addresses for.
+    /// The number of instances or caches is outside the range for which the loopback network has
+    /// addresses.
     #[error(
         "the loopback network has addresses for 1 to {max_instances} instances and 1 to \
          {max_caches} caches"
@@ -100,7 +101,7 @@
     CapacityPage {
         /// Path of the plan or the page.
         path: PathBuf,
-        /// The invalid value or the line that differs.
+        /// Error that names the invalid value or the line that differs.
         source: CapacityError,
     },
     /// A run of hollow members failed.
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -26,7 +26,7 @@
 const MEMBER_KB: usize = 160;
 /// Maximum memory in KB that a member needs per member of its region.
 const ENTRY_KB: f64 = 1.6;
-/// A run may use at most the machine's memory divided by this.
+/// Divisor of the machine's memory that yields the maximum memory of a run.
 const MEMORY_DIVISOR: usize = 2;
 /// Maximum number of members per process: each member has a socket, and a process may have 1,024
 /// file descriptors.
@@ -386,7 +386,8 @@
         self.processes.send(&MemberCommand::Cut(region))
     }
 
-    /// Sends the number of running members by region, which the views are compared with.
+    /// Sends the number of running members by region, with which the processes compare the views of
+    /// their members.
     fn send_expected_state(&mut self) -> Result<(), HollowError> {
         let mut running: BTreeMap<usize, usize> = BTreeMap::new();
         for (placement, _) in self
--- a/crates/testbed/src/hollow/members.rs
+++ b/crates/testbed/src/hollow/members.rs
@@ -46,8 +46,8 @@
     own_members: Vec<usize>,
     /// Times at which members are due for a tick.
     due: BinaryHeap<Reverse<(Nanos, usize)>>,
-    /// Whether each member of the fleet was killed or not started yet.
-    killed: Vec<bool>,
+    /// Whether each member of the fleet is down, either killed or not started yet.
+    down: Vec<bool>,
     /// Region that is cut off from the others.
     cut: Option<usize>,
     /// Number of running members by region, as expected by the parent.
@@ -107,7 +107,7 @@
         members: BTreeMap::new(),
         own_members,
         due: BinaryHeap::new(),
-        killed: vec![true; placements.len()],
+        down: vec![true; placements.len()],
         cut: None,
         running: BTreeMap::new(),
         report: MemberReport::default(),
@@ -161,7 +161,7 @@
     fn apply(&mut self, command: MemberCommand) -> Result<(), HollowError> {
         match command {
             MemberCommand::Start(members) => {
-                members.iter().for_each(|n| self.killed[*n] = false);
+                members.iter().for_each(|n| self.down[*n] = false);
                 let own: Vec<usize> = members
                     .into_iter()
                     .filter(|n| self.own_members.binary_search(n).is_ok())
@@ -170,7 +170,7 @@
             }
             MemberCommand::Kill(members) => {
                 for n in members {
-                    self.killed[n] = true;
+                    self.down[n] = true;
                     if let Some(hollow) = self.members.remove(&n) {
                         let traffic = hollow.member.statistics();
                         self.sent_by_killed.0 += traffic.sent;
@@ -318,7 +318,7 @@
                 ..
             } = change
                 && let Some(other) = self.by_address.get(&id.address)
-                && !self.killed[*other]
+                && !self.down[*other]
             {
                 self.report.false_deaths += 1;
             }
--- a/crates/testbed/src/invariants.rs
+++ b/crates/testbed/src/invariants.rs
@@ -196,11 +196,11 @@
             .sum();
         self.max_share_sum = self.max_share_sum.max(sum);
         if sum > max_sum {
-            let divisors: Vec<usize> = views.iter().flatten().map(|v| v.share_count).collect();
+            let share_counts: Vec<usize> = views.iter().flatten().map(|v| v.share_count).collect();
             self.record_violation(
                 at,
                 "shares",
-                format!("the shares sum to {sum:.2}, over {max_sum}: divided by {divisors:?}"),
+                format!("the shares sum to {sum:.2}, over {max_sum}: divided by {share_counts:?}"),
             );
         }
     }
--- a/crates/testbed/src/member_process.rs
+++ b/crates/testbed/src/member_process.rs
@@ -83,13 +83,13 @@
     pub name: String,
     /// Address to which datagrams to it are sent.
     pub address: SocketAddr,
-    /// Its generation.
+    /// Generation of the other member.
     pub generation: u64,
-    /// Its status, for example `serving` or `dead`.
+    /// Status of the other member, for example `serving` or `dead`.
     pub state: String,
 }
 
-/// State of a process that the trial has set by starting it or by signals.
+/// State of a process that the trial set by starting the process or sending it a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntendedState {
     /// Not started yet, or killed.
--- a/crates/testbed/src/mutations.rs
+++ b/crates/testbed/src/mutations.rs
@@ -74,8 +74,8 @@
             command.arg("--program").arg(program);
         }
         if let Some(fault) = fault {
-            // The flag reaches members that are processes, the variable members that run inside the
-            // trial's own process.
+            // The flag injects the fault into member processes, the variable into members that run
+            // inside the trial's own process.
             command
                 .args(["--planted", fault])
                 .env("PIPITRUN_PLANTED", fault);
@@ -100,6 +100,7 @@
                 .map_or("", |(_, name)| name);
             let verdict_without_fault = run_trial(trial, None)?;
             let verdict_with_fault = run_trial(trial, Some(name))?;
+            // `verdict: failed to play` means that the trial could not be run; it detected nothing.
             let found = verdict_without_fault == "verdict: passed"
                 && verdict_with_fault.starts_with("verdict: failed ")
                 && !verdict_with_fault.ends_with("to play");
--- a/crates/testbed/src/soak/balancers.rs
+++ b/crates/testbed/src/soak/balancers.rs
@@ -30,7 +30,7 @@
 pub struct BalancerStatus {
     /// Whether clients may send requests.
     pub access: ClientAccess,
-    /// Processes so far, the last one is the current one.
+    /// Processes so far; the last is the current one.
     pub processes: Vec<ProcessRecord>,
     /// Spans in which the trial stalled the process.
     pub stalls: Vec<TimeSpan>,
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// Checks by a `PING` whether the process is ready, unless it already was.
+    /// Checks by a `PING` whether the process is ready, unless it already is.
     pub fn update_readiness(&mut self) {
         let is_starting = self.update_status(|status| {
             status.access == ClientAccess::Unavailable
--- a/crates/testbed/src/soak/caches.rs
+++ b/crates/testbed/src/soak/caches.rs
@@ -27,7 +27,7 @@
     pub error: f64,
     /// Ratio of requests that are executed, but whose connection is reset instead of an answer.
     pub reset: f64,
-    /// Ratio of requests that are executed, but whose answer is sent only to its half.
+    /// Ratio of requests that are executed, but of whose answer only the first half is sent.
     pub truncated: f64,
     /// Ratio of requests that are answered a second time, 3 ms after the first answer.
     pub answered_twice: f64,
@@ -69,7 +69,6 @@
 }
 
 /// Action on a connection after an answer was written.
-
 #[derive(Clone, Copy, PartialEq)]
 enum AfterAnswer {
     KeepOpen,
@@ -147,7 +146,7 @@
 impl CacheServer {
     /// Waits for ready sockets, reads them and writes the answers that are due.
     fn poll_once(&mut self) -> io::Result<()> {
-        // Data that this poll finds arrived after the previous poll, so not before now.
+        // Data found by this poll arrived after the previous poll, that is, not before `before`.
         let before = self.clock.now();
         let listeners = self.listeners.iter().map(AsFd::as_fd);
         let connections = self
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -19,7 +19,7 @@
 const KEY_COUNT: u64 = 400;
 /// Time after its deadline for which a client still waits for an answer.
 const ANSWER_TIMEOUT: Nanos = 4_000 * MS;
-/// Time after a shutdown request in which clients still open new connections.
+/// Time after a shutdown request during which clients still open new connections.
 const CONNECT_AFTER_SHUTDOWN: Nanos = 300 * MS;
 /// Delay of the second half of a command that is written slowly.
 const SLOW_WRITE_DELAY: Nanos = 60 * MS;
@@ -73,7 +73,7 @@
     /// Time of the next request, by balancer.
     next_request_at: Vec<Nanos>,
     requests: Vec<RequestRecord>,
-    /// The key of each request.
+    /// Key of each request, by its index in the records.
     keys: Vec<u64>,
 }
 
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -29,7 +29,7 @@
     /// No fault.
     #[default]
     None,
-    /// Calls are closed without an answer, and watches are ended.
+    /// New connections are closed without an answer, and open watches are closed.
     Down,
     /// Existing watches stay open but send nothing; new watches work.
     Silent {
@@ -68,7 +68,7 @@
     change_bytes: u64,
 }
 
-/// Endpoint list and the record of the messages sent to balancers.
+/// Simulated discovery: the endpoint list and the records of the messages sent to balancers.
 #[derive(Clone)]
 pub struct DiscoveryService {
     state: Arc<Mutex<DiscoveryState>>,
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -29,7 +29,7 @@
     pub drain_grace: Nanos,
     /// Window within which a keyed write may be repeated.
     pub deduplication_window: Nanos,
-    /// Ratio of its capacity that a cache has when it starts.
+    /// Fraction of its capacity that a cache has when it starts.
     pub slow_start_fraction: f64,
     /// Time after its start until a cache is warm.
     pub slow_start_duration: Nanos,
@@ -64,8 +64,8 @@
     }
 }
 
-/// Event of a timeline. Events of a number of caches concern the first caches that have a listener
-/// of their own, unless stated otherwise. Spans are in nanoseconds.
+/// Event of a timeline. An event for a number of caches affects the first caches that have a
+/// listener of their own, unless stated otherwise. Spans are in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SoakEvent {
     /// This number of new, warm caches is added to the list.
@@ -186,7 +186,7 @@
     }
 }
 
-/// Ratios of requests with an unusual client behavior.
+/// Ratios from which that of each unusual client behavior is chosen.
 const UNUSUAL_RATIOS: [f64; 3] = [0.0, 0.03, 0.1];
 
 fn generate_rules(rng: &mut impl Rng, capacity: f64, caches: usize) -> CheckedRules {
@@ -228,7 +228,7 @@
     let mut events: Vec<(Nanos, SoakEvent)> = (0..count)
         .map(|_| (random_time(rng), generate_event(rng, balancers, caches)))
         .collect();
-    // Each seed has at least one shutdown, one stall, caches that hang and caches that restart
+    // Each plan contains at least one shutdown, one stall, caches that hang and caches that restart
     // cold.
     let own_listeners = MAX_OWN_LISTENERS.min(caches / 2);
     events.push((random_time(rng), SoakEvent::Cold(own_listeners.div_ceil(2))));
@@ -249,8 +249,9 @@
     events
 }
 
-/// Generates a plan for one balancer whose traffic does not depend on the number of caches. Twice a
-/// tenth of the caches is replaced, then a batch of a quarter of their number is added.
+/// Generates a plan for one balancer whose traffic does not depend on the number of caches. A
+/// tenth of the caches is replaced, then another tenth, and finally a quarter of their number is
+/// added at once.
 #[must_use]
 pub fn growth_plan(seed: u64, caches: usize, requests_per_s: f64) -> SoakPlan {
     let mut plan = generate(seed, true);
--- a/crates/testbed/src/soak/records.rs
+++ b/crates/testbed/src/soak/records.rs
@@ -17,14 +17,14 @@
 pub enum RequestKind {
     /// May be repeated at any time.
     Safe,
-    /// Carries a key; may be repeated within the deduplication window.
+    /// Carries an idempotency key; may be repeated within the deduplication window.
     Keyed,
     /// Must not run twice.
     Unsafe,
 }
 
 impl RequestKind {
-    /// Class of the settings for each kind: its name and its value of `repeat`.
+    /// Name and `repeat` value of the class in the settings, for each kind.
     pub const CLASSES: [(RequestKind, &'static str, &'static str); 3] = [
         (RequestKind::Safe, "read", "safe"),
         (RequestKind::Keyed, "put", "keyed"),
--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -11,12 +11,13 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Time after its deadline from which an answer counts as lost.
+/// Maximum time by which an answer may exceed the deadline of its request; a later answer violates
+/// the rule `lost`.
 const ANSWER_SLACK: Nanos = 550 * MS;
 /// Maximum time by which an attempt may begin after its client has disconnected.
 const DISCONNECT_SLACK: Nanos = 100 * MS;
 /// Maximum time by which the time sent with an attempt may exceed the remaining time of its
-/// request.
+/// request, and by which a repeated keyed attempt may overlap the previous attempt.
 const TIMEOUT_SLACK: Nanos = 150 * MS;
 /// Tolerance of the deduplication window: the balancer may be delayed by this time between reading
 /// its clock and writing an attempt.
--- a/crates/testbed/src/stall.rs
+++ b/crates/testbed/src/stall.rs
@@ -24,7 +24,7 @@
 /// Time that the client keeps sending after each change.
 const MEASURE_SPAN: Duration = Duration::from_millis(1_500);
 /// Timeout for the balancer to become ready.
-const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Number of listeners, shared by all listed caches.
 const CACHE_LISTENERS: usize = 8;
 
@@ -177,7 +177,7 @@
 
 fn wait_ready(address: SocketAddr) -> Result<(), TestbedError> {
     let begin = Instant::now();
-    while begin.elapsed() < STEP_TIMEOUT {
+    while begin.elapsed() < READY_TIMEOUT {
         let ready = TcpStream::connect(address).and_then(|mut stream| {
             stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
             let mut reply = [0; 7];
@@ -253,13 +253,13 @@
     std::thread::sleep(MEASURE_SPAN);
     let baseline = ping_probe.take_longest();
     let mut after_change = [Duration::ZERO; 3];
-    for (place, change) in BatchChange::ALL.into_iter().enumerate() {
+    for (index, change) in BatchChange::ALL.into_iter().enumerate() {
         let batch = hosts(caches..caches + batch, change.health());
         list_changes
-            .send(list_delta(2 + place as u64, &batch))
+            .send(list_delta(2 + index as u64, &batch))
             .map_err(|e| TestbedError::io("discovery", std::io::Error::other(e)))?;
         std::thread::sleep(MEASURE_SPAN);
-        after_change[place] = ping_probe.take_longest();
+        after_change[index] = ping_probe.take_longest();
     }
     Ok(StallMeasurement {
         baseline,
