--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -94,8 +94,9 @@
 }
 
 impl Command {
-    /// Returns whether the command must shut down its child processes itself when it is interrupted
-    /// by SIGINT or SIGTERM.
+    /// Returns whether SIGINT and SIGTERM set a flag instead of ending the process at once.
+    /// Commands with child processes shut these down first; `hollow-members` exits when its parent
+    /// closes its standard input.
     fn handles_interrupts(&self) -> bool {
         matches!(
             self,
--- a/crates/testbed/src/decisions.rs
+++ b/crates/testbed/src/decisions.rs
@@ -1,7 +1,7 @@
 //! Measures the CPU time of the decision [`Engine`] by the number of caches, without sockets.
 //!
 //! Reads of random keys arrive at a constant rate in virtual time, each is answered after a
-//! constant time, and every second one cache is removed or added. Each event is timed with the
+//! constant time, and one cache is removed or added every second. Each event is timed with the
 //! machine's clock. The candidate table fills during the warm-up; the requests of its first second
 //! are measured separately, as the cost of first requests.
 
