--- a/crates/testbed/src/commands/hollow.rs
+++ b/crates/testbed/src/commands/hollow.rs
@@ -12,7 +12,7 @@
     /// Duration of the span without events, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Event that is injected after it.
+    /// Event that is injected after the span without events.
     #[arg(long, value_enum, default_value_t = HollowEvent::None)]
     event: HollowEvent,
 }
--- a/crates/testbed/src/commands/regions.rs
+++ b/crates/testbed/src/commands/regions.rs
@@ -21,13 +21,13 @@
     /// Delay of datagrams between regions, in milliseconds.
     #[arg(long, default_value_t = 40)]
     delay_between: u64,
-    /// Number of seeds, from 1.
+    /// Number of seeds; the first is 1.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
     /// Duration of the span without events, in seconds of virtual time.
     #[arg(long, default_value_t = 30)]
     calm: u64,
-    /// Events that are injected after it.
+    /// Events that are injected after the span without events.
     #[arg(
         long,
         value_enum,
--- a/crates/testbed/src/commands/share_count.rs
+++ b/crates/testbed/src/commands/share_count.rs
@@ -12,7 +12,7 @@
     /// Number of members.
     #[arg(long, default_value_t = 12)]
     members: usize,
-    /// Number of seeds, from 1.
+    /// Number of seeds; the first is 1.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
 }
--- a/crates/testbed/src/commands/shedding.rs
+++ b/crates/testbed/src/commands/shedding.rs
@@ -12,7 +12,7 @@
     /// Ratios of datagrams that are lost, from 0 to 1.
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.3])]
     loss: Vec<f64>,
-    /// Number of seeds, from 1.
+    /// Number of seeds; the first is 1.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
 }
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -68,7 +68,7 @@
     pub seed: u64,
     /// Duration of the span without events, in seconds.
     pub seconds: u64,
-    /// Event that is injected after it.
+    /// Event that is injected after the span without events.
     pub event: HollowEvent,
 }
 
