--- a/crates/membership/src/regions/announcement_store.rs
+++ b/crates/membership/src/regions/announcement_store.rs
@@ -359,8 +359,8 @@
     }
 
     /// Raises the version of this member's announcement above a received one. Only this member
-    /// writes its announcement, but an earlier process of it may have published a version from a
-    /// later clock.
+    /// writes its announcement, but its previous process may have published a higher version if the
+    /// clock was ahead at that time.
     fn raise_own_version(&mut self, version: u64) {
         let id = self.own_id();
         if let Some(own) = self.stored.get_mut(&id)
